--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -17,7 +17,6 @@
 	"github.com/pkg/errors"
 	"github.com/rcrowley/go-metrics"
 
-	"sassafrasfield/internal/follow"
 	"sassafrasfield/internal/front"
 	"sassafrasfield/internal/logging"
 	"sassafrasfield/internal/pause"
@@ -28,6 +27,7 @@
 	"sassafrasfield/internal/replica"
 	"sassafrasfield/internal/rolekeeper"
 	"sassafrasfield/internal/routes"
+	"sassafrasfield/internal/rowsync"
 	"sassafrasfield/internal/scaling"
 	"sassafrasfield/internal/usagereport"
 )
@@ -42,7 +42,7 @@
 
 // Adapter is the platform.
 type Adapter struct {
-	Feed      follow.Feed
+	Feed      rowsync.Feed
 	Table     platform.Table
 	Sender    relay.Sender
 	Orderer   rolekeeper.Orderer
@@ -65,7 +65,7 @@
 	Metrics string
 	Front   front.Settings
 	Relay   relay.Settings
-	Follow  follow.Settings
+	Follow  rowsync.Settings
 	Roles   rolekeeper.Settings
 	// Usage has a Length of 0 where no counts of requests are wanted.
 	Usage usagereport.Settings
@@ -79,7 +79,7 @@
 	adapter  Adapter
 	log      *slog.Logger
 	relay    *relay.Relay
-	follower *follow.Follower
+	follower *rowsync.Follower
 	peers    *peers.Exchange
 	reports  *peers.Reports
 	limits   atomic.Pointer[routes.Limits]
@@ -91,7 +91,7 @@
 func New(s Settings, a Adapter, log *slog.Logger) *Instance {
 	in := &Instance{settings: s, adapter: a, log: log, started: time.Now()}
 	in.relay = relay.New(s.Relay, a.Sender, logging.Part(log, "relay"))
-	in.follower = follow.New(s.Follow, a.Feed, in.changed, logging.Part(log, "follow"))
+	in.follower = rowsync.New(s.Follow, a.Feed, in.changed, logging.Part(log, "follow"))
 	in.peers = peers.New(s.Self, s.Seeds, in.follower, logging.Part(log, "peers"))
 	in.follower.Join(in.peers)
 	in.reports = peers.NewReports(in.peers, in.relay)
--- a/internal/follow/follow.go
+++ b/internal/rowsync/rowsync.go
@@ -1,7 +1,7 @@
-// Package follow keeps an instance's copy of the platform's rows up to date:
+// Package rowsync keeps an instance's copy of the platform's rows up to date:
 // from the store's feed, by a full read where the feed has no history, and from
 // other instances while the store gives nothing.
-package follow
+package rowsync
 
 import (
 	"context"
--- a/internal/follow/follow_test.go
+++ b/internal/rowsync/rowsync_test.go
@@ -1,4 +1,4 @@
-package follow
+package rowsync
 
 import (
 	"context"
