--- a/internal/fanout/inbox.go
+++ b/internal/fanout/inbox.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"sassafrasfield/internal/picture"
 	"sassafrasfield/internal/quota"
+	"sassafrasfield/internal/upstreamstate"
 )
 
 // Own is an instance's report on itself.
@@ -17,7 +17,7 @@
 	Boot, Sequence uint32
 	// Reading tells that it follows the platform's store, and that it answers.
 	Reading bool
-	Report  picture.Report
+	Report  upstreamstate.Report
 }
 
 // placedAtMost bounds the parts that wait with one instance's report.
--- a/internal/fanout/inbox_test.go
+++ b/internal/fanout/inbox_test.go
@@ -5,14 +5,14 @@
 	"testing"
 	"time"
 
-	"sassafrasfield/internal/picture"
 	"sassafrasfield/internal/quarantine"
 	"sassafrasfield/internal/quota"
+	"sassafrasfield/internal/upstreamstate"
 )
 
 func own(source ID, boot, sequence uint32, part uint32) Own {
-	return Own{Source: source, Boot: boot, Sequence: sequence, Report: picture.Report{
-		Whole: true, Placed: []picture.Placed{{Engine: 1, Part: part}},
+	return Own{Source: source, Boot: boot, Sequence: sequence, Report: upstreamstate.Report{
+		Whole: true, Placed: []upstreamstate.Placed{{Engine: 1, Part: part}},
 	}}
 }
 
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -21,7 +21,6 @@
 	"sassafrasfield/internal/logging"
 	"sassafrasfield/internal/pause"
 	"sassafrasfield/internal/peers"
-	"sassafrasfield/internal/picture"
 	"sassafrasfield/internal/platform"
 	"sassafrasfield/internal/relay"
 	"sassafrasfield/internal/replica"
@@ -29,6 +28,7 @@
 	"sassafrasfield/internal/routes"
 	"sassafrasfield/internal/rowsync"
 	"sassafrasfield/internal/scaling"
+	"sassafrasfield/internal/upstreamstate"
 	"sassafrasfield/internal/usagereport"
 )
 
@@ -37,7 +37,7 @@
 	// Routes returns the configuration among rows, or nil.
 	Routes(rows []replica.Row) (*routes.Table, error)
 	// Upstream decodes an upstream's row.
-	Upstream(row replica.Row) (picture.Upstream, error)
+	Upstream(row replica.Row) (upstreamstate.Upstream, error)
 }
 
 // Adapter is the platform.
@@ -237,10 +237,10 @@
 }
 
 // Engines implements rolekeeper.View.
-func (in *Instance) Engines() map[string][]picture.Engine { return in.relay.Engines() }
+func (in *Instance) Engines() map[string][]upstreamstate.Engine { return in.relay.Engines() }
 
 // Times implements rolekeeper.View.
-func (in *Instance) Times(service string) picture.Times { return in.relay.Times(service) }
+func (in *Instance) Times(service string) upstreamstate.Times { return in.relay.Times(service) }
 
 // SendAway implements rolekeeper.View.
 func (in *Instance) SendAway(engine string, d time.Duration) { in.relay.SendAway(engine, d) }
--- a/internal/instance/instance_test.go
+++ b/internal/instance/instance_test.go
@@ -8,10 +8,10 @@
 	"github.com/pkg/errors"
 
 	"sassafrasfield/internal/config"
-	"sassafrasfield/internal/picture"
 	"sassafrasfield/internal/relay"
 	"sassafrasfield/internal/replica"
 	"sassafrasfield/internal/routes"
+	"sassafrasfield/internal/upstreamstate"
 )
 
 // fakeDocuments reads upstreams' rows that have a role's name, and no others.
@@ -19,18 +19,18 @@
 
 func (fakeDocuments) Routes([]replica.Row) (*routes.Table, error) { return nil, nil }
 
-func (fakeDocuments) Upstream(row replica.Row) (picture.Upstream, error) {
+func (fakeDocuments) Upstream(row replica.Row) (upstreamstate.Upstream, error) {
 	role := config.Role(row.Value)
 	if role != config.RoleDecode && role != config.RolePrefill {
-		return picture.Upstream{}, errors.New("no entry")
+		return upstreamstate.Upstream{}, errors.New("no entry")
 	}
-	return picture.Upstream{ID: row.Key.Key, Service: "llm", Role: role}, nil
+	return upstreamstate.Upstream{ID: row.Key.Key, Service: "llm", Role: role}, nil
 }
 
 // silentSender has upstreams that say nothing of themselves. Nothing is sent to them.
 type silentSender struct{ relay.Sender }
 
-func (silentSender) Listen(func(picture.Upstream, picture.Statement)) {}
+func (silentSender) Listen(func(upstreamstate.Upstream, upstreamstate.Statement)) {}
 
 func newInstance() *Instance { return newInstanceWith(silentSender{}) }
 
--- a/internal/instance/orders.go
+++ b/internal/instance/orders.go
@@ -3,9 +3,9 @@
 import (
 	"context"
 
-	"sassafrasfield/internal/picture"
 	"sassafrasfield/internal/relay"
 	"sassafrasfield/internal/rolekeeper"
+	"sassafrasfield/internal/upstreamstate"
 )
 
 // restingOrderer asks and orders nothing of engines that want nothing from this instance.
@@ -15,7 +15,7 @@
 }
 
 // State implements rolekeeper.Orderer.
-func (o restingOrderer) State(ctx context.Context, engine picture.Upstream) (rolekeeper.EngineState, error) {
+func (o restingOrderer) State(ctx context.Context, engine upstreamstate.Upstream) (rolekeeper.EngineState, error) {
 	if o.relay.Resting(engine) {
 		return rolekeeper.EngineState{}, relay.ErrResting
 	}
@@ -23,7 +23,7 @@
 }
 
 // Order implements rolekeeper.Orderer.
-func (o restingOrderer) Order(ctx context.Context, engine picture.Upstream, order rolekeeper.Order) error {
+func (o restingOrderer) Order(ctx context.Context, engine upstreamstate.Upstream, order rolekeeper.Order) error {
 	if o.relay.Resting(engine) {
 		return relay.ErrResting
 	}
--- a/internal/instance/orders_test.go
+++ b/internal/instance/orders_test.go
@@ -7,29 +7,29 @@
 
 	"github.com/pkg/errors"
 
-	"sassafrasfield/internal/picture"
 	"sassafrasfield/internal/relay"
 	"sassafrasfield/internal/replica"
 	"sassafrasfield/internal/rolekeeper"
+	"sassafrasfield/internal/upstreamstate"
 )
 
 // hearing keeps how upstreams' words reach the relay.
 type hearing struct {
 	relay.Sender
-	hear func(picture.Upstream, picture.Statement)
+	hear func(upstreamstate.Upstream, upstreamstate.Statement)
 }
 
-func (h *hearing) Listen(hear func(picture.Upstream, picture.Statement)) { h.hear = hear }
+func (h *hearing) Listen(hear func(upstreamstate.Upstream, upstreamstate.Statement)) { h.hear = hear }
 
 // countingOrderer counts what reaches engines.
 type countingOrderer struct{ calls int }
 
-func (c *countingOrderer) State(context.Context, picture.Upstream) (rolekeeper.EngineState, error) {
+func (c *countingOrderer) State(context.Context, upstreamstate.Upstream) (rolekeeper.EngineState, error) {
 	c.calls++
 	return rolekeeper.EngineState{}, nil
 }
 
-func (c *countingOrderer) Order(context.Context, picture.Upstream, rolekeeper.Order) error {
+func (c *countingOrderer) Order(context.Context, upstreamstate.Upstream, rolekeeper.Order) error {
 	c.calls++
 	return nil
 }
@@ -42,7 +42,7 @@
 	in.changed([]replica.Row{upstreamRow("e-1", "decode", 1), upstreamRow("e-2", "decode", 2)})
 	all := in.relay.Engines()["llm"]
 	one, other := all[0].Upstream, all[1].Upstream
-	sender.hear(one, picture.Statement{Rest: time.Minute})
+	sender.hear(one, upstreamstate.Statement{Rest: time.Minute})
 	orderer := restingOrderer{engines, in.relay}
 	if _, err := orderer.State(context.Background(), one); !errors.Is(err, relay.ErrResting) {
 		t.Errorf("asked: %v", err)
--- a/internal/instance/times.go
+++ b/internal/instance/times.go
@@ -7,7 +7,7 @@
 	"github.com/rcrowley/go-metrics"
 
 	"sassafrasfield/internal/pause"
-	"sassafrasfield/internal/picture"
+	"sassafrasfield/internal/upstreamstate"
 )
 
 // timesEvery is the time between two lines on what the engines take.
@@ -26,7 +26,7 @@
 	}
 }
 
-func (in *Instance) tellTimesOf(service string, t picture.Times) {
+func (in *Instance) tellTimesOf(service string, t upstreamstate.Times) {
 	in.log.Info("instance: engines take", "service", service, "known", t.Known, "token_ns", t.TokenTime, "pair_ns", t.PairTime, "overhead", t.Overhead,
 		"step", t.Step, "step_per_request", t.StepPerRequest, "hand_over", t.HandOver, "stream", t.Stream)
 	for name, value := range map[string]float64{
--- a/internal/model/reports.go
+++ b/internal/model/reports.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"sassafrasfield/internal/picture"
+	"sassafrasfield/internal/upstreamstate"
 )
 
 // Pace of the reports between instances, as package fanout has it. A change waits half
@@ -18,7 +18,7 @@
 	at     time.Duration
 	to     *instance
 	source string
-	report picture.Report
+	report upstreamstate.Report
 }
 
 // report has the instances tell one another what they have: each its zone's hub, the
@@ -71,7 +71,7 @@
 	report := from.picture.OwnReport(r.now)
 	for _, to := range r.instances {
 		if to != from && to.zone == from.zone {
-			r.send(to, picture.BesidePrefix+from.name, report)
+			r.send(to, upstreamstate.BesidePrefix+from.name, report)
 		}
 	}
 }
@@ -87,7 +87,7 @@
 }
 
 // send puts a report on its way, unless it is lost.
-func (r *run) send(to *instance, source string, report picture.Report) {
+func (r *run) send(to *instance, source string, report upstreamstate.Report) {
 	if r.rng.Float64() < r.pattern.Fleet.ReportLoss {
 		return
 	}
--- a/internal/model/run.go
+++ b/internal/model/run.go
@@ -9,9 +9,9 @@
 	"sassafrasfield/internal/config"
 	"sassafrasfield/internal/estimate"
 	"sassafrasfield/internal/load"
-	"sassafrasfield/internal/picture"
 	"sassafrasfield/internal/route"
 	"sassafrasfield/internal/routes"
+	"sassafrasfield/internal/upstreamstate"
 )
 
 // service is the name of the one service.
@@ -40,7 +40,7 @@
 // instance is one instance with its picture.
 type instance struct {
 	name, zone string
-	picture    *picture.Picture
+	picture    *upstreamstate.Picture
 }
 
 // run is a pattern under a policy on its way.
@@ -110,7 +110,7 @@
 func (r *run) newInstance(i int) *instance {
 	spec := r.pattern.Fleet.Engine
 	in := &instance{name: fmt.Sprintf("i%02d", i), zone: zone(i, r.pattern.Fleet.Zones)}
-	in.picture = picture.New(picture.Settings{
+	in.picture = upstreamstate.New(upstreamstate.Settings{
 		Zone: in.zone, Placement: r.policy.settings(), Prior: r.policy.prior(spec),
 		Outliers: load.DefaultOutlierRules(), Seed: uint64(i) + 1,
 	})
@@ -124,8 +124,8 @@
 	return in
 }
 
-func (e *engine) upstream() picture.Upstream {
-	return picture.Upstream{ID: e.id, Service: service, Zone: e.zone, Role: e.role, Slots: e.spec.Slots}
+func (e *engine) upstream() upstreamstate.Upstream {
+	return upstreamstate.Upstream{ID: e.id, Service: service, Zone: e.zone, Role: e.role, Slots: e.spec.Slots}
 }
 
 // arrive has this tick's requests come.
@@ -145,9 +145,9 @@
 	}
 }
 
-func (req *request) ask(now time.Duration) picture.Ask {
+func (req *request) ask(now time.Duration) upstreamstate.Ask {
 	waited := now - req.arrived
-	return picture.Ask{
+	return upstreamstate.Ask{
 		ID: req.id, Service: service, Prompt: req.prompt,
 		Objective: req.class.Objective - waited, Left: req.class.Patience - waited,
 	}
--- a/internal/peers/fleet_test.go
+++ b/internal/peers/fleet_test.go
@@ -11,9 +11,9 @@
 	"google.golang.org/protobuf/proto"
 
 	sfv1 "sassafrasfield/internal/gen/sf/v1"
-	"sassafrasfield/internal/picture"
 	"sassafrasfield/internal/quota"
 	"sassafrasfield/internal/replica"
+	"sassafrasfield/internal/upstreamstate"
 )
 
 // virtualFleet plays many instances with their reports in virtual time, without a
@@ -54,7 +54,7 @@
 
 // virtualLoads is an instance's picture in virtual time.
 type virtualLoads struct {
-	*picture.Picture
+	*upstreamstate.Picture
 	now     func() time.Duration
 	changed chan struct{}
 	granted int
@@ -63,21 +63,21 @@
 
 func newVirtualLoads(now func() time.Duration) *virtualLoads {
 	l := &virtualLoads{now: now, changed: make(chan struct{}, 1), grants: quota.NewGrants()}
-	l.Picture = picture.New(picture.Settings{Seed: 1, Changed: func() {
+	l.Picture = upstreamstate.New(upstreamstate.Settings{Seed: 1, Changed: func() {
 		select {
 		case l.changed <- struct{}{}:
 		default: // it is told already
 		}
 	}})
-	l.Learn(picture.Upstream{ID: "e", Service: "s", Role: "decode"})
+	l.Learn(upstreamstate.Upstream{ID: "e", Service: "s", Role: "decode"})
 	return l
 }
 
-func (l *virtualLoads) Changed() <-chan struct{}     { return l.changed }
-func (l *virtualLoads) OwnReport() picture.Report    { return l.Picture.OwnReport(l.now()) }
-func (l *virtualLoads) ZoneReport() picture.Report   { return l.Picture.ZoneReport(l.now()) }
-func (l *virtualLoads) BeyondReport() picture.Report { return l.Picture.BeyondReport(l.now()) }
-func (l *virtualLoads) TakeReport(source string, report picture.Report) {
+func (l *virtualLoads) Changed() <-chan struct{}           { return l.changed }
+func (l *virtualLoads) OwnReport() upstreamstate.Report    { return l.Picture.OwnReport(l.now()) }
+func (l *virtualLoads) ZoneReport() upstreamstate.Report   { return l.Picture.ZoneReport(l.now()) }
+func (l *virtualLoads) BeyondReport() upstreamstate.Report { return l.Picture.BeyondReport(l.now()) }
+func (l *virtualLoads) TakeReport(source string, report upstreamstate.Report) {
 	l.Picture.TakeReport(source, report, l.now())
 }
 
--- a/internal/peers/limit_test.go
+++ b/internal/peers/limit_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"sassafrasfield/internal/picture"
 	"sassafrasfield/internal/quota"
+	"sassafrasfield/internal/upstreamstate"
 )
 
 // Upstreams announce how many requests a second they take from all instances together. Each
@@ -31,7 +31,7 @@
 
 // limitedUpstream is an upstream that may announce a limit.
 type limitedUpstream struct {
-	picture.Upstream
+	upstreamstate.Upstream
 	// rate is what it announces; Unlimited for nothing.
 	rate     float64
 	arrivals []time.Duration
@@ -68,7 +68,7 @@
 	f := &limitedFleet{virtualFleet: newVirtualFleet(instances, zones, 0.01, seed), zones: zones}
 	for i, rate := range rates {
 		f.upstreams = append(f.upstreams, &limitedUpstream{
-			Upstream: picture.Upstream{ID: fmt.Sprint("app-", i), Service: "app", Address: "a", Zone: fmt.Sprint("z", i%zones), Born: 1},
+			Upstream: upstreamstate.Upstream{ID: fmt.Sprint("app-", i), Service: "app", Address: "a", Zone: fmt.Sprint("z", i%zones), Born: 1},
 			rate:     rate,
 		})
 	}
@@ -121,7 +121,7 @@
 	n := c.node
 	for {
 		now := n.loads.now()
-		chosen, ok := n.loads.PickCall(picture.Ask{ID: c.id, Service: "app", Excluded: c.excluded}, now)
+		chosen, ok := n.loads.PickCall(upstreamstate.Ask{ID: c.id, Service: "app", Excluded: c.excluded}, now)
 		if !ok {
 			f.refused++
 			return
--- a/internal/peers/link_test.go
+++ b/internal/peers/link_test.go
@@ -8,9 +8,9 @@
 
 	"sassafrasfield/internal/config"
 	sfv1 "sassafrasfield/internal/gen/sf/v1"
-	"sassafrasfield/internal/picture"
 	"sassafrasfield/internal/route"
 	"sassafrasfield/internal/routes"
+	"sassafrasfield/internal/upstreamstate"
 )
 
 const (
@@ -48,7 +48,7 @@
 			if i%18 < prefillOf18 {
 				role = config.RolePrefill
 			}
-			n.loads.Learn(picture.Upstream{
+			n.loads.Learn(upstreamstate.Upstream{
 				ID: fmt.Sprintf("engine-%d", i), Service: "llm", Address: "a", Zone: fmt.Sprintf("z%d", i%zones), Role: role,
 			})
 		}
@@ -81,7 +81,7 @@
 // another one generates.
 func (b *busyFleet) place(n *virtualNode) {
 	b.requests++
-	ask := picture.Ask{ID: fmt.Sprint("r", b.requests), Service: "llm", Objective: time.Second, Left: 2 * time.Second}
+	ask := upstreamstate.Ask{ID: fmt.Sprint("r", b.requests), Service: "llm", Objective: time.Second, Left: 2 * time.Second}
 	ask.Prompt = route.Prompt{Tokens: 9200, Output: 2, Parts: []route.Part{
 		{ID: fmt.Sprint("part-", b.rng.IntN(2000)), Tokens: 6300}, {ID: "own", Tokens: 2900},
 	}}
--- a/internal/peers/messages.go
+++ b/internal/peers/messages.go
@@ -7,10 +7,10 @@
 	"sassafrasfield/internal/estimate"
 	"sassafrasfield/internal/fanout"
 	sfv1 "sassafrasfield/internal/gen/sf/v1"
-	"sassafrasfield/internal/picture"
 	"sassafrasfield/internal/quarantine"
 	"sassafrasfield/internal/quota"
 	"sassafrasfield/internal/replica"
+	"sassafrasfield/internal/upstreamstate"
 	"sassafrasfield/internal/usage"
 )
 
@@ -18,7 +18,9 @@
 const thousandths = 1000
 
 // sourceOf names the source of an instance's reports.
-func sourceOf(id fanout.ID) string { return picture.BesidePrefix + strconv.FormatUint(uint64(id), 16) }
+func sourceOf(id fanout.ID) string {
+	return upstreamstate.BesidePrefix + strconv.FormatUint(uint64(id), 16)
+}
 
 func ownToMessage(o fanout.Own) *sfv1.InstanceReport {
 	return &sfv1.InstanceReport{
@@ -34,7 +36,7 @@
 	}
 }
 
-func reportToMessage(report picture.Report) *sfv1.EngineReport {
+func reportToMessage(report upstreamstate.Report) *sfv1.EngineReport {
 	m := &sfv1.EngineReport{Whole: report.Whole, Gone: report.Gone}
 	for _, load := range report.Loads {
 		m.Loads = append(m.Loads, &sfv1.EngineLoad{
@@ -68,10 +70,10 @@
 	return m
 }
 
-func reportFromMessage(m *sfv1.EngineReport) picture.Report {
-	report := picture.Report{Whole: m.GetWhole(), Gone: m.GetGone()}
+func reportFromMessage(m *sfv1.EngineReport) upstreamstate.Report {
+	report := upstreamstate.Report{Whole: m.GetWhole(), Gone: m.GetGone()}
 	for _, l := range m.GetLoads() {
-		report.Loads = append(report.Loads, picture.EngineLoad{
+		report.Loads = append(report.Loads, upstreamstate.EngineLoad{
 			Engine: l.GetEngine(), Ahead: time.Duration(l.GetPrefillMs()) * time.Millisecond, Requests: int(l.GetRequests()),
 			Use: float64(l.GetUse()) / thousandths, Yielding: time.Duration(l.GetYieldingMs()) * time.Millisecond,
 			Inflow: float64(l.GetInflow()),
@@ -79,7 +81,7 @@
 	}
 	placed := m.GetPlaced()
 	for i := 0; i+1 < len(placed); i += 2 {
-		report.Placed = append(report.Placed, picture.Placed{Engine: placed[i], Part: placed[i+1]})
+		report.Placed = append(report.Placed, upstreamstate.Placed{Engine: placed[i], Part: placed[i+1]})
 	}
 	for _, spilled := range m.GetSpilled() {
 		if report.Spilled == nil {
@@ -88,7 +90,7 @@
 		report.Spilled[spilled.GetService()] = float64(spilled.GetSends())
 	}
 	for _, a := range m.GetAway() {
-		report.Away = append(report.Away, picture.Away{Upstream: a.GetUpstream(), For: time.Duration(a.GetForMs()) * time.Millisecond})
+		report.Away = append(report.Away, upstreamstate.Away{Upstream: a.GetUpstream(), For: time.Duration(a.GetForMs()) * time.Millisecond})
 	}
 	for _, e := range m.GetEnds() {
 		report.Ends = append(report.Ends, quarantine.End{Content: quarantine.Content(e.GetContent()), Upstream: e.GetUpstream()})
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -12,12 +12,12 @@
 	"github.com/pkg/errors"
 
 	sfv1 "sassafrasfield/internal/gen/sf/v1"
-	"sassafrasfield/internal/picture"
 	"sassafrasfield/internal/quota"
 	"sassafrasfield/internal/relay"
 	"sassafrasfield/internal/replica"
 	"sassafrasfield/internal/route"
 	"sassafrasfield/internal/routes"
+	"sassafrasfield/internal/upstreamstate"
 )
 
 // node is an instance of the exchange under test, served over HTTP.
@@ -196,14 +196,14 @@
 func TestLoadsAreToldToAllZones(t *testing.T) {
 	all := fleet(t)
 	for _, n := range all {
-		n.relay.Learn(picture.Upstream{ID: "e", Service: "s", Role: "decode"})
+		n.relay.Learn(upstreamstate.Upstream{ID: "e", Service: "s", Role: "decode"})
 	}
 	speaker := hubOf(all, "b")
 	waitFor(func() bool {
 		// A part is told once, and a datagram may be lost: it is placed again.
-		speaker.relay.TakeReport("instance x", picture.Report{Placed: []picture.Placed{{Engine: 1, Part: 2}}})
+		speaker.relay.TakeReport("instance x", upstreamstate.Report{Placed: []upstreamstate.Placed{{Engine: 1, Part: 2}}})
 		for _, n := range all {
-			if n.self.Zone != speaker.self.Zone && !n.relay.Knows(picture.Placed{Engine: 1, Part: 2}) {
+			if n.self.Zone != speaker.self.Zone && !n.relay.Knows(upstreamstate.Placed{Engine: 1, Part: 2}) {
 				return false
 			}
 		}
@@ -224,13 +224,13 @@
 	return nil, relay.ErrLost
 }
 
-func (s *heldSender) Prefill(context.Context, *relay.Request, relay.Send) (relay.KV, picture.Load, error) {
-	return relay.KV{}, picture.Load{}, relay.ErrLost
+func (s *heldSender) Prefill(context.Context, *relay.Request, relay.Send) (relay.KV, upstreamstate.Load, error) {
+	return relay.KV{}, upstreamstate.Load{}, relay.ErrLost
 }
 
-func (*heldSender) Listen(func(picture.Upstream, picture.Statement)) {}
+func (*heldSender) Listen(func(upstreamstate.Upstream, upstreamstate.Statement)) {}
 
-func (*heldSender) Ended(context.Context, picture.Upstream, string) (bool, error) {
+func (*heldSender) Ended(context.Context, upstreamstate.Upstream, string) (bool, error) {
 	return false, nil
 }
 
@@ -244,7 +244,7 @@
 	}}, []routes.Service{{Name: "s"}}, routes.Limits{})
 	for _, n := range all {
 		n.relay.SetRoutes(table)
-		n.relay.Learn(picture.Upstream{ID: "e", Service: "s", Role: "decode"})
+		n.relay.Learn(upstreamstate.Upstream{ID: "e", Service: "s", Role: "decode"})
 	}
 }
 
@@ -314,11 +314,11 @@
 func TestALongReportArrives(t *testing.T) {
 	from, to := newNode(t, "from", "a"), newNode(t, "to", "a")
 	message := from.reports.message(sfv1.Datagram_KIND_OWN)
-	var away []picture.Away
+	var away []upstreamstate.Away
 	for i := range 1000 {
-		away = append(away, picture.Away{Upstream: uint32(i), For: 15 * time.Second})
+		away = append(away, upstreamstate.Away{Upstream: uint32(i), For: 15 * time.Second})
 	}
-	message.Beyond = reportToMessage(picture.Report{Away: away})
+	message.Beyond = reportToMessage(upstreamstate.Report{Away: away})
 	waitFor(func() bool { return from.reports.conn.Load() != nil && to.reports.conn.Load() != nil })
 	if !holdsWithin(10*time.Second, func() bool {
 		from.reports.send(message, []string{to.self.Address})
--- a/internal/peers/reports.go
+++ b/internal/peers/reports.go
@@ -16,8 +16,8 @@
 	"sassafrasfield/internal/estimate"
 	"sassafrasfield/internal/fanout"
 	sfv1 "sassafrasfield/internal/gen/sf/v1"
-	"sassafrasfield/internal/picture"
 	"sassafrasfield/internal/quota"
+	"sassafrasfield/internal/upstreamstate"
 )
 
 const (
@@ -35,13 +35,13 @@
 	Changed() <-chan struct{}
 	// OwnReport is what this instance has, ZoneReport what its zone has, and
 	// BeyondReport what all other zones have.
-	OwnReport() picture.Report
-	ZoneReport() picture.Report
-	BeyondReport() picture.Report
+	OwnReport() upstreamstate.Report
+	ZoneReport() upstreamstate.Report
+	BeyondReport() upstreamstate.Report
 	// Learned is what this instance has learned of the engines.
 	Learned() map[uint32]estimate.Learned
 	// TakeReport takes the report of a source.
-	TakeReport(source string, report picture.Report)
+	TakeReport(source string, report upstreamstate.Report)
 	// Behind takes whether others are known to have rows that this instance lacks.
 	Behind(behind bool)
 	Limits
--- a/internal/relay/apart.go
+++ b/internal/relay/apart.go
@@ -11,8 +11,8 @@
 
 	"sassafrasfield/internal/bootclock"
 	"sassafrasfield/internal/pause"
-	"sassafrasfield/internal/picture"
 	"sassafrasfield/internal/quarantine"
+	"sassafrasfield/internal/upstreamstate"
 )
 
 // errApart: no upstream may get the request.
@@ -169,7 +169,7 @@
 }
 
 // askEnded finds out whether an upstream has ended that cut requests off.
-func (r *Relay) askEnded(to picture.Upstream) {
+func (r *Relay) askEnded(to upstreamstate.Upstream) {
 	ended := r.hasEnded(to)
 	requests := r.contents.take(to.ID)
 	if !ended {
@@ -186,7 +186,7 @@
 
 // hasEnded asks whether an upstream has ended until there is a word on it; without one it
 // counts as living.
-func (r *Relay) hasEnded(to picture.Upstream) bool {
+func (r *Relay) hasEnded(to upstreamstate.Upstream) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), endedWithin)
 	defer cancel()
 	healthPath := r.Services()[to.Service].HealthPath
--- a/internal/relay/apart_test.go
+++ b/internal/relay/apart_test.go
@@ -8,8 +8,8 @@
 	"github.com/pkg/errors"
 
 	"sassafrasfield/internal/bootclock"
-	"sassafrasfield/internal/picture"
 	"sassafrasfield/internal/quarantine"
+	"sassafrasfield/internal/upstreamstate"
 )
 
 // ender ends each upstream that runs a content, and cuts the requests that it has.
@@ -121,7 +121,7 @@
 	first, second, third := newFake(t, ender()), newFake(t, ender()), newFake(t, ender())
 	content := call("/once/1").Content()
 	for n, r := range []*Relay{first, second} {
-		end := quarantine.End{Content: content, Upstream: picture.Upstream{ID: string(rune('a' + n))}.Incarnation()}
+		end := quarantine.End{Content: content, Upstream: upstreamstate.Upstream{ID: string(rune('a' + n))}.Incarnation()}
 		r.NoteEnd(end)
 	}
 	for _, from := range []*Relay{first, second} {
@@ -130,7 +130,7 @@
 			t.Fatalf("%d ends are told of", len(ends))
 		}
 		for _, to := range []*Relay{first, second, third} {
-			to.TakeReport(picture.BesidePrefix+"x", picture.Report{Ends: ends})
+			to.TakeReport(upstreamstate.BesidePrefix+"x", upstreamstate.Report{Ends: ends})
 		}
 	}
 	for n, r := range []*Relay{first, second, third} {
--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -10,8 +10,8 @@
 
 	"sassafrasfield/internal/attempt"
 	"sassafrasfield/internal/load"
-	"sassafrasfield/internal/picture"
 	"sassafrasfield/internal/routes"
+	"sassafrasfield/internal/upstreamstate"
 )
 
 // wholeBytes is how much of an answer is held before the caller gets any, so
@@ -94,7 +94,7 @@
 	return min(left/2, max(x.route.Objective, left/3))
 }
 
-func (r *Relay) callOnce(ctx context.Context, x *exchange, to picture.Upstream) (answer, error) {
+func (r *Relay) callOnce(ctx context.Context, x *exchange, to upstreamstate.Upstream) (answer, error) {
 	if err := x.sent(to.ID); err != nil {
 		return answer{}, err
 	}
--- a/internal/relay/call_test.go
+++ b/internal/relay/call_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"sassafrasfield/internal/picture"
+	"sassafrasfield/internal/upstreamstate"
 )
 
 func TestAnIdempotentCallIsSentAgain(t *testing.T) {
@@ -95,7 +95,7 @@
 	f := &fakeSender{}
 	r := newFake(t, f)
 	for _, id := range []string{"app-1", "app-2"} {
-		r.Learn(picture.Upstream{ID: id, Service: "app", Address: id, Zone: "a", Draining: true})
+		r.Learn(upstreamstate.Upstream{ID: id, Service: "app", Address: id, Zone: "a", Draining: true})
 	}
 	r.Forget("app-3")
 	_, err := serve(r, call("/safe/1"))
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -8,10 +8,10 @@
 
 	"sassafrasfield/internal/attempt"
 	"sassafrasfield/internal/load"
-	"sassafrasfield/internal/picture"
 	"sassafrasfield/internal/quarantine"
 	"sassafrasfield/internal/route"
 	"sassafrasfield/internal/routes"
+	"sassafrasfield/internal/upstreamstate"
 )
 
 // exchange is one request on its way.
@@ -43,8 +43,8 @@
 }
 
 // ask is what the choice of an upstream depends on.
-func (x *exchange) ask(now time.Duration) picture.Ask {
-	ask := picture.Ask{
+func (x *exchange) ask(now time.Duration) upstreamstate.Ask {
+	ask := upstreamstate.Ask{
 		ID: x.req.ID, Service: x.service, Excluded: x.tries.Excluded(),
 		Objective: x.route.Objective - (now - x.arrived), Left: x.left(now),
 		Priority: x.identity.Priority(x.route),
@@ -59,7 +59,7 @@
 }
 
 // send is a way to send it to an upstream, with what each way has.
-func (x *exchange) send(to picture.Upstream, now time.Duration) Send {
+func (x *exchange) send(to upstreamstate.Upstream, now time.Duration) Send {
 	return Send{To: to, Within: x.left(now), Priority: x.identity.Priority(x.route), Identity: x.identity}
 }
 
--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -14,9 +14,9 @@
 	"github.com/pkg/errors"
 
 	"sassafrasfield/internal/config"
-	"sassafrasfield/internal/picture"
 	"sassafrasfield/internal/route"
 	"sassafrasfield/internal/routes"
+	"sassafrasfield/internal/upstreamstate"
 )
 
 // sent is one call that the fake upstreams got.
@@ -32,7 +32,7 @@
 	run     func(n int, s Send) (*Reply, error)
 	prefill func(n int, s Send) (KV, error)
 
-	hear func(picture.Upstream, picture.Statement)
+	hear func(upstreamstate.Upstream, upstreamstate.Statement)
 
 	mu       sync.Mutex // protects all below
 	calls    []sent
@@ -47,7 +47,9 @@
 	healthPath string
 }
 
-func (f *fakeSender) Listen(hear func(picture.Upstream, picture.Statement)) { f.hear = hear }
+func (f *fakeSender) Listen(hear func(upstreamstate.Upstream, upstreamstate.Statement)) {
+	f.hear = hear
+}
 
 func (f *fakeSender) Send(_ context.Context, _ *Request, s Send) (*Reply, error) {
 	f.mu.Lock()
@@ -60,16 +62,16 @@
 	return events("id: 1\ndata: a\n\n"), nil
 }
 
-func (f *fakeSender) Prefill(_ context.Context, _ *Request, s Send) (KV, picture.Load, error) {
+func (f *fakeSender) Prefill(_ context.Context, _ *Request, s Send) (KV, upstreamstate.Load, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.calls = append(f.calls, sent{to: s.To.ID, prefill: true, send: s})
 	f.prefills++
 	if f.prefill != nil {
 		kv, err := f.prefill(f.prefills, s)
-		return kv, picture.Load{}, err
+		return kv, upstreamstate.Load{}, err
 	}
-	return KV{Engine: s.To, Handle: "h"}, picture.Load{}, nil
+	return KV{Engine: s.To, Handle: "h"}, upstreamstate.Load{}, nil
 }
 
 func (f *fakeSender) Free(_ context.Context, kv KV) error {
@@ -80,7 +82,7 @@
 }
 
 // Ended implements Sender: the upstreams that the script names have.
-func (f *fakeSender) Ended(_ context.Context, to picture.Upstream, healthPath string) (bool, error) {
+func (f *fakeSender) Ended(_ context.Context, to upstreamstate.Upstream, healthPath string) (bool, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.healthPath = healthPath
@@ -138,13 +140,13 @@
 		{Name: "resumable", Host: "h", Prefix: "/resumable/", Kind: routes.Generation, Resumable: true, MaxAttempts: 2, Timeout: 2 * time.Second, Shares: []routes.Share{{Service: "llm", Weight: 1}}},
 	}, []routes.Service{{Name: "app", HealthPath: "/health"}}, routes.Limits{}))
 	for _, id := range []string{"app-1", "app-2", "app-3"} {
-		r.Learn(picture.Upstream{ID: id, Service: "app", Address: id, Zone: "a"})
+		r.Learn(upstreamstate.Upstream{ID: id, Service: "app", Address: id, Zone: "a"})
 	}
 	for _, id := range []string{"pre-1", "pre-2"} {
-		r.Learn(picture.Upstream{ID: id, Service: "llm", Address: id, Zone: "a", Role: config.RolePrefill})
+		r.Learn(upstreamstate.Upstream{ID: id, Service: "llm", Address: id, Zone: "a", Role: config.RolePrefill})
 	}
 	for _, id := range []string{"dec-1", "dec-2", "dec-3"} {
-		r.Learn(picture.Upstream{ID: id, Service: "llm", Address: id, Zone: "a", Role: config.RoleDecode})
+		r.Learn(upstreamstate.Upstream{ID: id, Service: "llm", Address: id, Zone: "a", Role: config.RoleDecode})
 	}
 	return r
 }
--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -13,8 +13,8 @@
 	"sassafrasfield/internal/config"
 	"sassafrasfield/internal/estimate"
 	"sassafrasfield/internal/load"
-	"sassafrasfield/internal/picture"
 	"sassafrasfield/internal/route"
+	"sassafrasfield/internal/upstreamstate"
 )
 
 // generation is the answer of a model on its way to the caller. It implements
@@ -37,7 +37,7 @@
 	// reserved is the engine with a limit that has room for the answer; empty for none.
 	reserved string
 	// backup is the engine that the run is copied to as it goes.
-	backup picture.Upstream
+	backup upstreamstate.Upstream
 }
 
 // generate brings a generation to the caller, from as many engines as that
@@ -115,7 +115,7 @@
 		return attempt.Result{Ending: attempt.NoUpstream, Err: errors.WithMessage(ErrNotSent, "the engine with the copy is gone")}
 	}
 	r.meters.copied.Inc(1)
-	g.kv, g.backup = KV{Engine: engine, Handle: g.req.ID}, picture.Upstream{}
+	g.kv, g.backup = KV{Engine: engine, Handle: g.req.ID}, upstreamstate.Upstream{}
 	defer func() { g.kv = KV{} }() // the engine drops a copy that was not used
 	return r.run(ctx, g, route.Start{Engine: route.Candidate{ID: id}})
 }
@@ -253,7 +253,7 @@
 
 // passFailure deals with an engine's own failure: another one is asked where
 // the route allows it, and else the caller gets the engine's word.
-func (r *Relay) passFailure(ctx context.Context, g *generation, engine picture.Upstream, reply *Reply) attempt.Result {
+func (r *Relay) passFailure(ctx context.Context, g *generation, engine upstreamstate.Upstream, reply *Reply) attempt.Result {
 	again := g.tries.AnotherRun() && ctx.Err() == nil
 	if g.begun || again {
 		err := errors.WithMessagef(ErrLost, "the engine answered %d", reply.Status)
@@ -269,7 +269,7 @@
 
 // unanswered notes an engine that did not begin an answer. When it could not
 // have the KV cache, the prompt is processed anew.
-func (r *Relay) unanswered(ctx context.Context, g *generation, engine picture.Upstream, err error) attempt.Result {
+func (r *Relay) unanswered(ctx context.Context, g *generation, engine upstreamstate.Upstream, err error) attempt.Result {
 	if g.kv.Handle != "" && errors.Is(err, ErrRefused) {
 		g.kv = KV{}
 	}
@@ -278,7 +278,7 @@
 }
 
 // passOn gives an engine's events to the caller.
-func (r *Relay) passOn(ctx context.Context, stop context.CancelFunc, g *generation, engine picture.Upstream, reply *Reply, started time.Duration) attempt.Result {
+func (r *Relay) passOn(ctx context.Context, stop context.CancelFunc, g *generation, engine upstreamstate.Upstream, reply *Reply, started time.Duration) attempt.Result {
 	if !g.begun {
 		g.tries.Answered()
 		writeHeader(g.w, g.exchange, reply)
--- a/internal/relay/generate_test.go
+++ b/internal/relay/generate_test.go
@@ -8,7 +8,7 @@
 	"github.com/pkg/errors"
 
 	"sassafrasfield/internal/load"
-	"sassafrasfield/internal/picture"
+	"sassafrasfield/internal/upstreamstate"
 )
 
 func TestALongPromptIsProcessedOnOneEngineAndGeneratedOnAnother(t *testing.T) {
@@ -128,13 +128,13 @@
 	first string
 }
 
-func (s *silentSender) Prefill(ctx context.Context, req *Request, send Send) (KV, picture.Load, error) {
+func (s *silentSender) Prefill(ctx context.Context, req *Request, send Send) (KV, upstreamstate.Load, error) {
 	if s.first == "" {
 		s.first = send.To.ID
 	}
 	if s.first == send.To.ID {
 		<-ctx.Done()
-		return KV{}, picture.Load{}, ErrLost
+		return KV{}, upstreamstate.Load{}, ErrLost
 	}
 	return s.fakeSender.Prefill(ctx, req, send)
 }
--- a/internal/relay/key_test.go
+++ b/internal/relay/key_test.go
@@ -5,8 +5,8 @@
 	"testing"
 
 	"sassafrasfield/internal/apikey"
-	"sassafrasfield/internal/picture"
 	"sassafrasfield/internal/routes"
+	"sassafrasfield/internal/upstreamstate"
 )
 
 // Keys of the tests' configuration.
@@ -101,7 +101,7 @@
 	withKeys(r, 2, millKey)
 	f.prefill = func(int, Send) (KV, error) {
 		withKeys(r, 3, gateKey)
-		return KV{Engine: picture.Upstream{ID: "pre-1"}, Handle: "h"}, nil
+		return KV{Engine: upstreamstate.Upstream{ID: "pre-1"}, Handle: "h"}, nil
 	}
 	if _, err := serve(r, withKey(longPrompt("/once/1"), millKey)); wordOf(t, err) != NoKey || f.runs != 0 {
 		t.Errorf("%v after %d runs", err, f.runs)
--- a/internal/relay/leaving_test.go
+++ b/internal/relay/leaving_test.go
@@ -9,13 +9,13 @@
 
 	"github.com/pkg/errors"
 
-	"sassafrasfield/internal/picture"
 	"sassafrasfield/internal/quota"
+	"sassafrasfield/internal/upstreamstate"
 )
 
 // leavingWord is an upstream's word that it leaves.
-func leavingWord() picture.Statement {
-	return picture.Statement{Announcement: &quota.Announcement{Leaving: true}}
+func leavingWord() upstreamstate.Statement {
+	return upstreamstate.Statement{Announcement: &quota.Announcement{Leaving: true}}
 }
 
 // sendKind is a kind of request whose sends must heed what upstreams say.
@@ -51,7 +51,7 @@
 }
 
 // saidBy has upstreams say a word in answers of before.
-func saidBy(r *Relay, word picture.Statement, ids ...string) {
+func saidBy(r *Relay, word upstreamstate.Statement, ids ...string) {
 	for _, id := range ids {
 		r.hear(r.picture.Upstream(id), word)
 	}
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -8,8 +8,8 @@
 
 	"github.com/rcrowley/go-metrics"
 
-	"sassafrasfield/internal/picture"
 	"sassafrasfield/internal/quota"
+	"sassafrasfield/internal/upstreamstate"
 )
 
 // limitMeters count what became of upstreams' limits.
@@ -53,9 +53,9 @@
 }
 
 // Prefill implements Sender.
-func (s limitedSender) Prefill(ctx context.Context, req *Request, send Send) (KV, picture.Load, error) {
+func (s limitedSender) Prefill(ctx context.Context, req *Request, send Send) (KV, upstreamstate.Load, error) {
 	if err := s.relay.admit(ctx, req, send); err != nil {
-		return KV{}, picture.Load{}, err
+		return KV{}, upstreamstate.Load{}, err
 	}
 	return s.Sender.Prefill(ctx, req, send)
 }
@@ -78,7 +78,7 @@
 }
 
 // Resting tells whether an upstream wants nothing from this instance now.
-func (r *Relay) Resting(u picture.Upstream) bool {
+func (r *Relay) Resting(u upstreamstate.Upstream) bool {
 	return r.picture.Resting(u.Incarnation(), r.now()) > 0
 }
 
@@ -211,7 +211,7 @@
 }
 
 // hear takes what an upstream says of itself with an answer.
-func (r *Relay) hear(from picture.Upstream, s picture.Statement) {
+func (r *Relay) hear(from upstreamstate.Upstream, s upstreamstate.Statement) {
 	for _, err := range s.Unread {
 		r.meters.limits.unread.Inc(1)
 		r.log.Info("relay: upstream's word cannot be read", "upstream", from.ID, "error", err)
--- a/internal/relay/limits_test.go
+++ b/internal/relay/limits_test.go
@@ -10,8 +10,8 @@
 
 	"github.com/pkg/errors"
 
-	"sassafrasfield/internal/picture"
 	"sassafrasfield/internal/quota"
+	"sassafrasfield/internal/upstreamstate"
 )
 
 // coordinator answers the questions for grants by script.
@@ -53,8 +53,8 @@
 }
 
 // limitOf is an upstream's word on the requests a second that it takes.
-func limitOf(rate float64) picture.Statement {
-	return picture.Statement{Announcement: &quota.Announcement{Limited: true, Rate: rate}}
+func limitOf(rate float64) upstreamstate.Statement {
+	return upstreamstate.Statement{Announcement: &quota.Announcement{Limited: true, Rate: rate}}
 }
 
 var (
@@ -62,7 +62,7 @@
 	allEngines = []string{"pre-1", "pre-2", "dec-1", "dec-2", "dec-3"}
 )
 
-func hashOfUpstream(id string) uint32 { return picture.Upstream{ID: id}.Incarnation() }
+func hashOfUpstream(id string) uint32 { return upstreamstate.Upstream{ID: id}.Incarnation() }
 
 // TestEachSendToALimitedUpstreamIsAskedFor: first sends and repeated ones, prompts alone and
 // processed anew, answers that go on elsewhere or at the engine with the copy of the run.
@@ -283,7 +283,7 @@
 func TestAWordThatCannotBeReadChangesNothing(t *testing.T) {
 	r := limitedRelay(t, &fakeSender{}, &coordinator{}, "app-1")
 	for _, id := range []string{"app-1", "app-2"} {
-		r.hear(r.picture.Upstream(id), picture.Statement{Unread: []error{errors.New("no rate")}})
+		r.hear(r.picture.Upstream(id), upstreamstate.Statement{Unread: []error{errors.New("no rate")}})
 	}
 	for id, limits := range map[string]bool{"app-1": true, "app-2": false} {
 		if w, _, _ := r.picture.Limit(hashOfUpstream(id), r.now()); w.Limits() != limits {
--- a/internal/relay/link.go
+++ b/internal/relay/link.go
@@ -7,7 +7,7 @@
 	"github.com/pkg/errors"
 
 	"sassafrasfield/internal/ownlink"
-	"sassafrasfield/internal/picture"
+	"sassafrasfield/internal/upstreamstate"
 )
 
 // link is what this instance knows of its own link. While that is choked, requests are
@@ -50,7 +50,7 @@
 }
 
 // noteAnswer takes the beginning of an upstream's answer, and what it says of its load.
-func (r *Relay) noteAnswer(upstream string, said picture.Load) {
+func (r *Relay) noteAnswer(upstream string, said upstreamstate.Load) {
 	now := r.now()
 	r.picture.Reported(upstream, said, now)
 	r.link.note(func(s *ownlink.Link) { s.Answered(upstream, now) })
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -16,11 +16,11 @@
 	"sassafrasfield/internal/estimate"
 	"sassafrasfield/internal/load"
 	"sassafrasfield/internal/outcome"
-	"sassafrasfield/internal/picture"
 	"sassafrasfield/internal/quarantine"
 	"sassafrasfield/internal/quota"
 	"sassafrasfield/internal/route"
 	"sassafrasfield/internal/routes"
+	"sassafrasfield/internal/upstreamstate"
 	"sassafrasfield/internal/usage"
 )
 
@@ -75,7 +75,7 @@
 	sender   Sender
 	log      *slog.Logger
 	start    time.Time
-	picture  *picture.Picture
+	picture  *upstreamstate.Picture
 	budgets  *budgets
 	pool     *pool
 	contents *contents
@@ -105,13 +105,13 @@
 	r.sender = limitedSender{Sender: sender, relay: r}
 	sender.Listen(r.hear)
 	r.budgets = newBudgets(s.Budget, newRetryMeters(), r.askPool)
-	r.picture = picture.New(picture.Settings{
+	r.picture = upstreamstate.New(upstreamstate.Settings{
 		Zone: s.Zone, Placement: s.Placement, Prior: s.Prior, Outliers: s.Outliers, Changed: r.noteChanged,
 	})
 	return r
 }
 
-// noteChanged implements picture.Settings.Changed.
+// noteChanged implements upstreamstate.Settings.Changed.
 func (r *Relay) noteChanged() {
 	select {
 	case r.changed <- struct{}{}:
@@ -132,13 +132,13 @@
 func (r *Relay) SetBudget(s BudgetSettings) { r.budgets.set(s) }
 
 // Learn takes an upstream's newest entry.
-func (r *Relay) Learn(u picture.Upstream) { r.picture.Learn(u) }
+func (r *Relay) Learn(u upstreamstate.Upstream) { r.picture.Learn(u) }
 
 // Forget drops an upstream that is gone.
 func (r *Relay) Forget(id string) { r.picture.Forget(id) }
 
 // Engines returns the model engines that take requests, by service.
-func (r *Relay) Engines() map[string][]picture.Engine { return r.picture.Engines(r.now()) }
+func (r *Relay) Engines() map[string][]upstreamstate.Engine { return r.picture.Engines(r.now()) }
 
 // Services returns the services of the configuration in force.
 func (r *Relay) Services() map[string]routes.Service {
@@ -147,17 +147,17 @@
 }
 
 // Members returns the upstreams of a service, those that are leaving too.
-func (r *Relay) Members(service string) []picture.Upstream { return r.picture.Members(service) }
+func (r *Relay) Members(service string) []upstreamstate.Upstream { return r.picture.Members(service) }
 
 // Times returns what the engines of a service take.
-func (r *Relay) Times(service string) picture.Times { return r.picture.Times(service) }
+func (r *Relay) Times(service string) upstreamstate.Times { return r.picture.Times(service) }
 
 // SendAway has all instances leave an upstream out for a time in which it takes no
 // requests, or until its role has changed.
 func (r *Relay) SendAway(id string, d time.Duration) { r.picture.SendAway(id, r.now()+d) }
 
 // OwnReport returns what this instance tells the others.
-func (r *Relay) OwnReport() picture.Report {
+func (r *Relay) OwnReport() upstreamstate.Report {
 	r.showRests()
 	report := r.picture.OwnReport(r.now())
 	report.Spilled, report.Ends = r.budgets.spilled(), r.contents.told((*quarantine.Table).OwnEnds)
@@ -166,7 +166,7 @@
 }
 
 // ZoneReport returns what this instance tells other zones of its own.
-func (r *Relay) ZoneReport() picture.Report {
+func (r *Relay) ZoneReport() upstreamstate.Report {
 	r.depositOwn()
 	report := r.picture.ZoneReport(r.now())
 	report.Ends = r.contents.told((*quarantine.Table).ZoneEnds)
@@ -175,7 +175,7 @@
 }
 
 // BeyondReport returns what this instance tells its zone of the other zones.
-func (r *Relay) BeyondReport() picture.Report {
+func (r *Relay) BeyondReport() upstreamstate.Report {
 	report := r.picture.BeyondReport(r.now())
 	report.Ends = r.contents.told((*quarantine.Table).BeyondEnds)
 	return report
@@ -185,14 +185,14 @@
 func (r *Relay) Learned() map[uint32]estimate.Learned { return r.picture.Learned() }
 
 // TakeReport takes the report of another instance, or of a whole zone.
-func (r *Relay) TakeReport(source string, report picture.Report) {
+func (r *Relay) TakeReport(source string, report upstreamstate.Report) {
 	now := r.now()
 	r.picture.TakeReport(source, report, now)
 	r.showLimits()
 	r.pool.deposit(source, report.Spilled, now)
 	r.link.heard(now)
 	r.usage.hear(source, report)
-	r.hearEnds(report.Ends, strings.HasPrefix(source, picture.BesidePrefix))
+	r.hearEnds(report.Ends, strings.HasPrefix(source, upstreamstate.BesidePrefix))
 }
 
 // ownSource names this instance in its own pool.
@@ -202,7 +202,7 @@
 func (r *Relay) depositOwn() { r.pool.deposit(ownSource, r.budgets.spilled(), r.now()) }
 
 // Knows tells whether a part was placed on an engine, as far as is known here.
-func (r *Relay) Knows(placed picture.Placed) bool { return r.picture.Knows(placed) }
+func (r *Relay) Knows(placed upstreamstate.Placed) bool { return r.picture.Knows(placed) }
 
 // servingFor is for how long after a request the instance counts as serving.
 const servingFor = 2 * time.Second
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -19,10 +19,10 @@
 	"github.com/pkg/errors"
 
 	"sassafrasfield/internal/apikey"
-	"sassafrasfield/internal/picture"
 	"sassafrasfield/internal/quarantine"
 	"sassafrasfield/internal/route"
 	"sassafrasfield/internal/routes"
+	"sassafrasfield/internal/upstreamstate"
 )
 
 // Request is a caller's request, read whole.
@@ -56,14 +56,14 @@
 
 // KV names a prompt's KV cache that an engine keeps for another one.
 type KV struct {
-	Engine picture.Upstream
+	Engine upstreamstate.Upstream
 	Handle string
 	Tokens int
 }
 
 // Send is one way to send a request.
 type Send struct {
-	To picture.Upstream
+	To upstreamstate.Upstream
 	// Within is how long the upstream may work on it.
 	Within time.Duration
 	// KV is the processed prompt to fetch; the zero value when there is none.
@@ -76,7 +76,7 @@
 	FetchFrom string
 	// Backup is the engine that the run is copied to as it goes; the zero value
 	// when it is not.
-	Backup picture.Upstream
+	Backup upstreamstate.Upstream
 	// Priority of the organisation or the route; 0 is the most urgent.
 	Priority int
 	// Identity is who the request comes from.
@@ -100,7 +100,7 @@
 	// Header is what the caller gets of the upstream's.
 	Header http.Header
 	Body   io.ReadCloser
-	Load   picture.Load
+	Load   upstreamstate.Load
 }
 
 // Errors of a Sender. Compare with errors.Is.
@@ -148,17 +148,17 @@
 type Sender interface {
 	// Listen has hear called with what upstreams say of themselves in any answer, whatever was
 	// asked. It is called once, before all else.
-	Listen(hear func(from picture.Upstream, s picture.Statement))
+	Listen(hear func(from upstreamstate.Upstream, s upstreamstate.Statement))
 	// Send has an upstream run a request, and returns once its answer begins.
 	Send(ctx context.Context, req *Request, s Send) (*Reply, error)
 	// Prefill has an engine process a request's prompt and keep the KV cache.
-	Prefill(ctx context.Context, req *Request, s Send) (KV, picture.Load, error)
+	Prefill(ctx context.Context, req *Request, s Send) (KV, upstreamstate.Load, error)
 	// Free drops a KV cache that nobody will fetch.
 	Free(ctx context.Context, kv KV) error
 	// Ended tells whether an upstream's process has ended: its machine answers, and
 	// nobody listens at its address, or another upstream does, which is asked at the
 	// health path where the service has one. An error means that there is no word on it.
-	Ended(ctx context.Context, to picture.Upstream, healthPath string) (bool, error)
+	Ended(ctx context.Context, to upstreamstate.Upstream, healthPath string) (bool, error)
 }
 
 // Word is what a refusal tells of the request.
--- a/internal/relay/rest_test.go
+++ b/internal/relay/rest_test.go
@@ -8,12 +8,12 @@
 
 	"github.com/pkg/errors"
 
-	"sassafrasfield/internal/picture"
 	"sassafrasfield/internal/quota"
+	"sassafrasfield/internal/upstreamstate"
 )
 
 // restOf is an upstream's wish to be left alone.
-func restOf(d time.Duration) picture.Statement { return picture.Statement{Rest: d} }
+func restOf(d time.Duration) upstreamstate.Statement { return upstreamstate.Statement{Rest: d} }
 
 // TestNoKindOfSendReachesAnUpstreamThatRests guards against a way to upstreams that does not heed
 // the rest which they asked for.
--- a/internal/relay/usage.go
+++ b/internal/relay/usage.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"sassafrasfield/internal/picture"
+	"sassafrasfield/internal/upstreamstate"
 	"sassafrasfield/internal/usage"
 	"sassafrasfield/internal/usagereport"
 	"sassafrasfield/internal/wallclock"
@@ -64,13 +64,13 @@
 }
 
 // hear takes the totals of a report.
-func (u *usageCounter) hear(source string, report picture.Report) {
+func (u *usageCounter) hear(source string, report upstreamstate.Report) {
 	if u.length <= 0 || len(report.Usage) == 0 {
 		return
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if strings.HasPrefix(source, picture.BesidePrefix) {
+	if strings.HasPrefix(source, upstreamstate.BesidePrefix) {
 		u.tally.Hear(usage.Source{Name: source, Boot: report.Boot}, report.Usage)
 		return
 	}
--- a/internal/relay/usage_test.go
+++ b/internal/relay/usage_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/pkg/errors"
 
-	"sassafrasfield/internal/picture"
+	"sassafrasfield/internal/upstreamstate"
 	"sassafrasfield/internal/usage"
 )
 
@@ -110,7 +110,7 @@
 	}
 	own := one.OwnReport()
 	for range 2 {
-		hub.TakeReport(picture.BesidePrefix+"one", own)
+		hub.TakeReport(upstreamstate.BesidePrefix+"one", own)
 	}
 	zone := hub.ZoneReport()
 	for range 2 {
--- a/internal/rolekeeper/orders.go
+++ b/internal/rolekeeper/orders.go
@@ -10,8 +10,8 @@
 	"sassafrasfield/internal/bootclock"
 	"sassafrasfield/internal/config"
 	"sassafrasfield/internal/lease"
-	"sassafrasfield/internal/picture"
 	"sassafrasfield/internal/roles"
+	"sassafrasfield/internal/upstreamstate"
 )
 
 // Timings of orders.
@@ -33,7 +33,7 @@
 
 // announced is an order that waits until all instances leave its engine out.
 type announced struct {
-	engine picture.Upstream
+	engine upstreamstate.Upstream
 	to     config.Role
 	at     time.Duration
 }
@@ -55,8 +55,8 @@
 
 // forgetOrders drops the orders that count no more as under way: those that had
 // their effect, those that lapsed, and those to engines that are gone.
-func (k *Keeper) forgetOrders(services map[string][]picture.Engine) {
-	listed := map[string]picture.Upstream{}
+func (k *Keeper) forgetOrders(services map[string][]upstreamstate.Engine) {
+	listed := map[string]upstreamstate.Upstream{}
 	for _, engines := range services {
 		for _, e := range engines {
 			listed[e.ID] = e.Upstream
@@ -72,7 +72,7 @@
 	}
 }
 
-func (k *Keeper) lookAt(ctx context.Context, service string, engines []picture.Engine, grant lease.Grant) {
+func (k *Keeper) lookAt(ctx context.Context, service string, engines []upstreamstate.Engine, grant lease.Grant) {
 	list := k.asPlanned(engines)
 	d, ok := k.dutyOf(ctx, service)
 	if !ok {
@@ -95,7 +95,7 @@
 	k.log.Info("roles: the split differs", "service", service, "engines", len(list),
 		"wanted_prefill", d.target.Count(len(list)), "changes", len(changes), "at_once", most)
 	for _, change := range changes {
-		at := slices.IndexFunc(engines, func(e picture.Engine) bool { return e.ID == change.Engine })
+		at := slices.IndexFunc(engines, func(e upstreamstate.Engine) bool { return e.ID == change.Engine })
 		if k.view.Serving() && k.settings.Announce > 0 {
 			k.announce(engines[at].Upstream, change.To)
 			continue
@@ -105,7 +105,7 @@
 }
 
 // announce has all instances leave an engine out, and its order wait until they do.
-func (k *Keeper) announce(engine picture.Upstream, to config.Role) {
+func (k *Keeper) announce(engine upstreamstate.Upstream, to config.Role) {
 	now := bootclock.Now()
 	k.pending[engine.ID] = pending{to: to, at: now, incarnation: engine.Incarnation()}
 	k.announced[engine.ID] = announced{engine: engine, to: to, at: now}
@@ -139,7 +139,7 @@
 	}
 }
 
-func (k *Keeper) tryOrder(ctx context.Context, engine picture.Upstream, to config.Role, grant lease.Grant) {
+func (k *Keeper) tryOrder(ctx context.Context, engine upstreamstate.Upstream, to config.Role, grant lease.Grant) {
 	if err := k.order(ctx, engine, to, grant); err != nil {
 		k.log.Info("roles: order failed", "engine", engine.ID, "to", to, "epoch", grant.Epoch, "error", err)
 	}
@@ -168,7 +168,7 @@
 
 // asPlanned are the engines with the roles that they have or were ordered to
 // take.
-func (k *Keeper) asPlanned(engines []picture.Engine) []roles.Engine {
+func (k *Keeper) asPlanned(engines []upstreamstate.Engine) []roles.Engine {
 	var list []roles.Engine
 	for _, e := range engines {
 		role := e.Role
@@ -183,7 +183,7 @@
 // errNotHeld: the lease ended before the order went out.
 var errNotHeld = errors.New("roles: the lease has ended")
 
-func (k *Keeper) order(ctx context.Context, engine picture.Upstream, to config.Role, grant lease.Grant) error {
+func (k *Keeper) order(ctx context.Context, engine upstreamstate.Upstream, to config.Role, grant lease.Grant) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	state, err := k.orderer.State(ctx, engine)
--- a/internal/rolekeeper/rolekeeper.go
+++ b/internal/rolekeeper/rolekeeper.go
@@ -18,9 +18,9 @@
 	"sassafrasfield/internal/bootclock"
 	"sassafrasfield/internal/config"
 	"sassafrasfield/internal/lease"
-	"sassafrasfield/internal/picture"
 	"sassafrasfield/internal/platform"
 	"sassafrasfield/internal/roles"
+	"sassafrasfield/internal/upstreamstate"
 )
 
 // EngineState is what an engine says of itself.
@@ -45,8 +45,8 @@
 
 // Orderer is the adapter to the engines' control interface.
 type Orderer interface {
-	State(ctx context.Context, engine picture.Upstream) (EngineState, error)
-	Order(ctx context.Context, engine picture.Upstream, o Order) error
+	State(ctx context.Context, engine upstreamstate.Upstream) (EngineState, error)
+	Order(ctx context.Context, engine upstreamstate.Upstream, o Order) error
 }
 
 // Settings of a Keeper.
@@ -75,9 +75,9 @@
 // View is what the keeper needs to know of the data path.
 type View interface {
 	// Engines are the engines of all services that take requests, by service.
-	Engines() map[string][]picture.Engine
+	Engines() map[string][]upstreamstate.Engine
 	// Times are what the engines of a service take.
-	Times(service string) picture.Times
+	Times(service string) upstreamstate.Times
 	// SendAway has all instances leave an engine out for a time.
 	SendAway(engine string, d time.Duration)
 	// Serving tells whether requests came lately.
--- a/internal/rolekeeper/rolekeeper_test.go
+++ b/internal/rolekeeper/rolekeeper_test.go
@@ -14,9 +14,9 @@
 	"sassafrasfield/internal/config"
 	"sassafrasfield/internal/lease"
 	"sassafrasfield/internal/leaserows"
-	"sassafrasfield/internal/picture"
 	"sassafrasfield/internal/platform"
 	"sassafrasfield/internal/roles"
+	"sassafrasfield/internal/upstreamstate"
 )
 
 // fakeTable is a table in memory.
@@ -69,7 +69,7 @@
 // fakeFleet is the engines, their orders and the view of them.
 type fakeFleet struct {
 	mu      sync.Mutex // protects all below
-	engines []picture.Engine
+	engines []upstreamstate.Engine
 	orders  []given
 	away    []string
 	// awayAt is when all were first told to leave an engine out.
@@ -84,16 +84,16 @@
 func newFakeFleet(decode int) *fakeFleet {
 	f := &fakeFleet{awayAt: map[string]time.Time{}}
 	for i := range decode {
-		f.engines = append(f.engines, picture.Engine{Upstream: picture.Upstream{ID: string(rune('a' + i)), Zone: "z", Role: config.RoleDecode}})
+		f.engines = append(f.engines, upstreamstate.Engine{Upstream: upstreamstate.Upstream{ID: string(rune('a' + i)), Zone: "z", Role: config.RoleDecode}})
 	}
 	return f
 }
 
-func (f *fakeFleet) State(context.Context, picture.Upstream) (EngineState, error) {
+func (f *fakeFleet) State(context.Context, upstreamstate.Upstream) (EngineState, error) {
 	return EngineState{}, nil
 }
 
-func (f *fakeFleet) Order(_ context.Context, engine picture.Upstream, o Order) error {
+func (f *fakeFleet) Order(_ context.Context, engine upstreamstate.Upstream, o Order) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.orders = append(f.orders, given{engine: engine.ID, holder: o.Holder, at: time.Now()})
@@ -105,17 +105,17 @@
 	return nil
 }
 
-func (f *fakeFleet) Engines() map[string][]picture.Engine {
+func (f *fakeFleet) Engines() map[string][]upstreamstate.Engine {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return map[string][]picture.Engine{"llm": append([]picture.Engine{}, f.engines...)}
+	return map[string][]upstreamstate.Engine{"llm": append([]upstreamstate.Engine{}, f.engines...)}
 }
 
 // remove drops an engine from the list.
 func (f *fakeFleet) remove(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.engines = slices.DeleteFunc(f.engines, func(e picture.Engine) bool { return e.ID == id })
+	f.engines = slices.DeleteFunc(f.engines, func(e upstreamstate.Engine) bool { return e.ID == id })
 }
 
 // startAgain has an engine's process start again under its id.
@@ -130,7 +130,7 @@
 }
 
 // load puts the same load on each engine.
-func (f *fakeFleet) load(l picture.EngineLoad) {
+func (f *fakeFleet) load(l upstreamstate.EngineLoad) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i := range f.engines {
@@ -139,8 +139,8 @@
 }
 
 // Times are those of the engines whose mixes the target's tests have.
-func (f *fakeFleet) Times(string) picture.Times {
-	return picture.Times{Known: true, Step: 4550 * time.Microsecond, StepPerRequest: 181 * time.Microsecond, RoleChange: term / 10}
+func (f *fakeFleet) Times(string) upstreamstate.Times {
+	return upstreamstate.Times{Known: true, Step: 4550 * time.Microsecond, StepPerRequest: 181 * time.Microsecond, RoleChange: term / 10}
 }
 
 func (f *fakeFleet) SendAway(engine string, _ time.Duration) {
@@ -265,12 +265,12 @@
 func TestTheSplitFollowsTheUse(t *testing.T) {
 	f, table := newFakeFleet(9), newTable()
 	f.serving = true
-	f.load(picture.EngineLoad{Requests: 60, Use: 0.05})
+	f.load(upstreamstate.EngineLoad{Requests: 60, Use: 0.05})
 	stop := run(t, "one", table, f)
 	waitFor(func() bool { return f.prefill() == 6 })
 	waitFor(func() bool { return wantedOf(t, table) < 6 })
 	stop()
-	f.load(picture.EngineLoad{})
+	f.load(upstreamstate.EngineLoad{})
 	wanted := wantedOf(t, table)
 	f.mu.Lock()
 	for i := range f.engines {
--- a/internal/rolekeeper/use.go
+++ b/internal/rolekeeper/use.go
@@ -4,8 +4,8 @@
 	"time"
 
 	"sassafrasfield/internal/bootclock"
-	"sassafrasfield/internal/picture"
 	"sassafrasfield/internal/roles"
+	"sassafrasfield/internal/upstreamstate"
 )
 
 const (
@@ -37,7 +37,7 @@
 }
 
 // seen are the engines with what they have under way.
-func seen(engines []picture.Engine) []roles.Engine {
+func seen(engines []upstreamstate.Engine) []roles.Engine {
 	list := make([]roles.Engine, len(engines))
 	for i, e := range engines {
 		list[i] = roles.Engine{ID: e.ID, Zone: e.Zone, Role: e.Role, Running: e.Load.Requests, Use: e.Load.Use}
--- a/internal/picture/limits_test.go
+++ b/internal/upstreamstate/limits_test.go
@@ -1,4 +1,4 @@
-package picture
+package upstreamstate
 
 import (
 	"testing"
--- a/internal/picture/picture.go
+++ b/internal/upstreamstate/upstreamstate.go
@@ -1,4 +1,4 @@
-// Package picture is an instance's picture of the upstreams: who there is, what all
+// Package upstreamstate is an instance's picture of the upstreams: who there is, what all
 // instances have under way on each, what each has cached, what each takes, and who
 // could not be reached. Placement is decided on it (package route), and what
 // requests meet is noted in it. The instances tell one another their parts of it in
@@ -9,7 +9,7 @@
 //
 // Callers: relay (requests), peers (reports), rolekeeper by way of instance (the
 // engines' use), model.
-package picture
+package upstreamstate
 
 import (
 	"math/rand/v2"
