--- a/internal/answers/once_test.go
+++ b/internal/answers/once_test.go
@@ -8,7 +8,7 @@
 	"testing"
 
 	"sassafrasfield/internal/callerapi"
-	"sassafrasfield/internal/once"
+	"sassafrasfield/internal/idempotency"
 	"sassafrasfield/internal/standin"
 )
 
@@ -23,11 +23,11 @@
 		status int // of each repeat
 		runs   int // -1: one at most
 	}{
-		{once.PointBeforeClaim, http.StatusOK, 1},
-		{once.PointClaimed, http.StatusConflict, 0},
-		{once.PointSent, http.StatusConflict, -1},
-		{once.PointAnswered, http.StatusConflict, 1},
-		{once.PointKept, http.StatusOK, 1},
+		{idempotency.PointBeforeClaim, http.StatusOK, 1},
+		{idempotency.PointClaimed, http.StatusConflict, 0},
+		{idempotency.PointSent, http.StatusConflict, -1},
+		{idempotency.PointAnswered, http.StatusConflict, 1},
+		{idempotency.PointKept, http.StatusOK, 1},
 	}
 	victim := f.Instances[0]
 	for n, step := range steps {
@@ -69,7 +69,7 @@
 		entryTables: "[engine]\ntimeout = \"500ms\"\n[claims]\nkeep_timeout = \"500ms\"\nsettle_after = \"1s\"\n",
 	})
 	frozen, other := f.Instances[0], f.Instances[1].EntryAddress
-	f.restartEntry(frozen, once.PointClaimed+"=stop")
+	f.restartEntry(frozen, idempotency.PointClaimed+"=stop")
 	first := make(chan told, 1)
 	go func() { first <- f.issue(frozen.EntryAddress, "k", "lot") }()
 	f.until("the key is claimed", func() bool { return f.claimCount() == 1 })
@@ -99,7 +99,7 @@
 	f := newFixture(t, size{instances: 2, engines: 1, services: 1})
 	for lost := 1; lost <= 3; lost++ {
 		key := fmt.Sprintf("lost-%d", lost)
-		f.platformFault(standin.PlatformFaults{LoseReplies: lost, LosePrefix: once.Prefix, StaleReadMs: 100})
+		f.platformFault(standin.PlatformFaults{LoseReplies: lost, LosePrefix: idempotency.Prefix, StaleReadMs: 100})
 		first := f.issue(f.Instances[0].EntryAddress, key, key)
 		f.platformFault(standin.PlatformFaults{})
 		var repeat told
--- a/internal/entry/plain.go
+++ b/internal/entry/plain.go
@@ -15,8 +15,8 @@
 	"sassafrasfield/internal/attempt"
 	"sassafrasfield/internal/callerapi"
 	"sassafrasfield/internal/config"
+	"sassafrasfield/internal/idempotency"
 	"sassafrasfield/internal/load"
-	"sassafrasfield/internal/once"
 	"sassafrasfield/internal/outcome"
 	"sassafrasfield/internal/service"
 )
@@ -99,7 +99,7 @@
 		answer, err := s.tryCall(ctx, svc, call, repeatable)
 		return answer, callRefusal(err)
 	}
-	answer, err := s.once.Do(ctx, once.Key(svc.Name, organisation.Name, key), call, func(ctx context.Context) (service.Answer, error) {
+	answer, err := s.once.Do(ctx, idempotency.Key(svc.Name, organisation.Name, key), call, func(ctx context.Context) (service.Answer, error) {
 		return s.tryCall(ctx, svc, call, false)
 	})
 	return answer, callRefusal(err)
@@ -187,16 +187,16 @@
 	switch {
 	case err == nil:
 		return nil
-	case errors.Is(err, once.ErrMismatch):
+	case errors.Is(err, idempotency.ErrMismatch):
 		return &refusal{status: http.StatusUnprocessableEntity, body: callerapi.Error{
 			Message: "the idempotency key was used with another call", Type: "invalid_request_error",
 			Code: "idempotency_key_reused", Outcome: callerapi.OutcomeNotRun,
 		}}
-	case errors.Is(err, once.ErrRunning):
+	case errors.Is(err, idempotency.ErrRunning):
 		r := unknown("in_progress", "the key is claimed, and no answer can be read yet; ask again with the same key")
 		r.status, r.retryIn = http.StatusConflict, defaultRetryIn
 		return r
-	case errors.Is(err, once.ErrNotRun), errors.Is(err, service.ErrNotRun):
+	case errors.Is(err, idempotency.ErrNotRun), errors.Is(err, service.ErrNotRun):
 		return notRun("not_run", "this call was not sent; try again with the same key", defaultRetryIn)
 	default:
 		return unknown("outcome_unknown", "no answer came or was kept; the call may have run, and is not run again with this key")
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -20,8 +20,8 @@
 	"sassafrasfield/internal/attempt"
 	"sassafrasfield/internal/engine"
 	"sassafrasfield/internal/gen/sf/v1/sfv1connect"
+	"sassafrasfield/internal/idempotency"
 	"sassafrasfield/internal/logging"
-	"sassafrasfield/internal/once"
 	"sassafrasfield/internal/platform"
 	"sassafrasfield/internal/service"
 )
@@ -32,7 +32,7 @@
 	start    time.Time
 	log      *slog.Logger
 	state    *state
-	once     *once.Runner
+	once     *idempotency.Runner
 	stopping atomic.Bool
 	// background is work that outlasts its request.
 	background sync.WaitGroup
@@ -56,7 +56,7 @@
 		start:    time.Now(),
 		log:      log,
 		state:    newState(s, log),
-		once:     once.New(platform.NewClient(s.Platform, s.PlatformTimeout), s.Claims, s.Instance, logging.Part(log, "once")),
+		once:     idempotency.New(platform.NewClient(s.Platform, s.PlatformTimeout), s.Claims, s.Instance, logging.Part(log, "once")),
 		metrics:  newMeters(metrics.DefaultRegistry),
 		demand:   newDemandMeter(s.DemandWindow),
 		engines:  map[string]engine.Engine{},
--- a/internal/entry/settings.go
+++ b/internal/entry/settings.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	"sassafrasfield/internal/idempotency"
 	"sassafrasfield/internal/logging"
-	"sassafrasfield/internal/once"
 	"sassafrasfield/internal/settings"
 	"sassafrasfield/internal/stream"
 	"sassafrasfield/internal/tomlfile"
@@ -52,7 +52,7 @@
 	Admission    AdmissionSettings    `toml:"admission"`
 	Rate         RateSettings         `toml:"rate"`
 	Retry        RetrySettings        `toml:"retry"`
-	Claims       once.Settings        `toml:"claims"`
+	Claims       idempotency.Settings `toml:"claims"`
 	Log          logging.Settings     `toml:"log"`
 	Trace        tracing.Settings     `toml:"trace"`
 }
@@ -108,7 +108,7 @@
 		Admission: defaultAdmission(),
 		Rate:      defaultRate(),
 		Retry:     defaultRetry(),
-		Claims:    once.Default(),
+		Claims:    idempotency.Default(),
 		Log:       logging.Default(),
 		Trace:     tracing.Default(),
 	}
--- a/internal/fuzz/rows_test.go
+++ b/internal/fuzz/rows_test.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"sassafrasfield/internal/config"
+	"sassafrasfield/internal/idempotency"
 	"sassafrasfield/internal/lease"
-	"sassafrasfield/internal/once"
 	"sassafrasfield/internal/order"
 	"sassafrasfield/internal/plan"
 	"sassafrasfield/internal/platform"
@@ -100,7 +100,7 @@
 // run, but over a row that says it is free.
 func FuzzClaimRow(f *testing.F) {
 	call := service.Call{Method: "POST", Path: "/bales/certificates", Body: []byte("{}")}
-	sum := once.Checksum(call)
+	sum := idempotency.Checksum(call)
 	for _, seed := range []string{
 		`{"state":"claimed","call":"` + sum + `"}`, `{"state":"unknown","call":"` + sum + `"}`,
 		`{"state":"answered","call":"` + sum + `","answer":{"status":200}}`, `{"state":"answered","call":"` + sum + `"}`,
@@ -108,11 +108,11 @@
 	} {
 		f.Add([]byte(seed))
 	}
-	rules := once.Default()
+	rules := idempotency.Default()
 	rules.ClaimTimeout = 20 * time.Millisecond
 	log := slog.New(slog.DiscardHandler)
 	f.Fuzz(func(t *testing.T, data []byte) {
-		runner := once.New(rowTable{value: data}, rules, "inst-1", log)
+		runner := idempotency.New(rowTable{value: data}, rules, "inst-1", log)
 		_, _ = runner.Do(context.Background(), "claim/1", call, func(context.Context) (service.Answer, error) {
 			t.Errorf("the call ran over the row %s", data)
 			return service.Answer{}, nil
--- a/internal/once/once.go
+++ b/internal/idempotency/idempotency.go
@@ -1,9 +1,9 @@
-// Package once runs a keyed call to a plain service at most once over all
+// Package idempotency runs a keyed call to a plain service at most once over all
 // instances: a claim row in the table before the call is sent, and the answer
 // kept with it. A repeat on any instance gets the kept answer, or the truth:
 // in progress, or unknown. Only the process whose own write created the row
 // ever runs the call.
-package once
+package idempotency
 
 import (
 	"context"
--- a/internal/once/row.go
+++ b/internal/idempotency/row.go
@@ -1,4 +1,4 @@
-package once
+package idempotency
 
 import (
 	"crypto/sha256"
