--- a/internal/control/daemon.go
+++ b/internal/control/daemon.go
@@ -19,9 +19,9 @@
 
 	"sassafrasfield/internal/engine"
 	"sassafrasfield/internal/gen/sf/v1/sfv1connect"
+	"sassafrasfield/internal/gossip"
 	"sassafrasfield/internal/logging"
 	"sassafrasfield/internal/platform"
-	"sassafrasfield/internal/spread"
 	"sassafrasfield/internal/versions"
 )
 
@@ -40,7 +40,7 @@
 	log      *slog.Logger
 	platform platform.Platform
 	versions versions.Log
-	holder   *spread.Holder
+	holder   *gossip.Holder
 	members  *members
 	spread   *spreader
 	entry    *entryLink
@@ -72,7 +72,7 @@
 		log:      log,
 		platform: client,
 		versions: versions.Log{Table: client},
-		holder:   spread.NewHolder(),
+		holder:   gossip.NewHolder(),
 		http:     &http.Client{Timeout: s.PlatformTimeout, Transport: peerTransport()},
 		options:  []connect.ClientOption{connect.WithInterceptors(interceptor)},
 		traced:   connect.WithInterceptors(interceptor),
--- a/internal/control/entrylink.go
+++ b/internal/control/entrylink.go
@@ -12,14 +12,14 @@
 	"sassafrasfield/internal/freshness"
 	sfv1 "sassafrasfield/internal/gen/sf/v1"
 	"sassafrasfield/internal/gen/sf/v1/sfv1connect"
-	"sassafrasfield/internal/spread"
+	"sassafrasfield/internal/gossip"
 )
 
 // entryLink keeps sf-entry of the same instance at the version that this
 // process holds. Each call is a heartbeat too, and tells how long the entry may
 // take new work.
 type entryLink struct {
-	holder *spread.Holder
+	holder *gossip.Holder
 	client sfv1connect.EntryServiceClient
 	log    *slog.Logger
 
@@ -33,7 +33,7 @@
 	clockAt time.Duration
 }
 
-func newEntryLink(holder *spread.Holder, address string, client *http.Client, options []connect.ClientOption, log *slog.Logger) *entryLink {
+func newEntryLink(holder *gossip.Holder, address string, client *http.Client, options []connect.ClientOption, log *slog.Logger) *entryLink {
 	return &entryLink{
 		holder: holder,
 		client: sfv1connect.NewEntryServiceClient(client, "http://"+address, options...),
--- a/internal/control/offer.go
+++ b/internal/control/offer.go
@@ -7,7 +7,7 @@
 
 	"sassafrasfield/internal/config"
 	sfv1 "sassafrasfield/internal/gen/sf/v1"
-	"sassafrasfield/internal/spread"
+	"sassafrasfield/internal/gossip"
 )
 
 // offer tells a peer the number of the version held.
@@ -87,7 +87,7 @@
 		}
 		d.learn(doc, source)
 	case len(deltas) > 0:
-		doc, err := spread.ApplyAll(d.holder.Current(), deltas, sum)
+		doc, err := gossip.ApplyAll(d.holder.Current(), deltas, sum)
 		if err != nil {
 			return err
 		}
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -7,7 +7,7 @@
 	"github.com/pkg/errors"
 
 	sfv1 "sassafrasfield/internal/gen/sf/v1"
-	"sassafrasfield/internal/spread"
+	"sassafrasfield/internal/gossip"
 )
 
 // peerService answers other sf-control processes.
@@ -18,7 +18,7 @@
 // Offer implements the PeerService.
 func (p *peerService) Offer(_ context.Context, req *connect.Request[sfv1.OfferRequest]) (*connect.Response[sfv1.OfferResponse], error) {
 	err := p.daemon.take(req.Msg.Document, req.Msg.Deltas, req.Msg.Sum, "peer "+req.Msg.From)
-	if errors.Is(err, spread.ErrBase) {
+	if errors.Is(err, gossip.ErrBase) {
 		return connect.NewResponse(&sfv1.OfferResponse{Version: p.daemon.holder.Current().Version}), nil
 	}
 	if err != nil {
--- a/internal/control/spread.go
+++ b/internal/control/spread.go
@@ -12,11 +12,11 @@
 	"sassafrasfield/internal/bootclock"
 	"sassafrasfield/internal/config"
 	"sassafrasfield/internal/freshness"
+	"sassafrasfield/internal/gossip"
 	"sassafrasfield/internal/platform"
-	"sassafrasfield/internal/spread"
 )
 
-// spreader feeds the decisions of the packages spread and freshness, and
+// spreader feeds the decisions of the packages gossip and freshness, and
 // carries out what they say. It counts its time on the boot clock, so that
 // evidence ages while the process is frozen or the machine suspended.
 type spreader struct {
@@ -27,10 +27,10 @@
 	wake chan struct{}
 
 	mu      sync.Mutex // protects all below
-	machine *spread.Machine
+	machine *gossip.Machine
 	fresh   *freshness.State
-	leaving *spread.Leaving
-	queue   []spread.Action
+	leaving *gossip.Leaving
+	queue   []gossip.Action
 	// tableError is why the last read of the table failed; "" when it did not.
 	tableError string
 	wasFresh   bool
@@ -56,7 +56,7 @@
 func newSpreader(d *Daemon, log *slog.Logger) *spreader {
 	s := d.settings.Spread
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	machine := spread.NewMachine(spread.Settings{
+	machine := gossip.NewMachine(gossip.Settings{
 		PollEvery: s.PollEvery, TableReads: float64(s.TableReads),
 		ExchangeEvery: s.ExchangeEvery, Fanout: s.Fanout,
 	}, rng)
@@ -67,7 +67,7 @@
 	return &spreader{
 		daemon: d, log: log, meters: newSpreadMeters(metrics.DefaultRegistry),
 		wake: make(chan struct{}, 1), machine: machine, fresh: fresh,
-		leaving: spread.NewLeaving(s.ListLag),
+		leaving: gossip.NewLeaving(s.ListLag),
 	}
 }
 
@@ -96,7 +96,7 @@
 }
 
 // due takes the actions that are due, and the time until the next ones are.
-func (s *spreader) due() ([]spread.Action, time.Duration) {
+func (s *spreader) due() ([]gossip.Action, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := bootclock.Now()
@@ -134,7 +134,7 @@
 
 // enqueue has the loop carry out actions, and look at what is due. The mutex
 // is held.
-func (s *spreader) enqueue(actions []spread.Action) {
+func (s *spreader) enqueue(actions []gossip.Action) {
 	s.queue = append(s.queue, actions...)
 	select {
 	case s.wake <- struct{}{}:
@@ -142,19 +142,19 @@
 	}
 }
 
-func (s *spreader) carryOut(ctx context.Context, action spread.Action) {
+func (s *spreader) carryOut(ctx context.Context, action gossip.Action) {
 	switch a := action.(type) {
-	case spread.PollHead:
+	case gossip.PollHead:
 		s.pollHead(ctx)
-	case spread.Load:
+	case gossip.Load:
 		s.load(ctx, a.Version)
-	case spread.Exchange:
+	case gossip.Exchange:
 		s.exchange(ctx, a.Peer)
-	case spread.Offer:
+	case gossip.Offer:
 		s.offer(ctx, a.Peer)
-	case spread.Send:
+	case gossip.Send:
 		s.send(ctx, a.Peer, a.Have)
-	case spread.Fetch:
+	case gossip.Fetch:
 		s.fetch(ctx, a.Peer)
 	}
 }
--- a/internal/spread/holder.go
+++ b/internal/gossip/holder.go
@@ -1,9 +1,9 @@
-// Package spread decides how configuration versions reach every instance: each
+// Package gossip decides how configuration versions reach every instance: each
 // sf-control process reads the head of the table now and then, tells a few
 // peers of what it learns, and compares versions with a random peer. The
 // decisions are pure (Machine, Leaving, Delta); Holder keeps the newest
 // version. A version never falls.
-package spread
+package gossip
 
 import (
 	"encoding/json"
--- a/internal/spread/machine_test.go
+++ b/internal/gossip/machine_test.go
@@ -1,4 +1,4 @@
-package spread
+package gossip
 
 import (
 	"math/rand/v2"
--- a/internal/spread/model_test.go
+++ b/internal/gossip/model_test.go
@@ -1,4 +1,4 @@
-package spread_test
+package gossip_test
 
 import (
 	"fmt"
@@ -9,13 +9,13 @@
 	"pgregory.net/rapid"
 
 	"sassafrasfield/internal/freshness"
-	"sassafrasfield/internal/spread"
+	"sassafrasfield/internal/gossip"
 )
 
 // Settings of the model.
 var (
 	modelFresh  = freshness.Settings{FreshFor: 5 * time.Second, AcceptWithin: 4 * time.Second, ReadLag: 500 * time.Millisecond}
-	modelSpread = spread.Settings{PollEvery: time.Second, TableReads: 100, ExchangeEvery: 500 * time.Millisecond, Fanout: 2}
+	modelSpread = gossip.Settings{PollEvery: time.Second, TableReads: 100, ExchangeEvery: 500 * time.Millisecond, Fanout: 2}
 )
 
 const modelStep = 50 * time.Millisecond
@@ -28,7 +28,7 @@
 	frozen  bool
 	held    int64
 	fresh   *freshness.State
-	machine *spread.Machine
+	machine *gossip.Machine
 	noTable bool
 }
 
@@ -77,7 +77,7 @@
 	d.held, d.frozen = 0, false
 	d.offset = time.Duration(w.rng.Int64N(int64(time.Hour)))
 	d.fresh = freshness.New(d.id, modelFresh, w.clock(d))
-	d.machine = spread.NewMachine(modelSpread, rand.New(rand.NewPCG(w.rng.Uint64(), 2)))
+	d.machine = gossip.NewMachine(modelSpread, rand.New(rand.NewPCG(w.rng.Uint64(), 2)))
 	var ids, peers []string
 	for _, other := range w.nodes {
 		ids = append(ids, other.id)
@@ -145,16 +145,16 @@
 	w.carryOut(d, d.machine.Learned(version))
 }
 
-func (w *world) carryOut(d *node, actions []spread.Action) {
+func (w *world) carryOut(d *node, actions []gossip.Action) {
 	for _, action := range actions {
 		w.carryOutOne(d, action)
 	}
 }
 
-func (w *world) carryOutOne(d *node, action spread.Action) {
+func (w *world) carryOutOne(d *node, action gossip.Action) {
 	sent := w.clock(d)
 	switch a := action.(type) {
-	case spread.PollHead:
+	case gossip.PollHead:
 		w.askTable(d, func() func() {
 			head := w.staleHead()
 			return func() {
@@ -162,9 +162,9 @@
 				d.machine.TableAnswered(w.clock(d), head)
 			}
 		})
-	case spread.Load:
+	case gossip.Load:
 		w.askTable(d, func() func() { return func() { w.learn(d, a.Version) } })
-	case spread.Exchange:
+	case gossip.Exchange:
 		to := w.byID(a.Peer)
 		version := d.held
 		w.ask(d, to, func() func() {
@@ -175,17 +175,17 @@
 				w.carryOut(d, d.machine.PeerAnswered(w.clock(d), to.id, digest.Version))
 			}
 		})
-	case spread.Offer:
+	case gossip.Offer:
 		to, version := w.byID(a.Peer), d.held
 		w.ask(d, to, func() func() {
 			to.fresh.Heard(version)
 			answer := to.machine.PeerOffered(w.clock(to), version)
 			return func() { w.carryOut(d, d.machine.PeerAnswered(w.clock(d), to.id, answer)) }
 		})
-	case spread.Send:
+	case gossip.Send:
 		to, version := w.byID(a.Peer), d.held
 		w.ask(d, to, func() func() { w.learn(to, version); return func() {} })
-	case spread.Fetch:
+	case gossip.Fetch:
 		to := w.byID(a.Peer)
 		w.ask(d, to, func() func() {
 			version := to.held
--- a/internal/spread/process_bench_test.go
+++ b/internal/gossip/process_bench_test.go
@@ -1,4 +1,4 @@
-package spread_test
+package gossip_test
 
 import (
 	"context"
