--- a/internal/front/front.go
+++ b/internal/httpserver/httpserver.go
@@ -1,8 +1,8 @@
-// Package front serves callers over HTTP and stops without cutting one off:
+// Package httpserver serves callers over HTTP and stops without cutting one off:
 // when the process is told to end it first says that it is not ready, serves on
 // until the balancer has noticed, then takes no new connection and finishes
 // what it has.
-package front
+package httpserver
 
 import (
 	"context"
--- a/internal/front/front_test.go
+++ b/internal/httpserver/httpserver_test.go
@@ -1,4 +1,4 @@
-package front
+package httpserver
 
 import (
 	"bufio"
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -17,7 +17,7 @@
 	"github.com/pkg/errors"
 	"github.com/rcrowley/go-metrics"
 
-	"sassafrasfield/internal/front"
+	"sassafrasfield/internal/httpserver"
 	"sassafrasfield/internal/logging"
 	"sassafrasfield/internal/pause"
 	"sassafrasfield/internal/peers"
@@ -63,7 +63,7 @@
 	Self    peers.Peer
 	Seeds   []string
 	Metrics string
-	Front   front.Settings
+	Front   httpserver.Settings
 	Relay   relay.Settings
 	Follow  rowsync.Settings
 	Roles   rolekeeper.Settings
@@ -131,7 +131,7 @@
 	keeper := rolekeeper.New(in.settings.Roles, in.adapter.Table, restingOrderer{in.adapter.Orderer, in.relay}, in, in.duties(), logging.Part(in.log, "roles"))
 	loops.Go(func() { keeper.Run(ctx) })
 	handler := in.adapter.Handler(in.relay, in.limitsInForce)
-	err = front.New(in.settings.Front, handler, in.ready, in.relay.Close, logging.Part(in.log, "front")).Run(ctx)
+	err = httpserver.New(in.settings.Front, handler, in.ready, in.relay.Close, logging.Part(in.log, "front")).Run(ctx)
 	in.log.Info("instance: stopped", "error", err)
 	return err
 }
--- a/internal/scenario/pages_test.go
+++ b/internal/scenario/pages_test.go
@@ -85,7 +85,7 @@
 	metric := regexp.MustCompile(`GetOrRegister\w+\("([^"]+)"`)
 	line := regexp.MustCompile(`\.(?:Info|Warn|Error|Debug)\("([a-z]+: [^"]+)"`)
 	found := 0
-	slices := []string{"entry", "control", "idempotency", "program", "relay", "rowsync", "peers", "front", "instance", "rolekeeper", "usagereport", "scaling"}
+	slices := []string{"entry", "control", "idempotency", "program", "relay", "rowsync", "peers", "httpserver", "instance", "rolekeeper", "usagereport", "scaling"}
 	for _, slice := range append(slices, "../platform") {
 		text := readAll(t, "internal/"+slice+"/*.go")
 		for _, pattern := range []*regexp.Regexp{metric, line} {
