--- a/cmd/sf-standin/main.go
+++ b/cmd/sf-standin/main.go
@@ -11,7 +11,7 @@
 	"github.com/alecthomas/kingpin/v2"
 
 	"sassafrasfield/internal/config"
-	"sassafrasfield/internal/standin"
+	"sassafrasfield/internal/testservers"
 )
 
 func main() {
@@ -41,23 +41,23 @@
 
 	switch kingpin.MustParse(app.Parse(args)) {
 	case platformCmd.FullCommand():
-		return serve(*listen, standin.NewPlatform(*weightRate).Handler())
+		return serve(*listen, testservers.NewPlatform(*weightRate).Handler())
 	case engineCmd.FullCommand():
-		return serve(*listen, standin.NewEngine(options(*engineID)).Handler())
+		return serve(*listen, testservers.NewEngine(options(*engineID)).Handler())
 	case enginesCmd.FullCommand():
-		return standin.ServeEngines(*listen, *ids, manyOptions)
+		return testservers.ServeEngines(*listen, *ids, manyOptions)
 	default:
-		return serve(*listen, standin.NewService(*serviceID).Handler())
+		return serve(*listen, testservers.NewService(*serviceID).Handler())
 	}
 }
 
 func serve(address string, handler http.Handler) error {
-	server := &http.Server{Addr: address, Handler: standin.RecordTraces(handler), ReadHeaderTimeout: 10 * time.Second}
+	server := &http.Server{Addr: address, Handler: testservers.RecordTraces(handler), ReadHeaderTimeout: 10 * time.Second}
 	return server.ListenAndServe()
 }
 
 // engineFlags adds the flags of an engine; call the result after parsing.
-func engineFlags(cmd *kingpin.CmdClause) func(id string) standin.EngineOptions {
+func engineFlags(cmd *kingpin.CmdClause) func(id string) testservers.EngineOptions {
 	model := cmd.Flag("model", "Model loaded at start.").String()
 	version := cmd.Flag("model-version", "Version loaded at start.").String()
 	adapters := cmd.Flag("adapter", "Adapter loaded at start.").Strings()
@@ -74,8 +74,8 @@
 	kvRate := cmd.Flag("kv-rate", "Tokens of KV cache that another engine reads a second.").Default("200000").Float64()
 	change := cmd.Flag("change-time", "Time of a disruptive order.").Default("2s").Duration()
 	load := cmd.Flag("load-time", "Time to load adapters.").Default("500ms").Duration()
-	return func(id string) standin.EngineOptions {
-		return standin.EngineOptions{
+	return func(id string) testservers.EngineOptions {
+		return testservers.EngineOptions{
 			ID:      id,
 			Initial: config.EngineState{Model: *model, Version: *version, Adapters: *adapters, Role: config.Role(*role)},
 			Fencing: config.Fencing(*fencing), PrefillRate: *prefill, PrefillBudget: *budget,
--- a/internal/answers/bench_test.go
+++ b/internal/answers/bench_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"sassafrasfield/internal/standin"
 	"sassafrasfield/internal/testfleet"
+	"sassafrasfield/internal/testservers"
 )
 
 // BenchmarkKeyedCall compares calls with a key and without one, one after the
@@ -130,7 +130,7 @@
 	p, err := f.Start(e.ID, "sf-standin", args...)
 	f.must(err)
 	e.Process = p
-	f.until(e.ID+" answers", func() bool { return testfleet.Post(f.ctx, e.Address, standin.PathBook, nil, nil) == nil })
+	f.until(e.ID+" answers", func() bool { return testfleet.Post(f.ctx, e.Address, testservers.PathBook, nil, nil) == nil })
 }
 
 func ms(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
@@ -140,10 +140,10 @@
 	return sorted[len(sorted)/2]
 }
 
-func (f *fixture) tableStats() standin.TableStats {
+func (f *fixture) tableStats() testservers.TableStats {
 	f.t.Helper()
-	var stats standin.TableStats
-	f.must(testfleet.Post(f.ctx, f.PlatformAddress, standin.PathTableStats, nil, &stats))
+	var stats testservers.TableStats
+	f.must(testfleet.Post(f.ctx, f.PlatformAddress, testservers.PathTableStats, nil, &stats))
 	return stats
 }
 
--- a/internal/answers/fixture_test.go
+++ b/internal/answers/fixture_test.go
@@ -20,9 +20,9 @@
 
 	"sassafrasfield/internal/callerapi"
 	"sassafrasfield/internal/engine"
-	"sassafrasfield/internal/standin"
 	"sassafrasfield/internal/testcaller"
 	"sassafrasfield/internal/testfleet"
+	"sassafrasfield/internal/testservers"
 )
 
 const (
@@ -194,8 +194,8 @@
 	f.t.Helper()
 	total := map[string]int{}
 	for _, s := range f.Services {
-		var book standin.ServiceBook
-		f.must(testfleet.Post(f.ctx, s.Address, standin.PathBook, nil, &book))
+		var book testservers.ServiceBook
+		f.must(testfleet.Post(f.ctx, s.Address, testservers.PathBook, nil, &book))
 		for lot, runs := range book.Bodies {
 			total[lot] += runs
 		}
@@ -203,31 +203,31 @@
 	return total
 }
 
-func (f *fixture) engineFault(n int, faults standin.EngineFaults) {
+func (f *fixture) engineFault(n int, faults testservers.EngineFaults) {
 	f.t.Helper()
-	f.must(testfleet.Post(f.ctx, f.Engines[n].Address, standin.PathFault, faults, nil))
+	f.must(testfleet.Post(f.ctx, f.Engines[n].Address, testservers.PathFault, faults, nil))
 }
 
-func (f *fixture) engineBook(n int) standin.Book {
+func (f *fixture) engineBook(n int) testservers.Book {
 	f.t.Helper()
-	var book standin.Book
-	f.must(testfleet.Post(f.ctx, f.Engines[n].Address, standin.PathBook, nil, &book))
+	var book testservers.Book
+	f.must(testfleet.Post(f.ctx, f.Engines[n].Address, testservers.PathBook, nil, &book))
 	return book
 }
 
-func (f *fixture) serviceFault(n int, faults standin.ServiceFaults) {
+func (f *fixture) serviceFault(n int, faults testservers.ServiceFaults) {
 	f.t.Helper()
-	f.must(testfleet.Post(f.ctx, f.Services[n].Address, standin.PathFault, faults, nil))
+	f.must(testfleet.Post(f.ctx, f.Services[n].Address, testservers.PathFault, faults, nil))
 }
 
-func (f *fixture) platformFault(faults standin.PlatformFaults) {
+func (f *fixture) platformFault(faults testservers.PlatformFaults) {
 	f.t.Helper()
 	f.must(f.PlatformFault(f.ctx, faults))
 }
 
 // undisturbedText is the text that each stand-in engine makes of a chat.
 func undisturbedText(c testcaller.Chat) string {
-	return standin.NewText(engine.Request{
+	return testservers.NewText(engine.Request{
 		Model: c.Model, Version: "1", Prompt: "user: " + c.Prompt + "\n", MaxTokens: c.MaxTokens, Seed: c.Seed,
 	}).Whole()
 }
--- a/internal/answers/once_test.go
+++ b/internal/answers/once_test.go
@@ -9,7 +9,7 @@
 
 	"sassafrasfield/internal/callerapi"
 	"sassafrasfield/internal/idempotency"
-	"sassafrasfield/internal/standin"
+	"sassafrasfield/internal/testservers"
 )
 
 // TestKilledBetweenClaimAndAnswer kills the entry at each step between claim
@@ -99,9 +99,9 @@
 	f := newFixture(t, size{instances: 2, engines: 1, services: 1})
 	for lost := 1; lost <= 3; lost++ {
 		key := fmt.Sprintf("lost-%d", lost)
-		f.platformFault(standin.PlatformFaults{LoseReplies: lost, LosePrefix: idempotency.Prefix, StaleReadMs: 100})
+		f.platformFault(testservers.PlatformFaults{LoseReplies: lost, LosePrefix: idempotency.Prefix, StaleReadMs: 100})
 		first := f.issue(f.Instances[0].EntryAddress, key, key)
-		f.platformFault(standin.PlatformFaults{})
+		f.platformFault(testservers.PlatformFaults{})
 		var repeat told
 		f.until("the answer is kept", func() bool {
 			repeat = f.issue(f.Instances[1].EntryAddress, key, key)
@@ -119,7 +119,7 @@
 	t.Parallel()
 	f := newFixture(t, size{instances: 2, engines: 1, services: 1})
 	entry := f.Instances[0].EntryAddress
-	for name, faults := range map[string]standin.PlatformFaults{"down": {Down: true}, "stalled": {Stall: true}} {
+	for name, faults := range map[string]testservers.PlatformFaults{"down": {Down: true}, "stalled": {Stall: true}} {
 		f.platformFault(faults)
 		refused := f.issue(entry, name, name)
 		if refused.Status != http.StatusServiceUnavailable || refused.Outcome != callerapi.OutcomeNotRun || refused.RetryAfter == "" {
@@ -131,7 +131,7 @@
 		if keyless := f.issue(entry, "", name+" keyless"); keyless.Status != http.StatusOK {
 			t.Errorf("%s: without a key told %+v", name, keyless)
 		}
-		f.platformFault(standin.PlatformFaults{})
+		f.platformFault(testservers.PlatformFaults{})
 		f.until("the key runs after the outage", func() bool {
 			return f.issue(f.Instances[1].EntryAddress, name, name).Status == http.StatusOK
 		})
@@ -147,8 +147,8 @@
 	t.Parallel()
 	f := newFixture(t, size{instances: 2, engines: 1, services: 2})
 	for _, key := range []string{"", "k1"} {
-		f.serviceFault(0, standin.ServiceFaults{LoseReplies: 1})
-		f.serviceFault(1, standin.ServiceFaults{LoseReplies: 1})
+		f.serviceFault(0, testservers.ServiceFaults{LoseReplies: 1})
+		f.serviceFault(1, testservers.ServiceFaults{LoseReplies: 1})
 		lot := "lot of key " + key
 		first := f.issue(f.Instances[0].EntryAddress, key, lot)
 		if first.Status != http.StatusBadGateway || first.Outcome != callerapi.OutcomeUnknown {
@@ -172,7 +172,7 @@
 	t.Parallel()
 	f := newFixture(t, size{instances: 1, engines: 1, services: 2})
 	entry := f.Instances[0].EntryAddress
-	f.serviceFault(0, standin.ServiceFaults{Refuse: true})
+	f.serviceFault(0, testservers.ServiceFaults{Refuse: true})
 	f.Services[1].Process.Signal(syscall.SIGKILL)
 	<-f.Services[1].Process.Done()
 	for _, key := range []string{"", "k1"} {
@@ -182,7 +182,7 @@
 		}
 	}
 	f.Services = f.Services[:1]
-	f.serviceFault(0, standin.ServiceFaults{})
+	f.serviceFault(0, testservers.ServiceFaults{})
 	for _, key := range []string{"", "k1"} {
 		for range 4 { // the dead upstream is met before or after
 			f.until("the call runs", func() bool {
@@ -205,14 +205,14 @@
 func TestOutageWhileTheCallRuns(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t, size{instances: 2, engines: 1, services: 1})
-	f.serviceFault(0, standin.ServiceFaults{DelayMs: 300})
-	for name, faults := range map[string]standin.PlatformFaults{"down": {Down: true}, "stalled": {Stall: true}} {
+	f.serviceFault(0, testservers.ServiceFaults{DelayMs: 300})
+	for name, faults := range map[string]testservers.PlatformFaults{"down": {Down: true}, "stalled": {Stall: true}} {
 		first := make(chan told, 1)
 		go func() { first <- f.issue(f.Instances[0].EntryAddress, name, name) }()
 		f.until("the call runs", func() bool { return f.runs(name) == 1 })
 		f.platformFault(faults)
 		answer := <-first
-		f.platformFault(standin.PlatformFaults{})
+		f.platformFault(testservers.PlatformFaults{})
 		var repeat told
 		f.until("the answer is kept", func() bool {
 			repeat = f.issue(f.Instances[1].EntryAddress, name, name)
@@ -229,7 +229,7 @@
 func TestCallerLeavesItsCall(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t, size{instances: 2, engines: 1, services: 1})
-	f.serviceFault(0, standin.ServiceFaults{DelayMs: 300})
+	f.serviceFault(0, testservers.ServiceFaults{DelayMs: 300})
 	ctx, leave := context.WithCancel(f.ctx)
 	go func() {
 		header := http.Header{callerapi.HeaderIdempotencyKey: []string{"k"}}
--- a/internal/answers/whole_test.go
+++ b/internal/answers/whole_test.go
@@ -10,9 +10,9 @@
 	"time"
 
 	"sassafrasfield/internal/callerapi"
-	"sassafrasfield/internal/standin"
 	"sassafrasfield/internal/stream"
 	"sassafrasfield/internal/testcaller"
+	"sassafrasfield/internal/testservers"
 )
 
 // chat returns a request for an answer of exactly length tokens.
@@ -80,7 +80,7 @@
 		name string
 		act  func(engine int)
 	}{
-		{"crash", func(n int) { f.engineFault(n, standin.EngineFaults{Crash: true}) }},
+		{"crash", func(n int) { f.engineFault(n, testservers.EngineFaults{Crash: true}) }},
 		{"freeze", func(n int) { frozen = n; f.Engines[n].Process.Signal(syscall.SIGSTOP) }},
 		{"kill", func(n int) { f.Engines[n].Process.Kill() }},
 	}
@@ -91,7 +91,7 @@
 	f.Engines[frozen].Process.Signal(syscall.SIGCONT)
 	for n := range f.Engines {
 		if !ended(f.Engines[n].Process.Done()) {
-			f.engineFault(n, standin.EngineFaults{Disorder: true})
+			f.engineFault(n, testservers.EngineFaults{Disorder: true})
 		}
 	}
 	f.wantWhole("disorder", f.stream(entry, c, 0, nil), whole.Text)
@@ -130,7 +130,7 @@
 	t.Parallel()
 	f := newFixture(t, size{instances: 2, engines: 3, engineFlags: []string{"--decode-rate", "3000"}})
 	for n := range f.Engines {
-		f.engineFault(n, standin.EngineFaults{BreakAfter: 15, Disorder: true})
+		f.engineFault(n, testservers.EngineFaults{BreakAfter: 15, Disorder: true})
 	}
 	c := chat(5, 100)
 	text := ""
@@ -193,7 +193,7 @@
 	c := chat(9, 60)
 	got := f.stream(f.Instances[0].EntryAddress, c, 20, func(id string) {
 		n := f.engineOf(id)
-		f.engineFault(1-n, standin.EngineFaults{OtherText: true})
+		f.engineFault(1-n, testservers.EngineFaults{OtherText: true})
 		f.Engines[n].Process.Kill()
 	})
 	if got.Done || got.Error == nil || got.Error.Code != "cannot_resume" || got.Error.Outcome != callerapi.OutcomeUnknown {
--- a/internal/bench/frozen_test.go
+++ b/internal/bench/frozen_test.go
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"sassafrasfield/internal/standin"
 	"sassafrasfield/internal/testcaller"
 	"sassafrasfield/internal/testfleet"
+	"sassafrasfield/internal/testservers"
 )
 
 const testKey = "frozen-test-key"
@@ -60,8 +60,8 @@
 // started counts the streams that the engine apart began.
 func (f *fleet) started(t *testing.T, ctx context.Context) int {
 	t.Helper()
-	var book standin.Book
-	if err := testfleet.Post(ctx, f.doc.Engines[2].Address, standin.PathBook, nil, &book); err != nil {
+	var book testservers.Book
+	if err := testfleet.Post(ctx, f.doc.Engines[2].Address, testservers.PathBook, nil, &book); err != nil {
 		t.Fatal(err)
 	}
 	return book.Started
--- a/internal/control/authority_bench_test.go
+++ b/internal/control/authority_bench_test.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"sassafrasfield/internal/config"
-	"sassafrasfield/internal/standin"
 	"sassafrasfield/internal/testfleet"
+	"sassafrasfield/internal/testservers"
 )
 
 // takeovers is how many takeovers of a kind are measured.
@@ -88,10 +88,10 @@
 	}
 }
 
-func (r *rig) tableStats() standin.TableStats {
-	var stats standin.TableStats
+func (r *rig) tableStats() testservers.TableStats {
+	var stats testservers.TableStats
 	platform := r.fleet.PlatformAddress
-	r.must(testfleet.Post(r.ctx, platform, standin.PathTableStats, nil, &stats))
+	r.must(testfleet.Post(r.ctx, platform, testservers.PathTableStats, nil, &stats))
 	return stats
 }
 
--- a/internal/control/authority_test.go
+++ b/internal/control/authority_test.go
@@ -18,8 +18,8 @@
 	"sassafrasfield/internal/lease"
 	"sassafrasfield/internal/order"
 	"sassafrasfield/internal/platform"
-	"sassafrasfield/internal/standin"
 	"sassafrasfield/internal/testfleet"
+	"sassafrasfield/internal/testservers"
 	"sassafrasfield/internal/versions"
 )
 
@@ -163,9 +163,9 @@
 	r.until(id+" holds the lease", func() bool { return r.holds(id, 0) })
 }
 
-func (r *rig) book(i int) standin.Book {
-	var book standin.Book
-	r.must(testfleet.Post(r.ctx, r.fleet.Engines[i].Address, standin.PathBook, nil, &book))
+func (r *rig) book(i int) testservers.Book {
+	var book testservers.Book
+	r.must(testfleet.Post(r.ctx, r.fleet.Engines[i].Address, testservers.PathBook, nil, &book))
 	return book
 }
 
@@ -347,7 +347,7 @@
 	t.Parallel()
 	kinds := []config.Fencing{config.FencingRefuse}
 	r := newRig(t, shortLease, kinds...)
-	r.must(r.fleet.PlatformFault(r.ctx, standin.PlatformFaults{LoseReplies: 1, LosePrefix: "epoch/"}))
+	r.must(r.fleet.PlatformFault(r.ctx, testservers.PlatformFaults{LoseReplies: 1, LosePrefix: "epoch/"}))
 	first := r.add("first", "")
 	r.put(kinds, "a")
 	r.until("the order is settled", func() bool { return r.took(0, 1, "a") && r.settled(0) })
@@ -364,14 +364,14 @@
 	first := r.add("first", "")
 	r.untilHolds("first")
 	r.addOthers()
-	r.must(r.fleet.PlatformFault(r.ctx, standin.PlatformFaults{Down: true}))
+	r.must(r.fleet.PlatformFault(r.ctx, testservers.PlatformFaults{Down: true}))
 	r.until("the holder loses the lease", func() bool { return strings.Contains(first.Control.Log(), "lease: lost") })
 	for _, i := range r.fleet.Instances[1:] {
 		if strings.Contains(i.Control.Log(), "lease: taken") {
 			t.Errorf("%s gained the lease with the table down:\n%s", i.ID, i.Control.Log())
 		}
 	}
-	r.must(r.fleet.PlatformFault(r.ctx, standin.PlatformFaults{}))
+	r.must(r.fleet.PlatformFault(r.ctx, testservers.PlatformFaults{}))
 	r.until("a new epoch", func() bool { return r.row(0).Epoch == 2 })
 	if ended(first.Control) {
 		t.Errorf("the outage ended the first: %v", first.Control.Err())
--- a/internal/control/spread_bench_test.go
+++ b/internal/control/spread_bench_test.go
@@ -22,7 +22,7 @@
 
 	"sassafrasfield/internal/config"
 	"sassafrasfield/internal/platform"
-	"sassafrasfield/internal/standin"
+	"sassafrasfield/internal/testservers"
 	"sassafrasfield/internal/versions"
 )
 
@@ -76,7 +76,7 @@
 
 func newBenchFleet(b *testing.B, n, engines int) *benchFleet {
 	b.Helper()
-	stand := standin.NewPlatform(1e9)
+	stand := testservers.NewPlatform(1e9)
 	server := httptest.NewServer(stand.Handler())
 	b.Cleanup(server.Close)
 	address := strings.TrimPrefix(server.URL, "http://")
@@ -109,7 +109,7 @@
 
 func (f *benchFleet) list(address string, s *Settings) {
 	body := fmt.Sprintf(`{"id":%q,"kind":"own","zone":%q,"state":"live","control":%q}`, s.Instance, s.Zone, s.Listen)
-	res, err := http.Post("http://"+address+standin.PathSetInstance, "application/json", strings.NewReader(body))
+	res, err := http.Post("http://"+address+testservers.PathSetInstance, "application/json", strings.NewReader(body))
 	if err != nil {
 		f.b.Fatal(err)
 	}
--- a/internal/demo/points.go
+++ b/internal/demo/points.go
@@ -12,10 +12,10 @@
 
 	"github.com/pkg/errors"
 
-	"sassafrasfield/internal/standin"
 	"sassafrasfield/internal/stream"
 	"sassafrasfield/internal/testcaller"
 	"sassafrasfield/internal/testfleet"
+	"sassafrasfield/internal/testservers"
 )
 
 // sfctl runs the operators' tool against an instance.
@@ -80,8 +80,8 @@
 		fmt.Fprintf(d.Out, "%s answers %s\n", i.ID, strings.TrimSpace(string(body)))
 		answers = append(answers, string(body))
 	}
-	var book standin.ServiceBook
-	if err := testfleet.Post(ctx, d.fleet.Services[0].Address, standin.PathBook, nil, &book); err != nil {
+	var book testservers.ServiceBook
+	if err := testfleet.Post(ctx, d.fleet.Services[0].Address, testservers.PathBook, nil, &book); err != nil {
 		return "", err
 	}
 	runs := book.Runs["POST /bales/certificates"]
--- a/internal/entry/admission_test.go
+++ b/internal/entry/admission_test.go
@@ -10,9 +10,9 @@
 	"time"
 
 	"sassafrasfield/internal/callerapi"
-	"sassafrasfield/internal/standin"
 	"sassafrasfield/internal/testcaller"
 	"sassafrasfield/internal/testfleet"
+	"sassafrasfield/internal/testservers"
 )
 
 // An engine that is overloaded and hardly moves: requests that can't make
@@ -23,7 +23,7 @@
 	fleet := startFleet(ctx, t, fleetOptions{
 		instances: 2, engines: 1, engineFlags: []string{"--prefill-rate", "2000", "--decode-rate", "200"},
 	})
-	setFaults(ctx, t, fleet.Engines[0], standin.EngineFaults{SlowFactor: 20})
+	setFaults(ctx, t, fleet.Engines[0], testservers.EngineFaults{SlowFactor: 20})
 	const requests = 30
 	caller := testcaller.New(apiKey)
 	var work sync.WaitGroup
@@ -61,7 +61,7 @@
 		t.Errorf("%d refused and %d whole while the engine hardly moves", len(refused), len(whole))
 	}
 	mu.Unlock()
-	setFaults(ctx, t, fleet.Engines[0], standin.EngineFaults{})
+	setFaults(ctx, t, fleet.Engines[0], testservers.EngineFaults{})
 	work.Wait()
 	for _, answer := range refused {
 		checkRefusal(t, answer.Status, answer.Error, answer.RetryAfter)
@@ -115,8 +115,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var book standin.ServiceBook
-	if err := testfleet.Post(ctx, fleet.Services[0].Address, standin.PathBook, nil, &book); err != nil {
+	var book testservers.ServiceBook
+	if err := testfleet.Post(ctx, fleet.Services[0].Address, testservers.PathBook, nil, &book); err != nil {
 		t.Fatal(err)
 	}
 	if ran := book.Runs["POST /portal/status"]; ran != len(accepted) || refused == 0 {
--- a/internal/entry/contents_test.go
+++ b/internal/entry/contents_test.go
@@ -4,9 +4,9 @@
 	"testing"
 
 	"sassafrasfield/internal/callerapi"
-	"sassafrasfield/internal/standin"
 	"sassafrasfield/internal/testcaller"
 	"sassafrasfield/internal/testfleet"
+	"sassafrasfield/internal/testservers"
 )
 
 // ending is the prompt that ends the engines of the test.
@@ -19,7 +19,7 @@
 	ctx := testContext(t)
 	fleet := startFleet(ctx, t, fleetOptions{instances: 1, engines: 5})
 	for _, e := range fleet.Engines {
-		setFaults(ctx, t, e, standin.EngineFaults{EndOn: ending})
+		setFaults(ctx, t, e, testservers.EngineFaults{EndOn: ending})
 	}
 	ask := func(prompt string) testcaller.Answer {
 		t.Helper()
--- a/internal/entry/fleet_test.go
+++ b/internal/entry/fleet_test.go
@@ -14,8 +14,8 @@
 	"testing"
 	"time"
 
-	"sassafrasfield/internal/standin"
 	"sassafrasfield/internal/testfleet"
+	"sassafrasfield/internal/testservers"
 )
 
 // modelName is the one model of these fleets, apiKey the key of the
@@ -127,8 +127,8 @@
 	t.Helper()
 	total := 0
 	for _, e := range fleet.Engines {
-		var book standin.Book
-		if err := testfleet.Post(ctx, e.Address, standin.PathBook, nil, &book); err != nil {
+		var book testservers.Book
+		if err := testfleet.Post(ctx, e.Address, testservers.PathBook, nil, &book); err != nil {
 			t.Fatal(err)
 		}
 		total += book.Started
@@ -136,9 +136,9 @@
 	return total
 }
 
-func setFaults(ctx context.Context, t testing.TB, e *testfleet.Engine, faults standin.EngineFaults) {
+func setFaults(ctx context.Context, t testing.TB, e *testfleet.Engine, faults testservers.EngineFaults) {
 	t.Helper()
-	if err := testfleet.Post(ctx, e.Address, standin.PathFault, faults, nil); err != nil {
+	if err := testfleet.Post(ctx, e.Address, testservers.PathFault, faults, nil); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/entry/overload_bench_test.go
+++ b/internal/entry/overload_bench_test.go
@@ -12,9 +12,9 @@
 	"time"
 
 	"sassafrasfield/internal/callerapi"
-	"sassafrasfield/internal/standin"
 	"sassafrasfield/internal/testcaller"
 	"sassafrasfield/internal/testfleet"
+	"sassafrasfield/internal/testservers"
 )
 
 // arrivals is an open-loop load of callers that may ask again.
@@ -173,7 +173,7 @@
 				engineFlags: []string{"--prefill-rate", "4000", "--decode-rate", "100"},
 			})
 			for _, e := range fleet.Engines {
-				setFaults(ctx, b, e, standin.EngineFaults{ReportLagMs: mode.lag})
+				setFaults(ctx, b, e, testservers.EngineFaults{ReportLagMs: mode.lag})
 			}
 			load := arrivals{rate: 32, length: 15 * time.Second, attempts: 1, patience: time.Second, prompt: 500, answer: 20}
 			for b.Loop() {
@@ -207,11 +207,11 @@
 // crashing each second.
 func BenchmarkRetryStorm(b *testing.B) {
 	noBudget := "[retry]\nbudget_floor = 1e9\nbudget_max = 1e9\n"
-	slow, refuse, crash := standin.EngineFaults{SlowFactor: 8}, standin.EngineFaults{Refuse: true}, standin.EngineFaults{Crash: true}
+	slow, refuse, crash := testservers.EngineFaults{SlowFactor: 8}, testservers.EngineFaults{Refuse: true}, testservers.EngineFaults{Crash: true}
 	for _, mode := range []struct {
 		name, tables string
 		obey         bool
-		faults       standin.EngineFaults
+		faults       testservers.EngineFaults
 	}{
 		{"crash/all-guards", "", false, crash},
 		{"crash/no-budget", noBudget, false, crash},
@@ -239,7 +239,7 @@
 					}
 					faults := mode.faults
 					if at == stormTo {
-						faults = standin.EngineFaults{}
+						faults = testservers.EngineFaults{}
 					}
 					setFaults(ctx, b, fleet.Engines[0], faults)
 					setFaults(ctx, b, fleet.Engines[1], faults)
--- a/internal/entry/retry_test.go
+++ b/internal/entry/retry_test.go
@@ -7,9 +7,9 @@
 	"testing"
 
 	"sassafrasfield/internal/callerapi"
-	"sassafrasfield/internal/standin"
 	"sassafrasfield/internal/testcaller"
 	"sassafrasfield/internal/testfleet"
+	"sassafrasfield/internal/testservers"
 )
 
 // All engines refuse: without successes there is no budget, so no request is
@@ -24,7 +24,7 @@
 	entry := fleet.Instances[0].EntryAddress
 	refuse := func(on bool) {
 		for _, e := range fleet.Engines {
-			setFaults(ctx, t, e, standin.EngineFaults{Refuse: on})
+			setFaults(ctx, t, e, testservers.EngineFaults{Refuse: on})
 		}
 	}
 	const requests = 40
--- a/internal/entry/throughput_test.go
+++ b/internal/entry/throughput_test.go
@@ -14,14 +14,14 @@
 
 	"sassafrasfield/internal/bootclock"
 	"sassafrasfield/internal/config"
-	"sassafrasfield/internal/standin"
+	"sassafrasfield/internal/testservers"
 )
 
 // benchServer is an entry before one fast engine, both served by the test.
 func benchServer(b *testing.B) (server *Server, url string) {
 	b.Helper()
 	state := config.EngineState{Model: "m", Version: "1", Role: config.RoleMixed}
-	engine := httptest.NewServer(standin.NewEngine(standin.EngineOptions{
+	engine := httptest.NewServer(testservers.NewEngine(testservers.EngineOptions{
 		ID: "e", Initial: state, PrefillRate: 1e9, PrefillBudget: 1 << 20, DecodeRate: 1e6,
 		MaxRunning: 256, KVBlocks: 1 << 20, BlockTokens: 16,
 	}).Handler())
--- a/internal/gossip/process_test.go
+++ b/internal/gossip/process_test.go
@@ -18,9 +18,9 @@
 	sfv1 "sassafrasfield/internal/gen/sf/v1"
 	"sassafrasfield/internal/gen/sf/v1/sfv1connect"
 	"sassafrasfield/internal/platform"
-	"sassafrasfield/internal/standin"
 	"sassafrasfield/internal/testcaller"
 	"sassafrasfield/internal/testfleet"
+	"sassafrasfield/internal/testservers"
 	"sassafrasfield/internal/versions"
 )
 
@@ -219,7 +219,7 @@
 // TestTableDownForAllServesOn: a majority answers, and nobody can accept.
 func TestTableDownForAllServesOn(t *testing.T) {
 	r := newRig(t)
-	r.must(r.fleet.PlatformFault(r.ctx, standin.PlatformFaults{Down: true}))
+	r.must(r.fleet.PlatformFault(r.ctx, testservers.PlatformFaults{Down: true}))
 	ended := time.Now().Add(3 * time.Second) // fresh_for, and some more
 	r.until("the evidence from the table has ended", func() bool { return time.Now().After(ended) })
 	for i := range 3 {
@@ -324,7 +324,7 @@
 func TestStartWithTableDown(t *testing.T) {
 	r := newRig(t)
 	seeds := fmt.Sprintf("seeds = [%q, %q]\n", r.fleet.Instances[0].ControlAt, r.fleet.Instances[1].ControlAt)
-	r.must(r.fleet.PlatformFault(r.ctx, standin.PlatformFaults{Down: true}))
+	r.must(r.fleet.PlatformFault(r.ctx, testservers.PlatformFaults{Down: true}))
 	lonely, err := r.links.AddInstance(r.ctx, "inst-4", "zona-4")
 	r.must(err)
 	reason := ""
@@ -359,7 +359,7 @@
 	for i := range 3 {
 		r.untilServes(i, "new")
 	}
-	r.must(r.fleet.PlatformFault(r.ctx, standin.PlatformFaults{StaleReadMs: 600_000}))
+	r.must(r.fleet.PlatformFault(r.ctx, testservers.PlatformFaults{StaleReadMs: 600_000}))
 	restarted := r.fleet.Instances[2]
 	restarted.Control.Kill()
 	restarted.Entry.Kill()
--- a/internal/idempotency/idempotency_test.go
+++ b/internal/idempotency/idempotency_test.go
@@ -15,12 +15,12 @@
 
 	"sassafrasfield/internal/platform"
 	"sassafrasfield/internal/service"
-	"sassafrasfield/internal/standin"
+	"sassafrasfield/internal/testservers"
 )
 
 // bench is a platform with two instances' runners, and a service that counts.
 type bench struct {
-	platform *standin.Platform
+	platform *testservers.Platform
 	client   *platform.Client
 	first    *Runner
 	second   *Runner
@@ -32,13 +32,13 @@
 var certificate = service.Call{Method: "POST", Path: "/bales/certificates", Body: []byte(`{"lot": 1}`)}
 
 func newBench(t *testing.T, settings Settings) *bench {
-	b := &bench{platform: standin.NewPlatform(1), body: []byte("issued")}
+	b := &bench{platform: testservers.NewPlatform(1), body: []byte("issued")}
 	server := httptest.NewServer(b.platform.Handler())
 	t.Cleanup(server.Close)
 	b.client = platform.NewClient(strings.TrimPrefix(server.URL, "http://"), 500*time.Millisecond)
 	b.first = New(b.client, settings, "inst-1", slog.New(slog.DiscardHandler))
 	b.second = New(b.client, settings, "inst-2", slog.New(slog.DiscardHandler))
-	t.Cleanup(func() { b.platform.SetFaults(standin.PlatformFaults{}); b.first.Wait(); b.second.Wait() })
+	t.Cleanup(func() { b.platform.SetFaults(testservers.PlatformFaults{}); b.first.Wait(); b.second.Wait() })
 	return b
 }
 
@@ -96,9 +96,9 @@
 	for _, stale := range []int{0, 150} {
 		for lost := 1; lost <= 3; lost++ {
 			b := newBench(t, quick())
-			b.platform.SetFaults(standin.PlatformFaults{LoseReplies: lost, LosePrefix: Prefix, StaleReadMs: stale})
+			b.platform.SetFaults(testservers.PlatformFaults{LoseReplies: lost, LosePrefix: Prefix, StaleReadMs: stale})
 			b.want(t, b.first, nil, 1)
-			b.platform.SetFaults(standin.PlatformFaults{})
+			b.platform.SetFaults(testservers.PlatformFaults{})
 			b.first.Wait()
 			b.want(t, b.second, nil, 1)
 		}
@@ -110,17 +110,17 @@
 func TestStaleRepeatIsInProgress(t *testing.T) {
 	b := newBench(t, quick())
 	b.want(t, b.first, nil, 1)
-	b.platform.SetFaults(standin.PlatformFaults{StaleReadMs: 60000})
+	b.platform.SetFaults(testservers.PlatformFaults{StaleReadMs: 60000})
 	b.want(t, b.second, ErrRunning, 1)
 }
 
 func TestTableOutage(t *testing.T) {
-	for _, faults := range []standin.PlatformFaults{{Down: true}, {Stall: true}} {
+	for _, faults := range []testservers.PlatformFaults{{Down: true}, {Stall: true}} {
 		b := newBench(t, quick())
 		b.platform.SetFaults(faults)
 		b.want(t, b.first, ErrNotRun, 0)
 		// What stalled takes effect now, and is withdrawn.
-		b.platform.SetFaults(standin.PlatformFaults{})
+		b.platform.SetFaults(testservers.PlatformFaults{})
 		b.first.Wait()
 		b.want(t, b.second, nil, 1)
 	}
@@ -188,13 +188,13 @@
 func TestOutageBeforeTheAnswerIsKept(t *testing.T) {
 	b := newBench(t, quick())
 	answer, err := b.first.Do(context.Background(), Key("bales", "qoton", "k"), certificate, func(ctx context.Context) (service.Answer, error) {
-		b.platform.SetFaults(standin.PlatformFaults{Down: true})
+		b.platform.SetFaults(testservers.PlatformFaults{Down: true})
 		return b.run(ctx)
 	})
 	if err != nil || !bytes.Equal(answer.Body, b.body) {
 		t.Fatalf("%q, %v", answer.Body, err)
 	}
-	b.platform.SetFaults(standin.PlatformFaults{})
+	b.platform.SetFaults(testservers.PlatformFaults{})
 	b.first.Wait()
 	b.want(t, b.second, nil, 1)
 }
@@ -205,10 +205,10 @@
 	b := newBench(t, quick())
 	b.err = service.ErrNotRun
 	b.want(t, b.first, ErrNotRun, 0)
-	b.platform.SetFaults(standin.PlatformFaults{LoseReplies: 2, LosePrefix: Prefix})
+	b.platform.SetFaults(testservers.PlatformFaults{LoseReplies: 2, LosePrefix: Prefix})
 	b.want(t, b.first, ErrNotRun, 0)
 	b.first.Wait()
-	b.platform.SetFaults(standin.PlatformFaults{})
+	b.platform.SetFaults(testservers.PlatformFaults{})
 	b.err = nil
 	b.want(t, b.second, nil, 1)
 }
--- a/internal/operatorcli/confirm_bench_test.go
+++ b/internal/operatorcli/confirm_bench_test.go
@@ -13,7 +13,7 @@
 
 	sfv1 "sassafrasfield/internal/gen/sf/v1"
 	"sassafrasfield/internal/gen/sf/v1/sfv1connect"
-	"sassafrasfield/internal/standin"
+	"sassafrasfield/internal/testservers"
 )
 
 // confirmations is how many plans each cell of the benchmark confirms.
@@ -39,7 +39,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Minute)
 	defer cancel()
 	f := startFleet(ctx, b, "", instances, 4, "--change-time", "200ms")
-	f.must(f.PlatformFault(ctx, standin.PlatformFaults{DelayMs: delay}))
+	f.must(f.PlatformFault(ctx, testservers.PlatformFaults{DelayMs: delay}))
 	var answered, inForce, done []time.Duration
 	for n := range confirmations {
 		a, i, _ := f.timeConfirm(fmt.Sprintf(floorIntent, n%2))
--- a/internal/operatorcli/fleet_test.go
+++ b/internal/operatorcli/fleet_test.go
@@ -18,9 +18,9 @@
 	"sassafrasfield/internal/engine"
 	"sassafrasfield/internal/operatorcli"
 	"sassafrasfield/internal/program"
-	"sassafrasfield/internal/standin"
 	"sassafrasfield/internal/testcaller"
 	"sassafrasfield/internal/testfleet"
+	"sassafrasfield/internal/testservers"
 )
 
 const (
@@ -186,10 +186,10 @@
 }
 
 // book reads an engine's own record.
-func (f *planFleet) book(e *testfleet.Engine) standin.Book {
+func (f *planFleet) book(e *testfleet.Engine) testservers.Book {
 	f.t.Helper()
-	var book standin.Book
-	f.must(testfleet.Post(f.ctx, e.Address, standin.PathBook, nil, &book))
+	var book testservers.Book
+	f.must(testfleet.Post(f.ctx, e.Address, testservers.PathBook, nil, &book))
 	return book
 }
 
@@ -269,7 +269,7 @@
 
 func wholeOfOneVersion(seed int64, text string) bool {
 	for version := 1; version <= lastVersion; version++ {
-		whole := standin.NewText(engine.Request{
+		whole := testservers.NewText(engine.Request{
 			Model: modelName, Version: strconv.Itoa(version), Prompt: "user: " + prompt + "\n",
 			MaxTokens: maxTokens, Seed: seed,
 		}).Whole()
--- a/internal/operatorcli/races_test.go
+++ b/internal/operatorcli/races_test.go
@@ -12,8 +12,8 @@
 	"sassafrasfield/internal/engine"
 	"sassafrasfield/internal/failpoint"
 	"sassafrasfield/internal/program"
-	"sassafrasfield/internal/standin"
 	"sassafrasfield/internal/testfleet"
+	"sassafrasfield/internal/testservers"
 )
 
 const (
@@ -86,9 +86,9 @@
 // come from an old copy.
 func (f *planFleet) confirmWithLostReplies() {
 	view := f.declare(fmt.Sprintf(floorIntent, 2))
-	f.must(f.PlatformFault(f.ctx, standin.PlatformFaults{LoseReplies: 2, LosePrefix: "version/", StaleReadMs: 400}))
+	f.must(f.PlatformFault(f.ctx, testservers.PlatformFaults{LoseReplies: 2, LosePrefix: "version/", StaleReadMs: 400}))
 	code, output := f.sfctl(0, "ana", "confirm", view.ID)
-	f.must(f.PlatformFault(f.ctx, standin.PlatformFaults{}))
+	f.must(f.PlatformFault(f.ctx, testservers.PlatformFaults{}))
 	if code != program.ExitOK {
 		f.t.Fatalf("told %d, %s", code, output)
 	}
@@ -139,9 +139,9 @@
 
 func (f *planFleet) confirmWithTableDown() {
 	view := f.declare(fmt.Sprintf(floorIntent, 2))
-	f.must(f.PlatformFault(f.ctx, standin.PlatformFaults{Down: true}))
+	f.must(f.PlatformFault(f.ctx, testservers.PlatformFaults{Down: true}))
 	code, output := f.sfctl(0, "ana", "confirm", view.ID)
-	f.must(f.PlatformFault(f.ctx, standin.PlatformFaults{}))
+	f.must(f.PlatformFault(f.ctx, testservers.PlatformFaults{}))
 	if code == program.ExitOK || f.plan(view.ID).State != "declared" {
 		f.t.Fatalf("told %d, %s", code, output)
 	}
@@ -238,7 +238,7 @@
 		for _, e := range f.Engines {
 			if f.status(e).Changing && !crashed[e.ID] {
 				crashed[e.ID] = true
-				f.must(testfleet.Post(f.ctx, e.Address, standin.PathFault, standin.EngineFaults{Crash: true}, nil))
+				f.must(testfleet.Post(f.ctx, e.Address, testservers.PathFault, testservers.EngineFaults{Crash: true}, nil))
 			}
 		}
 		return f.plan(view.ID).State == "done"
@@ -252,7 +252,7 @@
 // is out of routing until it has the wanted one again.
 func (f *planFleet) loseState() {
 	victim := f.Engines[0]
-	f.must(testfleet.Post(f.ctx, victim.Address, standin.PathFault, standin.EngineFaults{Crash: true}, nil))
+	f.must(testfleet.Post(f.ctx, victim.Address, testservers.PathFault, testservers.EngineFaults{Crash: true}, nil))
 	f.must(testfleet.Until(f.ctx, "the engine is back with the wanted version", func() bool {
 		_, history := f.sfctl(0, "ana", "history", "--limit", "10")
 		lost := strings.Contains(history, "engine "+victim.ID+" is draining (lost)")
--- a/internal/roles/process_test.go
+++ b/internal/roles/process_test.go
@@ -14,9 +14,9 @@
 	"time"
 
 	"sassafrasfield/internal/engine"
-	"sassafrasfield/internal/standin"
 	"sassafrasfield/internal/testcaller"
 	"sassafrasfield/internal/testfleet"
+	"sassafrasfield/internal/testservers"
 )
 
 const (
@@ -126,16 +126,16 @@
 	}
 }
 
-func (f *fleet) book(e *testfleet.Engine) standin.Book {
+func (f *fleet) book(e *testfleet.Engine) testservers.Book {
 	f.t.Helper()
-	var book standin.Book
-	must(f.t, testfleet.Post(f.ctx, e.Address, standin.PathBook, nil, &book))
+	var book testservers.Book
+	must(f.t, testfleet.Post(f.ctx, e.Address, testservers.PathBook, nil, &book))
 	return book
 }
 
 // expected is the answer that an undisturbed engine gives.
 func expected(chat testcaller.Chat) string {
-	return standin.NewText(engine.Request{
+	return testservers.NewText(engine.Request{
 		Model: model, Version: "1", Prompt: "user: " + chat.Prompt + "\n", MaxTokens: chat.MaxTokens, Seed: chat.Seed,
 	}).Whole()
 }
--- a/internal/roles/split_test.go
+++ b/internal/roles/split_test.go
@@ -6,9 +6,9 @@
 	"testing"
 
 	"sassafrasfield/internal/callerapi"
-	"sassafrasfield/internal/standin"
 	"sassafrasfield/internal/testcaller"
 	"sassafrasfield/internal/testfleet"
+	"sassafrasfield/internal/testservers"
 )
 
 // prefillAndDecode starts a prefill engine and a decode engine.
@@ -56,16 +56,16 @@
 	f, prefill, decode := prefillAndDecode(t)
 	for i, c := range []struct {
 		what            string
-		prefill, decode standin.EngineFaults
+		prefill, decode testservers.EngineFaults
 	}{
-		{what: "prefill engine refuses", prefill: standin.EngineFaults{Refuse: true}},
-		{what: "prefill engine breaks the stream", prefill: standin.EngineFaults{BreakAfter: 1}},
-		{what: "decode engine refuses", decode: standin.EngineFaults{Refuse: true}},
-		{what: "decode engine breaks the stream", decode: standin.EngineFaults{BreakAfter: 9}},
-		{what: "pieces out of order and twice", prefill: standin.EngineFaults{Disorder: true}, decode: standin.EngineFaults{Disorder: true}},
+		{what: "prefill engine refuses", prefill: testservers.EngineFaults{Refuse: true}},
+		{what: "prefill engine breaks the stream", prefill: testservers.EngineFaults{BreakAfter: 1}},
+		{what: "decode engine refuses", decode: testservers.EngineFaults{Refuse: true}},
+		{what: "decode engine breaks the stream", decode: testservers.EngineFaults{BreakAfter: 9}},
+		{what: "pieces out of order and twice", prefill: testservers.EngineFaults{Disorder: true}, decode: testservers.EngineFaults{Disorder: true}},
 	} {
-		must(t, testfleet.Post(f.ctx, prefill.Address, standin.PathFault, c.prefill, nil))
-		must(t, testfleet.Post(f.ctx, decode.Address, standin.PathFault, c.decode, nil))
+		must(t, testfleet.Post(f.ctx, prefill.Address, testservers.PathFault, c.prefill, nil))
+		must(t, testfleet.Post(f.ctx, decode.Address, testservers.PathFault, c.decode, nil))
 		if err := f.stream(i%2, brief(int64(i))); err != nil {
 			t.Errorf("%s: %v", c.what, err)
 		}
@@ -122,7 +122,7 @@
 	}()
 	must(t, testfleet.Until(f.ctx, "the transfer began", func() bool { return f.book(prefill).Exported == 1 }))
 	for _, e := range []*testfleet.Engine{prefill, decode} {
-		must(t, testfleet.Post(f.ctx, e.Address, standin.PathFault, standin.EngineFaults{Refuse: true}, nil))
+		must(t, testfleet.Post(f.ctx, e.Address, testservers.PathFault, testservers.EngineFaults{Refuse: true}, nil))
 	}
 	answer := <-got
 	if answer.Text == "" || answer.Error == nil || answer.Error.Outcome != callerapi.OutcomeUnknown {
--- a/internal/scenario/check.go
+++ b/internal/scenario/check.go
@@ -6,8 +6,8 @@
 	"fmt"
 	"syscall"
 
-	"sassafrasfield/internal/standin"
 	"sassafrasfield/internal/testfleet"
+	"sassafrasfield/internal/testservers"
 )
 
 // neverSent tells that a request did not reach an entry at all.
@@ -19,14 +19,14 @@
 type upstreamBooks struct {
 	// ran counts streams by the name in the prompt, runs the calls by body.
 	ran, runs map[string]int
-	engines   map[string]standin.Book
+	engines   map[string]testservers.Book
 }
 
 func readBooks(ctx context.Context, h *Harness) (upstreamBooks, error) {
-	all := upstreamBooks{ran: map[string]int{}, runs: map[string]int{}, engines: map[string]standin.Book{}}
+	all := upstreamBooks{ran: map[string]int{}, runs: map[string]int{}, engines: map[string]testservers.Book{}}
 	for _, e := range h.Fleet.Engines {
-		var b standin.Book
-		if err := testfleet.Post(ctx, e.Address, standin.PathBook, nil, &b); err != nil {
+		var b testservers.Book
+		if err := testfleet.Post(ctx, e.Address, testservers.PathBook, nil, &b); err != nil {
 			return all, err
 		}
 		all.engines[e.ID] = b
@@ -35,8 +35,8 @@
 		}
 	}
 	for _, s := range h.Fleet.Services {
-		var b standin.ServiceBook
-		if err := testfleet.Post(ctx, s.Address, standin.PathBook, nil, &b); err != nil {
+		var b testservers.ServiceBook
+		if err := testfleet.Post(ctx, s.Address, testservers.PathBook, nil, &b); err != nil {
 			return all, err
 		}
 		for body, n := range b.Bodies {
--- a/internal/scenario/commands_call.go
+++ b/internal/scenario/commands_call.go
@@ -13,10 +13,10 @@
 
 	"sassafrasfield/internal/callerapi"
 	"sassafrasfield/internal/engine"
-	"sassafrasfield/internal/standin"
 	"sassafrasfield/internal/stream"
 	"sassafrasfield/internal/testcaller"
 	"sassafrasfield/internal/testfleet"
+	"sassafrasfield/internal/testservers"
 )
 
 // prompt of the scripts' requests.
@@ -43,7 +43,7 @@
 func wholeText(chat testcaller.Chat, version string) string {
 	name, adapter, _ := callerapi.SplitModel(chat.Model)
 	body := callerapi.Request{Messages: []callerapi.Message{{Role: "user", Content: callerapi.Content(chat.Prompt)}}}
-	return standin.NewText(engine.Request{
+	return testservers.NewText(engine.Request{
 		Model: name, Adapter: adapter, Version: version, Prompt: body.Text(), MaxTokens: chat.MaxTokens, Seed: chat.Seed,
 	}).Whole()
 }
@@ -208,8 +208,8 @@
 func cmdRuns(s *script, _ *testscript.TestScript, args []string) error {
 	total := 0
 	for _, service := range s.harness.Fleet.Services {
-		var book standin.ServiceBook
-		if err := testfleet.Post(s.ctx, service.Address, standin.PathBook, nil, &book); err != nil {
+		var book testservers.ServiceBook
+		if err := testfleet.Post(s.ctx, service.Address, testservers.PathBook, nil, &book); err != nil {
 			return err
 		}
 		total += book.Runs["POST /bales/certificates"]
@@ -225,8 +225,8 @@
 func cmdCutStreams(s *script, _ *testscript.TestScript, args []string) error {
 	total := 0
 	for _, e := range s.harness.Fleet.Engines {
-		var book standin.Book
-		if err := testfleet.Post(s.ctx, e.Address, standin.PathBook, nil, &book); err != nil {
+		var book testservers.Book
+		if err := testfleet.Post(s.ctx, e.Address, testservers.PathBook, nil, &book); err != nil {
 			return err
 		}
 		total += book.Cut
--- a/internal/scenario/commands_fault.go
+++ b/internal/scenario/commands_fault.go
@@ -9,8 +9,8 @@
 	"github.com/pkg/errors"
 	"github.com/rogpeppe/go-internal/testscript"
 
-	"sassafrasfield/internal/standin"
 	"sassafrasfield/internal/testfleet"
+	"sassafrasfield/internal/testservers"
 )
 
 // processes returns the processes that the arguments name.
@@ -124,7 +124,7 @@
 			if e.ID != id {
 				continue
 			}
-			if err := testfleet.Post(s.ctx, e.Address, standin.PathFault, standin.EngineFaults{Crash: true}, nil); err != nil {
+			if err := testfleet.Post(s.ctx, e.Address, testservers.PathFault, testservers.EngineFaults{Crash: true}, nil); err != nil {
 				return err
 			}
 		}
@@ -176,7 +176,7 @@
 	if len(args) == 0 {
 		return errors.New("platform: want down, up, slow or lose")
 	}
-	var faults standin.PlatformFaults
+	var faults testservers.PlatformFaults
 	number := 0
 	if len(args) > 1 {
 		n, err := strconv.Atoi(args[1])
--- a/internal/scenario/faults.go
+++ b/internal/scenario/faults.go
@@ -6,8 +6,8 @@
 	"math/rand/v2"
 	"syscall"
 
-	"sassafrasfield/internal/standin"
 	"sassafrasfield/internal/testfleet"
+	"sassafrasfield/internal/testservers"
 )
 
 // faultKind is a kind of fault of the brief.
@@ -82,12 +82,12 @@
 // injector switches faults of one harness on and off.
 type injector struct {
 	harness  *Harness
-	platform standin.PlatformFaults
-	engines  []standin.EngineFaults
+	platform testservers.PlatformFaults
+	engines  []testservers.EngineFaults
 }
 
 func newInjector(h *Harness) *injector {
-	return &injector{harness: h, engines: make([]standin.EngineFaults, len(h.Fleet.Engines))}
+	return &injector{harness: h, engines: make([]testservers.EngineFaults, len(h.Fleet.Engines))}
 }
 
 func (j *injector) inject(ctx context.Context, f fault) error {
@@ -106,7 +106,7 @@
 	case slowPlatform, platformDown, lostReplies, staleReads:
 		return j.injectPlatform(ctx, f)
 	case lostAnswers:
-		return j.serviceFaults(ctx, standin.ServiceFaults{LoseReplies: 2})
+		return j.serviceFaults(ctx, testservers.ServiceFaults{LoseReplies: 2})
 	default:
 		return j.injectEngine(ctx, f)
 	}
@@ -144,12 +144,12 @@
 	case lateReports:
 		faults.ReportLagMs = 2000
 	}
-	return testfleet.Post(ctx, e.Address, standin.PathFault, *faults, nil)
+	return testfleet.Post(ctx, e.Address, testservers.PathFault, *faults, nil)
 }
 
-func (j *injector) serviceFaults(ctx context.Context, faults standin.ServiceFaults) error {
+func (j *injector) serviceFaults(ctx context.Context, faults testservers.ServiceFaults) error {
 	for _, s := range j.harness.Fleet.Services {
-		if err := testfleet.Post(ctx, s.Address, standin.PathFault, faults, nil); err != nil {
+		if err := testfleet.Post(ctx, s.Address, testservers.PathFault, faults, nil); err != nil {
 			return err
 		}
 	}
@@ -171,17 +171,17 @@
 // heal ends all faults, and starts again what has ended, as the machines'
 // supervisor would.
 func (j *injector) heal(ctx context.Context) error {
-	j.platform = standin.PlatformFaults{}
+	j.platform = testservers.PlatformFaults{}
 	if err := j.harness.Fleet.PlatformFault(ctx, j.platform); err != nil {
 		return err
 	}
 	for n, e := range j.harness.Fleet.Engines {
-		j.engines[n] = standin.EngineFaults{}
-		if err := testfleet.Post(ctx, e.Address, standin.PathFault, j.engines[n], nil); err != nil {
+		j.engines[n] = testservers.EngineFaults{}
+		if err := testfleet.Post(ctx, e.Address, testservers.PathFault, j.engines[n], nil); err != nil {
 			return err
 		}
 	}
-	if err := j.serviceFaults(ctx, standin.ServiceFaults{}); err != nil {
+	if err := j.serviceFaults(ctx, testservers.ServiceFaults{}); err != nil {
 		return err
 	}
 	for _, proxy := range j.harness.PlatformProxies {
--- a/internal/testfleet/fleet.go
+++ b/internal/testfleet/fleet.go
@@ -20,7 +20,7 @@
 	"github.com/pkg/errors"
 
 	"sassafrasfield/internal/platform"
-	"sassafrasfield/internal/standin"
+	"sassafrasfield/internal/testservers"
 )
 
 // firstPort of a fleet; each fleet has an address of its own in 127.0.0.0/8,
@@ -128,13 +128,13 @@
 }
 
 // PlatformFault switches the platform's faults.
-func (f *Fleet) PlatformFault(ctx context.Context, faults standin.PlatformFaults) error {
-	return Post(ctx, f.platformDirect, standin.PathFault, faults, nil)
+func (f *Fleet) PlatformFault(ctx context.Context, faults testservers.PlatformFaults) error {
+	return Post(ctx, f.platformDirect, testservers.PathFault, faults, nil)
 }
 
 // List sets a line of the instance list.
 func (f *Fleet) List(ctx context.Context, instance platform.Instance) error {
-	return Post(ctx, f.platformDirect, standin.PathSetInstance, instance, nil)
+	return Post(ctx, f.platformDirect, testservers.PathSetInstance, instance, nil)
 }
 
 // AddEngine starts a stand-in engine with further flags.
--- a/internal/standin/host.go
+++ b/internal/testservers/host.go
@@ -1,4 +1,4 @@
-package standin
+package testservers
 
 import (
 	"net"
--- a/internal/standin/http.go
+++ b/internal/testservers/http.go
@@ -1,7 +1,7 @@
-// Package standin has small stand-ins of what surrounds the system: the
+// Package testservers has small stand-ins of what surrounds the system: the
 // platform's service, model engines and plain services. It is scaffolding for
 // tests, load runs and the demo. Faults are switched at run time.
-package standin
+package testservers
 
 import (
 	"encoding/json"
--- a/internal/tracing/tracing_test.go
+++ b/internal/tracing/tracing_test.go
@@ -20,9 +20,9 @@
 	"sassafrasfield/internal/engine"
 	"sassafrasfield/internal/platform"
 	"sassafrasfield/internal/scenario"
-	"sassafrasfield/internal/standin"
 	"sassafrasfield/internal/testcaller"
 	"sassafrasfield/internal/testfleet"
+	"sassafrasfield/internal/testservers"
 )
 
 // callersTrace is the trace id that the test's caller sends.
@@ -65,11 +65,11 @@
 
 // saw tells whether a stand-in got a call of the trace at the path.
 func saw(ctx context.Context, address, path, trace string) bool {
-	var seen []standin.SeenTrace
-	if testfleet.Post(ctx, address, standin.PathTraces, nil, &seen) != nil {
+	var seen []testservers.SeenTrace
+	if testfleet.Post(ctx, address, testservers.PathTraces, nil, &seen) != nil {
 		return false
 	}
-	return slices.ContainsFunc(seen, func(s standin.SeenTrace) bool {
+	return slices.ContainsFunc(seen, func(s testservers.SeenTrace) bool {
 		return s.Path == path && strings.Contains(s.Traceparent, trace)
 	})
 }
@@ -114,7 +114,7 @@
 	at := h.Fleet.Instances[0].EntryAddress
 	chat := testcaller.Chat{Model: scenario.ModelName, Prompt: "which bales share a field?", MaxTokens: 12, Seed: 3, Header: traceHeader()}
 	for _, e := range h.Fleet.Engines {
-		if err := testfleet.Post(ctx, e.Address, standin.PathFault, standin.EngineFaults{BreakAfter: 2}, nil); err != nil {
+		if err := testfleet.Post(ctx, e.Address, testservers.PathFault, testservers.EngineFaults{BreakAfter: 2}, nil); err != nil {
 			t.Fatal(err)
 		}
 	}
