--- a/internal/entry/admission.go
+++ b/internal/entry/admission.go
@@ -9,7 +9,7 @@
 	"github.com/rcrowley/go-metrics"
 
 	"sassafrasfield/internal/admit"
-	"sassafrasfield/internal/route"
+	"sassafrasfield/internal/placement"
 )
 
 // admission holds the gate of each model. It is safe for use by several
@@ -197,7 +197,7 @@
 	inFlight, waiting, limit := 0, 0, 0
 	for name, g := range a.gates {
 		if a.settings.LimitConcurrency {
-			loads := a.server.state.engineLoads(&route.Request{Model: name, Now: now})
+			loads := a.server.state.engineLoads(&placement.Request{Model: name, Now: now})
 			g.gate.SetLimit(admit.Concurrency(loads, g.gate.InFlight(), a.entries))
 		}
 		refusals := g.gate.Review(now, a.predictor(g))
--- a/internal/entry/disaggregated.go
+++ b/internal/entry/disaggregated.go
@@ -10,7 +10,7 @@
 	"sassafrasfield/internal/config"
 	"sassafrasfield/internal/engine"
 	"sassafrasfield/internal/load"
-	"sassafrasfield/internal/route"
+	"sassafrasfield/internal/placement"
 )
 
 // errPrefilled ends a prefill engine's part of an answer.
@@ -29,7 +29,7 @@
 // run brings the rest of an answer from the engine that was assigned, or from
 // it and a decode engine. With an error it names the engine that failed.
 func (g *generation) run(ctx context.Context, placed assignment) (failed string, err error) {
-	if placed.work != route.WorkPrefill {
+	if placed.work != placement.WorkPrefill {
 		return placed.engine.ID, g.runOn(ctx, placed.engine, false)
 	}
 	decode, err := g.handOver(ctx, placed.engine)
@@ -58,8 +58,8 @@
 	if err != nil {
 		return prefill, errors.WithMessage(err, "export of KV cache")
 	}
-	decode, ok := s.state.place(&route.Request{
-		Model: comp.name, Adapter: comp.adapter, Version: prefill.Loaded.Version, Work: route.WorkDecode,
+	decode, ok := s.state.place(&placement.Request{
+		Model: comp.name, Adapter: comp.adapter, Version: prefill.Loaded.Version, Work: placement.WorkDecode,
 	}, load.Placement{ID: comp.id, Blocks: s.placement(comp).Blocks, At: s.now()})
 	if !ok {
 		return prefill, errors.WithMessage(engine.ErrNotRun, "no engine to decode on")
--- a/internal/entry/generation.go
+++ b/internal/entry/generation.go
@@ -11,7 +11,7 @@
 	"sassafrasfield/internal/config"
 	"sassafrasfield/internal/engine"
 	"sassafrasfield/internal/load"
-	"sassafrasfield/internal/route"
+	"sassafrasfield/internal/placement"
 	"sassafrasfield/internal/stream"
 )
 
@@ -82,9 +82,9 @@
 	if s.contents.apart(comp.content) {
 		return attempt.Result{Ending: attempt.NoUpstream, Err: errSetApart}
 	}
-	placed, ok := s.state.assign(&route.Request{
+	placed, ok := s.state.assign(&placement.Request{
 		Model: comp.name, Adapter: comp.adapter, Version: comp.version,
-		Prompt: route.Prompt{Tokens: comp.promptTokens}, Excluded: g.tries.Excluded(),
+		Prompt: placement.Prompt{Tokens: comp.promptTokens}, Excluded: g.tries.Excluded(),
 		Split: g.tries.Sends() == 0 && mayBeSplit(comp),
 	}, s.placement(comp))
 	if !ok {
--- a/internal/entry/prediction.go
+++ b/internal/entry/prediction.go
@@ -4,15 +4,15 @@
 	"time"
 
 	"sassafrasfield/internal/admit"
-	"sassafrasfield/internal/route"
+	"sassafrasfield/internal/placement"
 )
 
 // predict returns the time to the first token of a request that goes on now.
 // The lock is held.
 func (a *admission) predict(comp *completion, g *modelGate) admit.Prediction {
-	loads := a.server.state.engineLoads(&route.Request{
+	loads := a.server.state.engineLoads(&placement.Request{
 		Model: comp.name, Adapter: comp.adapter, Version: comp.version,
-		Prompt: route.Prompt{Tokens: comp.promptTokens}, Prefix: a.server.prefix(comp), Now: a.server.now(),
+		Prompt: placement.Prompt{Tokens: comp.promptTokens}, Prefix: a.server.prefix(comp), Now: a.server.now(),
 	})
 	return admit.Predict(loads, comp.promptTokens, g.gate.Service())
 }
@@ -52,10 +52,10 @@
 
 // engineLoads returns the picture of the engines that could make the request's
 // first token.
-func (s *state) engineLoads(req *route.Request) []admit.EngineLoad {
+func (s *state) engineLoads(req *placement.Request) []admit.EngineLoad {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	req.Zone, req.Leaving, req.Work = s.zone, s.leaving, route.WorkPrefill
+	req.Zone, req.Leaving, req.Work = s.zone, s.leaving, placement.WorkPrefill
 	var loads []admit.EngineLoad
 	for _, c := range s.scheduler.Eligible(req, s.candidates(req.Now)) {
 		loads = append(loads, engineLoad(req, c))
@@ -63,12 +63,12 @@
 	return loads
 }
 
-func engineLoad(req *route.Request, c route.Candidate) admit.EngineLoad {
+func engineLoad(req *placement.Request, c placement.Candidate) admit.EngineLoad {
 	report := &c.Load.Report
 	byNow := c.Load.Estimated(req.Now)
 	return admit.EngineLoad{
 		PrefillAhead: byNow.PrefillTokens, PrefillRate: report.PrefillRate,
-		Cached:  route.CachedTokens(req, c),
+		Cached:  placement.CachedTokens(req, c),
 		Running: report.Running, Waiting: byNow.Waiting, Charged: c.Load.Charges(),
 		BlocksFree: report.KVBlocksFree, BlocksTotal: report.KVBlocksTotal,
 	}
--- a/internal/entry/routing.go
+++ b/internal/entry/routing.go
@@ -8,7 +8,7 @@
 	"sassafrasfield/internal/config"
 	"sassafrasfield/internal/engine"
 	"sassafrasfield/internal/load"
-	"sassafrasfield/internal/route"
+	"sassafrasfield/internal/placement"
 )
 
 // servicePrefix keeps the ids of plain services' upstreams apart from those of
@@ -87,10 +87,10 @@
 
 // candidates are the engines that a request may be placed on, with their
 // pictures. The lock is held.
-func (s *state) candidates(now time.Duration) []route.Candidate {
-	candidates := make([]route.Candidate, 0, len(s.engines))
+func (s *state) candidates(now time.Duration) []placement.Candidate {
+	candidates := make([]placement.Candidate, 0, len(s.engines))
 	for _, e := range s.engines {
-		candidates = append(candidates, route.Candidate{
+		candidates = append(candidates, placement.Candidate{
 			ID: e.ID, Zone: e.Zone, Leave: e.Leave, Engine: e,
 			Load: s.table.Engine(e.ID), Silent: s.table.Silent(e.ID, now),
 		})
@@ -102,20 +102,20 @@
 type assignment struct {
 	// engine is an entry of the configuration; treat it as read-only.
 	engine *config.Engine
-	work   route.Work
+	work   placement.Work
 	// prefillTokens are the prompt tokens that the engine has to process.
 	prefillTokens int
 }
 
 // place picks an engine for a request and charges it. The engine's entry of
 // the configuration is read-only.
-func (s *state) place(req *route.Request, p load.Placement) (*config.Engine, bool) {
+func (s *state) place(req *placement.Request, p load.Placement) (*config.Engine, bool) {
 	placed, ok := s.assign(req, p)
 	return placed.engine, ok
 }
 
 // assign picks the engine that begins a request, and charges the request to it.
-func (s *state) assign(req *route.Request, p load.Placement) (assignment, bool) {
+func (s *state) assign(req *placement.Request, p load.Placement) (assignment, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.table.Expire(p.At)
@@ -125,7 +125,7 @@
 	if !ok {
 		return assignment{}, false
 	}
-	cached := route.CachedTokens(req, chosen)
+	cached := placement.CachedTokens(req, chosen)
 	p.PrefillTokens -= cached
 	s.meters.hintedTokens.Inc(int64(cached))
 	s.table.Place(chosen.ID, p)
@@ -148,13 +148,13 @@
 func (s *state) placeCall(svc *config.Service, request string, excluded map[string]bool, now time.Duration) (*config.ServiceUpstream, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	candidates := make([]route.Candidate, 0, len(svc.Upstreams))
+	candidates := make([]placement.Candidate, 0, len(svc.Upstreams))
 	for _, u := range svc.Upstreams {
-		candidates = append(candidates, route.Candidate{
+		candidates = append(candidates, placement.Candidate{
 			ID: u.ID, Zone: u.Zone, Leave: u.Leave, Load: s.table.Engine(servicePrefix + u.ID),
 		})
 	}
-	req := &route.Request{Zone: s.zone, Excluded: excluded, Leaving: s.leaving, Now: now}
+	req := &placement.Request{Zone: s.zone, Excluded: excluded, Leaving: s.leaving, Now: now}
 	chosen, ok := s.services.Schedule(req, candidates, s.rng)
 	if !ok {
 		return nil, false
--- a/internal/entry/routing_settings.go
+++ b/internal/entry/routing_settings.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"sassafrasfield/internal/load"
-	"sassafrasfield/internal/route"
+	"sassafrasfield/internal/placement"
 	"sassafrasfield/internal/settings"
 	"sassafrasfield/internal/tomlfile"
 )
@@ -16,10 +16,10 @@
 	// Policy is the picture of the load that is routed by: "round-robin",
 	// "report", "local", "local-prefix", "charge", "charge-prefix" or
 	// "estimate". Default estimate.
-	Policy route.Policy `toml:"policy"`
+	Policy placement.Policy `toml:"policy"`
 	// Pick is the choice among scored engines: "best", "near-best" or
 	// "two-choices". Default near-best.
-	Pick route.Pick `toml:"pick"`
+	Pick placement.Pick `toml:"pick"`
 	// Subset is how many engines of each pool this entry looks at and routes
 	// to; 0 means all. Default 0.
 	Subset int `toml:"subset"`
@@ -44,7 +44,7 @@
 func defaultRouting() RoutingSettings {
 	rules := load.DefaultOutlierRules()
 	return RoutingSettings{
-		Policy: route.PolicyEstimate, Pick: route.PickNearBest, ChargeFor: load.DefaultChargeFor,
+		Policy: placement.PolicyEstimate, Pick: placement.PickNearBest, ChargeFor: load.DefaultChargeFor,
 		EventsEvery: 500 * time.Millisecond, Failures: rules.Failures,
 		EjectFor: rules.EjectFor, EjectAtMost: rules.EjectAtMost, SilentFor: rules.SilentFor,
 	}
@@ -58,11 +58,11 @@
 }
 
 func (r RoutingSettings) check(file *tomlfile.File) {
-	if !slices.Contains(route.Policies(), r.Policy) {
-		file.Add("routing.policy", "want one of %v, not %q", route.Policies(), r.Policy)
+	if !slices.Contains(placement.Policies(), r.Policy) {
+		file.Add("routing.policy", "want one of %v, not %q", placement.Policies(), r.Policy)
 	}
-	if !slices.Contains(route.Picks(), r.Pick) {
-		file.Add("routing.pick", "want one of %v, not %q", route.Picks(), r.Pick)
+	if !slices.Contains(placement.Picks(), r.Pick) {
+		file.Add("routing.pick", "want one of %v, not %q", placement.Picks(), r.Pick)
 	}
 	settings.IntBetween(file, "routing.subset", r.Subset, 0, 100000)
 	settings.Between(file, "routing.charge_for", r.ChargeFor, 100*time.Millisecond, 10*time.Minute)
--- a/internal/entry/routing_test.go
+++ b/internal/entry/routing_test.go
@@ -11,7 +11,7 @@
 	"sassafrasfield/internal/config"
 	"sassafrasfield/internal/engine"
 	"sassafrasfield/internal/load"
-	"sassafrasfield/internal/route"
+	"sassafrasfield/internal/placement"
 	"sassafrasfield/internal/testfleet"
 )
 
@@ -41,13 +41,13 @@
 	s := routingState(nil)
 	s.apply(nil, []string{"e1"}, heartbeat{at: time.Second})
 	for range 50 {
-		e, ok := s.place(&route.Request{Model: "m"}, load.Placement{ID: "r", At: time.Second})
+		e, ok := s.place(&placement.Request{Model: "m"}, load.Placement{ID: "r", At: time.Second})
 		if !ok || e.ID != "e2" {
 			t.Fatalf("placed on %v", e)
 		}
 	}
 	s.apply(nil, []string{"e1", "e2"}, heartbeat{at: time.Second})
-	if _, ok := s.place(&route.Request{Model: "m"}, load.Placement{ID: "r", At: time.Second}); ok {
+	if _, ok := s.place(&placement.Request{Model: "m"}, load.Placement{ID: "r", At: time.Second}); ok {
 		t.Fatal("placed on an engine that leaves")
 	}
 }
@@ -84,7 +84,7 @@
 		t.Fatalf("%d engines watched, want 1", n)
 	}
 	for range 20 {
-		if e, ok := s.place(&route.Request{Model: "m"}, load.Placement{ID: "r", At: time.Second}); !ok || e.ID != s.watched()[0].ID {
+		if e, ok := s.place(&placement.Request{Model: "m"}, load.Placement{ID: "r", At: time.Second}); !ok || e.ID != s.watched()[0].ID {
 			t.Fatalf("placed outside the subset: %v", e)
 		}
 	}
@@ -112,7 +112,7 @@
 
 func TestReportAccountsForTheEnginesOwnNumber(t *testing.T) {
 	s := routingState(nil)
-	e, _ := s.place(&route.Request{Model: "m"}, load.Placement{ID: "r", PrefillTokens: 5, At: time.Second})
+	e, _ := s.place(&placement.Request{Model: "m"}, load.Placement{ID: "r", PrefillTokens: 5, At: time.Second})
 	s.accepted(e.ID, "r", load.Acceptance{Boot: "b", Number: 7})
 	s.reported(e.ID, engine.Report{Boot: "b", Seq: 1, Accepted: 6}, time.Second)
 	if s.table.Engine(e.ID).Charges() != 1 {
@@ -128,7 +128,7 @@
 // they need the whole of the request.
 func TestAdmissionSeesTheEnginesThatRoutingWouldTake(t *testing.T) {
 	s := routingState(nil)
-	loads := s.engineLoads(&route.Request{Model: "m", Blocks: 1, Now: time.Second})
+	loads := s.engineLoads(&placement.Request{Model: "m", Blocks: 1, Now: time.Second})
 	if len(loads) != 2 {
 		t.Fatalf("%d engines, want 2", len(loads))
 	}
--- a/internal/entry/state.go
+++ b/internal/entry/state.go
@@ -10,7 +10,7 @@
 	"sassafrasfield/internal/apikey"
 	"sassafrasfield/internal/config"
 	"sassafrasfield/internal/load"
-	"sassafrasfield/internal/route"
+	"sassafrasfield/internal/placement"
 )
 
 // state is the configuration in force and the picture of the engines. A
@@ -19,8 +19,8 @@
 type state struct {
 	instance, zone string
 	routing        RoutingSettings
-	scheduler      *route.Scheduler // for engines
-	services       *route.Scheduler // for plain services
+	scheduler      *placement.Scheduler // for engines
+	services       *placement.Scheduler // for plain services
 	meters         *routeMeters
 	log            *slog.Logger
 
@@ -42,8 +42,8 @@
 		instance:  settings.Instance,
 		zone:      settings.Zone,
 		routing:   routing,
-		scheduler: route.NewScheduler(routing.Policy, routing.Pick),
-		services:  route.NewServiceScheduler(),
+		scheduler: placement.NewScheduler(routing.Policy, routing.Pick),
+		services:  placement.NewServiceScheduler(),
 		meters:    newRouteMeters(metrics.DefaultRegistry),
 		log:       log,
 		doc:       &config.Config{},
--- a/internal/model/cache.go
+++ b/internal/model/cache.go
@@ -3,7 +3,7 @@
 import (
 	"container/list"
 
-	"sassafrasfield/internal/route"
+	"sassafrasfield/internal/placement"
 )
 
 // cache is an engine's memory of prompt parts, of which the one used longest ago
@@ -19,7 +19,7 @@
 }
 
 // has counts the leading tokens of a prompt that are there, and marks them as used.
-func (c *cache) has(p route.Prompt) int {
+func (c *cache) has(p placement.Prompt) int {
 	tokens := 0
 	for _, part := range p.Parts {
 		e, ok := c.at[part.ID]
@@ -33,7 +33,7 @@
 }
 
 // put keeps a prompt's parts; room is what running requests leave.
-func (c *cache) put(p route.Prompt, room int) {
+func (c *cache) put(p placement.Prompt, room int) {
 	for _, part := range p.Parts {
 		if e, ok := c.at[part.ID]; ok {
 			c.order.MoveToFront(e)
@@ -44,7 +44,7 @@
 	}
 	for c.used > room && c.order.Len() > 0 {
 		last := c.order.Back()
-		part := last.Value.(route.Part)
+		part := last.Value.(placement.Part)
 		c.order.Remove(last)
 		delete(c.at, part.ID)
 		c.used -= part.Tokens
--- a/internal/model/pattern.go
+++ b/internal/model/pattern.go
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 	"time"
 
-	"sassafrasfield/internal/route"
+	"sassafrasfield/internal/placement"
 )
 
 // Pattern is a load on a service and what can happen to its engines.
@@ -161,14 +161,14 @@
 }
 
 // prompt draws the prompt of one request.
-func (s *sizes) prompt(class int, c Class, id string, now time.Duration) route.Prompt {
+func (s *sizes) prompt(class int, c Class, id string, now time.Duration) placement.Prompt {
 	own := s.tokens(c.Own, c.Spread)
-	p := route.Prompt{Tokens: own, Output: int(4 * c.Answer)}
+	p := placement.Prompt{Tokens: own, Output: int(4 * c.Answer)}
 	if c.Parts > 0 {
 		part := s.part(class, c, now)
-		p.Parts = append(p.Parts, route.Part{ID: fmt.Sprintf("%s-%d", c.Name, part), Tokens: s.shared[class][part]})
+		p.Parts = append(p.Parts, placement.Part{ID: fmt.Sprintf("%s-%d", c.Name, part), Tokens: s.shared[class][part]})
 		p.Tokens += s.shared[class][part]
 	}
-	p.Parts = append(p.Parts, route.Part{ID: id, Tokens: own})
+	p.Parts = append(p.Parts, placement.Part{ID: id, Tokens: own})
 	return p
 }
--- a/internal/model/policy.go
+++ b/internal/model/policy.go
@@ -4,8 +4,8 @@
 	"time"
 
 	"sassafrasfield/internal/estimate"
+	"sassafrasfield/internal/placement"
 	"sassafrasfield/internal/roles"
-	"sassafrasfield/internal/route"
 )
 
 // Policy is what the instances decide by. What is left out has the default.
@@ -23,8 +23,8 @@
 	MemoryPrice time.Duration `toml:"memory_price"`
 }
 
-func (p Policy) settings() route.Settings {
-	s := route.DefaultSettings()
+func (p Policy) settings() placement.Settings {
+	s := placement.DefaultSettings()
 	if p.MemoryPrice > 0 {
 		s.MemoryPrice = p.MemoryPrice
 	}
--- a/internal/model/run.go
+++ b/internal/model/run.go
@@ -9,7 +9,7 @@
 	"sassafrasfield/internal/config"
 	"sassafrasfield/internal/estimate"
 	"sassafrasfield/internal/load"
-	"sassafrasfield/internal/route"
+	"sassafrasfield/internal/placement"
 	"sassafrasfield/internal/routes"
 	"sassafrasfield/internal/upstreamstate"
 )
@@ -21,13 +21,13 @@
 type request struct {
 	id      string
 	class   *Class
-	prompt  route.Prompt
+	prompt  placement.Prompt
 	answer  float64 // tokens
 	arrived time.Duration
 	at      *instance
 	// start and turn are where and when its prompt is processed.
-	start route.Start
-	turn  route.Turn
+	start placement.Start
+	turn  placement.Turn
 	// sent is when the prompt was sent, then when the answer was asked for.
 	sent       time.Duration
 	engine     *engine
@@ -160,7 +160,7 @@
 		return // it waits until its caller leaves
 	}
 	req.start, req.turn, req.sent, req.engine = start, turn, r.now, r.byID[start.Engine.ID]
-	w := &work{req: req, yields: turn == route.TurnYield, source: r.byID[start.Source.ID], tokens: req.answer}
+	w := &work{req: req, yields: turn == placement.TurnYield, source: r.byID[start.Source.ID], tokens: req.answer}
 	if !req.engine.takes(r.now) {
 		r.refused(req)
 		return
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -12,10 +12,10 @@
 	"github.com/pkg/errors"
 
 	sfv1 "sassafrasfield/internal/gen/sf/v1"
+	"sassafrasfield/internal/placement"
 	"sassafrasfield/internal/quota"
 	"sassafrasfield/internal/relay"
 	"sassafrasfield/internal/replica"
-	"sassafrasfield/internal/route"
 	"sassafrasfield/internal/routes"
 	"sassafrasfield/internal/upstreamstate"
 )
@@ -272,7 +272,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		request := &relay.Request{ID: "r", Host: "h", Path: "/x", Prompt: &route.Prompt{Tokens: 100}}
+		request := &relay.Request{ID: "r", Host: "h", Path: "/x", Prompt: &placement.Prompt{Tokens: 100}}
 		_ = busy.relay.Serve(context.Background(), request, httptest.NewRecorder()) // it is held, then fails
 	}()
 	allSee(all, 1)
@@ -296,7 +296,7 @@
 	}
 	busy := hubOf(left, "a")
 	go func() {
-		request := &relay.Request{ID: "r", Host: "h", Path: "/x", Prompt: &route.Prompt{Tokens: 100}}
+		request := &relay.Request{ID: "r", Host: "h", Path: "/x", Prompt: &placement.Prompt{Tokens: 100}}
 		_ = busy.relay.Serve(context.Background(), request, httptest.NewRecorder()) // it is held until the end
 	}()
 	defer close(busy.sender.release)
--- a/internal/route/filter_allowance.go
+++ b/internal/placement/filter_allowance.go
@@ -1,4 +1,4 @@
-package route
+package placement
 
 // AllowanceFilter drops upstreams that limit the requests which they take, and have nothing
 // left at the moment.
--- a/internal/route/filter_excluded.go
+++ b/internal/placement/filter_excluded.go
@@ -1,4 +1,4 @@
-package route
+package placement
 
 // ExcludedFilter drops upstreams that failed this request already.
 type ExcludedFilter struct{}
--- a/internal/route/filter_health.go
+++ b/internal/placement/filter_health.go
@@ -1,4 +1,4 @@
-package route
+package placement
 
 // HealthFilter drops upstreams that are ejected or silent, and returning ones
 // that have as many requests as they may. It is a preference: an entry that
--- a/internal/route/filter_leaving.go
+++ b/internal/placement/filter_leaving.go
@@ -1,4 +1,4 @@
-package route
+package placement
 
 // LeavingFilter drops upstreams that leave, by the operators' or the
 // platform's word.
--- a/internal/route/filter_memory.go
+++ b/internal/placement/filter_memory.go
@@ -1,4 +1,4 @@
-package route
+package placement
 
 // MemoryFilter drops engines whose KV memory has no room for the request, by
 // the report and the charges: there it would wait for another stream's end. It
--- a/internal/route/route.go
+++ b/internal/placement/placement.go
@@ -1,9 +1,9 @@
-// Package route picks the upstream for a request: filters drop candidates that
+// Package placement picks the upstream for a request: filters drop candidates that
 // cannot take it, scorers rate the rest, a picker chooses. It is pure: the
 // picture of the upstreams comes from package load, and randomness is passed
 // in. Each plugin has a file. The layout follows that of the Gateway API
 // Inference Extension's endpoint picker.
-package route
+package placement
 
 import (
 	"math/rand/v2"
--- a/internal/route/policy.go
+++ b/internal/placement/policy.go
@@ -1,4 +1,4 @@
-package route
+package placement
 
 import "sassafrasfield/internal/load"
 
--- a/internal/route/prompt.go
+++ b/internal/placement/prompt.go
@@ -1,4 +1,4 @@
-package route
+package placement
 
 // Part is one part of a prompt, in the order of the prompt.
 type Part struct {
--- a/internal/route/score_batch.go
+++ b/internal/placement/score_batch.go
@@ -1,4 +1,4 @@
-package route
+package placement
 
 // batchScale is the number of requests that halves the score.
 const batchScale = 8
--- a/internal/route/score_call.go
+++ b/internal/placement/score_call.go
@@ -1,4 +1,4 @@
-package route
+package placement
 
 // farCosts is what a call to another zone costs against one that waits: the
 // transfer is paid for, but a queue is worse.
--- a/internal/route/score_generate.go
+++ b/internal/placement/score_generate.go
@@ -1,4 +1,4 @@
-package route
+package placement
 
 // aheadShare is the part of the prompts ahead that delays a generation whose
 // prompt is processed: both take turns.
--- a/internal/route/score_zone.go
+++ b/internal/placement/score_zone.go
@@ -1,4 +1,4 @@
-package route
+package placement
 
 // ZoneScorer prefers upstreams in the entry's own availability zone: 1 there,
 // 0 elsewhere. Its weight is small: a zone is about a millisecond away, and a
--- a/internal/route/turn.go
+++ b/internal/placement/turn.go
@@ -1,4 +1,4 @@
-package route
+package placement
 
 // Turn is when an engine processes a prompt that waits there with others.
 type Turn int
--- a/internal/route/turn_test.go
+++ b/internal/placement/turn_test.go
@@ -1,4 +1,4 @@
-package route
+package placement
 
 import (
 	"testing"
--- a/internal/relay/copy_test.go
+++ b/internal/relay/copy_test.go
@@ -5,12 +5,12 @@
 
 	"github.com/pkg/errors"
 
-	"sassafrasfield/internal/route"
+	"sassafrasfield/internal/placement"
 )
 
 func shortPrompt(path string) *Request {
 	req := call(path)
-	req.Prompt = &route.Prompt{Tokens: 1000, Output: 10}
+	req.Prompt = &placement.Prompt{Tokens: 1000, Output: 10}
 	return req
 }
 
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -8,8 +8,8 @@
 
 	"sassafrasfield/internal/attempt"
 	"sassafrasfield/internal/load"
+	"sassafrasfield/internal/placement"
 	"sassafrasfield/internal/quarantine"
-	"sassafrasfield/internal/route"
 	"sassafrasfield/internal/routes"
 	"sassafrasfield/internal/upstreamstate"
 )
@@ -37,7 +37,7 @@
 	// counted: it was counted as one that began to run.
 	counted bool
 	// turn is when that prompt was to be processed there.
-	turn route.Turn
+	turn placement.Turn
 	// content returns the name of what is asked for, which is computed once.
 	content func() quarantine.Content
 }
--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -14,7 +14,7 @@
 	"github.com/pkg/errors"
 
 	"sassafrasfield/internal/config"
-	"sassafrasfield/internal/route"
+	"sassafrasfield/internal/placement"
 	"sassafrasfield/internal/routes"
 	"sassafrasfield/internal/upstreamstate"
 )
@@ -163,7 +163,7 @@
 
 func longPrompt(path string) *Request {
 	req := call(path)
-	req.Prompt = &route.Prompt{Tokens: 8000, Output: 10, Parts: []route.Part{{ID: "s", Tokens: 5000}, {ID: "o", Tokens: 3000}}}
+	req.Prompt = &placement.Prompt{Tokens: 8000, Output: 10, Parts: []placement.Part{{ID: "s", Tokens: 5000}, {ID: "o", Tokens: 3000}}}
 	return req
 }
 
--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -13,7 +13,7 @@
 	"sassafrasfield/internal/config"
 	"sassafrasfield/internal/estimate"
 	"sassafrasfield/internal/load"
-	"sassafrasfield/internal/route"
+	"sassafrasfield/internal/placement"
 	"sassafrasfield/internal/upstreamstate"
 )
 
@@ -23,11 +23,11 @@
 	*exchange
 	relay  *Relay
 	w      http.ResponseWriter
-	prompt route.Prompt
+	prompt placement.Prompt
 	// direct: the engine that generates processes the prompt too; start says
 	// which one, unless it is to be chosen anew.
 	direct bool
-	start  route.Start
+	start  placement.Start
 	// kv is the processed prompt that no engine has fetched yet.
 	kv KV
 	// begun: the caller has the answer's header.
@@ -92,16 +92,16 @@
 	if !ok {
 		return attempt.Result{Ending: attempt.NoUpstream, Err: errors.WithMessage(ErrNotSent, "no engine to generate")}
 	}
-	return g.relay.run(ctx, g, route.Start{Engine: engine})
+	return g.relay.run(ctx, g, placement.Start{Engine: engine})
 }
 
 // pickDecode chooses the engine that generates from the processed prompt, and charges the
 // request to it: the one that has room for it reserved, if there is one.
-func (r *Relay) pickDecode(g *generation) (route.Candidate, bool) {
+func (r *Relay) pickDecode(g *generation) (placement.Candidate, bool) {
 	engine := r.picture.Upstream(g.reserved)
 	if engine.Role == config.RoleDecode && !engine.Draining && !g.tries.Excluded()[engine.ID] {
 		r.picture.PlaceOn(engine.ID, g.req.ID, r.now())
-		return route.Candidate{ID: engine.ID, Zone: engine.Zone}, true
+		return placement.Candidate{ID: engine.ID, Zone: engine.Zone}, true
 	}
 	g.reserved = ""
 	return r.picture.PickDecode(g.ask(r.now()), g.kv.Engine.Zone, r.now())
@@ -117,7 +117,7 @@
 	r.meters.copied.Inc(1)
 	g.kv, g.backup = KV{Engine: engine, Handle: g.req.ID}, upstreamstate.Upstream{}
 	defer func() { g.kv = KV{} }() // the engine drops a copy that was not used
-	return r.run(ctx, g, route.Start{Engine: route.Candidate{ID: id}})
+	return r.run(ctx, g, placement.Start{Engine: placement.Candidate{ID: id}})
 }
 
 // prepare chooses where the generation begins. Unless one engine is to do all
@@ -148,7 +148,7 @@
 	return attempt.Result{Ending: attempt.Over}
 }
 
-func (r *Relay) prefillOn(ctx context.Context, g *generation, start route.Start) (KV, error) {
+func (r *Relay) prefillOn(ctx context.Context, g *generation, start placement.Start) (KV, error) {
 	engine, work := r.picture.Upstream(start.Engine.ID), start.Work
 	defer r.picture.PromptDone(engine.ID, work, g.turn)
 	defer func() { r.picture.End(engine.ID, g.req.ID, r.now()) }()
@@ -160,7 +160,7 @@
 	defer cancel()
 	go r.whenSilent(ctx, engine.ID, ahead+work+r.settings.PrefillSilence, cancel)
 	send := g.send(engine, started)
-	send.Yields, send.FetchFrom = g.turn == route.TurnYield, r.picture.Upstream(start.Source.ID).Address
+	send.Yields, send.FetchFrom = g.turn == placement.TurnYield, r.picture.Upstream(start.Source.ID).Address
 	kv, said, err := r.sender.Prefill(ctx, g.req, send)
 	if err != nil {
 		return KV{}, err
@@ -208,10 +208,10 @@
 }
 
 // run has an engine generate, and passes its events on.
-func (r *Relay) run(ctx context.Context, g *generation, start route.Start) attempt.Result {
+func (r *Relay) run(ctx context.Context, g *generation, start placement.Start) attempt.Result {
 	engine := r.picture.Upstream(start.Engine.ID)
 	defer func() { r.picture.End(start.Engine.ID, g.req.ID, r.now()) }()
-	prompted := sync.OnceFunc(func() { r.picture.PromptDone(start.Engine.ID, start.Work, route.TurnNext) })
+	prompted := sync.OnceFunc(func() { r.picture.PromptDone(start.Engine.ID, start.Work, placement.TurnNext) })
 	defer prompted()
 	if err := r.bar(g.exchange); err != nil { // its prompt may have taken a while
 		return attempt.Result{Ending: attempt.NoUpstream, Err: err}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -16,9 +16,9 @@
 	"sassafrasfield/internal/estimate"
 	"sassafrasfield/internal/load"
 	"sassafrasfield/internal/outcome"
+	"sassafrasfield/internal/placement"
 	"sassafrasfield/internal/quarantine"
 	"sassafrasfield/internal/quota"
-	"sassafrasfield/internal/route"
 	"sassafrasfield/internal/routes"
 	"sassafrasfield/internal/upstreamstate"
 	"sassafrasfield/internal/usage"
@@ -31,7 +31,7 @@
 	Budget BudgetSettings
 	// Placement is what is weighed against the times that engines take, Prior what
 	// is assumed of these times before anything was observed.
-	Placement route.Settings
+	Placement placement.Settings
 	Prior     estimate.Prior
 	// MaxSends bounds the sends of one request, refused ones included.
 	MaxSends int
@@ -58,7 +58,7 @@
 	outliers.EjectAtMost = 5 * time.Second // a crashed upstream loses its entry within that
 	return Settings{
 		Budget:         BudgetSettings{Share: 0.2, Slack: 58, Window: 10 * time.Second},
-		Placement:      route.DefaultSettings(),
+		Placement:      placement.DefaultSettings(),
 		Prior:          estimate.DefaultPrior(),
 		MaxSends:       4,
 		PrefillSilence: 1200 * time.Millisecond, // above the queue of a busy engine, below most deadlines
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -19,8 +19,8 @@
 	"github.com/pkg/errors"
 
 	"sassafrasfield/internal/apikey"
+	"sassafrasfield/internal/placement"
 	"sassafrasfield/internal/quarantine"
-	"sassafrasfield/internal/route"
 	"sassafrasfield/internal/routes"
 	"sassafrasfield/internal/upstreamstate"
 )
@@ -42,7 +42,7 @@
 	// say.
 	Patience time.Duration
 	// Prompt is nil when the request carries none.
-	Prompt *route.Prompt
+	Prompt *placement.Prompt
 	// LastEvent is the id of the last event that the caller has of an earlier
 	// answer; empty for a new request.
 	LastEvent string
--- a/internal/upstreamstate/bench_test.go
+++ b/internal/upstreamstate/bench_test.go
@@ -9,7 +9,7 @@
 	"sassafrasfield/internal/config"
 	"sassafrasfield/internal/estimate"
 	"sassafrasfield/internal/load"
-	"sassafrasfield/internal/route"
+	"sassafrasfield/internal/placement"
 	"sassafrasfield/internal/routes"
 )
 
@@ -23,7 +23,7 @@
 // largePicture knows engines of which 13 in 18 process prompts, in six zones.
 func largePicture(engines int) *Picture {
 	p := New(Settings{
-		Zone: "z0", Placement: route.DefaultSettings(), Prior: estimate.DefaultPrior(), Outliers: load.DefaultOutlierRules(), Seed: 1,
+		Zone: "z0", Placement: placement.DefaultSettings(), Prior: estimate.DefaultPrior(), Outliers: load.DefaultOutlierRules(), Seed: 1,
 	})
 	p.SetRoutes(routes.NewTable(1, nil, []routes.Service{{Name: "llm", Engine: &routes.EngineLimits{
 		Slots: 64, KVTokens: 440000, TransferTime: 760, EventTokens: 1,
@@ -54,8 +54,8 @@
 
 func sourceName(i int) string { return BesidePrefix + strconv.Itoa(i) }
 
-func benchPrompt(i int) route.Prompt {
-	return route.Prompt{Tokens: 17000, Output: 600, Parts: []route.Part{
+func benchPrompt(i int) placement.Prompt {
+	return placement.Prompt{Tokens: 17000, Output: 600, Parts: []placement.Part{
 		{ID: "part-" + strconv.Itoa(i%500), Tokens: 13300}, {ID: "own", Tokens: 3700},
 	}}
 }
--- a/internal/upstreamstate/learn.go
+++ b/internal/upstreamstate/learn.go
@@ -4,12 +4,12 @@
 	"time"
 
 	"sassafrasfield/internal/estimate"
-	"sassafrasfield/internal/route"
+	"sassafrasfield/internal/placement"
 )
 
 // Times are what the engines of a service take, learned or configured.
 type Times struct {
-	route.EngineTimes
+	placement.EngineTimes
 	// Step is the time of a step of generation, StepPerRequest what each request
 	// that takes part adds.
 	Step, StepPerRequest time.Duration
@@ -54,8 +54,8 @@
 }
 
 // costs are what placement weighs for a service. The lock is held.
-func (p *Picture) costs(service string) route.Costs {
-	return route.Costs{EngineTimes: p.times(service).EngineTimes, Settings: p.settings.Placement}
+func (p *Picture) costs(service string) placement.Costs {
+	return placement.Costs{EngineTimes: p.times(service).EngineTimes, Settings: p.settings.Placement}
 }
 
 // Prefilled takes note of a prompt that an engine has processed, without a fetch.
--- a/internal/upstreamstate/parts.go
+++ b/internal/upstreamstate/parts.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"sassafrasfield/internal/route"
+	"sassafrasfield/internal/placement"
 )
 
 // Bounds of how long an engine is believed to have a part cached that nobody used.
@@ -60,7 +60,7 @@
 
 // cached counts the leading tokens of a prompt that each engine is believed to have;
 // lasts tells for how long an engine has a part that nobody used.
-func (t *partTable) cached(prompt route.Prompt, lasts func(engine uint32) time.Duration, now time.Duration) map[uint32]int {
+func (t *partTable) cached(prompt placement.Prompt, lasts func(engine uint32) time.Duration, now time.Duration) map[uint32]int {
 	tokens := map[uint32]int{}
 	before := 0 // tokens of the parts so far
 	for i := 0; i < len(prompt.Parts)-1; i++ {
@@ -86,7 +86,7 @@
 
 // cached counts the leading tokens of a request's prompt that each engine is
 // believed to have. The lock is held.
-func (p *Picture) cached(req *route.Request) map[uint32]int {
+func (p *Picture) cached(req *placement.Request) map[uint32]int {
 	if len(req.Prompt.Parts) < 2 {
 		return nil
 	}
@@ -101,7 +101,7 @@
 
 // notePrompt records that a prompt was placed on an engine, here and for the
 // next reports. The lock is held.
-func (p *Picture) notePrompt(engine string, prompt route.Prompt, now time.Duration) {
+func (p *Picture) notePrompt(engine string, prompt placement.Prompt, now time.Duration) {
 	for i := 0; i < len(prompt.Parts)-1; i++ {
 		placed := Placed{Engine: p.hash(engine), Part: hashOf(prompt.Parts[i].ID)}
 		p.parts.note(placed, now)
--- a/internal/upstreamstate/place.go
+++ b/internal/upstreamstate/place.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"sassafrasfield/internal/load"
-	"sassafrasfield/internal/route"
+	"sassafrasfield/internal/placement"
 )
 
 // Ask is a request for which an upstream is to be chosen.
@@ -12,7 +12,7 @@
 	// ID of the request, Service that it goes to.
 	ID, Service string
 	// Prompt is the zero value for a request to a plain service.
-	Prompt route.Prompt
+	Prompt placement.Prompt
 	// Excluded upstreams failed the request already.
 	Excluded map[string]bool
 	// Objective is what is left of the time in which the answer is on time, Left
@@ -23,8 +23,8 @@
 }
 
 // request is how placement sees what is asked. The lock is held.
-func (p *Picture) request(a Ask, now time.Duration) *route.Request {
-	return &route.Request{
+func (p *Picture) request(a Ask, now time.Duration) *placement.Request {
+	return &placement.Request{
 		Zone: p.settings.Zone, Prompt: a.Prompt, Excluded: a.Excluded, Now: now,
 		Objective: a.Objective, Left: a.Left, Costs: p.costs(a.Service),
 		Limits: p.limits.any(),
@@ -33,11 +33,11 @@
 
 // candidates returns the upstreams that a request may go to as placement sees them, until
 // the next choice. The lock is held.
-func (p *Picture) candidates(a Ask, req *route.Request) []route.Candidate {
+func (p *Picture) candidates(a Ask, req *placement.Request) []placement.Candidate {
 	p.told.lapse(req.Now)
 	list, cached := p.candidateBuf[:0], p.cached(req)
 	for _, n := range p.byService[a.Service] {
-		list = append(list, route.Candidate{
+		list = append(list, placement.Candidate{
 			ID: n.ID, Zone: n.Zone, Leave: n.Draining, Engine: n.engine,
 			Load: n.load, Silent: p.takesNone(n, req.Now), Told: n.toldTo(req.Now),
 		})
@@ -60,9 +60,9 @@
 
 // toldTo is what all instances together have on an upstream, or what it said of
 // itself lately, as placement sees it.
-func (n *node) toldTo(now time.Duration) route.Told {
+func (n *node) toldTo(now time.Duration) placement.Told {
 	all := n.all(now)
-	told := route.Told{Ahead: all.Ahead, Yielding: all.Yielding, Use: all.Use, Requests: all.Requests}
+	told := placement.Told{Ahead: all.Ahead, Yielding: all.Yielding, Use: all.Use, Requests: all.Requests}
 	if n.work.reported.Known && now-n.work.reportedAt < reportFades {
 		told.Requests = max(told.Requests, n.work.reported.Running+n.work.reported.Waiting)
 	}
@@ -84,15 +84,15 @@
 
 // PickStart chooses where a generation begins and when its prompt is processed
 // there, and charges the request to that engine.
-func (p *Picture) PickStart(a Ask, now time.Duration) (route.Start, route.Turn, bool) {
+func (p *Picture) PickStart(a Ask, now time.Duration) (placement.Start, placement.Turn, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	req := p.request(a, now)
 	start, ok := p.stages.Begin(req, p.candidates(a, req), p.rng)
 	if !ok {
-		return start, route.TurnNext, false
+		return start, placement.TurnNext, false
 	}
-	turn := route.TurnNext
+	turn := placement.TurnNext
 	if !start.Direct() {
 		turn = req.Costs.Turn(req, start, p.rng.Float64())
 	}
@@ -105,7 +105,7 @@
 
 // PickDecode chooses the engine that generates from a KV cache which lies in a
 // zone, and charges the request to it.
-func (p *Picture) PickDecode(a Ask, kvZone string, now time.Duration) (route.Candidate, bool) {
+func (p *Picture) PickDecode(a Ask, kvZone string, now time.Duration) (placement.Candidate, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	req := p.request(a, now)
@@ -134,7 +134,7 @@
 
 // PickBackup chooses the engine that a run on another one is copied to; the zero
 // value when none is.
-func (p *Picture) PickBackup(a Ask, running route.Candidate, now time.Duration) Upstream {
+func (p *Picture) PickBackup(a Ask, running placement.Candidate, now time.Duration) Upstream {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	req := p.request(a, now)
@@ -162,10 +162,10 @@
 }
 
 // placePrompt charges a prompt to the engine that processes it. The lock is held.
-func (p *Picture) placePrompt(s route.Start, turn route.Turn, now time.Duration) {
+func (p *Picture) placePrompt(s placement.Start, turn placement.Turn, now time.Duration) {
 	w := &p.nodes[s.Engine.ID].work
 	w.own += s.Work
-	if turn == route.TurnYield {
+	if turn == placement.TurnYield {
 		w.yielding += s.Work
 	}
 	w.use.add(s.Work.Seconds(), now)
--- a/internal/upstreamstate/upstreamstate.go
+++ b/internal/upstreamstate/upstreamstate.go
@@ -1,6 +1,6 @@
 // Package upstreamstate is an instance's picture of the upstreams: who there is, what all
 // instances have under way on each, what each has cached, what each takes, and who
-// could not be reached. Placement is decided on it (package route), and what
+// could not be reached. Placement is decided on it (package placement), and what
 // requests meet is noted in it. The instances tell one another their parts of it in
 // reports.
 //
@@ -21,7 +21,7 @@
 	"sassafrasfield/internal/config"
 	"sassafrasfield/internal/estimate"
 	"sassafrasfield/internal/load"
-	"sassafrasfield/internal/route"
+	"sassafrasfield/internal/placement"
 	"sassafrasfield/internal/routes"
 )
 
@@ -59,7 +59,7 @@
 	// Zone of this instance.
 	Zone string
 	// Placement is what is weighed against the engines' times.
-	Placement route.Settings
+	Placement placement.Settings
 	// Prior is what is assumed of engines that nothing was observed of.
 	Prior    estimate.Prior
 	Outliers load.OutlierRules
@@ -75,8 +75,8 @@
 type Picture struct {
 	settings Settings
 	// stages and calls choose engines and the upstreams of plain services.
-	stages *route.Stages
-	calls  *route.Scheduler
+	stages *placement.Stages
+	calls  *placement.Scheduler
 
 	mu      sync.Mutex // protects all below
 	table   *routes.Table
@@ -108,7 +108,7 @@
 	zone, beyond ledger
 	rng          *rand.Rand
 	// candidateBuf is kept from one choice to the next.
-	candidateBuf []route.Candidate
+	candidateBuf []placement.Candidate
 }
 
 // New returns a picture that knows no routes and no upstreams.
@@ -122,7 +122,7 @@
 		s.Changed = func() {}
 	}
 	return &Picture{
-		settings: s, stages: route.NewStages(), calls: route.NewToldServiceScheduler(),
+		settings: s, stages: placement.NewStages(), calls: placement.NewToldServiceScheduler(),
 		table: routes.NewTable(0, nil, nil, routes.Limits{}),
 		nodes: map[string]*node{}, byHash: map[uint32]*node{}, byService: map[string][]*node{}, busy: map[*node]bool{},
 		loads: loads, models: map[string]*estimate.Model{}, told: newToldLoads(), parts: newPartTable(),
--- a/internal/upstreamstate/upstreamstate_test.go
+++ b/internal/upstreamstate/upstreamstate_test.go
@@ -7,7 +7,7 @@
 	"sassafrasfield/internal/config"
 	"sassafrasfield/internal/estimate"
 	"sassafrasfield/internal/load"
-	"sassafrasfield/internal/route"
+	"sassafrasfield/internal/placement"
 	"sassafrasfield/internal/routes"
 )
 
@@ -15,7 +15,7 @@
 // plain service.
 func newPicture() *Picture {
 	p := New(Settings{
-		Zone: "a", Placement: route.DefaultSettings(), Prior: estimate.DefaultPrior(), Outliers: load.DefaultOutlierRules(), Seed: 1,
+		Zone: "a", Placement: placement.DefaultSettings(), Prior: estimate.DefaultPrior(), Outliers: load.DefaultOutlierRules(), Seed: 1,
 	})
 	p.SetRoutes(routes.NewTable(1, []routes.Route{{
 		Name: "generate", Kind: routes.Generation, MaxPause: 200 * time.Millisecond,
@@ -36,7 +36,7 @@
 }
 
 // toldOf is what placement is told of an upstream.
-func toldOf(t *testing.T, p *Picture, id string, a Ask, now time.Duration) route.Told {
+func toldOf(t *testing.T, p *Picture, id string, a Ask, now time.Duration) placement.Told {
 	t.Helper()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -46,7 +46,7 @@
 		}
 	}
 	t.Fatalf("no upstream %s", id)
-	return route.Told{}
+	return placement.Told{}
 }
 
 // TestAnUpstreamThatStartedAgainIsANewOne, under the id that it had: it has nothing under
@@ -118,7 +118,7 @@
 	}
 }
 
-var long = route.Prompt{Tokens: 9000, Output: 600, Parts: []route.Part{{ID: "shared", Tokens: 6000}, {ID: "own", Tokens: 3000}}}
+var long = placement.Prompt{Tokens: 9000, Output: 600, Parts: []placement.Part{{ID: "shared", Tokens: 6000}, {ID: "own", Tokens: 3000}}}
 
 // TestPlainCallsAreToldOf: behind many instances, each sees few of the calls that an
 // upstream of a plain service has.
@@ -160,7 +160,7 @@
 func TestAPromptIsChargedUntilItIsDone(t *testing.T) {
 	p, other := newPicture(), newPicture()
 	start, turn, ok := p.PickStart(Ask{ID: "r", Service: "llm", Prompt: long, Objective: time.Second, Left: 2 * time.Second}, 0)
-	if !ok || start.Direct() || start.Work <= 0 || turn != route.TurnNext {
+	if !ok || start.Direct() || start.Work <= 0 || turn != placement.TurnNext {
 		t.Fatalf("%+v, %s, %t", start, turn, ok)
 	}
 	other.TakeReport(BesidePrefix+"one", p.OwnReport(0), 0)
--- a/internal/upstreamstate/work.go
+++ b/internal/upstreamstate/work.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"sassafrasfield/internal/load"
-	"sassafrasfield/internal/route"
+	"sassafrasfield/internal/placement"
 )
 
 // workload is what this instance has on one upstream, and what it heard of it.
@@ -31,7 +31,7 @@
 }
 
 // PromptDone takes the prompt work of a request off an engine.
-func (p *Picture) PromptDone(id string, work time.Duration, turn route.Turn) {
+func (p *Picture) PromptDone(id string, work time.Duration, turn placement.Turn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n, ok := p.nodes[id]
@@ -39,7 +39,7 @@
 		return
 	}
 	n.work.own = max(0, n.work.own-work)
-	if turn == route.TurnYield {
+	if turn == placement.TurnYield {
 		n.work.yielding = max(0, n.work.yielding-work)
 	}
 	p.changed(n)
