--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,7 +1,7 @@
 // Package config holds the versioned configuration document: what operators
 // accepted, and for each engine what the system has made of it so far. It is
 // plain data with pure functions; how it is kept and spread is in the
-// packages versions and spread.
+// packages versions and gossip.
 package config
 
 import (
--- a/internal/model/doc.go
+++ b/internal/model/doc.go
@@ -1,5 +1,5 @@
 // Package model is a deterministic model of a service's engines in virtual time. It
-// runs the project's own decisions (packages upstreamstate, route, roles, estimate) for
+// runs the project's own decisions (packages upstreamstate, placement, roles, estimate) for
 // some instances against a named load pattern, some twenty times faster than it
 // would take, so that policies can be compared and a pattern that went wrong stays
 // as a test.
