--- a/internal/control/daemon.go
+++ b/internal/control/daemon.go
@@ -1,5 +1,5 @@
 // Package control is the daemon sf-control: it feeds the decision packages
-// (lease, rollout, spread) with what it reads and carries out what they say.
+// (lease, rollout, gossip) with what it reads and carries out what they say.
 // Each sf-control process is alike; any of them may hold any lease.
 package control
 
