--- a/internal/quarantine/doc.go
+++ b/internal/quarantine/doc.go
@@ -9,5 +9,5 @@
 // It is pure: times are passed in. They are to be on a clock that goes on while the
 // machine is suspended.
 //
-// Callers: relay (requests), peers by way of picture's reports, instance (rows).
+// Callers: relay (requests), peers by way of upstreamstate's reports, instance (rows).
 package quarantine
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -7,7 +7,7 @@
 // Book has what is known of the announcements, Grants is the coordinator's part. The package is
 // pure: times are passed in, on the instance's monotonic clock.
 //
-// Callers: picture (Book), relay (Grants), peers (what is told and asked).
+// Callers: upstreamstate (Book), relay (Grants), peers (what is told and asked).
 package quota
 
 import (
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -6,7 +6,7 @@
 //
 // How a request looks on either side is the adapters' matter; see Sender for
 // the upstreams' side. The decisions are those of packages outcome, retry,
-// load, route and routes.
+// load, placement and routes.
 package relay
 
 import (
