--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -161,7 +161,7 @@
 }
 
 func TestPredict(t *testing.T) {
-	busy := EngineLoad{PrefillAhead: 5000, PrefillRate: 10000, Running: 4, BlocksFree: 60, BlocksTotal: 100}
+	busy := EngineLoad{QueuedPrefillTokens: 5000, PrefillRate: 10000, Running: 4, BlocksFree: 60, BlocksTotal: 100}
 	full := EngineLoad{PrefillRate: 10000, Running: 8, Waiting: 3, BlocksFree: 50, BlocksTotal: 100}
 	check := func(what string, got, want time.Duration) {
 		t.Helper()
--- a/internal/admit/capacity.go
+++ b/internal/admit/capacity.go
@@ -7,9 +7,9 @@
 
 // EngineLoad is what the decisions need of the picture of one engine.
 type EngineLoad struct {
-	// PrefillAhead are the prompt tokens that wait, this entry's placements
+	// QueuedPrefillTokens are the prompt tokens that wait, this entry's placements
 	// that no report accounts for included.
-	PrefillAhead int
+	QueuedPrefillTokens int
 	// PrefillRate is in prompt tokens a second; 0 when not known.
 	PrefillRate float64
 	// Cached are tokens of the prompt that the engine is believed to have cached.
@@ -46,7 +46,7 @@
 		}
 		own := seconds(float64(max(0, promptTokens-e.Cached)) / e.PrefillRate)
 		uncached := seconds(float64(promptTokens) / e.PrefillRate)
-		ahead := seconds(float64(e.PrefillAhead) / e.PrefillRate)
+		ahead := seconds(float64(e.QueuedPrefillTokens) / e.PrefillRate)
 		firstToken := own + max(ahead, e.batchWait(service))
 		if !best.Known {
 			best.Own, best.Uncached, best.FirstToken, best.Known = own, uncached, firstToken, true
--- a/internal/entry/prediction.go
+++ b/internal/entry/prediction.go
@@ -67,7 +67,7 @@
 	report := &c.Load.Report
 	byNow := c.Load.Estimated(req.Now)
 	return admit.EngineLoad{
-		PrefillAhead: byNow.PrefillTokens, PrefillRate: report.PrefillRate,
+		QueuedPrefillTokens: byNow.PrefillTokens, PrefillRate: report.PrefillRate,
 		Cached:  placement.CachedTokens(req, c),
 		Running: report.Running, Waiting: byNow.Waiting, Charged: c.Load.Charges(),
 		BlocksFree: report.KVBlocksFree, BlocksTotal: report.KVBlocksTotal,
