--- a/internal/admit/capacity.go
+++ b/internal/admit/capacity.go
@@ -12,8 +12,8 @@
 	QueuedPrefillTokens int
 	// PrefillRate is in prompt tokens a second; 0 when not known.
 	PrefillRate float64
-	// Cached are tokens of the prompt that the engine is believed to have cached.
-	Cached int
+	// CachedTokens are tokens of the prompt that the engine is believed to have cached.
+	CachedTokens int
 	// Running and Waiting count streams, by the engine's report.
 	Running, Waiting int
 	// Charged counts this entry's placements that no report accounts for.
@@ -44,7 +44,7 @@
 		if e.PrefillRate <= 0 {
 			continue
 		}
-		own := seconds(float64(max(0, promptTokens-e.Cached)) / e.PrefillRate)
+		own := seconds(float64(max(0, promptTokens-e.CachedTokens)) / e.PrefillRate)
 		uncached := seconds(float64(promptTokens) / e.PrefillRate)
 		ahead := seconds(float64(e.QueuedPrefillTokens) / e.PrefillRate)
 		firstToken := own + max(ahead, e.batchWait(service))
--- a/internal/entry/prediction.go
+++ b/internal/entry/prediction.go
@@ -68,7 +68,7 @@
 	byNow := c.Load.Estimated(req.Now)
 	return admit.EngineLoad{
 		QueuedPrefillTokens: byNow.PrefillTokens, PrefillRate: report.PrefillRate,
-		Cached:  placement.CachedTokens(req, c),
+		CachedTokens:  placement.CachedTokens(req, c),
 		Running: report.Running, Waiting: byNow.Waiting, Charged: c.Load.Charges(),
 		BlocksFree: report.KVBlocksFree, BlocksTotal: report.KVBlocksTotal,
 	}
