--- a/internal/admit/capacity.go
+++ b/internal/admit/capacity.go
@@ -16,8 +16,8 @@
 	CachedTokens int
 	// Running and Waiting count streams, by the engine's report.
 	Running, Waiting int
-	// Charged counts this entry's placements that no report accounts for.
-	Charged int
+	// UnreportedPlacements counts this entry's placements that no report accounts for.
+	UnreportedPlacements int
 	// BlocksFree and BlocksTotal count pieces of KV memory.
 	BlocksFree, BlocksTotal int
 }
@@ -62,7 +62,7 @@
 // batchWait is the time until a place in the batch is free.
 func (e EngineLoad) batchWait(service time.Duration) time.Duration {
 	free, known := e.free()
-	ahead := float64(e.Waiting+e.Charged) - free
+	ahead := float64(e.Waiting+e.UnreportedPlacements) - free
 	if !known || e.Running == 0 || ahead < 0 {
 		return 0
 	}
--- a/internal/entry/prediction.go
+++ b/internal/entry/prediction.go
@@ -69,7 +69,7 @@
 	return admit.EngineLoad{
 		QueuedPrefillTokens: byNow.PrefillTokens, PrefillRate: report.PrefillRate,
 		CachedTokens:  placement.CachedTokens(req, c),
-		Running: report.Running, Waiting: byNow.Waiting, Charged: c.Load.Charges(),
+		Running: report.Running, Waiting: byNow.Waiting, UnreportedPlacements: c.Load.Charges(),
 		BlocksFree: report.KVBlocksFree, BlocksTotal: report.KVBlocksTotal,
 	}
 }
