--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -181,17 +181,17 @@
 // beside what they have, and an entry without any gets its equal part.
 func TestConcurrency(t *testing.T) {
 	engines := []EngineLoad{{Running: 9, BlocksFree: 100, BlocksTotal: 1000}}
-	if got := Concurrency(engines, 9, 1); got != 10 {
+	if got := ConcurrencyLimit(engines, 9, 1); got != 10 {
 		t.Errorf("alone with one place free: %d", got)
 	}
-	if got := Concurrency(engines, 0, 5); got != 2 {
+	if got := ConcurrencyLimit(engines, 0, 5); got != 2 {
 		t.Errorf("one of five without any: %d", got)
 	}
 	engines[0].Waiting = 5
-	if got := Concurrency(engines, 9, 1); got != 9 {
+	if got := ConcurrencyLimit(engines, 9, 1); got != 9 {
 		t.Errorf("5 wait for 9 places: %d", got)
 	}
-	if got := Concurrency([]EngineLoad{{BlocksFree: 10, BlocksTotal: 10}}, 3, 1); got != 0 {
+	if got := ConcurrencyLimit([]EngineLoad{{BlocksFree: 10, BlocksTotal: 10}}, 3, 1); got != 0 {
 		t.Errorf("an idle engine sets a bound of %d", got)
 	}
 }
--- a/internal/admit/capacity.go
+++ b/internal/admit/capacity.go
@@ -73,12 +73,12 @@
 	return time.Duration(s * float64(time.Second))
 }
 
-// Concurrency bounds the requests that one entry has in flight on engines it
+// ConcurrencyLimit bounds the requests that one entry has in flight on engines it
 // shares with others: what it has already, and its part of what is free or of
 // what waits too much; but never less than its equal part of all places. Each
 // entry works that out by itself from the engines' reports. 0 is no bound:
 // nothing is known that would set one.
-func Concurrency(engines []EngineLoad, inFlight, entries int) int {
+func ConcurrencyLimit(engines []EngineLoad, inFlight, entries int) int {
 	places, free, waiting := 0.0, 0.0, 0.0
 	for _, e := range engines {
 		streams, known := e.free()
--- a/internal/entry/admission.go
+++ b/internal/entry/admission.go
@@ -198,7 +198,7 @@
 	for name, g := range a.gates {
 		if a.settings.LimitConcurrency {
 			loads := a.server.state.engineLoads(&placement.Request{Model: name, Now: now})
-			g.gate.SetLimit(admit.Concurrency(loads, g.gate.InFlight(), a.entries))
+			g.gate.SetLimit(admit.ConcurrencyLimit(loads, g.gate.InFlight(), a.entries))
 		}
 		refusals := g.gate.Review(now, a.predictor(g))
 		for _, r := range refusals {
