--- a/internal/admit/gate.go
+++ b/internal/admit/gate.go
@@ -11,10 +11,10 @@
 	MaxQueue int
 	// MaxWait bounds the time in the queue.
 	MaxWait time.Duration
-	// Backlog is how long a request may wait at an engine for its prefill to
+	// MaxBacklog is how long a request may wait at an engine for its prefill to
 	// begin; while it would be longer, requests wait in the queue, where they
 	// get fair shares. 0 is no bound.
-	Backlog time.Duration
+	MaxBacklog time.Duration
 	// PriorityCredit is the credit of the Queue, in tokens.
 	PriorityCredit float64
 	// Early is false to let through what can't make its deadline, for
@@ -221,10 +221,10 @@
 	if g.limit > 0 && g.inFlight >= g.limit {
 		return false
 	}
-	if g.rules.Backlog == 0 || !p.Known {
+	if g.rules.MaxBacklog == 0 || !p.Known {
 		return true
 	}
-	return p.FirstToken-p.Own+sent/time.Duration(max(1, p.Engines)) <= g.rules.Backlog
+	return p.FirstToken-p.Own+sent/time.Duration(max(1, p.Engines)) <= g.rules.MaxBacklog
 }
 
 // wait predicts how long a ticket that comes now waits in the queue.
--- a/internal/entry/admission.go
+++ b/internal/entry/admission.go
@@ -228,7 +228,7 @@
 	if !ok {
 		rules := admit.Rules{
 			MaxQueue: a.settings.MaxQueue, MaxWait: a.settings.MaxWait,
-			Backlog: a.settings.Backlog, PriorityCredit: float64(a.settings.PriorityCredit),
+			MaxBacklog: a.settings.Backlog, PriorityCredit: float64(a.settings.PriorityCredit),
 			Early: a.settings.EarlyRefusal,
 		}
 		g = &modelGate{gate: admit.NewGate(rules), waiting: map[string]*waiter{}}
