--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -82,7 +82,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		rules := Rules{
 			MaxQueue: rapid.IntRange(0, 8).Draw(t, "queue"), MaxWait: time.Second,
-			PriorityCredit: 1000, Early: true,
+			PriorityCredit: 1000, EarlyRefusal: true,
 		}
 		g := NewGate(rules)
 		limit := rapid.IntRange(1, 4).Draw(t, "limit")
--- a/internal/admit/fair_test.go
+++ b/internal/admit/fair_test.go
@@ -31,7 +31,7 @@
 // and 0.4 times for another, for a minute.
 func overload(backlog time.Duration, slowness time.Duration) outcome {
 	const deadline = 450 * time.Millisecond
-	g := NewGate(Rules{MaxQueue: 256, MaxWait: time.Second, PriorityCredit: 4000, Early: true, MaxBacklog: backlog})
+	g := NewGate(Rules{MaxQueue: 256, MaxWait: time.Second, PriorityCredit: 4000, EarlyRefusal: true, MaxBacklog: backlog})
 	engine := &engineModel{slowness: slowness}
 	o := outcome{offered: map[string]int{}, inTime: map[string]int{}}
 	observations := map[time.Duration][]time.Duration{} // by the time they come
--- a/internal/admit/gate.go
+++ b/internal/admit/gate.go
@@ -17,9 +17,9 @@
 	MaxBacklog time.Duration
 	// PriorityCredit is the credit of the Queue, in tokens.
 	PriorityCredit float64
-	// Early is false to let through what can't make its deadline, for
+	// EarlyRefusal is false to let through what can't make its deadline, for
 	// comparison.
-	Early bool
+	EarlyRefusal bool
 }
 
 // Decision on an arriving ticket.
@@ -88,7 +88,7 @@
 		g.enter(t, now)
 		return Admitted, nil
 	}
-	if need := g.wait(t, now) + t.Own + g.margin.get(now); g.rules.Early && now+need > t.Deadline {
+	if need := g.wait(t, now) + t.Own + g.margin.get(now); g.rules.EarlyRefusal && now+need > t.Deadline {
 		return Refused, []Refusal{{ID: t.ID, Reason: ReasonDeadline, RetryIn: now + need - t.Deadline}}
 	}
 	if g.queue.Len() < g.rules.MaxQueue {
@@ -111,7 +111,7 @@
 
 // late tells whether a ticket can't make its deadline if it is sent now.
 func (g *Gate) late(t Ticket, p Prediction, now time.Duration) (Refusal, bool) {
-	if !g.rules.Early || !p.Known {
+	if !g.rules.EarlyRefusal || !p.Known {
 		return Refusal{}, false
 	}
 	if t.Arrived+p.Own > t.Deadline {
--- a/internal/entry/admission.go
+++ b/internal/entry/admission.go
@@ -229,7 +229,7 @@
 		rules := admit.Rules{
 			MaxQueue: a.settings.MaxQueue, MaxWait: a.settings.MaxWait,
 			MaxBacklog: a.settings.Backlog, PriorityCredit: float64(a.settings.PriorityCredit),
-			Early: a.settings.EarlyRefusal,
+			EarlyRefusal: a.settings.EarlyRefusal,
 		}
 		g = &modelGate{gate: admit.NewGate(rules), waiting: map[string]*waiter{}}
 		a.gates[model] = g
