--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -91,7 +91,7 @@
 		waiting := map[string]Ticket{}
 		admitted := 0
 		predict := func(ticket Ticket) Prediction {
-			return Prediction{FirstToken: ahead + ticket.Own, Own: ticket.Own, Known: true}
+			return Prediction{FirstToken: ahead + ticket.Own, PrefillTime: ticket.Own, Known: true}
 		}
 		refuse := func(refusals []Refusal) {
 			for _, r := range refusals {
--- a/internal/admit/capacity.go
+++ b/internal/admit/capacity.go
@@ -49,10 +49,10 @@
 		ahead := seconds(float64(e.QueuedPrefillTokens) / e.PrefillRate)
 		firstToken := own + max(ahead, e.batchWait(service))
 		if !best.Known {
-			best.Own, best.Uncached, best.FirstToken, best.Known = own, uncached, firstToken, true
+			best.PrefillTime, best.Uncached, best.FirstToken, best.Known = own, uncached, firstToken, true
 			continue
 		}
-		best.Own = min(best.Own, own)
+		best.PrefillTime = min(best.PrefillTime, own)
 		best.Uncached = min(best.Uncached, uncached)
 		best.FirstToken = min(best.FirstToken, firstToken)
 	}
--- a/internal/admit/fair_test.go
+++ b/internal/admit/fair_test.go
@@ -17,7 +17,7 @@
 
 func (e *engineModel) predict(now time.Duration) Prediction {
 	wait := max(0, e.busyUntil-now)
-	return Prediction{FirstToken: wait + promptTime, Own: promptTime, Engines: 1, Known: true}
+	return Prediction{FirstToken: wait + promptTime, PrefillTime: promptTime, Engines: 1, Known: true}
 }
 
 // outcome of an overload, by organisation.
--- a/internal/admit/gate.go
+++ b/internal/admit/gate.go
@@ -114,11 +114,11 @@
 	if !g.rules.EarlyRefusal || !p.Known {
 		return Refusal{}, false
 	}
-	if t.Arrived+p.Own > t.Deadline {
+	if t.Arrived+p.PrefillTime > t.Deadline {
 		return Refusal{ID: t.ID, Reason: ReasonTooShort}, true
 	}
 	need := p.FirstToken
-	if need > p.Own {
+	if need > p.PrefillTime {
 		need += g.margin.get(now)
 	}
 	if now+need > t.Deadline {
@@ -224,7 +224,7 @@
 	if g.rules.MaxBacklog == 0 || !p.Known {
 		return true
 	}
-	return p.FirstToken-p.Own+sent/time.Duration(max(1, p.Engines)) <= g.rules.MaxBacklog
+	return p.FirstToken-p.PrefillTime+sent/time.Duration(max(1, p.Engines)) <= g.rules.MaxBacklog
 }
 
 // wait predicts how long a ticket that comes now waits in the queue.
--- a/internal/admit/ticket.go
+++ b/internal/admit/ticket.go
@@ -44,8 +44,8 @@
 type Prediction struct {
 	// FirstToken is the time from now to the first token on the best engine.
 	FirstToken time.Duration
-	// Own is that time on an idle engine.
-	Own time.Duration
+	// PrefillTime is that time on an idle engine.
+	PrefillTime time.Duration
 	// Uncached is Own for an engine that has none of the prompt cached. It is
 	// what a caller can expect, whatever the cache hints say.
 	Uncached time.Duration
