--- a/internal/admit/capacity.go
+++ b/internal/admit/capacity.go
@@ -49,11 +49,11 @@
 		ahead := seconds(float64(e.QueuedPrefillTokens) / e.PrefillRate)
 		firstToken := own + max(ahead, e.batchWait(service))
 		if !best.Known {
-			best.PrefillTime, best.Uncached, best.FirstToken, best.Known = own, uncached, firstToken, true
+			best.PrefillTime, best.UncachedPrefillTime, best.FirstToken, best.Known = own, uncached, firstToken, true
 			continue
 		}
 		best.PrefillTime = min(best.PrefillTime, own)
-		best.Uncached = min(best.Uncached, uncached)
+		best.UncachedPrefillTime = min(best.UncachedPrefillTime, uncached)
 		best.FirstToken = min(best.FirstToken, firstToken)
 	}
 	return best
--- a/internal/admit/ticket.go
+++ b/internal/admit/ticket.go
@@ -46,9 +46,9 @@
 	FirstToken time.Duration
 	// PrefillTime is that time on an idle engine.
 	PrefillTime time.Duration
-	// Uncached is Own for an engine that has none of the prompt cached. It is
+	// UncachedPrefillTime is Own for an engine that has none of the prompt cached. It is
 	// what a caller can expect, whatever the cache hints say.
-	Uncached time.Duration
+	UncachedPrefillTime time.Duration
 	// Engines is the number of engines that the request could go to.
 	Engines int
 	// Known is false when no engine has reported yet.
--- a/internal/entry/admission.go
+++ b/internal/entry/admission.go
@@ -240,7 +240,7 @@
 func (a *admission) ticket(comp *completion, p admit.Prediction, now time.Duration) admit.Ticket {
 	deadline := comp.deadline
 	if deadline == 0 {
-		deadline = max(2*p.Uncached, time.Duration(a.settings.Slack*float64(a.settings.FirstToken)))
+		deadline = max(2*p.UncachedPrefillTime, time.Duration(a.settings.Slack*float64(a.settings.FirstToken)))
 	}
 	return admit.Ticket{
 		ID: comp.id, Organisation: comp.organisation.Name, Share: comp.organisation.Share,
