--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -91,7 +91,7 @@
 		waiting := map[string]Ticket{}
 		admitted := 0
 		predict := func(ticket Ticket) Prediction {
-			return Prediction{FirstToken: ahead + ticket.Own, PrefillTime: ticket.Own, Known: true}
+			return Prediction{FirstToken: ahead + ticket.PrefillTime, PrefillTime: ticket.PrefillTime, Known: true}
 		}
 		refuse := func(refusals []Refusal) {
 			for _, r := range refusals {
@@ -155,7 +155,7 @@
 	own := time.Duration(rapid.Int64Range(0, int64(300*time.Millisecond)).Draw(t, "own"))
 	return Ticket{
 		ID: fmt.Sprint(i), Organisation: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "organisation"),
-		Priority: rapid.IntRange(MinPriority, MaxPriority).Draw(t, "priority"), Work: 100, Arrived: now, Own: own,
+		Priority: rapid.IntRange(MinPriority, MaxPriority).Draw(t, "priority"), Work: 100, Arrived: now, PrefillTime: own,
 		Deadline: now + time.Duration(rapid.Int64Range(0, int64(2*time.Second)).Draw(t, "deadline")),
 	}
 }
--- a/internal/admit/fair_test.go
+++ b/internal/admit/fair_test.go
@@ -59,7 +59,7 @@
 			o.offered[organisation]++
 			t := Ticket{
 				ID: fmt.Sprint(organisation, tick), Organisation: organisation, Work: 500,
-				Arrived: now, Deadline: now + deadline, Own: promptTime,
+				Arrived: now, Deadline: now + deadline, PrefillTime: promptTime,
 			}
 			switch decision, _ := g.Arrive(t, engine.predict(now), now); decision {
 			case Admitted:
--- a/internal/admit/gate.go
+++ b/internal/admit/gate.go
@@ -88,7 +88,7 @@
 		g.enter(t, now)
 		return Admitted, nil
 	}
-	if need := g.wait(t, now) + t.Own + g.margin.get(now); g.rules.EarlyRefusal && now+need > t.Deadline {
+	if need := g.wait(t, now) + t.PrefillTime + g.margin.get(now); g.rules.EarlyRefusal && now+need > t.Deadline {
 		return Refused, []Refusal{{ID: t.ID, Reason: ReasonDeadline, RetryIn: now + need - t.Deadline}}
 	}
 	if g.queue.Len() < g.rules.MaxQueue {
@@ -163,7 +163,7 @@
 		}
 		g.queue.Pop()
 		g.enter(t, now)
-		sent += t.Own
+		sent += t.PrefillTime
 		granted = append(granted, t)
 	}
 }
@@ -205,7 +205,7 @@
 // Expired is the refusal of a ticket that was not granted by Latest.
 func (g *Gate) Expired(t Ticket, now time.Duration) Refusal {
 	reason := ReasonWaited
-	if now >= t.Deadline-t.Own {
+	if now >= t.Deadline-t.PrefillTime {
 		reason = ReasonDeadline
 	}
 	return Refusal{ID: t.ID, Reason: reason, RetryIn: g.wait(t, now)}
--- a/internal/admit/queue.go
+++ b/internal/admit/queue.go
@@ -203,5 +203,5 @@
 // latest is when the ticket must leave the queue to make its deadline, or has
 // waited as long as allowed.
 func (t *Ticket) latest(maxWait time.Duration) time.Duration {
-	return min(t.Arrived+maxWait, t.Deadline-t.Own)
+	return min(t.Arrived+maxWait, t.Deadline-t.PrefillTime)
 }
--- a/internal/admit/ticket.go
+++ b/internal/admit/ticket.go
@@ -27,9 +27,9 @@
 	Arrived time.Duration
 	// Deadline is when the first token must have come.
 	Deadline time.Duration
-	// Own is the least time from being sent to the first token, on an idle
+	// PrefillTime is the least time from being sent to the first token, on an idle
 	// engine.
-	Own time.Duration
+	PrefillTime time.Duration
 }
 
 // share returns the weight.
--- a/internal/entry/admission.go
+++ b/internal/entry/admission.go
@@ -245,7 +245,7 @@
 	return admit.Ticket{
 		ID: comp.id, Organisation: comp.organisation.Name, Share: comp.organisation.Share,
 		Priority: comp.priority, Work: float64(comp.promptTokens + comp.maxTokens),
-		Arrived: now, Deadline: now + deadline, Own: p.PrefillTime,
+		Arrived: now, Deadline: now + deadline, PrefillTime: p.PrefillTime,
 	}
 }
 
