--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -136,7 +136,7 @@
 				refuse(g.Review(now, predict))
 				grant()
 				for _, ticket := range waiting {
-					if now >= g.Latest(ticket) || now+predict(ticket).FirstToken > ticket.Deadline {
+					if now >= g.WaitDeadline(ticket) || now+predict(ticket).FirstToken > ticket.Deadline {
 						t.Fatalf("ticket %s waits at %s and can't make its deadline", ticket.ID, now)
 					}
 				}
--- a/internal/admit/gate.go
+++ b/internal/admit/gate.go
@@ -72,8 +72,8 @@
 // first is done.
 func (g *Gate) Service() time.Duration { return g.service }
 
-// Latest is when a queued ticket is given up.
-func (g *Gate) Latest(t Ticket) time.Duration { return t.latest(g.rules.MaxWait) }
+// WaitDeadline is when a queued ticket is given up.
+func (g *Gate) WaitDeadline(t Ticket) time.Duration { return t.latest(g.rules.MaxWait) }
 
 // Arrive decides on a ticket. The refusals are of other tickets, which lose
 // their place to this one; when the decision is Refused, the last one is its
@@ -191,7 +191,7 @@
 	var refusals []Refusal
 	for _, t := range g.queue.all() {
 		refusal, late := g.late(t, predict(t), now)
-		if !late && now >= g.Latest(t) {
+		if !late && now >= g.WaitDeadline(t) {
 			refusal, late = g.Expired(t, now), true
 		}
 		if late {
--- a/internal/entry/admission.go
+++ b/internal/entry/admission.go
@@ -132,7 +132,7 @@
 // await waits for the verdict, for the last moment, or for the caller to leave.
 func (a *admission) await(ctx context.Context, ticket admit.Ticket, w *waiter) *admit.Refusal {
 	a.mu.Lock()
-	latest := a.gateOf(w.comp.name).gate.Latest(ticket)
+	latest := a.gateOf(w.comp.name).gate.WaitDeadline(ticket)
 	a.mu.Unlock()
 	timer := time.NewTimer(latest - a.server.now())
 	defer timer.Stop()
