--- a/internal/admit/gate.go
+++ b/internal/admit/gate.go
@@ -68,9 +68,9 @@
 // Waiting returns the number of requests in the queue.
 func (g *Gate) Waiting() int { return g.queue.Len() }
 
-// Service returns the mean time that an admitted request takes; 0 before the
+// ServiceTime returns the mean time that an admitted request takes; 0 before the
 // first is done.
-func (g *Gate) Service() time.Duration { return g.service }
+func (g *Gate) ServiceTime() time.Duration { return g.service }
 
 // WaitDeadline is when a queued ticket is given up.
 func (g *Gate) WaitDeadline(t Ticket) time.Duration { return t.latest(g.rules.MaxWait) }
--- a/internal/entry/prediction.go
+++ b/internal/entry/prediction.go
@@ -14,7 +14,7 @@
 		Model: comp.name, Adapter: comp.adapter, Version: comp.version,
 		Prompt: placement.Prompt{Tokens: comp.promptTokens}, Prefix: a.server.prefix(comp), Now: a.server.now(),
 	})
-	return admit.Predict(loads, comp.promptTokens, g.gate.Service())
+	return admit.Predict(loads, comp.promptTokens, g.gate.ServiceTime())
 }
 
 // predictor predicts for those who wait at a gate. The lock is held.
