--- a/internal/admit/gate.go
+++ b/internal/admit/gate.go
@@ -132,9 +132,9 @@
 // that there is something to observe.
 func (g *Gate) Observe(late, now time.Duration) { g.margin.observe(late, now) }
 
-// Enter counts a request that goes on whatever the load, such as the rest of
+// AdmitUnconditionally counts a request that goes on whatever the load, such as the rest of
 // an answer that was accepted before.
-func (g *Gate) Enter() { g.inFlight++ }
+func (g *Gate) AdmitUnconditionally() { g.inFlight++ }
 
 // Done ends an admitted request that took the time given.
 func (g *Gate) Done(took time.Duration) {
--- a/internal/entry/admission.go
+++ b/internal/entry/admission.go
@@ -96,7 +96,7 @@
 	if resumed {
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		a.gateOf(comp.name).gate.Enter()
+		a.gateOf(comp.name).gate.AdmitUnconditionally()
 		return nil
 	}
 	ticket, w, refused := a.arrive(comp, now)
