--- a/internal/admit/gate.go
+++ b/internal/admit/gate.go
@@ -149,8 +149,8 @@
 // serviceWeight sets the moving average of the service time.
 const serviceWeight = 16
 
-// Leave takes a waiting ticket out; false when it was granted or refused.
-func (g *Gate) Leave(id string) bool { return g.queue.Remove(id) }
+// Cancel takes a waiting ticket out; false when it was granted or refused.
+func (g *Gate) Cancel(id string) bool { return g.queue.Remove(id) }
 
 // Grant admits the waiting tickets that there is room for.
 func (g *Gate) Grant(now time.Duration, predict func(Ticket) Prediction) []Ticket {
--- a/internal/entry/admission.go
+++ b/internal/entry/admission.go
@@ -151,7 +151,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	g := a.gateOf(w.comp.name)
-	if !g.gate.Leave(ticket.ID) {
+	if !g.gate.Cancel(ticket.ID) {
 		w.comp.admitted = a.server.now()
 		return <-w.verdict
 	}
