--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -133,7 +133,7 @@
 				}
 			case 3:
 				ahead = time.Duration(rapid.Int64Range(0, int64(2*time.Second)).Draw(t, "ahead"))
-				refuse(g.Review(now, predict))
+				refuse(g.RefuseLate(now, predict))
 				grant()
 				for _, ticket := range waiting {
 					if now >= g.WaitDeadline(ticket) || now+predict(ticket).FirstToken > ticket.Deadline {
--- a/internal/admit/fair_test.go
+++ b/internal/admit/fair_test.go
@@ -68,7 +68,7 @@
 				waiting[t.ID] = t
 			}
 		}
-		for _, r := range g.Review(now, predict) {
+		for _, r := range g.RefuseLate(now, predict) {
 			o.longest = max(o.longest, now-waiting[r.ID].Arrived)
 		}
 		for _, t := range g.Grant(now, predict) {
--- a/internal/admit/gate.go
+++ b/internal/admit/gate.go
@@ -185,9 +185,9 @@
 	}
 }
 
-// Review gives up the waiting tickets that can't make their deadline any more,
+// RefuseLate gives up the waiting tickets that can't make their deadline any more,
 // by a new picture or by the time that passed.
-func (g *Gate) Review(now time.Duration, predict func(Ticket) Prediction) []Refusal {
+func (g *Gate) RefuseLate(now time.Duration, predict func(Ticket) Prediction) []Refusal {
 	var refusals []Refusal
 	for _, t := range g.queue.all() {
 		refusal, late := g.late(t, predict(t), now)
--- a/internal/entry/admission.go
+++ b/internal/entry/admission.go
@@ -200,7 +200,7 @@
 			loads := a.server.state.engineLoads(&placement.Request{Model: name, Now: now})
 			g.gate.SetLimit(admit.ConcurrencyLimit(loads, g.gate.InFlight(), a.entries))
 		}
-		refusals := g.gate.Review(now, a.predictor(g))
+		refusals := g.gate.RefuseLate(now, a.predictor(g))
 		for _, r := range refusals {
 			g.tell(r.ID, &r)
 		}
