--- a/internal/admit/gate.go
+++ b/internal/admit/gate.go
@@ -192,7 +192,7 @@
 	for _, t := range g.queue.all() {
 		refusal, late := g.late(t, predict(t), now)
 		if !late && now >= g.WaitDeadline(t) {
-			refusal, late = g.Expired(t, now), true
+			refusal, late = g.TimeoutRefusal(t, now), true
 		}
 		if late {
 			g.queue.Remove(t.ID)
@@ -202,8 +202,8 @@
 	return refusals
 }
 
-// Expired is the refusal of a ticket that was not granted by Latest.
-func (g *Gate) Expired(t Ticket, now time.Duration) Refusal {
+// TimeoutRefusal is the refusal of a ticket that was not granted by Latest.
+func (g *Gate) TimeoutRefusal(t Ticket, now time.Duration) Refusal {
 	reason := ReasonWaited
 	if now >= t.Deadline-t.PrefillTime {
 		reason = ReasonDeadline
--- a/internal/entry/admission.go
+++ b/internal/entry/admission.go
@@ -156,7 +156,7 @@
 		return <-w.verdict
 	}
 	delete(g.waiting, ticket.ID)
-	refusal := g.gate.Expired(ticket, a.server.now())
+	refusal := g.gate.TimeoutRefusal(ticket, a.server.now())
 	return &refusal
 }
 
