--- a/internal/admit/gate.go
+++ b/internal/admit/gate.go
@@ -233,7 +233,7 @@
 	if g.admitted <= 0 {
 		return 0
 	}
-	return min(longestWait, seconds(g.queue.Ahead(t)/g.admitted))
+	return min(longestWait, seconds(g.queue.WorkAhead(t)/g.admitted))
 }
 
 // longestWait bounds the predicted waits.
--- a/internal/admit/queue.go
+++ b/internal/admit/queue.go
@@ -104,10 +104,10 @@
 	return earliest
 }
 
-// Ahead returns the work that is served before a ticket that comes now is, by
+// WorkAhead returns the work that is served before a ticket that comes now is, by
 // the fair shares: its organisation's own waiting work, and what the others
 // get meanwhile.
-func (q *Queue) Ahead(t Ticket) float64 {
+func (q *Queue) WorkAhead(t Ticket) float64 {
 	own, shares, others := 0.0, t.share(), 0.0
 	for name, f := range q.flows {
 		waiting := f.work()
