--- a/internal/admit/gate.go
+++ b/internal/admit/gate.go
@@ -204,7 +204,7 @@
 
 // TimeoutRefusal is the refusal of a ticket that was not granted by Latest.
 func (g *Gate) TimeoutRefusal(t Ticket, now time.Duration) Refusal {
-	reason := ReasonWaited
+	reason := ReasonQueueTimeout
 	if now >= t.Deadline-t.PrefillTime {
 		reason = ReasonDeadline
 	}
--- a/internal/admit/ticket.go
+++ b/internal/admit/ticket.go
@@ -66,8 +66,8 @@
 	ReasonTooShort Reason = "deadline_too_short"
 	// ReasonQueueFull: the queue has no room for the request.
 	ReasonQueueFull Reason = "queue_full"
-	// ReasonWaited: the longest wait in the queue has passed.
-	ReasonWaited Reason = "queue_timeout"
+	// ReasonQueueTimeout: the longest wait in the queue has passed.
+	ReasonQueueTimeout Reason = "queue_timeout"
 )
 
 // Refusal is the final answer for one ticket.
--- a/internal/entry/admission.go
+++ b/internal/entry/admission.go
@@ -79,7 +79,7 @@
 		admit.ReasonDeadline:  "the first token can't come before the deadline",
 		admit.ReasonTooShort:  "not even an idle engine could make the deadline",
 		admit.ReasonQueueFull: "the queue is full",
-		admit.ReasonWaited:    "no engine had room in the longest wait",
+		admit.ReasonQueueTimeout:    "no engine had room in the longest wait",
 	}
 	refused := notRun(string(r.Reason), messages[r.Reason], max(r.RetryIn, time.Millisecond))
 	if r.Reason == admit.ReasonTooShort {
