--- a/internal/admit/gate.go
+++ b/internal/admit/gate.go
@@ -115,7 +115,7 @@
 		return Refusal{}, false
 	}
 	if t.Arrived+p.PrefillTime > t.Deadline {
-		return Refusal{ID: t.ID, Reason: ReasonTooShort}, true
+		return Refusal{ID: t.ID, Reason: ReasonDeadlineTooShort}, true
 	}
 	need := p.FirstToken
 	if need > p.PrefillTime {
--- a/internal/admit/ticket.go
+++ b/internal/admit/ticket.go
@@ -62,8 +62,8 @@
 const (
 	// ReasonDeadline: the first token would come after the deadline.
 	ReasonDeadline Reason = "deadline"
-	// ReasonTooShort: not even an idle engine could make the deadline.
-	ReasonTooShort Reason = "deadline_too_short"
+	// ReasonDeadlineTooShort: not even an idle engine could make the deadline.
+	ReasonDeadlineTooShort Reason = "deadline_too_short"
 	// ReasonQueueFull: the queue has no room for the request.
 	ReasonQueueFull Reason = "queue_full"
 	// ReasonQueueTimeout: the longest wait in the queue has passed.
--- a/internal/entry/admission.go
+++ b/internal/entry/admission.go
@@ -77,12 +77,12 @@
 func refusalOf(r *admit.Refusal) error {
 	messages := map[admit.Reason]string{
 		admit.ReasonDeadline:  "the first token can't come before the deadline",
-		admit.ReasonTooShort:  "not even an idle engine could make the deadline",
+		admit.ReasonDeadlineTooShort:  "not even an idle engine could make the deadline",
 		admit.ReasonQueueFull: "the queue is full",
 		admit.ReasonQueueTimeout:    "no engine had room in the longest wait",
 	}
 	refused := notRun(string(r.Reason), messages[r.Reason], max(r.RetryIn, time.Millisecond))
-	if r.Reason == admit.ReasonTooShort {
+	if r.Reason == admit.ReasonDeadlineTooShort {
 		refused.retryIn = 0
 	}
 	return refused
