--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -60,8 +60,8 @@
 // Last is the newest failure, or nil.
 func (a *Attempts) Last() error { return a.last }
 
-// Word is what may be told of the request now.
-func (a *Attempts) Word() outcome.Word { return a.progress.Word() }
+// Outcome is what may be told of the request now.
+func (a *Attempts) Outcome() outcome.Word { return a.progress.Word() }
 
 // Excluded are the upstreams that failed this request. Do not change it.
 func (a *Attempts) Excluded() map[string]bool { return a.excluded }
--- a/internal/attempt/attempt_test.go
+++ b/internal/attempt/attempt_test.go
@@ -28,8 +28,8 @@
 		}
 		a.Failed("u", ranNothing, errFailed)
 	}
-	if a.More() || a.Sent() == nil || a.Word() != outcome.Unknown {
-		t.Errorf("more: %t, word %v", a.More(), a.Word())
+	if a.More() || a.Sent() == nil || a.Outcome() != outcome.Unknown {
+		t.Errorf("more: %t, word %v", a.More(), a.Outcome())
 	}
 }
 
@@ -50,8 +50,8 @@
 		_ = b.Sent() // repeatable
 		b.Failed("u", true, errFailed)
 	}
-	if b.More() || b.Word() != outcome.NotRun {
-		t.Errorf("more: %t, word %v", b.More(), b.Word())
+	if b.More() || b.Outcome() != outcome.NotRun {
+		t.Errorf("more: %t, word %v", b.More(), b.Outcome())
 	}
 }
 
@@ -74,8 +74,8 @@
 			}
 			a.Failed("u", nothing, errFailed)
 		}
-		if (a.Word() == outcome.NotRun) != (ran == 0) {
-			t.Fatalf("word %v after %d runs", a.Word(), ran)
+		if (a.Outcome() == outcome.NotRun) != (ran == 0) {
+			t.Fatalf("word %v after %d runs", a.Outcome(), ran)
 		}
 		if ran > 1 && !a.rules.Repeatable {
 			t.Fatalf("%d runs of what may run once", ran)
--- a/internal/attempt/run_test.go
+++ b/internal/attempt/run_test.go
@@ -48,8 +48,8 @@
 		t.Errorf("%d made, %+v, verdict %v, %d runs", s.made, result, verdict, s.tries.Runs())
 	}
 	s, result, _ = run(Rules{Repeatable: true, MaxSends: 9}, Refused, NoUpstream)
-	if s.made != 2 || result.Ending != NoUpstream || s.tries.Word() != outcome.NotRun || s.tries.Last() == nil {
-		t.Errorf("%d made, %+v, word %v", s.made, result, s.tries.Word())
+	if s.made != 2 || result.Ending != NoUpstream || s.tries.Outcome() != outcome.NotRun || s.tries.Last() == nil {
+		t.Errorf("%d made, %+v, word %v", s.made, result, s.tries.Outcome())
 	}
 }
 
@@ -68,8 +68,8 @@
 		if lost > 1 || lost == 1 && endings[s.made-1] != Lost || verdict != Spent {
 			t.Fatalf("%v: %d made, verdict %v", endings, s.made, verdict)
 		}
-		if (lost == 0) != (s.tries.Word() == outcome.NotRun) {
-			t.Fatalf("%v: word %v", endings[:s.made], s.tries.Word())
+		if (lost == 0) != (s.tries.Outcome() == outcome.NotRun) {
+			t.Fatalf("%v: word %v", endings[:s.made], s.tries.Outcome())
 		}
 	})
 }
@@ -90,8 +90,8 @@
 		t.Fatal(err)
 	}
 	a.Failed("copy", true, errFailed) // it had none
-	if a.More() || a.Word() != outcome.Unknown {
-		t.Errorf("more: %t, word %v", a.More(), a.Word())
+	if a.More() || a.Outcome() != outcome.Unknown {
+		t.Errorf("more: %t, word %v", a.More(), a.Outcome())
 	}
 }
 
@@ -142,8 +142,8 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	result, _ := s.tries.Run(ctx, budget, clock, s)
-	if result.Ending != Over || s.left != 0 || s.tries.Word() == outcome.NotRun {
-		t.Errorf("%+v, %d left, word %v", result, s.left, s.tries.Word())
+	if result.Ending != Over || s.left != 0 || s.tries.Outcome() == outcome.NotRun {
+		t.Errorf("%+v, %d left, word %v", result, s.left, s.tries.Outcome())
 	}
 }
 
--- a/internal/entry/generation.go
+++ b/internal/entry/generation.go
@@ -47,7 +47,7 @@
 	if ctx.Err() != nil {
 		return errCallerGone
 	}
-	return s.gaveUp(comp, g.tries.Word(), g.tries.Last())
+	return s.gaveUp(comp, g.tries.Outcome(), g.tries.Last())
 }
 
 // resume goes on with the stream of an earlier answer, if its engine still holds
@@ -61,7 +61,7 @@
 	case ended(err):
 		return true, err
 	case errors.Is(err, stream.ErrDiverged):
-		return true, g.server.gaveUp(g.comp, g.tries.Word(), err)
+		return true, g.server.gaveUp(g.comp, g.tries.Outcome(), err)
 	case !ranNothing(err):
 		g.tries.Exclude(token.Engine, err)
 	}
--- a/internal/entry/plain.go
+++ b/internal/entry/plain.go
@@ -142,7 +142,7 @@
 	if verdict == attempt.Denied {
 		s.noBudget(tries)
 	}
-	if tries.Word() == outcome.NotRun {
+	if tries.Outcome() == outcome.NotRun {
 		return service.Answer{}, errors.WithMessage(service.ErrNotRun, "no upstream took the call")
 	}
 	return service.Answer{}, errors.WithMessage(service.ErrUnknown, "no upstream answered")
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -325,7 +325,7 @@
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return ErrCallerGone
 	}
-	if x.tries.Word() == outcome.NotRun {
+	if x.tries.Outcome() == outcome.NotRun {
 		if err := r.refuse(x); err != nil {
 			return err
 		}
