--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -57,8 +57,8 @@
 // Runs counts the attempts that may have run and brought no whole answer.
 func (a *Attempts) Runs() int { return a.runs }
 
-// Last is the newest failure, or nil.
-func (a *Attempts) Last() error { return a.last }
+// LastError is the newest failure, or nil.
+func (a *Attempts) LastError() error { return a.last }
 
 // Outcome is what may be told of the request now.
 func (a *Attempts) Outcome() outcome.Word { return a.progress.Word() }
--- a/internal/attempt/run_test.go
+++ b/internal/attempt/run_test.go
@@ -48,7 +48,7 @@
 		t.Errorf("%d made, %+v, verdict %v, %d runs", s.made, result, verdict, s.tries.Runs())
 	}
 	s, result, _ = run(Rules{Repeatable: true, MaxSends: 9}, Refused, NoUpstream)
-	if s.made != 2 || result.Ending != NoUpstream || s.tries.Outcome() != outcome.NotRun || s.tries.Last() == nil {
+	if s.made != 2 || result.Ending != NoUpstream || s.tries.Outcome() != outcome.NotRun || s.tries.LastError() == nil {
 		t.Errorf("%d made, %+v, word %v", s.made, result, s.tries.Outcome())
 	}
 }
--- a/internal/entry/generation.go
+++ b/internal/entry/generation.go
@@ -47,7 +47,7 @@
 	if ctx.Err() != nil {
 		return errCallerGone
 	}
-	return s.gaveUp(comp, g.tries.Outcome(), g.tries.Last())
+	return s.gaveUp(comp, g.tries.Outcome(), g.tries.LastError())
 }
 
 // resume goes on with the stream of an earlier answer, if its engine still holds
--- a/internal/entry/retry.go
+++ b/internal/entry/retry.go
@@ -56,5 +56,5 @@
 
 // noBudget tells that a request was not tried again for want of budget.
 func (s *Server) noBudget(tries *attempt.Attempts) {
-	s.log.Info("retry: no budget left", "error", tries.Last())
+	s.log.Info("retry: no budget left", "error", tries.LastError())
 }
--- a/internal/relay/meters.go
+++ b/internal/relay/meters.go
@@ -75,10 +75,10 @@
 }
 
 func causeOf(x *exchange) string {
-	if x.tries.Last() == nil {
+	if x.tries.LastError() == nil {
 		return ""
 	}
-	return x.tries.Last().Error()
+	return x.tries.LastError().Error()
 }
 
 // writeHeader begins an answer to the caller.
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -350,7 +350,7 @@
 }
 
 func reason(x *exchange, text string) string {
-	if x.tries.Last() == nil {
+	if x.tries.LastError() == nil {
 		return text + ": none to ask"
 	}
 	return text
