--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -66,8 +66,8 @@
 // Excluded are the upstreams that failed this request. Do not change it.
 func (a *Attempts) Excluded() map[string]bool { return a.excluded }
 
-// More tells whether the rules allow one more send.
-func (a *Attempts) More() bool {
+// MaySend tells whether the rules allow one more send.
+func (a *Attempts) MaySend() bool {
 	if a.spent() {
 		return false
 	}
--- a/internal/attempt/attempt_test.go
+++ b/internal/attempt/attempt_test.go
@@ -20,7 +20,7 @@
 func TestARequestThatMayNotBeRepeatedRunsOnce(t *testing.T) {
 	a := New(Rules{MaxRuns: 3, MaxSends: 5})
 	for _, ranNothing := range []bool{true, true, false} {
-		if !a.More() {
+		if !a.MaySend() {
 			t.Fatal("no more before it ran")
 		}
 		if err := a.Sent(); err != nil {
@@ -28,21 +28,21 @@
 		}
 		a.Failed("u", ranNothing, errFailed)
 	}
-	if a.More() || a.Sent() == nil || a.Outcome() != outcome.Unknown {
-		t.Errorf("more: %t, word %v", a.More(), a.Outcome())
+	if a.MaySend() || a.Sent() == nil || a.Outcome() != outcome.Unknown {
+		t.Errorf("more: %t, word %v", a.MaySend(), a.Outcome())
 	}
 }
 
 func TestRunsAndSendsAreBounded(t *testing.T) {
 	a := New(Rules{Repeatable: true, MaxRuns: 2, MaxSends: 9})
 	for range 2 {
-		if !a.More() {
+		if !a.MaySend() {
 			t.Fatal("no more")
 		}
 		_ = a.Sent() // repeatable
 		a.Failed("u", false, errFailed)
 	}
-	if a.More() {
+	if a.MaySend() {
 		t.Error("a third run")
 	}
 	b := New(Rules{Repeatable: true, MaxSends: 2})
@@ -50,8 +50,8 @@
 		_ = b.Sent() // repeatable
 		b.Failed("u", true, errFailed)
 	}
-	if b.More() || b.Outcome() != outcome.NotRun {
-		t.Errorf("more: %t, word %v", b.More(), b.Outcome())
+	if b.MaySend() || b.Outcome() != outcome.NotRun {
+		t.Errorf("more: %t, word %v", b.MaySend(), b.Outcome())
 	}
 }
 
@@ -64,7 +64,7 @@
 			MaxRuns:    rapid.IntRange(0, 3).Draw(t, "runs"), MaxSends: rapid.IntRange(1, 5).Draw(t, "sends"),
 		})
 		ran := 0
-		for a.More() {
+		for a.MaySend() {
 			if err := a.Sent(); err != nil {
 				t.Fatalf("more was allowed, and the send was not: %v", err)
 			}
--- a/internal/attempt/budget.go
+++ b/internal/attempt/budget.go
@@ -113,7 +113,7 @@
 // Next asks for leave for one more send and waits as long as the budget's
 // backoff says. The first send is always allowed.
 func (a *Attempts) Next(ctx context.Context, b *Budget, begun bool, now time.Duration) Verdict {
-	if ctx.Err() != nil || !a.More() {
+	if ctx.Err() != nil || !a.MaySend() {
 		return Spent
 	}
 	if a.sends == 0 {
--- a/internal/attempt/run_test.go
+++ b/internal/attempt/run_test.go
@@ -83,15 +83,15 @@
 	}
 	a.Copied("copy")
 	a.Failed("first", false, errFailed)
-	if !a.More() || a.Copy() != "copy" {
-		t.Fatalf("more: %t, copy at %q", a.More(), a.Copy())
+	if !a.MaySend() || a.Copy() != "copy" {
+		t.Fatalf("more: %t, copy at %q", a.MaySend(), a.Copy())
 	}
 	if err := a.Sent(); err != nil {
 		t.Fatal(err)
 	}
 	a.Failed("copy", true, errFailed) // it had none
-	if a.More() || a.Outcome() != outcome.Unknown {
-		t.Errorf("more: %t, word %v", a.More(), a.Outcome())
+	if a.MaySend() || a.Outcome() != outcome.Unknown {
+		t.Errorf("more: %t, word %v", a.MaySend(), a.Outcome())
 	}
 }
 
