--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -74,9 +74,9 @@
 	return a.runs == 0 || a.mayRunAgain(a.runs) || a.copied != ""
 }
 
-// Copied notes that an upstream has a copy of the run that this attempt loses:
+// SetBackup notes that an upstream has a copy of the run that this attempt loses:
 // the run can go on there, though the request may not run again.
-func (a *Attempts) Copied(upstream string) { a.copied = upstream }
+func (a *Attempts) SetBackup(upstream string) { a.copied = upstream }
 
 // Copy is the upstream where the run that was lost can go on; empty when there is
 // none.
--- a/internal/attempt/run_test.go
+++ b/internal/attempt/run_test.go
@@ -81,7 +81,7 @@
 	if err := a.Sent(); err != nil {
 		t.Fatal(err)
 	}
-	a.Copied("copy")
+	a.SetBackup("copy")
 	a.Failed("first", false, errFailed)
 	if !a.MaySend() || a.Copy() != "copy" {
 		t.Fatalf("more: %t, copy at %q", a.MaySend(), a.Copy())
--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -306,7 +306,7 @@
 		return attempt.Result{Ending: attempt.Over, Err: ErrCallerGone}
 	}
 	if g.backup.ID != "" && g.lastEvent != "" {
-		g.tries.Copied(g.backup.ID)
+		g.tries.SetBackup(g.backup.ID)
 	}
 	err = Lost(err)
 	r.blame(ctx, g.exchange, engine.ID, err)
