--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -78,9 +78,9 @@
 // the run can go on there, though the request may not run again.
 func (a *Attempts) SetBackup(upstream string) { a.copied = upstream }
 
-// Copy is the upstream where the run that was lost can go on; empty when there is
+// Backup is the upstream where the run that was lost can go on; empty when there is
 // none.
-func (a *Attempts) Copy() string { return a.copied }
+func (a *Attempts) Backup() string { return a.copied }
 
 // AnotherRun tells whether one more upstream may run the request if the present
 // attempt brings no whole answer.
--- a/internal/attempt/run_test.go
+++ b/internal/attempt/run_test.go
@@ -83,8 +83,8 @@
 	}
 	a.SetBackup("copy")
 	a.Failed("first", false, errFailed)
-	if !a.MaySend() || a.Copy() != "copy" {
-		t.Fatalf("more: %t, copy at %q", a.MaySend(), a.Copy())
+	if !a.MaySend() || a.Backup() != "copy" {
+		t.Fatalf("more: %t, copy at %q", a.MaySend(), a.Backup())
 	}
 	if err := a.Sent(); err != nil {
 		t.Fatal(err)
--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -77,7 +77,7 @@
 	if g.begun {
 		g.relay.meters.resumed.Inc(1)
 	}
-	if id := g.tries.Copy(); id != "" {
+	if id := g.tries.Backup(); id != "" {
 		return g.goOn(ctx, id)
 	}
 	if g.kv.Handle == "" {
