--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -82,9 +82,9 @@
 // none.
 func (a *Attempts) Backup() string { return a.copied }
 
-// AnotherRun tells whether one more upstream may run the request if the present
+// MayRunElsewhere tells whether one more upstream may run the request if the present
 // attempt brings no whole answer.
-func (a *Attempts) AnotherRun() bool {
+func (a *Attempts) MayRunElsewhere() bool {
 	return !a.spent() && a.mayRunAgain(a.runs+1)
 }
 
--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -78,7 +78,7 @@
 	if got.reply.Status < http.StatusInternalServerError || x.route.Kind != routes.Idempotent {
 		return false
 	}
-	if !x.tries.AnotherRun() || ctx.Err() != nil || r.picture.Count(x.service) < 2 {
+	if !x.tries.MayRunElsewhere() || ctx.Err() != nil || r.picture.Count(x.service) < 2 {
 		return false
 	}
 	return x.tries.Prepay(ctx, x.budget, r.now())
@@ -88,7 +88,7 @@
 // objective, at most half of the time left, so that another one has a chance.
 func (r *Relay) tryTime(x *exchange) time.Duration {
 	left := x.left(r.now())
-	if x.route.Kind != routes.Idempotent || !x.tries.AnotherRun() {
+	if x.route.Kind != routes.Idempotent || !x.tries.MayRunElsewhere() {
 		return left
 	}
 	return min(left/2, max(x.route.Objective, left/3))
--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -254,7 +254,7 @@
 // passFailure deals with an engine's own failure: another one is asked where
 // the route allows it, and else the caller gets the engine's word.
 func (r *Relay) passFailure(ctx context.Context, g *generation, engine upstreamstate.Upstream, reply *Reply) attempt.Result {
-	again := g.tries.AnotherRun() && ctx.Err() == nil
+	again := g.tries.MayRunElsewhere() && ctx.Err() == nil
 	if g.begun || again {
 		err := errors.WithMessagef(ErrLost, "the engine answered %d", reply.Status)
 		r.blame(ctx, g.exchange, engine.ID, err)
@@ -286,7 +286,7 @@
 		observe("first", r.now()-g.arrived)
 	}
 	p := passing{w: g.w, flush: http.NewResponseController(g.w).Flush, lastEvent: g.lastEvent}
-	if g.tries.AnotherRun() {
+	if g.tries.MayRunElsewhere() {
 		p.silence, p.stop = r.settings.StreamSilence, stop
 	}
 	began, whole := r.now(), g.lastEvent == ""
