--- a/internal/attempt/run.go
+++ b/internal/attempt/run.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Ending is how one attempt ended.
-type Ending int
+// Status is how one attempt ended.
+type Status int
 
 const (
 	// Over: the request has its end. The caller has an answer, whole or broken
 	// off, or has gone.
-	Over Ending = iota
+	Over Status = iota
 	// NoUpstream: there is none left to ask.
 	NoUpstream
 	// NotReady: the upstream could not be readied; nothing was sent that runs.
@@ -24,7 +24,7 @@
 
 // Result of an attempt.
 type Result struct {
-	Ending Ending
+	Ending Status
 	// Upstream that failed; empty when none was asked.
 	Upstream string
 	// Unsent: no byte of the request left for the upstream. What comes next is not
--- a/internal/attempt/run_test.go
+++ b/internal/attempt/run_test.go
@@ -14,7 +14,7 @@
 // scripted plays endings in turn.
 type scripted struct {
 	tries   *Attempts
-	endings []Ending
+	endings []Status
 	unsent  bool
 	made    int
 }
@@ -35,7 +35,7 @@
 
 func clock() time.Duration { return 0 }
 
-func run(rules Rules, endings ...Ending) (*scripted, Result, Verdict) {
+func run(rules Rules, endings ...Status) (*scripted, Result, Verdict) {
 	budget := saved(100)
 	s := &scripted{tries: New(rules), endings: endings}
 	result, verdict := s.tries.Run(context.Background(), budget, clock, s)
@@ -57,7 +57,7 @@
 // there is no other attempt, and the word follows.
 func TestRunNeverRepeatsWhatMayNotBe(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		endings := rapid.SliceOfN(rapid.SampledFrom([]Ending{NotReady, Refused, Lost}), 6, 6).Draw(t, "endings")
+		endings := rapid.SliceOfN(rapid.SampledFrom([]Status{NotReady, Refused, Lost}), 6, 6).Draw(t, "endings")
 		s, _, verdict := run(Rules{MaxSends: 5}, endings...)
 		lost := 0
 		for _, e := range endings[:s.made] {
@@ -100,8 +100,8 @@
 // given up.
 func TestWhatWasNotSentTakesNoBudget(t *testing.T) {
 	for _, unsent := range []bool{true, false} {
-		for _, ending := range []Ending{Refused, NotReady} {
-			s := &scripted{tries: New(Rules{MaxSends: 5}), endings: []Ending{ending, ending, Over}, unsent: unsent}
+		for _, ending := range []Status{Refused, NotReady} {
+			s := &scripted{tries: New(Rules{MaxSends: 5}), endings: []Status{ending, ending, Over}, unsent: unsent}
 			empty := NewBudget(retry.Rules{Max: 1}, retry.Backoff{}, meters, nil, 0)
 			result, verdict := s.tries.Run(context.Background(), empty, clock, s)
 			if unsent != (result.Ending == Over) || unsent == (verdict == Denied) {
@@ -116,13 +116,13 @@
 // four connections in a row that were refused within some milliseconds, though other
 // engines took requests.
 func TestUpstreamsThatCannotBeReachedDoNotEndARequest(t *testing.T) {
-	unreachable := []Ending{Refused, Refused, Refused, Refused, Refused, Over}
+	unreachable := []Status{Refused, Refused, Refused, Refused, Refused, Over}
 	s := &scripted{tries: New(Rules{MaxSends: 4}), endings: unreachable, unsent: true}
 	result, _ := s.tries.Run(context.Background(), saved(100), clock, s)
 	if result.Ending != Over || s.made != len(unreachable) {
 		t.Errorf("%+v after %d attempts", result, s.made)
 	}
-	var all []Ending
+	var all []Status
 	for range 2 * maxUnsent {
 		all = append(all, NotReady)
 	}
