--- a/internal/attempt/run.go
+++ b/internal/attempt/run.go
@@ -24,7 +24,7 @@
 
 // Result of an attempt.
 type Result struct {
-	Ending Status
+	Status Status
 	// Upstream that failed; empty when none was asked.
 	Upstream string
 	// Unsent: no byte of the request left for the upstream. What comes next is not
@@ -58,11 +58,11 @@
 			return last, verdict
 		}
 		last = p.Try(ctx)
-		switch last.Ending {
+		switch last.Status {
 		case NotReady:
 			a.Exclude(last.Upstream, last.Err)
 		case Refused, Lost:
-			a.Failed(last.Upstream, last.Ending == Refused, last.Err)
+			a.Failed(last.Upstream, last.Status == Refused, last.Err)
 		case NoUpstream:
 			a.note(last.Err)
 			return last, Go
--- a/internal/attempt/run_test.go
+++ b/internal/attempt/run_test.go
@@ -30,7 +30,7 @@
 	case Refused, Lost:
 		_ = s.tries.Sent() // Run asks for no more than the rules allow
 	}
-	return Result{Ending: ending, Upstream: "u", Unsent: s.unsent, Err: errFailed}
+	return Result{Status: ending, Upstream: "u", Unsent: s.unsent, Err: errFailed}
 }
 
 func clock() time.Duration { return 0 }
@@ -44,11 +44,11 @@
 
 func TestRunGoesOnUntilTheRequestIsOver(t *testing.T) {
 	s, result, verdict := run(Rules{Repeatable: true, MaxSends: 9}, NotReady, Refused, Lost, Over)
-	if s.made != 4 || result.Ending != Over || verdict != Go || s.tries.Runs() != 1 || s.tries.Sends() != 3 {
+	if s.made != 4 || result.Status != Over || verdict != Go || s.tries.Runs() != 1 || s.tries.Sends() != 3 {
 		t.Errorf("%d made, %+v, verdict %v, %d runs", s.made, result, verdict, s.tries.Runs())
 	}
 	s, result, _ = run(Rules{Repeatable: true, MaxSends: 9}, Refused, NoUpstream)
-	if s.made != 2 || result.Ending != NoUpstream || s.tries.Outcome() != outcome.NotRun || s.tries.LastError() == nil {
+	if s.made != 2 || result.Status != NoUpstream || s.tries.Outcome() != outcome.NotRun || s.tries.LastError() == nil {
 		t.Errorf("%d made, %+v, word %v", s.made, result, s.tries.Outcome())
 	}
 }
@@ -104,7 +104,7 @@
 			s := &scripted{tries: New(Rules{MaxSends: 5}), endings: []Status{ending, ending, Over}, unsent: unsent}
 			empty := NewBudget(retry.Rules{Max: 1}, retry.Backoff{}, meters, nil, 0)
 			result, verdict := s.tries.Run(context.Background(), empty, clock, s)
-			if unsent != (result.Ending == Over) || unsent == (verdict == Denied) {
+			if unsent != (result.Status == Over) || unsent == (verdict == Denied) {
 				t.Errorf("unsent %t, ending %v: %+v, verdict %v", unsent, ending, result, verdict)
 			}
 		}
@@ -119,7 +119,7 @@
 	unreachable := []Status{Refused, Refused, Refused, Refused, Refused, Over}
 	s := &scripted{tries: New(Rules{MaxSends: 4}), endings: unreachable, unsent: true}
 	result, _ := s.tries.Run(context.Background(), saved(100), clock, s)
-	if result.Ending != Over || s.made != len(unreachable) {
+	if result.Status != Over || s.made != len(unreachable) {
 		t.Errorf("%+v after %d attempts", result, s.made)
 	}
 	var all []Status
@@ -142,7 +142,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	result, _ := s.tries.Run(ctx, budget, clock, s)
-	if result.Ending != Over || s.left != 0 || s.tries.Outcome() == outcome.NotRun {
+	if result.Status != Over || s.left != 0 || s.tries.Outcome() == outcome.NotRun {
 		t.Errorf("%+v, %d left, word %v", result, s.left, s.tries.Outcome())
 	}
 }
@@ -157,12 +157,12 @@
 
 func (d *declining) Try(context.Context) Result {
 	if err := d.tries.Sent(); err != nil {
-		return Result{Ending: NoUpstream, Err: err}
+		return Result{Status: NoUpstream, Err: err}
 	}
 	if d.left == 0 {
 		d.tries.Answered()
-		return Result{Ending: Over}
+		return Result{Status: Over}
 	}
 	d.left--
-	return Result{Ending: Refused, Unsent: true, Declined: true, Upstream: "u", Err: errFailed}
+	return Result{Status: Refused, Unsent: true, Declined: true, Upstream: "u", Err: errFailed}
 }
--- a/internal/entry/generation.go
+++ b/internal/entry/generation.go
@@ -38,7 +38,7 @@
 		}
 	}
 	result, verdict := g.tries.Run(ctx, s.retries, s.now, g)
-	if result.Ending == attempt.Over {
+	if result.Status == attempt.Over {
 		return result.Err
 	}
 	if verdict == attempt.Denied {
@@ -80,7 +80,7 @@
 func (g *generation) Try(ctx context.Context) attempt.Result {
 	comp, s := g.comp, g.server
 	if s.contents.apart(comp.content) {
-		return attempt.Result{Ending: attempt.NoUpstream, Err: errSetApart}
+		return attempt.Result{Status: attempt.NoUpstream, Err: errSetApart}
 	}
 	placed, ok := s.state.assign(&placement.Request{
 		Model: comp.name, Adapter: comp.adapter, Version: comp.version,
@@ -88,21 +88,21 @@
 		Split: g.tries.Sends() == 0 && mayBeSplit(comp),
 	}, s.placement(comp))
 	if !ok {
-		return attempt.Result{Ending: attempt.NoUpstream}
+		return attempt.Result{Status: attempt.NoUpstream}
 	}
 	if err := g.tries.Sent(); err != nil {
-		return attempt.Result{Ending: attempt.Over, Err: err}
+		return attempt.Result{Status: attempt.Over, Err: err}
 	}
 	s.admitted(comp, placed)
 	failed, err := g.run(ctx, placed)
 	if ended(err) {
-		return attempt.Result{Ending: attempt.Over, Err: err}
+		return attempt.Result{Status: attempt.Over, Err: err}
 	}
 	s.log.Info("request: engine failed, trying another", "request", comp.id, "engine", failed, "error", err)
 	if ranNothing(err) && !g.Begun() {
-		return attempt.Result{Ending: attempt.Refused, Upstream: failed, Err: err}
+		return attempt.Result{Status: attempt.Refused, Upstream: failed, Err: err}
 	}
-	return attempt.Result{Ending: attempt.Lost, Upstream: failed, Err: err}
+	return attempt.Result{Status: attempt.Lost, Upstream: failed, Err: err}
 }
 
 // attach goes on with a stream that an engine still holds.
--- a/internal/entry/plain.go
+++ b/internal/entry/plain.go
@@ -136,7 +136,7 @@
 	tries := attempt.New(attempt.Rules{Repeatable: repeatable, MaxSends: s.settings.Engine.Attempts})
 	c := &serviceCall{server: s, service: svc, call: call, tries: tries}
 	result, verdict := tries.Run(ctx, s.retries, s.now, c)
-	if result.Ending == attempt.Over {
+	if result.Status == attempt.Over {
 		return c.answer, nil
 	}
 	if verdict == attempt.Denied {
@@ -156,12 +156,12 @@
 	s, request := c.server, uuid.NewString()
 	upstream, ok := s.state.placeCall(c.service, request, c.tries.Excluded(), s.now())
 	if !ok {
-		return attempt.Result{Ending: attempt.NoUpstream}
+		return attempt.Result{Status: attempt.NoUpstream}
 	}
 	id := servicePrefix + upstream.ID
 	defer func() { s.state.end(id, request, s.now()) }()
 	if err := c.tries.Sent(); err != nil {
-		return attempt.Result{Ending: attempt.NoUpstream, Err: err}
+		return attempt.Result{Status: attempt.NoUpstream, Err: err}
 	}
 	ctx, span := tracer().Start(ctx, "service call", trace.WithAttributes(attribute.String("upstream", upstream.ID)))
 	defer span.End()
@@ -170,16 +170,16 @@
 	case err == nil:
 		c.answer = answer
 		s.judge(id, load.VerdictGood)
-		return attempt.Result{Ending: attempt.Over}
+		return attempt.Result{Status: attempt.Over}
 	case errors.Is(err, service.ErrRefused):
 		s.judge(id, load.VerdictRefused)
 	case ctx.Err() == nil:
 		s.judge(id, load.VerdictFailed)
 	}
 	if errors.Is(err, service.ErrNotRun) {
-		return attempt.Result{Ending: attempt.Refused, Upstream: upstream.ID, Err: err}
+		return attempt.Result{Status: attempt.Refused, Upstream: upstream.ID, Err: err}
 	}
-	return attempt.Result{Ending: attempt.Lost, Upstream: upstream.ID, Err: err}
+	return attempt.Result{Status: attempt.Lost, Upstream: upstream.ID, Err: err}
 }
 
 // callRefusal turns an error of a call into the answer to the caller.
--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -39,7 +39,7 @@
 // allows.
 func (r *Relay) serveCall(ctx context.Context, x *exchange, w http.ResponseWriter) error {
 	result, _ := x.tries.Run(ctx, x.budget, r.now, &serviceCall{exchange: x, relay: r, w: w})
-	if result.Ending == attempt.Over {
+	if result.Status == attempt.Over {
 		return result.Err
 	}
 	return r.giveUp(ctx, x)
@@ -53,11 +53,11 @@
 func (c *serviceCall) Try(ctx context.Context) attempt.Result {
 	r := c.relay
 	if err := r.bar(c.exchange); err != nil {
-		return attempt.Result{Ending: attempt.NoUpstream, Err: err}
+		return attempt.Result{Status: attempt.NoUpstream, Err: err}
 	}
 	upstream, ok := r.picture.PickCall(c.ask(r.now()), r.now())
 	if !ok {
-		return attempt.Result{Ending: attempt.NoUpstream}
+		return attempt.Result{Status: attempt.NoUpstream}
 	}
 	defer func() { r.picture.End(upstream.ID, c.req.ID, r.now()) }()
 	got, err := r.callOnce(ctx, c.exchange, upstream)
@@ -69,7 +69,7 @@
 		got.reply.Body.Close()
 		return failure(upstream.ID, errors.Errorf("relay: the upstream answered %d", got.reply.Status))
 	}
-	return attempt.Result{Ending: attempt.Over, Err: deliver(c.w, c.exchange, got)}
+	return attempt.Result{Status: attempt.Over, Err: deliver(c.w, c.exchange, got)}
 }
 
 // shouldAskAnother tells whether a failure that the upstream answered with
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -74,9 +74,9 @@
 // failure is the result of an attempt that brought no whole answer.
 func failure(upstream string, err error) attempt.Result {
 	if ranNothing(err) {
-		return attempt.Result{Ending: attempt.Refused, Upstream: upstream, Unsent: errors.Is(err, ErrNotSent), Declined: errors.Is(err, ErrDeclined), Err: err}
+		return attempt.Result{Status: attempt.Refused, Upstream: upstream, Unsent: errors.Is(err, ErrNotSent), Declined: errors.Is(err, ErrDeclined), Err: err}
 	}
-	return attempt.Result{Ending: attempt.Lost, Upstream: upstream, Err: err}
+	return attempt.Result{Status: attempt.Lost, Upstream: upstream, Err: err}
 }
 
 // verdictOf is what an error tells of the upstream.
--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -49,7 +49,7 @@
 	}
 	defer r.free(g)
 	result, _ := x.tries.Run(ctx, x.budget, r.now, g)
-	if result.Ending == attempt.Over {
+	if result.Status == attempt.Over {
 		return result.Err
 	}
 	return g.ended(r.giveUp(ctx, x))
@@ -72,7 +72,7 @@
 // cache is left of the one before, and the answer generated.
 func (g *generation) Try(ctx context.Context) attempt.Result {
 	if err := g.relay.bar(g.exchange); err != nil {
-		return attempt.Result{Ending: attempt.NoUpstream, Err: err}
+		return attempt.Result{Status: attempt.NoUpstream, Err: err}
 	}
 	if g.begun {
 		g.relay.meters.resumed.Inc(1)
@@ -81,7 +81,7 @@
 		return g.goOn(ctx, id)
 	}
 	if g.kv.Handle == "" {
-		if result := g.prepare(ctx); result.Ending != attempt.Over {
+		if result := g.prepare(ctx); result.Status != attempt.Over {
 			return result
 		}
 	}
@@ -90,7 +90,7 @@
 	}
 	engine, ok := g.relay.pickDecode(g)
 	if !ok {
-		return attempt.Result{Ending: attempt.NoUpstream, Err: errors.WithMessage(ErrNotSent, "no engine to generate")}
+		return attempt.Result{Status: attempt.NoUpstream, Err: errors.WithMessage(ErrNotSent, "no engine to generate")}
 	}
 	return g.relay.run(ctx, g, placement.Start{Engine: engine})
 }
@@ -112,7 +112,7 @@
 	r := g.relay
 	engine := r.picture.PlaceOn(id, g.req.ID, r.now())
 	if engine.ID == "" {
-		return attempt.Result{Ending: attempt.NoUpstream, Err: errors.WithMessage(ErrNotSent, "the engine with the copy is gone")}
+		return attempt.Result{Status: attempt.NoUpstream, Err: errors.WithMessage(ErrNotSent, "the engine with the copy is gone")}
 	}
 	r.meters.copied.Inc(1)
 	g.kv, g.backup = KV{Engine: engine, Handle: g.req.ID}, upstreamstate.Upstream{}
@@ -126,26 +126,26 @@
 	r := g.relay
 	start, turn, ok := r.picture.PickStart(g.ask(r.now()), r.now())
 	if !ok {
-		return attempt.Result{Ending: attempt.NoUpstream, Err: errors.WithMessage(ErrNotSent, "no engine for the prompt")}
+		return attempt.Result{Status: attempt.NoUpstream, Err: errors.WithMessage(ErrNotSent, "no engine for the prompt")}
 	}
 	g.ahead, g.own, g.turn = start.Engine.Told.Ahead, start.Work, turn
 	if g.direct = start.Direct(); g.direct {
 		r.meters.direct.Inc(1)
 		g.start = start
-		return attempt.Result{Ending: attempt.Over}
+		return attempt.Result{Status: attempt.Over}
 	}
 	if !r.reserve(ctx, g) {
 		r.picture.PromptDone(start.Engine.ID, start.Work, turn)
 		r.picture.End(start.Engine.ID, g.req.ID, r.now())
-		return attempt.Result{Ending: attempt.NoUpstream, Err: errors.WithMessage(ErrLimited, "no room for the answer")}
+		return attempt.Result{Status: attempt.NoUpstream, Err: errors.WithMessage(ErrLimited, "no room for the answer")}
 	}
 	kv, err := r.prefillOn(ctx, g, start)
 	if err != nil {
 		r.blame(ctx, g.exchange, start.Engine.ID, err)
-		return attempt.Result{Ending: attempt.NotReady, Upstream: start.Engine.ID, Unsent: errors.Is(err, ErrNotSent), Declined: errors.Is(err, ErrDeclined), Err: err}
+		return attempt.Result{Status: attempt.NotReady, Upstream: start.Engine.ID, Unsent: errors.Is(err, ErrNotSent), Declined: errors.Is(err, ErrDeclined), Err: err}
 	}
 	g.kv = kv
-	return attempt.Result{Ending: attempt.Over}
+	return attempt.Result{Status: attempt.Over}
 }
 
 func (r *Relay) prefillOn(ctx context.Context, g *generation, start placement.Start) (KV, error) {
@@ -214,10 +214,10 @@
 	prompted := sync.OnceFunc(func() { r.picture.PromptDone(start.Engine.ID, start.Work, placement.TurnNext) })
 	defer prompted()
 	if err := r.bar(g.exchange); err != nil { // its prompt may have taken a while
-		return attempt.Result{Ending: attempt.NoUpstream, Err: err}
+		return attempt.Result{Status: attempt.NoUpstream, Err: err}
 	}
 	if err := g.sent(engine.ID); err != nil {
-		return attempt.Result{Ending: attempt.NoUpstream, Err: err}
+		return attempt.Result{Status: attempt.NoUpstream, Err: err}
 	}
 	running, stop := context.WithCancel(ctx)
 	defer stop()
@@ -264,7 +264,7 @@
 	if err != nil {
 		return failure(engine.ID, errors.WithMessage(ErrLost, err.Error()))
 	}
-	return attempt.Result{Ending: attempt.Over, Err: deliver(g.w, g.exchange, answer{reply: reply, first: first, whole: true})}
+	return attempt.Result{Status: attempt.Over, Err: deliver(g.w, g.exchange, answer{reply: reply, first: first, whole: true})}
 }
 
 // unanswered notes an engine that did not begin an answer. When it could not
@@ -301,9 +301,9 @@
 				Took: r.now() - began, Slot: r.now() - started,
 			}, r.now())
 		}
-		return attempt.Result{Ending: attempt.Over}
+		return attempt.Result{Status: attempt.Over}
 	case errors.Is(err, ErrCallerGone) || errors.Is(ctx.Err(), context.Canceled):
-		return attempt.Result{Ending: attempt.Over, Err: ErrCallerGone}
+		return attempt.Result{Status: attempt.Over, Err: ErrCallerGone}
 	}
 	if g.backup.ID != "" && g.lastEvent != "" {
 		g.tries.SetBackup(g.backup.ID)
