--- a/internal/attempt/run.go
+++ b/internal/attempt/run.go
@@ -9,9 +9,9 @@
 type Status int
 
 const (
-	// Over: the request has its end. The caller has an answer, whole or broken
+	// Done: the request has its end. The caller has an answer, whole or broken
 	// off, or has gone.
-	Over Status = iota
+	Done Status = iota
 	// NoUpstream: there is none left to ask.
 	NoUpstream
 	// NotReady: the upstream could not be readied; nothing was sent that runs.
@@ -66,7 +66,7 @@
 		case NoUpstream:
 			a.note(last.Err)
 			return last, Go
-		case Over:
+		case Done:
 			return last, Go
 		}
 		if last.Unsent {
--- a/internal/attempt/run_test.go
+++ b/internal/attempt/run_test.go
@@ -43,8 +43,8 @@
 }
 
 func TestRunGoesOnUntilTheRequestIsOver(t *testing.T) {
-	s, result, verdict := run(Rules{Repeatable: true, MaxSends: 9}, NotReady, Refused, Lost, Over)
-	if s.made != 4 || result.Status != Over || verdict != Go || s.tries.Runs() != 1 || s.tries.Sends() != 3 {
+	s, result, verdict := run(Rules{Repeatable: true, MaxSends: 9}, NotReady, Refused, Lost, Done)
+	if s.made != 4 || result.Status != Done || verdict != Go || s.tries.Runs() != 1 || s.tries.Sends() != 3 {
 		t.Errorf("%d made, %+v, verdict %v, %d runs", s.made, result, verdict, s.tries.Runs())
 	}
 	s, result, _ = run(Rules{Repeatable: true, MaxSends: 9}, Refused, NoUpstream)
@@ -101,10 +101,10 @@
 func TestWhatWasNotSentTakesNoBudget(t *testing.T) {
 	for _, unsent := range []bool{true, false} {
 		for _, ending := range []Status{Refused, NotReady} {
-			s := &scripted{tries: New(Rules{MaxSends: 5}), endings: []Status{ending, ending, Over}, unsent: unsent}
+			s := &scripted{tries: New(Rules{MaxSends: 5}), endings: []Status{ending, ending, Done}, unsent: unsent}
 			empty := NewBudget(retry.Rules{Max: 1}, retry.Backoff{}, meters, nil, 0)
 			result, verdict := s.tries.Run(context.Background(), empty, clock, s)
-			if unsent != (result.Status == Over) || unsent == (verdict == Denied) {
+			if unsent != (result.Status == Done) || unsent == (verdict == Denied) {
 				t.Errorf("unsent %t, ending %v: %+v, verdict %v", unsent, ending, result, verdict)
 			}
 		}
@@ -116,10 +116,10 @@
 // four connections in a row that were refused within some milliseconds, though other
 // engines took requests.
 func TestUpstreamsThatCannotBeReachedDoNotEndARequest(t *testing.T) {
-	unreachable := []Status{Refused, Refused, Refused, Refused, Refused, Over}
+	unreachable := []Status{Refused, Refused, Refused, Refused, Refused, Done}
 	s := &scripted{tries: New(Rules{MaxSends: 4}), endings: unreachable, unsent: true}
 	result, _ := s.tries.Run(context.Background(), saved(100), clock, s)
-	if result.Status != Over || s.made != len(unreachable) {
+	if result.Status != Done || s.made != len(unreachable) {
 		t.Errorf("%+v after %d attempts", result, s.made)
 	}
 	var all []Status
@@ -142,7 +142,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	result, _ := s.tries.Run(ctx, budget, clock, s)
-	if result.Status != Over || s.left != 0 || s.tries.Outcome() == outcome.NotRun {
+	if result.Status != Done || s.left != 0 || s.tries.Outcome() == outcome.NotRun {
 		t.Errorf("%+v, %d left, word %v", result, s.left, s.tries.Outcome())
 	}
 }
@@ -161,7 +161,7 @@
 	}
 	if d.left == 0 {
 		d.tries.Answered()
-		return Result{Status: Over}
+		return Result{Status: Done}
 	}
 	d.left--
 	return Result{Status: Refused, Unsent: true, Declined: true, Upstream: "u", Err: errFailed}
--- a/internal/entry/generation.go
+++ b/internal/entry/generation.go
@@ -38,7 +38,7 @@
 		}
 	}
 	result, verdict := g.tries.Run(ctx, s.retries, s.now, g)
-	if result.Status == attempt.Over {
+	if result.Status == attempt.Done {
 		return result.Err
 	}
 	if verdict == attempt.Denied {
@@ -91,12 +91,12 @@
 		return attempt.Result{Status: attempt.NoUpstream}
 	}
 	if err := g.tries.Sent(); err != nil {
-		return attempt.Result{Status: attempt.Over, Err: err}
+		return attempt.Result{Status: attempt.Done, Err: err}
 	}
 	s.admitted(comp, placed)
 	failed, err := g.run(ctx, placed)
 	if ended(err) {
-		return attempt.Result{Status: attempt.Over, Err: err}
+		return attempt.Result{Status: attempt.Done, Err: err}
 	}
 	s.log.Info("request: engine failed, trying another", "request", comp.id, "engine", failed, "error", err)
 	if ranNothing(err) && !g.Begun() {
--- a/internal/entry/plain.go
+++ b/internal/entry/plain.go
@@ -136,7 +136,7 @@
 	tries := attempt.New(attempt.Rules{Repeatable: repeatable, MaxSends: s.settings.Engine.Attempts})
 	c := &serviceCall{server: s, service: svc, call: call, tries: tries}
 	result, verdict := tries.Run(ctx, s.retries, s.now, c)
-	if result.Status == attempt.Over {
+	if result.Status == attempt.Done {
 		return c.answer, nil
 	}
 	if verdict == attempt.Denied {
@@ -170,7 +170,7 @@
 	case err == nil:
 		c.answer = answer
 		s.judge(id, load.VerdictGood)
-		return attempt.Result{Status: attempt.Over}
+		return attempt.Result{Status: attempt.Done}
 	case errors.Is(err, service.ErrRefused):
 		s.judge(id, load.VerdictRefused)
 	case ctx.Err() == nil:
--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -39,7 +39,7 @@
 // allows.
 func (r *Relay) serveCall(ctx context.Context, x *exchange, w http.ResponseWriter) error {
 	result, _ := x.tries.Run(ctx, x.budget, r.now, &serviceCall{exchange: x, relay: r, w: w})
-	if result.Status == attempt.Over {
+	if result.Status == attempt.Done {
 		return result.Err
 	}
 	return r.giveUp(ctx, x)
@@ -69,7 +69,7 @@
 		got.reply.Body.Close()
 		return failure(upstream.ID, errors.Errorf("relay: the upstream answered %d", got.reply.Status))
 	}
-	return attempt.Result{Status: attempt.Over, Err: deliver(c.w, c.exchange, got)}
+	return attempt.Result{Status: attempt.Done, Err: deliver(c.w, c.exchange, got)}
 }
 
 // shouldAskAnother tells whether a failure that the upstream answered with
--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -49,7 +49,7 @@
 	}
 	defer r.free(g)
 	result, _ := x.tries.Run(ctx, x.budget, r.now, g)
-	if result.Status == attempt.Over {
+	if result.Status == attempt.Done {
 		return result.Err
 	}
 	return g.ended(r.giveUp(ctx, x))
@@ -81,7 +81,7 @@
 		return g.goOn(ctx, id)
 	}
 	if g.kv.Handle == "" {
-		if result := g.prepare(ctx); result.Status != attempt.Over {
+		if result := g.prepare(ctx); result.Status != attempt.Done {
 			return result
 		}
 	}
@@ -132,7 +132,7 @@
 	if g.direct = start.Direct(); g.direct {
 		r.meters.direct.Inc(1)
 		g.start = start
-		return attempt.Result{Status: attempt.Over}
+		return attempt.Result{Status: attempt.Done}
 	}
 	if !r.reserve(ctx, g) {
 		r.picture.PromptDone(start.Engine.ID, start.Work, turn)
@@ -145,7 +145,7 @@
 		return attempt.Result{Status: attempt.NotReady, Upstream: start.Engine.ID, Unsent: errors.Is(err, ErrNotSent), Declined: errors.Is(err, ErrDeclined), Err: err}
 	}
 	g.kv = kv
-	return attempt.Result{Status: attempt.Over}
+	return attempt.Result{Status: attempt.Done}
 }
 
 func (r *Relay) prefillOn(ctx context.Context, g *generation, start placement.Start) (KV, error) {
@@ -264,7 +264,7 @@
 	if err != nil {
 		return failure(engine.ID, errors.WithMessage(ErrLost, err.Error()))
 	}
-	return attempt.Result{Status: attempt.Over, Err: deliver(g.w, g.exchange, answer{reply: reply, first: first, whole: true})}
+	return attempt.Result{Status: attempt.Done, Err: deliver(g.w, g.exchange, answer{reply: reply, first: first, whole: true})}
 }
 
 // unanswered notes an engine that did not begin an answer. When it could not
@@ -301,9 +301,9 @@
 				Took: r.now() - began, Slot: r.now() - started,
 			}, r.now())
 		}
-		return attempt.Result{Status: attempt.Over}
+		return attempt.Result{Status: attempt.Done}
 	case errors.Is(err, ErrCallerGone) || errors.Is(ctx.Err(), context.Canceled):
-		return attempt.Result{Status: attempt.Over, Err: ErrCallerGone}
+		return attempt.Result{Status: attempt.Done, Err: ErrCallerGone}
 	}
 	if g.backup.ID != "" && g.lastEvent != "" {
 		g.tries.SetBackup(g.backup.ID)
