--- a/internal/attempt/run.go
+++ b/internal/attempt/run.go
@@ -37,8 +37,8 @@
 	Err error
 }
 
-// Path is a request's way to an upstream and back, as its protocol has it.
-type Path interface {
+// Call is a request's way to an upstream and back, as its protocol has it.
+type Call interface {
 	// Begun tells whether the caller has a part of the answer.
 	Begun() bool
 	// Try makes one attempt: it chooses an upstream, notes the send with Sent
@@ -50,7 +50,7 @@
 // further one is allowed. It returns the last result, and the verdict that
 // stopped it: Go when that was the result. Unless the result is Over, the caller
 // is still to be told, and Word is what may be said.
-func (a *Attempts) Run(ctx context.Context, b *Budget, now func() time.Duration, p Path) (Result, Verdict) {
+func (a *Attempts) Run(ctx context.Context, b *Budget, now func() time.Duration, p Call) (Result, Verdict) {
 	var last Result
 	for {
 		verdict := a.Next(ctx, b, p.Begun(), now())
