--- a/internal/attempt/attempt_test.go
+++ b/internal/attempt/attempt_test.go
@@ -96,7 +96,7 @@
 func TestTheBudgetDeniesFurtherSendsAlone(t *testing.T) {
 	empty := NewBudget(retry.Rules{Max: 1}, retry.Backoff{}, meters, nil, 0)
 	a := New(Rules{Repeatable: true, MaxSends: 5})
-	if v := a.Next(context.Background(), empty, false, 0); v != Go {
+	if v := a.Next(context.Background(), empty, false, 0); v != Proceed {
 		t.Fatalf("the first send: %v", v)
 	}
 	_ = a.Sent() // repeatable
@@ -104,7 +104,7 @@
 	if v := a.Next(context.Background(), empty, false, 0); v != Denied {
 		t.Errorf("the second send: %v", v)
 	}
-	if v := a.Next(context.Background(), empty, true, 0); v != Go {
+	if v := a.Next(context.Background(), empty, true, 0); v != Proceed {
 		t.Errorf("an answer that has begun: %v", v)
 	}
 	full := saved(1)
--- a/internal/attempt/budget.go
+++ b/internal/attempt/budget.go
@@ -102,8 +102,8 @@
 type Verdict int
 
 const (
-	// Go on.
-	Go Verdict = iota
+	// Proceed on.
+	Proceed Verdict = iota
 	// Spent: the rules or the time allow no more.
 	Spent
 	// Denied by the budget.
@@ -117,7 +117,7 @@
 		return Spent
 	}
 	if a.sends == 0 {
-		return Go
+		return Proceed
 	}
 	if !a.prepaid && !b.Spend(ctx, begun, now) {
 		b.meters.Denied.Inc(1)
@@ -126,13 +126,13 @@
 	a.prepaid = false
 	if a.atOnce {
 		a.atOnce = false
-		return Go
+		return Proceed
 	}
 	if !pause.For(ctx, b.delay(a.sends)) {
 		return Spent
 	}
 	b.meters.Retries.Inc(1)
-	return Go
+	return Proceed
 }
 
 // Prepay takes the next send from the budget now; false means that there will
--- a/internal/attempt/run.go
+++ b/internal/attempt/run.go
@@ -54,7 +54,7 @@
 	var last Result
 	for {
 		verdict := a.Next(ctx, b, p.Begun(), now())
-		if verdict != Go {
+		if verdict != Proceed {
 			return last, verdict
 		}
 		last = p.Try(ctx)
@@ -65,9 +65,9 @@
 			a.Failed(last.Upstream, last.Status == Refused, last.Err)
 		case NoUpstream:
 			a.note(last.Err)
-			return last, Go
+			return last, Proceed
 		case Done:
-			return last, Go
+			return last, Proceed
 		}
 		if last.Unsent {
 			a.prepaid, a.atOnce = true, last.Declined
--- a/internal/attempt/run_test.go
+++ b/internal/attempt/run_test.go
@@ -44,7 +44,7 @@
 
 func TestRunGoesOnUntilTheRequestIsOver(t *testing.T) {
 	s, result, verdict := run(Rules{Repeatable: true, MaxSends: 9}, NotReady, Refused, Lost, Done)
-	if s.made != 4 || result.Status != Done || verdict != Go || s.tries.Runs() != 1 || s.tries.Sends() != 3 {
+	if s.made != 4 || result.Status != Done || verdict != Proceed || s.tries.Runs() != 1 || s.tries.Sends() != 3 {
 		t.Errorf("%d made, %+v, verdict %v, %d runs", s.made, result, verdict, s.tries.Runs())
 	}
 	s, result, _ = run(Rules{Repeatable: true, MaxSends: 9}, Refused, NoUpstream)
