--- a/internal/attempt/attempt_test.go
+++ b/internal/attempt/attempt_test.go
@@ -117,7 +117,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Millisecond)
 	defer cancel()
 	<-ctx.Done()
-	if v := New(Rules{MaxSends: 1}).Next(ctx, nil, false, 0); v != Spent {
+	if v := New(Rules{MaxSends: 1}).Next(ctx, nil, false, 0); v != Exhausted {
 		t.Errorf("%v", v)
 	}
 }
--- a/internal/attempt/budget.go
+++ b/internal/attempt/budget.go
@@ -104,8 +104,8 @@
 const (
 	// Proceed on.
 	Proceed Verdict = iota
-	// Spent: the rules or the time allow no more.
-	Spent
+	// Exhausted: the rules or the time allow no more.
+	Exhausted
 	// Denied by the budget.
 	Denied
 )
@@ -114,7 +114,7 @@
 // backoff says. The first send is always allowed.
 func (a *Attempts) Next(ctx context.Context, b *Budget, begun bool, now time.Duration) Verdict {
 	if ctx.Err() != nil || !a.MaySend() {
-		return Spent
+		return Exhausted
 	}
 	if a.sends == 0 {
 		return Proceed
@@ -129,7 +129,7 @@
 		return Proceed
 	}
 	if !pause.For(ctx, b.delay(a.sends)) {
-		return Spent
+		return Exhausted
 	}
 	b.meters.Retries.Inc(1)
 	return Proceed
--- a/internal/attempt/run_test.go
+++ b/internal/attempt/run_test.go
@@ -65,7 +65,7 @@
 				lost++
 			}
 		}
-		if lost > 1 || lost == 1 && endings[s.made-1] != Lost || verdict != Spent {
+		if lost > 1 || lost == 1 && endings[s.made-1] != Lost || verdict != Exhausted {
 			t.Fatalf("%v: %d made, verdict %v", endings, s.made, verdict)
 		}
 		if (lost == 0) != (s.tries.Outcome() == outcome.NotRun) {
@@ -127,7 +127,7 @@
 		all = append(all, NotReady)
 	}
 	s = &scripted{tries: New(Rules{MaxSends: 4}), endings: all, unsent: true}
-	if _, verdict := s.tries.Run(context.Background(), saved(100), clock, s); verdict != Spent || s.made != maxUnsent {
+	if _, verdict := s.tries.Run(context.Background(), saved(100), clock, s); verdict != Exhausted || s.made != maxUnsent {
 		t.Errorf("verdict %v after %d attempts, want an end after %d", verdict, s.made, maxUnsent)
 	}
 }
