--- a/internal/attempt/budget.go
+++ b/internal/attempt/budget.go
@@ -67,15 +67,15 @@
 
 // Spend takes one further send from this budget or from the pool.
 func (b *Budget) Spend(ctx context.Context, begun bool, now time.Duration) bool {
-	if b.Take(begun, now) {
+	if b.SpendLocal(begun, now) {
 		return true
 	}
 	return b.pool != nil && b.pool.Ask(ctx)
 }
 
-// Take spends one further send. An answer that has begun is gone on with
+// SpendLocal spends one further send. An answer that has begun is gone on with
 // whatever is left.
-func (b *Budget) Take(begun bool, now time.Duration) bool {
+func (b *Budget) SpendLocal(begun bool, now time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if begun {
--- a/internal/relay/budget_test.go
+++ b/internal/relay/budget_test.go
@@ -241,7 +241,7 @@
 	quiet(0, 20*time.Second)
 	alone, both := 0, 0
 	for i := range failing {
-		first := s.budgets[i].of("desk", s.now).Take(false, s.now)
+		first := s.budgets[i].of("desk", s.now).SpendLocal(false, s.now)
 		second := s.budgets[i].of("desk", s.now).Spend(context.Background(), false, s.now)
 		if first {
 			alone++
