--- a/internal/attempt/budget.go
+++ b/internal/attempt/budget.go
@@ -58,8 +58,8 @@
 	b.spilled += b.budget.Succeeded(now)
 }
 
-// Spilled is what was paid in beyond what can be saved up here, since the start.
-func (b *Budget) Spilled() float64 {
+// Overflow is what was paid in beyond what can be saved up here, since the start.
+func (b *Budget) Overflow() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.spilled
--- a/internal/relay/budget.go
+++ b/internal/relay/budget.go
@@ -95,7 +95,7 @@
 	defer b.mu.Unlock()
 	all := make(map[uint32]float64, len(b.all))
 	for service, budget := range b.all {
-		if spilled := budget.Spilled(); spilled > 0 {
+		if spilled := budget.Overflow(); spilled > 0 {
 			all[hashOf(service)] = spilled
 		}
 	}
