--- a/internal/attempt/budget.go
+++ b/internal/attempt/budget.go
@@ -14,8 +14,8 @@
 
 // Pool gives further sends to those whose own part of them is spent.
 type Pool interface {
-	// Ask takes one; false means that there is none, or no word in time.
-	Ask(ctx context.Context) bool
+	// Acquire takes one; false means that there is none, or no word in time.
+	Acquire(ctx context.Context) bool
 }
 
 // Budget bounds the further sends of many requests. It is safe for use by
@@ -70,7 +70,7 @@
 	if b.SpendLocal(begun, now) {
 		return true
 	}
-	return b.pool != nil && b.pool.Ask(ctx)
+	return b.pool != nil && b.pool.Acquire(ctx)
 }
 
 // SpendLocal spends one further send. An answer that has begun is gone on with
--- a/internal/relay/budget.go
+++ b/internal/relay/budget.go
@@ -111,8 +111,8 @@
 	ask     func(ctx context.Context, service uint32) bool
 }
 
-// Ask implements attempt.Pool.
-func (p pooled) Ask(ctx context.Context) bool { return p.ask(ctx, p.service) }
+// Acquire implements attempt.Pool.
+func (p pooled) Acquire(ctx context.Context) bool { return p.ask(ctx, p.service) }
 
 // of returns a service's budget. A new one has nothing saved up: the process whose
 // place this one took may have spent the window's.
