--- a/internal/attempt/budget.go
+++ b/internal/attempt/budget.go
@@ -79,7 +79,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if begun {
-		b.budget.Force(now)
+		b.budget.ForceTake(now)
 		return true
 	}
 	return b.budget.Take(now)
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -60,9 +60,9 @@
 	return true
 }
 
-// Force spends one retry whatever is left, for an answer that has begun. The
+// ForceTake spends one retry whatever is left, for an answer that has begun. The
 // debt is bounded, and keeps other retries back until it is paid.
-func (b *Budget) Force(now time.Duration) {
+func (b *Budget) ForceTake(now time.Duration) {
 	b.refill(now)
 	b.balance = max(-b.rules.Max, b.balance-1)
 }
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -52,7 +52,7 @@
 	}
 	now := 10 * time.Second
 	for range 3 {
-		budget.Force(now)
+		budget.ForceTake(now)
 	}
 	if budget.Take(now) {
 		t.Fatal("a retry was granted in debt")
