--- a/internal/control/roles.go
+++ b/internal/control/roles.go
@@ -63,7 +63,7 @@
 		pool := &doc.Pools[i]
 		state := r.pool(pool)
 		auth, held := r.daemon.leases.held(pool.Name)
-		if !held || roles.BoundsOf(pool).Forbidden() {
+		if !held || roles.BoundsOf(pool).ForbidsChanges() {
 			state.epoch = 0
 			continue
 		}
--- a/internal/roles/roles.go
+++ b/internal/roles/roles.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// Forbidden tells whether the bounds allow no change at all.
-func (b Bounds) Forbidden() bool {
+// ForbidsChanges tells whether the bounds allow no change at all.
+func (b Bounds) ForbidsChanges() bool {
 	return b.MinPrefill == 0 && b.MaxPrefill == 0 && b.MinDecode == 0
 }
 
@@ -156,7 +156,7 @@
 // what to do. The same arguments give the same result.
 func Decide(settings Settings, state State, obs Observation, now time.Duration) (State, Decision) {
 	state.cost = state.cost.observe(obs)
-	if obs.Bounds.Forbidden() {
+	if obs.Bounds.ForbidsChanges() {
 		return state.forget(), Decision{Reason: ReasonForbidden}
 	}
 	if now-obs.At > settings.StaleAfter {
--- a/internal/roles/roles_test.go
+++ b/internal/roles/roles_test.go
@@ -258,7 +258,7 @@
 	switch {
 	case busy:
 		t.Fatalf("%+v while another change is under way", *c)
-	case p.bounds.Forbidden():
+	case p.bounds.ForbidsChanges():
 		t.Fatalf("%+v though the bounds forbid all", *c)
 	case age > p.settings.StaleAfter:
 		t.Fatalf("%+v on an observation of %s ago", *c, age)
