--- a/internal/roles/balance_test.go
+++ b/internal/roles/balance_test.go
@@ -125,8 +125,8 @@
 
 func TestUseIsSmoothed(t *testing.T) {
 	engines := []Engine{
-		{ID: "p", Role: config.RolePrefill, Use: 0.7}, {ID: "q", Role: config.RolePrefill, Use: 0.3, Running: 1},
-		{ID: "d", Role: config.RoleDecode, Running: 8, Use: 0.5},
+		{ID: "p", Role: config.RolePrefill, PrefillUtilization: 0.7}, {ID: "q", Role: config.RolePrefill, PrefillUtilization: 0.3, Running: 1},
+		{ID: "d", Role: config.RoleDecode, Running: 8, PrefillUtilization: 0.5},
 	}
 	const over = 6 * time.Second
 	var u Use
--- a/internal/roles/roles.go
+++ b/internal/roles/roles.go
@@ -40,9 +40,9 @@
 	ID string
 	// Zone is looked at by Target alone.
 	Zone string
-	// Use is the part of the engine's time that its prompts take, above 1 when
-	// they are more than it can process. Looked at by Use alone.
-	Use  float64
+	// PrefillUtilization is the part of the engine's time that its prompts take, above 1 when
+	// they are more than it can process. Looked at by PrefillUtilization alone.
+	PrefillUtilization  float64
 	Role config.Role
 	// Serving is true when the configuration routes to the engine.
 	Serving bool
--- a/internal/roles/use.go
+++ b/internal/roles/use.go
@@ -31,10 +31,10 @@
 	var now Use
 	for _, e := range engines {
 		if e.Role == config.RolePrefill {
-			now.Prompts += e.Use
+			now.Prompts += e.PrefillUtilization
 			continue
 		}
-		now.Direct += e.Use
+		now.Direct += e.PrefillUtilization
 		now.Generations += float64(e.Running)
 	}
 	weight := 1.0
