--- a/internal/model/keeper.go
+++ b/internal/model/keeper.go
@@ -11,7 +11,7 @@
 // keeper is what the instance that keeps the split knows.
 type keeper struct {
 	target   roles.Target
-	use      roles.Use
+	use      roles.Workload
 	follower roles.Follower
 }
 
--- a/internal/rolekeeper/rolekeeper.go
+++ b/internal/rolekeeper/rolekeeper.go
@@ -117,7 +117,7 @@
 	watches bool
 	// use is what the engines of each service are used for. Those who watch the
 	// lease measure it, so that the next holder knows.
-	use        map[string]roles.Use
+	use        map[string]roles.Workload
 	measuredAt time.Duration
 	// lookedAt is when the last look was, sinceLook the time from the one before
 	// to it.
@@ -143,7 +143,7 @@
 	return &Keeper{
 		settings: s, table: table, orderer: orderer, view: view, duties: duties, log: log,
 		machine: lease.New(self, leaseSettings(s.Lease), uuid.NewString),
-		pending: map[string]pending{}, announced: map[string]announced{}, services: map[string]*duty{}, use: map[string]roles.Use{},
+		pending: map[string]pending{}, announced: map[string]announced{}, services: map[string]*duty{}, use: map[string]roles.Workload{},
 	}
 }
 
--- a/internal/roles/balance.go
+++ b/internal/roles/balance.go
@@ -65,7 +65,7 @@
 // prefill role, and stands for the time since the one before. It returns the
 // follower after the look and the target. Engines that are on their way to the
 // target tell nothing of it.
-func (f Follower) Look(b Balance, t Target, u Use, prefill, total int, since time.Duration) (Follower, Target) {
+func (f Follower) Look(b Balance, t Target, u Workload, prefill, total int, since time.Duration) (Follower, Target) {
 	wanted := t.Count(total)
 	off := prefill - wanted
 	if u.span < b.Over || prefill == 0 || prefill == total || off > near || off < -near {
@@ -85,7 +85,7 @@
 // best returns the number of engines in prefill, within a move's reach of the
 // target, that has the fewest requests, and by what part they are fewer than with
 // the target.
-func (b Balance) best(t Target, u Use, prefill, total int) (int, float64) {
+func (b Balance) best(t Target, u Workload, prefill, total int) (int, float64) {
 	tokens := b.tokens(u, total-prefill)
 	wanted := t.Count(total)
 	now := b.requests(u, tokens, wanted, total)
@@ -102,7 +102,7 @@
 
 // leastDecode is the fewest engines left to generate that have slots for the
 // requests which generate now.
-func (b Balance) leastDecode(t Target, u Use) int {
+func (b Balance) leastDecode(t Target, u Workload) int {
 	if b.Slots == 0 {
 		return t.MinDecode
 	}
@@ -114,7 +114,7 @@
 
 // tokens is the number of tokens a millisecond that the requests get on so many
 // decode engines: what time the prompts there leave, over the time of a step.
-func (b Balance) tokens(u Use, decode int) float64 {
+func (b Balance) tokens(u Workload, decode int) float64 {
 	batch := u.Generations / float64(decode)
 	left := max(0, 1-u.Direct/float64(decode))
 	return u.Generations * left / (b.Step + b.StepPerRequest*batch)
@@ -123,7 +123,7 @@
 // requests predicts the requests at a time with n of the engines in prefill: the
 // prompts by the mean of a queue, the answers from the tokens that they are to
 // get in the time that prompts leave the other engines.
-func (b Balance) requests(u Use, tokens float64, n, total int) float64 {
+func (b Balance) requests(u Workload, tokens float64, n, total int) float64 {
 	decode := float64(total - n)
 	prompts := u.Prompts / float64(n)
 	answers := (u.Direct + b.StepPerRequest*tokens) / decode
--- a/internal/roles/balance_test.go
+++ b/internal/roles/balance_test.go
@@ -23,12 +23,12 @@
 func started() Target { return Target{Share: 11.0 / 18, MinDecode: 2} }
 
 // used is a measurement that counts.
-func used(prompts, generations, direct float64) Use {
-	return Use{Prompts: prompts, Generations: generations, Direct: direct, span: DefaultBalance().Over}
+func used(prompts, generations, direct float64) Workload {
+	return Workload{Prompts: prompts, Generations: generations, Direct: direct, span: DefaultBalance().Over}
 }
 
 // follow looks at the same use for a minute, or until the target moves.
-func follow(u Use, prefill, total int) Target {
+func follow(u Workload, prefill, total int) Target {
 	target := started()
 	target.Share = float64(prefill) / float64(total)
 	before := target
@@ -129,7 +129,7 @@
 		{ID: "d", Role: config.RoleDecode, Running: 8, PrefillUtilization: 0.5},
 	}
 	const over = 6 * time.Second
-	var u Use
+	var u Workload
 	for range 100 {
 		u = u.Add(engines, 100*time.Millisecond, over)
 	}
--- a/internal/roles/use.go
+++ b/internal/roles/use.go
@@ -7,8 +7,8 @@
 	"sassafrasfield/internal/config"
 )
 
-// Use is what the engines of a service are used for, smoothed over time.
-type Use struct {
+// Workload is what the engines of a service are used for, smoothed over time.
+type Workload struct {
 	// Prompts is how many prefill engines' time the prompts take.
 	Prompts float64
 	// Generations is the number of requests at a time on the other engines,
@@ -20,15 +20,15 @@
 
 // Moved returns the measurement after the split has changed: it has to follow for
 // a while before it is known again.
-func (u Use) Moved() Use {
+func (u Workload) Moved() Workload {
 	u.span /= 2
 	return u
 }
 
 // Add takes a look at the engines that stands for the time since the one before,
 // and fades to a third over a time. Until then it is the mean of all looks.
-func (u Use) Add(engines []Engine, since, over time.Duration) Use {
-	var now Use
+func (u Workload) Add(engines []Engine, since, over time.Duration) Workload {
+	var now Workload
 	for _, e := range engines {
 		if e.Role == config.RolePrefill {
 			now.Prompts += e.PrefillUtilization
