--- a/internal/roles/balance.go
+++ b/internal/roles/balance.go
@@ -125,9 +125,9 @@
 // get in the time that prompts leave the other engines.
 func (b Balance) requests(u Workload, tokens float64, n, total int) float64 {
 	decode := float64(total - n)
-	prompts := u.Prompts / float64(n)
+	prompts := u.PrefillLoad / float64(n)
 	answers := (u.Direct + b.StepPerRequest*tokens) / decode
-	return u.Prompts + b.Wait*u.Prompts*(crowding(prompts)-1) + b.Step*tokens*crowding(answers)
+	return u.PrefillLoad + b.Wait*u.PrefillLoad*(crowding(prompts)-1) + b.Step*tokens*crowding(answers)
 }
 
 // nearlyFull is the part of an engine's time above which crowding goes on along
--- a/internal/roles/use.go
+++ b/internal/roles/use.go
@@ -9,8 +9,8 @@
 
 // Workload is what the engines of a service are used for, smoothed over time.
 type Workload struct {
-	// Prompts is how many prefill engines' time the prompts take.
-	Prompts float64
+	// PrefillLoad is how many prefill engines' time the prompts take.
+	PrefillLoad float64
 	// Generations is the number of requests at a time on the other engines,
 	// Direct how many of these engines' time their prompts take.
 	Generations, Direct float64
@@ -31,7 +31,7 @@
 	var now Workload
 	for _, e := range engines {
 		if e.Role == config.RolePrefill {
-			now.Prompts += e.PrefillUtilization
+			now.PrefillLoad += e.PrefillUtilization
 			continue
 		}
 		now.Direct += e.PrefillUtilization
@@ -41,7 +41,7 @@
 	if u.span > 0 {
 		weight = 1 - math.Exp(-since.Seconds()/(u.span+since).Seconds())
 	}
-	u.Prompts += weight * (now.Prompts - u.Prompts)
+	u.PrefillLoad += weight * (now.PrefillLoad - u.PrefillLoad)
 	u.Direct += weight * (now.Direct - u.Direct)
 	u.Generations += weight * (now.Generations - u.Generations)
 	u.span = min(u.span+since, over)
