--- a/internal/rolekeeper/use.go
+++ b/internal/rolekeeper/use.go
@@ -67,6 +67,6 @@
 	}
 	d.target, d.wrong = target, k.settings.Confirm // what was measured over seconds needs no further looks
 	k.log.Info("roles: the wanted split follows the use", "service", service, "engines", len(engines), "prefill", prefill,
-		"wanted_before", before, "wanted", after, "prompts", use.PrefillLoad, "generations", use.Generations, "direct", use.Direct)
+		"wanted_before", before, "wanted", after, "prompts", use.PrefillLoad, "generations", use.Generations, "direct", use.DirectPrefillLoad)
 	k.use[service] = use.Moved()
 }
--- a/internal/roles/balance.go
+++ b/internal/roles/balance.go
@@ -116,7 +116,7 @@
 // decode engines: what time the prompts there leave, over the time of a step.
 func (b Balance) tokens(u Workload, decode int) float64 {
 	batch := u.Generations / float64(decode)
-	left := max(0, 1-u.Direct/float64(decode))
+	left := max(0, 1-u.DirectPrefillLoad/float64(decode))
 	return u.Generations * left / (b.Step + b.StepPerRequest*batch)
 }
 
@@ -126,7 +126,7 @@
 func (b Balance) requests(u Workload, tokens float64, n, total int) float64 {
 	decode := float64(total - n)
 	prompts := u.PrefillLoad / float64(n)
-	answers := (u.Direct + b.StepPerRequest*tokens) / decode
+	answers := (u.DirectPrefillLoad + b.StepPerRequest*tokens) / decode
 	return u.PrefillLoad + b.Wait*u.PrefillLoad*(crowding(prompts)-1) + b.Step*tokens*crowding(answers)
 }
 
--- a/internal/roles/balance_test.go
+++ b/internal/roles/balance_test.go
@@ -24,7 +24,7 @@
 
 // used is a measurement that counts.
 func used(prompts, generations, direct float64) Workload {
-	return Workload{PrefillLoad: prompts, Generations: generations, Direct: direct, span: DefaultBalance().Over}
+	return Workload{PrefillLoad: prompts, Generations: generations, DirectPrefillLoad: direct, span: DefaultBalance().Over}
 }
 
 // follow looks at the same use for a minute, or until the target moves.
@@ -133,7 +133,7 @@
 	for range 100 {
 		u = u.Add(engines, 100*time.Millisecond, over)
 	}
-	if u.span != over || math.Abs(u.PrefillLoad-1) > 1e-9 || math.Abs(u.Generations-8) > 1e-9 || math.Abs(u.Direct-0.5) > 1e-9 {
+	if u.span != over || math.Abs(u.PrefillLoad-1) > 1e-9 || math.Abs(u.Generations-8) > 1e-9 || math.Abs(u.DirectPrefillLoad-0.5) > 1e-9 {
 		t.Errorf("%+v", u)
 	}
 	after := u.Add(nil, over, over)
--- a/internal/roles/use.go
+++ b/internal/roles/use.go
@@ -12,8 +12,8 @@
 	// PrefillLoad is how many prefill engines' time the prompts take.
 	PrefillLoad float64
 	// Generations is the number of requests at a time on the other engines,
-	// Direct how many of these engines' time their prompts take.
-	Generations, Direct float64
+	// DirectPrefillLoad how many of these engines' time their prompts take.
+	Generations, DirectPrefillLoad float64
 	// span is how long was measured.
 	span time.Duration
 }
@@ -34,7 +34,7 @@
 			now.PrefillLoad += e.PrefillUtilization
 			continue
 		}
-		now.Direct += e.PrefillUtilization
+		now.DirectPrefillLoad += e.PrefillUtilization
 		now.Generations += float64(e.Running)
 	}
 	weight := 1.0
@@ -42,7 +42,7 @@
 		weight = 1 - math.Exp(-since.Seconds()/(u.span+since).Seconds())
 	}
 	u.PrefillLoad += weight * (now.PrefillLoad - u.PrefillLoad)
-	u.Direct += weight * (now.Direct - u.Direct)
+	u.DirectPrefillLoad += weight * (now.DirectPrefillLoad - u.DirectPrefillLoad)
 	u.Generations += weight * (now.Generations - u.Generations)
 	u.span = min(u.span+since, over)
 	return u
