--- a/internal/rolekeeper/use.go
+++ b/internal/rolekeeper/use.go
@@ -68,5 +68,5 @@
 	d.target, d.wrong = target, k.settings.Confirm // what was measured over seconds needs no further looks
 	k.log.Info("roles: the wanted split follows the use", "service", service, "engines", len(engines), "prefill", prefill,
 		"wanted_before", before, "wanted", after, "prompts", use.PrefillLoad, "generations", use.Generations, "direct", use.DirectPrefillLoad)
-	k.use[service] = use.Moved()
+	k.use[service] = use.AfterSplitChange()
 }
--- a/internal/roles/use.go
+++ b/internal/roles/use.go
@@ -18,9 +18,9 @@
 	span time.Duration
 }
 
-// Moved returns the measurement after the split has changed: it has to follow for
+// AfterSplitChange returns the measurement after the split has changed: it has to follow for
 // a while before it is known again.
-func (u Workload) Moved() Workload {
+func (u Workload) AfterSplitChange() Workload {
 	u.span /= 2
 	return u
 }
