--- a/internal/rolekeeper/rolekeeper.go
+++ b/internal/rolekeeper/rolekeeper.go
@@ -69,7 +69,7 @@
 	// Target is the split of a deployment that has not served yet; from then on
 	// it follows what the engines are used for, as Balance says.
 	Target  roles.Target
-	Balance roles.Balance
+	Balance roles.SplitPolicy
 }
 
 // View is what the keeper needs to know of the data path.
--- a/internal/roles/balance.go
+++ b/internal/roles/balance.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Balance says when a target should follow what the engines are used for. It
+// SplitPolicy says when a target should follow what the engines are used for. It
 // predicts how many requests a split has in it at a time: prompts that are
 // processed or wait, and answers that are generated. By Little's law the split
 // with the fewest is the one with the shortest mean time.
-type Balance struct {
+type SplitPolicy struct {
 	// Step is the time of one step of generation, StepPerRequest what each
 	// request that takes part adds, both in milliseconds, as they were measured.
 	Step, StepPerRequest float64
@@ -42,8 +42,8 @@
 // runs of four mixes of prompts and answers, each with seven fixed splits
 // (docs/measurements/platform.md); Gain, Evidence and Over so that swings of some
 // ten seconds are left alone, which cost more than they bring (docs/NEW-CUSTOMER.md).
-func DefaultBalance() Balance {
-	return Balance{
+func DefaultBalance() SplitPolicy {
+	return SplitPolicy{
 		Wait: 10, Gain: 0.06, Evidence: 2.2, Over: 30 * time.Second,
 		Less: 0.16, More: 0.11,
 	}
@@ -65,7 +65,7 @@
 // prefill role, and stands for the time since the one before. It returns the
 // follower after the look and the target. Engines that are on their way to the
 // target tell nothing of it.
-func (f Follower) Look(b Balance, t Target, u Workload, prefill, total int, since time.Duration) (Follower, Target) {
+func (f Follower) Look(b SplitPolicy, t Target, u Workload, prefill, total int, since time.Duration) (Follower, Target) {
 	wanted := t.Count(total)
 	off := prefill - wanted
 	if u.span < b.Over || prefill == 0 || prefill == total || off > near || off < -near {
@@ -85,7 +85,7 @@
 // best returns the number of engines in prefill, within a move's reach of the
 // target, that has the fewest requests, and by what part they are fewer than with
 // the target.
-func (b Balance) best(t Target, u Workload, prefill, total int) (int, float64) {
+func (b SplitPolicy) best(t Target, u Workload, prefill, total int) (int, float64) {
 	tokens := b.tokens(u, total-prefill)
 	wanted := t.Count(total)
 	now := b.requests(u, tokens, wanted, total)
@@ -102,7 +102,7 @@
 
 // leastDecode is the fewest engines left to generate that have slots for the
 // requests which generate now.
-func (b Balance) leastDecode(t Target, u Workload) int {
+func (b SplitPolicy) leastDecode(t Target, u Workload) int {
 	if b.Slots == 0 {
 		return t.MinDecode
 	}
@@ -110,11 +110,11 @@
 }
 
 // steps is a part of the engines, rounded up.
-func (b Balance) steps(part float64, total int) int { return int(math.Ceil(part * float64(total))) }
+func (b SplitPolicy) steps(part float64, total int) int { return int(math.Ceil(part * float64(total))) }
 
 // tokens is the number of tokens a millisecond that the requests get on so many
 // decode engines: what time the prompts there leave, over the time of a step.
-func (b Balance) tokens(u Workload, decode int) float64 {
+func (b SplitPolicy) tokens(u Workload, decode int) float64 {
 	batch := u.Generations / float64(decode)
 	left := max(0, 1-u.DirectPrefillLoad/float64(decode))
 	return u.Generations * left / (b.Step + b.StepPerRequest*batch)
@@ -123,7 +123,7 @@
 // requests predicts the requests at a time with n of the engines in prefill: the
 // prompts by the mean of a queue, the answers from the tokens that they are to
 // get in the time that prompts leave the other engines.
-func (b Balance) requests(u Workload, tokens float64, n, total int) float64 {
+func (b SplitPolicy) requests(u Workload, tokens float64, n, total int) float64 {
 	decode := float64(total - n)
 	prompts := u.PrefillLoad / float64(n)
 	answers := (u.DirectPrefillLoad + b.StepPerRequest*tokens) / decode
--- a/internal/roles/balance_test.go
+++ b/internal/roles/balance_test.go
@@ -12,7 +12,7 @@
 
 // sheet is the balance with the steps of the engines that the mixes below were
 // measured with.
-func sheet() Balance {
+func sheet() SplitPolicy {
 	b := DefaultBalance()
 	b.Step, b.StepPerRequest = 4.55, 0.181
 	b.Slots = 64
