--- a/internal/model/keeper.go
+++ b/internal/model/keeper.go
@@ -25,7 +25,7 @@
 // keep has the split follow the use, where the policy says so, and gives orders.
 func (r *run) keep() {
 	view := r.instances[0].picture
-	balance := roles.DefaultBalance()
+	balance := roles.DefaultSplitPolicy()
 	if r.now%measureEvery == 0 && r.now > 0 && view.Times(service).Known {
 		r.keeper.use = r.keeper.use.Add(r.seen(), measureEvery, balance.Over)
 	}
--- a/internal/roles/balance.go
+++ b/internal/roles/balance.go
@@ -38,11 +38,11 @@
 	Less, More float64
 }
 
-// DefaultBalance returns the defaults, without what is measured. Wait was chosen by
+// DefaultSplitPolicy returns the defaults, without what is measured. Wait was chosen by
 // runs of four mixes of prompts and answers, each with seven fixed splits
 // (docs/measurements/platform.md); Gain, Evidence and Over so that swings of some
 // ten seconds are left alone, which cost more than they bring (docs/NEW-CUSTOMER.md).
-func DefaultBalance() SplitPolicy {
+func DefaultSplitPolicy() SplitPolicy {
 	return SplitPolicy{
 		Wait: 10, Gain: 0.06, Evidence: 2.2, Over: 30 * time.Second,
 		Less: 0.16, More: 0.11,
