--- a/internal/model/keeper.go
+++ b/internal/model/keeper.go
@@ -35,7 +35,7 @@
 	list := r.seen()
 	if r.policy.Follows {
 		times := view.Times(service)
-		balance.StepMillis, balance.StepPerRequest = 1e3*times.Step.Seconds(), 1e3*times.StepPerRequest.Seconds()
+		balance.StepMillis, balance.StepMillisPerRequest = 1e3*times.Step.Seconds(), 1e3*times.StepPerRequest.Seconds()
 		balance.Slots = times.Slots
 		follower, target := r.keeper.follower.Look(balance, r.keeper.target, r.keeper.use, roles.CountPrefill(list), len(list), lookEvery)
 		r.keeper.follower, r.keeper.target = follower, target
--- a/internal/rolekeeper/use.go
+++ b/internal/rolekeeper/use.go
@@ -48,7 +48,7 @@
 // balance is the balance with what the engines of a service take.
 func (k *Keeper) balance(service string) roles.SplitPolicy {
 	b, times := k.settings.Balance, k.view.Times(service)
-	b.StepMillis, b.StepPerRequest = milliseconds(times.Step), milliseconds(times.StepPerRequest)
+	b.StepMillis, b.StepMillisPerRequest = milliseconds(times.Step), milliseconds(times.StepPerRequest)
 	b.Slots = times.Slots
 	return b
 }
--- a/internal/roles/balance.go
+++ b/internal/roles/balance.go
@@ -10,9 +10,9 @@
 // processed or wait, and answers that are generated. By Little's law the split
 // with the fewest is the one with the shortest mean time.
 type SplitPolicy struct {
-	// StepMillis is the time of one step of generation, StepPerRequest what each
+	// StepMillis is the time of one step of generation, StepMillisPerRequest what each
 	// request that takes part adds, both in milliseconds, as they were measured.
-	StepMillis, StepPerRequest float64
+	StepMillis, StepMillisPerRequest float64
 	// Slots is how many requests an engine generates for at a time; 0 where that is
 	// not known.
 	Slots int
@@ -117,7 +117,7 @@
 func (b SplitPolicy) tokens(u Workload, decode int) float64 {
 	batch := u.Generations / float64(decode)
 	left := max(0, 1-u.DirectPrefillLoad/float64(decode))
-	return u.Generations * left / (b.StepMillis + b.StepPerRequest*batch)
+	return u.Generations * left / (b.StepMillis + b.StepMillisPerRequest*batch)
 }
 
 // requests predicts the requests at a time with n of the engines in prefill: the
@@ -126,7 +126,7 @@
 func (b SplitPolicy) requests(u Workload, tokens float64, n, total int) float64 {
 	decode := float64(total - n)
 	prompts := u.PrefillLoad / float64(n)
-	answers := (u.DirectPrefillLoad + b.StepPerRequest*tokens) / decode
+	answers := (u.DirectPrefillLoad + b.StepMillisPerRequest*tokens) / decode
 	return u.PrefillLoad + b.Wait*u.PrefillLoad*(crowding(prompts)-1) + b.StepMillis*tokens*crowding(answers)
 }
 
--- a/internal/roles/balance_test.go
+++ b/internal/roles/balance_test.go
@@ -14,7 +14,7 @@
 // measured with.
 func sheet() SplitPolicy {
 	b := DefaultSplitPolicy()
-	b.StepMillis, b.StepPerRequest = 4.55, 0.181
+	b.StepMillis, b.StepMillisPerRequest = 4.55, 0.181
 	b.Slots = 64
 	return b
 }
