--- a/internal/roles/balance.go
+++ b/internal/roles/balance.go
@@ -16,10 +16,10 @@
 	// Slots is how many requests an engine generates for at a time; 0 where that is
 	// not known.
 	Slots int
-	// Wait is how much more a prompt that waits counts than an answer that is
+	// WaitWeight is how much more a prompt that waits counts than an answer that is
 	// generated. It is above 1 as prompts differ in length, as shared parts bind
 	// them to engines, and as callers wait for the first token.
-	Wait float64
+	WaitWeight float64
 	// Gain is the part of the requests by which another split must have fewer to
 	// be worth anything: the mix swings by the second, and an engine that changes
 	// loses the shared parts that it has cached.
@@ -44,7 +44,7 @@
 // ten seconds are left alone, which cost more than they bring (docs/NEW-CUSTOMER.md).
 func DefaultSplitPolicy() SplitPolicy {
 	return SplitPolicy{
-		Wait: 10, Gain: 0.06, Evidence: 2.2, Over: 30 * time.Second,
+		WaitWeight: 10, Gain: 0.06, Evidence: 2.2, Over: 30 * time.Second,
 		Less: 0.16, More: 0.11,
 	}
 }
@@ -127,7 +127,7 @@
 	decode := float64(total - n)
 	prompts := u.PrefillLoad / float64(n)
 	answers := (u.DirectPrefillLoad + b.StepMillisPerRequest*tokens) / decode
-	return u.PrefillLoad + b.Wait*u.PrefillLoad*(crowding(prompts)-1) + b.StepMillis*tokens*crowding(answers)
+	return u.PrefillLoad + b.WaitWeight*u.PrefillLoad*(crowding(prompts)-1) + b.StepMillis*tokens*crowding(answers)
 }
 
 // nearlyFull is the part of an engine's time above which crowding goes on along
