--- a/internal/roles/balance.go
+++ b/internal/roles/balance.go
@@ -20,10 +20,10 @@
 	// generated. It is above 1 as prompts differ in length, as shared parts bind
 	// them to engines, and as callers wait for the first token.
 	WaitWeight float64
-	// Gain is the part of the requests by which another split must have fewer to
+	// MinGain is the part of the requests by which another split must have fewer to
 	// be worth anything: the mix swings by the second, and an engine that changes
 	// loses the shared parts that it has cached.
-	Gain float64
+	MinGain float64
 	// Evidence is how much the gain beyond that must add up to, without a break,
 	// before the target moves, in seconds of all requests: a large gain is taken
 	// soon, a small one when it lasts.
@@ -44,7 +44,7 @@
 // ten seconds are left alone, which cost more than they bring (docs/NEW-CUSTOMER.md).
 func DefaultSplitPolicy() SplitPolicy {
 	return SplitPolicy{
-		WaitWeight: 10, Gain: 0.06, Evidence: 2.2, Over: 30 * time.Second,
+		WaitWeight: 10, MinGain: 0.06, Evidence: 2.2, Over: 30 * time.Second,
 		Less: 0.16, More: 0.11,
 	}
 }
@@ -72,10 +72,10 @@
 		return Follower{}, t
 	}
 	best, gain := b.best(t, u, prefill, total)
-	if more := best > wanted; more != f.more || gain < b.Gain {
+	if more := best > wanted; more != f.more || gain < b.MinGain {
 		f = Follower{more: more}
 	}
-	f.evidence += max(0, gain-b.Gain) * since.Seconds()
+	f.evidence += max(0, gain-b.MinGain) * since.Seconds()
 	if f.evidence < b.Evidence {
 		return f, t
 	}
