--- a/internal/roles/balance.go
+++ b/internal/roles/balance.go
@@ -24,10 +24,10 @@
 	// be worth anything: the mix swings by the second, and an engine that changes
 	// loses the shared parts that it has cached.
 	MinGain float64
-	// Evidence is how much the gain beyond that must add up to, without a break,
+	// EvidenceThreshold is how much the gain beyond that must add up to, without a break,
 	// before the target moves, in seconds of all requests: a large gain is taken
 	// soon, a small one when it lasts.
-	Evidence float64
+	EvidenceThreshold float64
 	// Over is the time over which the use is smoothed, and which must be measured
 	// before it counts: longer than the gaps between prompts, shorter than the
 	// swings of the mix.
@@ -44,7 +44,7 @@
 // ten seconds are left alone, which cost more than they bring (docs/NEW-CUSTOMER.md).
 func DefaultSplitPolicy() SplitPolicy {
 	return SplitPolicy{
-		WaitWeight: 10, MinGain: 0.06, Evidence: 2.2, Over: 30 * time.Second,
+		WaitWeight: 10, MinGain: 0.06, EvidenceThreshold: 2.2, Over: 30 * time.Second,
 		Less: 0.16, More: 0.11,
 	}
 }
@@ -76,7 +76,7 @@
 		f = Follower{more: more}
 	}
 	f.evidence += max(0, gain-b.MinGain) * since.Seconds()
-	if f.evidence < b.Evidence {
+	if f.evidence < b.EvidenceThreshold {
 		return f, t
 	}
 	return Follower{}, t.with(best, total)
