--- a/internal/model/keeper.go
+++ b/internal/model/keeper.go
@@ -27,7 +27,7 @@
 	view := r.instances[0].picture
 	balance := roles.DefaultSplitPolicy()
 	if r.now%measureEvery == 0 && r.now > 0 && view.Times(service).Known {
-		r.keeper.use = r.keeper.use.Add(r.seen(), measureEvery, balance.Over)
+		r.keeper.use = r.keeper.use.Add(r.seen(), measureEvery, balance.SmoothingTime)
 	}
 	if r.now%lookEvery != 0 {
 		return
--- a/internal/rolekeeper/rolekeeper_test.go
+++ b/internal/rolekeeper/rolekeeper_test.go
@@ -178,7 +178,7 @@
 func run(t *testing.T, name string, table platform.Table, f *fakeFleet) (stop func()) {
 	t.Helper()
 	balance := roles.DefaultSplitPolicy()
-	balance.Over, balance.EvidenceThreshold = term, 0.05
+	balance.SmoothingTime, balance.EvidenceThreshold = term, 0.05
 	keeper := New(Settings{
 		Instance: name, Lease: term, Every: 20 * time.Millisecond, AtOnce: 2, Confirm: 2, Announce: f.announce, Target: roles.Target{Share: 11.0 / 18, MinDecode: 2}, Balance: balance,
 	}, table, f, f, nil, slog.New(slog.NewTextHandler(io.Discard, nil)))
--- a/internal/rolekeeper/use.go
+++ b/internal/rolekeeper/use.go
@@ -32,7 +32,7 @@
 		if !k.view.Times(service).Known {
 			continue // its use would be measured in times of other engines
 		}
-		k.use[service] = k.use[service].Add(seen(engines), since, k.settings.Balance.Over)
+		k.use[service] = k.use[service].Add(seen(engines), since, k.settings.Balance.SmoothingTime)
 	}
 }
 
--- a/internal/roles/balance.go
+++ b/internal/roles/balance.go
@@ -28,10 +28,10 @@
 	// before the target moves, in seconds of all requests: a large gain is taken
 	// soon, a small one when it lasts.
 	EvidenceThreshold float64
-	// Over is the time over which the use is smoothed, and which must be measured
+	// SmoothingTime is the time over which the use is smoothed, and which must be measured
 	// before it counts: longer than the gaps between prompts, shorter than the
 	// swings of the mix.
-	Over time.Duration
+	SmoothingTime time.Duration
 	// Less and More are the parts of the engines by which prefill may shrink or
 	// grow before its use is looked at anew. Engines that are taken from
 	// generation are missed at once, as answers under way slow down.
@@ -44,7 +44,7 @@
 // ten seconds are left alone, which cost more than they bring (docs/NEW-CUSTOMER.md).
 func DefaultSplitPolicy() SplitPolicy {
 	return SplitPolicy{
-		WaitWeight: 10, MinGain: 0.06, EvidenceThreshold: 2.2, Over: 30 * time.Second,
+		WaitWeight: 10, MinGain: 0.06, EvidenceThreshold: 2.2, SmoothingTime: 30 * time.Second,
 		Less: 0.16, More: 0.11,
 	}
 }
@@ -68,7 +68,7 @@
 func (f Follower) Look(b SplitPolicy, t Target, u Workload, prefill, total int, since time.Duration) (Follower, Target) {
 	wanted := t.Count(total)
 	off := prefill - wanted
-	if u.span < b.Over || prefill == 0 || prefill == total || off > near || off < -near {
+	if u.span < b.SmoothingTime || prefill == 0 || prefill == total || off > near || off < -near {
 		return Follower{}, t
 	}
 	best, gain := b.best(t, u, prefill, total)
--- a/internal/roles/balance_test.go
+++ b/internal/roles/balance_test.go
@@ -24,7 +24,7 @@
 
 // used is a measurement that counts.
 func used(prompts, generations, direct float64) Workload {
-	return Workload{PrefillLoad: prompts, Generations: generations, DirectPrefillLoad: direct, span: DefaultSplitPolicy().Over}
+	return Workload{PrefillLoad: prompts, Generations: generations, DirectPrefillLoad: direct, span: DefaultSplitPolicy().SmoothingTime}
 }
 
 // follow looks at the same use for a minute, or until the target moves.
@@ -90,7 +90,7 @@
 
 func TestTheTargetStaysUntilEnoughWasMeasured(t *testing.T) {
 	u := used(1, 200, 0)
-	u.span = DefaultSplitPolicy().Over / 2
+	u.span = DefaultSplitPolicy().SmoothingTime / 2
 	if got := follow(u, 11, 18); got.Count(18) != 11 {
 		t.Errorf("%+v", got)
 	}
