--- a/internal/roles/balance.go
+++ b/internal/roles/balance.go
@@ -32,10 +32,10 @@
 	// before it counts: longer than the gaps between prompts, shorter than the
 	// swings of the mix.
 	SmoothingTime time.Duration
-	// MaxPrefillDecrease and More are the parts of the engines by which prefill may shrink or
+	// MaxPrefillDecrease and MaxPrefillIncrease are the parts of the engines by which prefill may shrink or
 	// grow before its use is looked at anew. Engines that are taken from
 	// generation are missed at once, as answers under way slow down.
-	MaxPrefillDecrease, More float64
+	MaxPrefillDecrease, MaxPrefillIncrease float64
 }
 
 // DefaultSplitPolicy returns the defaults, without what is measured. Wait was chosen by
@@ -45,7 +45,7 @@
 func DefaultSplitPolicy() SplitPolicy {
 	return SplitPolicy{
 		WaitWeight: 10, MinGain: 0.06, EvidenceThreshold: 2.2, SmoothingTime: 30 * time.Second,
-		MaxPrefillDecrease: 0.16, More: 0.11,
+		MaxPrefillDecrease: 0.16, MaxPrefillIncrease: 0.11,
 	}
 }
 
@@ -91,7 +91,7 @@
 	now := b.requests(u, tokens, wanted, total)
 	best, fewest := wanted, now
 	least := max(1, wanted-b.steps(b.MaxPrefillDecrease, total))
-	most := min(total-b.leastDecode(t, u), wanted+b.steps(b.More, total))
+	most := min(total-b.leastDecode(t, u), wanted+b.steps(b.MaxPrefillIncrease, total))
 	for n := least; n <= most; n++ {
 		if l := b.requests(u, tokens, n, total); l < fewest {
 			best, fewest = n, l
