--- a/internal/model/keeper.go
+++ b/internal/model/keeper.go
@@ -12,7 +12,7 @@
 type keeper struct {
 	target   roles.Target
 	use      roles.Workload
-	follower roles.Follower
+	follower roles.TargetTracker
 }
 
 // Pace of the keeper, as package rolekeeper has it.
--- a/internal/rolekeeper/rolekeeper.go
+++ b/internal/rolekeeper/rolekeeper.go
@@ -128,7 +128,7 @@
 type duty struct {
 	// target is the wanted split, kept the one that the store has.
 	target, kept roles.Target
-	follower     roles.Follower
+	follower     roles.TargetTracker
 	// wrong counts the looks on end that found the split wrong, engines is how
 	// many there were.
 	wrong, engines int
--- a/internal/roles/balance.go
+++ b/internal/roles/balance.go
@@ -49,9 +49,9 @@
 	}
 }
 
-// Follower moves a target with the use of the engines. The zero value has seen
+// TargetTracker moves a target with the use of the engines. The zero value has seen
 // nothing.
-type Follower struct {
+type TargetTracker struct {
 	// evidence is what has added up for a move, more the way that it would go.
 	evidence float64
 	more     bool
@@ -65,21 +65,21 @@
 // prefill role, and stands for the time since the one before. It returns the
 // follower after the look and the target. Engines that are on their way to the
 // target tell nothing of it.
-func (f Follower) Look(b SplitPolicy, t Target, u Workload, prefill, total int, since time.Duration) (Follower, Target) {
+func (f TargetTracker) Look(b SplitPolicy, t Target, u Workload, prefill, total int, since time.Duration) (TargetTracker, Target) {
 	wanted := t.Count(total)
 	off := prefill - wanted
 	if u.span < b.SmoothingTime || prefill == 0 || prefill == total || off > near || off < -near {
-		return Follower{}, t
+		return TargetTracker{}, t
 	}
 	best, gain := b.best(t, u, prefill, total)
 	if more := best > wanted; more != f.more || gain < b.MinGain {
-		f = Follower{more: more}
+		f = TargetTracker{more: more}
 	}
 	f.evidence += max(0, gain-b.MinGain) * since.Seconds()
 	if f.evidence < b.EvidenceThreshold {
 		return f, t
 	}
-	return Follower{}, t.with(best, total)
+	return TargetTracker{}, t.with(best, total)
 }
 
 // best returns the number of engines in prefill, within a move's reach of the
--- a/internal/roles/balance_test.go
+++ b/internal/roles/balance_test.go
@@ -32,7 +32,7 @@
 	target := started()
 	target.Share = float64(prefill) / float64(total)
 	before := target
-	var f Follower
+	var f TargetTracker
 	for range 60 {
 		if f, target = f.Look(sheet(), target, u, prefill, total, time.Second); target != before {
 			break
@@ -45,7 +45,7 @@
 // target for.
 func TestASwingIsNotFollowed(t *testing.T) {
 	target := started()
-	var f Follower
+	var f TargetTracker
 	for range 10 {
 		for range 4 {
 			f, target = f.Look(sheet(), target, used(1.2, 172, 0.6), 11, 18, time.Second)
@@ -114,7 +114,7 @@
 // below the target (incident inc-c669).
 func TestEnginesOnTheirWayTellNothing(t *testing.T) {
 	target := started()
-	var f Follower
+	var f TargetTracker
 	for range 60 {
 		f, target = f.Look(sheet(), target, used(4.3, 60, 0.8), 7, 18, time.Second)
 	}
