--- a/internal/model/keeper.go
+++ b/internal/model/keeper.go
@@ -37,7 +37,7 @@
 		times := view.Times(service)
 		balance.StepMillis, balance.StepMillisPerRequest = 1e3*times.Step.Seconds(), 1e3*times.StepPerRequest.Seconds()
 		balance.Slots = times.Slots
-		follower, target := r.keeper.follower.Look(balance, r.keeper.target, r.keeper.use, roles.CountPrefill(list), len(list), lookEvery)
+		follower, target := r.keeper.follower.Update(balance, r.keeper.target, r.keeper.use, roles.CountPrefill(list), len(list), lookEvery)
 		r.keeper.follower, r.keeper.target = follower, target
 	}
 	for _, change := range r.keeper.target.Changes(list, atOnce-r.changing()) {
--- a/internal/rolekeeper/use.go
+++ b/internal/rolekeeper/use.go
@@ -59,7 +59,7 @@
 func (k *Keeper) follow(service string, d *duty, engines []roles.Engine) {
 	prefill := roles.CountPrefill(engines)
 	use := k.use[service]
-	follower, target := d.follower.Look(k.balance(service), d.target, use, prefill, len(engines), k.sinceLook)
+	follower, target := d.follower.Update(k.balance(service), d.target, use, prefill, len(engines), k.sinceLook)
 	d.follower = follower
 	before, after := d.target.Count(len(engines)), target.Count(len(engines))
 	if before == after {
--- a/internal/roles/balance.go
+++ b/internal/roles/balance.go
@@ -61,11 +61,11 @@
 // something of it: one may just have come or gone.
 const near = 1
 
-// Look takes a look at engines that are used so, of which so many are in the
+// Update takes a look at engines that are used so, of which so many are in the
 // prefill role, and stands for the time since the one before. It returns the
 // follower after the look and the target. Engines that are on their way to the
 // target tell nothing of it.
-func (f TargetTracker) Look(b SplitPolicy, t Target, u Workload, prefill, total int, since time.Duration) (TargetTracker, Target) {
+func (f TargetTracker) Update(b SplitPolicy, t Target, u Workload, prefill, total int, since time.Duration) (TargetTracker, Target) {
 	wanted := t.Count(total)
 	off := prefill - wanted
 	if u.span < b.SmoothingTime || prefill == 0 || prefill == total || off > near || off < -near {
--- a/internal/roles/balance_test.go
+++ b/internal/roles/balance_test.go
@@ -34,7 +34,7 @@
 	before := target
 	var f TargetTracker
 	for range 60 {
-		if f, target = f.Look(sheet(), target, u, prefill, total, time.Second); target != before {
+		if f, target = f.Update(sheet(), target, u, prefill, total, time.Second); target != before {
 			break
 		}
 	}
@@ -48,10 +48,10 @@
 	var f TargetTracker
 	for range 10 {
 		for range 4 {
-			f, target = f.Look(sheet(), target, used(1.2, 172, 0.6), 11, 18, time.Second)
+			f, target = f.Update(sheet(), target, used(1.2, 172, 0.6), 11, 18, time.Second)
 		}
 		for range 10 {
-			f, target = f.Look(sheet(), target, used(4.3, 73, 0.8), 11, 18, time.Second)
+			f, target = f.Update(sheet(), target, used(4.3, 73, 0.8), 11, 18, time.Second)
 		}
 	}
 	if target != started() {
@@ -116,7 +116,7 @@
 	target := started()
 	var f TargetTracker
 	for range 60 {
-		f, target = f.Look(sheet(), target, used(4.3, 60, 0.8), 7, 18, time.Second)
+		f, target = f.Update(sheet(), target, used(4.3, 60, 0.8), 7, 18, time.Second)
 	}
 	if target != started() {
 		t.Errorf("%+v", target)
