--- a/internal/model/policy.go
+++ b/internal/model/policy.go
@@ -37,7 +37,7 @@
 func (p Policy) target() roles.Target {
 	t := roles.DefaultTarget()
 	if p.Prefill > 0 {
-		t.Share = float64(p.Prefill) / 18
+		t.PrefillShare = float64(p.Prefill) / 18
 	}
 	return t
 }
--- a/internal/rolekeeper/rolekeeper_test.go
+++ b/internal/rolekeeper/rolekeeper_test.go
@@ -180,7 +180,7 @@
 	balance := roles.DefaultSplitPolicy()
 	balance.SmoothingTime, balance.EvidenceThreshold = term, 0.05
 	keeper := New(Settings{
-		Instance: name, Lease: term, Every: 20 * time.Millisecond, AtOnce: 2, Confirm: 2, Announce: f.announce, Target: roles.Target{Share: 11.0 / 18, MinDecode: 2}, Balance: balance,
+		Instance: name, Lease: term, Every: 20 * time.Millisecond, AtOnce: 2, Confirm: 2, Announce: f.announce, Target: roles.Target{PrefillShare: 11.0 / 18, MinDecode: 2}, Balance: balance,
 	}, table, f, f, nil, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -400,7 +400,7 @@
 // TestWhatTheStoreLostIsGoneOnWith guards against a wanted split that falls back to the one of the
 // store's copy: the holder keeps it, and writes it again.
 func TestWhatTheStoreLostIsGoneOnWith(t *testing.T) {
-	target := roles.Target{Share: 0.5, MinDecode: 2}
+	target := roles.Target{PrefillShare: 0.5, MinDecode: 2}
 	for _, c := range []struct {
 		grant lease.Grant
 		keeps bool
--- a/internal/roles/balance_test.go
+++ b/internal/roles/balance_test.go
@@ -20,7 +20,7 @@
 }
 
 // started is the split that the mixes below were measured from.
-func started() Target { return Target{Share: 11.0 / 18, MinDecode: 2} }
+func started() Target { return Target{PrefillShare: 11.0 / 18, MinDecode: 2} }
 
 // used is a measurement that counts.
 func used(prompts, generations, direct float64) Workload {
@@ -30,7 +30,7 @@
 // follow looks at the same use for a minute, or until the target moves.
 func follow(u Workload, prefill, total int) Target {
 	target := started()
-	target.Share = float64(prefill) / float64(total)
+	target.PrefillShare = float64(prefill) / float64(total)
 	before := target
 	var f TargetTracker
 	for range 60 {
--- a/internal/roles/target.go
+++ b/internal/roles/target.go
@@ -8,8 +8,8 @@
 
 // Target is a wanted split: how many engines should be in the prefill role.
 type Target struct {
-	// Share of the engines in the prefill role.
-	Share float64 `json:"share"`
+	// PrefillShare of the engines in the prefill role.
+	PrefillShare float64 `json:"share"`
 	// MinDecode is the fewest engines that must be left to generate.
 	MinDecode int `json:"min_decode"`
 }
@@ -18,18 +18,18 @@
 // customers' mixes, 13 of 18 engines served within 0.003 of the best fixed split that
 // was tried, or were the best (docs/NEW-CUSTOMER.md).
 func DefaultTarget() Target {
-	return Target{Share: 0.72, MinDecode: 2}
+	return Target{PrefillShare: 0.72, MinDecode: 2}
 }
 
 // with returns the target with so many of the engines in prefill.
 func (t Target) with(prefill, total int) Target {
-	t.Share = float64(prefill) / float64(total)
+	t.PrefillShare = float64(prefill) / float64(total)
 	return t
 }
 
 // Count is the wanted number of prefill engines among n.
 func (t Target) Count(n int) int {
-	want := int(t.Share*float64(n) + 0.5)
+	want := int(t.PrefillShare*float64(n) + 0.5)
 	return max(0, min(want, n-t.MinDecode))
 }
 
