--- a/internal/model/run.go
+++ b/internal/model/run.go
@@ -89,7 +89,7 @@
 		result: newResult(p, policy),
 	}
 	target := policy.target()
-	prefill := target.Count(p.Fleet.Engines)
+	prefill := target.PrefillCount(p.Fleet.Engines)
 	for i := range p.Fleet.Engines {
 		role := config.RoleDecode
 		if i*prefill/p.Fleet.Engines < (i+1)*prefill/p.Fleet.Engines { // spread over the zones
--- a/internal/rolekeeper/orders.go
+++ b/internal/rolekeeper/orders.go
@@ -93,7 +93,7 @@
 		return
 	}
 	k.log.Info("roles: the split differs", "service", service, "engines", len(list),
-		"wanted_prefill", d.target.Count(len(list)), "changes", len(changes), "at_once", most)
+		"wanted_prefill", d.target.PrefillCount(len(list)), "changes", len(changes), "at_once", most)
 	for _, change := range changes {
 		at := slices.IndexFunc(engines, func(e upstreamstate.Engine) bool { return e.ID == change.Engine })
 		if k.view.Serving() && k.settings.Announce > 0 {
--- a/internal/rolekeeper/rolekeeper_test.go
+++ b/internal/rolekeeper/rolekeeper_test.go
@@ -256,7 +256,7 @@
 	if err := json.Unmarshal(row.Value, &target); err != nil {
 		t.Fatal(err)
 	}
-	return target.Count(9)
+	return target.PrefillCount(9)
 }
 
 // TestTheSplitFollowsTheUse has engines that generate more than they can, and
--- a/internal/rolekeeper/use.go
+++ b/internal/rolekeeper/use.go
@@ -61,7 +61,7 @@
 	use := k.use[service]
 	follower, target := d.follower.Update(k.balance(service), d.target, use, prefill, len(engines), k.sinceLook)
 	d.follower = follower
-	before, after := d.target.Count(len(engines)), target.Count(len(engines))
+	before, after := d.target.PrefillCount(len(engines)), target.PrefillCount(len(engines))
 	if before == after {
 		return
 	}
--- a/internal/roles/balance.go
+++ b/internal/roles/balance.go
@@ -66,7 +66,7 @@
 // follower after the look and the target. Engines that are on their way to the
 // target tell nothing of it.
 func (f TargetTracker) Update(b SplitPolicy, t Target, u Workload, prefill, total int, since time.Duration) (TargetTracker, Target) {
-	wanted := t.Count(total)
+	wanted := t.PrefillCount(total)
 	off := prefill - wanted
 	if u.span < b.SmoothingTime || prefill == 0 || prefill == total || off > near || off < -near {
 		return TargetTracker{}, t
@@ -87,7 +87,7 @@
 // the target.
 func (b SplitPolicy) best(t Target, u Workload, prefill, total int) (int, float64) {
 	tokens := b.tokens(u, total-prefill)
-	wanted := t.Count(total)
+	wanted := t.PrefillCount(total)
 	now := b.requests(u, tokens, wanted, total)
 	best, fewest := wanted, now
 	least := max(1, wanted-b.steps(b.MaxPrefillDecrease, total))
--- a/internal/roles/balance_test.go
+++ b/internal/roles/balance_test.go
@@ -82,7 +82,7 @@
 		{"idle", 0.1, 4, 0.1, 11, 11, 11},
 	} {
 		target := follow(used(c.prompts, c.generations, c.direct), c.prefill, 18)
-		if n := target.Count(18); n < c.least || n > c.most {
+		if n := target.PrefillCount(18); n < c.least || n > c.most {
 			t.Errorf("%s: %d of 18 in prefill, want %d to %d", c.name, n, c.least, c.most)
 		}
 	}
@@ -91,7 +91,7 @@
 func TestTheTargetStaysUntilEnoughWasMeasured(t *testing.T) {
 	u := used(1, 200, 0)
 	u.span = DefaultSplitPolicy().SmoothingTime / 2
-	if got := follow(u, 11, 18); got.Count(18) != 11 {
+	if got := follow(u, 11, 18); got.PrefillCount(18) != 11 {
 		t.Errorf("%+v", got)
 	}
 }
@@ -103,7 +103,7 @@
 		prefill := rapid.IntRange(0, total).Draw(t, "prefill")
 		u := used(rapid.Float64Range(0, 2*float64(total)).Draw(t, "prompts"), rapid.Float64Range(0, 6400).Draw(t, "generations"), rapid.Float64Range(0, float64(total-prefill)).Draw(t, "direct"))
 		target := follow(u, prefill, total)
-		if n := target.Count(total); prefill > 0 && n < 1 || prefill < total && total-n < min(target.MinDecode, total-prefill) {
+		if n := target.PrefillCount(total); prefill > 0 && n < 1 || prefill < total && total-n < min(target.MinDecode, total-prefill) {
 			t.Fatalf("%d of %d in prefill, %d before", n, total, prefill)
 		}
 	})
--- a/internal/roles/target.go
+++ b/internal/roles/target.go
@@ -27,8 +27,8 @@
 	return t
 }
 
-// Count is the wanted number of prefill engines among n.
-func (t Target) Count(n int) int {
+// PrefillCount is the wanted number of prefill engines among n.
+func (t Target) PrefillCount(n int) int {
 	want := int(t.PrefillShare*float64(n) + 0.5)
 	return max(0, min(want, n-t.MinDecode))
 }
@@ -38,7 +38,7 @@
 // shrink go first, so that each zone keeps both roles.
 func (t Target) Changes(engines []Engine, most int) []Change {
 	from, to := config.RoleDecode, config.RolePrefill
-	missing := t.Count(len(engines)) - CountPrefill(engines)
+	missing := t.PrefillCount(len(engines)) - CountPrefill(engines)
 	if missing < 0 {
 		from, to, missing = to, from, -missing
 	}
--- a/internal/roles/target_test.go
+++ b/internal/roles/target_test.go
@@ -44,7 +44,7 @@
 			apply(list, changes[0])
 		}
 		prefill := withRole(list, config.RolePrefill)
-		if want := target.Count(len(list)); prefill != want {
+		if want := target.PrefillCount(len(list)); prefill != want {
 			t.Fatalf("%d of %d engines prefill, want %d", prefill, len(list), want)
 		}
 		if len(list) > target.MinDecode && len(list)-prefill < target.MinDecode {
