--- a/internal/control/roles.go
+++ b/internal/control/roles.go
@@ -122,7 +122,7 @@
 	known.state, decision = roles.Decide(r.daemon.settings.Roles, known.state, obs, bootclock.Now())
 	if decision.Reason != known.reason {
 		r.log.Info("roles: decided", "pool", pool.Name, "reason", decision.Reason,
-			"gain", decision.Gain, "cost", decision.Cost, "prefill", decision.ForecastPrefill, "decode", decision.Decode)
+			"gain", decision.Gain, "cost", decision.Cost, "prefill", decision.ForecastPrefill, "decode", decision.ForecastDecode)
 		known.reason = decision.Reason
 	}
 	if decision.Change == nil {
@@ -182,5 +182,5 @@
 // explain tells operators why a change was made.
 func explain(d roles.Decision, weight float64, horizon time.Duration) string {
 	return fmt.Sprintf("engine %s from %s to %s: forecast %.0f prefill and %.0f decode tokens/s, gain %.2f s of goodput over %s, cost %.2f s (%.1f s out of service, weight %g)",
-		d.Change.Engine, d.Change.From, d.Change.To, d.ForecastPrefill, d.Decode, d.Gain, horizon, d.Cost, d.Out.Seconds(), weight)
+		d.Change.Engine, d.Change.From, d.Change.To, d.ForecastPrefill, d.ForecastDecode, d.Gain, horizon, d.Cost, d.Out.Seconds(), weight)
 }
--- a/internal/roles/roles.go
+++ b/internal/roles/roles.go
@@ -124,9 +124,9 @@
 	// Gain is the expected gain and Cost the weighted cost of the best change,
 	// both in seconds of the pool's whole goodput.
 	Gain, Cost float64
-	// ForecastPrefill and Decode are the forecast demand in the middle of the horizon,
+	// ForecastPrefill and ForecastDecode are the forecast demand in the middle of the horizon,
 	// in tokens a second.
-	ForecastPrefill, Decode float64
+	ForecastPrefill, ForecastDecode float64
 	// Out is the expected time out of service.
 	Out time.Duration
 }
