--- a/internal/control/roles.go
+++ b/internal/control/roles.go
@@ -174,7 +174,7 @@
 	next.Version = newest.Version + 1
 	next.Engine(c.Engine).Want.Role = c.To
 	next.Pool(pool).LastRoleChange = &config.RoleChange{
-		Version: next.Version, Engine: c.Engine, From: c.From, To: c.To, OutSeconds: decision.Out.Seconds(),
+		Version: next.Version, Engine: c.Engine, From: c.From, To: c.To, OutSeconds: decision.OutOfService.Seconds(),
 	}
 	return next, nil
 }
@@ -182,5 +182,5 @@
 // explain tells operators why a change was made.
 func explain(d roles.Decision, weight float64, horizon time.Duration) string {
 	return fmt.Sprintf("engine %s from %s to %s: forecast %.0f prefill and %.0f decode tokens/s, gain %.2f s of goodput over %s, cost %.2f s (%.1f s out of service, weight %g)",
-		d.Change.Engine, d.Change.From, d.Change.To, d.ForecastPrefill, d.ForecastDecode, d.Gain, horizon, d.Cost, d.Out.Seconds(), weight)
+		d.Change.Engine, d.Change.From, d.Change.To, d.ForecastPrefill, d.ForecastDecode, d.Gain, horizon, d.Cost, d.OutOfService.Seconds(), weight)
 }
--- a/internal/roles/gain.go
+++ b/internal/roles/gain.go
@@ -20,7 +20,7 @@
 // best returns the change with the highest gain less cost, if any is worth it.
 func (s State) best(settings Settings, obs Observation) (Change, Decision, bool) {
 	middle := s.steps(settings, settings.Horizon/2)
-	decision := Decision{ForecastPrefill: s.prefill.at(middle), ForecastDecode: s.decode.at(middle), Out: s.out(settings)}
+	decision := Decision{ForecastPrefill: s.prefill.at(middle), ForecastDecode: s.decode.at(middle), OutOfService: s.out(settings)}
 	prefillRate, decodeRate, ok := rates(obs.Engines)
 	if !ok {
 		return Change{}, decision, false
--- a/internal/roles/roles.go
+++ b/internal/roles/roles.go
@@ -127,8 +127,8 @@
 	// ForecastPrefill and ForecastDecode are the forecast demand in the middle of the horizon,
 	// in tokens a second.
 	ForecastPrefill, ForecastDecode float64
-	// Out is the expected time out of service.
-	Out time.Duration
+	// OutOfService is the expected time out of service.
+	OutOfService time.Duration
 }
 
 // State is what the policy keeps of a pool between observations. The zero value
