--- a/internal/control/roles.go
+++ b/internal/control/roles.go
@@ -102,7 +102,7 @@
 func (p *poolRoles) takeOver(epoch int64, pool *config.Pool) {
 	p.epoch, p.state, p.reason, p.reports = epoch, roles.State{}, "", map[string]reportMark{}
 	if last := pool.LastRoleChange; last != nil {
-		p.state = p.state.WithCost(time.Duration(last.OutSeconds * float64(time.Second)))
+		p.state = p.state.WithOutOfService(time.Duration(last.OutSeconds * float64(time.Second)))
 	}
 }
 
--- a/internal/roles/roles.go
+++ b/internal/roles/roles.go
@@ -142,9 +142,9 @@
 	cost            costs
 }
 
-// WithCost returns the state with a known time out of service, as an earlier
+// WithOutOfService returns the state with a known time out of service, as an earlier
 // holder measured it.
-func (s State) WithCost(out time.Duration) State {
+func (s State) WithOutOfService(out time.Duration) State {
 	s.cost.mean = out
 	return s
 }
