--- a/internal/roles/roles.go
+++ b/internal/roles/roles.go
@@ -149,8 +149,8 @@
 	return s
 }
 
-// Cost is the measured time out of service of a change; 0 before the first.
-func (s State) Cost() time.Duration { return s.cost.mean }
+// OutOfService is the measured time out of service of a change; 0 before the first.
+func (s State) OutOfService() time.Duration { return s.cost.mean }
 
 // Decide takes one observation at the time now. It returns the next state and
 // what to do. The same arguments give the same result.
--- a/internal/roles/roles_test.go
+++ b/internal/roles/roles_test.go
@@ -99,8 +99,8 @@
 	if n := count(p.engines); n.prefill < 6 {
 		t.Fatalf("%+v after a swing to long prompts, want 6 prefill engines or more", n)
 	}
-	if p.state.Cost() != 8*time.Second {
-		t.Errorf("measured cost %s, want 8s", p.state.Cost())
+	if p.state.OutOfService() != 8*time.Second {
+		t.Errorf("measured cost %s, want 8s", p.state.OutOfService())
 	}
 }
 
