--- a/internal/scaling/plan.go
+++ b/internal/scaling/plan.go
@@ -7,15 +7,15 @@
 	"sassafrasfield/internal/routes"
 )
 
-// Want is how many engines of each kind a zone is to have.
-type Want [2]int
+// EngineCounts is how many engines of each kind a zone is to have.
+type EngineCounts [2]int
 
-func (w Want) sum() int { return w[Lasting] + w[Spot] }
+func (w EngineCounts) sum() int { return w[Lasting] + w[Spot] }
 
 // plan returns what each zone is to have for a number of engines in all, and how many that
 // are together, those not counted that replace others which cannot be had.
-func (s Settings) plan(limits routes.ScaleLimits, zones []Zone, engines int) (wants []Want, total int) {
-	wants = make([]Want, len(zones))
+func (s Settings) plan(limits routes.ScaleLimits, zones []Zone, engines int) (wants []EngineCounts, total int) {
+	wants = make([]EngineCounts, len(zones))
 	if len(zones) == 0 {
 		return wants, 0
 	}
@@ -35,20 +35,20 @@
 }
 
 // split returns the kinds of a zone's engines: spot ones do the work, but for the reserve.
-func (s Settings) split(engines int) Want {
+func (s Settings) split(engines int) EngineCounts {
 	lasting := min(s.Reserve, engines)
-	return Want{Lasting: lasting, Spot: engines - lasting}
+	return EngineCounts{Lasting: lasting, Spot: engines - lasting}
 }
 
 // replace has other zones run the spot engines that a zone has not and cannot have, as far
 // as their limits go. What no zone can have, lasting engines do, once it lasts for long or
 // when less than half of all is left.
-func (s Settings) replace(limits routes.ScaleLimits, zones []Zone, wants []Want) {
+func (s Settings) replace(limits routes.ScaleLimits, zones []Zone, wants []EngineCounts) {
 	missing, long := 0, true
 	here, wanted := 0, 0
 	var others []int
 	for i, z := range zones {
-		here += Want(z.Engines).sum()
+		here += EngineCounts(z.Engines).sum()
 		wanted += wants[i].sum()
 		if z.RefusedFor <= 0 {
 			others = append(others, i)
@@ -73,7 +73,7 @@
 }
 
 // spread gives engines of a kind to zones by turns, as long as one has room.
-func spread(limits routes.ScaleLimits, wants []Want, to []int, kind Kind, engines int) {
+func spread(limits routes.ScaleLimits, wants []EngineCounts, to []int, kind Kind, engines int) {
 	for engines > 0 {
 		given := false
 		for _, i := range to {
@@ -93,11 +93,11 @@
 // first, and nothing is ordered away before what replaces it is there, in whichever zone,
 // but where a zone is full.
 // Both kinds together stay within the limits of a zone at each step.
-func steps(limits routes.ScaleLimits, zones []Zone, wants []Want, total int) []Want {
-	nexts := make([]Want, len(zones))
+func steps(limits routes.ScaleLimits, zones []Zone, wants []EngineCounts, total int) []EngineCounts {
+	nexts := make([]EngineCounts, len(zones))
 	surplus := -total
 	for _, z := range zones {
-		surplus += Want(z.Engines).sum()
+		surplus += EngineCounts(z.Engines).sum()
 	}
 	for i, z := range zones {
 		for kind := range wants[i] {
@@ -116,8 +116,8 @@
 // turns in all zones. The next ones follow as these come and go. With 3,000 replaced at
 // once before 302 instances, the busiest instance took 379 MB, and a configuration was in
 // force after 1.5 s.
-func paced(zones []Zone, nexts []Want, atOnce int) []Want {
-	steps := make([]Want, len(zones))
+func paced(zones []Zone, nexts []EngineCounts, atOnce int) []EngineCounts {
+	steps := make([]EngineCounts, len(zones))
 	for i, z := range zones {
 		steps[i] = z.Engines
 	}
@@ -127,7 +127,7 @@
 }
 
 // move brings steps nearer to what is next by one engine after another, in one direction.
-func move(steps, nexts []Want, engines, by int) {
+func move(steps, nexts []EngineCounts, engines, by int) {
 	for moved := true; moved; {
 		moved = false
 		for i := range steps {
@@ -144,8 +144,8 @@
 
 // makeRoom orders engines of the wrong kind away where a zone is full of them: the right
 // ones could not come else.
-func makeRoom(limits routes.ScaleLimits, zone Zone, want Want, next *Want) {
-	if Want(zone.Engines).sum() < limits.Max || next.sum() <= limits.Max {
+func makeRoom(limits routes.ScaleLimits, zone Zone, want EngineCounts, next *EngineCounts) {
+	if EngineCounts(zone.Engines).sum() < limits.Max || next.sum() <= limits.Max {
 		return
 	}
 	for kind := range next {
@@ -155,7 +155,7 @@
 }
 
 // within cuts what both kinds together have too much, of the kind that grows.
-func within(limits routes.ScaleLimits, zone Zone, next Want) Want {
+func within(limits routes.ScaleLimits, zone Zone, next EngineCounts) EngineCounts {
 	over := next.sum() - limits.Max
 	for _, kind := range []Kind{Spot, Lasting} {
 		grows := next[kind] - zone.Engines[kind]
--- a/internal/scaling/scaler.go
+++ b/internal/scaling/scaler.go
@@ -237,7 +237,7 @@
 	}
 }
 
-func (k *Scaler) order(ctx context.Context, o Order, zone Zone, want Want) {
+func (k *Scaler) order(ctx context.Context, o Order, zone Zone, want EngineCounts) {
 	err := k.sender.Scale(ctx, o)
 	k.note(o, err)
 	k.log.Info("scaling: order", "service", o.Service, "zone", o.Zone, "kind", o.Kind.String(), "engines", o.Engines,
--- a/internal/scaling/scaler_test.go
+++ b/internal/scaling/scaler_test.go
@@ -105,7 +105,7 @@
 // TestTheFirstHolderOrdersAsItCounts: the list still fills when it begins. Spot engines are
 // ordered for those that are seen, and nothing is ordered away before the list stands.
 func TestTheFirstHolderOrdersAsItCounts(t *testing.T) {
-	f := newFake(Zone{Name: "a", Engines: Want{4, 0}}, Zone{Name: "b"})
+	f := newFake(Zone{Name: "a", Engines: EngineCounts{4, 0}}, Zone{Name: "b"})
 	k, grant := scaler(f, "inst-1"), f.takeOver(1)
 	looks(k, grant, settledLooks-1)
 	if got := f.engines(); got != "[4 2][0 2]" {
@@ -134,10 +134,10 @@
 
 // TestTheNextHolderGoesOn: it finds what is there, and knows how many there were at first.
 func TestTheNextHolderGoesOn(t *testing.T) {
-	f := newFake(Zone{Name: "a", Engines: Want{3, 0}}, Zone{Name: "b", Engines: Want{3, 0}})
+	f := newFake(Zone{Name: "a", Engines: EngineCounts{3, 0}}, Zone{Name: "b", Engines: EngineCounts{3, 0}})
 	first, grant := scaler(f, "inst-1"), f.takeOver(1)
 	looks(first, grant, settledLooks+3)
-	f.zones[1].Engines = Want{} // taken back meanwhile
+	f.zones[1].Engines = EngineCounts{} // taken back meanwhile
 	n := len(f.orders)
 	next, taken := scaler(f, "inst-2"), f.takeOver(2)
 	f.tableOK = false
@@ -154,7 +154,7 @@
 // TestAnEarlierHolderCountsNothing: of two that begin, the one with the newest epoch does,
 // and nothing is ordered away before.
 func TestAnEarlierHolderCountsNothing(t *testing.T) {
-	f := newFake(Zone{Name: "a", Engines: Want{3, 0}})
+	f := newFake(Zone{Name: "a", Engines: EngineCounts{3, 0}})
 	k, grant := scaler(f, "inst-1"), f.takeOver(1)
 	f.takeOver(2)
 	looks(k, grant, settledLooks+2)
@@ -167,7 +167,7 @@
 // Also zones that have unlike many engines keep them.
 func TestWithoutCheaperSpotEnginesNothingIsOrdered(t *testing.T) {
 	for _, price := range []float64{0, 1, 2} {
-		f := newFake(Zone{Name: "a", Engines: Want{5, 0}}, Zone{Name: "b", Engines: Want{1, 0}})
+		f := newFake(Zone{Name: "a", Engines: EngineCounts{5, 0}}, Zone{Name: "b", Engines: EngineCounts{1, 0}})
 		f.limits.SpotPrice = price
 		if looks(scaler(f, "inst-1"), f.takeOver(1), settledLooks+4); len(f.orders) != 0 {
 			t.Errorf("price %g: %v", price, f.orders)
@@ -177,7 +177,7 @@
 
 // TestARefusedOrderIsTakenByOtherZones: and asked for again only after a pause.
 func TestARefusedOrderIsTakenByOtherZones(t *testing.T) {
-	f := newFake(Zone{Name: "a", Engines: Want{3, 0}}, Zone{Name: "b", Engines: Want{3, 0}})
+	f := newFake(Zone{Name: "a", Engines: EngineCounts{3, 0}}, Zone{Name: "b", Engines: EngineCounts{3, 0}})
 	f.refuse["b"] = true
 	k, grant := scaler(f, "inst-1"), f.takeOver(1)
 	looks(k, grant, settledLooks+4)
@@ -198,7 +198,7 @@
 // TestAnOrderThatMayNotHaveComeSaysNothingOfEngines: the address for orders is down, and no
 // other zone is to run more for that.
 func TestAnOrderThatMayNotHaveComeSaysNothingOfEngines(t *testing.T) {
-	f := newFake(Zone{Name: "a", Engines: Want{3, 0}}, Zone{Name: "b", Engines: Want{3, 0}})
+	f := newFake(Zone{Name: "a", Engines: EngineCounts{3, 0}}, Zone{Name: "b", Engines: EngineCounts{3, 0}})
 	f.lost["b"] = true
 	k, grant := scaler(f, "inst-1"), f.takeOver(1)
 	looks(k, grant, settledLooks+4)
--- a/internal/scaling/scaling_test.go
+++ b/internal/scaling/scaling_test.go
@@ -15,7 +15,7 @@
 
 var limits = routes.ScaleLimits{Min: 1, Max: 30, Boot: 4 * time.Second, SpotPrice: 0.18}
 
-func zones(engines ...Want) []Zone {
+func zones(engines ...EngineCounts) []Zone {
 	list := make([]Zone, len(engines))
 	for i, e := range engines {
 		list[i] = Zone{Name: fmt.Sprint(i), Engines: e}
@@ -24,7 +24,7 @@
 }
 
 // nextSteps are the next steps on the way to a number of engines.
-func nextSteps(l routes.ScaleLimits, list []Zone, engines int) []Want {
+func nextSteps(l routes.ScaleLimits, list []Zone, engines int) []EngineCounts {
 	wants, total := asMany.plan(l, list, engines)
 	return steps(l, list, wants, total)
 }
@@ -33,14 +33,14 @@
 // is ordered away once they are there. The load is a deployment that begins with 15 lasting
 // engines in each of four zones; a spot engine costs 0.18 of a lasting one.
 func TestSpotEnginesTakeThePlaceOfLastingOnes(t *testing.T) {
-	begin := zones(Want{15, 0}, Want{15, 0}, Want{15, 0}, Want{15, 0})
+	begin := zones(EngineCounts{15, 0}, EngineCounts{15, 0}, EngineCounts{15, 0}, EngineCounts{15, 0})
 	for i, next := range nextSteps(limits, begin, 60) {
-		if next != (Want{15, 15}) {
+		if next != (EngineCounts{15, 15}) {
 			t.Errorf("zone %d: first step %v", i, next)
 		}
 	}
-	for i, next := range nextSteps(limits, zones(Want{15, 15}, Want{15, 15}, Want{15, 15}, Want{15, 15}), 60) {
-		if next != (Want{0, 15}) {
+	for i, next := range nextSteps(limits, zones(EngineCounts{15, 15}, EngineCounts{15, 15}, EngineCounts{15, 15}, EngineCounts{15, 15}), 60) {
+		if next != (EngineCounts{0, 15}) {
 			t.Errorf("zone %d: second step %v", i, next)
 		}
 	}
@@ -51,8 +51,8 @@
 func TestMoreSpotEnginesRunThanThereWereAtFirst(t *testing.T) {
 	more := asMany
 	more.Share = 1.2
-	wants, total := more.plan(limits, zones(Want{15, 0}, Want{15, 0}, Want{15, 0}, Want{15, 0}), 60)
-	if total != 72 || wants[0] != (Want{0, 18}) {
+	wants, total := more.plan(limits, zones(EngineCounts{15, 0}, EngineCounts{15, 0}, EngineCounts{15, 0}, EngineCounts{15, 0}), 60)
+	if total != 72 || wants[0] != (EngineCounts{0, 18}) {
 		t.Errorf("%d, %v", total, wants)
 	}
 }
@@ -61,18 +61,18 @@
 // no more are to be had there. Once they are, the others' go again, and not before they
 // are there.
 func TestOtherZonesReplaceWhatAZoneCannotHave(t *testing.T) {
-	list := zones(Want{0, 15}, Want{0, 15}, Want{0, 15}, Want{})
+	list := zones(EngineCounts{0, 15}, EngineCounts{0, 15}, EngineCounts{0, 15}, EngineCounts{})
 	list[3].RefusedFor = time.Second
 	nexts := nextSteps(limits, list, 60)
-	if fmt.Sprint(nexts) != fmt.Sprint([]Want{{0, 20}, {0, 20}, {0, 20}, {0, 15}}) {
+	if fmt.Sprint(nexts) != fmt.Sprint([]EngineCounts{{0, 20}, {0, 20}, {0, 20}, {0, 15}}) {
 		t.Errorf("%v", nexts)
 	}
-	back := zones(Want{0, 20}, Want{0, 20}, Want{0, 20}, Want{})
-	if nexts = nextSteps(limits, back, 60); nexts[0] != (Want{0, 20}) || nexts[3] != (Want{0, 15}) {
+	back := zones(EngineCounts{0, 20}, EngineCounts{0, 20}, EngineCounts{0, 20}, EngineCounts{})
+	if nexts = nextSteps(limits, back, 60); nexts[0] != (EngineCounts{0, 20}) || nexts[3] != (EngineCounts{0, 15}) {
 		t.Errorf("before they are there: %v", nexts)
 	}
-	there := zones(Want{0, 20}, Want{0, 20}, Want{0, 20}, Want{0, 15})
-	if nexts = nextSteps(limits, there, 60); nexts[0] != (Want{0, 15}) || nexts[2] != (Want{0, 15}) {
+	there := zones(EngineCounts{0, 20}, EngineCounts{0, 20}, EngineCounts{0, 20}, EngineCounts{0, 15})
+	if nexts = nextSteps(limits, there, 60); nexts[0] != (EngineCounts{0, 15}) || nexts[2] != (EngineCounts{0, 15}) {
 		t.Errorf("once they are there: %v", nexts)
 	}
 }
@@ -84,7 +84,7 @@
 		after         time.Duration
 		left, lasting int
 	}{{time.Second, 10, 0}, {lastingAfter, 10, 5}, {time.Second, 0, 15}} {
-		list := zones(Want{0, c.left}, Want{0, c.left})
+		list := zones(EngineCounts{0, c.left}, EngineCounts{0, c.left})
 		for i := range list {
 			list[i].RefusedFor = c.after
 		}
@@ -103,7 +103,7 @@
 func TestALargeFleetIsReplacedByAndBy(t *testing.T) {
 	large := limits
 	large.Max = 2000
-	list := zones(Want{750, 0}, Want{750, 0}, Want{750, 0}, Want{750, 0})
+	list := zones(EngineCounts{750, 0}, EngineCounts{750, 0}, EngineCounts{750, 0}, EngineCounts{750, 0})
 	wants, total := asMany.plan(large, list, 3000)
 	for range 100 {
 		nexts := paced(list, steps(large, list, wants, total), atOnce)
@@ -125,7 +125,7 @@
 		}
 	}
 	for i, z := range list {
-		if Want(z.Engines) != wants[i] {
+		if EngineCounts(z.Engines) != wants[i] {
 			t.Errorf("zone %d has %v in the end, wanted %v", i, z.Engines, wants[i])
 		}
 	}
@@ -143,7 +143,7 @@
 		for i := range rapid.IntRange(1, 5).Draw(t, "zones") {
 			lasting := rapid.IntRange(0, l.Max).Draw(t, "lasting")
 			spot := rapid.IntRange(0, l.Max-lasting).Draw(t, "spot")
-			list = append(list, Zone{Name: fmt.Sprint(i), Engines: Want{lasting, spot}})
+			list = append(list, Zone{Name: fmt.Sprint(i), Engines: EngineCounts{lasting, spot}})
 			total += lasting + spot
 		}
 		engines := rapid.IntRange(1, 60).Draw(t, "engines")
@@ -157,11 +157,11 @@
 			nexts := steps(l, list, wants, wanted)
 			after, full := 0, false
 			for i, next := range nexts {
-				if next.sum() > max(l.Max, Want(list[i].Engines).sum()) {
+				if next.sum() > max(l.Max, EngineCounts(list[i].Engines).sum()) {
 					t.Fatalf("round %d, zone %d: %v", round, i, next)
 				}
 				after += next.sum()
-				full = full || Want(list[i].Engines).sum() >= l.Max
+				full = full || EngineCounts(list[i].Engines).sum() >= l.Max
 				list[i].Engines = next
 			}
 			if !full && after < min(total, wanted) {
@@ -170,7 +170,7 @@
 			total = after
 		}
 		for i, z := range list {
-			if Want(z.Engines) != wants[i] {
+			if EngineCounts(z.Engines) != wants[i] {
 				t.Fatalf("zone %d has %v in the end, wanted %v", i, z.Engines, wants[i])
 			}
 		}
