--- a/internal/instance/duties.go
+++ b/internal/instance/duties.go
@@ -47,7 +47,7 @@
 	for _, u := range in.relay.Members(name) {
 		zone := zones[u.Zone]
 		zone.Name = u.Zone
-		kind := scaling.Lasting
+		kind := scaling.OnDemand
 		if u.Spot {
 			kind = scaling.Spot
 		}
--- a/internal/scaling/plan.go
+++ b/internal/scaling/plan.go
@@ -10,7 +10,7 @@
 // EngineCounts is how many engines of each kind a zone is to have.
 type EngineCounts [2]int
 
-func (w EngineCounts) sum() int { return w[Lasting] + w[Spot] }
+func (w EngineCounts) sum() int { return w[OnDemand] + w[Spot] }
 
 // plan returns what each zone is to have for a number of engines in all, and how many that
 // are together, those not counted that replace others which cannot be had.
@@ -37,7 +37,7 @@
 // split returns the kinds of a zone's engines: spot ones do the work, but for the reserve.
 func (s Settings) split(engines int) EngineCounts {
 	lasting := min(s.Reserve, engines)
-	return EngineCounts{Lasting: lasting, Spot: engines - lasting}
+	return EngineCounts{OnDemand: lasting, Spot: engines - lasting}
 }
 
 // replace has other zones run the spot engines that a zone has not and cannot have, as far
@@ -59,7 +59,7 @@
 	}
 	kind := Spot
 	if len(others) == 0 && (long || here < wanted/2) {
-		kind, others = Lasting, all(zones)
+		kind, others = OnDemand, all(zones)
 	}
 	spread(limits, wants, others, kind, missing)
 }
@@ -157,7 +157,7 @@
 // within cuts what both kinds together have too much, of the kind that grows.
 func within(limits routes.ScaleLimits, zone Zone, next EngineCounts) EngineCounts {
 	over := next.sum() - limits.Max
-	for _, kind := range []Kind{Spot, Lasting} {
+	for _, kind := range []Kind{Spot, OnDemand} {
 		grows := next[kind] - zone.Engines[kind]
 		cut := min(max(over, 0), max(grows, 0))
 		next[kind] -= cut
--- a/internal/scaling/scaler.go
+++ b/internal/scaling/scaler.go
@@ -148,7 +148,7 @@
 func (k *Scaler) count(ctx context.Context, state *service, s Service, grant lease.Grant) error {
 	total := 0
 	for _, z := range s.Zones {
-		total += z.Engines[Lasting]
+		total += z.Engines[OnDemand]
 	}
 	if total > state.engines {
 		state.engines, state.looks = total, 0
@@ -206,7 +206,7 @@
 // others away.
 func (s *service) kinds() []Kind {
 	if s.known {
-		return []Kind{Spot, Lasting}
+		return []Kind{Spot, OnDemand}
 	}
 	return []Kind{Spot}
 }
--- a/internal/scaling/scaler_test.go
+++ b/internal/scaling/scaler_test.go
@@ -111,8 +111,8 @@
 	if got := f.engines(); got != "[4 2][0 2]" {
 		t.Fatalf("%s while the list fills", got)
 	}
-	f.zones[0].Engines[Lasting] = 3
-	f.zones[1].Engines[Lasting] = 3
+	f.zones[0].Engines[OnDemand] = 3
+	f.zones[1].Engines[OnDemand] = 3
 	looks(k, grant, settledLooks-1)
 	if got := f.engines(); got != "[3 3][3 3]" {
 		t.Fatalf("%s before the list stands", got)
--- a/internal/scaling/scaling.go
+++ b/internal/scaling/scaling.go
@@ -18,8 +18,8 @@
 type Kind int
 
 const (
-	// Lasting engines stay until they are ordered away.
-	Lasting Kind = iota
+	// OnDemand engines stay until they are ordered away.
+	OnDemand Kind = iota
 	// Spot engines cost less, and may be taken back.
 	Spot
 )
--- a/internal/scaling/scaling_test.go
+++ b/internal/scaling/scaling_test.go
@@ -90,7 +90,7 @@
 		}
 		wants, _ := asMany.plan(limits, list, 30)
 		for i, want := range wants {
-			if want[Lasting] != c.lasting {
+			if want[OnDemand] != c.lasting {
 				t.Errorf("%d left after %s, zone %d: %v", c.left, c.after, i, want)
 			}
 		}
