--- a/internal/scaling/scaler.go
+++ b/internal/scaling/scaler.go
@@ -80,7 +80,7 @@
 	log             *slog.Logger
 
 	services map[string]*service
-	orders   map[Subject]ordered
+	orders   map[EngineGroup]ordered
 }
 
 // service is what the holder knows of a service.
@@ -100,7 +100,7 @@
 
 // Taken implements rolekeeper.Duty.
 func (k *Scaler) Taken() {
-	k.services, k.orders = map[string]*service{}, map[Subject]ordered{}
+	k.services, k.orders = map[string]*service{}, map[EngineGroup]ordered{}
 }
 
 // Do implements rolekeeper.Duty.
@@ -183,7 +183,7 @@
 // bring orders what it takes to have the wanted engines of a service.
 func (k *Scaler) bring(ctx context.Context, state *service, s Service, grant lease.Grant) {
 	for i, zone := range s.Zones {
-		s.Zones[i].RefusedFor = k.refusedFor(Subject{Service: s.Name, Zone: zone.Name, Kind: Spot})
+		s.Zones[i].RefusedFor = k.refusedFor(EngineGroup{Service: s.Name, Zone: zone.Name, Kind: Spot})
 	}
 	wants, total := k.settings.plan(s.Limits, s.Zones, state.engines)
 	if !state.known {
@@ -193,9 +193,9 @@
 	for i, zone := range s.Zones {
 		next := nexts[i]
 		for _, kind := range state.kinds() {
-			subject := Subject{Service: s.Name, Zone: zone.Name, Kind: kind}
+			subject := EngineGroup{Service: s.Name, Zone: zone.Name, Kind: kind}
 			if k.due(subject, next[kind], zone.Engines[kind], s.Limits.Boot) && ctx.Err() == nil {
-				k.order(ctx, Order{Subject: subject, Engines: next[kind], Holder: k.instance, Epoch: grant.Epoch}, zone, wants[i])
+				k.order(ctx, Order{EngineGroup: subject, Engines: next[kind], Holder: k.instance, Epoch: grant.Epoch}, zone, wants[i])
 			}
 		}
 	}
@@ -212,7 +212,7 @@
 }
 
 // refusedFor is for how long all orders of a subject were refused; 0 when none was.
-func (k *Scaler) refusedFor(subject Subject) time.Duration {
+func (k *Scaler) refusedFor(subject EngineGroup) time.Duration {
 	last := k.orders[subject]
 	if last.refusedAt == 0 {
 		return 0
@@ -222,7 +222,7 @@
 
 // due tells whether to order a number of engines where there are so many: when it is not
 // what was ordered last, or has not had its effect in time.
-func (k *Scaler) due(subject Subject, engines, here int, boot time.Duration) bool {
+func (k *Scaler) due(subject EngineGroup, engines, here int, boot time.Duration) bool {
 	last, known := k.orders[subject]
 	age := bootclock.Now() - last.at
 	switch {
@@ -255,7 +255,7 @@
 // note keeps what came of an order. One that may not have come says nothing of what is to
 // be had.
 func (k *Scaler) note(o Order, err error) {
-	before := k.orders[o.Subject]
+	before := k.orders[o.EngineGroup]
 	newest := ordered{engines: o.Engines, at: bootclock.Now(), failed: err != nil}
 	switch {
 	case errors.Is(err, ErrNone) && before.refusedAt == 0:
@@ -263,7 +263,7 @@
 	case err != nil:
 		newest.refusedAt = before.refusedAt
 	}
-	k.orders[o.Subject] = newest
+	k.orders[o.EngineGroup] = newest
 }
 
 // ZonesOf lists zones by name.
--- a/internal/scaling/scaler_test.go
+++ b/internal/scaling/scaler_test.go
@@ -190,7 +190,7 @@
 	if got := f.engines(); got != "[0 6][0 0]" || refused != 1 {
 		t.Errorf("%s after %d refused orders", got, refused)
 	}
-	if !errors.Is(f.Scale(context.Background(), Order{Subject: Subject{Zone: "b", Kind: Spot}}), ErrNone) {
+	if !errors.Is(f.Scale(context.Background(), Order{EngineGroup: EngineGroup{Zone: "b", Kind: Spot}}), ErrNone) {
 		t.Error("the fake does not refuse")
 	}
 }
--- a/internal/scaling/scaling.go
+++ b/internal/scaling/scaling.go
@@ -32,15 +32,15 @@
 	return "lasting"
 }
 
-// Subject is what one order is about.
-type Subject struct {
+// EngineGroup is what one order is about.
+type EngineGroup struct {
 	Service, Zone string
 	Kind          Kind
 }
 
 // Order has a number of engines run.
 type Order struct {
-	Subject
+	EngineGroup
 	Engines int
 	// Holder is the name of the instance that orders, Epoch the fencing number.
 	Holder string
