--- a/internal/scaling/scaler.go
+++ b/internal/scaling/scaler.go
@@ -244,7 +244,7 @@
 		"here", zone.Engines[o.Kind], "leaving", zone.Leaving[o.Kind], "wanted", want[o.Kind], "epoch", o.Epoch, "error", err)
 	name := "ordered"
 	switch {
-	case errors.Is(err, ErrNone):
+	case errors.Is(err, ErrNoCapacity):
 		name = "none_to_be_had"
 	case err != nil:
 		name = "failed"
@@ -258,7 +258,7 @@
 	before := k.orders[o.EngineGroup]
 	newest := ordered{engines: o.Engines, at: bootclock.Now(), failed: err != nil}
 	switch {
-	case errors.Is(err, ErrNone) && before.refusedAt == 0:
+	case errors.Is(err, ErrNoCapacity) && before.refusedAt == 0:
 		newest.refusedAt = newest.at
 	case err != nil:
 		newest.refusedAt = before.refusedAt
--- a/internal/scaling/scaler_test.go
+++ b/internal/scaling/scaler_test.go
@@ -70,7 +70,7 @@
 		return errors.New("no answer")
 	}
 	if o.Kind == Spot && f.refuse[o.Zone] {
-		return ErrNone
+		return ErrNoCapacity
 	}
 	for i := range f.zones {
 		if f.zones[i].Name == o.Zone {
@@ -190,7 +190,7 @@
 	if got := f.engines(); got != "[0 6][0 0]" || refused != 1 {
 		t.Errorf("%s after %d refused orders", got, refused)
 	}
-	if !errors.Is(f.Scale(context.Background(), Order{EngineGroup: EngineGroup{Zone: "b", Kind: Spot}}), ErrNone) {
+	if !errors.Is(f.Scale(context.Background(), Order{EngineGroup: EngineGroup{Zone: "b", Kind: Spot}}), ErrNoCapacity) {
 		t.Error("the fake does not refuse")
 	}
 }
--- a/internal/scaling/scaling.go
+++ b/internal/scaling/scaling.go
@@ -47,8 +47,8 @@
 	Epoch  int64
 }
 
-// ErrNone: there are no such engines to be had now. Compare with errors.Is.
-var ErrNone = errors.New("scaling: no engines of this kind to be had in the zone")
+// ErrNoCapacity: there are no such engines to be had now. Compare with errors.Is.
+var ErrNoCapacity = errors.New("scaling: no engines of this kind to be had in the zone")
 
 // Zone is what runs of a service in an availability zone: the engines that stay, and those
 // that are leaving already.
