--- a/internal/instance/duties.go
+++ b/internal/instance/duties.go
@@ -52,7 +52,7 @@
 			kind = scaling.Spot
 		}
 		if u.Draining {
-			zone.Leaving[kind]++
+			zone.Draining[kind]++
 		} else {
 			zone.Engines[kind]++
 		}
--- a/internal/scaling/scaler.go
+++ b/internal/scaling/scaler.go
@@ -241,7 +241,7 @@
 	err := k.sender.Scale(ctx, o)
 	k.note(o, err)
 	k.log.Info("scaling: order", "service", o.Service, "zone", o.Zone, "kind", o.Kind.String(), "engines", o.Engines,
-		"here", zone.Engines[o.Kind], "leaving", zone.Leaving[o.Kind], "wanted", want[o.Kind], "epoch", o.Epoch, "error", err)
+		"here", zone.Engines[o.Kind], "leaving", zone.Draining[o.Kind], "wanted", want[o.Kind], "epoch", o.Epoch, "error", err)
 	name := "ordered"
 	switch {
 	case errors.Is(err, ErrNoCapacity):
--- a/internal/scaling/scaling.go
+++ b/internal/scaling/scaling.go
@@ -54,7 +54,7 @@
 // that are leaving already.
 type Zone struct {
 	Name             string
-	Engines, Leaving [2]int // by kind
+	Engines, Draining [2]int // by kind
 	// RefusedFor is for how long spot engines were not to be had there; 0 when they are,
 	// as far as it is known.
 	RefusedFor time.Duration
