--- a/internal/scaling/plan.go
+++ b/internal/scaling/plan.go
@@ -50,12 +50,12 @@
 	for i, z := range zones {
 		here += EngineCounts(z.Engines).sum()
 		wanted += wants[i].sum()
-		if z.RefusedFor <= 0 {
+		if z.SpotRefusedFor <= 0 {
 			others = append(others, i)
 			continue
 		}
 		missing += max(0, wants[i][Spot]-z.Engines[Spot])
-		long = long && z.RefusedFor >= s.LastingAfter
+		long = long && z.SpotRefusedFor >= s.LastingAfter
 	}
 	kind := Spot
 	if len(others) == 0 && (long || here < wanted/2) {
--- a/internal/scaling/scaler.go
+++ b/internal/scaling/scaler.go
@@ -183,7 +183,7 @@
 // bring orders what it takes to have the wanted engines of a service.
 func (k *Scaler) bring(ctx context.Context, state *service, s Service, grant lease.Grant) {
 	for i, zone := range s.Zones {
-		s.Zones[i].RefusedFor = k.refusedFor(EngineGroup{Service: s.Name, Zone: zone.Name, Kind: Spot})
+		s.Zones[i].SpotRefusedFor = k.refusedFor(EngineGroup{Service: s.Name, Zone: zone.Name, Kind: Spot})
 	}
 	wants, total := k.settings.plan(s.Limits, s.Zones, state.engines)
 	if !state.known {
--- a/internal/scaling/scaling.go
+++ b/internal/scaling/scaling.go
@@ -55,9 +55,9 @@
 type Zone struct {
 	Name             string
 	Engines, Draining [2]int // by kind
-	// RefusedFor is for how long spot engines were not to be had there; 0 when they are,
+	// SpotRefusedFor is for how long spot engines were not to be had there; 0 when they are,
 	// as far as it is known.
-	RefusedFor time.Duration
+	SpotRefusedFor time.Duration
 }
 
 // Settings of the plan.
--- a/internal/scaling/scaling_test.go
+++ b/internal/scaling/scaling_test.go
@@ -62,7 +62,7 @@
 // are there.
 func TestOtherZonesReplaceWhatAZoneCannotHave(t *testing.T) {
 	list := zones(EngineCounts{0, 15}, EngineCounts{0, 15}, EngineCounts{0, 15}, EngineCounts{})
-	list[3].RefusedFor = time.Second
+	list[3].SpotRefusedFor = time.Second
 	nexts := nextSteps(limits, list, 60)
 	if fmt.Sprint(nexts) != fmt.Sprint([]EngineCounts{{0, 20}, {0, 20}, {0, 20}, {0, 15}}) {
 		t.Errorf("%v", nexts)
@@ -86,7 +86,7 @@
 	}{{time.Second, 10, 0}, {lastingAfter, 10, 5}, {time.Second, 0, 15}} {
 		list := zones(EngineCounts{0, c.left}, EngineCounts{0, c.left})
 		for i := range list {
-			list[i].RefusedFor = c.after
+			list[i].SpotRefusedFor = c.after
 		}
 		wants, _ := asMany.plan(limits, list, 30)
 		for i, want := range wants {
