--- a/internal/scaling/plan.go
+++ b/internal/scaling/plan.go
@@ -36,7 +36,7 @@
 
 // split returns the kinds of a zone's engines: spot ones do the work, but for the reserve.
 func (s Settings) split(engines int) EngineCounts {
-	lasting := min(s.Reserve, engines)
+	lasting := min(s.OnDemandReserve, engines)
 	return EngineCounts{OnDemand: lasting, Spot: engines - lasting}
 }
 
