--- a/internal/scaling/plan.go
+++ b/internal/scaling/plan.go
@@ -19,7 +19,7 @@
 	if len(zones) == 0 {
 		return wants, 0
 	}
-	each := int(math.Ceil(float64(engines) * s.Share / float64(len(zones))))
+	each := int(math.Ceil(float64(engines) * s.EngineShare / float64(len(zones))))
 	each = min(max(each, limits.Min), limits.Max)
 	for i := range zones {
 		wants[i] = s.split(each)
--- a/internal/scaling/scaling.go
+++ b/internal/scaling/scaling.go
@@ -65,11 +65,11 @@
 	// OnDemandReserve is how many lasting engines each zone keeps: what is left at once when
 	// all spot engines are taken back, of which the first ones must come back.
 	OnDemandReserve int
-	// Share is how many engines run for each one that the deployment began with, where
+	// EngineShare is how many engines run for each one that the deployment began with, where
 	// the work is done by spot engines. With 1.2 of four zones, 0.9 are left when one is
 	// taken back; that served 0.004 to 0.009 more of the days' credit and cost 0.013,
 	// where a spot engine costs 0.18 of a lasting one.
-	Share float64
+	EngineShare float64
 	// LastingAfter is how long spot engines are to be had in no zone until lasting ones
 	// take their place.
 	LastingAfter time.Duration
@@ -79,5 +79,5 @@
 
 // DefaultSettings returns the defaults.
 func DefaultSettings() Settings {
-	return Settings{OnDemandReserve: 0, Share: 1, LastingAfter: lastingAfter, AtOnce: atOnce}
+	return Settings{OnDemandReserve: 0, EngineShare: 1, LastingAfter: lastingAfter, AtOnce: atOnce}
 }
--- a/internal/scaling/scaling_test.go
+++ b/internal/scaling/scaling_test.go
@@ -11,7 +11,7 @@
 )
 
 // asMany has as many engines run as the deployment began with.
-var asMany = Settings{Share: 1, LastingAfter: lastingAfter, AtOnce: atOnce}
+var asMany = Settings{EngineShare: 1, LastingAfter: lastingAfter, AtOnce: atOnce}
 
 var limits = routes.ScaleLimits{Min: 1, Max: 30, Boot: 4 * time.Second, SpotPrice: 0.18}
 
@@ -50,7 +50,7 @@
 // leaves nine in ten then.
 func TestMoreSpotEnginesRunThanThereWereAtFirst(t *testing.T) {
 	more := asMany
-	more.Share = 1.2
+	more.EngineShare = 1.2
 	wants, total := more.plan(limits, zones(EngineCounts{15, 0}, EngineCounts{15, 0}, EngineCounts{15, 0}, EngineCounts{15, 0}), 60)
 	if total != 72 || wants[0] != (EngineCounts{0, 18}) {
 		t.Errorf("%d, %v", total, wants)
