--- a/internal/scaling/plan.go
+++ b/internal/scaling/plan.go
@@ -55,7 +55,7 @@
 			continue
 		}
 		missing += max(0, wants[i][Spot]-z.Engines[Spot])
-		long = long && z.SpotRefusedFor >= s.LastingAfter
+		long = long && z.SpotRefusedFor >= s.OnDemandAfter
 	}
 	kind := Spot
 	if len(others) == 0 && (long || here < wanted/2) {
--- a/internal/scaling/scaling.go
+++ b/internal/scaling/scaling.go
@@ -70,14 +70,14 @@
 	// taken back; that served 0.004 to 0.009 more of the days' credit and cost 0.013,
 	// where a spot engine costs 0.18 of a lasting one.
 	EngineShare float64
-	// LastingAfter is how long spot engines are to be had in no zone until lasting ones
+	// OnDemandAfter is how long spot engines are to be had in no zone until lasting ones
 	// take their place.
-	LastingAfter time.Duration
+	OnDemandAfter time.Duration
 	// AtOnce is how many engines start at a time, and how many leave.
 	AtOnce int
 }
 
 // DefaultSettings returns the defaults.
 func DefaultSettings() Settings {
-	return Settings{OnDemandReserve: 0, EngineShare: 1, LastingAfter: lastingAfter, AtOnce: atOnce}
+	return Settings{OnDemandReserve: 0, EngineShare: 1, OnDemandAfter: lastingAfter, AtOnce: atOnce}
 }
