--- a/internal/scaling/scaler.go
+++ b/internal/scaling/scaler.go
@@ -189,7 +189,7 @@
 	if !state.known {
 		total = math.MaxInt // none is one too many
 	}
-	nexts := paced(s.Zones, steps(s.Limits, s.Zones, wants, total), k.settings.AtOnce)
+	nexts := paced(s.Zones, steps(s.Limits, s.Zones, wants, total), k.settings.MaxConcurrentChanges)
 	for i, zone := range s.Zones {
 		next := nexts[i]
 		for _, kind := range state.kinds() {
--- a/internal/scaling/scaling.go
+++ b/internal/scaling/scaling.go
@@ -73,11 +73,11 @@
 	// OnDemandAfter is how long spot engines are to be had in no zone until lasting ones
 	// take their place.
 	OnDemandAfter time.Duration
-	// AtOnce is how many engines start at a time, and how many leave.
-	AtOnce int
+	// MaxConcurrentChanges is how many engines start at a time, and how many leave.
+	MaxConcurrentChanges int
 }
 
 // DefaultSettings returns the defaults.
 func DefaultSettings() Settings {
-	return Settings{OnDemandReserve: 0, EngineShare: 1, OnDemandAfter: lastingAfter, AtOnce: atOnce}
+	return Settings{OnDemandReserve: 0, EngineShare: 1, OnDemandAfter: lastingAfter, MaxConcurrentChanges: atOnce}
 }
--- a/internal/scaling/scaling_test.go
+++ b/internal/scaling/scaling_test.go
@@ -11,7 +11,7 @@
 )
 
 // asMany has as many engines run as the deployment began with.
-var asMany = Settings{EngineShare: 1, OnDemandAfter: lastingAfter, AtOnce: atOnce}
+var asMany = Settings{EngineShare: 1, OnDemandAfter: lastingAfter, MaxConcurrentChanges: atOnce}
 
 var limits = routes.ScaleLimits{Min: 1, Max: 30, Boot: 4 * time.Second, SpotPrice: 0.18}
 
