--- a/internal/instance/duties.go
+++ b/internal/instance/duties.go
@@ -26,8 +26,8 @@
 	return list
 }
 
-// Scalable implements scaling.View.
-func (in *Instance) Scalable() []scaling.Service {
+// ScalableServices implements scaling.View.
+func (in *Instance) ScalableServices() []scaling.Service {
 	var list []scaling.Service
 	for name, s := range in.relay.Services() {
 		if s.Scale != nil {
--- a/internal/scaling/scaler.go
+++ b/internal/scaling/scaler.go
@@ -34,9 +34,9 @@
 
 // View is what the scaler needs to know of the data path.
 type View interface {
-	// Scalable are the services whose engines may be ordered, each with the zones in
+	// ScalableServices are the services whose engines may be ordered, each with the zones in
 	// which it runs.
-	Scalable() []Service
+	ScalableServices() []Service
 }
 
 // Timings of orders.
@@ -105,7 +105,7 @@
 
 // Do implements rolekeeper.Duty.
 func (k *Scaler) Do(ctx context.Context, grant lease.Grant) {
-	for _, s := range k.view.Scalable() {
+	for _, s := range k.view.ScalableServices() {
 		if !spotIsCheaper(s.Limits) {
 			continue
 		}
--- a/internal/scaling/scaler_test.go
+++ b/internal/scaling/scaler_test.go
@@ -80,7 +80,7 @@
 	return nil
 }
 
-func (f *fakePlatform) Scalable() []Service {
+func (f *fakePlatform) ScalableServices() []Service {
 	return []Service{{Name: "llm", Limits: f.limits, Zones: append([]Zone{}, f.zones...)}}
 }
 
