--- a/internal/instance/duties.go
+++ b/internal/instance/duties.go
@@ -58,5 +58,5 @@
 		}
 		zones[u.Zone] = zone
 	}
-	return scaling.Service{Name: name, Limits: *s.Scale, Zones: scaling.ZonesOf(zones)}
+	return scaling.Service{Name: name, Limits: *s.Scale, Zones: scaling.SortedZones(zones)}
 }
--- a/internal/scaling/scaler.go
+++ b/internal/scaling/scaler.go
@@ -266,8 +266,8 @@
 	k.orders[o.EngineGroup] = newest
 }
 
-// ZonesOf lists zones by name.
-func ZonesOf(zones map[string]Zone) []Zone {
+// SortedZones lists zones by name.
+func SortedZones(zones map[string]Zone) []Zone {
 	return slices.SortedFunc(maps.Values(zones), func(a, b Zone) int {
 		if a.Name < b.Name {
 			return -1
--- a/internal/scaling/scaler_test.go
+++ b/internal/scaling/scaler_test.go
@@ -209,7 +209,7 @@
 
 // TestZonesAreListedByName: orders of two holders go to the same zones in the same order.
 func TestZonesAreListedByName(t *testing.T) {
-	list := ZonesOf(map[string]Zone{"b": {Name: "b"}, "a": {Name: "a"}, "c": {Name: "c"}})
+	list := SortedZones(map[string]Zone{"b": {Name: "b"}, "a": {Name: "a"}, "c": {Name: "c"}})
 	if list[0].Name != "a" || list[2].Name != "c" {
 		t.Errorf("%v", list)
 	}
