--- a/internal/roles/roles.go
+++ b/internal/roles/roles.go
@@ -42,8 +42,8 @@
 	Zone string
 	// PrefillUtilization is the part of the engine's time that its prompts take, above 1 when
 	// they are more than it can process. Looked at by PrefillUtilization alone.
-	PrefillUtilization  float64
-	Role config.Role
+	PrefillUtilization float64
+	Role               config.Role
 	// Serving is true when the configuration routes to the engine.
 	Serving bool
 	// Changing is true while the engine's role is not yet the wanted one.
--- a/internal/scaling/scaling.go
+++ b/internal/scaling/scaling.go
@@ -53,7 +53,7 @@
 // Zone is what runs of a service in an availability zone: the engines that stay, and those
 // that are leaving already.
 type Zone struct {
-	Name             string
+	Name              string
 	Engines, Draining [2]int // by kind
 	// SpotRefusedFor is for how long spot engines were not to be had there; 0 when they are,
 	// as far as it is known.
