--- a/internal/control/roles.go
+++ b/internal/control/roles.go
@@ -63,7 +63,7 @@
 		pool := &doc.Pools[i]
 		state := r.pool(pool)
 		auth, held := r.daemon.leases.held(pool.Name)
-		if !held || roles.BoundsOf(pool).Forbidden() {
+		if !held || roles.BoundsOf(pool).ForbidsChanges() {
 			state.epoch = 0
 			continue
 		}
@@ -102,7 +102,7 @@
 func (p *poolRoles) takeOver(epoch int64, pool *config.Pool) {
 	p.epoch, p.state, p.reason, p.reports = epoch, roles.State{}, "", map[string]reportMark{}
 	if last := pool.LastRoleChange; last != nil {
-		p.state = p.state.WithCost(time.Duration(last.OutSeconds * float64(time.Second)))
+		p.state = p.state.WithOutOfService(time.Duration(last.OutSeconds * float64(time.Second)))
 	}
 }
 
@@ -122,7 +122,7 @@
 	known.state, decision = roles.Decide(r.daemon.settings.Roles, known.state, obs, bootclock.Now())
 	if decision.Reason != known.reason {
 		r.log.Info("roles: decided", "pool", pool.Name, "reason", decision.Reason,
-			"gain", decision.Gain, "cost", decision.Cost, "prefill", decision.Prefill, "decode", decision.Decode)
+			"gain", decision.Gain, "cost", decision.Cost, "prefill", decision.ForecastPrefill, "decode", decision.ForecastDecode)
 		known.reason = decision.Reason
 	}
 	if decision.Change == nil {
@@ -174,7 +174,7 @@
 	next.Version = newest.Version + 1
 	next.Engine(c.Engine).Want.Role = c.To
 	next.Pool(pool).LastRoleChange = &config.RoleChange{
-		Version: next.Version, Engine: c.Engine, From: c.From, To: c.To, OutSeconds: decision.Out.Seconds(),
+		Version: next.Version, Engine: c.Engine, From: c.From, To: c.To, OutSeconds: decision.OutOfService.Seconds(),
 	}
 	return next, nil
 }
@@ -182,5 +182,5 @@
 // explain tells operators why a change was made.
 func explain(d roles.Decision, weight float64, horizon time.Duration) string {
 	return fmt.Sprintf("engine %s from %s to %s: forecast %.0f prefill and %.0f decode tokens/s, gain %.2f s of goodput over %s, cost %.2f s (%.1f s out of service, weight %g)",
-		d.Change.Engine, d.Change.From, d.Change.To, d.Prefill, d.Decode, d.Gain, horizon, d.Cost, d.Out.Seconds(), weight)
+		d.Change.Engine, d.Change.From, d.Change.To, d.ForecastPrefill, d.ForecastDecode, d.Gain, horizon, d.Cost, d.OutOfService.Seconds(), weight)
 }
--- a/internal/model/keeper.go
+++ b/internal/model/keeper.go
@@ -11,8 +11,8 @@
 // keeper is what the instance that keeps the split knows.
 type keeper struct {
 	target   roles.Target
-	use      roles.Use
-	follower roles.Follower
+	use      roles.Workload
+	follower roles.TargetTracker
 }
 
 // Pace of the keeper, as package rolekeeper has it.
@@ -25,9 +25,9 @@
 // keep has the split follow the use, where the policy says so, and gives orders.
 func (r *run) keep() {
 	view := r.instances[0].picture
-	balance := roles.DefaultBalance()
+	balance := roles.DefaultSplitPolicy()
 	if r.now%measureEvery == 0 && r.now > 0 && view.Times(service).Known {
-		r.keeper.use = r.keeper.use.Add(r.seen(), measureEvery, balance.Over)
+		r.keeper.use = r.keeper.use.Add(r.seen(), measureEvery, balance.SmoothingTime)
 	}
 	if r.now%lookEvery != 0 {
 		return
@@ -35,9 +35,9 @@
 	list := r.seen()
 	if r.policy.Follows {
 		times := view.Times(service)
-		balance.Step, balance.StepPerRequest = 1e3*times.Step.Seconds(), 1e3*times.StepPerRequest.Seconds()
+		balance.StepMillis, balance.StepMillisPerRequest = 1e3*times.Step.Seconds(), 1e3*times.StepPerRequest.Seconds()
 		balance.Slots = times.Slots
-		follower, target := r.keeper.follower.Look(balance, r.keeper.target, r.keeper.use, roles.CountPrefill(list), len(list), lookEvery)
+		follower, target := r.keeper.follower.Update(balance, r.keeper.target, r.keeper.use, roles.CountPrefill(list), len(list), lookEvery)
 		r.keeper.follower, r.keeper.target = follower, target
 	}
 	for _, change := range r.keeper.target.Changes(list, atOnce-r.changing()) {
@@ -76,7 +76,7 @@
 		if at := r.byID[e.ID]; at.wanted != at.role {
 			role = at.wanted
 		}
-		list = append(list, roles.Engine{ID: e.ID, Zone: e.Zone, Role: role, Running: e.Load.Requests, Use: e.Load.Use})
+		list = append(list, roles.Engine{ID: e.ID, Zone: e.Zone, Role: role, Running: e.Load.Requests, PrefillUtilization: e.Load.Use})
 	}
 	slices.SortFunc(list, func(a, b roles.Engine) int { return strings.Compare(a.ID, b.ID) })
 	return list
--- a/internal/roles/balance.go
+++ b/internal/roles/balance.go
@@ -5,53 +5,53 @@
 	"time"
 )
 
-// Balance says when a target should follow what the engines are used for. It
+// SplitPolicy says when a target should follow what the engines are used for. It
 // predicts how many requests a split has in it at a time: prompts that are
 // processed or wait, and answers that are generated. By Little's law the split
 // with the fewest is the one with the shortest mean time.
-type Balance struct {
-	// Step is the time of one step of generation, StepPerRequest what each
+type SplitPolicy struct {
+	// StepMillis is the time of one step of generation, StepMillisPerRequest what each
 	// request that takes part adds, both in milliseconds, as they were measured.
-	Step, StepPerRequest float64
+	StepMillis, StepMillisPerRequest float64
 	// Slots is how many requests an engine generates for at a time; 0 where that is
 	// not known.
 	Slots int
-	// Wait is how much more a prompt that waits counts than an answer that is
+	// WaitWeight is how much more a prompt that waits counts than an answer that is
 	// generated. It is above 1 as prompts differ in length, as shared parts bind
 	// them to engines, and as callers wait for the first token.
-	Wait float64
-	// Gain is the part of the requests by which another split must have fewer to
+	WaitWeight float64
+	// MinGain is the part of the requests by which another split must have fewer to
 	// be worth anything: the mix swings by the second, and an engine that changes
 	// loses the shared parts that it has cached.
-	Gain float64
-	// Evidence is how much the gain beyond that must add up to, without a break,
+	MinGain float64
+	// EvidenceThreshold is how much the gain beyond that must add up to, without a break,
 	// before the target moves, in seconds of all requests: a large gain is taken
 	// soon, a small one when it lasts.
-	Evidence float64
-	// Over is the time over which the use is smoothed, and which must be measured
+	EvidenceThreshold float64
+	// SmoothingTime is the time over which the use is smoothed, and which must be measured
 	// before it counts: longer than the gaps between prompts, shorter than the
 	// swings of the mix.
-	Over time.Duration
-	// Less and More are the parts of the engines by which prefill may shrink or
+	SmoothingTime time.Duration
+	// MaxPrefillDecrease and MaxPrefillIncrease are the parts of the engines by which prefill may shrink or
 	// grow before its use is looked at anew. Engines that are taken from
 	// generation are missed at once, as answers under way slow down.
-	Less, More float64
+	MaxPrefillDecrease, MaxPrefillIncrease float64
 }
 
-// DefaultBalance returns the defaults, without what is measured. Wait was chosen by
+// DefaultSplitPolicy returns the defaults, without what is measured. Wait was chosen by
 // runs of four mixes of prompts and answers, each with seven fixed splits
 // (docs/measurements/platform.md); Gain, Evidence and Over so that swings of some
 // ten seconds are left alone, which cost more than they bring (docs/NEW-CUSTOMER.md).
-func DefaultBalance() Balance {
-	return Balance{
-		Wait: 10, Gain: 0.06, Evidence: 2.2, Over: 30 * time.Second,
-		Less: 0.16, More: 0.11,
+func DefaultSplitPolicy() SplitPolicy {
+	return SplitPolicy{
+		WaitWeight: 10, MinGain: 0.06, EvidenceThreshold: 2.2, SmoothingTime: 30 * time.Second,
+		MaxPrefillDecrease: 0.16, MaxPrefillIncrease: 0.11,
 	}
 }
 
-// Follower moves a target with the use of the engines. The zero value has seen
+// TargetTracker moves a target with the use of the engines. The zero value has seen
 // nothing.
-type Follower struct {
+type TargetTracker struct {
 	// evidence is what has added up for a move, more the way that it would go.
 	evidence float64
 	more     bool
@@ -61,37 +61,37 @@
 // something of it: one may just have come or gone.
 const near = 1
 
-// Look takes a look at engines that are used so, of which so many are in the
+// Update takes a look at engines that are used so, of which so many are in the
 // prefill role, and stands for the time since the one before. It returns the
 // follower after the look and the target. Engines that are on their way to the
 // target tell nothing of it.
-func (f Follower) Look(b Balance, t Target, u Use, prefill, total int, since time.Duration) (Follower, Target) {
-	wanted := t.Count(total)
+func (f TargetTracker) Update(b SplitPolicy, t Target, u Workload, prefill, total int, since time.Duration) (TargetTracker, Target) {
+	wanted := t.PrefillCount(total)
 	off := prefill - wanted
-	if u.span < b.Over || prefill == 0 || prefill == total || off > near || off < -near {
-		return Follower{}, t
+	if u.span < b.SmoothingTime || prefill == 0 || prefill == total || off > near || off < -near {
+		return TargetTracker{}, t
 	}
 	best, gain := b.best(t, u, prefill, total)
-	if more := best > wanted; more != f.more || gain < b.Gain {
-		f = Follower{more: more}
+	if more := best > wanted; more != f.more || gain < b.MinGain {
+		f = TargetTracker{more: more}
 	}
-	f.evidence += max(0, gain-b.Gain) * since.Seconds()
-	if f.evidence < b.Evidence {
+	f.evidence += max(0, gain-b.MinGain) * since.Seconds()
+	if f.evidence < b.EvidenceThreshold {
 		return f, t
 	}
-	return Follower{}, t.with(best, total)
+	return TargetTracker{}, t.with(best, total)
 }
 
 // best returns the number of engines in prefill, within a move's reach of the
 // target, that has the fewest requests, and by what part they are fewer than with
 // the target.
-func (b Balance) best(t Target, u Use, prefill, total int) (int, float64) {
+func (b SplitPolicy) best(t Target, u Workload, prefill, total int) (int, float64) {
 	tokens := b.tokens(u, total-prefill)
-	wanted := t.Count(total)
+	wanted := t.PrefillCount(total)
 	now := b.requests(u, tokens, wanted, total)
 	best, fewest := wanted, now
-	least := max(1, wanted-b.steps(b.Less, total))
-	most := min(total-b.leastDecode(t, u), wanted+b.steps(b.More, total))
+	least := max(1, wanted-b.steps(b.MaxPrefillDecrease, total))
+	most := min(total-b.leastDecode(t, u), wanted+b.steps(b.MaxPrefillIncrease, total))
 	for n := least; n <= most; n++ {
 		if l := b.requests(u, tokens, n, total); l < fewest {
 			best, fewest = n, l
@@ -102,7 +102,7 @@
 
 // leastDecode is the fewest engines left to generate that have slots for the
 // requests which generate now.
-func (b Balance) leastDecode(t Target, u Use) int {
+func (b SplitPolicy) leastDecode(t Target, u Workload) int {
 	if b.Slots == 0 {
 		return t.MinDecode
 	}
@@ -110,24 +110,24 @@
 }
 
 // steps is a part of the engines, rounded up.
-func (b Balance) steps(part float64, total int) int { return int(math.Ceil(part * float64(total))) }
+func (b SplitPolicy) steps(part float64, total int) int { return int(math.Ceil(part * float64(total))) }
 
 // tokens is the number of tokens a millisecond that the requests get on so many
 // decode engines: what time the prompts there leave, over the time of a step.
-func (b Balance) tokens(u Use, decode int) float64 {
+func (b SplitPolicy) tokens(u Workload, decode int) float64 {
 	batch := u.Generations / float64(decode)
-	left := max(0, 1-u.Direct/float64(decode))
-	return u.Generations * left / (b.Step + b.StepPerRequest*batch)
+	left := max(0, 1-u.DirectPrefillLoad/float64(decode))
+	return u.Generations * left / (b.StepMillis + b.StepMillisPerRequest*batch)
 }
 
 // requests predicts the requests at a time with n of the engines in prefill: the
 // prompts by the mean of a queue, the answers from the tokens that they are to
 // get in the time that prompts leave the other engines.
-func (b Balance) requests(u Use, tokens float64, n, total int) float64 {
+func (b SplitPolicy) requests(u Workload, tokens float64, n, total int) float64 {
 	decode := float64(total - n)
-	prompts := u.Prompts / float64(n)
-	answers := (u.Direct + b.StepPerRequest*tokens) / decode
-	return u.Prompts + b.Wait*u.Prompts*(crowding(prompts)-1) + b.Step*tokens*crowding(answers)
+	prompts := u.PrefillLoad / float64(n)
+	answers := (u.DirectPrefillLoad + b.StepMillisPerRequest*tokens) / decode
+	return u.PrefillLoad + b.WaitWeight*u.PrefillLoad*(crowding(prompts)-1) + b.StepMillis*tokens*crowding(answers)
 }
 
 // nearlyFull is the part of an engine's time above which crowding goes on along
--- a/internal/roles/balance_test.go
+++ b/internal/roles/balance_test.go
@@ -12,29 +12,29 @@
 
 // sheet is the balance with the steps of the engines that the mixes below were
 // measured with.
-func sheet() Balance {
-	b := DefaultBalance()
-	b.Step, b.StepPerRequest = 4.55, 0.181
+func sheet() SplitPolicy {
+	b := DefaultSplitPolicy()
+	b.StepMillis, b.StepMillisPerRequest = 4.55, 0.181
 	b.Slots = 64
 	return b
 }
 
 // started is the split that the mixes below were measured from.
-func started() Target { return Target{Share: 11.0 / 18, MinDecode: 2} }
+func started() Target { return Target{PrefillShare: 11.0 / 18, MinDecode: 2} }
 
 // used is a measurement that counts.
-func used(prompts, generations, direct float64) Use {
-	return Use{Prompts: prompts, Generations: generations, Direct: direct, span: DefaultBalance().Over}
+func used(prompts, generations, direct float64) Workload {
+	return Workload{PrefillLoad: prompts, Generations: generations, DirectPrefillLoad: direct, span: DefaultSplitPolicy().SmoothingTime}
 }
 
 // follow looks at the same use for a minute, or until the target moves.
-func follow(u Use, prefill, total int) Target {
+func follow(u Workload, prefill, total int) Target {
 	target := started()
-	target.Share = float64(prefill) / float64(total)
+	target.PrefillShare = float64(prefill) / float64(total)
 	before := target
-	var f Follower
+	var f TargetTracker
 	for range 60 {
-		if f, target = f.Look(sheet(), target, u, prefill, total, time.Second); target != before {
+		if f, target = f.Update(sheet(), target, u, prefill, total, time.Second); target != before {
 			break
 		}
 	}
@@ -45,13 +45,13 @@
 // target for.
 func TestASwingIsNotFollowed(t *testing.T) {
 	target := started()
-	var f Follower
+	var f TargetTracker
 	for range 10 {
 		for range 4 {
-			f, target = f.Look(sheet(), target, used(1.2, 172, 0.6), 11, 18, time.Second)
+			f, target = f.Update(sheet(), target, used(1.2, 172, 0.6), 11, 18, time.Second)
 		}
 		for range 10 {
-			f, target = f.Look(sheet(), target, used(4.3, 73, 0.8), 11, 18, time.Second)
+			f, target = f.Update(sheet(), target, used(4.3, 73, 0.8), 11, 18, time.Second)
 		}
 	}
 	if target != started() {
@@ -82,7 +82,7 @@
 		{"idle", 0.1, 4, 0.1, 11, 11, 11},
 	} {
 		target := follow(used(c.prompts, c.generations, c.direct), c.prefill, 18)
-		if n := target.Count(18); n < c.least || n > c.most {
+		if n := target.PrefillCount(18); n < c.least || n > c.most {
 			t.Errorf("%s: %d of 18 in prefill, want %d to %d", c.name, n, c.least, c.most)
 		}
 	}
@@ -90,8 +90,8 @@
 
 func TestTheTargetStaysUntilEnoughWasMeasured(t *testing.T) {
 	u := used(1, 200, 0)
-	u.span = DefaultBalance().Over / 2
-	if got := follow(u, 11, 18); got.Count(18) != 11 {
+	u.span = DefaultSplitPolicy().SmoothingTime / 2
+	if got := follow(u, 11, 18); got.PrefillCount(18) != 11 {
 		t.Errorf("%+v", got)
 	}
 }
@@ -103,7 +103,7 @@
 		prefill := rapid.IntRange(0, total).Draw(t, "prefill")
 		u := used(rapid.Float64Range(0, 2*float64(total)).Draw(t, "prompts"), rapid.Float64Range(0, 6400).Draw(t, "generations"), rapid.Float64Range(0, float64(total-prefill)).Draw(t, "direct"))
 		target := follow(u, prefill, total)
-		if n := target.Count(total); prefill > 0 && n < 1 || prefill < total && total-n < min(target.MinDecode, total-prefill) {
+		if n := target.PrefillCount(total); prefill > 0 && n < 1 || prefill < total && total-n < min(target.MinDecode, total-prefill) {
 			t.Fatalf("%d of %d in prefill, %d before", n, total, prefill)
 		}
 	})
@@ -114,9 +114,9 @@
 // below the target (incident inc-c669).
 func TestEnginesOnTheirWayTellNothing(t *testing.T) {
 	target := started()
-	var f Follower
+	var f TargetTracker
 	for range 60 {
-		f, target = f.Look(sheet(), target, used(4.3, 60, 0.8), 7, 18, time.Second)
+		f, target = f.Update(sheet(), target, used(4.3, 60, 0.8), 7, 18, time.Second)
 	}
 	if target != started() {
 		t.Errorf("%+v", target)
@@ -125,19 +125,19 @@
 
 func TestUseIsSmoothed(t *testing.T) {
 	engines := []Engine{
-		{ID: "p", Role: config.RolePrefill, Use: 0.7}, {ID: "q", Role: config.RolePrefill, Use: 0.3, Running: 1},
-		{ID: "d", Role: config.RoleDecode, Running: 8, Use: 0.5},
+		{ID: "p", Role: config.RolePrefill, PrefillUtilization: 0.7}, {ID: "q", Role: config.RolePrefill, PrefillUtilization: 0.3, Running: 1},
+		{ID: "d", Role: config.RoleDecode, Running: 8, PrefillUtilization: 0.5},
 	}
 	const over = 6 * time.Second
-	var u Use
+	var u Workload
 	for range 100 {
 		u = u.Add(engines, 100*time.Millisecond, over)
 	}
-	if u.span != over || math.Abs(u.Prompts-1) > 1e-9 || math.Abs(u.Generations-8) > 1e-9 || math.Abs(u.Direct-0.5) > 1e-9 {
+	if u.span != over || math.Abs(u.PrefillLoad-1) > 1e-9 || math.Abs(u.Generations-8) > 1e-9 || math.Abs(u.DirectPrefillLoad-0.5) > 1e-9 {
 		t.Errorf("%+v", u)
 	}
 	after := u.Add(nil, over, over)
-	if after.Prompts > 0.7 || after.Prompts < 0.3 {
-		t.Errorf("%g after as long without prompts", after.Prompts)
+	if after.PrefillLoad > 0.7 || after.PrefillLoad < 0.3 {
+		t.Errorf("%g after as long without prompts", after.PrefillLoad)
 	}
 }
--- a/internal/roles/roles.go
+++ b/internal/roles/roles.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// Forbidden tells whether the bounds allow no change at all.
-func (b Bounds) Forbidden() bool {
+// ForbidsChanges tells whether the bounds allow no change at all.
+func (b Bounds) ForbidsChanges() bool {
 	return b.MinPrefill == 0 && b.MaxPrefill == 0 && b.MinDecode == 0
 }
 
@@ -40,10 +40,10 @@
 	ID string
 	// Zone is looked at by Target alone.
 	Zone string
-	// Use is the part of the engine's time that its prompts take, above 1 when
-	// they are more than it can process. Looked at by Use alone.
-	Use  float64
-	Role config.Role
+	// PrefillUtilization is the part of the engine's time that its prompts take, above 1 when
+	// they are more than it can process. Looked at by PrefillUtilization alone.
+	PrefillUtilization float64
+	Role               config.Role
 	// Serving is true when the configuration routes to the engine.
 	Serving bool
 	// Changing is true while the engine's role is not yet the wanted one.
@@ -124,11 +124,11 @@
 	// Gain is the expected gain and Cost the weighted cost of the best change,
 	// both in seconds of the pool's whole goodput.
 	Gain, Cost float64
-	// Prefill and Decode are the forecast demand in the middle of the horizon,
+	// ForecastPrefill and ForecastDecode are the forecast demand in the middle of the horizon,
 	// in tokens a second.
-	Prefill, Decode float64
-	// Out is the expected time out of service.
-	Out time.Duration
+	ForecastPrefill, ForecastDecode float64
+	// OutOfService is the expected time out of service.
+	OutOfService time.Duration
 }
 
 // State is what the policy keeps of a pool between observations. The zero value
@@ -142,21 +142,21 @@
 	cost            costs
 }
 
-// WithCost returns the state with a known time out of service, as an earlier
+// WithOutOfService returns the state with a known time out of service, as an earlier
 // holder measured it.
-func (s State) WithCost(out time.Duration) State {
+func (s State) WithOutOfService(out time.Duration) State {
 	s.cost.mean = out
 	return s
 }
 
-// Cost is the measured time out of service of a change; 0 before the first.
-func (s State) Cost() time.Duration { return s.cost.mean }
+// OutOfService is the measured time out of service of a change; 0 before the first.
+func (s State) OutOfService() time.Duration { return s.cost.mean }
 
 // Decide takes one observation at the time now. It returns the next state and
 // what to do. The same arguments give the same result.
 func Decide(settings Settings, state State, obs Observation, now time.Duration) (State, Decision) {
 	state.cost = state.cost.observe(obs)
-	if obs.Bounds.Forbidden() {
+	if obs.Bounds.ForbidsChanges() {
 		return state.forget(), Decision{Reason: ReasonForbidden}
 	}
 	if now-obs.At > settings.StaleAfter {
--- a/internal/roles/roles_test.go
+++ b/internal/roles/roles_test.go
@@ -99,8 +99,8 @@
 	if n := count(p.engines); n.prefill < 6 {
 		t.Fatalf("%+v after a swing to long prompts, want 6 prefill engines or more", n)
 	}
-	if p.state.Cost() != 8*time.Second {
-		t.Errorf("measured cost %s, want 8s", p.state.Cost())
+	if p.state.OutOfService() != 8*time.Second {
+		t.Errorf("measured cost %s, want 8s", p.state.OutOfService())
 	}
 }
 
@@ -258,7 +258,7 @@
 	switch {
 	case busy:
 		t.Fatalf("%+v while another change is under way", *c)
-	case p.bounds.Forbidden():
+	case p.bounds.ForbidsChanges():
 		t.Fatalf("%+v though the bounds forbid all", *c)
 	case age > p.settings.StaleAfter:
 		t.Fatalf("%+v on an observation of %s ago", *c, age)
--- a/internal/scaling/scaler.go
+++ b/internal/scaling/scaler.go
@@ -34,9 +34,9 @@
 
 // View is what the scaler needs to know of the data path.
 type View interface {
-	// Scalable are the services whose engines may be ordered, each with the zones in
+	// ScalableServices are the services whose engines may be ordered, each with the zones in
 	// which it runs.
-	Scalable() []Service
+	ScalableServices() []Service
 }
 
 // Timings of orders.
@@ -80,7 +80,7 @@
 	log             *slog.Logger
 
 	services map[string]*service
-	orders   map[Subject]ordered
+	orders   map[EngineGroup]ordered
 }
 
 // service is what the holder knows of a service.
@@ -100,12 +100,12 @@
 
 // Taken implements rolekeeper.Duty.
 func (k *Scaler) Taken() {
-	k.services, k.orders = map[string]*service{}, map[Subject]ordered{}
+	k.services, k.orders = map[string]*service{}, map[EngineGroup]ordered{}
 }
 
 // Do implements rolekeeper.Duty.
 func (k *Scaler) Do(ctx context.Context, grant lease.Grant) {
-	for _, s := range k.view.Scalable() {
+	for _, s := range k.view.ScalableServices() {
 		if !spotIsCheaper(s.Limits) {
 			continue
 		}
@@ -148,7 +148,7 @@
 func (k *Scaler) count(ctx context.Context, state *service, s Service, grant lease.Grant) error {
 	total := 0
 	for _, z := range s.Zones {
-		total += z.Engines[Lasting]
+		total += z.Engines[OnDemand]
 	}
 	if total > state.engines {
 		state.engines, state.looks = total, 0
@@ -183,19 +183,19 @@
 // bring orders what it takes to have the wanted engines of a service.
 func (k *Scaler) bring(ctx context.Context, state *service, s Service, grant lease.Grant) {
 	for i, zone := range s.Zones {
-		s.Zones[i].RefusedFor = k.refusedFor(Subject{Service: s.Name, Zone: zone.Name, Kind: Spot})
+		s.Zones[i].SpotRefusedFor = k.refusedFor(EngineGroup{Service: s.Name, Zone: zone.Name, Kind: Spot})
 	}
 	wants, total := k.settings.plan(s.Limits, s.Zones, state.engines)
 	if !state.known {
 		total = math.MaxInt // none is one too many
 	}
-	nexts := paced(s.Zones, steps(s.Limits, s.Zones, wants, total), k.settings.AtOnce)
+	nexts := paced(s.Zones, steps(s.Limits, s.Zones, wants, total), k.settings.MaxConcurrentChanges)
 	for i, zone := range s.Zones {
 		next := nexts[i]
 		for _, kind := range state.kinds() {
-			subject := Subject{Service: s.Name, Zone: zone.Name, Kind: kind}
+			subject := EngineGroup{Service: s.Name, Zone: zone.Name, Kind: kind}
 			if k.due(subject, next[kind], zone.Engines[kind], s.Limits.Boot) && ctx.Err() == nil {
-				k.order(ctx, Order{Subject: subject, Engines: next[kind], Holder: k.instance, Epoch: grant.Epoch}, zone, wants[i])
+				k.order(ctx, Order{EngineGroup: subject, Engines: next[kind], Holder: k.instance, Epoch: grant.Epoch}, zone, wants[i])
 			}
 		}
 	}
@@ -206,13 +206,13 @@
 // others away.
 func (s *service) kinds() []Kind {
 	if s.known {
-		return []Kind{Spot, Lasting}
+		return []Kind{Spot, OnDemand}
 	}
 	return []Kind{Spot}
 }
 
 // refusedFor is for how long all orders of a subject were refused; 0 when none was.
-func (k *Scaler) refusedFor(subject Subject) time.Duration {
+func (k *Scaler) refusedFor(subject EngineGroup) time.Duration {
 	last := k.orders[subject]
 	if last.refusedAt == 0 {
 		return 0
@@ -222,7 +222,7 @@
 
 // due tells whether to order a number of engines where there are so many: when it is not
 // what was ordered last, or has not had its effect in time.
-func (k *Scaler) due(subject Subject, engines, here int, boot time.Duration) bool {
+func (k *Scaler) due(subject EngineGroup, engines, here int, boot time.Duration) bool {
 	last, known := k.orders[subject]
 	age := bootclock.Now() - last.at
 	switch {
@@ -237,14 +237,14 @@
 	}
 }
 
-func (k *Scaler) order(ctx context.Context, o Order, zone Zone, want Want) {
+func (k *Scaler) order(ctx context.Context, o Order, zone Zone, want EngineCounts) {
 	err := k.sender.Scale(ctx, o)
 	k.note(o, err)
 	k.log.Info("scaling: order", "service", o.Service, "zone", o.Zone, "kind", o.Kind.String(), "engines", o.Engines,
-		"here", zone.Engines[o.Kind], "leaving", zone.Leaving[o.Kind], "wanted", want[o.Kind], "epoch", o.Epoch, "error", err)
+		"here", zone.Engines[o.Kind], "leaving", zone.Draining[o.Kind], "wanted", want[o.Kind], "epoch", o.Epoch, "error", err)
 	name := "ordered"
 	switch {
-	case errors.Is(err, ErrNone):
+	case errors.Is(err, ErrNoCapacity):
 		name = "none_to_be_had"
 	case err != nil:
 		name = "failed"
@@ -255,19 +255,19 @@
 // note keeps what came of an order. One that may not have come says nothing of what is to
 // be had.
 func (k *Scaler) note(o Order, err error) {
-	before := k.orders[o.Subject]
+	before := k.orders[o.EngineGroup]
 	newest := ordered{engines: o.Engines, at: bootclock.Now(), failed: err != nil}
 	switch {
-	case errors.Is(err, ErrNone) && before.refusedAt == 0:
+	case errors.Is(err, ErrNoCapacity) && before.refusedAt == 0:
 		newest.refusedAt = newest.at
 	case err != nil:
 		newest.refusedAt = before.refusedAt
 	}
-	k.orders[o.Subject] = newest
+	k.orders[o.EngineGroup] = newest
 }
 
-// ZonesOf lists zones by name.
-func ZonesOf(zones map[string]Zone) []Zone {
+// SortedZones lists zones by name.
+func SortedZones(zones map[string]Zone) []Zone {
 	return slices.SortedFunc(maps.Values(zones), func(a, b Zone) int {
 		if a.Name < b.Name {
 			return -1
--- a/internal/scaling/scaler_test.go
+++ b/internal/scaling/scaler_test.go
@@ -70,7 +70,7 @@
 		return errors.New("no answer")
 	}
 	if o.Kind == Spot && f.refuse[o.Zone] {
-		return ErrNone
+		return ErrNoCapacity
 	}
 	for i := range f.zones {
 		if f.zones[i].Name == o.Zone {
@@ -80,7 +80,7 @@
 	return nil
 }
 
-func (f *fakePlatform) Scalable() []Service {
+func (f *fakePlatform) ScalableServices() []Service {
 	return []Service{{Name: "llm", Limits: f.limits, Zones: append([]Zone{}, f.zones...)}}
 }
 
@@ -105,14 +105,14 @@
 // TestTheFirstHolderOrdersAsItCounts: the list still fills when it begins. Spot engines are
 // ordered for those that are seen, and nothing is ordered away before the list stands.
 func TestTheFirstHolderOrdersAsItCounts(t *testing.T) {
-	f := newFake(Zone{Name: "a", Engines: Want{4, 0}}, Zone{Name: "b"})
+	f := newFake(Zone{Name: "a", Engines: EngineCounts{4, 0}}, Zone{Name: "b"})
 	k, grant := scaler(f, "inst-1"), f.takeOver(1)
 	looks(k, grant, settledLooks-1)
 	if got := f.engines(); got != "[4 2][0 2]" {
 		t.Fatalf("%s while the list fills", got)
 	}
-	f.zones[0].Engines[Lasting] = 3
-	f.zones[1].Engines[Lasting] = 3
+	f.zones[0].Engines[OnDemand] = 3
+	f.zones[1].Engines[OnDemand] = 3
 	looks(k, grant, settledLooks-1)
 	if got := f.engines(); got != "[3 3][3 3]" {
 		t.Fatalf("%s before the list stands", got)
@@ -134,10 +134,10 @@
 
 // TestTheNextHolderGoesOn: it finds what is there, and knows how many there were at first.
 func TestTheNextHolderGoesOn(t *testing.T) {
-	f := newFake(Zone{Name: "a", Engines: Want{3, 0}}, Zone{Name: "b", Engines: Want{3, 0}})
+	f := newFake(Zone{Name: "a", Engines: EngineCounts{3, 0}}, Zone{Name: "b", Engines: EngineCounts{3, 0}})
 	first, grant := scaler(f, "inst-1"), f.takeOver(1)
 	looks(first, grant, settledLooks+3)
-	f.zones[1].Engines = Want{} // taken back meanwhile
+	f.zones[1].Engines = EngineCounts{} // taken back meanwhile
 	n := len(f.orders)
 	next, taken := scaler(f, "inst-2"), f.takeOver(2)
 	f.tableOK = false
@@ -154,7 +154,7 @@
 // TestAnEarlierHolderCountsNothing: of two that begin, the one with the newest epoch does,
 // and nothing is ordered away before.
 func TestAnEarlierHolderCountsNothing(t *testing.T) {
-	f := newFake(Zone{Name: "a", Engines: Want{3, 0}})
+	f := newFake(Zone{Name: "a", Engines: EngineCounts{3, 0}})
 	k, grant := scaler(f, "inst-1"), f.takeOver(1)
 	f.takeOver(2)
 	looks(k, grant, settledLooks+2)
@@ -167,7 +167,7 @@
 // Also zones that have unlike many engines keep them.
 func TestWithoutCheaperSpotEnginesNothingIsOrdered(t *testing.T) {
 	for _, price := range []float64{0, 1, 2} {
-		f := newFake(Zone{Name: "a", Engines: Want{5, 0}}, Zone{Name: "b", Engines: Want{1, 0}})
+		f := newFake(Zone{Name: "a", Engines: EngineCounts{5, 0}}, Zone{Name: "b", Engines: EngineCounts{1, 0}})
 		f.limits.SpotPrice = price
 		if looks(scaler(f, "inst-1"), f.takeOver(1), settledLooks+4); len(f.orders) != 0 {
 			t.Errorf("price %g: %v", price, f.orders)
@@ -177,7 +177,7 @@
 
 // TestARefusedOrderIsTakenByOtherZones: and asked for again only after a pause.
 func TestARefusedOrderIsTakenByOtherZones(t *testing.T) {
-	f := newFake(Zone{Name: "a", Engines: Want{3, 0}}, Zone{Name: "b", Engines: Want{3, 0}})
+	f := newFake(Zone{Name: "a", Engines: EngineCounts{3, 0}}, Zone{Name: "b", Engines: EngineCounts{3, 0}})
 	f.refuse["b"] = true
 	k, grant := scaler(f, "inst-1"), f.takeOver(1)
 	looks(k, grant, settledLooks+4)
@@ -190,7 +190,7 @@
 	if got := f.engines(); got != "[0 6][0 0]" || refused != 1 {
 		t.Errorf("%s after %d refused orders", got, refused)
 	}
-	if !errors.Is(f.Scale(context.Background(), Order{Subject: Subject{Zone: "b", Kind: Spot}}), ErrNone) {
+	if !errors.Is(f.Scale(context.Background(), Order{EngineGroup: EngineGroup{Zone: "b", Kind: Spot}}), ErrNoCapacity) {
 		t.Error("the fake does not refuse")
 	}
 }
@@ -198,7 +198,7 @@
 // TestAnOrderThatMayNotHaveComeSaysNothingOfEngines: the address for orders is down, and no
 // other zone is to run more for that.
 func TestAnOrderThatMayNotHaveComeSaysNothingOfEngines(t *testing.T) {
-	f := newFake(Zone{Name: "a", Engines: Want{3, 0}}, Zone{Name: "b", Engines: Want{3, 0}})
+	f := newFake(Zone{Name: "a", Engines: EngineCounts{3, 0}}, Zone{Name: "b", Engines: EngineCounts{3, 0}})
 	f.lost["b"] = true
 	k, grant := scaler(f, "inst-1"), f.takeOver(1)
 	looks(k, grant, settledLooks+4)
@@ -209,7 +209,7 @@
 
 // TestZonesAreListedByName: orders of two holders go to the same zones in the same order.
 func TestZonesAreListedByName(t *testing.T) {
-	list := ZonesOf(map[string]Zone{"b": {Name: "b"}, "a": {Name: "a"}, "c": {Name: "c"}})
+	list := SortedZones(map[string]Zone{"b": {Name: "b"}, "a": {Name: "a"}, "c": {Name: "c"}})
 	if list[0].Name != "a" || list[2].Name != "c" {
 		t.Errorf("%v", list)
 	}
--- a/internal/scaling/scaling.go
+++ b/internal/scaling/scaling.go
@@ -18,8 +18,8 @@
 type Kind int
 
 const (
-	// Lasting engines stay until they are ordered away.
-	Lasting Kind = iota
+	// OnDemand engines stay until they are ordered away.
+	OnDemand Kind = iota
 	// Spot engines cost less, and may be taken back.
 	Spot
 )
@@ -32,52 +32,52 @@
 	return "lasting"
 }
 
-// Subject is what one order is about.
-type Subject struct {
+// EngineGroup is what one order is about.
+type EngineGroup struct {
 	Service, Zone string
 	Kind          Kind
 }
 
 // Order has a number of engines run.
 type Order struct {
-	Subject
+	EngineGroup
 	Engines int
 	// Holder is the name of the instance that orders, Epoch the fencing number.
 	Holder string
 	Epoch  int64
 }
 
-// ErrNone: there are no such engines to be had now. Compare with errors.Is.
-var ErrNone = errors.New("scaling: no engines of this kind to be had in the zone")
+// ErrNoCapacity: there are no such engines to be had now. Compare with errors.Is.
+var ErrNoCapacity = errors.New("scaling: no engines of this kind to be had in the zone")
 
 // Zone is what runs of a service in an availability zone: the engines that stay, and those
 // that are leaving already.
 type Zone struct {
-	Name             string
-	Engines, Leaving [2]int // by kind
-	// RefusedFor is for how long spot engines were not to be had there; 0 when they are,
+	Name              string
+	Engines, Draining [2]int // by kind
+	// SpotRefusedFor is for how long spot engines were not to be had there; 0 when they are,
 	// as far as it is known.
-	RefusedFor time.Duration
+	SpotRefusedFor time.Duration
 }
 
 // Settings of the plan.
 type Settings struct {
-	// Reserve is how many lasting engines each zone keeps: what is left at once when
+	// OnDemandReserve is how many lasting engines each zone keeps: what is left at once when
 	// all spot engines are taken back, of which the first ones must come back.
-	Reserve int
-	// Share is how many engines run for each one that the deployment began with, where
+	OnDemandReserve int
+	// EngineShare is how many engines run for each one that the deployment began with, where
 	// the work is done by spot engines. With 1.2 of four zones, 0.9 are left when one is
 	// taken back; that served 0.004 to 0.009 more of the days' credit and cost 0.013,
 	// where a spot engine costs 0.18 of a lasting one.
-	Share float64
-	// LastingAfter is how long spot engines are to be had in no zone until lasting ones
+	EngineShare float64
+	// OnDemandAfter is how long spot engines are to be had in no zone until lasting ones
 	// take their place.
-	LastingAfter time.Duration
-	// AtOnce is how many engines start at a time, and how many leave.
-	AtOnce int
+	OnDemandAfter time.Duration
+	// MaxConcurrentChanges is how many engines start at a time, and how many leave.
+	MaxConcurrentChanges int
 }
 
 // DefaultSettings returns the defaults.
 func DefaultSettings() Settings {
-	return Settings{Reserve: 0, Share: 1, LastingAfter: lastingAfter, AtOnce: atOnce}
+	return Settings{OnDemandReserve: 0, EngineShare: 1, OnDemandAfter: lastingAfter, MaxConcurrentChanges: atOnce}
 }
