--- a/internal/attempt/run.go
+++ b/internal/attempt/run.go
@@ -39,8 +39,8 @@
 
 // Call is a request's way to an upstream and back, as its protocol has it.
 type Call interface {
-	// Begun tells whether the caller has a part of the answer.
-	Begun() bool
+	// Started tells whether the caller has a part of the answer.
+	Started() bool
 	// Try makes one attempt: it chooses an upstream, notes the send with Sent
 	// or Prepared, and brings the answer to the caller.
 	Try(ctx context.Context) Result
@@ -53,7 +53,7 @@
 func (a *Attempts) Run(ctx context.Context, b *Budget, now func() time.Duration, p Call) (Result, Verdict) {
 	var last Result
 	for {
-		verdict := a.Next(ctx, b, p.Begun(), now())
+		verdict := a.Next(ctx, b, p.Started(), now())
 		if verdict != Proceed {
 			return last, verdict
 		}
--- a/internal/attempt/run_test.go
+++ b/internal/attempt/run_test.go
@@ -19,7 +19,7 @@
 	made    int
 }
 
-func (s *scripted) Begun() bool { return false }
+func (s *scripted) Started() bool { return false }
 
 func (s *scripted) Try(context.Context) Result {
 	ending := s.endings[s.made]
@@ -153,7 +153,7 @@
 	left  int
 }
 
-func (d *declining) Begun() bool { return false }
+func (d *declining) Started() bool { return false }
 
 func (d *declining) Try(context.Context) Result {
 	if err := d.tries.Sent(); err != nil {
--- a/internal/entry/generation.go
+++ b/internal/entry/generation.go
@@ -73,8 +73,8 @@
 	return err == nil || errors.Is(err, errCallerGone) || errors.Is(err, errStopping)
 }
 
-// Begun implements attempt.Path.
-func (g *generation) Begun() bool { return g.assembler.Next() > 0 }
+// Started implements attempt.Path.
+func (g *generation) Started() bool { return g.assembler.Next() > 0 }
 
 // Try implements attempt.Path.
 func (g *generation) Try(ctx context.Context) attempt.Result {
@@ -99,7 +99,7 @@
 		return attempt.Result{Status: attempt.Done, Err: err}
 	}
 	s.log.Info("request: engine failed, trying another", "request", comp.id, "engine", failed, "error", err)
-	if ranNothing(err) && !g.Begun() {
+	if ranNothing(err) && !g.Started() {
 		return attempt.Result{Status: attempt.Refused, Upstream: failed, Err: err}
 	}
 	return attempt.Result{Status: attempt.Lost, Upstream: failed, Err: err}
--- a/internal/entry/plain.go
+++ b/internal/entry/plain.go
@@ -148,8 +148,8 @@
 	return service.Answer{}, errors.WithMessage(service.ErrUnknown, "no upstream answered")
 }
 
-// Begun implements attempt.Path: the caller gets an answer that is whole.
-func (c *serviceCall) Begun() bool { return false }
+// Started implements attempt.Path: the caller gets an answer that is whole.
+func (c *serviceCall) Started() bool { return false }
 
 // Try implements attempt.Path.
 func (c *serviceCall) Try(ctx context.Context) attempt.Result {
--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -45,9 +45,9 @@
 	return r.giveUp(ctx, x)
 }
 
-// Begun implements attempt.Path: no part of an answer is given to the caller
+// Started implements attempt.Path: no part of an answer is given to the caller
 // before it is known that no other upstream will be asked.
-func (c *serviceCall) Begun() bool { return false }
+func (c *serviceCall) Started() bool { return false }
 
 // Try implements attempt.Path.
 func (c *serviceCall) Try(ctx context.Context) attempt.Result {
--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -65,8 +65,8 @@
 	return err
 }
 
-// Begun implements attempt.Path.
-func (g *generation) Begun() bool { return g.begun }
+// Started implements attempt.Path.
+func (g *generation) Started() bool { return g.begun }
 
 // Try implements attempt.Path. One attempt has the prompt processed, unless a KV
 // cache is left of the one before, and the answer generated.
