--- a/internal/entry/admission.go
+++ b/internal/entry/admission.go
@@ -76,10 +76,10 @@
 
 func refusalOf(r *admit.Refusal) error {
 	messages := map[admit.Reason]string{
-		admit.ReasonDeadline:  "the first token can't come before the deadline",
-		admit.ReasonDeadlineTooShort:  "not even an idle engine could make the deadline",
-		admit.ReasonQueueFull: "the queue is full",
-		admit.ReasonQueueTimeout:    "no engine had room in the longest wait",
+		admit.ReasonDeadline:         "the first token can't come before the deadline",
+		admit.ReasonDeadlineTooShort: "not even an idle engine could make the deadline",
+		admit.ReasonQueueFull:        "the queue is full",
+		admit.ReasonQueueTimeout:     "no engine had room in the longest wait",
 	}
 	refused := notRun(string(r.Reason), messages[r.Reason], max(r.RetryIn, time.Millisecond))
 	if r.Reason == admit.ReasonDeadlineTooShort {
--- a/internal/entry/generation.go
+++ b/internal/entry/generation.go
@@ -16,7 +16,7 @@
 )
 
 // generation is a model's answer on its way to the caller. It implements
-// attempt.Path: each engine has loaded the version that made the first part.
+// attempt.Call: each engine has loaded the version that made the first part.
 type generation struct {
 	server    *Server
 	comp      *completion
@@ -73,10 +73,10 @@
 	return err == nil || errors.Is(err, errCallerGone) || errors.Is(err, errStopping)
 }
 
-// Started implements attempt.Path.
+// Started implements attempt.Call.
 func (g *generation) Started() bool { return g.assembler.Next() > 0 }
 
-// Try implements attempt.Path.
+// Try implements attempt.Call.
 func (g *generation) Try(ctx context.Context) attempt.Result {
 	comp, s := g.comp, g.server
 	if s.contents.apart(comp.content) {
--- a/internal/entry/plain.go
+++ b/internal/entry/plain.go
@@ -120,7 +120,7 @@
 }
 
 // serviceCall is the way of a call to a plain service's upstreams. It implements
-// attempt.Path.
+// attempt.Call.
 type serviceCall struct {
 	server  *Server
 	service *config.Service
@@ -148,10 +148,10 @@
 	return service.Answer{}, errors.WithMessage(service.ErrUnknown, "no upstream answered")
 }
 
-// Started implements attempt.Path: the caller gets an answer that is whole.
+// Started implements attempt.Call: the caller gets an answer that is whole.
 func (c *serviceCall) Started() bool { return false }
 
-// Try implements attempt.Path.
+// Try implements attempt.Call.
 func (c *serviceCall) Try(ctx context.Context) attempt.Result {
 	s, request := c.server, uuid.NewString()
 	upstream, ok := s.state.placeCall(c.service, request, c.tries.Excluded(), s.now())
--- a/internal/entry/prediction.go
+++ b/internal/entry/prediction.go
@@ -68,8 +68,8 @@
 	byNow := c.Load.Estimated(req.Now)
 	return admit.EngineLoad{
 		QueuedPrefillTokens: byNow.PrefillTokens, PrefillRate: report.PrefillRate,
-		CachedTokens:  placement.CachedTokens(req, c),
-		Running: report.Running, Waiting: byNow.Waiting, UnreportedPlacements: c.Load.Charges(),
+		CachedTokens: placement.CachedTokens(req, c),
+		Running:      report.Running, Waiting: byNow.Waiting, UnreportedPlacements: c.Load.Charges(),
 		BlocksFree: report.KVBlocksFree, BlocksTotal: report.KVBlocksTotal,
 	}
 }
--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -28,7 +28,7 @@
 }
 
 // serviceCall is the way of a request to a plain service's upstreams. It implements
-// attempt.Path.
+// attempt.Call.
 type serviceCall struct {
 	*exchange
 	relay *Relay
@@ -45,11 +45,11 @@
 	return r.giveUp(ctx, x)
 }
 
-// Started implements attempt.Path: no part of an answer is given to the caller
+// Started implements attempt.Call: no part of an answer is given to the caller
 // before it is known that no other upstream will be asked.
 func (c *serviceCall) Started() bool { return false }
 
-// Try implements attempt.Path.
+// Try implements attempt.Call.
 func (c *serviceCall) Try(ctx context.Context) attempt.Result {
 	r := c.relay
 	if err := r.bar(c.exchange); err != nil {
--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -18,7 +18,7 @@
 )
 
 // generation is the answer of a model on its way to the caller. It implements
-// attempt.Path.
+// attempt.Call.
 type generation struct {
 	*exchange
 	relay  *Relay
@@ -65,10 +65,10 @@
 	return err
 }
 
-// Started implements attempt.Path.
+// Started implements attempt.Call.
 func (g *generation) Started() bool { return g.begun }
 
-// Try implements attempt.Path. One attempt has the prompt processed, unless a KV
+// Try implements attempt.Call. One attempt has the prompt processed, unless a KV
 // cache is left of the one before, and the answer generated.
 func (g *generation) Try(ctx context.Context) attempt.Result {
 	if err := g.relay.bar(g.exchange); err != nil {
