--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -173,7 +173,7 @@
 	return w, err
 }
 
-func wordOf(t *testing.T, err error) Word {
+func wordOf(t *testing.T, err error) Outcome {
 	t.Helper()
 	var refusal *Refusal
 	if !errors.As(err, &refusal) {
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -161,12 +161,12 @@
 	Ended(ctx context.Context, to upstreamstate.Upstream, healthPath string) (bool, error)
 }
 
-// Word is what a refusal tells of the request.
-type Word int
+// Outcome is what a refusal tells of the request.
+type Outcome int
 
 const (
 	// NotRun: nothing of it ran, and nothing will.
-	NotRun Word = iota
+	NotRun Outcome = iota
 	// Unknown: it may have run.
 	Unknown
 	// NoRoute: the configuration has no route for it.
@@ -179,7 +179,7 @@
 
 // Refusal is the answer to a request that was given up.
 type Refusal struct {
-	Word Word
+	Word Outcome
 	// Reason in a word or two, for logs and metrics.
 	Reason string
 	// RetryIn is when the caller should come back; 0 when it should not.
