--- a/internal/relay/apart.go
+++ b/internal/relay/apart.go
@@ -140,7 +140,7 @@
 	}
 	r.contents.refused.Inc(1)
 	r.log.Info("relay: content refused", "request", x.req.ID, "route", x.route.Name, "content", x.content())
-	return &Refusal{Word: NotRun, Reason: "upstreams ended under its content"}
+	return &Refusal{Outcome: NotRun, Reason: "upstreams ended under its content"}
 }
 
 // contentServed notes that a request was answered whole.
--- a/internal/relay/apart_test.go
+++ b/internal/relay/apart_test.go
@@ -61,7 +61,7 @@
 		sends := f.count()
 		_, err := serve(r, call(path))
 		var refusal *Refusal
-		if !errors.As(err, &refusal) || refusal.Word != NotRun || refusal.RetryIn != 0 || f.count() != sends {
+		if !errors.As(err, &refusal) || refusal.Outcome != NotRun || refusal.RetryIn != 0 || f.count() != sends {
 			t.Errorf("%s: %v after %d more sends; want a refusal that tells no time to come back", path, err, f.count()-sends)
 		}
 		f.run = nil
--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -179,5 +179,5 @@
 	if !errors.As(err, &refusal) {
 		t.Fatalf("no refusal: %v", err)
 	}
-	return refusal.Word
+	return refusal.Outcome
 }
--- a/internal/relay/leaving_test.go
+++ b/internal/relay/leaving_test.go
@@ -165,7 +165,7 @@
 		began := time.Now()
 		_, err := serve(r, req)
 		var refusal *Refusal
-		if !errors.As(err, &refusal) || refusal.Word != NotRun || refusal.RetryIn <= 0 || refusal.Reason != "all upstreams leave" {
+		if !errors.As(err, &refusal) || refusal.Outcome != NotRun || refusal.RetryIn <= 0 || refusal.Reason != "all upstreams leave" {
 			t.Errorf("%s: %+v", req.Path, err)
 		}
 		if took := time.Since(began); sender.count() > 0 || took > req.Patience/2 {
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -153,7 +153,7 @@
 func (r *Relay) refuseAnnounced(x *exchange) error {
 	if r.picture.AllLeave(x.service) {
 		r.meters.limits.refusedLeaving.Inc(1)
-		return &Refusal{Word: NotRun, Reason: "all upstreams leave", RetryIn: r.retryIn(x)}
+		return &Refusal{Outcome: NotRun, Reason: "all upstreams leave", RetryIn: r.retryIn(x)}
 	}
 	in, resting, found := r.picture.AllowanceIn(x.ask(r.now()), r.now())
 	switch {
@@ -161,10 +161,10 @@
 		return nil
 	case resting:
 		r.meters.limits.refusedResting.Inc(1)
-		return &Refusal{Word: NotRun, Reason: "upstreams asked for rest", RetryIn: jittered(in)}
+		return &Refusal{Outcome: NotRun, Reason: "upstreams asked for rest", RetryIn: jittered(in)}
 	}
 	r.meters.limits.refused.Inc(1)
-	return &Refusal{Word: NotRun, Reason: "the upstreams' limits leave no room", RetryIn: jittered(in)}
+	return &Refusal{Outcome: NotRun, Reason: "the upstreams' limits leave no room", RetryIn: jittered(in)}
 }
 
 // grants are those that this instance gives out while it coordinates them for all.
--- a/internal/relay/limits_test.go
+++ b/internal/relay/limits_test.go
@@ -191,7 +191,7 @@
 			began := time.Now()
 			_, err := serve(r, req)
 			var refusal *Refusal
-			if !errors.As(err, &refusal) || refusal.Word != NotRun || refusal.Reason != "the upstreams' limits leave no room" {
+			if !errors.As(err, &refusal) || refusal.Outcome != NotRun || refusal.Reason != "the upstreams' limits leave no room" {
 				t.Fatalf("%s: %v", name, err)
 			}
 			if refusal.RetryIn < room/2 || refusal.RetryIn > 2*room {
--- a/internal/relay/link.go
+++ b/internal/relay/link.go
@@ -65,7 +65,7 @@
 
 // refuseTroubled is the refusal of a request at an instance in trouble.
 func refuseTroubled(why ownlink.Trouble, retryIn time.Duration) *Refusal {
-	return &Refusal{Word: NotRun, Reason: string(why), RetryIn: retryIn}
+	return &Refusal{Outcome: NotRun, Reason: string(why), RetryIn: retryIn}
 }
 
 // Choked tells whether this instance's own link is to blame that its requests reach no
--- a/internal/relay/link_test.go
+++ b/internal/relay/link_test.go
@@ -23,7 +23,7 @@
 	sends := f.count()
 	_, err := serve(r, call("/unsafe/1"))
 	var refusal *Refusal
-	if !errors.As(err, &refusal) || refusal.Word != NotRun || refusal.RetryIn <= 0 || f.count() != sends {
+	if !errors.As(err, &refusal) || refusal.Outcome != NotRun || refusal.RetryIn <= 0 || f.count() != sends {
 		t.Errorf("%v after %d sends", err, f.count()-sends)
 	}
 	for _, id := range []string{"app-1", "app-2", "app-3", "pre-1", "pre-2", "dec-1", "dec-2", "dec-3"} {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -256,10 +256,10 @@
 	r.lastRequest.Store(int64(now))
 	table, age := r.picture.Routes(now)
 	if r.closed.Load() {
-		return nil, &Refusal{Word: NotRun, Reason: "stopping", RetryIn: r.settings.RetryIn}
+		return nil, &Refusal{Outcome: NotRun, Reason: "stopping", RetryIn: r.settings.RetryIn}
 	}
 	if table.Version == 0 {
-		return nil, &Refusal{Word: NotRun, Reason: "no configuration yet", RetryIn: r.startIn(req.Patience)}
+		return nil, &Refusal{Outcome: NotRun, Reason: "no configuration yet", RetryIn: r.startIn(req.Patience)}
 	}
 	if why := r.Trouble(); why != "" {
 		r.meters.choked.Inc(1)
@@ -267,7 +267,7 @@
 	}
 	matched := table.Match(req.Host, req.Path)
 	if matched == nil {
-		return nil, &Refusal{Word: NoRoute, Reason: "no route"}
+		return nil, &Refusal{Outcome: NoRoute, Reason: "no route"}
 	}
 	identity, known := table.Identify(matched, req.Credential)
 	if !known {
@@ -332,12 +332,12 @@
 		if err := r.refuseAnnounced(x); err != nil {
 			return err
 		}
-		return &Refusal{Word: NotRun, Reason: reason(x, "no upstream took it"), RetryIn: r.retryIn(x)}
+		return &Refusal{Outcome: NotRun, Reason: reason(x, "no upstream took it"), RetryIn: r.retryIn(x)}
 	}
 	if ctx.Err() != nil {
-		return &Refusal{Word: TimedOut, Reason: "timed out"}
+		return &Refusal{Outcome: TimedOut, Reason: "timed out"}
 	}
-	return &Refusal{Word: Unknown, Reason: reason(x, "no whole answer")}
+	return &Refusal{Outcome: Unknown, Reason: reason(x, "no whole answer")}
 }
 
 // startIn is when to come back to an instance that has just started.
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -179,7 +179,7 @@
 
 // Refusal is the answer to a request that was given up.
 type Refusal struct {
-	Word Outcome
+	Outcome Outcome
 	// Reason in a word or two, for logs and metrics.
 	Reason string
 	// RetryIn is when the caller should come back; 0 when it should not.
--- a/internal/relay/rest_test.go
+++ b/internal/relay/rest_test.go
@@ -94,7 +94,7 @@
 		for range 10 {
 			_, err := serve(r, make())
 			var refusal *Refusal
-			if !errors.As(err, &refusal) || refusal.Word != NotRun || refusal.Reason != "upstreams asked for rest" {
+			if !errors.As(err, &refusal) || refusal.Outcome != NotRun || refusal.Reason != "upstreams asked for rest" {
 				t.Fatalf("%+v", err)
 			}
 			if in := refusal.RetryIn; in < first-time.Second || in > 2*first {
