--- a/internal/relay/bar.go
+++ b/internal/relay/bar.go
@@ -18,7 +18,7 @@
 func (e troubleError) Error() string { return "relay: " + string(e.why) }
 
 // refuseKey is the refusal of a request whose route asks for a key that it does not bear.
-func refuseKey() error { return &Refusal{Outcome: NoKey, Reason: "no API key that is known"} }
+func refuseKey() error { return &Refusal{Outcome: Unauthenticated, Reason: "no API key that is known"} }
 
 // bar returns why a request must not be sent on now: upstreams ended under its content, its
 // key was revoked, or this instance is in trouble, unless its answer has begun. It is
--- a/internal/relay/key_test.go
+++ b/internal/relay/key_test.go
@@ -68,7 +68,7 @@
 		withKeys(r, 2, millKey, gateKey)
 		_, err := serve(r, c.req)
 		if !c.served {
-			if word := wordOf(t, err); word != NoKey || f.count() != 0 {
+			if word := wordOf(t, err); word != Unauthenticated || f.count() != 0 {
 				t.Errorf("%s: word %d after %d sends", name, word, f.count())
 			}
 			continue
@@ -103,7 +103,7 @@
 		withKeys(r, 3, gateKey)
 		return KV{Engine: upstreamstate.Upstream{ID: "pre-1"}, Handle: "h"}, nil
 	}
-	if _, err := serve(r, withKey(longPrompt("/once/1"), millKey)); wordOf(t, err) != NoKey || f.runs != 0 {
+	if _, err := serve(r, withKey(longPrompt("/once/1"), millKey)); wordOf(t, err) != Unauthenticated || f.runs != 0 {
 		t.Errorf("%v after %d runs", err, f.runs)
 	}
 	f = &fakeSender{}
@@ -114,7 +114,7 @@
 		withKeys(r, 3, gateKey)
 		return nil, ErrRefused
 	}
-	if _, err := serve(r, withKey(call("/unsafe/1"), millKey)); wordOf(t, err) != NoKey || f.runs != 1 {
+	if _, err := serve(r, withKey(call("/unsafe/1"), millKey)); wordOf(t, err) != Unauthenticated || f.runs != 1 {
 		t.Errorf("%v after %d runs", err, f.runs)
 	}
 }
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -171,8 +171,8 @@
 	Unknown
 	// NoRoute: the configuration has no route for it.
 	NoRoute
-	// NoKey: the route asks for an API key, and it has none that is known. Nothing ran.
-	NoKey
+	// Unauthenticated: the route asks for an API key, and it has none that is known. Nothing ran.
+	Unauthenticated
 	// TimedOut: it may have run; the time that it had is over.
 	TimedOut
 )
--- a/internal/relay/usage_test.go
+++ b/internal/relay/usage_test.go
@@ -91,7 +91,7 @@
 // TestARequestRefusedForItsKeyIsNotCounted: nothing ran.
 func TestARequestRefusedForItsKeyIsNotCounted(t *testing.T) {
 	r := counting(t, &fakeSender{})
-	if _, err := serve(r, withKey(call("/unsafe/1"), "x")); wordOf(t, err) != NoKey {
+	if _, err := serve(r, withKey(call("/unsafe/1"), "x")); wordOf(t, err) != Unauthenticated {
 		t.Error(err)
 	}
 	if n := counted(r, "mill") + counted(r, ""); n != 0 {
