--- a/internal/relay/link.go
+++ b/internal/relay/link.go
@@ -41,7 +41,7 @@
 func (r *Relay) noteLink(upstream string, err error) {
 	now := r.now()
 	r.link.note(func(s *ownlink.Link) {
-		if errors.Is(err, ErrSilent) {
+		if errors.Is(err, ErrConnectTimeout) {
 			s.Silent(upstream, now)
 		} else if errors.Is(err, ErrRefused) || errors.Is(err, ErrMoved) {
 			s.Answered(upstream, now)
--- a/internal/relay/link_test.go
+++ b/internal/relay/link_test.go
@@ -11,8 +11,8 @@
 // Once an upstream answers to each that is silent, they are served.
 func TestAChokedInstanceRefusesAtOnce(t *testing.T) {
 	f := &fakeSender{}
-	f.run = func(int, Send) (*Reply, error) { return nil, errors.WithMessage(ErrSilent, "dial") }
-	f.prefill = func(int, Send) (KV, error) { return KV{}, errors.WithMessage(ErrSilent, "dial") }
+	f.run = func(int, Send) (*Reply, error) { return nil, errors.WithMessage(ErrConnectTimeout, "dial") }
+	f.prefill = func(int, Send) (KV, error) { return KV{}, errors.WithMessage(ErrConnectTimeout, "dial") }
 	r := newFake(t, f)
 	plentiful(r)
 	_, _ = serve(r, call("/safe/1")) // three of them
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -107,8 +107,8 @@
 var (
 	// ErrNotSent: no byte of the request left.
 	ErrNotSent = errors.New("relay: not sent")
-	// ErrSilent is the ErrNotSent of a request whose connection was not answered in time.
-	ErrSilent = errors.WithMessage(ErrNotSent, "no connection in time")
+	// ErrConnectTimeout is the ErrNotSent of a request whose connection was not answered in time.
+	ErrConnectTimeout = errors.WithMessage(ErrNotSent, "no connection in time")
 	// ErrDeclined is the ErrNotSent of a request whose upstream takes none now, by its own
 	// word. It was not asked.
 	ErrDeclined = errors.WithMessage(ErrNotSent, "the upstream takes none now")
