--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -67,8 +67,8 @@
 		return ErrLimited
 	}
 	if r.picture.Leaves(send.To) && !send.goesOnAtCopy() {
-		r.withhold(req, send, ErrLeaving)
-		return ErrLeaving
+		r.withhold(req, send, ErrDraining)
+		return ErrDraining
 	}
 	if r.Resting(send.To) {
 		r.withhold(req, send, ErrResting)
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -114,7 +114,7 @@
 	ErrDeclined = errors.WithMessage(ErrNotSent, "the upstream takes none now")
 	// ErrLimited, ErrLeaving and ErrResting tell by which word.
 	ErrLimited = errors.WithMessage(ErrDeclined, "its limit leaves no room")
-	ErrLeaving = errors.WithMessage(ErrDeclined, "it leaves")
+	ErrDraining = errors.WithMessage(ErrDeclined, "it leaves")
 	ErrResting = errors.WithMessage(ErrDeclined, "it asked for rest")
 	// ErrRefused: the upstream says that it did not run the request.
 	ErrRefused = errors.New("relay: the upstream did not run it")
