--- a/internal/instance/orders_test.go
+++ b/internal/instance/orders_test.go
@@ -44,10 +44,10 @@
 	one, other := all[0].Upstream, all[1].Upstream
 	sender.hear(one, upstreamstate.Statement{Rest: time.Minute})
 	orderer := restingOrderer{engines, in.relay}
-	if _, err := orderer.State(context.Background(), one); !errors.Is(err, relay.ErrResting) {
+	if _, err := orderer.State(context.Background(), one); !errors.Is(err, relay.ErrBackingOff) {
 		t.Errorf("asked: %v", err)
 	}
-	if err := orderer.Order(context.Background(), one, rolekeeper.Order{}); !errors.Is(err, relay.ErrResting) {
+	if err := orderer.Order(context.Background(), one, rolekeeper.Order{}); !errors.Is(err, relay.ErrBackingOff) {
 		t.Errorf("ordered: %v", err)
 	}
 	if engines.calls > 0 {
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -71,8 +71,8 @@
 		return ErrDraining
 	}
 	if r.Resting(send.To) {
-		r.withhold(req, send, ErrResting)
-		return ErrResting
+		r.withhold(req, send, ErrBackingOff)
+		return ErrBackingOff
 	}
 	return nil
 }
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -115,7 +115,7 @@
 	// ErrLimited, ErrLeaving and ErrResting tell by which word.
 	ErrLimited = errors.WithMessage(ErrDeclined, "its limit leaves no room")
 	ErrDraining = errors.WithMessage(ErrDeclined, "it leaves")
-	ErrResting = errors.WithMessage(ErrDeclined, "it asked for rest")
+	ErrBackingOff = errors.WithMessage(ErrDeclined, "it asked for rest")
 	// ErrRefused: the upstream says that it did not run the request.
 	ErrRefused = errors.New("relay: the upstream did not run it")
 	// ErrMoved: another upstream has the address now; it did not run the
