--- a/internal/relay/call_test.go
+++ b/internal/relay/call_test.go
@@ -53,7 +53,7 @@
 }
 
 func TestANonIdempotentCallThatDidNotRunIsSentAgain(t *testing.T) {
-	for _, notRun := range []error{ErrNotSent, ErrRefused, ErrMoved} {
+	for _, notRun := range []error{ErrNotSent, ErrRefused, ErrAddressReassigned} {
 		f := &fakeSender{run: func(n int, _ Send) (*Reply, error) {
 			if n == 1 {
 				return nil, notRun
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -84,7 +84,7 @@
 	switch {
 	case errors.Is(err, ErrNotSent):
 		return load.VerdictGone
-	case errors.Is(err, ErrMoved):
+	case errors.Is(err, ErrAddressReassigned):
 		return load.VerdictMoved
 	case errors.Is(err, ErrRefused):
 		return load.VerdictRefused
--- a/internal/relay/link.go
+++ b/internal/relay/link.go
@@ -43,7 +43,7 @@
 	r.link.note(func(s *ownlink.Link) {
 		if errors.Is(err, ErrConnectTimeout) {
 			s.Silent(upstream, now)
-		} else if errors.Is(err, ErrRefused) || errors.Is(err, ErrMoved) {
+		} else if errors.Is(err, ErrRefused) || errors.Is(err, ErrAddressReassigned) {
 			s.Answered(upstream, now)
 		}
 	})
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -118,9 +118,9 @@
 	ErrBackingOff = errors.WithMessage(ErrDeclined, "it asked for rest")
 	// ErrRefused: the upstream says that it did not run the request.
 	ErrRefused = errors.New("relay: the upstream did not run it")
-	// ErrMoved: another upstream has the address now; it did not run the
+	// ErrAddressReassigned: another upstream has the address now; it did not run the
 	// request.
-	ErrMoved = errors.New("relay: another upstream has the address")
+	ErrAddressReassigned = errors.New("relay: another upstream has the address")
 	// ErrLost: the request was sent, and nothing valid came back.
 	ErrLost = errors.New("relay: no valid answer")
 	// ErrCut is the ErrLost of a request whose connection was ended by the upstream's
@@ -140,7 +140,7 @@
 
 // ranNothing tells whether an error says that the upstream ran nothing.
 func ranNothing(err error) bool {
-	return errors.Is(err, ErrNotSent) || errors.Is(err, ErrRefused) || errors.Is(err, ErrMoved)
+	return errors.Is(err, ErrNotSent) || errors.Is(err, ErrRefused) || errors.Is(err, ErrAddressReassigned)
 }
 
 // Sender is the adapter to the upstreams. The end of the context ends the
