--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -221,11 +221,11 @@
 	case <-s.release:
 	case <-ctx.Done():
 	}
-	return nil, relay.ErrLost
+	return nil, relay.ErrNoValidAnswer
 }
 
 func (s *heldSender) Prefill(context.Context, *relay.Request, relay.Send) (relay.KV, upstreamstate.Load, error) {
-	return relay.KV{}, upstreamstate.Load{}, relay.ErrLost
+	return relay.KV{}, upstreamstate.Load{}, relay.ErrNoValidAnswer
 }
 
 func (*heldSender) Listen(func(upstreamstate.Upstream, upstreamstate.Statement)) {}
--- a/internal/relay/call_test.go
+++ b/internal/relay/call_test.go
@@ -12,7 +12,7 @@
 func TestAnIdempotentCallIsSentAgain(t *testing.T) {
 	f := &fakeSender{run: func(n int, _ Send) (*Reply, error) {
 		if n == 1 {
-			return nil, ErrLost
+			return nil, ErrNoValidAnswer
 		}
 		return reply(http.StatusOK, strings.NewReader("whole")), nil
 	}}
@@ -43,7 +43,7 @@
 }
 
 func TestALostNonIdempotentCallIsSentOnce(t *testing.T) {
-	f := &fakeSender{run: func(int, Send) (*Reply, error) { return nil, ErrLost }}
+	f := &fakeSender{run: func(int, Send) (*Reply, error) { return nil, ErrNoValidAnswer }}
 	r := newFake(t, f)
 	plentiful(r)
 	_, err := serve(r, call("/unsafe/1"))
--- a/internal/relay/copy_test.go
+++ b/internal/relay/copy_test.go
@@ -55,7 +55,7 @@
 // an event is not known.
 func TestARunIsNotGoneOnWithBeforeItsFirstEvent(t *testing.T) {
 	for name, answer := range map[string]func() (*Reply, error){
-		"nothing":       func() (*Reply, error) { return nil, ErrLost },
+		"nothing":       func() (*Reply, error) { return nil, ErrNoValidAnswer },
 		"a header only": func() (*Reply, error) { return cutAfter(""), nil },
 		"half an event": func() (*Reply, error) { return cutAfter("id: 1\nda"), nil },
 	} {
--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -256,13 +256,13 @@
 func (r *Relay) passFailure(ctx context.Context, g *generation, engine upstreamstate.Upstream, reply *Reply) attempt.Result {
 	again := g.tries.MayRunElsewhere() && ctx.Err() == nil
 	if g.begun || again {
-		err := errors.WithMessagef(ErrLost, "the engine answered %d", reply.Status)
+		err := errors.WithMessagef(ErrNoValidAnswer, "the engine answered %d", reply.Status)
 		r.blame(ctx, g.exchange, engine.ID, err)
 		return failure(engine.ID, err)
 	}
 	first, err := io.ReadAll(io.LimitReader(reply.Body, wholeBytes))
 	if err != nil {
-		return failure(engine.ID, errors.WithMessage(ErrLost, err.Error()))
+		return failure(engine.ID, errors.WithMessage(ErrNoValidAnswer, err.Error()))
 	}
 	return attempt.Result{Status: attempt.Done, Err: deliver(g.w, g.exchange, answer{reply: reply, first: first, whole: true})}
 }
--- a/internal/relay/generate_test.go
+++ b/internal/relay/generate_test.go
@@ -82,7 +82,7 @@
 }
 
 func TestALostGenerationIsNotRunAgain(t *testing.T) {
-	f := &fakeSender{run: func(int, Send) (*Reply, error) { return nil, ErrLost }}
+	f := &fakeSender{run: func(int, Send) (*Reply, error) { return nil, ErrNoValidAnswer }}
 	r := newFake(t, f)
 	plentiful(r)
 	_, err := serve(r, longPrompt("/once/1"))
@@ -134,7 +134,7 @@
 	}
 	if s.first == send.To.ID {
 		<-ctx.Done()
-		return KV{}, upstreamstate.Load{}, ErrLost
+		return KV{}, upstreamstate.Load{}, ErrNoValidAnswer
 	}
 	return s.fakeSender.Prefill(ctx, req, send)
 }
@@ -155,7 +155,7 @@
 	ctx, leave := context.WithCancel(context.Background())
 	f := &fakeSender{run: func(int, Send) (*Reply, error) {
 		leave()
-		return nil, ErrLost
+		return nil, ErrNoValidAnswer
 	}}
 	r := newFake(t, f)
 	plentiful(r)
--- a/internal/relay/leaving_test.go
+++ b/internal/relay/leaving_test.go
@@ -39,7 +39,7 @@
 // sendKinds are all ways to upstreams.
 var sendKinds = map[string]sendKind{
 	"a call":                    {good, requestTo(call, "/unsafe/1")},
-	"a call that is repeated":   {answering(failFirst(ErrLost, plainReply)), requestTo(call, "/safe/1")},
+	"a call that is repeated":   {answering(failFirst(ErrNoValidAnswer, plainReply)), requestTo(call, "/safe/1")},
 	"a call that is refused":    {answering(failFirst(ErrRefused, plainReply)), requestTo(call, "/unsafe/1")},
 	"a prompt and its answer":   {good, requestTo(longPrompt, "/once/1")},
 	"a prompt processed anew":   {answering(failFirst(ErrRefused, wholeEvents)), requestTo(longPrompt, "/once/1")},
--- a/internal/relay/limits_test.go
+++ b/internal/relay/limits_test.go
@@ -73,7 +73,7 @@
 		sends  int
 	}{
 		"a call":                    {&fakeSender{}, call("/unsafe/1"), 1},
-		"a call that is repeated":   {&fakeSender{run: failFirst(ErrLost, func() *Reply { return reply(200, strings.NewReader("a")) })}, call("/safe/1"), 2},
+		"a call that is repeated":   {&fakeSender{run: failFirst(ErrNoValidAnswer, func() *Reply { return reply(200, strings.NewReader("a")) })}, call("/safe/1"), 2},
 		"a call that is refused":    {&fakeSender{run: failFirst(ErrRefused, func() *Reply { return reply(200, strings.NewReader("a")) })}, call("/unsafe/1"), 2},
 		"a prompt and its answer":   {&fakeSender{}, longPrompt("/once/1"), 2},
 		"a prompt processed anew":   {&fakeSender{run: failFirst(ErrRefused, wholeEvents)}, longPrompt("/once/1"), 4},
@@ -116,7 +116,7 @@
 
 func failFirstPrompt(n int, s Send) (KV, error) {
 	if n == 1 {
-		return KV{}, ErrLost
+		return KV{}, ErrNoValidAnswer
 	}
 	return KV{Engine: s.To, Handle: "h"}, nil
 }
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -121,11 +121,11 @@
 	// ErrAddressReassigned: another upstream has the address now; it did not run the
 	// request.
 	ErrAddressReassigned = errors.New("relay: another upstream has the address")
-	// ErrLost: the request was sent, and nothing valid came back.
-	ErrLost = errors.New("relay: no valid answer")
+	// ErrNoValidAnswer: the request was sent, and nothing valid came back.
+	ErrNoValidAnswer = errors.New("relay: no valid answer")
 	// ErrCut is the ErrLost of a request whose connection was ended by the upstream's
 	// side before the answer's end.
-	ErrCut = errors.WithMessage(ErrLost, "cut off")
+	ErrCut = errors.WithMessage(ErrNoValidAnswer, "cut off")
 )
 
 // Lost is the error of a request that was sent and whose whole answer could not be read.
@@ -135,7 +135,7 @@
 			return errors.WithMessage(ErrCut, err.Error())
 		}
 	}
-	return errors.WithMessage(ErrLost, err.Error())
+	return errors.WithMessage(ErrNoValidAnswer, err.Error())
 }
 
 // ranNothing tells whether an error says that the upstream ran nothing.
