--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -101,7 +101,7 @@
 	sentAt := r.now()
 	sending, cancel := context.WithTimeout(ctx, r.tryTime(x))
 	reply, err := r.sender.Send(sending, x.req, x.send(to, r.now()))
-	if err == nil || errors.Is(err, ErrCut) { // it ran, though its answer may be lost
+	if err == nil || errors.Is(err, ErrCutOff) { // it ran, though its answer may be lost
 		r.noteBegan(x, sentAt)
 	}
 	if err != nil {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -307,7 +307,7 @@
 	if errors.Is(err, ErrDeclined) {
 		return // it was not asked
 	}
-	if errors.Is(err, ErrCut) {
+	if errors.Is(err, ErrCutOff) {
 		r.noteCut(x, id)
 	}
 	r.noteLink(id, err)
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -123,16 +123,16 @@
 	ErrAddressReassigned = errors.New("relay: another upstream has the address")
 	// ErrNoValidAnswer: the request was sent, and nothing valid came back.
 	ErrNoValidAnswer = errors.New("relay: no valid answer")
-	// ErrCut is the ErrLost of a request whose connection was ended by the upstream's
+	// ErrCutOff is the ErrLost of a request whose connection was ended by the upstream's
 	// side before the answer's end.
-	ErrCut = errors.WithMessage(ErrNoValidAnswer, "cut off")
+	ErrCutOff = errors.WithMessage(ErrNoValidAnswer, "cut off")
 )
 
 // Lost is the error of a request that was sent and whose whole answer could not be read.
 func Lost(err error) error {
 	for _, cut := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE, errCutEvent} {
 		if errors.Is(err, cut) {
-			return errors.WithMessage(ErrCut, err.Error())
+			return errors.WithMessage(ErrCutOff, err.Error())
 		}
 	}
 	return errors.WithMessage(ErrNoValidAnswer, err.Error())
