--- a/internal/relay/apart_test.go
+++ b/internal/relay/apart_test.go
@@ -20,7 +20,7 @@
 			return nil, ErrNotSent
 		}
 		f.ended[s.To.ID] = true
-		return nil, Lost(io.EOF)
+		return nil, WrapReadError(io.EOF)
 	}
 	return f
 }
@@ -75,7 +75,7 @@
 // upstream lives on do not count against the request.
 func TestWhoeverIsCutOffByAnUpstreamThatLivesIsServed(t *testing.T) {
 	f := ender()
-	f.run = func(int, Send) (*Reply, error) { return nil, Lost(io.EOF) } // none has ended
+	f.run = func(int, Send) (*Reply, error) { return nil, WrapReadError(io.EOF) } // none has ended
 	r := newFake(t, f)
 	plentiful(r)
 	for range 3 {
--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -113,7 +113,7 @@
 	first, err := io.ReadAll(io.LimitReader(reply.Body, wholeBytes))
 	if err != nil {
 		reply.Body.Close()
-		return answer{}, Lost(err)
+		return answer{}, WrapReadError(err)
 	}
 	if reply.Status < http.StatusInternalServerError {
 		r.picture.Judge(to.ID, load.VerdictGood, r.now())
--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -308,7 +308,7 @@
 	if g.backup.ID != "" && g.lastEvent != "" {
 		g.tries.SetBackup(g.backup.ID)
 	}
-	err = Lost(err)
+	err = WrapReadError(err)
 	r.blame(ctx, g.exchange, engine.ID, err)
 	return failure(engine.ID, err)
 }
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -128,8 +128,8 @@
 	ErrCutOff = errors.WithMessage(ErrNoValidAnswer, "cut off")
 )
 
-// Lost is the error of a request that was sent and whose whole answer could not be read.
-func Lost(err error) error {
+// WrapReadError is the error of a request that was sent and whose whole answer could not be read.
+func WrapReadError(err error) error {
 	for _, cut := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE, errCutEvent} {
 		if errors.Is(err, cut) {
 			return errors.WithMessage(ErrCutOff, err.Error())
--- a/internal/relay/usage_test.go
+++ b/internal/relay/usage_test.go
@@ -50,8 +50,8 @@
 		"two upstreams' failures": {call("/safe/1"), func(int, Send) (*Reply, error) {
 			return reply(http.StatusInternalServerError, strings.NewReader("")), nil
 		}, 1},
-		"its answer was lost":        {call("/unsafe/1"), func(int, Send) (*Reply, error) { return nil, Lost(io.EOF) }, 1},
-		"cut before its first event": {longPrompt("/once/1"), func(int, Send) (*Reply, error) { return nil, Lost(io.EOF) }, 0},
+		"its answer was lost":        {call("/unsafe/1"), func(int, Send) (*Reply, error) { return nil, WrapReadError(io.EOF) }, 1},
+		"cut before its first event": {longPrompt("/once/1"), func(int, Send) (*Reply, error) { return nil, WrapReadError(io.EOF) }, 0},
 		"resumed elsewhere": {longPrompt("/resumable/1"), func(n int, _ Send) (*Reply, error) {
 			if n == 1 {
 				return cutAfter("id: 1\ndata: a\n\n"), nil
