--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -143,7 +143,7 @@
 	}
 	if !got.whole {
 		if _, err := io.Copy(w, got.reply.Body); err != nil {
-			return errors.WithMessage(ErrBroken, err.Error())
+			return errors.WithMessage(ErrAnswerAborted, err.Error())
 		}
 	}
 	x.tries.Finished()
--- a/internal/relay/copy_test.go
+++ b/internal/relay/copy_test.go
@@ -43,7 +43,7 @@
 		}
 		return nil, ErrRefused // the copy had not arrived
 	}}
-	if _, err := serve(newFake(t, f), shortPrompt("/once/1")); !errors.Is(err, ErrBroken) {
+	if _, err := serve(newFake(t, f), shortPrompt("/once/1")); !errors.Is(err, ErrAnswerAborted) {
 		t.Errorf("%v", err)
 	}
 	if f.count() != 2 {
--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -60,7 +60,7 @@
 func (g *generation) ended(err error) error {
 	var refusal *Refusal
 	if g.begun && errors.As(err, &refusal) {
-		return errors.WithMessagef(ErrBroken, "%s: %s", refusal.Reason, causeOf(g.exchange))
+		return errors.WithMessagef(ErrAnswerAborted, "%s: %s", refusal.Reason, causeOf(g.exchange))
 	}
 	return err
 }
--- a/internal/relay/generate_test.go
+++ b/internal/relay/generate_test.go
@@ -47,7 +47,7 @@
 		return KV{Engine: s.To, Handle: "h"}, nil
 	}
 	w, err := serve(newFake(t, f), longPrompt("/resumable/1"))
-	if !errors.Is(err, ErrBroken) {
+	if !errors.Is(err, ErrAnswerAborted) {
 		t.Fatalf("%v after %q; want ErrBroken", err, w.Body.String())
 	}
 }
@@ -73,7 +73,7 @@
 	f := &fakeSender{run: func(int, Send) (*Reply, error) { return cutAfter("id: 1\ndata: a\n\n"), nil }}
 	r := newFake(t, f)
 	plentiful(r)
-	if _, err := serve(r, longPrompt("/once/1")); !errors.Is(err, ErrBroken) {
+	if _, err := serve(r, longPrompt("/once/1")); !errors.Is(err, ErrAnswerAborted) {
 		t.Fatalf("%v; want ErrBroken", err)
 	}
 	if f.runs != 1 {
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -189,9 +189,9 @@
 // Error implements error.
 func (r *Refusal) Error() string { return "relay: " + r.Reason }
 
-// ErrBroken ends an answer that had begun and cannot be finished. The caller's
+// ErrAnswerAborted ends an answer that had begun and cannot be finished. The caller's
 // connection must be closed without the answer's end.
-var ErrBroken = errors.New("relay: the answer broke off")
+var ErrAnswerAborted = errors.New("relay: the answer broke off")
 
 // ErrCallerGone: nobody waits for the answer any more.
 var ErrCallerGone = errors.New("relay: the caller has gone")
--- a/internal/relay/rest_test.go
+++ b/internal/relay/rest_test.go
@@ -72,7 +72,7 @@
 		saidBy(r, restOf(time.Minute), s.Backup.ID)
 		return cutFirst(n, s)
 	}
-	if _, err := serve(r, shortOnce()); !errors.Is(err, ErrBroken) || sender.count() != 1 {
+	if _, err := serve(r, shortOnce()); !errors.Is(err, ErrAnswerAborted) || sender.count() != 1 {
 		t.Errorf("%v, sent to %v", err, sender.sentTo())
 	}
 }
--- a/internal/relay/usage_test.go
+++ b/internal/relay/usage_test.go
@@ -125,7 +125,7 @@
 func TestWithoutWindowsNothingIsCounted(t *testing.T) {
 	r := newFake(t, &fakeSender{})
 	withKeys(r, 2, millKey)
-	if _, err := serve(r, withKey(call("/unsafe/1"), millKey)); err != nil && !errors.Is(err, ErrBroken) {
+	if _, err := serve(r, withKey(call("/unsafe/1"), millKey)); err != nil && !errors.Is(err, ErrAnswerAborted) {
 		t.Fatal(err)
 	}
 	if report := r.OwnReport(); len(report.Usage) != 0 {
