--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -139,7 +139,7 @@
 	x.tries.Answered()
 	writeHeader(w, x, got.reply)
 	if _, err := w.Write(got.first); err != nil {
-		return ErrCallerGone
+		return ErrCallerDisconnected
 	}
 	if !got.whole {
 		if _, err := io.Copy(w, got.reply.Body); err != nil {
--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -302,8 +302,8 @@
 			}, r.now())
 		}
 		return attempt.Result{Status: attempt.Done}
-	case errors.Is(err, ErrCallerGone) || errors.Is(ctx.Err(), context.Canceled):
-		return attempt.Result{Status: attempt.Done, Err: ErrCallerGone}
+	case errors.Is(err, ErrCallerDisconnected) || errors.Is(ctx.Err(), context.Canceled):
+		return attempt.Result{Status: attempt.Done, Err: ErrCallerDisconnected}
 	}
 	if g.backup.ID != "" && g.lastEvent != "" {
 		g.tries.SetBackup(g.backup.ID)
--- a/internal/relay/generate_test.go
+++ b/internal/relay/generate_test.go
@@ -160,7 +160,7 @@
 	r := newFake(t, f)
 	plentiful(r)
 	err := r.Serve(ctx, longPrompt("/resumable/1"), nil)
-	if !errors.Is(err, ErrCallerGone) {
+	if !errors.Is(err, ErrCallerDisconnected) {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/relay/meters.go
+++ b/internal/relay/meters.go
@@ -56,7 +56,7 @@
 	case errors.As(err, &refusal):
 		r.meters.refused.Inc(1)
 		outcome = "refused: " + refusal.Reason
-	case errors.Is(err, ErrCallerGone):
+	case errors.Is(err, ErrCallerDisconnected):
 		r.meters.gone.Inc(1)
 		outcome = "the caller left"
 	default:
--- a/internal/relay/pass.go
+++ b/internal/relay/pass.go
@@ -70,10 +70,10 @@
 		return nil
 	}
 	if _, err := p.w.Write(events); err != nil {
-		return ErrCallerGone
+		return ErrCallerDisconnected
 	}
 	if err := p.flush(); err != nil {
-		return ErrCallerGone
+		return ErrCallerDisconnected
 	}
 	if id := p.events.LastID(); id != "" {
 		p.lastEvent = id
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -323,7 +323,7 @@
 // giveUp is the truthful end of a request without an answer.
 func (r *Relay) giveUp(ctx context.Context, x *exchange) error {
 	if errors.Is(ctx.Err(), context.Canceled) {
-		return ErrCallerGone
+		return ErrCallerDisconnected
 	}
 	if x.tries.Outcome() == outcome.NotRun {
 		if err := r.refuse(x); err != nil {
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -193,5 +193,5 @@
 // connection must be closed without the answer's end.
 var ErrAnswerAborted = errors.New("relay: the answer broke off")
 
-// ErrCallerGone: nobody waits for the answer any more.
-var ErrCallerGone = errors.New("relay: the caller has gone")
+// ErrCallerDisconnected: nobody waits for the answer any more.
+var ErrCallerDisconnected = errors.New("relay: the caller has gone")
