--- a/internal/instance/apart_test.go
+++ b/internal/instance/apart_test.go
@@ -61,7 +61,7 @@
 func TestTheRowsOfContentsAreFollowed(t *testing.T) {
 	in := newInstance()
 	in.relay.SetRoutes(routes.NewTable(1, []routes.Route{{Host: "h", Prefix: "/", Shares: []routes.Share{{Service: "s", Weight: 1}}}}, nil, routes.Limits{}))
-	req := &relay.Request{ID: "r", Method: "POST", Host: "h", Path: "/a", Target: "/a", Patience: time.Second}
+	req := &relay.Request{ID: "r", Method: "POST", Host: "h", Path: "/a", Target: "/a", WaitBudget: time.Second}
 	unreadable := apartRowOf(8, "what", 1)
 	unnamed := replica.Row{Key: replica.Key{Table: "apart", Key: "no content"}, Value: []byte(`{"times":1}`), Revision: 2}
 	in.changed([]replica.Row{unreadable, unnamed, apartRowOf(req.Content(), `{"times":1}`, 3)})
@@ -103,7 +103,7 @@
 	in, table := newInstance(), &fakeTable{}
 	in.adapter.Table = table
 	in.relay.SetRoutes(routes.NewTable(1, []routes.Route{{Host: "h", Prefix: "/", Shares: []routes.Share{{Service: "s", Weight: 1}}}}, nil, routes.Limits{}))
-	req := &relay.Request{ID: "r", Method: "POST", Host: "h", Path: "/a", Target: "/a", Patience: time.Second}
+	req := &relay.Request{ID: "r", Method: "POST", Host: "h", Path: "/a", Target: "/a", WaitBudget: time.Second}
 	in.changed([]replica.Row{apartRowOf(req.Content(), `{"times":2}`, 3)})
 	lost := apartRowOf(req.Content(), "", platform.RevisionOf(1, 0))
 	lost.Lost = true
--- a/internal/relay/call_test.go
+++ b/internal/relay/call_test.go
@@ -122,7 +122,7 @@
 func TestTheTimeOfARouteBoundsARequest(t *testing.T) {
 	f := &fakeSender{}
 	req := call("/safe/1")
-	req.Patience = time.Hour
+	req.WaitBudget = time.Hour
 	if _, err := serve(newFake(t, f), req); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -158,7 +158,7 @@
 }
 
 func call(path string) *Request {
-	return &Request{ID: "r1", Method: "POST", Host: "h", Path: path, Target: path, Header: http.Header{}, Patience: time.Second}
+	return &Request{ID: "r1", Method: "POST", Host: "h", Path: path, Target: path, Header: http.Header{}, WaitBudget: time.Second}
 }
 
 func longPrompt(path string) *Request {
--- a/internal/relay/leaving_test.go
+++ b/internal/relay/leaving_test.go
@@ -168,7 +168,7 @@
 		if !errors.As(err, &refusal) || refusal.Outcome != NotRun || refusal.RetryIn <= 0 || refusal.Reason != "all upstreams leave" {
 			t.Errorf("%s: %+v", req.Path, err)
 		}
-		if took := time.Since(began); sender.count() > 0 || took > req.Patience/2 {
+		if took := time.Since(began); sender.count() > 0 || took > req.WaitBudget/2 {
 			t.Errorf("%s: %d sends, refused after %s", req.Path, sender.count(), took)
 		}
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -259,11 +259,11 @@
 		return nil, &Refusal{Outcome: NotRun, Reason: "stopping", RetryIn: r.settings.RetryIn}
 	}
 	if table.Version == 0 {
-		return nil, &Refusal{Outcome: NotRun, Reason: "no configuration yet", RetryIn: r.startIn(req.Patience)}
+		return nil, &Refusal{Outcome: NotRun, Reason: "no configuration yet", RetryIn: r.startIn(req.WaitBudget)}
 	}
 	if why := r.Trouble(); why != "" {
 		r.meters.choked.Inc(1)
-		return nil, refuseTroubled(why, r.comeBackIn(req.Patience))
+		return nil, refuseTroubled(why, r.comeBackIn(req.WaitBudget))
 	}
 	matched := table.Match(req.Host, req.Path)
 	if matched == nil {
@@ -274,7 +274,7 @@
 		return nil, refuseKey()
 	}
 	limit := unbounded
-	for _, bound := range []time.Duration{req.Patience, matched.Timeout} {
+	for _, bound := range []time.Duration{req.WaitBudget, matched.Timeout} {
 		if bound > 0 {
 			limit = min(limit, bound)
 		}
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -38,9 +38,9 @@
 	Body   []byte
 	// Credential is the API key that the caller gave.
 	Credential apikey.Credential
-	// Patience is how long the caller waits for the answer; 0 when it did not
+	// WaitBudget is how long the caller waits for the answer; 0 when it did not
 	// say.
-	Patience time.Duration
+	WaitBudget time.Duration
 	// Prompt is nil when the request carries none.
 	Prompt *placement.Prompt
 	// LastEvent is the id of the last event that the caller has of an earlier
