--- a/internal/relay/call_test.go
+++ b/internal/relay/call_test.go
@@ -126,7 +126,7 @@
 	if _, err := serve(newFake(t, f), req); err != nil {
 		t.Fatal(err)
 	}
-	if within := f.calls[0].send.Within; within > time.Second {
+	if within := f.calls[0].send.Timeout; within > time.Second {
 		t.Errorf("an upstream got %s for a request of one second", within)
 	}
 }
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -60,7 +60,7 @@
 
 // send is a way to send it to an upstream, with what each way has.
 func (x *exchange) send(to upstreamstate.Upstream, now time.Duration) Send {
-	return Send{To: to, Within: x.left(now), Priority: x.identity.Priority(x.route), Identity: x.identity}
+	return Send{To: to, Timeout: x.left(now), Priority: x.identity.Priority(x.route), Identity: x.identity}
 }
 
 func (x *exchange) left(now time.Duration) time.Duration { return x.ends - now }
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -64,8 +64,8 @@
 // Send is one way to send a request.
 type Send struct {
 	To upstreamstate.Upstream
-	// Within is how long the upstream may work on it.
-	Within time.Duration
+	// Timeout is how long the upstream may work on it.
+	Timeout time.Duration
 	// KV is the processed prompt to fetch; the zero value when there is none.
 	KV KV
 	// LastEvent is the event after which a generation goes on; empty from the
