--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -81,8 +81,8 @@
 	Priority int
 	// Identity is who the request comes from.
 	Identity routes.Identity
-	// Yields: the engine is to process the prompt after all that do not yield.
-	Yields bool
+	// Deferred: the engine is to process the prompt after all that do not yield.
+	Deferred bool
 	// Continues: the caller has a part of the answer already.
 	Continues bool
 	// Granted: the upstream's limit has room for it that was asked for before.
