--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -47,7 +47,7 @@
 	healthPath string
 }
 
-func (f *fakeSender) Listen(hear func(upstreamstate.Upstream, upstreamstate.Statement)) {
+func (f *fakeSender) SetStatementHandler(hear func(upstreamstate.Upstream, upstreamstate.Statement)) {
 	f.hear = hear
 }
 
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -103,7 +103,7 @@
 		pool: newPool(), contents: newContents(), usage: newUsageCounter(s.UsageWindow), link: newLink(), meters: newMeters(), grants: newGrants(), changed: make(chan struct{}, 1),
 	}
 	r.sender = limitedSender{Sender: sender, relay: r}
-	sender.Listen(r.hear)
+	sender.SetStatementHandler(r.hear)
 	r.budgets = newBudgets(s.Budget, newRetryMeters(), r.askPool)
 	r.picture = upstreamstate.New(upstreamstate.Settings{
 		Zone: s.Zone, Placement: s.Placement, Prior: s.Prior, Outliers: s.Outliers, Changed: r.noteChanged,
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -146,9 +146,9 @@
 // Sender is the adapter to the upstreams. The end of the context ends the
 // upstream's work on a request.
 type Sender interface {
-	// Listen has hear called with what upstreams say of themselves in any answer, whatever was
+	// SetStatementHandler has hear called with what upstreams say of themselves in any answer, whatever was
 	// asked. It is called once, before all else.
-	Listen(hear func(from upstreamstate.Upstream, s upstreamstate.Statement))
+	SetStatementHandler(hear func(from upstreamstate.Upstream, s upstreamstate.Statement))
 	// Send has an upstream run a request, and returns once its answer begins.
 	Send(ctx context.Context, req *Request, s Send) (*Reply, error)
 	// Prefill has an engine process a request's prompt and keep the KV cache.
