--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -230,7 +230,7 @@
 
 func (*heldSender) SetStatementHandler(func(upstreamstate.Upstream, upstreamstate.Statement)) {}
 
-func (*heldSender) Ended(context.Context, upstreamstate.Upstream, string) (bool, error) {
+func (*heldSender) Crashed(context.Context, upstreamstate.Upstream, string) (bool, error) {
 	return false, nil
 }
 
--- a/internal/relay/apart.go
+++ b/internal/relay/apart.go
@@ -195,7 +195,7 @@
 	}
 	for {
 		asked, stop := context.WithTimeout(ctx, endedTimeout)
-		ended, err := r.sender.Ended(asked, to, healthPath)
+		ended, err := r.sender.Crashed(asked, to, healthPath)
 		stop()
 		if err == nil {
 			return ended
--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -81,8 +81,8 @@
 	return nil
 }
 
-// Ended implements Sender: the upstreams that the script names have.
-func (f *fakeSender) Ended(_ context.Context, to upstreamstate.Upstream, healthPath string) (bool, error) {
+// Crashed implements Sender: the upstreams that the script names have.
+func (f *fakeSender) Crashed(_ context.Context, to upstreamstate.Upstream, healthPath string) (bool, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.healthPath = healthPath
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -155,10 +155,10 @@
 	Prefill(ctx context.Context, req *Request, s Send) (KV, upstreamstate.Load, error)
 	// Free drops a KV cache that nobody will fetch.
 	Free(ctx context.Context, kv KV) error
-	// Ended tells whether an upstream's process has ended: its machine answers, and
+	// Crashed tells whether an upstream's process has ended: its machine answers, and
 	// nobody listens at its address, or another upstream does, which is asked at the
 	// health path where the service has one. An error means that there is no word on it.
-	Ended(ctx context.Context, to upstreamstate.Upstream, healthPath string) (bool, error)
+	Crashed(ctx context.Context, to upstreamstate.Upstream, healthPath string) (bool, error)
 }
 
 // Outcome is what a refusal tells of the request.
