--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -131,7 +131,7 @@
 	t.Helper()
 	s := DefaultSettings()
 	s.Zone = "a"
-	s.PrefillSilence = 50 * time.Millisecond
+	s.PrefillIdleTimeout = 50 * time.Millisecond
 	r := New(s, sender, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	r.SetRoutes(routes.NewTable(1, []routes.Route{
 		{Name: "safe", Host: "h", Prefix: "/safe/", Kind: routes.Idempotent, MaxAttempts: 2, Timeout: time.Second, Shares: []routes.Share{{Service: "app", Weight: 1}}},
--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -158,7 +158,7 @@
 	ahead := start.Engine.Told.Ahead
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	go r.whenSilent(ctx, engine.ID, ahead+work+r.settings.PrefillSilence, cancel)
+	go r.whenSilent(ctx, engine.ID, ahead+work+r.settings.PrefillIdleTimeout, cancel)
 	send := g.send(engine, started)
 	send.Deferred, send.FetchFrom = g.turn == placement.TurnYield, r.picture.Upstream(start.Source.ID).Address
 	kv, said, err := r.sender.Prefill(ctx, g.req, send)
@@ -203,7 +203,7 @@
 			return
 		}
 		since = r.now()
-		timer.Reset(r.settings.PrefillSilence)
+		timer.Reset(r.settings.PrefillIdleTimeout)
 	}
 }
 
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -35,9 +35,9 @@
 	Prior     estimate.Prior
 	// MaxSends bounds the sends of one request, refused ones included.
 	MaxSends int
-	// PrefillSilence is how long an engine may take for a prompt beyond what
+	// PrefillIdleTimeout is how long an engine may take for a prompt beyond what
 	// was predicted, before another one is asked.
-	PrefillSilence time.Duration
+	PrefillIdleTimeout time.Duration
 	// StreamSilence is how long a resumable generation may pause before
 	// another engine goes on with it.
 	StreamSilence time.Duration
@@ -61,7 +61,7 @@
 		Placement:      placement.DefaultSettings(),
 		Prior:          estimate.DefaultPrior(),
 		MaxSends:       4,
-		PrefillSilence: 1200 * time.Millisecond, // above the queue of a busy engine, below most deadlines
+		PrefillIdleTimeout: 1200 * time.Millisecond, // above the queue of a busy engine, below most deadlines
 		StreamSilence:  1200 * time.Millisecond, // callers leave after two seconds of silence
 		RetryIn:        150 * time.Millisecond,  // about the time of one long prompt
 		StartIn:        400 * time.Millisecond,  // of 79 instances that start at once half have the configuration after 0.55 s, the last after 0.9 s
