--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -287,7 +287,7 @@
 	}
 	p := passing{w: g.w, flush: http.NewResponseController(g.w).Flush, lastEvent: g.lastEvent}
 	if g.tries.MayRunElsewhere() {
-		p.silence, p.stop = r.settings.StreamSilence, stop
+		p.silence, p.stop = r.settings.StreamIdleTimeout, stop
 	}
 	began, whole := r.now(), g.lastEvent == ""
 	err := p.pass(reply.Body)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -38,9 +38,9 @@
 	// PrefillIdleTimeout is how long an engine may take for a prompt beyond what
 	// was predicted, before another one is asked.
 	PrefillIdleTimeout time.Duration
-	// StreamSilence is how long a resumable generation may pause before
+	// StreamIdleTimeout is how long a resumable generation may pause before
 	// another engine goes on with it.
-	StreamSilence time.Duration
+	StreamIdleTimeout time.Duration
 	// RetryIn is told to callers whose request did not run.
 	RetryIn time.Duration
 	// StartIn is told to them instead while this instance does not know the
@@ -62,7 +62,7 @@
 		Prior:          estimate.DefaultPrior(),
 		MaxSends:       4,
 		PrefillIdleTimeout: 1200 * time.Millisecond, // above the queue of a busy engine, below most deadlines
-		StreamSilence:  1200 * time.Millisecond, // callers leave after two seconds of silence
+		StreamIdleTimeout:  1200 * time.Millisecond, // callers leave after two seconds of silence
 		RetryIn:        150 * time.Millisecond,  // about the time of one long prompt
 		StartIn:        400 * time.Millisecond,  // of 79 instances that start at once half have the configuration after 0.55 s, the last after 0.9 s
 		Outliers:       outliers,
