--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -43,9 +43,9 @@
 	StreamIdleTimeout time.Duration
 	// RetryIn is told to callers whose request did not run.
 	RetryIn time.Duration
-	// StartIn is told to them instead while this instance does not know the
+	// StartupRetryIn is told to them instead while this instance does not know the
 	// configuration or any upstream yet.
-	StartIn  time.Duration
+	StartupRetryIn  time.Duration
 	Outliers load.OutlierRules
 	// UsageWindow is the length of the windows in which requests are counted that begin
 	// to run; 0 for a deployment that wants no such counts.
@@ -64,7 +64,7 @@
 		PrefillIdleTimeout: 1200 * time.Millisecond, // above the queue of a busy engine, below most deadlines
 		StreamIdleTimeout:  1200 * time.Millisecond, // callers leave after two seconds of silence
 		RetryIn:        150 * time.Millisecond,  // about the time of one long prompt
-		StartIn:        400 * time.Millisecond,  // of 79 instances that start at once half have the configuration after 0.55 s, the last after 0.9 s
+		StartupRetryIn:        400 * time.Millisecond,  // of 79 instances that start at once half have the configuration after 0.55 s, the last after 0.9 s
 		Outliers:       outliers,
 	}
 }
@@ -342,7 +342,7 @@
 
 // startIn is when to come back to an instance that has just started.
 func (r *Relay) startIn(left time.Duration) time.Duration {
-	in := jittered(r.settings.StartIn)
+	in := jittered(r.settings.StartupRetryIn)
 	if left > 0 {
 		in = min(in, left/retryPart)
 	}
