--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -231,7 +231,7 @@
 		in.log.Error("instance: upstream not read", "upstream", row.Key.Key, "revision", row.Revision, "error", err)
 		return
 	}
-	in.relay.Learn(u)
+	in.relay.UpdateUpstream(u)
 	in.log.Info("instance: upstream", "upstream", u.ID, "service", u.Service, "zone", u.Zone, "role", u.Role,
 		"draining", u.Draining, "born", u.Born, "revision", row.Revision)
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -196,7 +196,7 @@
 func TestLoadsAreToldToAllZones(t *testing.T) {
 	all := fleet(t)
 	for _, n := range all {
-		n.relay.Learn(upstreamstate.Upstream{ID: "e", Service: "s", Role: "decode"})
+		n.relay.UpdateUpstream(upstreamstate.Upstream{ID: "e", Service: "s", Role: "decode"})
 	}
 	speaker := hubOf(all, "b")
 	waitFor(func() bool {
@@ -244,7 +244,7 @@
 	}}, []routes.Service{{Name: "s"}}, routes.Limits{})
 	for _, n := range all {
 		n.relay.SetRoutes(table)
-		n.relay.Learn(upstreamstate.Upstream{ID: "e", Service: "s", Role: "decode"})
+		n.relay.UpdateUpstream(upstreamstate.Upstream{ID: "e", Service: "s", Role: "decode"})
 	}
 }
 
--- a/internal/relay/call_test.go
+++ b/internal/relay/call_test.go
@@ -95,7 +95,7 @@
 	f := &fakeSender{}
 	r := newFake(t, f)
 	for _, id := range []string{"app-1", "app-2"} {
-		r.Learn(upstreamstate.Upstream{ID: id, Service: "app", Address: id, Zone: "a", Draining: true})
+		r.UpdateUpstream(upstreamstate.Upstream{ID: id, Service: "app", Address: id, Zone: "a", Draining: true})
 	}
 	r.Forget("app-3")
 	_, err := serve(r, call("/safe/1"))
--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -140,13 +140,13 @@
 		{Name: "resumable", Host: "h", Prefix: "/resumable/", Kind: routes.Generation, Resumable: true, MaxAttempts: 2, Timeout: 2 * time.Second, Shares: []routes.Share{{Service: "llm", Weight: 1}}},
 	}, []routes.Service{{Name: "app", HealthPath: "/health"}}, routes.Limits{}))
 	for _, id := range []string{"app-1", "app-2", "app-3"} {
-		r.Learn(upstreamstate.Upstream{ID: id, Service: "app", Address: id, Zone: "a"})
+		r.UpdateUpstream(upstreamstate.Upstream{ID: id, Service: "app", Address: id, Zone: "a"})
 	}
 	for _, id := range []string{"pre-1", "pre-2"} {
-		r.Learn(upstreamstate.Upstream{ID: id, Service: "llm", Address: id, Zone: "a", Role: config.RolePrefill})
+		r.UpdateUpstream(upstreamstate.Upstream{ID: id, Service: "llm", Address: id, Zone: "a", Role: config.RolePrefill})
 	}
 	for _, id := range []string{"dec-1", "dec-2", "dec-3"} {
-		r.Learn(upstreamstate.Upstream{ID: id, Service: "llm", Address: id, Zone: "a", Role: config.RoleDecode})
+		r.UpdateUpstream(upstreamstate.Upstream{ID: id, Service: "llm", Address: id, Zone: "a", Role: config.RoleDecode})
 	}
 	return r
 }
--- a/internal/relay/limits_test.go
+++ b/internal/relay/limits_test.go
@@ -271,7 +271,7 @@
 	before := r.picture.Upstream("app-1")
 	again := before
 	again.Born = 7
-	r.Learn(again)
+	r.UpdateUpstream(again)
 	r.hear(before, limitOf(1))
 	w, _, known := r.picture.Limit(again.Incarnation(), r.now())
 	if w.Limits() || known {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -131,8 +131,8 @@
 // SetBudget takes other bounds of the sends beyond the first.
 func (r *Relay) SetBudget(s BudgetSettings) { r.budgets.set(s) }
 
-// Learn takes an upstream's newest entry.
-func (r *Relay) Learn(u upstreamstate.Upstream) { r.picture.Learn(u) }
+// UpdateUpstream takes an upstream's newest entry.
+func (r *Relay) UpdateUpstream(u upstreamstate.Upstream) { r.picture.Learn(u) }
 
 // Forget drops an upstream that is gone.
 func (r *Relay) Forget(id string) { r.picture.Forget(id) }
