--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -221,13 +221,13 @@
 
 func (in *Instance) noteUpstream(row replica.Row) {
 	if row.Deleted {
-		in.relay.Forget(row.Key.Key)
+		in.relay.RemoveUpstream(row.Key.Key)
 		in.log.Info("instance: upstream gone", "upstream", row.Key.Key, "revision", row.Revision)
 		return
 	}
 	u, err := in.adapter.Documents.Upstream(row)
 	if err != nil {
-		in.relay.Forget(row.Key.Key) // whatever it named before
+		in.relay.RemoveUpstream(row.Key.Key) // whatever it named before
 		in.log.Error("instance: upstream not read", "upstream", row.Key.Key, "revision", row.Revision, "error", err)
 		return
 	}
--- a/internal/relay/call_test.go
+++ b/internal/relay/call_test.go
@@ -97,7 +97,7 @@
 	for _, id := range []string{"app-1", "app-2"} {
 		r.UpdateUpstream(upstreamstate.Upstream{ID: id, Service: "app", Address: id, Zone: "a", Draining: true})
 	}
-	r.Forget("app-3")
+	r.RemoveUpstream("app-3")
 	_, err := serve(r, call("/safe/1"))
 	if word := wordOf(t, err); word != NotRun || f.count() != 0 {
 		t.Errorf("word %v after %d sends", word, f.count())
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -134,8 +134,8 @@
 // UpdateUpstream takes an upstream's newest entry.
 func (r *Relay) UpdateUpstream(u upstreamstate.Upstream) { r.picture.Learn(u) }
 
-// Forget drops an upstream that is gone.
-func (r *Relay) Forget(id string) { r.picture.Forget(id) }
+// RemoveUpstream drops an upstream that is gone.
+func (r *Relay) RemoveUpstream(id string) { r.picture.Forget(id) }
 
 // Engines returns the model engines that take requests, by service.
 func (r *Relay) Engines() map[string][]upstreamstate.Engine { return r.picture.Engines(r.now()) }
