--- a/internal/instance/duties.go
+++ b/internal/instance/duties.go
@@ -44,7 +44,7 @@
 	for zone := range s.Scale.ZonePrices {
 		zones[zone] = scaling.Zone{Name: zone}
 	}
-	for _, u := range in.relay.Members(name) {
+	for _, u := range in.relay.Upstreams(name) {
 		zone := zones[u.Zone]
 		zone.Name = u.Zone
 		kind := scaling.OnDemand
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -146,8 +146,8 @@
 	return table.Services
 }
 
-// Members returns the upstreams of a service, those that are leaving too.
-func (r *Relay) Members(service string) []upstreamstate.Upstream { return r.picture.Members(service) }
+// Upstreams returns the upstreams of a service, those that are leaving too.
+func (r *Relay) Upstreams(service string) []upstreamstate.Upstream { return r.picture.Members(service) }
 
 // Times returns what the engines of a service take.
 func (r *Relay) Times(service string) upstreamstate.Times { return r.picture.Times(service) }
