--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -240,7 +240,7 @@
 func (in *Instance) Engines() map[string][]upstreamstate.Engine { return in.relay.Engines() }
 
 // Times implements rolekeeper.View.
-func (in *Instance) Times(service string) upstreamstate.Times { return in.relay.Times(service) }
+func (in *Instance) Times(service string) upstreamstate.Times { return in.relay.EngineTimes(service) }
 
 // SendAway implements rolekeeper.View.
 func (in *Instance) SendAway(engine string, d time.Duration) { in.relay.SendAway(engine, d) }
--- a/internal/instance/times.go
+++ b/internal/instance/times.go
@@ -21,7 +21,7 @@
 			continue
 		}
 		for service := range in.relay.Engines() {
-			in.tellTimesOf(service, in.relay.Times(service))
+			in.tellTimesOf(service, in.relay.EngineTimes(service))
 		}
 	}
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -149,8 +149,8 @@
 // Upstreams returns the upstreams of a service, those that are leaving too.
 func (r *Relay) Upstreams(service string) []upstreamstate.Upstream { return r.picture.Members(service) }
 
-// Times returns what the engines of a service take.
-func (r *Relay) Times(service string) upstreamstate.Times { return r.picture.Times(service) }
+// EngineTimes returns what the engines of a service take.
+func (r *Relay) EngineTimes(service string) upstreamstate.Times { return r.picture.Times(service) }
 
 // SendAway has all instances leave an upstream out for a time in which it takes no
 // requests, or until its role has changed.
