--- a/internal/relay/generate_test.go
+++ b/internal/relay/generate_test.go
@@ -178,7 +178,7 @@
 	f, g := &fakeSender{}, &fakeSender{}
 	holder, other := newFake(t, f), newFake(t, g)
 	for _, id := range []string{"dec-1", "dec-2"} { // two of eight may be away
-		holder.SendAway(id, time.Minute)
+		holder.MarkUnavailable(id, time.Minute)
 		holder.picture.Judge(id, load.VerdictGood, holder.now()) // what ran there ends
 	}
 	other.TakeReport("instance holder", holder.OwnReport())
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -152,9 +152,9 @@
 // EngineTimes returns what the engines of a service take.
 func (r *Relay) EngineTimes(service string) upstreamstate.Times { return r.picture.Times(service) }
 
-// SendAway has all instances leave an upstream out for a time in which it takes no
+// MarkUnavailable has all instances leave an upstream out for a time in which it takes no
 // requests, or until its role has changed.
-func (r *Relay) SendAway(id string, d time.Duration) { r.picture.SendAway(id, r.now()+d) }
+func (r *Relay) MarkUnavailable(id string, d time.Duration) { r.picture.SendAway(id, r.now()+d) }
 
 // OwnReport returns what this instance tells the others.
 func (r *Relay) OwnReport() upstreamstate.Report {
