--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -246,7 +246,7 @@
 func (in *Instance) SendAway(engine string, d time.Duration) { in.relay.MarkUnavailable(engine, d) }
 
 // Serving implements rolekeeper.View.
-func (in *Instance) Serving() bool { return in.relay.Serving() }
+func (in *Instance) Serving() bool { return in.relay.HasRecentRequests() }
 
 // Candidates implements rolekeeper.View: the instances that pass reports on know all
 // others of their kind.
--- a/internal/instance/times.go
+++ b/internal/instance/times.go
@@ -17,7 +17,7 @@
 // requests come.
 func (in *Instance) tellTimes(ctx context.Context) {
 	for pause.For(ctx, timesEvery) {
-		if !in.relay.Serving() {
+		if !in.relay.HasRecentRequests() {
 			continue
 		}
 		for service := range in.relay.Engines() {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -207,8 +207,8 @@
 // servingFor is for how long after a request the instance counts as serving.
 const servingFor = 2 * time.Second
 
-// Serving tells whether requests came lately.
-func (r *Relay) Serving() bool {
+// HasRecentRequests tells whether requests came lately.
+func (r *Relay) HasRecentRequests() bool {
 	last := r.lastRequest.Load()
 	return last > 0 && r.now()-time.Duration(last) < servingFor
 }
