--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -203,7 +203,7 @@
 		// A part is told once, and a datagram may be lost: it is placed again.
 		speaker.relay.TakeReport("instance x", upstreamstate.Report{Placed: []upstreamstate.Placed{{Engine: 1, Part: 2}}})
 		for _, n := range all {
-			if n.self.Zone != speaker.self.Zone && !n.relay.Knows(upstreamstate.Placed{Engine: 1, Part: 2}) {
+			if n.self.Zone != speaker.self.Zone && !n.relay.HasPlacement(upstreamstate.Placed{Engine: 1, Part: 2}) {
 				return false
 			}
 		}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -201,8 +201,8 @@
 // depositOwn pays what this instance has too much into its own pool.
 func (r *Relay) depositOwn() { r.pool.deposit(ownSource, r.budgets.spilled(), r.now()) }
 
-// Knows tells whether a part was placed on an engine, as far as is known here.
-func (r *Relay) Knows(placed upstreamstate.Placed) bool { return r.picture.Knows(placed) }
+// HasPlacement tells whether a part was placed on an engine, as far as is known here.
+func (r *Relay) HasPlacement(placed upstreamstate.Placed) bool { return r.picture.Knows(placed) }
 
 // servingFor is for how long after a request the instance counts as serving.
 const servingFor = 2 * time.Second
