--- a/internal/relay/apart.go
+++ b/internal/relay/apart.go
@@ -177,7 +177,7 @@
 		return
 	}
 	for _, one := range requests {
-		apart, ends := r.NoteEnd(quarantine.End{Content: one.content, Upstream: to.Incarnation()})
+		apart, ends := r.RecordCrash(quarantine.End{Content: one.content, Upstream: to.Incarnation()})
 		r.contents.ends.Inc(1)
 		r.log.Info("relay: upstream ended", "upstream", to.ID, "request", one.request, "content", one.content, "ends", ends, "apart", apart)
 	}
@@ -207,9 +207,9 @@
 	}
 }
 
-// NoteEnd takes an end that this instance saw, and returns whether the content is set apart
+// RecordCrash takes an end that this instance saw, and returns whether the content is set apart
 // by it and how many ends count against it.
-func (r *Relay) NoteEnd(end quarantine.End) (apart bool, ends int) {
+func (r *Relay) RecordCrash(end quarantine.End) (apart bool, ends int) {
 	return r.contents.decide(end.Content, func(t *quarantine.Table) bool { return t.Note(end, bootclock.Now()) })
 }
 
--- a/internal/relay/apart_test.go
+++ b/internal/relay/apart_test.go
@@ -122,7 +122,7 @@
 	content := call("/once/1").Content()
 	for n, r := range []*Relay{first, second} {
 		end := quarantine.End{Content: content, Upstream: upstreamstate.Upstream{ID: string(rune('a' + n))}.Incarnation()}
-		r.NoteEnd(end)
+		r.RecordCrash(end)
 	}
 	for _, from := range []*Relay{first, second} {
 		ends := from.OwnReport().Ends
