--- a/internal/instance/apart.go
+++ b/internal/instance/apart.go
@@ -79,7 +79,7 @@
 	if err := json.Unmarshal(row.Value, &told); err != nil {
 		return errors.Wrap(err, "instance: content")
 	}
-	in.relay.SetApart(content, told.Times)
+	in.relay.Quarantine(content, told.Times)
 	in.log.Info("instance: content set apart", "content", content, "times", told.Times, "by", told.Instance, "revision", row.Revision)
 	return nil
 }
--- a/internal/relay/apart.go
+++ b/internal/relay/apart.go
@@ -223,9 +223,9 @@
 	}
 }
 
-// SetApart takes it that a content was set apart so often, as it is kept for all. One that
+// Quarantine takes it that a content was set apart so often, as it is kept for all. One that
 // was served here lately is released by all instead.
-func (r *Relay) SetApart(content quarantine.Content, times int) {
+func (r *Relay) Quarantine(content quarantine.Content, times int) {
 	c := r.contents
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/relay/apart_test.go
+++ b/internal/relay/apart_test.go
@@ -148,7 +148,7 @@
 func TestAnInstanceTakesAnothersWord(t *testing.T) {
 	r := newFake(t, &fakeSender{})
 	req := call("/unsafe/1")
-	r.SetApart(req.Content(), 1)
+	r.Quarantine(req.Content(), 1)
 	if _, err := serve(r, req); wordOf(t, err) != NotRun {
 		t.Errorf("%v", err)
 	}
@@ -173,7 +173,7 @@
 		t.Errorf("%v is to be kept; want its release", unkept)
 	}
 	r.Kept(unkept)
-	r.SetApart(req.Content(), 1) // another instance's word, and wrong
+	r.Quarantine(req.Content(), 1) // another instance's word, and wrong
 	if unkept := r.Unkept(); len(unkept) != 1 {
 		t.Error("the wrong word stays")
 	}
@@ -192,7 +192,7 @@
 	r := newFake(t, f)
 	req := longPrompt("/once/1")
 	f.prefill = func(_ int, s Send) (KV, error) {
-		r.SetApart(req.Content(), 1)
+		r.Quarantine(req.Content(), 1)
 		return KV{Engine: s.To, Handle: "h"}, nil
 	}
 	_, err := serve(r, req)
