--- a/internal/instance/apart.go
+++ b/internal/instance/apart.go
@@ -89,7 +89,7 @@
 func (in *Instance) keepLost(content quarantine.Content, revision int64) {
 	writes := in.peers.Passes()
 	if writes {
-		in.relay.KeepAgain(content)
+		in.relay.PersistAgain(content)
 	}
 	in.log.Warn("instance: the store lost a content that is set apart", "content", content, "revision", revision, "writes_it_again", writes)
 }
--- a/internal/relay/apart.go
+++ b/internal/relay/apart.go
@@ -246,8 +246,8 @@
 	c.apart.Update(int64(c.table.Count(bootclock.Now())))
 }
 
-// KeepAgain has this instance keep for all, once more, how often a content was set apart.
-func (r *Relay) KeepAgain(content quarantine.Content) {
+// PersistAgain has this instance keep for all, once more, how often a content was set apart.
+func (r *Relay) PersistAgain(content quarantine.Content) {
 	c := r.contents
 	c.mu.Lock()
 	defer c.mu.Unlock()
