--- a/internal/instance/apart.go
+++ b/internal/instance/apart.go
@@ -104,7 +104,7 @@
 		case <-ctx.Done():
 			timer.Stop()
 			return
-		case <-in.relay.Decided():
+		case <-in.relay.PersistNeeded():
 		case <-timer.C:
 			in.relay.LapseContents(in.peers.Passes())
 		}
--- a/internal/relay/apart.go
+++ b/internal/relay/apart.go
@@ -256,8 +256,8 @@
 	}
 }
 
-// Decided has a value when there is something in Unkept.
-func (r *Relay) Decided() <-chan struct{} { return r.contents.decided }
+// PersistNeeded has a value when there is something in Unkept.
+func (r *Relay) PersistNeeded() <-chan struct{} { return r.contents.decided }
 
 // Unkept is what this instance is to keep for all: how often each content was set apart;
 // 0 when that is over.
