--- a/internal/instance/apart.go
+++ b/internal/instance/apart.go
@@ -135,7 +135,7 @@
 // written without a condition: of two instances that set a content apart, the one that
 // lags may be the last to write, and whoever starts then lets it through the earlier.
 func (in *Instance) writeApart(ctx context.Context) bool {
-	unkept, txn := in.relay.Unkept(), platform.Txn{}
+	unkept, txn := in.relay.Unpersisted(), platform.Txn{}
 	for content, times := range unkept {
 		if len(txn.Writes) == rowsAtOnce {
 			delete(unkept, content)
@@ -152,5 +152,5 @@
 	}
 	in.relay.Kept(unkept)
 	in.log.Info("instance: contents kept", "contents", len(unkept))
-	return len(in.relay.Unkept()) == 0
+	return len(in.relay.Unpersisted()) == 0
 }
--- a/internal/instance/apart_test.go
+++ b/internal/instance/apart_test.go
@@ -82,7 +82,7 @@
 	for upstream := range uint32(2) {
 		in.relay.RecordCrash(quarantine.End{Content: 7, Upstream: upstream})
 	}
-	if in.writeApart(ctx) || len(in.relay.Unkept()) != 1 {
+	if in.writeApart(ctx) || len(in.relay.Unpersisted()) != 1 {
 		t.Fatal("kept, though the store did not take it")
 	}
 	if !in.writeApart(ctx) {
@@ -120,7 +120,7 @@
 	other := apartRowOf(5, "", platform.RevisionOf(1, 0))
 	other.Lost = true
 	in.changed([]replica.Row{other})
-	if len(in.relay.Unkept()) > 0 {
+	if len(in.relay.Unpersisted()) > 0 {
 		t.Error("a content that is not apart here is written")
 	}
 }
--- a/internal/relay/apart.go
+++ b/internal/relay/apart.go
@@ -259,9 +259,9 @@
 // PersistNeeded has a value when there is something in Unkept.
 func (r *Relay) PersistNeeded() <-chan struct{} { return r.contents.decided }
 
-// Unkept is what this instance is to keep for all: how often each content was set apart;
+// Unpersisted is what this instance is to keep for all: how often each content was set apart;
 // 0 when that is over.
-func (r *Relay) Unkept() map[quarantine.Content]int {
+func (r *Relay) Unpersisted() map[quarantine.Content]int {
 	c := r.contents
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/relay/apart_test.go
+++ b/internal/relay/apart_test.go
@@ -137,7 +137,7 @@
 		if _, err := serve(r, call("/once/1")); wordOf(t, err) != NotRun {
 			t.Errorf("instance %d: %v", n, err)
 		}
-		if kept := len(r.Unkept()); (kept == 1) != (r != third) {
+		if kept := len(r.Unpersisted()); (kept == 1) != (r != third) {
 			t.Errorf("instance %d keeps %d for all", n, kept)
 		}
 	}
@@ -168,20 +168,20 @@
 	if _, err := serve(r, req); err != nil {
 		t.Fatalf("refused after its term: %v", err)
 	}
-	unkept := r.Unkept()
+	unkept := r.Unpersisted()
 	if times, ok := unkept[req.Content()]; !ok || times != 0 {
 		t.Errorf("%v is to be kept; want its release", unkept)
 	}
 	r.Kept(unkept)
 	r.Quarantine(req.Content(), 1) // another instance's word, and wrong
-	if unkept := r.Unkept(); len(unkept) != 1 {
+	if unkept := r.Unpersisted(); len(unkept) != 1 {
 		t.Error("the wrong word stays")
 	}
 	if _, err := serve(r, req); err != nil {
 		t.Errorf("refused by a wrong word: %v", err)
 	}
-	r.Kept(r.Unkept())
-	if left := r.Unkept(); len(left) != 0 {
+	r.Kept(r.Unpersisted())
+	if left := r.Unpersisted(); len(left) != 0 {
 		t.Errorf("%v is to be kept again", left)
 	}
 }
