--- a/internal/instance/apart.go
+++ b/internal/instance/apart.go
@@ -150,7 +150,7 @@
 		in.log.Info("instance: contents are not kept yet", "contents", len(unkept), "error", err)
 		return false
 	}
-	in.relay.Kept(unkept)
+	in.relay.MarkPersisted(unkept)
 	in.log.Info("instance: contents kept", "contents", len(unkept))
 	return len(in.relay.Unpersisted()) == 0
 }
--- a/internal/relay/apart.go
+++ b/internal/relay/apart.go
@@ -268,8 +268,8 @@
 	return maps.Clone(c.unkept)
 }
 
-// Kept takes note of what is kept now.
-func (r *Relay) Kept(kept map[quarantine.Content]int) {
+// MarkPersisted takes note of what is kept now.
+func (r *Relay) MarkPersisted(kept map[quarantine.Content]int) {
 	c := r.contents
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/relay/apart_test.go
+++ b/internal/relay/apart_test.go
@@ -172,7 +172,7 @@
 	if times, ok := unkept[req.Content()]; !ok || times != 0 {
 		t.Errorf("%v is to be kept; want its release", unkept)
 	}
-	r.Kept(unkept)
+	r.MarkPersisted(unkept)
 	r.Quarantine(req.Content(), 1) // another instance's word, and wrong
 	if unkept := r.Unpersisted(); len(unkept) != 1 {
 		t.Error("the wrong word stays")
@@ -180,7 +180,7 @@
 	if _, err := serve(r, req); err != nil {
 		t.Errorf("refused by a wrong word: %v", err)
 	}
-	r.Kept(r.Unpersisted())
+	r.MarkPersisted(r.Unpersisted())
 	if left := r.Unpersisted(); len(left) != 0 {
 		t.Errorf("%v is to be kept again", left)
 	}
