--- a/internal/instance/apart.go
+++ b/internal/instance/apart.go
@@ -106,7 +106,7 @@
 			return
 		case <-in.relay.PersistNeeded():
 		case <-timer.C:
-			in.relay.LapseContents(in.peers.Passes())
+			in.relay.ExpireQuarantines(in.peers.Passes())
 		}
 		timer.Stop()
 		wait = sweepApartEvery
--- a/internal/relay/apart.go
+++ b/internal/relay/apart.go
@@ -280,9 +280,9 @@
 	}
 }
 
-// LapseContents forgets the ends that count no longer, and has what lapsed released by
+// ExpireQuarantines forgets the ends that count no longer, and has what lapsed released by
 // all if this instance is to see to it.
-func (r *Relay) LapseContents(release bool) {
+func (r *Relay) ExpireQuarantines(release bool) {
 	c := r.contents
 	c.mu.Lock()
 	defer c.mu.Unlock()
