--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -154,7 +154,7 @@
 // plentiful makes the relay's budget large.
 func plentiful(r *Relay) {
 	r.SetBudget(BudgetSettings{Share: 10, Slack: 100, Window: time.Second})
-	r.AskWith(func(context.Context, uint32) bool { return true })
+	r.SetPoolRequester(func(context.Context, uint32) bool { return true })
 }
 
 func call(path string) *Request {
--- a/internal/relay/limits_test.go
+++ b/internal/relay/limits_test.go
@@ -143,7 +143,7 @@
 		}}
 		r := limitedRelay(t, sender, asked, "app-1", "app-2", "pre-1", "dec-1", "dec-2")
 		r.SetBudget(BudgetSettings{Window: time.Second})
-		r.AskWith(func(context.Context, uint32) bool { return false })
+		r.SetPoolRequester(func(context.Context, uint32) bool { return false })
 		for n := range 20 {
 			req := longPrompt(path)
 			req.ID = fmt.Sprint("r", n)
--- a/internal/relay/pool.go
+++ b/internal/relay/pool.go
@@ -105,8 +105,8 @@
 // Grant gives a send to a service away, which is named by its hash.
 func (r *Relay) Grant(service uint32) bool { return r.pool.grant(service, r.now()) }
 
-// AskWith sets how a send is asked for at the instance that keeps the pool.
-func (r *Relay) AskWith(ask func(ctx context.Context, service uint32) bool) { r.ask.Store(&ask) }
+// SetPoolRequester sets how a send is asked for at the instance that keeps the pool.
+func (r *Relay) SetPoolRequester(ask func(ctx context.Context, service uint32) bool) { r.ask.Store(&ask) }
 
 // askPool asks for a send to a service.
 func (r *Relay) askPool(ctx context.Context, service uint32) bool {
