--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -96,7 +96,7 @@
 	in.follower.Join(in.peers)
 	in.reports = peers.NewReports(in.peers, in.relay)
 	in.relay.SetPoolRequester(in.reports.Ask)
-	in.relay.AskLimitWith(in.reports.AskLimit)
+	in.relay.SetGrantRequester(in.reports.AskLimit)
 	in.budget.Store(&s.Relay.Budget)
 	in.limits.Store(&routes.Limits{})
 	in.settings.Front.Limits = in.limitsInForce
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -88,9 +88,9 @@
 	r.log.Info("relay: send withheld", "request", req.ID, "upstream", send.To.ID, "error", why)
 }
 
-// AskLimitWith sets how a send to an upstream with a limit is asked for at the instance that
+// SetGrantRequester sets how a send to an upstream with a limit is asked for at the instance that
 // coordinates the grants.
-func (r *Relay) AskLimitWith(ask func(context.Context, quota.Ask) quota.Verdict) {
+func (r *Relay) SetGrantRequester(ask func(context.Context, quota.Ask) quota.Verdict) {
 	r.askLimit.Store(&ask)
 }
 
--- a/internal/relay/limits_test.go
+++ b/internal/relay/limits_test.go
@@ -45,7 +45,7 @@
 	t.Helper()
 	r := newFake(t, sender)
 	plentiful(r)
-	r.AskLimitWith(c.ask)
+	r.SetGrantRequester(c.ask)
 	for _, id := range limited {
 		r.hear(r.picture.Upstream(id), limitOf(2))
 	}
