--- a/internal/instance/apart.go
+++ b/internal/instance/apart.go
@@ -43,7 +43,7 @@
 
 // ready tells whether this instance can serve.
 func (in *Instance) ready() bool {
-	if !in.relay.Ready() || in.relay.Choked() {
+	if !in.relay.Ready() || in.relay.Impaired() {
 		return false
 	}
 	return time.Since(in.started) > informedWithin || slices.Contains(in.follower.Informed(), in.adapter.ApartTable)
--- a/internal/peers/link_test.go
+++ b/internal/peers/link_test.go
@@ -155,7 +155,7 @@
 	}
 	refuses := func() bool {
 		n.reports.take(context.Background(), newer)
-		return n.relay.Choked()
+		return n.relay.Impaired()
 	}
 	if refuses() {
 		t.Error("it refuses before it could ask")
--- a/internal/relay/link.go
+++ b/internal/relay/link.go
@@ -68,9 +68,9 @@
 	return &Refusal{Outcome: NotRun, Reason: string(why), RetryIn: retryIn}
 }
 
-// Choked tells whether this instance's own link is to blame that its requests reach no
+// Impaired tells whether this instance's own link is to blame that its requests reach no
 // upstream, or that it cannot know which ones leave.
-func (r *Relay) Choked() bool { return r.Trouble() != "" }
+func (r *Relay) Impaired() bool { return r.Trouble() != "" }
 
 // comeBackIn is when a caller should come back, to another instance.
 func (r *Relay) comeBackIn(patience time.Duration) time.Duration {
--- a/internal/relay/link_test.go
+++ b/internal/relay/link_test.go
@@ -17,7 +17,7 @@
 	plentiful(r)
 	_, _ = serve(r, call("/safe/1")) // three of them
 	_, _ = serve(r, longPrompt("/once/1"))
-	if !r.Choked() {
+	if !r.Impaired() {
 		t.Fatal("not choked")
 	}
 	sends := f.count()
