--- a/internal/instance/orders.go
+++ b/internal/instance/orders.go
@@ -16,7 +16,7 @@
 
 // State implements rolekeeper.Orderer.
 func (o restingOrderer) State(ctx context.Context, engine upstreamstate.Upstream) (rolekeeper.EngineState, error) {
-	if o.relay.Resting(engine) {
+	if o.relay.BackingOff(engine) {
 		return rolekeeper.EngineState{}, relay.ErrBackingOff
 	}
 	return o.Orderer.State(ctx, engine)
@@ -24,7 +24,7 @@
 
 // Order implements rolekeeper.Orderer.
 func (o restingOrderer) Order(ctx context.Context, engine upstreamstate.Upstream, order rolekeeper.Order) error {
-	if o.relay.Resting(engine) {
+	if o.relay.BackingOff(engine) {
 		return relay.ErrBackingOff
 	}
 	return o.Orderer.Order(ctx, engine, order)
--- a/internal/relay/apart.go
+++ b/internal/relay/apart.go
@@ -190,7 +190,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), endedWithin)
 	defer cancel()
 	healthPath := r.Services()[to.Service].HealthPath
-	if r.Resting(to) {
+	if r.BackingOff(to) {
 		healthPath = "" // the machine alone is asked
 	}
 	for {
--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -322,7 +322,7 @@
 		return
 	}
 	kv := g.kv
-	if r.Resting(kv.Engine) {
+	if r.BackingOff(kv.Engine) {
 		r.log.Info("relay: a KV cache is left to lapse, its engine rests", "request", g.req.ID, "engine", kv.Engine.ID)
 		return
 	}
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -70,15 +70,15 @@
 		r.withhold(req, send, ErrDraining)
 		return ErrDraining
 	}
-	if r.Resting(send.To) {
+	if r.BackingOff(send.To) {
 		r.withhold(req, send, ErrBackingOff)
 		return ErrBackingOff
 	}
 	return nil
 }
 
-// Resting tells whether an upstream wants nothing from this instance now.
-func (r *Relay) Resting(u upstreamstate.Upstream) bool {
+// BackingOff tells whether an upstream wants nothing from this instance now.
+func (r *Relay) BackingOff(u upstreamstate.Upstream) bool {
 	return r.picture.Resting(u.Incarnation(), r.now()) > 0
 }
 
