--- a/internal/roles/balance.go
+++ b/internal/roles/balance.go
@@ -5,43 +5,48 @@
 	"time"
 )
 
-// SplitPolicy says when a target should follow what the engines are used for. It
-// predicts how many requests a split has in it at a time: prompts that are
-// processed or wait, and answers that are generated. By Little's law the split
-// with the fewest is the one with the shortest mean time.
+// SplitPolicy determines when a target follows the workload. It predicts the
+// number of concurrent requests for each split: prompts that are processed or
+// wait, and answers that are generated. By Little's law the split with the fewest
+// requests has the shortest mean time per request.
 type SplitPolicy struct {
-	// StepMillis is the time of one step of generation, StepMillisPerRequest what each
-	// request that takes part adds, both in milliseconds, as they were measured.
+	// StepMillis is the time of one generation step, and StepMillisPerRequest the
+	// additional time for each request in the batch. Both are measured, in
+	// milliseconds.
 	StepMillis, StepMillisPerRequest float64
-	// Slots is how many requests an engine generates for at a time; 0 where that is
-	// not known.
+	// Slots is the number of requests that an engine can generate for at a time, 0
+	// if unknown.
 	Slots int
-	// WaitWeight is how much more a prompt that waits counts than an answer that is
-	// generated. It is above 1 as prompts differ in length, as shared parts bind
-	// them to engines, and as callers wait for the first token.
+	// WaitWeight is the weight of a waiting prompt relative to an answer that is
+	// being generated. It is above 1 because prompts differ in length, shared
+	// prefixes bind prompts to engines, and callers wait for the first token.
 	WaitWeight float64
-	// MinGain is the part of the requests by which another split must have fewer to
-	// be worth anything: the mix swings by the second, and an engine that changes
-	// loses the shared parts that it has cached.
+	// MinGain is the fraction by which another split must reduce the number of
+	// requests to count as better. Small gains are ignored because the mix of
+	// requests fluctuates within seconds, and an engine that changes its role loses
+	// its cached prefixes.
 	MinGain float64
-	// EvidenceThreshold is how much the gain beyond that must add up to, without a break,
-	// before the target moves, in seconds of all requests: a large gain is taken
-	// soon, a small one when it lasts.
+	// EvidenceThreshold is the sum that the gain above MinGain must reach without
+	// interruption before the target moves. It is in seconds, multiplied by the
+	// fraction of all requests. A large gain moves the target soon, a small one
+	// only if it lasts.
 	EvidenceThreshold float64
-	// SmoothingTime is the time over which the use is smoothed, and which must be measured
-	// before it counts: longer than the gaps between prompts, shorter than the
-	// swings of the mix.
+	// SmoothingTime is the time constant for smoothing the workload, and the time
+	// that must be measured before the workload is used. It is longer than the gaps
+	// between prompts and shorter than the swings of the mix.
 	SmoothingTime time.Duration
-	// MaxPrefillDecrease and MaxPrefillIncrease are the parts of the engines by which prefill may shrink or
-	// grow before its use is looked at anew. Engines that are taken from
-	// generation are missed at once, as answers under way slow down.
+	// MaxPrefillDecrease and MaxPrefillIncrease are the largest changes of the
+	// number of prefill engines in one move, as fractions of all engines. The
+	// workload is then measured again before the next move. Engines taken away from
+	// decode are missed at once, because the answers in progress slow down.
 	MaxPrefillDecrease, MaxPrefillIncrease float64
 }
 
-// DefaultSplitPolicy returns the defaults, without what is measured. Wait was chosen by
-// runs of four mixes of prompts and answers, each with seven fixed splits
-// (docs/measurements/platform.md); Gain, Evidence and Over so that swings of some
-// ten seconds are left alone, which cost more than they bring (docs/NEW-CUSTOMER.md).
+// DefaultSplitPolicy returns the defaults, without the measured fields. WaitWeight
+// was chosen from runs of four mixes of prompts and answers, each with seven fixed
+// splits (docs/measurements/platform.md). MinGain, EvidenceThreshold and
+// SmoothingTime were chosen so that swings of about ten seconds are ignored:
+// following them costs more than it gains (docs/NEW-CUSTOMER.md).
 func DefaultSplitPolicy() SplitPolicy {
 	return SplitPolicy{
 		WaitWeight: 10, MinGain: 0.06, EvidenceThreshold: 2.2, SmoothingTime: 30 * time.Second,
@@ -49,97 +54,105 @@
 	}
 }
 
-// TargetTracker moves a target with the use of the engines. The zero value has seen
-// nothing.
+// TargetTracker adjusts a target to the workload. The zero value has no
+// observations.
 type TargetTracker struct {
-	// evidence is what has added up for a move, more the way that it would go.
+	// evidence is the accumulated gain of a move. increase is the direction of the
+	// move: true for more prefill engines.
 	evidence float64
-	more     bool
+	increase bool
 }
 
-// near is by how many engines a split may differ from its target and tell
-// something of it: one may just have come or gone.
-const near = 1
+// maxSplitOffset is the largest difference between the actual split and the target,
+// in engines, at which the workload is a valid measurement of the target. One
+// engine may have just joined or departed.
+const maxSplitOffset = 1
 
-// Update takes a look at engines that are used so, of which so many are in the
-// prefill role, and stands for the time since the one before. It returns the
-// follower after the look and the target. Engines that are on their way to the
-// target tell nothing of it.
-func (f TargetTracker) Update(b SplitPolicy, t Target, u Workload, prefill, total int, since time.Duration) (TargetTracker, Target) {
-	wanted := t.PrefillCount(total)
-	off := prefill - wanted
-	if u.span < b.SmoothingTime || prefill == 0 || prefill == total || off > near || off < -near {
-		return TargetTracker{}, t
+// Update processes the workload of a number of engines, of which prefill are in the
+// prefill role. It stands for the elapsed time since the previous call. Update
+// returns the next state of the tracker and the target. It ignores the workload
+// while engines are still changing towards the target, because that workload is no
+// measurement of the target split.
+func (t TargetTracker) Update(p SplitPolicy, target Target, w Workload, prefill, total int, elapsed time.Duration) (TargetTracker, Target) {
+	wanted := target.PrefillCount(total)
+	offset := prefill - wanted
+	if w.measured < p.SmoothingTime || prefill == 0 || prefill == total || offset > maxSplitOffset || offset < -maxSplitOffset {
+		return TargetTracker{}, target
 	}
-	best, gain := b.best(t, u, prefill, total)
-	if more := best > wanted; more != f.more || gain < b.MinGain {
-		f = TargetTracker{more: more}
+	best, gain := p.bestSplit(target, w, prefill, total)
+	if increase := best > wanted; increase != t.increase || gain < p.MinGain {
+		t = TargetTracker{increase: increase}
 	}
-	f.evidence += max(0, gain-b.MinGain) * since.Seconds()
-	if f.evidence < b.EvidenceThreshold {
-		return f, t
+	t.evidence += max(0, gain-p.MinGain) * elapsed.Seconds()
+	if t.evidence < p.EvidenceThreshold {
+		return t, target
 	}
-	return TargetTracker{}, t.with(best, total)
+	return TargetTracker{}, target.withPrefill(best, total)
 }
 
-// best returns the number of engines in prefill, within a move's reach of the
-// target, that has the fewest requests, and by what part they are fewer than with
-// the target.
-func (b SplitPolicy) best(t Target, u Workload, prefill, total int) (int, float64) {
-	tokens := b.tokens(u, total-prefill)
-	wanted := t.PrefillCount(total)
-	now := b.requests(u, tokens, wanted, total)
-	best, fewest := wanted, now
-	least := max(1, wanted-b.steps(b.MaxPrefillDecrease, total))
-	most := min(total-b.leastDecode(t, u), wanted+b.steps(b.MaxPrefillIncrease, total))
-	for n := least; n <= most; n++ {
-		if l := b.requests(u, tokens, n, total); l < fewest {
-			best, fewest = n, l
+// bestSplit returns the number of prefill engines with the fewest predicted
+// requests, among those that one move can reach from the target. The second result
+// is the fraction by which that reduces the requests compared with the target.
+func (p SplitPolicy) bestSplit(target Target, w Workload, prefill, total int) (int, float64) {
+	tokenRate := p.tokenRate(w, total-prefill)
+	wanted := target.PrefillCount(total)
+	current := p.concurrentRequests(w, tokenRate, wanted, total)
+	best, fewest := wanted, current
+	lowest := max(1, wanted-p.engineCount(p.MaxPrefillDecrease, total))
+	highest := min(total-p.minDecode(target, w), wanted+p.engineCount(p.MaxPrefillIncrease, total))
+	for n := lowest; n <= highest; n++ {
+		if requests := p.concurrentRequests(w, tokenRate, n, total); requests < fewest {
+			best, fewest = n, requests
 		}
 	}
-	return best, 1 - fewest/max(now, 1) // fewer than one request is nothing to gain from
+	return best, 1 - fewest/max(current, 1) // with less than one request there is nothing to gain
 }
 
-// leastDecode is the fewest engines left to generate that have slots for the
-// requests which generate now.
-func (b SplitPolicy) leastDecode(t Target, u Workload) int {
-	if b.Slots == 0 {
-		return t.MinDecode
+// minDecode returns the minimum number of decode engines: they must have slots for
+// the requests that are generating now.
+func (p SplitPolicy) minDecode(target Target, w Workload) int {
+	if p.Slots == 0 {
+		return target.MinDecode
 	}
-	return max(t.MinDecode, int(math.Ceil(u.Generations/float64(b.Slots))))
+	return max(target.MinDecode, int(math.Ceil(w.Generations/float64(p.Slots))))
 }
 
-// steps is a part of the engines, rounded up.
-func (b SplitPolicy) steps(part float64, total int) int { return int(math.Ceil(part * float64(total))) }
+// engineCount converts a fraction of the engines to a number of engines, rounded
+// up.
+func (p SplitPolicy) engineCount(fraction float64, total int) int {
+	return int(math.Ceil(fraction * float64(total)))
+}
 
-// tokens is the number of tokens a millisecond that the requests get on so many
-// decode engines: what time the prompts there leave, over the time of a step.
-func (b SplitPolicy) tokens(u Workload, decode int) float64 {
-	batch := u.Generations / float64(decode)
-	left := max(0, 1-u.DirectPrefillLoad/float64(decode))
-	return u.Generations * left / (b.StepMillis + b.StepMillisPerRequest*batch)
+// tokenRate returns the tokens per millisecond that the requests receive on a
+// number of decode engines. It is the number of requests, times the share of the
+// engines' time that prompts leave, divided by the time of a generation step.
+func (p SplitPolicy) tokenRate(w Workload, decode int) float64 {
+	batch := w.Generations / float64(decode)
+	available := max(0, 1-w.DirectPrefillLoad/float64(decode))
+	return w.Generations * available / (p.StepMillis + p.StepMillisPerRequest*batch)
 }
 
-// requests predicts the requests at a time with n of the engines in prefill: the
-// prompts by the mean of a queue, the answers from the tokens that they are to
-// get in the time that prompts leave the other engines.
-func (b SplitPolicy) requests(u Workload, tokens float64, n, total int) float64 {
+// concurrentRequests predicts the number of concurrent requests with n engines in
+// prefill. Prompts are predicted by the mean length of a queue. Answers are
+// predicted from the token rate, which must be reached in the time that prompts
+// leave the decode engines.
+func (p SplitPolicy) concurrentRequests(w Workload, tokenRate float64, n, total int) float64 {
 	decode := float64(total - n)
-	prompts := u.PrefillLoad / float64(n)
-	answers := (u.DirectPrefillLoad + b.StepMillisPerRequest*tokens) / decode
-	return u.PrefillLoad + b.WaitWeight*u.PrefillLoad*(crowding(prompts)-1) + b.StepMillis*tokens*crowding(answers)
+	prefillUtilization := w.PrefillLoad / float64(n)
+	decodeUtilization := (w.DirectPrefillLoad + p.StepMillisPerRequest*tokenRate) / decode
+	return w.PrefillLoad + p.WaitWeight*w.PrefillLoad*(slowdown(prefillUtilization)-1) + p.StepMillis*tokenRate*slowdown(decodeUtilization)
 }
 
-// nearlyFull is the part of an engine's time above which crowding goes on along
-// its tangent, so that splits which all are too small can be compared.
-const nearlyFull = 0.95
+// linearAbove is the utilization above which slowdown continues along its tangent,
+// so that splits can be compared even if all of them are overloaded.
+const linearAbove = 0.95
 
-// crowding is how much longer things take on engines with so much of their time
-// taken: 1 on idle ones.
-func crowding(taken float64) float64 {
-	if taken < nearlyFull {
-		return 1 / (1 - taken)
+// slowdown returns the factor by which work takes longer on engines with a given
+// utilization. It is 1 on idle engines.
+func slowdown(utilization float64) float64 {
+	if utilization < linearAbove {
+		return 1 / (1 - utilization)
 	}
-	const left = 1 - nearlyFull
-	return 1/left + (taken-nearlyFull)/(left*left)
+	const idle = 1 - linearAbove
+	return 1/idle + (utilization-linearAbove)/(idle*idle)
 }
--- a/internal/roles/capacity.go
+++ b/internal/roles/capacity.go
@@ -2,20 +2,21 @@
 
 import "sassafrasfield/internal/config"
 
-// capacity is what the serving engines of a pool can do. Rates are in tokens a
-// second.
+// capacity is the processing capacity of a pool's serving engines. Rates are in
+// tokens per second.
 type capacity struct {
-	// prefill and decode are the summed rates of the engines of these roles.
+	// prefill and decode are the summed rates of the engines in these roles.
 	prefill, decode float64
-	// mixed is the engines' count that share their time between both, at the
-	// rates below.
+	// mixed is the number of engines that divide their time between both kinds of
+	// work, scaled by the share of time that they can be planned with. Each
+	// processes its work at the rates below.
 	mixed                     float64
 	mixedPrefill, mixedDecode float64
 }
 
-// rates are the means over the engines that measured theirs; ok is false when
-// either is not known at all.
-func rates(engines []Engine) (prefill, decode float64, ok bool) {
+// meanRates returns the mean rates of the engines that measured theirs. ok is
+// false if no engine measured one of the two.
+func meanRates(engines []Engine) (prefill, decode float64, ok bool) {
 	prefills, decodes := 0, 0
 	for _, e := range engines {
 		if e.Reported && e.PrefillRate > 0 {
@@ -33,13 +34,13 @@
 	return prefill / float64(prefills), decode / float64(decodes), true
 }
 
-// counts are serving engines by role.
-type counts struct {
+// roleCounts are the numbers of serving engines by role.
+type roleCounts struct {
 	prefill, decode, mixed int
 }
 
-func count(engines []Engine) counts {
-	var c counts
+func countRoles(engines []Engine) roleCounts {
+	var c roleCounts
 	for _, e := range engines {
 		if e.Serving {
 			c = c.plus(e.Role, 1)
@@ -48,7 +49,7 @@
 	return c
 }
 
-func (c counts) plus(role config.Role, n int) counts {
+func (c roleCounts) plus(role config.Role, n int) roleCounts {
 	switch role {
 	case config.RolePrefill:
 		c.prefill += n
@@ -60,19 +61,19 @@
 	return c
 }
 
-func (c counts) total() int { return c.prefill + c.decode + c.mixed }
+func (c roleCounts) total() int { return c.prefill + c.decode + c.mixed }
 
-// capable tells whether both kinds of work have an engine.
-func (c counts) capable() bool {
+// servesBoth reports whether there is an engine for prefill and one for decode.
+func (c roleCounts) servesBoth() bool {
 	return c.prefill+c.mixed > 0 && c.decode+c.mixed > 0
 }
 
-// violation is by how many engines the counts lie outside the bounds.
-func (c counts) violation(b Bounds) int {
+// violation returns by how many engines the counts are outside the bounds.
+func (c roleCounts) violation(b Bounds) int {
 	return max(0, b.MinPrefill-c.prefill) + max(0, c.prefill-b.MaxPrefill) + max(0, b.MinDecode-c.decode)
 }
 
-func (c counts) capacity(settings Settings, prefillRate, decodeRate float64) capacity {
+func (c roleCounts) capacity(settings Settings, prefillRate, decodeRate float64) capacity {
 	return capacity{
 		prefill: float64(c.prefill) * prefillRate * settings.TargetLoad,
 		decode:  float64(c.decode) * decodeRate * settings.TargetLoad,
@@ -82,12 +83,14 @@
 	}
 }
 
-// bisections bounds the error of served by 2 to the power of minus this.
+// bisections is the number of bisection steps in servedShare. The error of the
+// result is at most 2^-bisections.
 const bisections = 24
 
-// served is the share of the demand that the capacity serves in time: the
-// largest one at which the mixed engines have time for what the others leave.
-func (c capacity) served(prefill, decode float64) float64 {
+// servedShare returns the largest share of the demand that the capacity can serve
+// in time: the mixed engines must have time for the work that exceeds the capacity
+// of the others.
+func (c capacity) servedShare(prefill, decode float64) float64 {
 	if c.fits(prefill, decode) {
 		return 1
 	}
@@ -103,7 +106,8 @@
 	return low
 }
 
+// fits reports whether the capacity can serve the whole demand.
 func (c capacity) fits(prefill, decode float64) bool {
-	left := max(0, prefill-c.prefill)/c.mixedPrefill + max(0, decode-c.decode)/c.mixedDecode
-	return left <= c.mixed
+	excess := max(0, prefill-c.prefill)/c.mixedPrefill + max(0, decode-c.decode)/c.mixedDecode
+	return excess <= c.mixed
 }
--- a/internal/roles/cost.go
+++ b/internal/roles/cost.go
@@ -2,56 +2,58 @@
 
 import "time"
 
-// costWeight is the weight of the newest measurement.
-const costWeight = 0.3
+// newestWeight is the weight of the newest measurement in the moving average.
+const newestWeight = 0.3
 
-// costs measures how long a change takes an engine out of service.
-type costs struct {
-	// mean is 0 before the first measurement.
+// changeTimer measures how long a role change takes an engine out of service.
+type changeTimer struct {
+	// mean is a moving average, 0 before the first measurement.
 	mean time.Duration
-	// engine that is changing its role; empty when none is.
+	// engine is the engine that is changing its role, or empty.
 	engine string
-	// since is when the change was decided, or first seen by a new holder.
+	// since is when the change was decided, or when a new lease holder first saw it.
 	since time.Duration
-	// left is true once the engine was seen out of service.
-	left bool
+	// stopped is true once the engine was seen out of service.
+	stopped bool
 }
 
-// begin starts a measurement.
-func (c costs) begin(engine string, at time.Duration) costs {
-	return costs{mean: c.mean, engine: engine, since: at}
+// start starts a measurement.
+func (c changeTimer) start(engine string, at time.Duration) changeTimer {
+	return changeTimer{mean: c.mean, engine: engine, since: at}
 }
 
-// observe follows the engine that is out, until it serves again.
-func (c costs) observe(obs Observation) costs {
+// observe follows the changing engine until it serves again.
+func (c changeTimer) observe(obs Observation) changeTimer {
 	for _, e := range obs.Engines {
 		if c.engine == "" && e.Changing && !e.Serving {
-			c = c.begin(e.ID, obs.At)
+			c = c.start(e.ID, obs.At)
 		}
 		if c.engine == e.ID {
-			return c.follow(e, obs.At)
+			return c.update(e, obs.At)
 		}
 	}
-	return costs{mean: c.mean}
+	return changeTimer{mean: c.mean}
 }
 
-func (c costs) follow(e Engine, at time.Duration) costs {
+// update processes an observation of the changing engine.
+func (c changeTimer) update(e Engine, at time.Duration) changeTimer {
 	switch {
 	case !e.Serving:
-		c.left = true
+		c.stopped = true
 		return c
-	case c.left:
-		return c.measured(at - c.since)
+	case c.stopped:
+		return c.record(at - c.since)
 	case e.Changing:
 		return c
-	default: // the change did not come about
-		return costs{mean: c.mean}
+	default: // the change was not made
+		return changeTimer{mean: c.mean}
 	}
 }
 
-func (c costs) measured(out time.Duration) costs {
+// record adds a finished measurement to the average.
+func (c changeTimer) record(outOfService time.Duration) changeTimer {
 	if c.mean > 0 {
-		out = time.Duration(costWeight*float64(out) + (1-costWeight)*float64(c.mean))
+		outOfService = time.Duration(newestWeight*float64(outOfService) + (1-newestWeight)*float64(c.mean))
 	}
-	return costs{mean: out}
+	return changeTimer{mean: outOfService}
 }
--- a/internal/roles/forecast.go
+++ b/internal/roles/forecast.go
@@ -2,23 +2,22 @@
 
 import "math"
 
-// Smoothing of the forecast, for each observation: Holt's linear method with a
-// damped trend (Gardner and McKenzie 1985). The damping bounds how far a swing
-// is carried on, so that its end does not call for a change that its turn
-// would revoke.
+// Smoothing parameters of the forecast, per observation: Holt's linear method with
+// a damped trend (Gardner and McKenzie 1985). Damping limits how far a swing is
+// extrapolated. Otherwise the end of a swing could cause a change that has to be
+// reverted when the load swings back.
 const (
 	levelWeight = 0.5
 	trendWeight = 0.3
 	damping     = 0.8
 )
 
-// trend is a smoothed rate in tokens a second with its change for each
-// observation.
+// trend is a smoothed rate in tokens per second, and its change per observation.
 type trend struct {
 	level, slope float64
 }
 
-// add takes one value; samples is how many came before.
+// add adds a value; samples is the number of values before it.
 func (t trend) add(value float64, samples int) trend {
 	if samples == 0 {
 		return trend{level: value}
@@ -29,16 +28,16 @@
 	return trend{level: level, slope: slope}
 }
 
-// at returns the forecast for a number of observations ahead, 0 at least.
+// at returns the forecast for a number of observations ahead. It is never negative.
 func (t trend) at(steps float64) float64 {
 	ahead := damping * (1 - math.Pow(damping, steps)) / (1 - damping)
 	return math.Max(0, t.level+t.slope*ahead)
 }
 
-// pressure is the demand that the engines face: what was admitted, scaled up
-// to all instances, and what waits at the engines already, to be worked off
-// within the horizon.
-func pressure(settings Settings, obs Observation) (prefill, decode float64) {
+// estimateDemand returns the demand on the engines. It extrapolates the admitted
+// demand from the responding instances to all of them, and adds the work that is
+// queued at the engines. Queued prompts are to be processed within the horizon.
+func estimateDemand(settings Settings, obs Observation) (prefill, decode float64) {
 	d := obs.Demand
 	scale := math.Max(1, float64(d.Instances)/float64(d.Answered))
 	queue, running, waiting := 0, 0, 0
--- a/internal/roles/process_test.go
+++ b/internal/roles/process_test.go
@@ -24,7 +24,7 @@
 	model  = "critique"
 )
 
-// fleet is a set of real processes with one pool of engines.
+// fleet runs a platform, instances and one pool of engines as real processes.
 type fleet struct {
 	*testfleet.Fleet
 	t      *testing.T
@@ -32,7 +32,8 @@
 	caller *testcaller.Caller
 }
 
-// rolesTable makes the policy quick, and allows it one change in the test.
+// rolesTable makes the policy react quickly. The long dwell time allows one change
+// during a test.
 const rolesTable = `
 [roles]
 every = "200ms"
@@ -44,8 +45,8 @@
 out_of_service = "500ms"
 `
 
-// startFleet starts two instances and an engine of each given role, and puts
-// an intent with the pool's lines in force. The test runs beside the others.
+// startFleet starts two instances and an engine of each given role, and confirms an
+// intent that contains poolLines. It marks the test as parallel.
 func startFleet(t *testing.T, poolLines string, engineRoles []string, flags ...string) *fleet {
 	t.Helper()
 	t.Parallel()
@@ -56,8 +57,8 @@
 	t.Cleanup(func() { f.Stop(); cancel() })
 	must(t, f.StartPlatform(ctx))
 	f.EntryExtra = "balancer_lag = \"100ms\"\ndemand_window = \"1s\"\n"
-	// The load is more than the engines serve in time; here all of it has to be
-	// answered.
+	// The load exceeds what the engines can serve in time, but the tests need all
+	// answers.
 	f.EntryTables = "[admission]\nearly_refusal = false\nlimit_concurrency = false\nbacklog = \"0s\"\n"
 	f.ControlTables = rolesTable
 	for i, role := range engineRoles {
@@ -74,7 +75,7 @@
 	}
 	f.confirm(intentText(f.Engines, poolLines, engineRoles))
 	for i := range f.Instances {
-		must(t, testfleet.Until(ctx, "each entry has it in force", func() bool {
+		must(t, testfleet.Until(ctx, "each entry uses the intent", func() bool {
 			return f.stream(i, testcaller.Chat{Prompt: "ready?", Model: model, MaxTokens: 1}) == nil
 		}))
 	}
@@ -111,7 +112,7 @@
 	return string(output), err
 }
 
-// confirm declares and confirms an intent and waits until it is in force.
+// confirm declares and confirms an intent, and waits until it is in force.
 func (f *fleet) confirm(text string) {
 	f.t.Helper()
 	path := filepath.Join(f.Dir, "intent.toml")
@@ -133,14 +134,14 @@
 	return book
 }
 
-// expected is the answer that an undisturbed engine gives.
+// expected returns the answer of an engine without faults.
 func expected(chat testcaller.Chat) string {
 	return testservers.NewText(engine.Request{
 		Model: model, Version: "1", Prompt: "user: " + chat.Prompt + "\n", MaxTokens: chat.MaxTokens, Seed: chat.Seed,
 	}).Whole()
 }
 
-// stream asks for an answer and compares it byte for byte.
+// stream requests an answer and compares it with the expected one byte for byte.
 func (f *fleet) stream(entry int, chat testcaller.Chat) error {
 	answer, err := f.caller.Stream(f.ctx, f.Instances[entry].EntryAddress, chat, nil)
 	if err != nil {
@@ -152,9 +153,9 @@
 	return nil
 }
 
-// offer sends requests at a steady pace until stop is closed, and returns a
-// function that waits for the answers and tells which were not whole.
-func (f *fleet) offer(stop <-chan struct{}, gap time.Duration, chat testcaller.Chat) func() []error {
+// sendRequests sends requests at a constant rate until stop is closed. The returned
+// function waits for the answers and returns the errors of those that were not complete.
+func (f *fleet) sendRequests(stop <-chan struct{}, interval time.Duration, chat testcaller.Chat) func() []error {
 	var mu sync.Mutex // protects failed
 	var failed []error
 	var work sync.WaitGroup
@@ -173,7 +174,7 @@
 			select {
 			case <-stop:
 				return
-			case <-time.After(gap):
+			case <-time.After(interval):
 			}
 		}
 	})
@@ -187,85 +188,87 @@
 
 var longPrompts = testcaller.Chat{Prompt: strings.Repeat("a bale of Gabes ", 250), Model: model, MaxTokens: 30}
 
-// TestSwingChangesOneRoleAndCutsNothing: a swing to long prompts makes the
-// policy turn one decode engine into a prefill engine, through the rollout,
-// while streams run on all engines.
-func TestSwingChangesOneRoleAndCutsNothing(t *testing.T) {
-	given := []string{"prefill", "prefill", "decode", "decode"}
-	f := startFleet(t, bounds, given, "--prefill-rate", "2000", "--decode-rate", "100")
+// TestLoadSwingChangesOneRoleWithoutInterruptions: a swing to long prompts makes the
+// policy change one decode engine to prefill, through the rollout, while streams run on
+// all engines. No stream may be interrupted.
+func TestLoadSwingChangesOneRoleWithoutInterruptions(t *testing.T) {
+	initialRoles := []string{"prefill", "prefill", "decode", "decode"}
+	f := startFleet(t, bounds, initialRoles, "--prefill-rate", "2000", "--decode-rate", "100")
 	stop := make(chan struct{})
-	finish := f.offer(stop, 125*time.Millisecond, longPrompts)
-	err := testfleet.Until(f.ctx, "three engines serve as prefill", func() bool {
+	wait := f.sendRequests(stop, 125*time.Millisecond, longPrompts)
+	err := testfleet.Until(f.ctx, "three engines serve in the prefill role", func() bool {
 		engines, err := f.sfctl("engines")
 		return err == nil && strings.Count(engines, "serving") == 4 && strings.Count(engines, "prefill") == 6
 	})
 	close(stop)
-	failed := finish()
+	failed := wait()
 	if err != nil {
 		t.Fatalf("%v\n%s", err, f.Instances[0].Control.Log()+f.Instances[1].Control.Log())
 	}
 	for _, failure := range failed {
 		t.Error(failure)
 	}
-	f.checkOneChange(given)
+	f.checkOneChange(initialRoles)
 }
 
-// TestNextHolderKeepsTheDwell: the holder dies once it has decided; the next
-// one carries the change out, and decides none of its own within the dwell.
-func TestNextHolderKeepsTheDwell(t *testing.T) {
-	given := []string{"prefill", "prefill", "decode", "decode", "decode"}
-	f := startFleet(t, bounds, given, "--prefill-rate", "1000", "--decode-rate", "100")
+// TestNextLeaseHolderKeepsDwell: the lease holder is killed after it has decided on a
+// change. The next holder carries the change out, and decides on no other within the
+// dwell time.
+func TestNextLeaseHolderKeepsDwell(t *testing.T) {
+	initialRoles := []string{"prefill", "prefill", "decode", "decode", "decode"}
+	f := startFleet(t, bounds, initialRoles, "--prefill-rate", "1000", "--decode-rate", "100")
 	stop := make(chan struct{})
-	finish := f.offer(stop, 125*time.Millisecond, longPrompts)
-	dead := -1
+	wait := f.sendRequests(stop, 125*time.Millisecond, longPrompts)
+	killed := -1
 	logs := func() string { return f.Instances[0].Control.Log() + f.Instances[1].Control.Log() }
-	err := testfleet.Until(f.ctx, "a holder decides", func() bool {
+	err := testfleet.Until(f.ctx, "a lease holder decides on a change", func() bool {
 		for i, instance := range f.Instances {
 			if strings.Contains(instance.Control.Log(), "roles: change decided") {
-				dead = i
+				killed = i
 			}
 		}
-		return dead >= 0
+		return killed >= 0
 	})
 	if err != nil {
 		t.Fatalf("%v\n%s", err, logs())
 	}
-	f.Instances[dead].Control.Kill()
-	must(t, f.StartControl(f.Instances[dead]))
-	err = testfleet.Until(f.ctx, "the next holder waits for the dwell", func() bool {
+	f.Instances[killed].Control.Kill()
+	must(t, f.StartControl(f.Instances[killed]))
+	err = testfleet.Until(f.ctx, "the next lease holder waits for the dwell time", func() bool {
 		return strings.Contains(logs(), "reason=dwell") || strings.Count(logs(), "roles: change decided") > 1
 	})
 	close(stop)
 	if err != nil {
 		t.Fatalf("%v\n%s", err, logs())
 	}
-	for _, failure := range finish() {
+	for _, failure := range wait() {
 		t.Error(failure)
 	}
-	f.checkOneChange(given)
+	f.checkOneChange(initialRoles)
 }
 
-// checkOneChange looks at the engines' books and at the history.
-func (f *fleet) checkOneChange(given []string) {
+// checkOneChange checks that the engines and the history recorded exactly one role
+// change by the policy, and that no stream was interrupted.
+func (f *fleet) checkOneChange(initialRoles []string) {
 	f.t.Helper()
 	orders := 0
 	for i, e := range f.Engines {
 		book := f.book(e)
 		for _, order := range book.Orders {
-			if string(order.Want.Role) != given[i] {
+			if string(order.Want.Role) != initialRoles[i] {
 				orders++
 			}
 		}
 		if book.Cut != 0 {
-			f.t.Errorf("%s cut %d streams", e.ID, book.Cut)
+			f.t.Errorf("%s interrupted %d streams", e.ID, book.Cut)
 		}
 	}
 	history, err := f.sfctl("history")
 	must(f.t, err)
 	if n := strings.Count(history, "role policy on"); n != 1 || orders != 1 {
-		f.t.Errorf("%d changes of the policy and %d orders, want one each\n%s", n, orders, history)
+		f.t.Errorf("%d policy changes and %d orders, want one each\n%s", n, orders, history)
 	}
 	if !strings.Contains(history, "from decode to prefill") || !strings.Contains(history, "weight 0.5") {
-		f.t.Errorf("the history does not tell why:\n%s", history)
+		f.t.Errorf("the history does not contain the reason:\n%s", history)
 	}
 }
--- a/internal/roles/settings.go
+++ b/internal/roles/settings.go
@@ -7,37 +7,38 @@
 	"sassafrasfield/internal/tomlfile"
 )
 
-// Settings of the policy. The bounds and the weight of a pool are in the
-// operators' intent.
+// Settings are the settings of the role change policy. The bounds and the weight of
+// a pool are part of the operators' intent.
 type Settings struct {
 	// Every is the time between observations of a pool. Default 2s.
 	Every time.Duration `toml:"every"`
-	// Horizon is how far ahead a change must pay. Default 1m.
+	// Horizon is the time within which a change must gain more than it costs.
+	// Default 1m.
 	Horizon time.Duration `toml:"horizon"`
-	// Dwell is the shortest time between two changes of a pool. Default 30s.
+	// Dwell is the minimum time between two changes in a pool. Default 30s.
 	Dwell time.Duration `toml:"dwell"`
-	// StaleAfter is the age at which an observation is no longer used, and the
-	// gap between two after which the forecast starts anew. Default 10s.
+	// StaleAfter is the maximum age of an observation. After a longer gap between
+	// observations the forecast restarts. Default 10s.
 	StaleAfter time.Duration `toml:"stale_after"`
-	// MinAnswered is the share of instances, and of serving engines, that must
-	// have answered. Default 0.75.
+	// MinAnswered is the minimum share of the queried instances, and of the serving
+	// engines, that must have responded. Default 0.75.
 	MinAnswered float64 `toml:"min_answered"`
-	// AskAtMost bounds the instances asked for their demand in one round; the
-	// rest is scaled up. Default 64.
+	// AskAtMost is the maximum number of instances queried for their demand in one
+	// round. The total is extrapolated from them. Default 64.
 	AskAtMost int `toml:"ask_at_most"`
-	// Samples is how many observations a forecast needs. Default 4.
+	// Samples is the number of observations that a forecast needs. Default 4.
 	Samples int `toml:"samples"`
-	// Confirm is how many observations on end must call for the same change.
-	// Default 2.
+	// Confirm is the number of consecutive observations that must result in the
+	// same change. Default 2.
 	Confirm int `toml:"confirm"`
-	// TargetLoad is the share of an engine's rate that is planned with; above
+	// TargetLoad is the share of an engine's rate that is used for planning. Above
 	// it, waiting times grow. Default 0.85.
 	TargetLoad float64 `toml:"target_load"`
-	// MixedShare is the share of its time that a mixed engine has for work
-	// that keeps its token pace. Default 0.85.
+	// MixedShare is the share of a mixed engine's time for work that keeps the
+	// pace of its tokens. Default 0.85.
 	MixedShare float64 `toml:"mixed_share"`
-	// OutOfService is the time out of service that a change is expected to
-	// cost before one was measured. Default 5s.
+	// OutOfService is how long a change is expected to take an engine out of
+	// service, until that has been measured. Default 5s.
 	OutOfService time.Duration `toml:"out_of_service"`
 }
 
@@ -50,7 +51,7 @@
 	}
 }
 
-// Check records faults under the key.
+// Check adds a finding to the file for each invalid value. key is the settings' table.
 func (s Settings) Check(file *tomlfile.File, key string) {
 	settings.Between(file, key+".every", s.Every, 10*time.Millisecond, time.Minute)
 	settings.Between(file, key+".horizon", s.Horizon, time.Second, time.Hour)
@@ -60,13 +61,13 @@
 	settings.IntBetween(file, key+".samples", s.Samples, 1, 1000)
 	settings.IntBetween(file, key+".confirm", s.Confirm, 1, 1000)
 	settings.Between(file, key+".out_of_service", s.OutOfService, 0, time.Hour)
-	share(file, key+".min_answered", s.MinAnswered)
-	share(file, key+".target_load", s.TargetLoad)
-	share(file, key+".mixed_share", s.MixedShare)
+	checkShare(file, key+".min_answered", s.MinAnswered)
+	checkShare(file, key+".target_load", s.TargetLoad)
+	checkShare(file, key+".mixed_share", s.MixedShare)
 }
 
-// share checks that a number is above 0 and at most 1.
-func share(file *tomlfile.File, key string, value float64) {
+// checkShare checks that a value is above 0 and at most 1.
+func checkShare(file *tomlfile.File, key string, value float64) {
 	if !(value > 0 && value <= 1) {
 		file.Add(key, "want more than 0 and at most 1, not %v", value)
 	}
--- a/internal/roles/target_test.go
+++ b/internal/roles/target_test.go
@@ -9,8 +9,8 @@
 	"sassafrasfield/internal/config"
 )
 
-// split has engines of both roles, in two zones by turns.
-func split(prefill, decode int) []Engine {
+// engineList returns engines of both roles, alternating between two zones.
+func engineList(prefill, decode int) []Engine {
 	var list []Engine
 	for i := range prefill {
 		list = append(list, Engine{ID: fmt.Sprintf("p%d", i), Zone: zoneOf(i), Role: config.RolePrefill})
@@ -31,10 +31,11 @@
 	}
 }
 
-// TestChangesReachTheTargetAndStay applies the changes until there are none.
-func TestChangesReachTheTargetAndStay(t *testing.T) {
+// TestChangesReachTargetAndStop applies the proposed changes until there are none. It
+// checks that the engines then have the wanted split and keep the minimum for decode.
+func TestChangesReachTargetAndStop(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		list := split(rapid.IntRange(0, 20).Draw(t, "prefill"), rapid.IntRange(0, 20).Draw(t, "decode"))
+		list := engineList(rapid.IntRange(0, 20).Draw(t, "prefill"), rapid.IntRange(0, 20).Draw(t, "decode"))
 		target := DefaultTarget()
 		for range 2 * len(list) {
 			changes := target.Changes(list, 1)
@@ -43,28 +44,28 @@
 			}
 			apply(list, changes[0])
 		}
-		prefill := withRole(list, config.RolePrefill)
+		prefill := countRole(list, config.RolePrefill)
 		if want := target.PrefillCount(len(list)); prefill != want {
-			t.Fatalf("%d of %d engines prefill, want %d", prefill, len(list), want)
+			t.Fatalf("%d of %d engines in prefill, want %d", prefill, len(list), want)
 		}
 		if len(list) > target.MinDecode && len(list)-prefill < target.MinDecode {
-			t.Fatalf("only %d of %d engines decode", len(list)-prefill, len(list))
+			t.Fatalf("only %d of %d engines in decode", len(list)-prefill, len(list))
 		}
 	})
 }
 
 func TestEachZoneKeepsBothRoles(t *testing.T) {
-	list := split(0, 18)
-	for _, change := range started().Changes(list, 18) {
+	list := engineList(0, 18)
+	for _, change := range referenceTarget().Changes(list, 18) {
 		apply(list, change)
 	}
-	with := map[string]int{}
+	decodeByZone := map[string]int{}
 	for _, e := range list {
 		if e.Role == config.RoleDecode {
-			with[e.Zone]++
+			decodeByZone[e.Zone]++
 		}
 	}
-	if with["a"] < 3 || with["b"] < 3 {
-		t.Errorf("decode engines by zone: %v", with)
+	if decodeByZone["a"] < 3 || decodeByZone["b"] < 3 {
+		t.Errorf("decode engines by zone: %v", decodeByZone)
 	}
 }
--- a/internal/roles/use.go
+++ b/internal/roles/use.go
@@ -7,43 +7,48 @@
 	"sassafrasfield/internal/config"
 )
 
-// Workload is what the engines of a service are used for, smoothed over time.
+// Workload is the measured load on the engines of a service, smoothed over time.
 type Workload struct {
-	// PrefillLoad is how many prefill engines' time the prompts take.
+	// PrefillLoad is the load of prompts on the prefill engines, as a number of
+	// fully used engines.
 	PrefillLoad float64
-	// Generations is the number of requests at a time on the other engines,
-	// DirectPrefillLoad how many of these engines' time their prompts take.
+	// Generations is the number of concurrent requests on the other engines.
+	// DirectPrefillLoad is the load of the prompts that these engines process
+	// themselves, as a number of fully used engines.
 	Generations, DirectPrefillLoad float64
-	// span is how long was measured.
-	span time.Duration
+	// measured is the time that the measurements cover, up to the time constant.
+	measured time.Duration
 }
 
-// AfterSplitChange returns the measurement after the split has changed: it has to follow for
-// a while before it is known again.
-func (u Workload) AfterSplitChange() Workload {
-	u.span /= 2
-	return u
+// AfterSplitChange returns the workload after the split has changed. It halves the
+// time that the measurements cover: TargetTracker does not move the target again
+// until new measurements have made up for that.
+func (w Workload) AfterSplitChange() Workload {
+	w.measured /= 2
+	return w
 }
 
-// Add takes a look at the engines that stands for the time since the one before,
-// and fades to a third over a time. Until then it is the mean of all looks.
-func (u Workload) Add(engines []Engine, since, over time.Duration) Workload {
-	var now Workload
+// Add adds a measurement of the engines that stands for the elapsed time since the
+// previous one. Older measurements decay exponentially, to about a third over the
+// time constant. Until they cover the time constant, the workload is the mean of
+// all of them.
+func (w Workload) Add(engines []Engine, elapsed, timeConstant time.Duration) Workload {
+	var current Workload
 	for _, e := range engines {
 		if e.Role == config.RolePrefill {
-			now.PrefillLoad += e.PrefillUtilization
+			current.PrefillLoad += e.PrefillUtilization
 			continue
 		}
-		now.DirectPrefillLoad += e.PrefillUtilization
-		now.Generations += float64(e.Running)
+		current.DirectPrefillLoad += e.PrefillUtilization
+		current.Generations += float64(e.Running)
 	}
 	weight := 1.0
-	if u.span > 0 {
-		weight = 1 - math.Exp(-since.Seconds()/(u.span+since).Seconds())
+	if w.measured > 0 {
+		weight = 1 - math.Exp(-elapsed.Seconds()/(w.measured+elapsed).Seconds())
 	}
-	u.PrefillLoad += weight * (now.PrefillLoad - u.PrefillLoad)
-	u.DirectPrefillLoad += weight * (now.DirectPrefillLoad - u.DirectPrefillLoad)
-	u.Generations += weight * (now.Generations - u.Generations)
-	u.span = min(u.span+since, over)
-	return u
+	w.PrefillLoad += weight * (current.PrefillLoad - w.PrefillLoad)
+	w.DirectPrefillLoad += weight * (current.DirectPrefillLoad - w.DirectPrefillLoad)
+	w.Generations += weight * (current.Generations - w.Generations)
+	w.measured = min(w.measured+elapsed, timeConstant)
+	return w
 }
