--- a/internal/scaling/plan.go
+++ b/internal/scaling/plan.go
@@ -7,64 +7,67 @@
 	"sassafrasfield/internal/routes"
 )
 
-// EngineCounts is how many engines of each kind a zone is to have.
+// EngineCounts is a number of engines in a zone, by kind.
 type EngineCounts [2]int
 
-func (w EngineCounts) sum() int { return w[OnDemand] + w[Spot] }
+func (c EngineCounts) sum() int { return c[OnDemand] + c[Spot] }
 
-// plan returns what each zone is to have for a number of engines in all, and how many that
-// are together, those not counted that replace others which cannot be had.
-func (s Settings) plan(limits routes.ScaleLimits, zones []Zone, engines int) (wants []EngineCounts, total int) {
-	wants = make([]EngineCounts, len(zones))
+// plan returns the wanted engines of each zone, if the deployment began with the given
+// number of engines. total is the sum over all zones without the replacements for spot
+// engines that are unavailable in another zone.
+func (s Settings) plan(limits routes.ScaleLimits, zones []Zone, engines int) (wanted []EngineCounts, total int) {
+	wanted = make([]EngineCounts, len(zones))
 	if len(zones) == 0 {
-		return wants, 0
+		return wanted, 0
 	}
-	each := int(math.Ceil(float64(engines) * s.EngineShare / float64(len(zones))))
-	each = min(max(each, limits.Min), limits.Max)
+	perZone := int(math.Ceil(float64(engines) * s.EngineShare / float64(len(zones))))
+	perZone = min(max(perZone, limits.Min), limits.Max)
 	for i := range zones {
-		wants[i] = s.split(each)
+		wanted[i] = s.splitKinds(perZone)
 	}
-	s.replace(limits, zones, wants)
-	return wants, each * len(zones)
+	s.replaceUnavailable(limits, zones, wanted)
+	return wanted, perZone * len(zones)
 }
 
-// spotIsCheaper tells whether spot engines are to do the work. Where they are not, engines
-// are left as they are: no other reason to order some is known.
+// spotIsCheaper reports whether spot engines should do the work. Otherwise the running
+// engines are left as they are, because lower cost is the only reason to order others.
 func spotIsCheaper(limits routes.ScaleLimits) bool {
 	return limits.SpotPrice > 0 && limits.SpotPrice < 1
 }
 
-// split returns the kinds of a zone's engines: spot ones do the work, but for the reserve.
-func (s Settings) split(engines int) EngineCounts {
-	lasting := min(s.OnDemandReserve, engines)
-	return EngineCounts{OnDemand: lasting, Spot: engines - lasting}
+// splitKinds divides a zone's engines into kinds: all but the on-demand reserve are spot
+// engines.
+func (s Settings) splitKinds(engines int) EngineCounts {
+	onDemand := min(s.OnDemandReserve, engines)
+	return EngineCounts{OnDemand: onDemand, Spot: engines - onDemand}
 }
 
-// replace has other zones run the spot engines that a zone has not and cannot have, as far
-// as their limits go. What no zone can have, lasting engines do, once it lasts for long or
-// when less than half of all is left.
-func (s Settings) replace(limits routes.ScaleLimits, zones []Zone, wants []EngineCounts) {
-	missing, long := 0, true
-	here, wanted := 0, 0
-	var others []int
+// replaceUnavailable replaces spot engines that a zone is missing and cannot get. Other
+// zones run them, within their limits. If no zone can get spot engines, on-demand engines
+// replace them once that has lasted for OnDemandAfter, or if less than half of the wanted
+// engines are running.
+func (s Settings) replaceUnavailable(limits routes.ScaleLimits, zones []Zone, wanted []EngineCounts) {
+	missing, longRefused := 0, true
+	running, total := 0, 0
+	var available []int
 	for i, z := range zones {
-		here += EngineCounts(z.Engines).sum()
-		wanted += wants[i].sum()
+		running += EngineCounts(z.Engines).sum()
+		total += wanted[i].sum()
 		if z.SpotRefusedFor <= 0 {
-			others = append(others, i)
+			available = append(available, i)
 			continue
 		}
-		missing += max(0, wants[i][Spot]-z.Engines[Spot])
-		long = long && z.SpotRefusedFor >= s.OnDemandAfter
+		missing += max(0, wanted[i][Spot]-z.Engines[Spot])
+		longRefused = longRefused && z.SpotRefusedFor >= s.OnDemandAfter
 	}
 	kind := Spot
-	if len(others) == 0 && (long || here < wanted/2) {
-		kind, others = OnDemand, all(zones)
+	if len(available) == 0 && (longRefused || running < total/2) {
+		kind, available = OnDemand, allIndexes(zones)
 	}
-	spread(limits, wants, others, kind, missing)
+	distribute(limits, wanted, available, kind, missing)
 }
 
-func all(zones []Zone) []int {
+func allIndexes(zones []Zone) []int {
 	list := make([]int, len(zones))
 	for i := range zones {
 		list[i] = i
@@ -72,68 +75,71 @@
 	return list
 }
 
-// spread gives engines of a kind to zones by turns, as long as one has room.
-func spread(limits routes.ScaleLimits, wants []EngineCounts, to []int, kind Kind, engines int) {
+// distribute adds engines of a kind to the zones with the given indexes, round-robin, up to
+// the limit of each zone.
+func distribute(limits routes.ScaleLimits, wanted []EngineCounts, indexes []int, kind Kind, engines int) {
 	for engines > 0 {
-		given := false
-		for _, i := range to {
-			if engines > 0 && wants[i].sum() < limits.Max {
-				wants[i][kind]++
+		added := false
+		for _, i := range indexes {
+			if engines > 0 && wanted[i].sum() < limits.Max {
+				wanted[i][kind]++
 				engines--
-				given = true
+				added = true
 			}
 		}
-		if !given {
+		if !added {
 			return
 		}
 	}
 }
 
-// steps are the next numbers to order, on the way to what is wanted: what is missing comes
-// first, and nothing is ordered away before what replaces it is there, in whichever zone,
-// but where a zone is full.
-// Both kinds together stay within the limits of a zone at each step.
-func steps(limits routes.ScaleLimits, zones []Zone, wants []EngineCounts, total int) []EngineCounts {
-	nexts := make([]EngineCounts, len(zones))
+// nextCounts returns the numbers of engines to order next on the way to the wanted ones.
+// Missing engines are ordered first. Engines are ordered away only after their replacements
+// are running, in any zone, except in a zone that is full. The sum of both kinds stays
+// within the limits of a zone at each step.
+func nextCounts(limits routes.ScaleLimits, zones []Zone, wanted []EngineCounts, total int) []EngineCounts {
+	next := make([]EngineCounts, len(zones))
 	surplus := -total
 	for _, z := range zones {
 		surplus += EngineCounts(z.Engines).sum()
 	}
 	for i, z := range zones {
-		for kind := range wants[i] {
-			nexts[i][kind] = max(z.Engines[kind], wants[i][kind])
+		for kind := range wanted[i] {
+			next[i][kind] = max(z.Engines[kind], wanted[i][kind])
 		}
 	}
-	move(nexts, wants, surplus, -1)
+	moveTowards(next, wanted, surplus, -1)
 	for i, z := range zones {
-		makeRoom(limits, z, wants[i], &nexts[i])
-		nexts[i] = within(limits, z, nexts[i])
+		makeRoom(limits, z, wanted[i], &next[i])
+		next[i] = clampToMax(limits, z, next[i])
 	}
-	return nexts
+	return next
 }
 
-// paced cuts steps to so many engines that start, and so many that leave, at a time, by
-// turns in all zones. The next ones follow as these come and go. With 3,000 replaced at
-// once before 302 instances, the busiest instance took 379 MB, and a configuration was in
-// force after 1.5 s.
-func paced(zones []Zone, nexts []EngineCounts, atOnce int) []EngineCounts {
-	steps := make([]EngineCounts, len(zones))
+// limitChanges limits the next counts to maxChanges engines that start and maxChanges that
+// shut down, taken round-robin from all zones. Further changes follow once these are done.
+// When 3,000 engines were replaced at once with 302 instances, the busiest instance used
+// 379 MB, and a configuration took 1.5 s to take effect.
+func limitChanges(zones []Zone, next []EngineCounts, maxChanges int) []EngineCounts {
+	limited := make([]EngineCounts, len(zones))
 	for i, z := range zones {
-		steps[i] = z.Engines
+		limited[i] = z.Engines
 	}
-	move(steps, nexts, atOnce, 1)
-	move(steps, nexts, atOnce, -1)
-	return steps
+	moveTowards(limited, next, maxChanges, 1)
+	moveTowards(limited, next, maxChanges, -1)
+	return limited
 }
 
-// move brings steps nearer to what is next by one engine after another, in one direction.
-func move(steps, nexts []EngineCounts, engines, by int) {
+// moveTowards changes counts towards target in steps of one engine, at most `engines`
+// steps, round-robin over zones and kinds. The direction is 1 to only add engines, and -1
+// to only remove them.
+func moveTowards(counts, target []EngineCounts, engines, direction int) {
 	for moved := true; moved; {
 		moved = false
-		for i := range steps {
-			for kind := range steps[i] {
-				if engines > 0 && (nexts[i][kind]-steps[i][kind])*by > 0 {
-					steps[i][kind] += by
+		for i := range counts {
+			for kind := range counts[i] {
+				if engines > 0 && (target[i][kind]-counts[i][kind])*direction > 0 {
+					counts[i][kind] += direction
 					engines--
 					moved = true
 				}
@@ -142,34 +148,34 @@
 	}
 }
 
-// makeRoom orders engines of the wrong kind away where a zone is full of them: the right
-// ones could not come else.
-func makeRoom(limits routes.ScaleLimits, zone Zone, want EngineCounts, next *EngineCounts) {
+// makeRoom orders engines of the wrong kind away in a zone that is full. Otherwise their
+// replacements could not start.
+func makeRoom(limits routes.ScaleLimits, zone Zone, wanted EngineCounts, next *EngineCounts) {
 	if EngineCounts(zone.Engines).sum() < limits.Max || next.sum() <= limits.Max {
 		return
 	}
 	for kind := range next {
-		wrong := next[kind] - want[kind]
-		next[kind] -= min(max(wrong, 0), next.sum()-limits.Max)
+		excess := next[kind] - wanted[kind]
+		next[kind] -= min(max(excess, 0), next.sum()-limits.Max)
 	}
 }
 
-// within cuts what both kinds together have too much, of the kind that grows.
-func within(limits routes.ScaleLimits, zone Zone, next EngineCounts) EngineCounts {
-	over := next.sum() - limits.Max
+// clampToMax reduces the kinds that grow until the sum of both is within the zone's limit.
+func clampToMax(limits routes.ScaleLimits, zone Zone, next EngineCounts) EngineCounts {
+	excess := next.sum() - limits.Max
 	for _, kind := range []Kind{Spot, OnDemand} {
-		grows := next[kind] - zone.Engines[kind]
-		cut := min(max(over, 0), max(grows, 0))
+		growth := next[kind] - zone.Engines[kind]
+		cut := min(max(excess, 0), max(growth, 0))
 		next[kind] -= cut
-		over -= cut
+		excess -= cut
 	}
 	return next
 }
 
-// lastingAfter is how long spot engines are to be had in no zone until lasting ones take
-// their place, which cost several times as much and take as long to start as the wait.
-const lastingAfter = 10 * time.Second
+// defaultOnDemandAfter is the default of Settings.OnDemandAfter. On-demand engines cost
+// several times as much as spot engines, and take as long to start as this wait.
+const defaultOnDemandAfter = 10 * time.Second
 
-// atOnce is how many engines start at a time, and how many leave: their entries change
-// within seconds, and each change goes to all instances.
-const atOnce = 100
+// defaultMaxConcurrentChanges is the default of Settings.MaxConcurrentChanges. The entry of
+// each changing engine is updated within seconds, and each update is sent to all instances.
+const defaultMaxConcurrentChanges = 100
--- a/internal/scaling/scaler.go
+++ b/internal/scaling/scaler.go
@@ -19,58 +19,60 @@
 	"sassafrasfield/internal/routes"
 )
 
-// Sender gives an order to the platform. Errors: ErrNone, and others when it may not have
-// come.
+// Sender sends an order to the platform. It returns ErrNoCapacity if the platform refused
+// the order. After any other error it is unknown whether the order arrived.
 type Sender interface {
 	Scale(ctx context.Context, o Order) error
 }
 
-// Service is what is known of a service whose engines may be ordered.
+// Service is the state of a service whose engines may be ordered.
 type Service struct {
 	Name   string
 	Limits routes.ScaleLimits
 	Zones  []Zone
 }
 
-// View is what the scaler needs to know of the data path.
+// View is the scaler's view of the data path.
 type View interface {
-	// ScalableServices are the services whose engines may be ordered, each with the zones in
-	// which it runs.
+	// ScalableServices returns the services whose engines may be ordered, each with the
+	// zones in which it runs.
 	ScalableServices() []Service
 }
 
 // Timings of orders.
 const (
-	// settledLooks is how many looks on end must find the same number of engines before
-	// that is taken for what the deployment began with: the list may still be filling.
-	settledLooks = 3
-	// againAfter is the pause before an order that was refused, or may not have come.
-	againAfter = 2 * time.Second
-	// effectMargin is how long beyond the time that an engine takes to start an order is
-	// believed to be carried out still: an engine's entry comes with its heartbeat.
-	effectMargin = 4 * time.Second
+	// stableObservations is the number of consecutive observations with the same number of
+	// engines after which that counts as the number that the deployment began with. The
+	// list of engines may still be incomplete before.
+	stableObservations = 3
+	// retryAfter is the delay before repeating an order that was refused or failed.
+	retryAfter = 2 * time.Second
+	// heartbeatMargin is added to the time that an engine takes to start, before an order
+	// without effect is repeated: an engine's entry arrives with its heartbeat.
+	heartbeatMargin = 4 * time.Second
 )
 
-// begunKey is the key of the row with how many engines a service began with.
-func begunKey(service string) string { return "engines/" + service }
+// initialCountKey returns the key of the row with the number of engines that a service
+// began with.
+func initialCountKey(service string) string { return "engines/" + service }
 
-// begun is the row's value.
-type begun struct {
+// initialCount is the value of that row.
+type initialCount struct {
 	Engines int `json:"engines"`
 }
 
-// ordered is the newest order of a subject.
-type ordered struct {
+// lastOrder is the last order of an engine group.
+type lastOrder struct {
 	engines int
 	at      time.Duration
-	// failed: it was refused, or may not have come.
+	// failed is true if the order was refused, or may not have arrived.
 	failed bool
-	// refusedAt is when the first of the orders was refused that were refused on end; 0
-	// when the newest was not.
+	// refusedAt is the time of the first of the latest consecutive refusals, 0 if there are
+	// none. An order that may not have arrived does not change it.
 	refusedAt time.Duration
 }
 
-// Scaler does the duty. It is used by one goroutine.
+// Scaler implements the scaling duty. It must be used by one goroutine at a time.
 type Scaler struct {
 	instance, lease string
 	settings        Settings
@@ -80,18 +82,20 @@
 	log             *slog.Logger
 
 	services map[string]*service
-	orders   map[EngineGroup]ordered
+	orders   map[EngineGroup]lastOrder
 }
 
-// service is what the holder knows of a service.
+// service is the lease holder's state of a service.
 type service struct {
-	// engines is how many it began with, or as many as were seen while that is not
-	// known; looks is for how many looks on end no more were.
-	engines, looks int
-	known          bool
+	// initialEngines is the number of engines that the service began with, or the most that
+	// were seen while that is not known. stableFor counts the consecutive observations
+	// without more engines.
+	initialEngines, stableFor int
+	known                     bool
 }
 
-// NewScaler returns a scaler that orders under an instance's name, and a lease's.
+// NewScaler returns a scaler. Its orders carry the name of the instance, and its writes
+// require that the instance holds the named lease.
 func NewScaler(instance, leaseName string, s Settings, table platform.Table, sender Sender, view View, log *slog.Logger) *Scaler {
 	k := &Scaler{instance: instance, lease: leaseName, settings: s, table: table, sender: sender, view: view, log: log}
 	k.Taken()
@@ -100,7 +104,7 @@
 
 // Taken implements rolekeeper.Duty.
 func (k *Scaler) Taken() {
-	k.services, k.orders = map[string]*service{}, map[EngineGroup]ordered{}
+	k.services, k.orders = map[string]*service{}, map[EngineGroup]lastOrder{}
 }
 
 // Do implements rolekeeper.Duty.
@@ -109,33 +113,34 @@
 		if !spotIsCheaper(s.Limits) {
 			continue
 		}
-		state, err := k.stateOf(ctx, s.Name)
+		state, err := k.loadState(ctx, s.Name)
 		if err == nil && !state.known {
-			err = k.count(ctx, state, s, grant)
+			err = k.countInitialEngines(ctx, state, s, grant)
 		}
 		if err != nil {
-			k.log.Info("scaling: how many engines there were at first is not known yet", "service", s.Name, "error", err)
+			k.log.Info("scaling: initial number of engines is not known yet", "service", s.Name, "error", err)
 			continue
 		}
-		if state.engines > 0 {
-			k.bring(ctx, state, s, grant)
+		if state.initialEngines > 0 {
+			k.reconcile(ctx, state, s, grant)
 		}
 	}
 }
 
-// stateOf returns what is known of a service, by the row that an earlier holder wrote.
-func (k *Scaler) stateOf(ctx context.Context, name string) (*service, error) {
+// loadState returns the state of a service. It initially reads the row that an earlier
+// lease holder may have written.
+func (k *Scaler) loadState(ctx context.Context, name string) (*service, error) {
 	if state, ok := k.services[name]; ok {
 		return state, nil
 	}
 	state := &service{}
-	row, err := k.table.Get(ctx, begunKey(name))
+	row, err := k.table.Get(ctx, initialCountKey(name))
 	if err == nil {
-		var kept begun
-		if err := json.Unmarshal(row.Value, &kept); err != nil {
+		var stored initialCount
+		if err := json.Unmarshal(row.Value, &stored); err != nil {
 			return nil, errors.Wrap(err, "scaling: decode")
 		}
-		state.engines, state.known = kept.Engines, true
+		state.initialEngines, state.known = stored.Engines, true
 	} else if !errors.Is(err, platform.ErrNotFound) {
 		return nil, err
 	}
@@ -143,67 +148,69 @@
 	return state, nil
 }
 
-// count takes what the first holder of all sees for what the service began with, once it
-// stands for some looks. Until then more are ordered as more are seen, and none away.
-func (k *Scaler) count(ctx context.Context, state *service, s Service, grant lease.Grant) error {
+// countInitialEngines counts the engines that the service began with. The very first lease
+// holder does so, and stores the number once it is stable. Until then the scaler orders
+// more engines as more are seen, and orders none away.
+func (k *Scaler) countInitialEngines(ctx context.Context, state *service, s Service, grant lease.Grant) error {
 	total := 0
 	for _, z := range s.Zones {
 		total += z.Engines[OnDemand]
 	}
-	if total > state.engines {
-		state.engines, state.looks = total, 0
+	if total > state.initialEngines {
+		state.initialEngines, state.stableFor = total, 0
 	}
-	if state.looks++; state.looks < settledLooks || total == 0 {
+	if state.stableFor++; state.stableFor < stableObservations || total == 0 {
 		return nil
 	}
-	return k.keep(ctx, state, s, grant)
+	return k.storeInitialCount(ctx, state, s, grant)
 }
 
-// keep writes how many engines a service began with; only the newest holder may.
-func (k *Scaler) keep(ctx context.Context, state *service, s Service, grant lease.Grant) error {
-	value, err := json.Marshal(begun{Engines: state.engines})
+// storeInitialCount writes the number of engines that a service began with. The write
+// succeeds only for the holder of the newest epoch, and only if no row exists.
+func (k *Scaler) storeInitialCount(ctx context.Context, state *service, s Service, grant lease.Grant) error {
+	value, err := json.Marshal(initialCount{Engines: state.initialEngines})
 	if err != nil {
 		return errors.Wrap(err, "scaling: encode")
 	}
 	_, err = k.table.Commit(ctx, platform.Txn{
 		Checks: []platform.Check{
 			{Key: leaserows.EpochKey(k.lease), Revision: grant.EpochRevision},
-			{Key: begunKey(s.Name), Revision: 0},
+			{Key: initialCountKey(s.Name), Revision: 0},
 		},
-		Writes: []platform.Write{{Key: begunKey(s.Name), Value: value}},
+		Writes: []platform.Write{{Key: initialCountKey(s.Name), Value: value}},
 	})
 	if err != nil {
 		return err
 	}
 	state.known = true
-	k.log.Info("scaling: engines counted", "service", s.Name, "engines", state.engines, "zones", len(s.Zones), "epoch", grant.Epoch)
+	k.log.Info("scaling: initial number of engines stored", "service", s.Name, "engines", state.initialEngines, "zones", len(s.Zones), "epoch", grant.Epoch)
 	return nil
 }
 
-// bring orders what it takes to have the wanted engines of a service.
-func (k *Scaler) bring(ctx context.Context, state *service, s Service, grant lease.Grant) {
+// reconcile orders the changes that bring a service to the wanted engines.
+func (k *Scaler) reconcile(ctx context.Context, state *service, s Service, grant lease.Grant) {
 	for i, zone := range s.Zones {
 		s.Zones[i].SpotRefusedFor = k.refusedFor(EngineGroup{Service: s.Name, Zone: zone.Name, Kind: Spot})
 	}
-	wants, total := k.settings.plan(s.Limits, s.Zones, state.engines)
+	wanted, total := k.settings.plan(s.Limits, s.Zones, state.initialEngines)
 	if !state.known {
-		total = math.MaxInt // none is one too many
+		total = math.MaxInt // no engine is surplus
 	}
-	nexts := paced(s.Zones, steps(s.Limits, s.Zones, wants, total), k.settings.MaxConcurrentChanges)
+	next := limitChanges(s.Zones, nextCounts(s.Limits, s.Zones, wanted, total), k.settings.MaxConcurrentChanges)
 	for i, zone := range s.Zones {
-		next := nexts[i]
+		engines := next[i]
 		for _, kind := range state.kinds() {
-			subject := EngineGroup{Service: s.Name, Zone: zone.Name, Kind: kind}
-			if k.due(subject, next[kind], zone.Engines[kind], s.Limits.Boot) && ctx.Err() == nil {
-				k.order(ctx, Order{EngineGroup: subject, Engines: next[kind], Holder: k.instance, Epoch: grant.Epoch}, zone, wants[i])
+			group := EngineGroup{Service: s.Name, Zone: zone.Name, Kind: kind}
+			if k.due(group, engines[kind], zone.Engines[kind], s.Limits.Boot) && ctx.Err() == nil {
+				k.order(ctx, Order{EngineGroup: group, Engines: engines[kind], Holder: k.instance, Epoch: grant.Epoch}, zone, wanted[i])
 			}
 		}
 	}
 }
 
-// kinds are those that are ordered, the cheaper ones first. While it is not known how many
-// lasting engines a service began with, an order of those that are seen would send the
-// others away.
+// kinds returns the kinds that may be ordered, the cheaper one first. On-demand engines are
+// not ordered while their initial number is unknown: an order for those seen so far would
+// remove the others.
 func (s *service) kinds() []Kind {
 	if s.known {
 		return []Kind{Spot, OnDemand}
@@ -211,37 +218,38 @@
 	return []Kind{Spot}
 }
 
-// refusedFor is for how long all orders of a subject were refused; 0 when none was.
-func (k *Scaler) refusedFor(subject EngineGroup) time.Duration {
-	last := k.orders[subject]
+// refusedFor returns for how long all orders of a group were refused, or 0 if none was
+// since the last successful one.
+func (k *Scaler) refusedFor(group EngineGroup) time.Duration {
+	last := k.orders[group]
 	if last.refusedAt == 0 {
 		return 0
 	}
 	return max(bootclock.Now()-last.refusedAt, 1)
 }
 
-// due tells whether to order a number of engines where there are so many: when it is not
-// what was ordered last, or has not had its effect in time.
-func (k *Scaler) due(subject EngineGroup, engines, here int, boot time.Duration) bool {
-	last, known := k.orders[subject]
+// due reports whether to order a number of engines, given the number that is running. An
+// order is due if it differs from the last one, or if the last one had no effect in time.
+func (k *Scaler) due(group EngineGroup, engines, running int, boot time.Duration) bool {
+	last, known := k.orders[group]
 	age := bootclock.Now() - last.at
 	switch {
 	case !known:
-		return engines != here
+		return engines != running
 	case last.failed:
-		return age >= againAfter && engines != here
+		return age >= retryAfter && engines != running
 	case last.engines != engines:
 		return true
 	default:
-		return engines != here && age >= boot+effectMargin
+		return engines != running && age >= boot+heartbeatMargin
 	}
 }
 
-func (k *Scaler) order(ctx context.Context, o Order, zone Zone, want EngineCounts) {
+func (k *Scaler) order(ctx context.Context, o Order, zone Zone, wanted EngineCounts) {
 	err := k.sender.Scale(ctx, o)
-	k.note(o, err)
+	k.recordOrder(o, err)
 	k.log.Info("scaling: order", "service", o.Service, "zone", o.Zone, "kind", o.Kind.String(), "engines", o.Engines,
-		"here", zone.Engines[o.Kind], "leaving", zone.Draining[o.Kind], "wanted", want[o.Kind], "epoch", o.Epoch, "error", err)
+		"here", zone.Engines[o.Kind], "leaving", zone.Draining[o.Kind], "wanted", wanted[o.Kind], "epoch", o.Epoch, "error", err)
 	name := "ordered"
 	switch {
 	case errors.Is(err, ErrNoCapacity):
@@ -252,21 +260,21 @@
 	metrics.GetOrRegisterCounter("scaling."+name, metrics.DefaultRegistry).Inc(1)
 }
 
-// note keeps what came of an order. One that may not have come says nothing of what is to
-// be had.
-func (k *Scaler) note(o Order, err error) {
-	before := k.orders[o.EngineGroup]
-	newest := ordered{engines: o.Engines, at: bootclock.Now(), failed: err != nil}
+// recordOrder stores the result of an order. An order that may not have arrived does not
+// change what is known about available capacity.
+func (k *Scaler) recordOrder(o Order, err error) {
+	previous := k.orders[o.EngineGroup]
+	newest := lastOrder{engines: o.Engines, at: bootclock.Now(), failed: err != nil}
 	switch {
-	case errors.Is(err, ErrNoCapacity) && before.refusedAt == 0:
+	case errors.Is(err, ErrNoCapacity) && previous.refusedAt == 0:
 		newest.refusedAt = newest.at
 	case err != nil:
-		newest.refusedAt = before.refusedAt
+		newest.refusedAt = previous.refusedAt
 	}
 	k.orders[o.EngineGroup] = newest
 }
 
-// SortedZones lists zones by name.
+// SortedZones returns the zones sorted by name.
 func SortedZones(zones map[string]Zone) []Zone {
 	return slices.SortedFunc(maps.Values(zones), func(a, b Zone) int {
 		if a.Name < b.Name {
--- a/internal/scaling/scaler_test.go
+++ b/internal/scaling/scaler_test.go
@@ -17,19 +17,20 @@
 
 const leaseName = "duties"
 
-// fakePlatform is a table, a list of engines, and orders that are carried out at once.
+// fakePlatform implements the table, the view of the engines, and a sender whose orders take
+// effect immediately.
 type fakePlatform struct {
 	platform.Table
 	rows    map[string]platform.Row
 	zones   []Zone
 	limits  routes.ScaleLimits
-	refuse  map[string]bool // zones without spot engines
-	lost    map[string]bool // zones whose orders are lost
+	refuse  map[string]bool // zones that refuse orders of spot engines
+	lost    map[string]bool // zones for which orders get no answer
 	orders  []Order
 	tableOK bool
 }
 
-func newFake(zones ...Zone) *fakePlatform {
+func newFakePlatform(zones ...Zone) *fakePlatform {
 	f := &fakePlatform{rows: map[string]platform.Row{}, zones: zones, limits: limits, refuse: map[string]bool{}, lost: map[string]bool{}, tableOK: true}
 	f.takeOver(1)
 	return f
@@ -92,32 +93,33 @@
 	return text
 }
 
-func scaler(f *fakePlatform, instance string) *Scaler {
-	return NewScaler(instance, leaseName, asMany, f, f, f, slog.New(slog.NewTextHandler(io.Discard, nil)))
+func newTestScaler(f *fakePlatform, instance string) *Scaler {
+	return NewScaler(instance, leaseName, sameCount, f, f, f, slog.New(slog.NewTextHandler(io.Discard, nil)))
 }
 
-func looks(k *Scaler, grant lease.Grant, n int) {
+func doTimes(k *Scaler, grant lease.Grant, n int) {
 	for range n {
 		k.Do(context.Background(), grant)
 	}
 }
 
-// TestTheFirstHolderOrdersAsItCounts: the list still fills when it begins. Spot engines are
-// ordered for those that are seen, and nothing is ordered away before the list stands.
-func TestTheFirstHolderOrdersAsItCounts(t *testing.T) {
-	f := newFake(Zone{Name: "a", Engines: EngineCounts{4, 0}}, Zone{Name: "b"})
-	k, grant := scaler(f, "inst-1"), f.takeOver(1)
-	looks(k, grant, settledLooks-1)
+// TestFirstHolderOrdersWhileCounting: the list of engines is incomplete when the first lease
+// holder begins. It orders spot engines for the engines seen so far, and orders none away
+// before the number is stable.
+func TestFirstHolderOrdersWhileCounting(t *testing.T) {
+	f := newFakePlatform(Zone{Name: "a", Engines: EngineCounts{4, 0}}, Zone{Name: "b"})
+	k, grant := newTestScaler(f, "inst-1"), f.takeOver(1)
+	doTimes(k, grant, stableObservations-1)
 	if got := f.engines(); got != "[4 2][0 2]" {
-		t.Fatalf("%s while the list fills", got)
+		t.Fatalf("%s while the list is incomplete", got)
 	}
 	f.zones[0].Engines[OnDemand] = 3
 	f.zones[1].Engines[OnDemand] = 3
-	looks(k, grant, settledLooks-1)
+	doTimes(k, grant, stableObservations-1)
 	if got := f.engines(); got != "[3 3][3 3]" {
-		t.Fatalf("%s before the list stands", got)
+		t.Fatalf("%s before the number is stable", got)
 	}
-	looks(k, grant, 3)
+	doTimes(k, grant, 3)
 	if got := f.engines(); got != "[0 3][0 3]" {
 		t.Errorf("%s", got)
 	}
@@ -127,60 +129,62 @@
 		}
 	}
 	n := len(f.orders)
-	if looks(k, grant, 5); len(f.orders) != n {
-		t.Errorf("%v, though all is as ordered", f.orders[n:])
+	if doTimes(k, grant, 5); len(f.orders) != n {
+		t.Errorf("%v, although all engines are as ordered", f.orders[n:])
 	}
 }
 
-// TestTheNextHolderGoesOn: it finds what is there, and knows how many there were at first.
-func TestTheNextHolderGoesOn(t *testing.T) {
-	f := newFake(Zone{Name: "a", Engines: EngineCounts{3, 0}}, Zone{Name: "b", Engines: EngineCounts{3, 0}})
-	first, grant := scaler(f, "inst-1"), f.takeOver(1)
-	looks(first, grant, settledLooks+3)
-	f.zones[1].Engines = EngineCounts{} // taken back meanwhile
+// TestNextHolderUsesStoredCount: the next lease holder sees the running engines, and reads
+// how many the service began with. It orders nothing while it cannot read that.
+func TestNextHolderUsesStoredCount(t *testing.T) {
+	f := newFakePlatform(Zone{Name: "a", Engines: EngineCounts{3, 0}}, Zone{Name: "b", Engines: EngineCounts{3, 0}})
+	first, grant := newTestScaler(f, "inst-1"), f.takeOver(1)
+	doTimes(first, grant, stableObservations+3)
+	f.zones[1].Engines = EngineCounts{} // reclaimed in the meantime
 	n := len(f.orders)
-	next, taken := scaler(f, "inst-2"), f.takeOver(2)
+	next, nextGrant := newTestScaler(f, "inst-2"), f.takeOver(2)
 	f.tableOK = false
-	if looks(next, taken, settledLooks+1); len(f.orders) != n {
-		t.Fatalf("%v without knowing how many there were", f.orders[n:])
+	if doTimes(next, nextGrant, stableObservations+1); len(f.orders) != n {
+		t.Fatalf("%v without knowing the initial number", f.orders[n:])
 	}
 	f.tableOK = true
-	looks(next, taken, 2)
+	doTimes(next, nextGrant, 2)
 	if got := f.engines(); got != "[0 3][0 3]" || len(f.orders) != n+1 || f.orders[n].Epoch != 2 {
 		t.Errorf("%s after %v", got, f.orders[n:])
 	}
 }
 
-// TestAnEarlierHolderCountsNothing: of two that begin, the one with the newest epoch does,
-// and nothing is ordered away before.
-func TestAnEarlierHolderCountsNothing(t *testing.T) {
-	f := newFake(Zone{Name: "a", Engines: EngineCounts{3, 0}})
-	k, grant := scaler(f, "inst-1"), f.takeOver(1)
+// TestEarlierHolderCannotStoreCount: of two initial lease holders, only the one with the
+// newest epoch may store the number of engines. The other orders no engines away.
+func TestEarlierHolderCannotStoreCount(t *testing.T) {
+	f := newFakePlatform(Zone{Name: "a", Engines: EngineCounts{3, 0}})
+	k, grant := newTestScaler(f, "inst-1"), f.takeOver(1)
 	f.takeOver(2)
-	looks(k, grant, settledLooks+2)
+	doTimes(k, grant, stableObservations+2)
 	if got := f.engines(); got[1] != '3' {
-		t.Errorf("%s, though it may not count", got)
+		t.Errorf("%s, although the holder may not store the count", got)
 	}
 }
 
-// TestWithoutCheaperSpotEnginesNothingIsOrdered: there is no such kind, or it costs no less.
-// Also zones that have unlike many engines keep them.
-func TestWithoutCheaperSpotEnginesNothingIsOrdered(t *testing.T) {
+// TestNothingIsOrderedUnlessSpotIsCheaper: there are no spot engines, or they do not cost
+// less. Zones with different numbers of engines keep them.
+func TestNothingIsOrderedUnlessSpotIsCheaper(t *testing.T) {
 	for _, price := range []float64{0, 1, 2} {
-		f := newFake(Zone{Name: "a", Engines: EngineCounts{5, 0}}, Zone{Name: "b", Engines: EngineCounts{1, 0}})
+		f := newFakePlatform(Zone{Name: "a", Engines: EngineCounts{5, 0}}, Zone{Name: "b", Engines: EngineCounts{1, 0}})
 		f.limits.SpotPrice = price
-		if looks(scaler(f, "inst-1"), f.takeOver(1), settledLooks+4); len(f.orders) != 0 {
+		if doTimes(newTestScaler(f, "inst-1"), f.takeOver(1), stableObservations+4); len(f.orders) != 0 {
 			t.Errorf("price %g: %v", price, f.orders)
 		}
 	}
 }
 
-// TestARefusedOrderIsTakenByOtherZones: and asked for again only after a pause.
-func TestARefusedOrderIsTakenByOtherZones(t *testing.T) {
-	f := newFake(Zone{Name: "a", Engines: EngineCounts{3, 0}}, Zone{Name: "b", Engines: EngineCounts{3, 0}})
+// TestOtherZonesTakeOverRefusedOrder: other zones run the engines of a refused order, and the
+// order is repeated only after a delay.
+func TestOtherZonesTakeOverRefusedOrder(t *testing.T) {
+	f := newFakePlatform(Zone{Name: "a", Engines: EngineCounts{3, 0}}, Zone{Name: "b", Engines: EngineCounts{3, 0}})
 	f.refuse["b"] = true
-	k, grant := scaler(f, "inst-1"), f.takeOver(1)
-	looks(k, grant, settledLooks+4)
+	k, grant := newTestScaler(f, "inst-1"), f.takeOver(1)
+	doTimes(k, grant, stableObservations+4)
 	refused := 0
 	for _, o := range f.orders {
 		if o.Zone == "b" && o.Kind == Spot {
@@ -191,24 +195,24 @@
 		t.Errorf("%s after %d refused orders", got, refused)
 	}
 	if !errors.Is(f.Scale(context.Background(), Order{EngineGroup: EngineGroup{Zone: "b", Kind: Spot}}), ErrNoCapacity) {
-		t.Error("the fake does not refuse")
+		t.Error("the fake platform does not refuse")
 	}
 }
 
-// TestAnOrderThatMayNotHaveComeSaysNothingOfEngines: the address for orders is down, and no
-// other zone is to run more for that.
-func TestAnOrderThatMayNotHaveComeSaysNothingOfEngines(t *testing.T) {
-	f := newFake(Zone{Name: "a", Engines: EngineCounts{3, 0}}, Zone{Name: "b", Engines: EngineCounts{3, 0}})
+// TestFailedOrderDoesNotCountAsRefused: the address for orders does not answer. Other zones
+// must not run more engines because of that.
+func TestFailedOrderDoesNotCountAsRefused(t *testing.T) {
+	f := newFakePlatform(Zone{Name: "a", Engines: EngineCounts{3, 0}}, Zone{Name: "b", Engines: EngineCounts{3, 0}})
 	f.lost["b"] = true
-	k, grant := scaler(f, "inst-1"), f.takeOver(1)
-	looks(k, grant, settledLooks+4)
+	k, grant := newTestScaler(f, "inst-1"), f.takeOver(1)
+	doTimes(k, grant, stableObservations+4)
 	if got := f.engines(); got != "[0 3][3 0]" {
 		t.Errorf("%s", got)
 	}
 }
 
-// TestZonesAreListedByName: orders of two holders go to the same zones in the same order.
-func TestZonesAreListedByName(t *testing.T) {
+// TestZonesAreSortedByName: all lease holders order for the zones in the same sequence.
+func TestZonesAreSortedByName(t *testing.T) {
 	list := SortedZones(map[string]Zone{"b": {Name: "b"}, "a": {Name: "a"}, "c": {Name: "c"}})
 	if list[0].Name != "a" || list[2].Name != "c" {
 		t.Errorf("%v", list)
--- a/internal/scaling/scaling.go
+++ b/internal/scaling/scaling.go
@@ -1,9 +1,12 @@
-// Package scaling decides how many engines of which kind run in each availability zone, and
-// orders them. Two kinds are to be had: engines that stay until they are ordered away, and
-// spot engines, which cost a part of that and may be taken back, all of a zone at once.
+// Package scaling decides how many engines of each kind run in each availability zone, and
+// orders them from the platform. There are two kinds: on-demand engines, which run until
+// they are ordered away, and spot engines, which cost a fraction of that but may be
+// reclaimed by the platform, all of a zone at once.
 //
-// The decision (plan.go) is pure. The holder of the lease carries it out (scaler.go): it
-// orders what is missing first, and orders away what that replaces once it is there.
+// The decision (plan.go) is pure. Its inputs are the limits of a service and the engines
+// running in each zone, its output is the number of engines to order. The lease holder
+// carries it out (scaler.go): it orders missing engines first, and orders the engines that
+// they replace away once the new ones are running.
 //
 // Callers: instance (the duty).
 package scaling
@@ -14,13 +17,13 @@
 	"github.com/pkg/errors"
 )
 
-// Kind of engines.
+// Kind is a kind of engine.
 type Kind int
 
 const (
-	// OnDemand engines stay until they are ordered away.
+	// OnDemand engines run until they are ordered away. Logs call them "lasting".
 	OnDemand Kind = iota
-	// Spot engines cost less, and may be taken back.
+	// Spot engines cost less, and may be reclaimed by the platform.
 	Spot
 )
 
@@ -32,52 +35,53 @@
 	return "lasting"
 }
 
-// EngineGroup is what one order is about.
+// EngineGroup identifies the engines that an order applies to.
 type EngineGroup struct {
 	Service, Zone string
 	Kind          Kind
 }
 
-// Order has a number of engines run.
+// Order sets the number of engines in a group.
 type Order struct {
 	EngineGroup
 	Engines int
-	// Holder is the name of the instance that orders, Epoch the fencing number.
+	// Holder is the name of the instance that gives the order, Epoch its fencing number.
 	Holder string
 	Epoch  int64
 }
 
-// ErrNoCapacity: there are no such engines to be had now. Compare with errors.Is.
-var ErrNoCapacity = errors.New("scaling: no engines of this kind to be had in the zone")
+// ErrNoCapacity means that no engines of the kind are available in the zone now.
+var ErrNoCapacity = errors.New("scaling: no engines of this kind available in the zone")
 
-// Zone is what runs of a service in an availability zone: the engines that stay, and those
-// that are leaving already.
+// Zone is the state of a service in an availability zone. Engines are the running engines,
+// without those that are draining.
 type Zone struct {
 	Name              string
 	Engines, Draining [2]int // by kind
-	// SpotRefusedFor is for how long spot engines were not to be had there; 0 when they are,
-	// as far as it is known.
+	// SpotRefusedFor is for how long all orders of spot engines in the zone were refused; 0
+	// if none was, as far as known.
 	SpotRefusedFor time.Duration
 }
 
-// Settings of the plan.
+// Settings are the settings of the plan.
 type Settings struct {
-	// OnDemandReserve is how many lasting engines each zone keeps: what is left at once when
-	// all spot engines are taken back, of which the first ones must come back.
+	// OnDemandReserve is the number of on-demand engines that each zone keeps. They are all
+	// that is left when all spot engines are reclaimed, until the first ones are replaced.
 	OnDemandReserve int
-	// EngineShare is how many engines run for each one that the deployment began with, where
-	// the work is done by spot engines. With 1.2 of four zones, 0.9 are left when one is
-	// taken back; that served 0.004 to 0.009 more of the days' credit and cost 0.013,
-	// where a spot engine costs 0.18 of a lasting one.
+	// EngineShare is the number of engines to run for each engine that the deployment
+	// began with, where spot engines do the work. With 1.2 in four zones, 0.9 are left
+	// after one zone is reclaimed. That served 0.004 to 0.009 more of the days' credit and
+	// cost 0.013, with a spot engine at 0.18 of the price of an on-demand one.
 	EngineShare float64
-	// OnDemandAfter is how long spot engines are to be had in no zone until lasting ones
-	// take their place.
+	// OnDemandAfter is how long spot engines must be unavailable in all zones before
+	// on-demand engines replace them.
 	OnDemandAfter time.Duration
-	// MaxConcurrentChanges is how many engines start at a time, and how many leave.
+	// MaxConcurrentChanges is the maximum number of engines that start at a time, and also
+	// of those that shut down.
 	MaxConcurrentChanges int
 }
 
 // DefaultSettings returns the defaults.
 func DefaultSettings() Settings {
-	return Settings{OnDemandReserve: 0, EngineShare: 1, OnDemandAfter: lastingAfter, MaxConcurrentChanges: atOnce}
+	return Settings{OnDemandReserve: 0, EngineShare: 1, OnDemandAfter: defaultOnDemandAfter, MaxConcurrentChanges: defaultMaxConcurrentChanges}
 }
