--- a/internal/instance/orders_test.go
+++ b/internal/instance/orders_test.go
@@ -19,7 +19,9 @@
 	hear func(upstreamstate.Upstream, upstreamstate.Statement)
 }
 
-func (h *hearing) SetStatementHandler(hear func(upstreamstate.Upstream, upstreamstate.Statement)) { h.hear = hear }
+func (h *hearing) SetStatementHandler(hear func(upstreamstate.Upstream, upstreamstate.Statement)) {
+	h.hear = hear
+}
 
 // countingOrderer counts what reaches engines.
 type countingOrderer struct{ calls int }
--- a/internal/relay/pool.go
+++ b/internal/relay/pool.go
@@ -106,7 +106,9 @@
 func (r *Relay) Grant(service uint32) bool { return r.pool.grant(service, r.now()) }
 
 // SetPoolRequester sets how a send is asked for at the instance that keeps the pool.
-func (r *Relay) SetPoolRequester(ask func(ctx context.Context, service uint32) bool) { r.ask.Store(&ask) }
+func (r *Relay) SetPoolRequester(ask func(ctx context.Context, service uint32) bool) {
+	r.ask.Store(&ask)
+}
 
 // askPool asks for a send to a service.
 func (r *Relay) askPool(ctx context.Context, service uint32) bool {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -45,8 +45,8 @@
 	RetryIn time.Duration
 	// StartupRetryIn is told to them instead while this instance does not know the
 	// configuration or any upstream yet.
-	StartupRetryIn  time.Duration
-	Outliers load.OutlierRules
+	StartupRetryIn time.Duration
+	Outliers       load.OutlierRules
 	// UsageWindow is the length of the windows in which requests are counted that begin
 	// to run; 0 for a deployment that wants no such counts.
 	UsageWindow time.Duration
@@ -57,15 +57,15 @@
 	outliers := load.DefaultOutlierRules()
 	outliers.EjectAtMost = 5 * time.Second // a crashed upstream loses its entry within that
 	return Settings{
-		Budget:         BudgetSettings{Share: 0.2, Slack: 58, Window: 10 * time.Second},
-		Placement:      placement.DefaultSettings(),
-		Prior:          estimate.DefaultPrior(),
-		MaxSends:       4,
+		Budget:             BudgetSettings{Share: 0.2, Slack: 58, Window: 10 * time.Second},
+		Placement:          placement.DefaultSettings(),
+		Prior:              estimate.DefaultPrior(),
+		MaxSends:           4,
 		PrefillIdleTimeout: 1200 * time.Millisecond, // above the queue of a busy engine, below most deadlines
 		StreamIdleTimeout:  1200 * time.Millisecond, // callers leave after two seconds of silence
-		RetryIn:        150 * time.Millisecond,  // about the time of one long prompt
-		StartupRetryIn:        400 * time.Millisecond,  // of 79 instances that start at once half have the configuration after 0.55 s, the last after 0.9 s
-		Outliers:       outliers,
+		RetryIn:            150 * time.Millisecond,  // about the time of one long prompt
+		StartupRetryIn:     400 * time.Millisecond,  // of 79 instances that start at once half have the configuration after 0.55 s, the last after 0.9 s
+		Outliers:           outliers,
 	}
 }
 
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -113,8 +113,8 @@
 	// word. It was not asked.
 	ErrDeclined = errors.WithMessage(ErrNotSent, "the upstream takes none now")
 	// ErrLimited, ErrLeaving and ErrResting tell by which word.
-	ErrLimited = errors.WithMessage(ErrDeclined, "its limit leaves no room")
-	ErrDraining = errors.WithMessage(ErrDeclined, "it leaves")
+	ErrLimited    = errors.WithMessage(ErrDeclined, "its limit leaves no room")
+	ErrDraining   = errors.WithMessage(ErrDeclined, "it leaves")
 	ErrBackingOff = errors.WithMessage(ErrDeclined, "it asked for rest")
 	// ErrRefused: the upstream says that it did not run the request.
 	ErrRefused = errors.New("relay: the upstream did not run it")
