--- a/internal/peers/batch.go
+++ b/internal/peers/batch.go
@@ -46,7 +46,7 @@
 	if !b.room() {
 		return
 	}
-	b.message.Beyond = reportToMessage(b.reports.loads.BeyondReport())
+	b.message.Beyond = reportToMessage(b.reports.loads.OtherZonesReport())
 	b.bytes += proto.Size(b.message.Beyond)
 }
 
--- a/internal/peers/fleet_test.go
+++ b/internal/peers/fleet_test.go
@@ -73,10 +73,12 @@
 	return l
 }
 
-func (l *virtualLoads) Changed() <-chan struct{}           { return l.changed }
-func (l *virtualLoads) OwnReport() upstreamstate.Report    { return l.Picture.OwnReport(l.now()) }
-func (l *virtualLoads) ZoneReport() upstreamstate.Report   { return l.Picture.ZoneReport(l.now()) }
-func (l *virtualLoads) BeyondReport() upstreamstate.Report { return l.Picture.BeyondReport(l.now()) }
+func (l *virtualLoads) Changed() <-chan struct{}         { return l.changed }
+func (l *virtualLoads) OwnReport() upstreamstate.Report  { return l.Picture.OwnReport(l.now()) }
+func (l *virtualLoads) ZoneReport() upstreamstate.Report { return l.Picture.ZoneReport(l.now()) }
+func (l *virtualLoads) OtherZonesReport() upstreamstate.Report {
+	return l.Picture.BeyondReport(l.now())
+}
 func (l *virtualLoads) TakeReport(source string, report upstreamstate.Report) {
 	l.Picture.TakeReport(source, report, l.now())
 }
--- a/internal/peers/reports.go
+++ b/internal/peers/reports.go
@@ -37,7 +37,7 @@
 	// BeyondReport what all other zones have.
 	OwnReport() upstreamstate.Report
 	ZoneReport() upstreamstate.Report
-	BeyondReport() upstreamstate.Report
+	OtherZonesReport() upstreamstate.Report
 	// Learned is what this instance has learned of the engines.
 	Learned() map[uint32]estimate.Learned
 	// TakeReport takes the report of a source.
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -174,8 +174,8 @@
 	return report
 }
 
-// BeyondReport returns what this instance tells its zone of the other zones.
-func (r *Relay) BeyondReport() upstreamstate.Report {
+// OtherZonesReport returns what this instance tells its zone of the other zones.
+func (r *Relay) OtherZonesReport() upstreamstate.Report {
 	report := r.picture.BeyondReport(r.now())
 	report.Ends = r.contents.told((*quarantine.Table).BeyondEnds)
 	return report
