--- a/internal/peers/fleet_test.go
+++ b/internal/peers/fleet_test.go
@@ -79,7 +79,7 @@
 func (l *virtualLoads) OtherZonesReport() upstreamstate.Report {
 	return l.Picture.BeyondReport(l.now())
 }
-func (l *virtualLoads) TakeReport(source string, report upstreamstate.Report) {
+func (l *virtualLoads) ApplyReport(source string, report upstreamstate.Report) {
 	l.Picture.TakeReport(source, report, l.now())
 }
 
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -201,7 +201,7 @@
 	speaker := hubOf(all, "b")
 	waitFor(func() bool {
 		// A part is told once, and a datagram may be lost: it is placed again.
-		speaker.relay.TakeReport("instance x", upstreamstate.Report{Placed: []upstreamstate.Placed{{Engine: 1, Part: 2}}})
+		speaker.relay.ApplyReport("instance x", upstreamstate.Report{Placed: []upstreamstate.Placed{{Engine: 1, Part: 2}}})
 		for _, n := range all {
 			if n.self.Zone != speaker.self.Zone && !n.relay.HasPlacement(upstreamstate.Placed{Engine: 1, Part: 2}) {
 				return false
--- a/internal/peers/reports.go
+++ b/internal/peers/reports.go
@@ -40,8 +40,8 @@
 	OtherZonesReport() upstreamstate.Report
 	// Learned is what this instance has learned of the engines.
 	Learned() map[uint32]estimate.Learned
-	// TakeReport takes the report of a source.
-	TakeReport(source string, report upstreamstate.Report)
+	// ApplyReport takes the report of a source.
+	ApplyReport(source string, report upstreamstate.Report)
 	// Behind takes whether others are known to have rows that this instance lacks.
 	Behind(behind bool)
 	Limits
--- a/internal/peers/take.go
+++ b/internal/peers/take.go
@@ -107,7 +107,7 @@
 	for _, m := range messages {
 		own := ownFromMessage(m)
 		if own.Source != r.exchange.id && r.exchange.takeOwn(own, keep) {
-			r.loads.TakeReport(sourceOf(own.Source), own.Report)
+			r.loads.ApplyReport(sourceOf(own.Source), own.Report)
 		}
 	}
 }
@@ -121,7 +121,7 @@
 		return
 	}
 	if message.GetBeyond() != nil {
-		r.loads.TakeReport(beyondSource, reportFromMessage(message.GetBeyond()))
+		r.loads.ApplyReport(beyondSource, reportFromMessage(message.GetBeyond()))
 	}
 }
 
@@ -139,7 +139,7 @@
 		}
 		return false
 	}
-	r.loads.TakeReport(zoneSource(zone), reportFromMessage(message.GetBeyond()))
+	r.loads.ApplyReport(zoneSource(zone), reportFromMessage(message.GetBeyond()))
 	return true
 }
 
--- a/internal/relay/generate_test.go
+++ b/internal/relay/generate_test.go
@@ -181,7 +181,7 @@
 		holder.MarkUnavailable(id, time.Minute)
 		holder.picture.Judge(id, load.VerdictGood, holder.now()) // what ran there ends
 	}
-	other.TakeReport("instance holder", holder.OwnReport())
+	other.ApplyReport("instance holder", holder.OwnReport())
 	for _, r := range []*Relay{holder, other} {
 		if _, err := serve(r, shortPrompt("/once/1")); err != nil {
 			t.Fatal(err)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -184,8 +184,8 @@
 // Learned returns what this instance has learned of the engines.
 func (r *Relay) Learned() map[uint32]estimate.Learned { return r.picture.Learned() }
 
-// TakeReport takes the report of another instance, or of a whole zone.
-func (r *Relay) TakeReport(source string, report upstreamstate.Report) {
+// ApplyReport takes the report of another instance, or of a whole zone.
+func (r *Relay) ApplyReport(source string, report upstreamstate.Report) {
 	now := r.now()
 	r.picture.TakeReport(source, report, now)
 	r.showLimits()
--- a/internal/relay/usage_test.go
+++ b/internal/relay/usage_test.go
@@ -110,11 +110,11 @@
 	}
 	own := one.OwnReport()
 	for range 2 {
-		hub.TakeReport(upstreamstate.BesidePrefix+"one", own)
+		hub.ApplyReport(upstreamstate.BesidePrefix+"one", own)
 	}
 	zone := hub.ZoneReport()
 	for range 2 {
-		far.TakeReport("zone b", zone)
+		far.ApplyReport("zone b", zone)
 	}
 	if a, b := counted(hub, "mill"), counted(far, "mill"); a != 2 || b != 3 {
 		t.Errorf("%d are known at the hub, want 2; %d at the other zone's, want 3", a, b)
