--- a/internal/peers/fleet_test.go
+++ b/internal/peers/fleet_test.go
@@ -83,8 +83,8 @@
 	l.Picture.TakeReport(source, report, l.now())
 }
 
-// Behind is not played.
-func (l *virtualLoads) Behind(bool) {}
+// SetBehind is not played.
+func (l *virtualLoads) SetBehind(bool) {}
 
 // Grant gives whatever is asked for.
 func (l *virtualLoads) Grant(uint32) bool { l.granted++; return true }
--- a/internal/peers/reports.go
+++ b/internal/peers/reports.go
@@ -42,8 +42,8 @@
 	Learned() map[uint32]estimate.Learned
 	// ApplyReport takes the report of a source.
 	ApplyReport(source string, report upstreamstate.Report)
-	// Behind takes whether others are known to have rows that this instance lacks.
-	Behind(behind bool)
+	// SetBehind takes whether others are known to have rows that this instance lacks.
+	SetBehind(behind bool)
 	Limits
 	// Coordinate takes the part of upstreams' limits that this instance gives out; 0 for
 	// none. GrantLimited decides on one send to such an upstream.
@@ -145,7 +145,7 @@
 
 // tell sends what is due, and returns the time until something may be due again.
 func (r *Reports) tell(urgent bool) time.Duration {
-	r.loads.Behind(r.exchange.lacksRows())
+	r.loads.SetBehind(r.exchange.lacksRows())
 	r.loads.Coordinate(r.exchange.grantShare())
 	passes, hears := r.exchange.state()
 	due, wait := r.pace.Next(r.exchange.now(), passes, hears, urgent)
--- a/internal/relay/link.go
+++ b/internal/relay/link.go
@@ -30,9 +30,9 @@
 	l.note(func(s *ownlink.Link) { s.Heard(now) })
 }
 
-// Behind takes whether other instances are known to have rows of the platform that this one
+// SetBehind takes whether other instances are known to have rows of the platform that this one
 // lacks.
-func (r *Relay) Behind(behind bool) {
+func (r *Relay) SetBehind(behind bool) {
 	now := r.now()
 	r.link.note(func(s *ownlink.Link) { s.Lacks(behind, now) })
 }
