--- a/internal/peers/pull.go
+++ b/internal/peers/pull.go
@@ -53,7 +53,7 @@
 		e.meet(fromMessage(p))
 	}
 	if limits := e.limitsKnown(); limits != nil {
-		limits.HearLimits(limitsFromMessages(reply.Msg.GetLimits()), k.Zone == e.self.Zone)
+		limits.ApplyLimits(limitsFromMessages(reply.Msg.GetLimits()), k.Zone == e.self.Zone)
 	}
 	hold := time.Duration(reply.Msg.GetHoldMs()) * time.Millisecond
 	e.rows.Take(rowsFromMessages(reply.Msg.GetRows()), hold)
--- a/internal/peers/reports.go
+++ b/internal/peers/reports.go
@@ -58,8 +58,8 @@
 // from the peer that gives it the platform's rows, before it serves.
 type Limits interface {
 	Limits() []quota.Word
-	// HearLimits takes those of an instance of this zone, or of another one.
-	HearLimits(words []quota.Word, beside bool)
+	// ApplyLimits takes those of an instance of this zone, or of another one.
+	ApplyLimits(words []quota.Word, beside bool)
 }
 
 // Reports sends and takes the reports.
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -204,8 +204,8 @@
 // Limits returns what is known of upstreams' limits.
 func (r *Relay) Limits() []quota.Word { return r.picture.Limits(r.now()) }
 
-// HearLimits takes what an instance of this zone, or of another one, knows of them.
-func (r *Relay) HearLimits(words []quota.Word, beside bool) {
+// ApplyLimits takes what an instance of this zone, or of another one, knows of them.
+func (r *Relay) ApplyLimits(words []quota.Word, beside bool) {
 	r.picture.HearLimits(words, beside, r.now())
 	r.showLimits()
 }
