--- a/internal/peers/fleet_test.go
+++ b/internal/peers/fleet_test.go
@@ -93,8 +93,8 @@
 func (l *virtualLoads) Limits() []quota.Word           { return nil }
 func (l *virtualLoads) ApplyLimits([]quota.Word, bool) {}
 
-// Coordinate takes what this instance gives out.
-func (l *virtualLoads) Coordinate(share float64) { l.grants.Keep(share, l.now()) }
+// SetGrantShare takes what this instance gives out.
+func (l *virtualLoads) SetGrantShare(share float64) { l.grants.Keep(share, l.now()) }
 
 // GrantLimited decides as an instance does.
 func (l *virtualLoads) GrantLimited(ask quota.Ask) quota.Verdict {
--- a/internal/peers/reports.go
+++ b/internal/peers/reports.go
@@ -45,9 +45,9 @@
 	// SetBehind takes whether others are known to have rows that this instance lacks.
 	SetBehind(behind bool)
 	Limits
-	// Coordinate takes the part of upstreams' limits that this instance gives out; 0 for
+	// SetGrantShare takes the part of upstreams' limits that this instance gives out; 0 for
 	// none. GrantLimited decides on one send to such an upstream.
-	Coordinate(share float64)
+	SetGrantShare(share float64)
 	GrantLimited(ask quota.Ask) quota.Verdict
 	// Grant gives a further send to a service away, from the pool that this instance
 	// keeps for its zone; false when there is none.
@@ -146,7 +146,7 @@
 // tell sends what is due, and returns the time until something may be due again.
 func (r *Reports) tell(urgent bool) time.Duration {
 	r.loads.SetBehind(r.exchange.lacksRows())
-	r.loads.Coordinate(r.exchange.grantShare())
+	r.loads.SetGrantShare(r.exchange.grantShare())
 	passes, hears := r.exchange.state()
 	due, wait := r.pace.Next(r.exchange.now(), passes, hears, urgent)
 	if due.Own {
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -175,8 +175,8 @@
 
 func newGrants() *grants { return &grants{state: quota.NewGrants()} }
 
-// Coordinate takes the part of upstreams' limits that this instance gives out; 0 for none.
-func (r *Relay) Coordinate(share float64) {
+// SetGrantShare takes the part of upstreams' limits that this instance gives out; 0 for none.
+func (r *Relay) SetGrantShare(share float64) {
 	r.grants.mu.Lock()
 	before := r.grants.state.Share()
 	r.grants.state.Keep(share, r.now())
