--- a/internal/peers/fleet_test.go
+++ b/internal/peers/fleet_test.go
@@ -96,8 +96,8 @@
 // SetGrantShare takes what this instance gives out.
 func (l *virtualLoads) SetGrantShare(share float64) { l.grants.Keep(share, l.now()) }
 
-// GrantLimited decides as an instance does.
-func (l *virtualLoads) GrantLimited(ask quota.Ask) quota.Verdict {
+// DecideGrant decides as an instance does.
+func (l *virtualLoads) DecideGrant(ask quota.Ask) quota.Verdict {
 	return l.grants.Decide(l.Picture, ask, l.now())
 }
 
--- a/internal/peers/grants.go
+++ b/internal/peers/grants.go
@@ -106,7 +106,7 @@
 	ask.From = uint64(r.exchange.id)
 	coordinator := r.exchange.coordinator()
 	if coordinator == r.exchange.self.Address {
-		return r.loads.GrantLimited(ask)
+		return r.loads.DecideGrant(ask)
 	}
 	if coordinator == "" {
 		return quota.Verdict{RetryIn: quota.NoWordRetry}
@@ -145,7 +145,7 @@
 	ask := quota.Ask{
 		From: uint64(k.ID()), Word: limitFromMessage(m.GetLimit()), FirstHand: m.GetFirstHand(), Priority: int(m.GetPriority()), Continues: m.GetContinues(),
 	}
-	verdict := r.verdicts.of(question{k.ID(), m.GetId()}, r.exchange.now(), func() quota.Verdict { return r.loads.GrantLimited(ask) })
+	verdict := r.verdicts.of(question{k.ID(), m.GetId()}, r.exchange.now(), func() quota.Verdict { return r.loads.DecideGrant(ask) })
 	reply := r.message(sfv1.Datagram_KIND_LIMIT_VERDICT)
 	reply.LimitVerdict = &sfv1.LimitVerdict{Id: m.GetId(), Granted: verdict.Granted, RetryMs: uint32(verdict.RetryIn.Milliseconds())}
 	r.send(reply, []string{k.Address})
--- a/internal/peers/limit_test.go
+++ b/internal/peers/limit_test.go
@@ -137,7 +137,7 @@
 		ask := quota.Ask{Word: word, FirstHand: firstHand, From: uint64(n.exchange.id)}
 		switch coordinator := n.exchange.coordinator(); coordinator {
 		case n.exchange.self.Address:
-			if f.decided(c, u, n.loads.GrantLimited(ask)) {
+			if f.decided(c, u, n.loads.DecideGrant(ask)) {
 				return
 			}
 		case "":
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -186,9 +186,9 @@
 	}
 }
 
-// GrantLimited decides on one send to an upstream with a limit, of this instance or of
+// DecideGrant decides on one send to an upstream with a limit, of this instance or of
 // another one.
-func (r *Relay) GrantLimited(ask quota.Ask) quota.Verdict {
+func (r *Relay) DecideGrant(ask quota.Ask) quota.Verdict {
 	r.grants.mu.Lock()
 	verdict := r.grants.state.Decide(r.picture, ask, r.now())
 	r.grants.mu.Unlock()
