--- a/internal/peers/ask.go
+++ b/internal/peers/ask.go
@@ -50,7 +50,7 @@
 func (r *Reports) Ask(ctx context.Context, service uint32) bool {
 	hub, self := r.exchange.hub()
 	if self {
-		return r.loads.Grant(service)
+		return r.loads.GrantRetry(service)
 	}
 	if hub == "" {
 		return false
@@ -77,7 +77,7 @@
 func (r *Reports) takeAsk(message *sfv1.Datagram, k *known) {
 	reply := r.message(sfv1.Datagram_KIND_GRANT)
 	ask := message.GetAsk()
-	reply.Ask = &sfv1.PoolAsk{Id: ask.GetId(), Service: ask.GetService(), Granted: r.exchange.Passes() && r.loads.Grant(ask.GetService())}
+	reply.Ask = &sfv1.PoolAsk{Id: ask.GetId(), Service: ask.GetService(), Granted: r.exchange.Passes() && r.loads.GrantRetry(ask.GetService())}
 	r.send(reply, []string{k.Address})
 }
 
--- a/internal/peers/fleet_test.go
+++ b/internal/peers/fleet_test.go
@@ -86,8 +86,8 @@
 // SetBehind is not played.
 func (l *virtualLoads) SetBehind(bool) {}
 
-// Grant gives whatever is asked for.
-func (l *virtualLoads) Grant(uint32) bool { l.granted++; return true }
+// GrantRetry gives whatever is asked for.
+func (l *virtualLoads) GrantRetry(uint32) bool { l.granted++; return true }
 
 // Limits and HearLimits are not played: these instances do not pull.
 func (l *virtualLoads) Limits() []quota.Word           { return nil }
--- a/internal/peers/reports.go
+++ b/internal/peers/reports.go
@@ -49,9 +49,9 @@
 	// none. GrantLimited decides on one send to such an upstream.
 	SetGrantShare(share float64)
 	DecideGrant(ask quota.Ask) quota.Verdict
-	// Grant gives a further send to a service away, from the pool that this instance
+	// GrantRetry gives a further send to a service away, from the pool that this instance
 	// keeps for its zone; false when there is none.
-	Grant(service uint32) bool
+	GrantRetry(service uint32) bool
 }
 
 // Limits are those of upstreams that an instance knows. One that has just started takes them
--- a/internal/relay/pool.go
+++ b/internal/relay/pool.go
@@ -102,8 +102,8 @@
 	r.pool.set(members > 0, s.poolRules(members, instances))
 }
 
-// Grant gives a send to a service away, which is named by its hash.
-func (r *Relay) Grant(service uint32) bool { return r.pool.grant(service, r.now()) }
+// GrantRetry gives a send to a service away, which is named by its hash.
+func (r *Relay) GrantRetry(service uint32) bool { return r.pool.grant(service, r.now()) }
 
 // SetPoolRequester sets how a send is asked for at the instance that keeps the pool.
 func (r *Relay) SetPoolRequester(ask func(ctx context.Context, service uint32) bool) {
