--- a/internal/placement/assign.go
+++ b/internal/placement/assign.go
@@ -12,9 +12,9 @@
 // pair of prefill and decode scores higher than the best mixed one. Where the
 // configuration has neither, any engine takes the whole.
 func (s *Scheduler) Assign(req *Request, candidates []Candidate, rng *rand.Rand) (first Candidate, work Work, ok bool) {
-	if req.Work != WorkWhole {
+	if req.Phase != WorkWhole {
 		first, ok = s.Schedule(req, candidates, rng)
-		return first, req.Work, ok
+		return first, req.Phase, ok
 	}
 	whole, hasWhole := s.Schedule(req, candidates, rng)
 	if req.Split {
@@ -27,7 +27,7 @@
 		return whole, WorkWhole, true
 	}
 	any := *req
-	any.Work = WorkAny
+	any.Phase = WorkAny
 	first, ok = s.Schedule(&any, candidates, rng)
 	return first, WorkAny, ok
 }
@@ -36,8 +36,8 @@
 // and the lower of the two scores.
 func (s *Scheduler) pair(req *Request, candidates []Candidate, rng *rand.Rand) (prefill Candidate, score float64, ok bool) {
 	first, next := *req, *req
-	first.Work = WorkPrefill
-	next.Work, next.Prompt.Tokens, next.Prefix = WorkDecode, 0, nil
+	first.Phase = WorkPrefill
+	next.Phase, next.Prompt.Tokens, next.Prefix = WorkDecode, 0, nil
 	prefill, ok = s.Schedule(&first, ofRole(candidates, config.RolePrefill), rng)
 	if !ok {
 		return prefill, 0, false
--- a/internal/placement/filter_role.go
+++ b/internal/placement/filter_role.go
@@ -9,11 +9,11 @@
 // Keep implements Filter.
 func (RoleFilter) Keep(req *Request, c Candidate) bool {
 	role := c.role()
-	if role == "" || role == config.RoleMixed || req.Work == WorkAny {
+	if role == "" || role == config.RoleMixed || req.Phase == WorkAny {
 		return true
 	}
-	if req.Work == WorkDirect {
+	if req.Phase == WorkDirect {
 		return role == config.RoleDecode
 	}
-	return string(role) == string(req.Work)
+	return string(role) == string(req.Phase)
 }
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -36,7 +36,7 @@
 // Request is what the choice depends on.
 type Request struct {
 	Model, Adapter, Version string
-	Work                    Work
+	Phase                    Work
 	// Split allows a pair of prefill and decode engines; see Assign.
 	Split bool
 	// Zone of the instance.
--- a/internal/placement/stages.go
+++ b/internal/placement/stages.go
@@ -72,14 +72,14 @@
 // generators are the engines that may take the answer, until the next choice.
 func (s *Stages) generators(req *Request, candidates []Candidate) []Candidate {
 	generate := *req
-	generate.Work = WorkDecode
+	generate.Phase = WorkDecode
 	return s.generate.allowed(&generate, candidates)
 }
 
 // beginAs picks the engine that does a part of a generation first.
 func (s *Stages) beginAs(work Work, req *Request, candidates []Candidate, rng *rand.Rand) (Start, bool) {
 	begin := *req
-	begin.Work = work
+	begin.Phase = work
 	chosen, ok := s.start.Schedule(&begin, candidates, rng)
 	if !ok {
 		return Start{}, false
@@ -91,7 +91,7 @@
 // the request's KVZone.
 func (s *Stages) Generate(req *Request, candidates []Candidate, rng *rand.Rand) (Candidate, bool) {
 	generate := *req
-	generate.Work = WorkDecode
+	generate.Phase = WorkDecode
 	return s.generate.Schedule(&generate, candidates, rng)
 }
 
