--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -45,9 +45,9 @@
 	// Costs are what the service's engines take, where the instances tell one
 	// another what they have under way.
 	Costs Costs
-	// Objective is what is left of the time in which the answer is on time, Left
+	// Objective is what is left of the time in which the answer is on time, RemainingWait
 	// of the time that the caller waits for it; 0 when the route has none.
-	Objective, Left time.Duration
+	Objective, RemainingWait time.Duration
 	// KVZone is where the processed prompt's KV cache lies, for WorkDecode.
 	KVZone string
 	// Limits: upstreams may limit the requests that they take. Without it no candidate
--- a/internal/placement/turn.go
+++ b/internal/placement/turn.go
@@ -37,10 +37,10 @@
 	if told.Ahead-told.Yielding > slack {
 		return TurnYield
 	}
-	if told.Yielding <= 0 || req.Left <= 0 {
+	if told.Yielding <= 0 || req.RemainingWait <= 0 {
 		return TurnNext
 	}
-	share := 1 - told.Yielding.Seconds()/(c.YieldPart*req.Left.Seconds())
+	share := 1 - told.Yielding.Seconds()/(c.YieldPart*req.RemainingWait.Seconds())
 	if draw < share/max(told.Use, leastTurnUse) {
 		return TurnNext
 	}
--- a/internal/placement/turn_test.go
+++ b/internal/placement/turn_test.go
@@ -40,7 +40,7 @@
 			ahead := time.Duration(len(next)+len(yields)) * work
 			s := Start{Work: work, Engine: Candidate{Engine: &config.Engine{Loaded: config.EngineState{Role: config.RolePrefill}},
 				Told: Told{Ahead: ahead, Yielding: time.Duration(len(yields)) * work, Use: rate(now) / tick.Seconds() * work.Seconds()}}}
-			req := &Request{Objective: objective, Left: patience}
+			req := &Request{Objective: objective, RemainingWait: patience}
 			total++
 			if turn(Costs{Settings: DefaultSettings()}, req, s, rng.Float64()) == TurnYield {
 				yields = append(yields, now)
@@ -82,7 +82,7 @@
 func TestNoPromptYieldsWithoutAWait(t *testing.T) {
 	start := Start{Work: 20 * time.Millisecond, Engine: Candidate{Told: Told{Ahead: 50 * time.Millisecond, Yielding: 50 * time.Millisecond, Use: 1}}}
 	for _, objective := range []time.Duration{0, 200 * time.Millisecond} {
-		if got := (Costs{Settings: DefaultSettings()}).Turn(&Request{Objective: objective, Left: time.Second}, start, 0.99); got != TurnNext {
+		if got := (Costs{Settings: DefaultSettings()}).Turn(&Request{Objective: objective, RemainingWait: time.Second}, start, 0.99); got != TurnNext {
 			t.Errorf("objective %s: %s", objective, got)
 		}
 	}
@@ -90,7 +90,7 @@
 
 func TestAPromptThatIsLateAnywayYields(t *testing.T) {
 	start := Start{Work: 20 * time.Millisecond, Engine: Candidate{Told: Told{Ahead: 300 * time.Millisecond}}}
-	if got := (Costs{Settings: DefaultSettings()}).Turn(&Request{Objective: 200 * time.Millisecond, Left: time.Second}, start, 0); got != TurnYield {
+	if got := (Costs{Settings: DefaultSettings()}).Turn(&Request{Objective: 200 * time.Millisecond, RemainingWait: time.Second}, start, 0); got != TurnYield {
 		t.Errorf("%s", got)
 	}
 }
--- a/internal/upstreamstate/place.go
+++ b/internal/upstreamstate/place.go
@@ -26,7 +26,7 @@
 func (p *Picture) request(a Ask, now time.Duration) *placement.Request {
 	return &placement.Request{
 		Zone: p.settings.Zone, Prompt: a.Prompt, Excluded: a.Excluded, Now: now,
-		Objective: a.Objective, Left: a.Left, Costs: p.costs(a.Service),
+		Objective: a.Objective, RemainingWait: a.Left, Costs: p.costs(a.Service),
 		Limits: p.limits.any(),
 	}
 }
