--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -50,9 +50,9 @@
 	Objective, RemainingWait time.Duration
 	// KVZone is where the processed prompt's KV cache lies, for WorkDecode.
 	KVZone string
-	// Limits: upstreams may limit the requests that they take. Without it no candidate
+	// CheckLimits: upstreams may limit the requests that they take. Without it no candidate
 	// counts as Spent, which saves a look at all of them.
-	Limits bool
+	CheckLimits bool
 	// Blocks of KV memory that the request takes.
 	Blocks int
 	// Prefix has the hashes of the prompt's blocks; nil when hints are off.
@@ -210,7 +210,7 @@
 		s.leftBufs = make([][]Candidate, len(s.Preferences))
 	}
 	for i, p := range s.Preferences {
-		if p.Must && !req.Limits {
+		if p.Must && !req.CheckLimits {
 			continue
 		}
 		s.leftBufs[i] = p.kept(req, candidates, s.leftBufs[i][:0])
--- a/internal/placement/stages.go
+++ b/internal/placement/stages.go
@@ -56,7 +56,7 @@
 // allSpent tells whether no engine may take the answer: a prompt that is processed now
 // would find none afterwards.
 func (s *Stages) allSpent(req *Request, candidates []Candidate) bool {
-	if !req.Limits {
+	if !req.CheckLimits {
 		return false
 	}
 	able := s.generators(req, candidates)
--- a/internal/upstreamstate/place.go
+++ b/internal/upstreamstate/place.go
@@ -27,7 +27,7 @@
 	return &placement.Request{
 		Zone: p.settings.Zone, Prompt: a.Prompt, Excluded: a.Excluded, Now: now,
 		Objective: a.Objective, RemainingWait: a.Left, Costs: p.costs(a.Service),
-		Limits: p.limits.any(),
+		CheckLimits: p.limits.any(),
 	}
 }
 
@@ -41,7 +41,7 @@
 			ID: n.ID, Zone: n.Zone, Leave: n.Draining, Engine: n.engine,
 			Load: n.load, Silent: p.takesNone(n, req.Now), Told: n.toldTo(req.Now),
 		})
-		if req.Limits {
+		if req.CheckLimits {
 			one := &list[len(list)-1]
 			one.Limited, one.Spent = p.limits.book.Limits(n.hash), req.Now < p.limits.takesAgain(n.hash, a.Priority)
 		}
