--- a/internal/entry/routing.go
+++ b/internal/entry/routing.go
@@ -119,7 +119,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.table.Expire(p.At)
-	req.Zone, req.Leaving, req.Now = s.zone, s.leaving, p.At
+	req.Zone, req.Draining, req.Now = s.zone, s.leaving, p.At
 	req.Blocks, req.Prefix = p.Blocks, p.Prefix
 	chosen, work, ok := s.scheduler.Assign(req, s.candidates(p.At), s.rng)
 	if !ok {
@@ -154,7 +154,7 @@
 			ID: u.ID, Zone: u.Zone, Leave: u.Leave, Load: s.table.Engine(servicePrefix + u.ID),
 		})
 	}
-	req := &placement.Request{Zone: s.zone, Excluded: excluded, Leaving: s.leaving, Now: now}
+	req := &placement.Request{Zone: s.zone, Excluded: excluded, Draining: s.leaving, Now: now}
 	chosen, ok := s.services.Schedule(req, candidates, s.rng)
 	if !ok {
 		return nil, false
--- a/internal/placement/filter_leaving.go
+++ b/internal/placement/filter_leaving.go
@@ -6,5 +6,5 @@
 
 // Keep implements Filter.
 func (LeavingFilter) Keep(req *Request, c Candidate) bool {
-	return !c.Leave && !req.Leaving[c.ID]
+	return !c.Leave && !req.Draining[c.ID]
 }
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -59,8 +59,8 @@
 	Prefix []uint64
 	// Excluded upstreams failed this request already.
 	Excluded map[string]bool
-	// Leaving upstreams get no new work, by the platform's word.
-	Leaving map[string]bool
+	// Draining upstreams get no new work, by the platform's word.
+	Draining map[string]bool
 	Now     time.Duration
 }
 
