--- a/internal/entry/routing.go
+++ b/internal/entry/routing.go
@@ -91,7 +91,7 @@
 	candidates := make([]placement.Candidate, 0, len(s.engines))
 	for _, e := range s.engines {
 		candidates = append(candidates, placement.Candidate{
-			ID: e.ID, Zone: e.Zone, Leave: e.Leave, Engine: e,
+			ID: e.ID, Zone: e.Zone, Draining: e.Leave, Engine: e,
 			Load: s.table.Engine(e.ID), Silent: s.table.Silent(e.ID, now),
 		})
 	}
@@ -151,7 +151,7 @@
 	candidates := make([]placement.Candidate, 0, len(svc.Upstreams))
 	for _, u := range svc.Upstreams {
 		candidates = append(candidates, placement.Candidate{
-			ID: u.ID, Zone: u.Zone, Leave: u.Leave, Load: s.table.Engine(servicePrefix + u.ID),
+			ID: u.ID, Zone: u.Zone, Draining: u.Leave, Load: s.table.Engine(servicePrefix + u.ID),
 		})
 	}
 	req := &placement.Request{Zone: s.zone, Excluded: excluded, Draining: s.leaving, Now: now}
--- a/internal/placement/filter_leaving.go
+++ b/internal/placement/filter_leaving.go
@@ -6,5 +6,5 @@
 
 // Keep implements Filter.
 func (LeavingFilter) Keep(req *Request, c Candidate) bool {
-	return !c.Leave && !req.Draining[c.ID]
+	return !c.Draining && !req.Draining[c.ID]
 }
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -67,8 +67,8 @@
 // Candidate is an upstream with its picture.
 type Candidate struct {
 	ID, Zone string
-	// Leave is the operators' word that the upstream should leave.
-	Leave bool
+	// Draining is the operators' word that the upstream should leave.
+	Draining bool
 	// Engine is nil for a plain service's upstream.
 	Engine *config.Engine
 	Load   *load.Engine
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -46,7 +46,7 @@
 		change func(*Candidate)
 	}{
 		"out of routing":       {change: func(c *Candidate) { c.Engine.Routing = config.RoutingDraining }},
-		"leaving by operators": {change: func(c *Candidate) { c.Leave = true }},
+		"leaving by operators": {change: func(c *Candidate) { c.Draining = true }},
 		"leaving by platform":  {req: Request{Draining: map[string]bool{"e0": true}}},
 		"failed this request":  {req: Request{Excluded: map[string]bool{"e0": true}}},
 		"other model":          {change: func(c *Candidate) { c.Engine.Loaded.Model = "n" }},
--- a/internal/placement/stages_test.go
+++ b/internal/placement/stages_test.go
@@ -165,7 +165,7 @@
 }
 
 func TestEnginesThatLeaveOrFailedTheRequestAreNotChosen(t *testing.T) {
-	list := with(split(2, 2), "p0", func(c *Candidate) { c.Leave = true })
+	list := with(split(2, 2), "p0", func(c *Candidate) { c.Draining = true })
 	req := &Request{Prompt: long, Costs: costs, Excluded: map[string]bool{"p1": true, "d0": true}}
 	if start, ok := stages.Begin(req, list, rng()); !ok || start.Engine.ID != "d1" {
 		t.Errorf("%q, %t: want the one that is left", start.Engine.ID, ok)
--- a/internal/upstreamstate/place.go
+++ b/internal/upstreamstate/place.go
@@ -38,7 +38,7 @@
 	list, cached := p.candidateBuf[:0], p.cached(req)
 	for _, n := range p.byService[a.Service] {
 		list = append(list, placement.Candidate{
-			ID: n.ID, Zone: n.Zone, Leave: n.Draining, Engine: n.engine,
+			ID: n.ID, Zone: n.Zone, Draining: n.Draining, Engine: n.engine,
 			Load: n.load, Silent: p.takesNone(n, req.Now), Told: n.toldTo(req.Now),
 		})
 		if req.CheckLimits {
