--- a/internal/entry/routing.go
+++ b/internal/entry/routing.go
@@ -92,7 +92,7 @@
 	for _, e := range s.engines {
 		candidates = append(candidates, placement.Candidate{
 			ID: e.ID, Zone: e.Zone, Draining: e.Leave, Engine: e,
-			Load: s.table.Engine(e.ID), Silent: s.table.Silent(e.ID, now),
+			Load: s.table.Engine(e.ID), Suspect: s.table.Silent(e.ID, now),
 		})
 	}
 	return candidates
--- a/internal/placement/filter_health.go
+++ b/internal/placement/filter_health.go
@@ -8,5 +8,5 @@
 
 // Keep implements Filter.
 func (HealthFilter) Keep(req *Request, c Candidate) bool {
-	return !c.Silent && c.Load.Health.Admits(req.Now)
+	return !c.Suspect && c.Load.Health.Admits(req.Now)
 }
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -72,9 +72,9 @@
 	// Engine is nil for a plain service's upstream.
 	Engine *config.Engine
 	Load   *load.Engine
-	// Silent: the engine went without a report for too long, or another instance
+	// Suspect: the engine went without a report for too long, or another instance
 	// could not reach it.
-	Silent bool
+	Suspect bool
 	// Limited: it limits the requests that it takes. Spent: it has nothing left.
 	Limited, Spent bool
 	// Told is what the instances told one another of an engine, where they do.
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -100,7 +100,7 @@
 	if seen := chosen(); len(seen) != 10 {
 		t.Fatalf("chosen with 8 of 10 ejected: %v, want all", seen)
 	}
-	candidates[9].Silent = true
+	candidates[9].Suspect = true
 	eject(0)
 	if seen := chosen(); len(seen) != 10 {
 		t.Fatalf("chosen with 9 of 10 failing: %v, want all", seen)
--- a/internal/placement/stages_test.go
+++ b/internal/placement/stages_test.go
@@ -110,7 +110,7 @@
 	if got := begin(t, long, list).Source.ID; got != "d2" {
 		t.Errorf("source %q, want d2", got)
 	}
-	list = with(list, "d2", func(c *Candidate) { c.Silent = true })
+	list = with(list, "d2", func(c *Candidate) { c.Suspect = true })
 	if got := begin(t, long, list).Source.ID; got != "d1" {
 		t.Errorf("source %q while d2 is doubtful, want d1", got)
 	}
@@ -154,12 +154,12 @@
 
 func TestADoubtfulEngineIsTakenLast(t *testing.T) {
 	first := begin(t, long, split(2, 1)).Engine.ID
-	list := with(split(2, 1), first, func(c *Candidate) { c.Silent = true })
+	list := with(split(2, 1), first, func(c *Candidate) { c.Suspect = true })
 	if got := begin(t, long, list).Engine.ID; got == first {
 		t.Error("the doubtful engine was chosen")
 	}
 	for i := range list {
-		list[i].Silent = true
+		list[i].Suspect = true
 	}
 	begin(t, long, list)
 }
@@ -212,7 +212,7 @@
 		if c, _ := NewToldServiceScheduler().Schedule(&Request{Zone: "a"}, list, rng()); c.ID != tc.want {
 			t.Errorf("%d near, %d far: %s", tc.near, tc.far, c.ID)
 		}
-		list = with(list, tc.want, func(c *Candidate) { c.Silent = true })
+		list = with(list, tc.want, func(c *Candidate) { c.Suspect = true })
 		if c, _ := NewToldServiceScheduler().Schedule(&Request{Zone: "a"}, list, rng()); c.ID == tc.want {
 			t.Errorf("%d near, %d far: the doubtful one is chosen", tc.near, tc.far)
 		}
--- a/internal/upstreamstate/place.go
+++ b/internal/upstreamstate/place.go
@@ -39,7 +39,7 @@
 	for _, n := range p.byService[a.Service] {
 		list = append(list, placement.Candidate{
 			ID: n.ID, Zone: n.Zone, Draining: n.Draining, Engine: n.engine,
-			Load: n.load, Silent: p.takesNone(n, req.Now), Told: n.toldTo(req.Now),
+			Load: n.load, Suspect: p.takesNone(n, req.Now), Told: n.toldTo(req.Now),
 		})
 		if req.CheckLimits {
 			one := &list[len(list)-1]
