--- a/internal/placement/filter_allowance.go
+++ b/internal/placement/filter_allowance.go
@@ -5,4 +5,4 @@
 type AllowanceFilter struct{}
 
 // Keep implements Filter.
-func (AllowanceFilter) Keep(_ *Request, c Candidate) bool { return !c.Spent }
+func (AllowanceFilter) Keep(_ *Request, c Candidate) bool { return !c.Exhausted }
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -75,8 +75,8 @@
 	// Suspect: the engine went without a report for too long, or another instance
 	// could not reach it.
 	Suspect bool
-	// Limited: it limits the requests that it takes. Spent: it has nothing left.
-	Limited, Spent bool
+	// Limited: it limits the requests that it takes. Exhausted: it has nothing left.
+	Limited, Exhausted bool
 	// Told is what the instances told one another of an engine, where they do.
 	Told Told
 }
--- a/internal/placement/stages.go
+++ b/internal/placement/stages.go
@@ -60,7 +60,7 @@
 		return false
 	}
 	able := s.generators(req, candidates)
-	return len(able) > 0 && !slices.ContainsFunc(able, func(c Candidate) bool { return !c.Spent })
+	return len(able) > 0 && !slices.ContainsFunc(able, func(c Candidate) bool { return !c.Exhausted })
 }
 
 // AllLimited tells whether all engines that may take the answer limit their requests.
