--- a/internal/model/run.go
+++ b/internal/model/run.go
@@ -219,7 +219,7 @@
 	if req.start.Source.ID == "" && req.start.Fresh <= req.prompt.Tokens-req.prompt.SharedTokens() {
 		req.at.picture.Prefilled(service, estimate.Prefill{
 			Fresh: req.start.Fresh, Cached: req.prompt.Tokens - req.start.Fresh,
-			Ahead: req.start.Engine.Told.Ahead, Took: r.now - req.sent + e.spec.Overhead,
+			Ahead: req.start.Engine.Aggregate.Ahead, Took: r.now - req.sent + e.spec.Overhead,
 		})
 	}
 	r.free(req)
@@ -230,7 +230,7 @@
 	to := r.byID[chosen.ID]
 	fetched := max(0, req.prompt.Tokens-to.cache.has(req.prompt))
 	r.result.Moved += fetched
-	req.engine, req.cachedHere, req.sent = to, chosen.Told.Cached, r.now+e.spec.Overhead
+	req.engine, req.cachedHere, req.sent = to, chosen.Aggregate.Cached, r.now+e.spec.Overhead
 	if to.role != config.RoleDecode || to.gone {
 		req.at.picture.End(to.id, req.id, r.now)
 		return
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -77,8 +77,8 @@
 	Suspect bool
 	// Limited: it limits the requests that it takes. Exhausted: it has nothing left.
 	Limited, Exhausted bool
-	// Told is what the instances told one another of an engine, where they do.
-	Told Told
+	// Aggregate is what the instances told one another of an engine, where they do.
+	Aggregate Told
 }
 
 // Told is the part of an engine's picture that all instances have made together.
--- a/internal/placement/policy.go
+++ b/internal/placement/policy.go
@@ -120,7 +120,7 @@
 	}
 }
 
-func toldView(_ *Request, c Candidate) load.View { return load.View{Requests: c.Told.Requests} }
+func toldView(_ *Request, c Candidate) load.View { return load.View{Requests: c.Aggregate.Requests} }
 
 func localView(_ *Request, c Candidate) load.View { return c.Load.Local() }
 
--- a/internal/placement/score_generate.go
+++ b/internal/placement/score_generate.go
@@ -12,8 +12,8 @@
 
 // Score implements Scorer.
 func (GenerateScorer) Score(req *Request, c Candidate) float64 {
-	cost := req.Costs.fetch(req.Prompt.Tokens-c.Told.Cached, req.KVZone, c.Zone)
-	cost += req.Costs.crowd(c.Told.Requests)
-	cost += c.Told.Ahead/aheadShare + req.Costs.send(req.Zone, c)
+	cost := req.Costs.fetch(req.Prompt.Tokens-c.Aggregate.Cached, req.KVZone, c.Zone)
+	cost += req.Costs.crowd(c.Aggregate.Requests)
+	cost += c.Aggregate.Ahead/aheadShare + req.Costs.send(req.Zone, c)
 	return scoreOf(cost)
 }
--- a/internal/placement/stages_test.go
+++ b/internal/placement/stages_test.go
@@ -84,7 +84,7 @@
 
 func TestABusyEngineIsPassedOver(t *testing.T) {
 	first := begin(t, long, split(3, 1)).Engine.ID
-	list := with(split(3, 1), first, func(c *Candidate) { c.Told.Ahead, c.Told.Cached = time.Minute, 13000 })
+	list := with(split(3, 1), first, func(c *Candidate) { c.Aggregate.Ahead, c.Aggregate.Cached = time.Minute, 13000 })
 	start := begin(t, long, list)
 	if start.Engine.ID == first {
 		t.Error("the busy engine was chosen")
@@ -96,7 +96,7 @@
 
 func TestAPartIsNotCopiedForAShortWait(t *testing.T) {
 	first := begin(t, long, split(3, 1)).Engine.ID
-	list := with(split(3, 1), first, func(c *Candidate) { c.Told.Ahead, c.Told.Cached = 300*time.Millisecond, 13000 })
+	list := with(split(3, 1), first, func(c *Candidate) { c.Aggregate.Ahead, c.Aggregate.Cached = 300*time.Millisecond, 13000 })
 	if got := begin(t, long, list).Engine.ID; got != first {
 		t.Errorf("%s was chosen, which lacks the part", got)
 	}
@@ -105,7 +105,7 @@
 func TestTheSourceIsTheNearestThatHasMost(t *testing.T) {
 	list := split(1, 4) // d0 and d2 are in zone a with p0
 	for _, id := range []string{"d1", "d2"} {
-		list = with(list, id, func(c *Candidate) { c.Told.Cached = 13000 })
+		list = with(list, id, func(c *Candidate) { c.Aggregate.Cached = 13000 })
 	}
 	if got := begin(t, long, list).Source.ID; got != "d2" {
 		t.Errorf("source %q, want d2", got)
@@ -134,7 +134,7 @@
 		list := split(3, 2)
 		for i := range list {
 			if list[i].role() == config.RoleDecode {
-				list[i].Told.Use = c.use
+				list[i].Aggregate.Use = c.use
 			}
 		}
 		if start := begin(t, short, list); start.Direct() != c.direct {
@@ -182,7 +182,7 @@
 		t.Errorf("zone %s", chosen.Zone)
 	}
 	for _, id := range []string{"d0", "d2"} {
-		list = with(list, id, func(c *Candidate) { c.Told.Requests = 60 })
+		list = with(list, id, func(c *Candidate) { c.Aggregate.Requests = 60 })
 	}
 	if chosen, _ := stages.Generate(request, list, rng()); chosen.Zone != "b" {
 		t.Errorf("zone %s, though its engines are crowded", chosen.Zone)
@@ -206,8 +206,8 @@
 	}{{0, 0, "near"}, {2, 0, "near"}, {4, 0, "far"}, {9, 4, "far"}} {
 		table := load.NewTable()
 		list := []Candidate{
-			{ID: "near", Zone: "a", Load: table.Engine("near"), Told: Told{Requests: tc.near}},
-			{ID: "far", Zone: "b", Load: table.Engine("far"), Told: Told{Requests: tc.far}},
+			{ID: "near", Zone: "a", Load: table.Engine("near"), Aggregate: Told{Requests: tc.near}},
+			{ID: "far", Zone: "b", Load: table.Engine("far"), Aggregate: Told{Requests: tc.far}},
 		}
 		if c, _ := NewToldServiceScheduler().Schedule(&Request{Zone: "a"}, list, rng()); c.ID != tc.want {
 			t.Errorf("%d near, %d far: %s", tc.near, tc.far, c.ID)
--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -128,7 +128,7 @@
 	if !ok {
 		return attempt.Result{Ending: attempt.NoUpstream, Err: errors.WithMessage(ErrNotSent, "no engine for the prompt")}
 	}
-	g.ahead, g.own, g.turn = start.Engine.Told.Ahead, start.Work, turn
+	g.ahead, g.own, g.turn = start.Engine.Aggregate.Ahead, start.Work, turn
 	if g.direct = start.Direct(); g.direct {
 		r.meters.direct.Inc(1)
 		g.start = start
@@ -155,7 +155,7 @@
 	g.exchange.prefill = engine.ID
 	g.tries.Prepared()
 	started := r.now()
-	ahead := start.Engine.Told.Ahead
+	ahead := start.Engine.Aggregate.Ahead
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go r.whenSilent(ctx, engine.ID, ahead+work+r.settings.PrefillSilence, cancel)
@@ -178,8 +178,8 @@
 		})
 	}
 	r.log.Info("relay: prefilled", "request", g.req.ID, "engine", engine.ID, "tokens", g.prompt.Tokens,
-		"shared", g.prompt.SharedTokens(), "cached", start.Engine.Told.Cached, "source", start.Source.ID, "ahead", ahead,
-		"turn", g.turn, "yielding", start.Engine.Told.Yielding, "use", start.Engine.Told.Use, "predicted", work, "took", took,
+		"shared", g.prompt.SharedTokens(), "cached", start.Engine.Aggregate.Cached, "source", start.Source.ID, "ahead", ahead,
+		"turn", g.turn, "yielding", start.Engine.Aggregate.Yielding, "use", start.Engine.Aggregate.Use, "predicted", work, "took", took,
 		"running", said.Running, "waiting", said.Waiting)
 	return kv, nil
 }
@@ -243,11 +243,11 @@
 		return r.passFailure(ctx, g, engine, reply)
 	}
 	if !g.direct && !g.begun {
-		r.picture.Began(g.service, g.prompt.Tokens-start.Engine.Told.Cached, r.now()-started)
+		r.picture.Began(g.service, g.prompt.Tokens-start.Engine.Aggregate.Cached, r.now()-started)
 	}
 	r.log.Info("relay: generates", "request", g.req.ID, "engine", engine.ID, "direct", g.direct, "tokens", g.prompt.Tokens,
 		"running", reply.Load.Running, "waiting", reply.Load.Waiting, "after", r.now()-started,
-		"cached", start.Engine.Told.Cached, "ahead", start.Engine.Told.Ahead, "requests", start.Engine.Told.Requests, "last_event", g.lastEvent)
+		"cached", start.Engine.Aggregate.Cached, "ahead", start.Engine.Aggregate.Ahead, "requests", start.Engine.Aggregate.Requests, "last_event", g.lastEvent)
 	return r.passOn(ctx, stop, g, engine, reply, started)
 }
 
--- a/internal/upstreamstate/place.go
+++ b/internal/upstreamstate/place.go
@@ -39,14 +39,14 @@
 	for _, n := range p.byService[a.Service] {
 		list = append(list, placement.Candidate{
 			ID: n.ID, Zone: n.Zone, Draining: n.Draining, Engine: n.engine,
-			Load: n.load, Suspect: p.takesNone(n, req.Now), Told: n.toldTo(req.Now),
+			Load: n.load, Suspect: p.takesNone(n, req.Now), Aggregate: n.toldTo(req.Now),
 		})
 		if req.CheckLimits {
 			one := &list[len(list)-1]
 			one.Limited, one.Exhausted = p.limits.book.Limits(n.hash), req.Now < p.limits.takesAgain(n.hash, a.Priority)
 		}
 		if len(cached) > 0 {
-			list[len(list)-1].Told.Cached = cached[n.hash]
+			list[len(list)-1].Aggregate.Cached = cached[n.hash]
 		}
 	}
 	p.candidateBuf = list
@@ -98,7 +98,7 @@
 	}
 	p.place(start.Engine.ID, a.ID, now)
 	p.placePrompt(start, turn, now)
-	p.nodes[start.Engine.ID].work.inflow.add(float64(req.Prompt.Tokens-start.Engine.Told.Cached), now)
+	p.nodes[start.Engine.ID].work.inflow.add(float64(req.Prompt.Tokens-start.Engine.Aggregate.Cached), now)
 	p.notePrompt(start.Engine.ID, req.Prompt, now)
 	return start, turn, true
 }
@@ -115,7 +115,7 @@
 		return chosen, false
 	}
 	p.place(chosen.ID, a.ID, now)
-	p.nodes[chosen.ID].work.inflow.add(float64(a.Prompt.Tokens-chosen.Told.Cached), now)
+	p.nodes[chosen.ID].work.inflow.add(float64(a.Prompt.Tokens-chosen.Aggregate.Cached), now)
 	p.notePrompt(chosen.ID, req.Prompt, now)
 	return chosen, true
 }
--- a/internal/upstreamstate/upstreamstate_test.go
+++ b/internal/upstreamstate/upstreamstate_test.go
@@ -42,7 +42,7 @@
 	defer p.mu.Unlock()
 	for _, c := range p.candidates(a, p.request(a, now)) {
 		if c.ID == id {
-			return c.Told
+			return c.Aggregate
 		}
 	}
 	t.Fatalf("no upstream %s", id)
