--- a/internal/model/run.go
+++ b/internal/model/run.go
@@ -219,7 +219,7 @@
 	if req.start.Source.ID == "" && req.start.Fresh <= req.prompt.Tokens-req.prompt.SharedTokens() {
 		req.at.picture.Prefilled(service, estimate.Prefill{
 			Fresh: req.start.Fresh, Cached: req.prompt.Tokens - req.start.Fresh,
-			Ahead: req.start.Engine.Aggregate.Ahead, Took: r.now - req.sent + e.spec.Overhead,
+			Ahead: req.start.Engine.Aggregate.Backlog, Took: r.now - req.sent + e.spec.Overhead,
 		})
 	}
 	r.free(req)
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -83,8 +83,8 @@
 
 // Told is the part of an engine's picture that all instances have made together.
 type Told struct {
-	// Ahead is the predicted time of the prompts that wait there.
-	Ahead time.Duration
+	// Backlog is the predicted time of the prompts that wait there.
+	Backlog time.Duration
 	// Yielding is the part of Ahead that yields to other prompts.
 	Yielding time.Duration
 	// Use is the part of the engine's time that the prompts take which were
--- a/internal/placement/score_generate.go
+++ b/internal/placement/score_generate.go
@@ -14,6 +14,6 @@
 func (GenerateScorer) Score(req *Request, c Candidate) float64 {
 	cost := req.Costs.fetch(req.Prompt.Tokens-c.Aggregate.Cached, req.KVZone, c.Zone)
 	cost += req.Costs.crowd(c.Aggregate.Requests)
-	cost += c.Aggregate.Ahead/aheadShare + req.Costs.send(req.Zone, c)
+	cost += c.Aggregate.Backlog/aheadShare + req.Costs.send(req.Zone, c)
 	return scoreOf(cost)
 }
--- a/internal/placement/score_start.go
+++ b/internal/placement/score_start.go
@@ -63,9 +63,9 @@
 func (c Costs) startCost(s Start) time.Duration {
 	told := s.Engine.Aggregate
 	if s.Direct() {
-		return told.Ahead + c.between(s.Work, told.Use) + c.crowd(told.Requests)
+		return told.Backlog + c.between(s.Work, told.Use) + c.crowd(told.Requests)
 	}
-	return told.Ahead + s.Work + c.HandOver
+	return told.Backlog + s.Work + c.HandOver
 }
 
 // mostBetween bounds the part of an engine's time that prompts are reckoned to take
--- a/internal/placement/turn.go
+++ b/internal/placement/turn.go
@@ -31,10 +31,10 @@
 func (c Costs) Turn(req *Request, s Start, draw float64) Turn {
 	told := s.Engine.Aggregate
 	slack := req.Objective - c.Overhead - c.HandOver - s.Work
-	if req.Objective <= 0 || c.YieldPart <= 0 || told.Ahead <= slack/2 {
+	if req.Objective <= 0 || c.YieldPart <= 0 || told.Backlog <= slack/2 {
 		return TurnNext
 	}
-	if told.Ahead-told.Yielding > slack {
+	if told.Backlog-told.Yielding > slack {
 		return TurnYield
 	}
 	if told.Yielding <= 0 || req.RemainingWait <= 0 {
--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -128,7 +128,7 @@
 	if !ok {
 		return attempt.Result{Ending: attempt.NoUpstream, Err: errors.WithMessage(ErrNotSent, "no engine for the prompt")}
 	}
-	g.ahead, g.own, g.turn = start.Engine.Aggregate.Ahead, start.Work, turn
+	g.ahead, g.own, g.turn = start.Engine.Aggregate.Backlog, start.Work, turn
 	if g.direct = start.Direct(); g.direct {
 		r.meters.direct.Inc(1)
 		g.start = start
@@ -155,7 +155,7 @@
 	g.exchange.prefill = engine.ID
 	g.tries.Prepared()
 	started := r.now()
-	ahead := start.Engine.Aggregate.Ahead
+	ahead := start.Engine.Aggregate.Backlog
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go r.whenSilent(ctx, engine.ID, ahead+work+r.settings.PrefillSilence, cancel)
@@ -247,7 +247,7 @@
 	}
 	r.log.Info("relay: generates", "request", g.req.ID, "engine", engine.ID, "direct", g.direct, "tokens", g.prompt.Tokens,
 		"running", reply.Load.Running, "waiting", reply.Load.Waiting, "after", r.now()-started,
-		"cached", start.Engine.Aggregate.Cached, "ahead", start.Engine.Aggregate.Ahead, "requests", start.Engine.Aggregate.Requests, "last_event", g.lastEvent)
+		"cached", start.Engine.Aggregate.Cached, "ahead", start.Engine.Aggregate.Backlog, "requests", start.Engine.Aggregate.Requests, "last_event", g.lastEvent)
 	return r.passOn(ctx, stop, g, engine, reply, started)
 }
 
--- a/internal/upstreamstate/upstreamstate_test.go
+++ b/internal/upstreamstate/upstreamstate_test.go
@@ -164,13 +164,13 @@
 		t.Fatalf("%+v, %s, %t", start, turn, ok)
 	}
 	other.TakeReport(BesidePrefix+"one", p.OwnReport(0), 0)
-	if got := toldOf(t, other, start.Engine.ID, Ask{Service: "llm"}, 0).Ahead; got != start.Work {
+	if got := toldOf(t, other, start.Engine.ID, Ask{Service: "llm"}, 0).Backlog; got != start.Work {
 		t.Errorf("%s ahead, want %s", got, start.Work)
 	}
 	p.PromptDone(start.Engine.ID, start.Work, turn)
 	p.End(start.Engine.ID, "r", 0)
 	other.TakeReport(BesidePrefix+"one", p.OwnReport(0), 0)
-	if got := toldOf(t, other, start.Engine.ID, Ask{Service: "llm"}, 0).Ahead; got != 0 {
+	if got := toldOf(t, other, start.Engine.ID, Ask{Service: "llm"}, 0).Backlog; got != 0 {
 		t.Errorf("%s ahead of nothing", got)
 	}
 }
