--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -85,8 +85,8 @@
 type Told struct {
 	// Backlog is the predicted time of the prompts that wait there.
 	Backlog time.Duration
-	// Yielding is the part of Ahead that yields to other prompts.
-	Yielding time.Duration
+	// DeferredBacklog is the part of Ahead that yields to other prompts.
+	DeferredBacklog time.Duration
 	// Use is the part of the engine's time that the prompts take which were
 	// placed there lately; above 1 when they are more than it can process.
 	Use float64
--- a/internal/placement/turn.go
+++ b/internal/placement/turn.go
@@ -34,13 +34,13 @@
 	if req.Objective <= 0 || c.YieldPart <= 0 || told.Backlog <= slack/2 {
 		return TurnNext
 	}
-	if told.Backlog-told.Yielding > slack {
+	if told.Backlog-told.DeferredBacklog > slack {
 		return TurnYield
 	}
-	if told.Yielding <= 0 || req.RemainingWait <= 0 {
+	if told.DeferredBacklog <= 0 || req.RemainingWait <= 0 {
 		return TurnNext
 	}
-	share := 1 - told.Yielding.Seconds()/(c.YieldPart*req.RemainingWait.Seconds())
+	share := 1 - told.DeferredBacklog.Seconds()/(c.YieldPart*req.RemainingWait.Seconds())
 	if draw < share/max(told.Use, leastTurnUse) {
 		return TurnNext
 	}
