--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -87,9 +87,9 @@
 	Backlog time.Duration
 	// DeferredBacklog is the part of Ahead that yields to other prompts.
 	DeferredBacklog time.Duration
-	// Use is the part of the engine's time that the prompts take which were
+	// Utilization is the part of the engine's time that the prompts take which were
 	// placed there lately; above 1 when they are more than it can process.
-	Use float64
+	Utilization float64
 	// Requests that run or wait there.
 	Requests int
 	// Cached is how many leading tokens of the request's prompt it is believed
--- a/internal/placement/score_start.go
+++ b/internal/placement/score_start.go
@@ -63,7 +63,7 @@
 func (c Costs) startCost(s Start) time.Duration {
 	told := s.Engine.Aggregate
 	if s.Direct() {
-		return told.Backlog + c.between(s.Work, told.Use) + c.crowd(told.Requests)
+		return told.Backlog + c.between(s.Work, told.Utilization) + c.crowd(told.Requests)
 	}
 	return told.Backlog + s.Work + c.HandOver
 }
--- a/internal/placement/stages_test.go
+++ b/internal/placement/stages_test.go
@@ -134,7 +134,7 @@
 		list := split(3, 2)
 		for i := range list {
 			if list[i].role() == config.RoleDecode {
-				list[i].Aggregate.Use = c.use
+				list[i].Aggregate.Utilization = c.use
 			}
 		}
 		if start := begin(t, short, list); start.Direct() != c.direct {
--- a/internal/placement/turn.go
+++ b/internal/placement/turn.go
@@ -41,7 +41,7 @@
 		return TurnNext
 	}
 	share := 1 - told.DeferredBacklog.Seconds()/(c.YieldPart*req.RemainingWait.Seconds())
-	if draw < share/max(told.Use, leastTurnUse) {
+	if draw < share/max(told.Utilization, leastTurnUse) {
 		return TurnNext
 	}
 	return TurnYield
--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -179,7 +179,7 @@
 	}
 	r.log.Info("relay: prefilled", "request", g.req.ID, "engine", engine.ID, "tokens", g.prompt.Tokens,
 		"shared", g.prompt.SharedTokens(), "cached", start.Engine.Aggregate.Cached, "source", start.Source.ID, "ahead", ahead,
-		"turn", g.turn, "yielding", start.Engine.Aggregate.DeferredBacklog, "use", start.Engine.Aggregate.Use, "predicted", work, "took", took,
+		"turn", g.turn, "yielding", start.Engine.Aggregate.DeferredBacklog, "use", start.Engine.Aggregate.Utilization, "predicted", work, "took", took,
 		"running", said.Running, "waiting", said.Waiting)
 	return kv, nil
 }
