--- a/internal/model/run.go
+++ b/internal/model/run.go
@@ -230,7 +230,7 @@
 	to := r.byID[chosen.ID]
 	fetched := max(0, req.prompt.Tokens-to.cache.has(req.prompt))
 	r.result.Moved += fetched
-	req.engine, req.cachedHere, req.sent = to, chosen.Aggregate.Cached, r.now+e.spec.Overhead
+	req.engine, req.cachedHere, req.sent = to, chosen.Aggregate.CachedTokens, r.now+e.spec.Overhead
 	if to.role != config.RoleDecode || to.gone {
 		req.at.picture.End(to.id, req.id, r.now)
 		return
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -92,9 +92,9 @@
 	Utilization float64
 	// Requests that run or wait there.
 	Requests int
-	// Cached is how many leading tokens of the request's prompt it is believed
+	// CachedTokens is how many leading tokens of the request's prompt it is believed
 	// to have.
-	Cached int
+	CachedTokens int
 }
 
 // role of a model engine; "" for other upstreams.
--- a/internal/placement/score_generate.go
+++ b/internal/placement/score_generate.go
@@ -12,7 +12,7 @@
 
 // Score implements Scorer.
 func (GenerateScorer) Score(req *Request, c Candidate) float64 {
-	cost := req.Costs.fetch(req.Prompt.Tokens-c.Aggregate.Cached, req.KVZone, c.Zone)
+	cost := req.Costs.fetch(req.Prompt.Tokens-c.Aggregate.CachedTokens, req.KVZone, c.Zone)
 	cost += req.Costs.crowd(c.Aggregate.Requests)
 	cost += c.Aggregate.Backlog/aheadShare + req.Costs.send(req.Zone, c)
 	return scoreOf(cost)
--- a/internal/placement/score_start.go
+++ b/internal/placement/score_start.go
@@ -51,7 +51,7 @@
 func (s *startAmong) Score(req *Request, c Candidate) float64 {
 	cost := req.Costs.startCost(req.Costs.startOn(req, c, s.sources))
 	if s.leaderOf(c.role()).Node != c.ID {
-		cost += req.Costs.copyCost(req.Prompt, c.Aggregate.Cached)
+		cost += req.Costs.copyCost(req.Prompt, c.Aggregate.CachedTokens)
 	}
 	if c.role() != config.RolePrefill {
 		cost += req.Costs.send(req.Zone, c) // the answer comes from there
@@ -96,11 +96,11 @@
 // startOn works out how a prompt would be processed on an engine.
 func (c Costs) startOn(req *Request, on Candidate, from sources) Start {
 	start := Start{Engine: on}
-	cached := on.Aggregate.Cached
+	cached := on.Aggregate.CachedTokens
 	if source, ok := c.source(on, from); ok {
 		start.Source = source
-		start.Work = c.fetch(source.Aggregate.Cached-cached, source.Zone, on.Zone)
-		cached = source.Aggregate.Cached
+		start.Work = c.fetch(source.Aggregate.CachedTokens-cached, source.Zone, on.Zone)
+		cached = source.Aggregate.CachedTokens
 	}
 	start.Fresh = max(0, req.Prompt.Tokens-cached)
 	work := c.work(req.Prompt, cached)
@@ -123,7 +123,7 @@
 func sourcesOf(req *Request, all []Candidate) sources {
 	var s sources
 	for i := range all {
-		cached := all[i].Aggregate.Cached
+		cached := all[i].Aggregate.CachedTokens
 		if cached == 0 || cached < s.tokens || !(HealthFilter{}).Keep(req, all[i]) {
 			continue
 		}
@@ -138,7 +138,7 @@
 // source is the engine to fetch a prompt's shared part from, if that is enough more
 // than one has to be worth a fetch; the nearest of equals.
 func (c Costs) source(to Candidate, from sources) (Candidate, bool) {
-	if len(from.list) == 0 || from.tokens-to.Aggregate.Cached < max(1, c.FetchFrom) {
+	if len(from.list) == 0 || from.tokens-to.Aggregate.CachedTokens < max(1, c.FetchFrom) {
 		return Candidate{}, false
 	}
 	for i := range from.list {
--- a/internal/placement/stages_test.go
+++ b/internal/placement/stages_test.go
@@ -84,7 +84,7 @@
 
 func TestABusyEngineIsPassedOver(t *testing.T) {
 	first := begin(t, long, split(3, 1)).Engine.ID
-	list := with(split(3, 1), first, func(c *Candidate) { c.Aggregate.Backlog, c.Aggregate.Cached = time.Minute, 13000 })
+	list := with(split(3, 1), first, func(c *Candidate) { c.Aggregate.Backlog, c.Aggregate.CachedTokens = time.Minute, 13000 })
 	start := begin(t, long, list)
 	if start.Engine.ID == first {
 		t.Error("the busy engine was chosen")
@@ -96,7 +96,7 @@
 
 func TestAPartIsNotCopiedForAShortWait(t *testing.T) {
 	first := begin(t, long, split(3, 1)).Engine.ID
-	list := with(split(3, 1), first, func(c *Candidate) { c.Aggregate.Backlog, c.Aggregate.Cached = 300*time.Millisecond, 13000 })
+	list := with(split(3, 1), first, func(c *Candidate) { c.Aggregate.Backlog, c.Aggregate.CachedTokens = 300*time.Millisecond, 13000 })
 	if got := begin(t, long, list).Engine.ID; got != first {
 		t.Errorf("%s was chosen, which lacks the part", got)
 	}
@@ -105,7 +105,7 @@
 func TestTheSourceIsTheNearestThatHasMost(t *testing.T) {
 	list := split(1, 4) // d0 and d2 are in zone a with p0
 	for _, id := range []string{"d1", "d2"} {
-		list = with(list, id, func(c *Candidate) { c.Aggregate.Cached = 13000 })
+		list = with(list, id, func(c *Candidate) { c.Aggregate.CachedTokens = 13000 })
 	}
 	if got := begin(t, long, list).Source.ID; got != "d2" {
 		t.Errorf("source %q, want d2", got)
--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -178,7 +178,7 @@
 		})
 	}
 	r.log.Info("relay: prefilled", "request", g.req.ID, "engine", engine.ID, "tokens", g.prompt.Tokens,
-		"shared", g.prompt.SharedTokens(), "cached", start.Engine.Aggregate.Cached, "source", start.Source.ID, "ahead", ahead,
+		"shared", g.prompt.SharedTokens(), "cached", start.Engine.Aggregate.CachedTokens, "source", start.Source.ID, "ahead", ahead,
 		"turn", g.turn, "yielding", start.Engine.Aggregate.DeferredBacklog, "use", start.Engine.Aggregate.Utilization, "predicted", work, "took", took,
 		"running", said.Running, "waiting", said.Waiting)
 	return kv, nil
@@ -243,11 +243,11 @@
 		return r.passFailure(ctx, g, engine, reply)
 	}
 	if !g.direct && !g.begun {
-		r.picture.Began(g.service, g.prompt.Tokens-start.Engine.Aggregate.Cached, r.now()-started)
+		r.picture.Began(g.service, g.prompt.Tokens-start.Engine.Aggregate.CachedTokens, r.now()-started)
 	}
 	r.log.Info("relay: generates", "request", g.req.ID, "engine", engine.ID, "direct", g.direct, "tokens", g.prompt.Tokens,
 		"running", reply.Load.Running, "waiting", reply.Load.Waiting, "after", r.now()-started,
-		"cached", start.Engine.Aggregate.Cached, "ahead", start.Engine.Aggregate.Backlog, "requests", start.Engine.Aggregate.Requests, "last_event", g.lastEvent)
+		"cached", start.Engine.Aggregate.CachedTokens, "ahead", start.Engine.Aggregate.Backlog, "requests", start.Engine.Aggregate.Requests, "last_event", g.lastEvent)
 	return r.passOn(ctx, stop, g, engine, reply, started)
 }
 
--- a/internal/upstreamstate/place.go
+++ b/internal/upstreamstate/place.go
@@ -46,7 +46,7 @@
 			one.Limited, one.Exhausted = p.limits.book.Limits(n.hash), req.Now < p.limits.takesAgain(n.hash, a.Priority)
 		}
 		if len(cached) > 0 {
-			list[len(list)-1].Aggregate.Cached = cached[n.hash]
+			list[len(list)-1].Aggregate.CachedTokens = cached[n.hash]
 		}
 	}
 	p.candidateBuf = list
@@ -98,7 +98,7 @@
 	}
 	p.place(start.Engine.ID, a.ID, now)
 	p.placePrompt(start, turn, now)
-	p.nodes[start.Engine.ID].work.inflow.add(float64(req.Prompt.Tokens-start.Engine.Aggregate.Cached), now)
+	p.nodes[start.Engine.ID].work.inflow.add(float64(req.Prompt.Tokens-start.Engine.Aggregate.CachedTokens), now)
 	p.notePrompt(start.Engine.ID, req.Prompt, now)
 	return start, turn, true
 }
@@ -115,7 +115,7 @@
 		return chosen, false
 	}
 	p.place(chosen.ID, a.ID, now)
-	p.nodes[chosen.ID].work.inflow.add(float64(a.Prompt.Tokens-chosen.Aggregate.Cached), now)
+	p.nodes[chosen.ID].work.inflow.add(float64(a.Prompt.Tokens-chosen.Aggregate.CachedTokens), now)
 	p.notePrompt(chosen.ID, req.Prompt, now)
 	return chosen, true
 }
--- a/internal/upstreamstate/upstreamstate_test.go
+++ b/internal/upstreamstate/upstreamstate_test.go
@@ -150,7 +150,7 @@
 		p.TakeReport("zone b", Report{Placed: []Placed{{Engine: hashOf("pre-1"), Part: hashOf("shared")}}}, 0)
 		p.TakeReport("zone b", Report{Loads: []EngineLoad{{Engine: hashOf("pre-1"), Inflow: c.inflow}}}, c.after)
 		ask := Ask{Service: "llm", Prompt: long}
-		if got := toldOf(t, p, "pre-1", ask, c.after).Cached; got != c.cached {
+		if got := toldOf(t, p, "pre-1", ask, c.after).CachedTokens; got != c.cached {
 			t.Errorf("%g tokens a second, after %s: %d believed cached, want %d", c.inflow, c.after, got, c.cached)
 		}
 	}
