--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -78,11 +78,11 @@
 	// Limited: it limits the requests that it takes. Exhausted: it has nothing left.
 	Limited, Exhausted bool
 	// Aggregate is what the instances told one another of an engine, where they do.
-	Aggregate Told
+	Aggregate AggregateLoad
 }
 
-// Told is the part of an engine's picture that all instances have made together.
-type Told struct {
+// AggregateLoad is the part of an engine's picture that all instances have made together.
+type AggregateLoad struct {
 	// Backlog is the predicted time of the prompts that wait there.
 	Backlog time.Duration
 	// DeferredBacklog is the part of Ahead that yields to other prompts.
--- a/internal/placement/stages_test.go
+++ b/internal/placement/stages_test.go
@@ -206,8 +206,8 @@
 	}{{0, 0, "near"}, {2, 0, "near"}, {4, 0, "far"}, {9, 4, "far"}} {
 		table := load.NewTable()
 		list := []Candidate{
-			{ID: "near", Zone: "a", Load: table.Engine("near"), Aggregate: Told{Requests: tc.near}},
-			{ID: "far", Zone: "b", Load: table.Engine("far"), Aggregate: Told{Requests: tc.far}},
+			{ID: "near", Zone: "a", Load: table.Engine("near"), Aggregate: AggregateLoad{Requests: tc.near}},
+			{ID: "far", Zone: "b", Load: table.Engine("far"), Aggregate: AggregateLoad{Requests: tc.far}},
 		}
 		if c, _ := NewToldServiceScheduler().Schedule(&Request{Zone: "a"}, list, rng()); c.ID != tc.want {
 			t.Errorf("%d near, %d far: %s", tc.near, tc.far, c.ID)
--- a/internal/upstreamstate/upstreamstate_test.go
+++ b/internal/upstreamstate/upstreamstate_test.go
@@ -36,7 +36,7 @@
 }
 
 // toldOf is what placement is told of an upstream.
-func toldOf(t *testing.T, p *Picture, id string, a Ask, now time.Duration) placement.Told {
+func toldOf(t *testing.T, p *Picture, id string, a Ask, now time.Duration) placement.AggregateLoad {
 	t.Helper()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -46,7 +46,7 @@
 		}
 	}
 	t.Fatalf("no upstream %s", id)
-	return placement.Told{}
+	return placement.AggregateLoad{}
 }
 
 // TestAnUpstreamThatStartedAgainIsANewOne, under the id that it had: it has nothing under
