--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -119,9 +119,9 @@
 // Comparer is a scorer whose score depends on the other candidates.
 type Comparer interface {
 	Scorer
-	// Among returns the scorer for a choice among the kept candidates; all are
+	// ForCandidates returns the scorer for a choice among the kept candidates; all are
 	// those that the strict filters left.
-	Among(req *Request, kept, all []Candidate) Scorer
+	ForCandidates(req *Request, kept, all []Candidate) Scorer
 }
 
 // WeightedScorer is a scorer with its weight in the sum.
@@ -226,7 +226,7 @@
 	scorers := slices.Clone(s.Scorers)
 	for i, w := range scorers {
 		if comparer, ok := w.Scorer.(Comparer); ok {
-			scorers[i].Scorer = comparer.Among(req, kept, all)
+			scorers[i].Scorer = comparer.ForCandidates(req, kept, all)
 		}
 	}
 	return scorers
