--- a/internal/placement/score_start.go
+++ b/internal/placement/score_start.go
@@ -17,11 +17,11 @@
 
 // Score implements Scorer, for a candidate alone.
 func (s StartScorer) Score(req *Request, c Candidate) float64 {
-	return s.Among(req, []Candidate{c}, []Candidate{c}).Score(req, c)
+	return s.ForCandidates(req, []Candidate{c}, []Candidate{c}).Score(req, c)
 }
 
-// Among implements Comparer.
-func (s StartScorer) Among(req *Request, kept, all []Candidate) Scorer {
+// ForCandidates implements Comparer.
+func (s StartScorer) ForCandidates(req *Request, kept, all []Candidate) Scorer {
 	key := req.Prompt.SharedKey()
 	among := startAmong{
 		prefill: rendezvous.Leader{Key: key}, other: rendezvous.Leader{Key: key}, sources: sourcesOf(req, all),
