--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -116,8 +116,8 @@
 	Score(req *Request, c Candidate) float64
 }
 
-// Comparer is a scorer whose score depends on the other candidates.
-type Comparer interface {
+// RelativeScorer is a scorer whose score depends on the other candidates.
+type RelativeScorer interface {
 	Scorer
 	// ForCandidates returns the scorer for a choice among the kept candidates; all are
 	// those that the strict filters left.
@@ -225,7 +225,7 @@
 func (s *Scheduler) among(req *Request, kept, all []Candidate) []WeightedScorer {
 	scorers := slices.Clone(s.Scorers)
 	for i, w := range scorers {
-		if comparer, ok := w.Scorer.(Comparer); ok {
+		if comparer, ok := w.Scorer.(RelativeScorer); ok {
 			scorers[i].Scorer = comparer.ForCandidates(req, kept, all)
 		}
 	}
