--- a/internal/placement/assign.go
+++ b/internal/placement/assign.go
@@ -12,7 +12,7 @@
 // pair of prefill and decode scores higher than the best mixed one. Where the
 // configuration has neither, any engine takes the whole.
 func (s *Scheduler) Assign(req *Request, candidates []Candidate, rng *rand.Rand) (first Candidate, work Work, ok bool) {
-	if req.Phase != WorkWhole {
+	if req.Phase != PhaseFull {
 		first, ok = s.Schedule(req, candidates, rng)
 		return first, req.Phase, ok
 	}
@@ -24,7 +24,7 @@
 		}
 	}
 	if hasWhole {
-		return whole, WorkWhole, true
+		return whole, PhaseFull, true
 	}
 	any := *req
 	any.Phase = WorkAny
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -19,8 +19,8 @@
 
 // Parts of a request.
 const (
-	// WorkWhole is prefill and decode on one engine.
-	WorkWhole Work = ""
+	// PhaseFull is prefill and decode on one engine.
+	PhaseFull Work = ""
 	// WorkPrefill is the prompt alone; its KV cache is exported.
 	WorkPrefill Work = "prefill"
 	// WorkDecode is the answer alone, from imported KV cache.
