--- a/internal/entry/disaggregated.go
+++ b/internal/entry/disaggregated.go
@@ -29,7 +29,7 @@
 // run brings the rest of an answer from the engine that was assigned, or from
 // it and a decode engine. With an error it names the engine that failed.
 func (g *generation) run(ctx context.Context, placed assignment) (failed string, err error) {
-	if placed.work != placement.WorkPrefill {
+	if placed.work != placement.PhasePrefill {
 		return placed.engine.ID, g.runOn(ctx, placed.engine, false)
 	}
 	decode, err := g.handOver(ctx, placed.engine)
--- a/internal/entry/prediction.go
+++ b/internal/entry/prediction.go
@@ -55,7 +55,7 @@
 func (s *state) engineLoads(req *placement.Request) []admit.EngineLoad {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	req.Zone, req.Draining, req.Phase = s.zone, s.leaving, placement.WorkPrefill
+	req.Zone, req.Draining, req.Phase = s.zone, s.leaving, placement.PhasePrefill
 	var loads []admit.EngineLoad
 	for _, c := range s.scheduler.Eligible(req, s.candidates(req.Now)) {
 		loads = append(loads, engineLoad(req, c))
--- a/internal/placement/assign.go
+++ b/internal/placement/assign.go
@@ -20,7 +20,7 @@
 	if req.Split {
 		prefill, score, hasPair := s.pair(req, candidates, rng)
 		if hasPair && (!hasWhole || score > s.score(req, whole)) {
-			return prefill, WorkPrefill, true
+			return prefill, PhasePrefill, true
 		}
 	}
 	if hasWhole {
@@ -36,7 +36,7 @@
 // and the lower of the two scores.
 func (s *Scheduler) pair(req *Request, candidates []Candidate, rng *rand.Rand) (prefill Candidate, score float64, ok bool) {
 	first, next := *req, *req
-	first.Phase = WorkPrefill
+	first.Phase = PhasePrefill
 	next.Phase, next.Prompt.Tokens, next.Prefix = WorkDecode, 0, nil
 	prefill, ok = s.Schedule(&first, ofRole(candidates, config.RolePrefill), rng)
 	if !ok {
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -21,8 +21,8 @@
 const (
 	// PhaseFull is prefill and decode on one engine.
 	PhaseFull Work = ""
-	// WorkPrefill is the prompt alone; its KV cache is exported.
-	WorkPrefill Work = "prefill"
+	// PhasePrefill is the prompt alone; its KV cache is exported.
+	PhasePrefill Work = "prefill"
 	// WorkDecode is the answer alone, from imported KV cache.
 	WorkDecode Work = "decode"
 	// WorkDirect is prefill and decode on a decode engine: a short prompt is
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -54,7 +54,7 @@
 		"adapter not loaded":   {req: Request{Adapter: "b"}},
 		"role for prompts":     {change: func(c *Candidate) { c.Engine.Loaded.Role = config.RolePrefill }},
 		"role for answers": {
-			req:    Request{Phase: WorkPrefill},
+			req:    Request{Phase: PhasePrefill},
 			change: func(c *Candidate) { c.Engine.Loaded.Role = config.RoleDecode },
 		},
 	}
@@ -69,7 +69,7 @@
 	}
 	_, candidates := fleet(1)
 	candidates[0].Engine.Loaded.Role = config.RolePrefill
-	if got := schedule(t, PolicyCharge, Request{Adapter: "a", Version: "1", Phase: WorkPrefill}, candidates); got != "e0" {
+	if got := schedule(t, PolicyCharge, Request{Adapter: "a", Version: "1", Phase: PhasePrefill}, candidates); got != "e0" {
 		t.Errorf("an engine that fits is not chosen: %s", got)
 	}
 }
--- a/internal/placement/stages.go
+++ b/internal/placement/stages.go
@@ -42,7 +42,7 @@
 	if s.allSpent(req, candidates) {
 		return Start{}, false
 	}
-	apart, ok := s.beginAs(WorkPrefill, req, candidates, rng)
+	apart, ok := s.beginAs(PhasePrefill, req, candidates, rng)
 	if req.Prompt.Tokens >= req.Costs.DirectBelow {
 		return apart, ok
 	}
