--- a/internal/entry/disaggregated.go
+++ b/internal/entry/disaggregated.go
@@ -59,7 +59,7 @@
 		return prefill, errors.WithMessage(err, "export of KV cache")
 	}
 	decode, ok := s.state.place(&placement.Request{
-		Model: comp.name, Adapter: comp.adapter, Version: prefill.Loaded.Version, Phase: placement.WorkDecode,
+		Model: comp.name, Adapter: comp.adapter, Version: prefill.Loaded.Version, Phase: placement.PhaseDecode,
 	}, load.Placement{ID: comp.id, Blocks: s.placement(comp).Blocks, At: s.now()})
 	if !ok {
 		return prefill, errors.WithMessage(engine.ErrNotRun, "no engine to decode on")
--- a/internal/placement/assign.go
+++ b/internal/placement/assign.go
@@ -37,7 +37,7 @@
 func (s *Scheduler) pair(req *Request, candidates []Candidate, rng *rand.Rand) (prefill Candidate, score float64, ok bool) {
 	first, next := *req, *req
 	first.Phase = PhasePrefill
-	next.Phase, next.Prompt.Tokens, next.Prefix = WorkDecode, 0, nil
+	next.Phase, next.Prompt.Tokens, next.Prefix = PhaseDecode, 0, nil
 	prefill, ok = s.Schedule(&first, ofRole(candidates, config.RolePrefill), rng)
 	if !ok {
 		return prefill, 0, false
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -23,8 +23,8 @@
 	PhaseFull Work = ""
 	// PhasePrefill is the prompt alone; its KV cache is exported.
 	PhasePrefill Work = "prefill"
-	// WorkDecode is the answer alone, from imported KV cache.
-	WorkDecode Work = "decode"
+	// PhaseDecode is the answer alone, from imported KV cache.
+	PhaseDecode Work = "decode"
 	// WorkDirect is prefill and decode on a decode engine: a short prompt is
 	// processed there between the tokens of other requests.
 	WorkDirect Work = "direct"
--- a/internal/placement/stages.go
+++ b/internal/placement/stages.go
@@ -72,7 +72,7 @@
 // generators are the engines that may take the answer, until the next choice.
 func (s *Stages) generators(req *Request, candidates []Candidate) []Candidate {
 	generate := *req
-	generate.Phase = WorkDecode
+	generate.Phase = PhaseDecode
 	return s.generate.allowed(&generate, candidates)
 }
 
@@ -91,7 +91,7 @@
 // the request's KVZone.
 func (s *Stages) Generate(req *Request, candidates []Candidate, rng *rand.Rand) (Candidate, bool) {
 	generate := *req
-	generate.Phase = WorkDecode
+	generate.Phase = PhaseDecode
 	return s.generate.Schedule(&generate, candidates, rng)
 }
 
