--- a/internal/placement/filter_role.go
+++ b/internal/placement/filter_role.go
@@ -12,7 +12,7 @@
 	if role == "" || role == config.RoleMixed || req.Phase == WorkAny {
 		return true
 	}
-	if req.Phase == WorkDirect {
+	if req.Phase == PhaseDirect {
 		return role == config.RoleDecode
 	}
 	return string(role) == string(req.Phase)
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -25,9 +25,9 @@
 	PhasePrefill Work = "prefill"
 	// PhaseDecode is the answer alone, from imported KV cache.
 	PhaseDecode Work = "decode"
-	// WorkDirect is prefill and decode on a decode engine: a short prompt is
+	// PhaseDirect is prefill and decode on a decode engine: a short prompt is
 	// processed there between the tokens of other requests.
-	WorkDirect Work = "direct"
+	PhaseDirect Work = "direct"
 	// WorkAny is prefill and decode on one engine of whatever role, where no
 	// engine of the right one can take the request.
 	WorkAny Work = "any"
--- a/internal/placement/stages.go
+++ b/internal/placement/stages.go
@@ -46,7 +46,7 @@
 	if req.Prompt.Tokens >= req.Costs.DirectBelow {
 		return apart, ok
 	}
-	direct, ok := s.beginAs(WorkDirect, req, candidates, rng)
+	direct, ok := s.beginAs(PhaseDirect, req, candidates, rng)
 	if !ok || apart.Direct() || req.Costs.startCost(direct) <= req.Costs.startCost(apart) {
 		return direct, ok
 	}
