--- a/internal/placement/assign.go
+++ b/internal/placement/assign.go
@@ -27,9 +27,9 @@
 		return whole, PhaseFull, true
 	}
 	any := *req
-	any.Phase = WorkAny
+	any.Phase = PhaseAnyRole
 	first, ok = s.Schedule(&any, candidates, rng)
-	return first, WorkAny, ok
+	return first, PhaseAnyRole, ok
 }
 
 // pair returns the best prefill engine, if a decode engine can go on after it,
--- a/internal/placement/filter_role.go
+++ b/internal/placement/filter_role.go
@@ -9,7 +9,7 @@
 // Keep implements Filter.
 func (RoleFilter) Keep(req *Request, c Candidate) bool {
 	role := c.role()
-	if role == "" || role == config.RoleMixed || req.Phase == WorkAny {
+	if role == "" || role == config.RoleMixed || req.Phase == PhaseAnyRole {
 		return true
 	}
 	if req.Phase == PhaseDirect {
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -28,9 +28,9 @@
 	// PhaseDirect is prefill and decode on a decode engine: a short prompt is
 	// processed there between the tokens of other requests.
 	PhaseDirect Work = "direct"
-	// WorkAny is prefill and decode on one engine of whatever role, where no
+	// PhaseAnyRole is prefill and decode on one engine of whatever role, where no
 	// engine of the right one can take the request.
-	WorkAny Work = "any"
+	PhaseAnyRole Work = "any"
 )
 
 // Request is what the choice depends on.
