--- a/internal/entry/routing.go
+++ b/internal/entry/routing.go
@@ -102,7 +102,7 @@
 type assignment struct {
 	// engine is an entry of the configuration; treat it as read-only.
 	engine *config.Engine
-	work   placement.Work
+	work   placement.Phase
 	// prefillTokens are the prompt tokens that the engine has to process.
 	prefillTokens int
 }
--- a/internal/placement/assign.go
+++ b/internal/placement/assign.go
@@ -11,7 +11,7 @@
 // be split, the prompt on a prefill engine, if the weaker engine of the best
 // pair of prefill and decode scores higher than the best mixed one. Where the
 // configuration has neither, any engine takes the whole.
-func (s *Scheduler) Assign(req *Request, candidates []Candidate, rng *rand.Rand) (first Candidate, work Work, ok bool) {
+func (s *Scheduler) Assign(req *Request, candidates []Candidate, rng *rand.Rand) (first Candidate, work Phase, ok bool) {
 	if req.Phase != PhaseFull {
 		first, ok = s.Schedule(req, candidates, rng)
 		return first, req.Phase, ok
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -14,29 +14,29 @@
 	"sassafrasfield/internal/load"
 )
 
-// Work is the part of a request that an engine is to do.
-type Work string
+// Phase is the part of a request that an engine is to do.
+type Phase string
 
 // Parts of a request.
 const (
 	// PhaseFull is prefill and decode on one engine.
-	PhaseFull Work = ""
+	PhaseFull Phase = ""
 	// PhasePrefill is the prompt alone; its KV cache is exported.
-	PhasePrefill Work = "prefill"
+	PhasePrefill Phase = "prefill"
 	// PhaseDecode is the answer alone, from imported KV cache.
-	PhaseDecode Work = "decode"
+	PhaseDecode Phase = "decode"
 	// PhaseDirect is prefill and decode on a decode engine: a short prompt is
 	// processed there between the tokens of other requests.
-	PhaseDirect Work = "direct"
+	PhaseDirect Phase = "direct"
 	// PhaseAnyRole is prefill and decode on one engine of whatever role, where no
 	// engine of the right one can take the request.
-	PhaseAnyRole Work = "any"
+	PhaseAnyRole Phase = "any"
 )
 
 // Request is what the choice depends on.
 type Request struct {
 	Model, Adapter, Version string
-	Phase                    Work
+	Phase                    Phase
 	// Split allows a pair of prefill and decode engines; see Assign.
 	Split bool
 	// Zone of the instance.
--- a/internal/placement/stages.go
+++ b/internal/placement/stages.go
@@ -77,7 +77,7 @@
 }
 
 // beginAs picks the engine that does a part of a generation first.
-func (s *Stages) beginAs(work Work, req *Request, candidates []Candidate, rng *rand.Rand) (Start, bool) {
+func (s *Stages) beginAs(work Phase, req *Request, candidates []Candidate, rng *rand.Rand) (Start, bool) {
 	begin := *req
 	begin.Phase = work
 	chosen, ok := s.start.Schedule(&begin, candidates, rng)
