--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -162,9 +162,9 @@
 // Preference is a filter that yields when it would leave too few.
 type Preference struct {
 	Filter Filter
-	// KeepShare is the least share of the candidates that has to be left;
+	// MinShare is the least share of the candidates that has to be left;
 	// 0 means at least one candidate.
-	KeepShare float64
+	MinShare float64
 	// Must, of the filter on limits: it never yields. What it drops is not chosen, but unlike with a strict filter it
 	// still counts as having cached parts that others can fetch.
 	Must bool
@@ -264,5 +264,5 @@
 
 // enough tells whether so many of a number of candidates are enough to choose from.
 func (p Preference) enough(left, of int) bool {
-	return left > 0 && float64(left) >= p.KeepShare*float64(of)
+	return left > 0 && float64(left) >= p.MinShare*float64(of)
 }
--- a/internal/placement/policy.go
+++ b/internal/placement/policy.go
@@ -67,7 +67,7 @@
 	s := &Scheduler{
 		Filters: []Filter{ServingFilter{}, LeavingFilter{}, ExcludedFilter{}, ModelFilter{}, RoleFilter{}},
 		Preferences: []Preference{
-			{Filter: HealthFilter{}, KeepShare: keepShare},
+			{Filter: HealthFilter{}, MinShare: keepShare},
 		},
 		Picker: picker(policy, pick),
 	}
@@ -101,7 +101,7 @@
 func serviceScheduler(keep float64, scorers ...WeightedScorer) *Scheduler {
 	return &Scheduler{
 		Filters:     []Filter{LeavingFilter{}, ExcludedFilter{}},
-		Preferences: []Preference{{Filter: AllowanceFilter{}, Must: true}, {Filter: HealthFilter{}, KeepShare: keep}},
+		Preferences: []Preference{{Filter: AllowanceFilter{}, Must: true}, {Filter: HealthFilter{}, MinShare: keep}},
 		Scorers:     scorers,
 		Picker:      BestPicker{},
 	}
