--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -165,9 +165,9 @@
 	// MinShare is the least share of the candidates that has to be left;
 	// 0 means at least one candidate.
 	MinShare float64
-	// Must, of the filter on limits: it never yields. What it drops is not chosen, but unlike with a strict filter it
+	// Mandatory, of the filter on limits: it never yields. What it drops is not chosen, but unlike with a strict filter it
 	// still counts as having cached parts that others can fetch.
-	Must bool
+	Mandatory bool
 }
 
 // Schedule picks an upstream; ok is false when none can take the request.
@@ -210,11 +210,11 @@
 		s.leftBufs = make([][]Candidate, len(s.Preferences))
 	}
 	for i, p := range s.Preferences {
-		if p.Must && !req.CheckLimits {
+		if p.Mandatory && !req.CheckLimits {
 			continue
 		}
 		s.leftBufs[i] = p.kept(req, candidates, s.leftBufs[i][:0])
-		if p.Must || p.enough(len(s.leftBufs[i]), len(candidates)) {
+		if p.Mandatory || p.enough(len(s.leftBufs[i]), len(candidates)) {
 			candidates = s.leftBufs[i]
 		}
 	}
--- a/internal/placement/stages.go
+++ b/internal/placement/stages.go
@@ -16,7 +16,7 @@
 // NewStages returns the schedulers of both stages.
 func NewStages() *Stages {
 	strict := []Filter{LeavingFilter{}, ExcludedFilter{}}
-	allowance := Preference{Filter: AllowanceFilter{}, Must: true}
+	allowance := Preference{Filter: AllowanceFilter{}, Mandatory: true}
 	return &Stages{
 		start: &Scheduler{
 			Filters:     strict,
