--- a/internal/placement/costs.go
+++ b/internal/placement/costs.go
@@ -20,8 +20,8 @@
 	// HandOver is the time from the end of the prefill to the first token at the
 	// decode engine, besides the fetch.
 	HandOver time.Duration
-	// Stream is the mean time that a generation keeps its slot.
-	Stream time.Duration
+	// SlotTime is the mean time that a generation keeps its slot.
+	SlotTime time.Duration
 	// Slots is how many requests an engine runs at a time.
 	Slots int
 	// Memory is the size of an engine's KV cache, in tokens.
@@ -115,7 +115,7 @@
 	}
 	cost := time.Duration(float64(c.FullBatch) * float64(requests) / float64(c.Slots))
 	if over := requests - c.Slots + 1; over > 0 {
-		cost += time.Duration(float64(c.Stream) * float64(over) / float64(c.Slots))
+		cost += time.Duration(float64(c.SlotTime) * float64(over) / float64(c.Slots))
 	}
 	return cost
 }
--- a/internal/placement/stages_test.go
+++ b/internal/placement/stages_test.go
@@ -35,7 +35,7 @@
 // costs are those of a large mixture-of-experts model's engines.
 var costs = Costs{
 	EngineTimes: EngineTimes{
-		TokenTime: 16300, PairTime: 0.525, Overhead: 90 * time.Millisecond, FetchTime: 760, HandOver: 50 * time.Millisecond, Stream: time.Second,
+		TokenTime: 16300, PairTime: 0.525, Overhead: 90 * time.Millisecond, FetchTime: 760, HandOver: 50 * time.Millisecond, SlotTime: time.Second,
 		Slots: 64, Memory: 467273,
 	},
 	Settings: DefaultSettings(),
--- a/internal/rolekeeper/orders.go
+++ b/internal/rolekeeper/orders.go
@@ -121,7 +121,7 @@
 // their mean.
 func (k *Keeper) awayFor(service string) time.Duration {
 	times := k.view.Times(service)
-	return times.RoleChange + 2*times.Stream + awayMargin
+	return times.RoleChange + 2*times.SlotTime + awayMargin
 }
 
 // giveAnnounced gives the orders that all instances know of.
--- a/internal/upstreamstate/learn.go
+++ b/internal/upstreamstate/learn.go
@@ -41,7 +41,7 @@
 	m := p.model(service)
 	t := Times{}
 	t.TokenTime, t.PairTime, t.Overhead = m.Prompt()
-	t.HandOver, t.Stream = m.HandOver(), m.Slot()
+	t.HandOver, t.SlotTime = m.HandOver(), m.Slot()
 	t.Step, t.StepPerRequest = m.Step()
 	t.Known = m.PromptsKnown() && m.StepsKnown()
 	limits := p.table.Services[service].Engine
