--- a/internal/placement/costs.go
+++ b/internal/placement/costs.go
@@ -24,8 +24,8 @@
 	SlotTime time.Duration
 	// Slots is how many requests an engine runs at a time.
 	Slots int
-	// Memory is the size of an engine's KV cache, in tokens.
-	Memory int
+	// CacheTokens is the size of an engine's KV cache, in tokens.
+	CacheTokens int
 }
 
 // Settings are what is weighed against the engines' times. None of them is a
@@ -122,11 +122,11 @@
 
 // copyCost is what another copy of the shared part on an engine costs.
 func (c Costs) copyCost(p Prompt, cached int) time.Duration {
-	if c.Memory == 0 {
+	if c.CacheTokens == 0 {
 		return 0
 	}
 	lacking := max(0, p.SharedTokens()-cached)
-	return time.Duration(float64(c.MemoryPrice) * float64(lacking) / float64(c.Memory))
+	return time.Duration(float64(c.MemoryPrice) * float64(lacking) / float64(c.CacheTokens))
 }
 
 // scoreScale is the predicted time that halves a score. It has no effect on the
--- a/internal/placement/stages_test.go
+++ b/internal/placement/stages_test.go
@@ -36,7 +36,7 @@
 var costs = Costs{
 	EngineTimes: EngineTimes{
 		TokenTime: 16300, PairTime: 0.525, Overhead: 90 * time.Millisecond, FetchTime: 760, HandOver: 50 * time.Millisecond, SlotTime: time.Second,
-		Slots: 64, Memory: 467273,
+		Slots: 64, CacheTokens: 467273,
 	},
 	Settings: DefaultSettings(),
 }
--- a/internal/upstreamstate/learn.go
+++ b/internal/upstreamstate/learn.go
@@ -48,7 +48,7 @@
 	if limits == nil {
 		return t
 	}
-	t.FetchTime, t.Slots, t.Memory = limits.TransferTime, limits.Slots, limits.KVTokens
+	t.FetchTime, t.Slots, t.CacheTokens = limits.TransferTime, limits.Slots, limits.KVTokens
 	t.RoleChange = limits.RoleSwitch
 	return t
 }
--- a/internal/upstreamstate/parts.go
+++ b/internal/upstreamstate/parts.go
@@ -95,7 +95,7 @@
 		if !ok {
 			return 0
 		}
-		return partLasts(req.Costs.Memory, n.all(req.Now).Inflow)
+		return partLasts(req.Costs.CacheTokens, n.all(req.Now).Inflow)
 	}, req.Now)
 }
 
