--- a/internal/placement/costs.go
+++ b/internal/placement/costs.go
@@ -31,10 +31,10 @@
 // Settings are what is weighed against the engines' times. None of them is a
 // property of one kind of engine.
 type Settings struct {
-	// MixedFactor is how much slower a decode engine processes a prompt: at half
+	// DirectSlowdown is how much slower a decode engine processes a prompt: at half
 	// the speed, by the engines' interface, and between the tokens of its other
 	// requests.
-	MixedFactor float64
+	DirectSlowdown float64
 	// DirectBelow is the number of prompt tokens below which the engine that
 	// generates may process the prompt too. Longer ones make
 	// the streams there pause: trials with them lost 0.1 to 0.6 of the worth.
@@ -71,7 +71,7 @@
 // were chosen by the runs that docs/measurements/platform.md names.
 func DefaultSettings() Settings {
 	return Settings{
-		MixedFactor: 2.4, DirectBelow: 2500, BackupBelow: 2500, FetchFrom: 500, FarFactor: 2,
+		DirectSlowdown: 2.4, DirectBelow: 2500, BackupBelow: 2500, FetchFrom: 500, FarFactor: 2,
 		MemoryPrice: 80 * time.Second, FullBatch: 200 * time.Millisecond, FarSend: 25 * time.Millisecond, YieldPart: 0.85,
 	}
 }
--- a/internal/placement/score_start.go
+++ b/internal/placement/score_start.go
@@ -105,7 +105,7 @@
 	start.Fresh = max(0, req.Prompt.Tokens-cached)
 	work := c.work(req.Prompt, cached)
 	if start.Direct() {
-		work = time.Duration(float64(work) * c.MixedFactor)
+		work = time.Duration(float64(work) * c.DirectSlowdown)
 	}
 	start.Work += work
 	return start
