--- a/internal/placement/costs.go
+++ b/internal/placement/costs.go
@@ -43,9 +43,9 @@
 	// be repeated is copied to a second engine as it goes. A copy of a long one
 	// costs more memory and transfer than the runs that it saves are worth.
 	BackupBelow int
-	// FetchFrom is the fewest tokens that a fetch is asked for; below it, the
+	// MinFetchTokens is the fewest tokens that a fetch is asked for; below it, the
 	// engine has processed them as soon.
-	FetchFrom int
+	MinFetchTokens int
 	// FarFactor is how much longer a transfer from another zone takes, by the
 	// engines' interface.
 	FarFactor float64
@@ -71,7 +71,7 @@
 // were chosen by the runs that docs/measurements/platform.md names.
 func DefaultSettings() Settings {
 	return Settings{
-		DirectSlowdown: 2.4, DirectBelow: 2500, BackupBelow: 2500, FetchFrom: 500, FarFactor: 2,
+		DirectSlowdown: 2.4, DirectBelow: 2500, BackupBelow: 2500, MinFetchTokens: 500, FarFactor: 2,
 		MemoryPrice: 80 * time.Second, FullBatch: 200 * time.Millisecond, FarSend: 25 * time.Millisecond, YieldPart: 0.85,
 	}
 }
--- a/internal/placement/score_start.go
+++ b/internal/placement/score_start.go
@@ -138,7 +138,7 @@
 // source is the engine to fetch a prompt's shared part from, if that is enough more
 // than one has to be worth a fetch; the nearest of equals.
 func (c Costs) source(to Candidate, from sources) (Candidate, bool) {
-	if len(from.list) == 0 || from.tokens-to.Aggregate.CachedTokens < max(1, c.FetchFrom) {
+	if len(from.list) == 0 || from.tokens-to.Aggregate.CachedTokens < max(1, c.MinFetchTokens) {
 		return Candidate{}, false
 	}
 	for i := range from.list {
