--- a/internal/placement/costs.go
+++ b/internal/placement/costs.go
@@ -46,9 +46,9 @@
 	// MinFetchTokens is the fewest tokens that a fetch is asked for; below it, the
 	// engine has processed them as soon.
 	MinFetchTokens int
-	// FarFactor is how much longer a transfer from another zone takes, by the
+	// CrossZoneFactor is how much longer a transfer from another zone takes, by the
 	// engines' interface.
-	FarFactor float64
+	CrossZoneFactor float64
 	// MemoryPrice is what all of an engine's memory is worth, as time that a
 	// request may wait instead: a further copy of a shared part costs the part of
 	// it that its tokens take, as others are pushed out and processed again. 60 to
@@ -71,7 +71,7 @@
 // were chosen by the runs that docs/measurements/platform.md names.
 func DefaultSettings() Settings {
 	return Settings{
-		DirectSlowdown: 2.4, DirectBelow: 2500, BackupBelow: 2500, MinFetchTokens: 500, FarFactor: 2,
+		DirectSlowdown: 2.4, DirectBelow: 2500, BackupBelow: 2500, MinFetchTokens: 500, CrossZoneFactor: 2,
 		MemoryPrice: 80 * time.Second, FullBatch: 200 * time.Millisecond, FarSend: 25 * time.Millisecond, YieldPart: 0.85,
 	}
 }
@@ -94,7 +94,7 @@
 func (c Costs) fetch(tokens int, from, to string) time.Duration {
 	t := float64(max(0, tokens)) * c.FetchTime
 	if from != to {
-		t *= c.FarFactor
+		t *= c.CrossZoneFactor
 	}
 	return time.Duration(t)
 }
