--- a/internal/placement/costs.go
+++ b/internal/placement/costs.go
@@ -54,9 +54,9 @@
 	// it that its tokens take, as others are pushed out and processed again. 60 to
 	// 180 s serve alike where copies matter (docs/NEW-CUSTOMER.md).
 	MemoryPrice time.Duration
-	// FullBatch is what an engine whose slots are all taken costs a request that
+	// FullBatchCost is what an engine whose slots are all taken costs a request that
 	// joins it, against an idle one.
-	FullBatch time.Duration
+	FullBatchCost time.Duration
 	// FarSend is what it costs to send a request to an engine of another zone,
 	// and to have its answer back from there: bytes between zones are paid for.
 	FarSend time.Duration
@@ -72,7 +72,7 @@
 func DefaultSettings() Settings {
 	return Settings{
 		DirectSlowdown: 2.4, DirectBelow: 2500, BackupBelow: 2500, MinFetchTokens: 500, CrossZoneFactor: 2,
-		MemoryPrice: 80 * time.Second, FullBatch: 200 * time.Millisecond, FarSend: 25 * time.Millisecond, YieldPart: 0.85,
+		MemoryPrice: 80 * time.Second, FullBatchCost: 200 * time.Millisecond, FarSend: 25 * time.Millisecond, YieldPart: 0.85,
 	}
 }
 
@@ -113,7 +113,7 @@
 	if c.Slots == 0 {
 		return 0
 	}
-	cost := time.Duration(float64(c.FullBatch) * float64(requests) / float64(c.Slots))
+	cost := time.Duration(float64(c.FullBatchCost) * float64(requests) / float64(c.Slots))
 	if over := requests - c.Slots + 1; over > 0 {
 		cost += time.Duration(float64(c.SlotTime) * float64(over) / float64(c.Slots))
 	}
