--- a/internal/placement/costs.go
+++ b/internal/placement/costs.go
@@ -57,9 +57,9 @@
 	// FullBatchCost is what an engine whose slots are all taken costs a request that
 	// joins it, against an idle one.
 	FullBatchCost time.Duration
-	// FarSend is what it costs to send a request to an engine of another zone,
+	// CrossZoneCost is what it costs to send a request to an engine of another zone,
 	// and to have its answer back from there: bytes between zones are paid for.
-	FarSend time.Duration
+	CrossZoneCost time.Duration
 	// YieldPart is the part of the time that callers wait in which prompts that
 	// yield are to be processed; with 0, all are processed in the order they come. With more of it, more prompts are on time, and more
 	// of those that yield miss their deadline: of a surge, 0 in 100 at 0.5, 2 at 0.7
@@ -72,7 +72,7 @@
 func DefaultSettings() Settings {
 	return Settings{
 		DirectSlowdown: 2.4, DirectBelow: 2500, BackupBelow: 2500, MinFetchTokens: 500, CrossZoneFactor: 2,
-		MemoryPrice: 80 * time.Second, FullBatchCost: 200 * time.Millisecond, FarSend: 25 * time.Millisecond, YieldPart: 0.85,
+		MemoryPrice: 80 * time.Second, FullBatchCost: 200 * time.Millisecond, CrossZoneCost: 25 * time.Millisecond, YieldPart: 0.85,
 	}
 }
 
@@ -104,7 +104,7 @@
 	if to.Zone == zone {
 		return 0
 	}
-	return c.FarSend
+	return c.CrossZoneCost
 }
 
 // crowd is what the requests that an engine has cost one that joins them: they
