--- a/internal/model/policy.go
+++ b/internal/model/policy.go
@@ -29,7 +29,7 @@
 		s.MemoryPrice = p.MemoryPrice
 	}
 	if p.InOrder {
-		s.YieldPart = 0
+		s.DeferredShare = 0
 	}
 	return s
 }
--- a/internal/placement/costs.go
+++ b/internal/placement/costs.go
@@ -60,11 +60,11 @@
 	// CrossZoneCost is what it costs to send a request to an engine of another zone,
 	// and to have its answer back from there: bytes between zones are paid for.
 	CrossZoneCost time.Duration
-	// YieldPart is the part of the time that callers wait in which prompts that
+	// DeferredShare is the part of the time that callers wait in which prompts that
 	// yield are to be processed; with 0, all are processed in the order they come. With more of it, more prompts are on time, and more
 	// of those that yield miss their deadline: of a surge, 0 in 100 at 0.5, 2 at 0.7
 	// and 5 at 1 where waits are known exactly (TestASurgeLeavesMostPromptsOnTime).
-	YieldPart float64
+	DeferredShare float64
 }
 
 // DefaultSettings returns the defaults. Those without a source in their comment
@@ -72,7 +72,7 @@
 func DefaultSettings() Settings {
 	return Settings{
 		DirectSlowdown: 2.4, DirectBelow: 2500, BackupBelow: 2500, MinFetchTokens: 500, CrossZoneFactor: 2,
-		MemoryPrice: 80 * time.Second, FullBatchCost: 200 * time.Millisecond, CrossZoneCost: 25 * time.Millisecond, YieldPart: 0.85,
+		MemoryPrice: 80 * time.Second, FullBatchCost: 200 * time.Millisecond, CrossZoneCost: 25 * time.Millisecond, DeferredShare: 0.85,
 	}
 }
 
--- a/internal/placement/turn.go
+++ b/internal/placement/turn.go
@@ -31,7 +31,7 @@
 func (c Costs) Turn(req *Request, s Start, draw float64) Turn {
 	told := s.Engine.Aggregate
 	slack := req.Objective - c.Overhead - c.HandOver - s.Work
-	if req.Objective <= 0 || c.YieldPart <= 0 || told.Backlog <= slack/2 {
+	if req.Objective <= 0 || c.DeferredShare <= 0 || told.Backlog <= slack/2 {
 		return TurnNext
 	}
 	if told.Backlog-told.DeferredBacklog > slack {
@@ -40,7 +40,7 @@
 	if told.DeferredBacklog <= 0 || req.RemainingWait <= 0 {
 		return TurnNext
 	}
-	share := 1 - told.DeferredBacklog.Seconds()/(c.YieldPart*req.RemainingWait.Seconds())
+	share := 1 - told.DeferredBacklog.Seconds()/(c.DeferredShare*req.RemainingWait.Seconds())
 	if draw < share/max(told.Utilization, leastTurnUse) {
 		return TurnNext
 	}
