--- a/internal/model/pattern.go
+++ b/internal/model/pattern.go
@@ -163,7 +163,7 @@
 // prompt draws the prompt of one request.
 func (s *sizes) prompt(class int, c Class, id string, now time.Duration) placement.Prompt {
 	own := s.tokens(c.Own, c.Spread)
-	p := placement.Prompt{Tokens: own, Output: int(4 * c.Answer)}
+	p := placement.Prompt{Tokens: own, MaxOutput: int(4 * c.Answer)}
 	if c.Parts > 0 {
 		part := s.part(class, c, now)
 		p.Parts = append(p.Parts, placement.Part{ID: fmt.Sprintf("%s-%d", c.Name, part), Tokens: s.shared[class][part]})
--- a/internal/placement/prompt.go
+++ b/internal/placement/prompt.go
@@ -10,8 +10,8 @@
 type Prompt struct {
 	// Tokens of the whole prompt.
 	Tokens int
-	// Output bounds the tokens to generate; 0 when it is not known.
-	Output int
+	// MaxOutput bounds the tokens to generate; 0 when it is not known.
+	MaxOutput int
 	// Parts are the prompt's parts by their ids; nil where the blocks' hashes
 	// are known instead (Request.Prefix).
 	Parts []Part
--- a/internal/placement/stages_test.go
+++ b/internal/placement/stages_test.go
@@ -28,7 +28,7 @@
 	return list
 }
 
-var long = Prompt{Tokens: 17000, Output: 100, Parts: []Part{{"shared", 13000}, {"own", 4000}}}
+var long = Prompt{Tokens: 17000, MaxOutput: 100, Parts: []Part{{"shared", 13000}, {"own", 4000}}}
 
 var stages = NewStages()
 
@@ -117,7 +117,7 @@
 }
 
 func TestAShortPromptGoesStraightToADecodeEngine(t *testing.T) {
-	start := begin(t, Prompt{Tokens: 1000, Output: 10}, split(3, 2))
+	start := begin(t, Prompt{Tokens: 1000, MaxOutput: 10}, split(3, 2))
 	if !start.Direct() || start.Engine.Engine.Loaded.Role != config.RoleDecode {
 		t.Errorf("%+v", start.Engine)
 	}
@@ -126,7 +126,7 @@
 // TestShortPromptsLeaveCrowdedDecodeEngines: prompts take most of the decode
 // engines' time while prefill engines idle.
 func TestShortPromptsLeaveCrowdedDecodeEngines(t *testing.T) {
-	short := Prompt{Tokens: 1500, Output: 25}
+	short := Prompt{Tokens: 1500, MaxOutput: 25}
 	for _, c := range []struct {
 		use    float64
 		direct bool
--- a/internal/relay/copy_test.go
+++ b/internal/relay/copy_test.go
@@ -10,7 +10,7 @@
 
 func shortPrompt(path string) *Request {
 	req := call(path)
-	req.Prompt = &placement.Prompt{Tokens: 1000, Output: 10}
+	req.Prompt = &placement.Prompt{Tokens: 1000, MaxOutput: 10}
 	return req
 }
 
--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -163,7 +163,7 @@
 
 func longPrompt(path string) *Request {
 	req := call(path)
-	req.Prompt = &placement.Prompt{Tokens: 8000, Output: 10, Parts: []placement.Part{{ID: "s", Tokens: 5000}, {ID: "o", Tokens: 3000}}}
+	req.Prompt = &placement.Prompt{Tokens: 8000, MaxOutput: 10, Parts: []placement.Part{{ID: "s", Tokens: 5000}, {ID: "o", Tokens: 3000}}}
 	return req
 }
 
--- a/internal/upstreamstate/bench_test.go
+++ b/internal/upstreamstate/bench_test.go
@@ -55,7 +55,7 @@
 func sourceName(i int) string { return BesidePrefix + strconv.Itoa(i) }
 
 func benchPrompt(i int) placement.Prompt {
-	return placement.Prompt{Tokens: 17000, Output: 600, Parts: []placement.Part{
+	return placement.Prompt{Tokens: 17000, MaxOutput: 600, Parts: []placement.Part{
 		{ID: "part-" + strconv.Itoa(i%500), Tokens: 13300}, {ID: "own", Tokens: 3700},
 	}}
 }
--- a/internal/upstreamstate/upstreamstate_test.go
+++ b/internal/upstreamstate/upstreamstate_test.go
@@ -118,7 +118,7 @@
 	}
 }
 
-var long = placement.Prompt{Tokens: 9000, Output: 600, Parts: []placement.Part{{ID: "shared", Tokens: 6000}, {ID: "own", Tokens: 3000}}}
+var long = placement.Prompt{Tokens: 9000, MaxOutput: 600, Parts: []placement.Part{{ID: "shared", Tokens: 6000}, {ID: "own", Tokens: 3000}}}
 
 // TestPlainCallsAreToldOf: behind many instances, each sees few of the calls that an
 // upstream of a plain service has.
