--- a/internal/placement/stages.go
+++ b/internal/placement/stages.go
@@ -15,7 +15,7 @@
 
 // NewStages returns the schedulers of both stages.
 func NewStages() *Stages {
-	strict := []Filter{LeavingFilter{}, ExcludedFilter{}}
+	strict := []Filter{DrainingFilter{}, ExcludedFilter{}}
 	allowance := Preference{Filter: AllowanceFilter{}, Mandatory: true}
 	return &Stages{
 		start: &Scheduler{
