--- a/internal/placement/stages.go
+++ b/internal/placement/stages.go
@@ -16,7 +16,7 @@
 // NewStages returns the schedulers of both stages.
 func NewStages() *Stages {
 	strict := []Filter{DrainingFilter{}, ExcludedFilter{}}
-	allowance := Preference{Filter: AllowanceFilter{}, Mandatory: true}
+	allowance := Preference{Filter: LimitFilter{}, Mandatory: true}
 	return &Stages{
 		start: &Scheduler{
 			Filters:     strict,
