--- a/internal/placement/score_start.go
+++ b/internal/placement/score_start.go
@@ -7,21 +7,21 @@
 	"sassafrasfield/internal/rendezvous"
 )
 
-// StartScorer prefers the engine that is predicted to bring the first token
+// PrefillScorer prefers the engine that is predicted to bring the first token
 // soonest, from what the instances told one another: the prompts ahead, the
 // request's own less what is cached there or can be fetched, and the hand-over
 // to a decode engine. The score is 1 for no wait and falls towards 0; it is a
 // half at half a second. Reason: where shared parts live decides most, so an
 // engine that does not rank first for the part also pays for another copy.
-type StartScorer struct{}
+type PrefillScorer struct{}
 
 // Score implements Scorer, for a candidate alone.
-func (s StartScorer) Score(req *Request, c Candidate) float64 {
+func (s PrefillScorer) Score(req *Request, c Candidate) float64 {
 	return s.ForCandidates(req, []Candidate{c}, []Candidate{c}).Score(req, c)
 }
 
 // ForCandidates implements Comparer.
-func (s StartScorer) ForCandidates(req *Request, kept, all []Candidate) Scorer {
+func (s PrefillScorer) ForCandidates(req *Request, kept, all []Candidate) Scorer {
 	key := req.Prompt.SharedKey()
 	among := startAmong{
 		prefill: rendezvous.Leader{Key: key}, other: rendezvous.Leader{Key: key}, sources: sourcesOf(req, all),
--- a/internal/placement/stages.go
+++ b/internal/placement/stages.go
@@ -21,7 +21,7 @@
 		start: &Scheduler{
 			Filters:     strict,
 			Preferences: []Preference{allowance, {Filter: RoleFilter{}}, {Filter: HealthFilter{}}},
-			Scorers:     []WeightedScorer{{Scorer: StartScorer{}, Weight: 1}},
+			Scorers:     []WeightedScorer{{Scorer: PrefillScorer{}, Weight: 1}},
 			Picker:      RankedPicker{},
 		},
 		generate: &Scheduler{
