--- a/internal/placement/stages.go
+++ b/internal/placement/stages.go
@@ -27,7 +27,7 @@
 		generate: &Scheduler{
 			Filters:     append([]Filter{RoleFilter{}}, strict...),
 			Preferences: []Preference{allowance, {Filter: HealthFilter{}}},
-			Scorers:     []WeightedScorer{{Scorer: GenerateScorer{}, Weight: 1}},
+			Scorers:     []WeightedScorer{{Scorer: DecodeScorer{}, Weight: 1}},
 			Picker:      RankedPicker{},
 		},
 	}
