--- a/internal/placement/policy.go
+++ b/internal/placement/policy.go
@@ -95,7 +95,7 @@
 // instances tell one another what they have under way. An upstream that failed
 // lately is taken when no other is left.
 func NewToldServiceScheduler() *Scheduler {
-	return serviceScheduler(0, WeightedScorer{Scorer: CallScorer{View: toldView}, Weight: 1})
+	return serviceScheduler(0, WeightedScorer{Scorer: ServiceScorer{View: toldView}, Weight: 1})
 }
 
 func serviceScheduler(keep float64, scorers ...WeightedScorer) *Scheduler {
--- a/internal/placement/score_call.go
+++ b/internal/placement/score_call.go
@@ -4,17 +4,17 @@
 // transfer is paid for, but a queue is worse.
 const farCosts = 3
 
-// CallScorer prefers upstreams of plain services with fewer requests, and those
+// ServiceScorer prefers upstreams of plain services with fewer requests, and those
 // near by where bytes between zones are paid for. The score is 1 for an idle
 // upstream of the own zone and falls towards 0; it is a half at eight requests,
 // and one of another zone counts as three requests more. Reason: a fixed bonus
 // for the own zone would outweigh any queue once all are busy.
-type CallScorer struct {
+type ServiceScorer struct {
 	View LoadView
 }
 
 // Score implements Scorer.
-func (s CallScorer) Score(req *Request, c Candidate) float64 {
+func (s ServiceScorer) Score(req *Request, c Candidate) float64 {
 	requests := s.View(req, c).Requests
 	if c.Zone != req.Zone {
 		requests += farCosts
