--- a/internal/placement/policy.go
+++ b/internal/placement/policy.go
@@ -76,7 +76,7 @@
 	}
 	s.Preferences = append(s.Preferences, Preference{Filter: MemoryFilter{View: view}})
 	s.Scorers = []WeightedScorer{
-		{Scorer: FirstTokenScorer{View: view, Hints: policy.Hints()}, Weight: firstTokenWeight},
+		{Scorer: FirstTokenScorer{View: view, PrefixHints: policy.Hints()}, Weight: firstTokenWeight},
 		{Scorer: BatchScorer{View: view}, Weight: batchWeight},
 		{Scorer: ZoneScorer{}, Weight: zoneWeight},
 	}
--- a/internal/placement/score_firsttoken.go
+++ b/internal/placement/score_firsttoken.go
@@ -23,13 +23,13 @@
 // breaks first.
 type FirstTokenScorer struct {
 	View LoadView
-	// Hints subtracts the part of the prompt that is believed cached.
-	Hints bool
+	// PrefixHints subtracts the part of the prompt that is believed cached.
+	PrefixHints bool
 }
 
 // Score implements Scorer.
 func (s FirstTokenScorer) Score(req *Request, c Candidate) float64 {
-	wait := PredictFirstToken(req, c, s.View, s.Hints)
+	wait := PredictFirstToken(req, c, s.View, s.PrefixHints)
 	return 1 / (1 + wait.Seconds()/firstTokenScale.Seconds())
 }
 
