--- a/internal/entry/completions.go
+++ b/internal/entry/completions.go
@@ -95,7 +95,7 @@
 // prefix returns the hashes of the prompt's blocks, which are worked out once;
 // nil when hints are off.
 func (s *Server) prefix(comp *completion) []uint64 {
-	if comp.prefix == nil && s.settings.Routing.Policy.Hints() {
+	if comp.prefix == nil && s.settings.Routing.Policy.UsesPrefixHints() {
 		comp.prefix = engine.BlockHashes(comp.prompt, engine.BlockTokens, prefixBlocksAtMost)
 	}
 	return comp.prefix
--- a/internal/entry/reports.go
+++ b/internal/entry/reports.go
@@ -72,7 +72,7 @@
 
 // reportLoop reads the load reports, and the cache events when they are used.
 func (s *Server) reportLoop(ctx context.Context) {
-	if s.settings.Routing.Policy.Hints() {
+	if s.settings.Routing.Policy.UsesPrefixHints() {
 		events := poller{every: s.settings.Routing.EventsEvery, engines: s.state.watched, read: s.readEvents}
 		go events.run(ctx)
 	}
--- a/internal/placement/policy.go
+++ b/internal/placement/policy.go
@@ -30,8 +30,8 @@
 	return []Policy{PolicyRoundRobin, PolicyReport, PolicyLocal, PolicyCharge, PolicyChargePrefix, PolicyEstimate, PolicyLocalPrefix}
 }
 
-// Hints tells whether the policy uses prefix hints.
-func (p Policy) Hints() bool {
+// UsesPrefixHints tells whether the policy uses prefix hints.
+func (p Policy) UsesPrefixHints() bool {
 	return p == PolicyChargePrefix || p == PolicyEstimate || p == PolicyLocalPrefix
 }
 
@@ -76,7 +76,7 @@
 	}
 	s.Preferences = append(s.Preferences, Preference{Filter: MemoryFilter{View: view}})
 	s.Scorers = []WeightedScorer{
-		{Scorer: FirstTokenScorer{View: view, PrefixHints: policy.Hints()}, Weight: firstTokenWeight},
+		{Scorer: FirstTokenScorer{View: view, PrefixHints: policy.UsesPrefixHints()}, Weight: firstTokenWeight},
 		{Scorer: BatchScorer{View: view}, Weight: batchWeight},
 		{Scorer: ZoneScorer{}, Weight: zoneWeight},
 	}
