--- a/internal/placement/stages.go
+++ b/internal/placement/stages.go
@@ -33,12 +33,12 @@
 	}
 }
 
-// Begin picks the engine that processes a prompt. False means that there is no
+// PickPrefill picks the engine that processes a prompt. False means that there is no
 // engine at all, or none with room for the answer. A short prompt goes to an engine
 // that generates too, unless prompts take so much of these engines' time that a prefill
 // engine is sooner: else a surge of short prompts stops the answers, while prefill
 // engines idle.
-func (s *Stages) Begin(req *Request, candidates []Candidate, rng *rand.Rand) (Start, bool) {
+func (s *Stages) PickPrefill(req *Request, candidates []Candidate, rng *rand.Rand) (Start, bool) {
 	if s.allSpent(req, candidates) {
 		return Start{}, false
 	}
--- a/internal/placement/stages_test.go
+++ b/internal/placement/stages_test.go
@@ -43,7 +43,7 @@
 
 func begin(t *testing.T, p Prompt, list []Candidate) Start {
 	t.Helper()
-	start, ok := stages.Begin(&Request{Prompt: p, Costs: costs}, list, rng())
+	start, ok := stages.PickPrefill(&Request{Prompt: p, Costs: costs}, list, rng())
 	if !ok {
 		t.Fatal("no engine")
 	}
@@ -147,7 +147,7 @@
 	if start := begin(t, long, split(0, 2)); !start.Direct() {
 		t.Errorf("%+v", start.Engine)
 	}
-	if _, ok := stages.Begin(&Request{Prompt: long, Costs: costs}, nil, rng()); ok {
+	if _, ok := stages.PickPrefill(&Request{Prompt: long, Costs: costs}, nil, rng()); ok {
 		t.Error("an engine was found among none")
 	}
 }
@@ -167,7 +167,7 @@
 func TestEnginesThatLeaveOrFailedTheRequestAreNotChosen(t *testing.T) {
 	list := with(split(2, 2), "p0", func(c *Candidate) { c.Draining = true })
 	req := &Request{Prompt: long, Costs: costs, Excluded: map[string]bool{"p1": true, "d0": true}}
-	if start, ok := stages.Begin(req, list, rng()); !ok || start.Engine.ID != "d1" {
+	if start, ok := stages.PickPrefill(req, list, rng()); !ok || start.Engine.ID != "d1" {
 		t.Errorf("%q, %t: want the one that is left", start.Engine.ID, ok)
 	}
 	if chosen, ok := stages.Generate(req, list, rng()); !ok || chosen.ID != "d1" {
@@ -192,7 +192,7 @@
 func TestAnEngineOfTheOwnZoneIsPreferredAmongEquals(t *testing.T) {
 	for _, zone := range []string{"a", "b"} {
 		chosen := generateIn(t, zone, Prompt{Tokens: 3000}, split(0, 4))
-		start, _ := stages.Begin(&Request{Prompt: Prompt{Tokens: 1000}, Costs: costs, Zone: zone}, split(2, 4), rng())
+		start, _ := stages.PickPrefill(&Request{Prompt: Prompt{Tokens: 1000}, Costs: costs, Zone: zone}, split(2, 4), rng())
 		if chosen.Zone != zone || start.Engine.Zone != zone {
 			t.Errorf("zone %s: decode in %s, direct in %s", zone, chosen.Zone, start.Engine.Zone)
 		}
--- a/internal/upstreamstate/place.go
+++ b/internal/upstreamstate/place.go
@@ -88,7 +88,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	req := p.request(a, now)
-	start, ok := p.stages.Begin(req, p.candidates(a, req), p.rng)
+	start, ok := p.stages.PickPrefill(req, p.candidates(a, req), p.rng)
 	if !ok {
 		return start, placement.TurnNext, false
 	}
