--- a/internal/placement/stages.go
+++ b/internal/placement/stages.go
@@ -87,9 +87,9 @@
 	return req.Costs.startOn(&begin, chosen, sourcesOf(&begin, s.start.allowed(&begin, candidates))), true
 }
 
-// Generate picks the engine that generates from a processed prompt that lies in
+// PickDecode picks the engine that generates from a processed prompt that lies in
 // the request's KVZone.
-func (s *Stages) Generate(req *Request, candidates []Candidate, rng *rand.Rand) (Candidate, bool) {
+func (s *Stages) PickDecode(req *Request, candidates []Candidate, rng *rand.Rand) (Candidate, bool) {
 	generate := *req
 	generate.Phase = PhaseDecode
 	return s.generate.Schedule(&generate, candidates, rng)
@@ -104,5 +104,5 @@
 	others := slices.DeleteFunc(slices.Clone(candidates), func(c Candidate) bool { return c.ID == running.ID })
 	beside := *req
 	beside.KVZone = running.Zone
-	return s.Generate(&beside, others, rng)
+	return s.PickDecode(&beside, others, rng)
 }
--- a/internal/placement/stages_test.go
+++ b/internal/placement/stages_test.go
@@ -52,7 +52,7 @@
 
 func generateIn(t *testing.T, zone string, p Prompt, list []Candidate) Candidate {
 	t.Helper()
-	chosen, ok := stages.Generate(&Request{Prompt: p, Costs: costs, Zone: zone, KVZone: zone}, list, rng())
+	chosen, ok := stages.PickDecode(&Request{Prompt: p, Costs: costs, Zone: zone, KVZone: zone}, list, rng())
 	if !ok {
 		t.Fatal("no engine")
 	}
@@ -170,7 +170,7 @@
 	if start, ok := stages.PickPrefill(req, list, rng()); !ok || start.Engine.ID != "d1" {
 		t.Errorf("%q, %t: want the one that is left", start.Engine.ID, ok)
 	}
-	if chosen, ok := stages.Generate(req, list, rng()); !ok || chosen.ID != "d1" {
+	if chosen, ok := stages.PickDecode(req, list, rng()); !ok || chosen.ID != "d1" {
 		t.Errorf("%q, %t: want the one that is left", chosen.ID, ok)
 	}
 }
@@ -178,13 +178,13 @@
 func TestDecodeStaysNearTheKVCacheUnlessCrowded(t *testing.T) {
 	list := split(0, 4)
 	request := &Request{Prompt: long, Costs: costs, KVZone: "a"}
-	if chosen, _ := stages.Generate(request, list, rng()); chosen.Zone != "a" {
+	if chosen, _ := stages.PickDecode(request, list, rng()); chosen.Zone != "a" {
 		t.Errorf("zone %s", chosen.Zone)
 	}
 	for _, id := range []string{"d0", "d2"} {
 		list = with(list, id, func(c *Candidate) { c.Aggregate.Requests = 60 })
 	}
-	if chosen, _ := stages.Generate(request, list, rng()); chosen.Zone != "b" {
+	if chosen, _ := stages.PickDecode(request, list, rng()); chosen.Zone != "b" {
 		t.Errorf("zone %s, though its engines are crowded", chosen.Zone)
 	}
 }
--- a/internal/upstreamstate/place.go
+++ b/internal/upstreamstate/place.go
@@ -110,7 +110,7 @@
 	defer p.mu.Unlock()
 	req := p.request(a, now)
 	req.KVZone = kvZone
-	chosen, ok := p.stages.Generate(req, p.candidates(a, req), p.rng)
+	chosen, ok := p.stages.PickDecode(req, p.candidates(a, req), p.rng)
 	if !ok {
 		return chosen, false
 	}
