--- a/internal/placement/stages.go
+++ b/internal/placement/stages.go
@@ -95,9 +95,9 @@
 	return s.generate.Schedule(&generate, candidates, rng)
 }
 
-// Backup picks the engine that a run on another one is copied to: the one that
+// PickBackup picks the engine that a run on another one is copied to: the one that
 // would generate next. False means that none is worth it.
-func (s *Stages) Backup(req *Request, running Candidate, candidates []Candidate, rng *rand.Rand) (Candidate, bool) {
+func (s *Stages) PickBackup(req *Request, running Candidate, candidates []Candidate, rng *rand.Rand) (Candidate, bool) {
 	if req.Prompt.Tokens >= req.Costs.BackupBelow {
 		return Candidate{}, false
 	}
--- a/internal/upstreamstate/place.go
+++ b/internal/upstreamstate/place.go
@@ -138,7 +138,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	req := p.request(a, now)
-	chosen, ok := p.stages.Backup(req, running, p.candidates(a, req), p.rng)
+	chosen, ok := p.stages.PickBackup(req, running, p.candidates(a, req), p.rng)
 	if !ok {
 		return Upstream{}
 	}
