--- a/internal/placement/stages.go
+++ b/internal/placement/stages.go
@@ -13,8 +13,8 @@
 	generate *Scheduler
 }
 
-// NewStages returns the schedulers of both stages.
-func NewStages() *Stages {
+// NewDisaggregatedScheduler returns the schedulers of both stages.
+func NewDisaggregatedScheduler() *Stages {
 	strict := []Filter{DrainingFilter{}, ExcludedFilter{}}
 	allowance := Preference{Filter: LimitFilter{}, Mandatory: true}
 	return &Stages{
--- a/internal/placement/stages_test.go
+++ b/internal/placement/stages_test.go
@@ -30,7 +30,7 @@
 
 var long = Prompt{Tokens: 17000, MaxOutput: 100, Parts: []Part{{"shared", 13000}, {"own", 4000}}}
 
-var stages = NewStages()
+var stages = NewDisaggregatedScheduler()
 
 // costs are those of a large mixture-of-experts model's engines.
 var costs = Costs{
