--- a/internal/placement/stages.go
+++ b/internal/placement/stages.go
@@ -5,19 +5,19 @@
 	"slices"
 )
 
-// Stages places generations on engines that are split into prefill and decode,
+// DisaggregatedScheduler places generations on engines that are split into prefill and decode,
 // where the instances tell one another what they have under way: which engine
 // processes the prompt, which one generates, and whether one engine does both.
-type Stages struct {
+type DisaggregatedScheduler struct {
 	start    *Scheduler
 	generate *Scheduler
 }
 
 // NewDisaggregatedScheduler returns the schedulers of both stages.
-func NewDisaggregatedScheduler() *Stages {
+func NewDisaggregatedScheduler() *DisaggregatedScheduler {
 	strict := []Filter{DrainingFilter{}, ExcludedFilter{}}
 	allowance := Preference{Filter: LimitFilter{}, Mandatory: true}
-	return &Stages{
+	return &DisaggregatedScheduler{
 		start: &Scheduler{
 			Filters:     strict,
 			Preferences: []Preference{allowance, {Filter: RoleFilter{}}, {Filter: HealthFilter{}}},
@@ -38,7 +38,7 @@
 // that generates too, unless prompts take so much of these engines' time that a prefill
 // engine is sooner: else a surge of short prompts stops the answers, while prefill
 // engines idle.
-func (s *Stages) PickPrefill(req *Request, candidates []Candidate, rng *rand.Rand) (Start, bool) {
+func (s *DisaggregatedScheduler) PickPrefill(req *Request, candidates []Candidate, rng *rand.Rand) (Start, bool) {
 	if s.allSpent(req, candidates) {
 		return Start{}, false
 	}
@@ -55,7 +55,7 @@
 
 // allSpent tells whether no engine may take the answer: a prompt that is processed now
 // would find none afterwards.
-func (s *Stages) allSpent(req *Request, candidates []Candidate) bool {
+func (s *DisaggregatedScheduler) allSpent(req *Request, candidates []Candidate) bool {
 	if !req.CheckLimits {
 		return false
 	}
@@ -64,20 +64,20 @@
 }
 
 // AllLimited tells whether all engines that may take the answer limit their requests.
-func (s *Stages) AllLimited(req *Request, candidates []Candidate) bool {
+func (s *DisaggregatedScheduler) AllLimited(req *Request, candidates []Candidate) bool {
 	able := s.generators(req, candidates)
 	return len(able) > 0 && !slices.ContainsFunc(able, func(c Candidate) bool { return !c.Limited })
 }
 
 // generators are the engines that may take the answer, until the next choice.
-func (s *Stages) generators(req *Request, candidates []Candidate) []Candidate {
+func (s *DisaggregatedScheduler) generators(req *Request, candidates []Candidate) []Candidate {
 	generate := *req
 	generate.Phase = PhaseDecode
 	return s.generate.allowed(&generate, candidates)
 }
 
 // beginAs picks the engine that does a part of a generation first.
-func (s *Stages) beginAs(work Phase, req *Request, candidates []Candidate, rng *rand.Rand) (Start, bool) {
+func (s *DisaggregatedScheduler) beginAs(work Phase, req *Request, candidates []Candidate, rng *rand.Rand) (Start, bool) {
 	begin := *req
 	begin.Phase = work
 	chosen, ok := s.start.Schedule(&begin, candidates, rng)
@@ -89,7 +89,7 @@
 
 // PickDecode picks the engine that generates from a processed prompt that lies in
 // the request's KVZone.
-func (s *Stages) PickDecode(req *Request, candidates []Candidate, rng *rand.Rand) (Candidate, bool) {
+func (s *DisaggregatedScheduler) PickDecode(req *Request, candidates []Candidate, rng *rand.Rand) (Candidate, bool) {
 	generate := *req
 	generate.Phase = PhaseDecode
 	return s.generate.Schedule(&generate, candidates, rng)
@@ -97,7 +97,7 @@
 
 // PickBackup picks the engine that a run on another one is copied to: the one that
 // would generate next. False means that none is worth it.
-func (s *Stages) PickBackup(req *Request, running Candidate, candidates []Candidate, rng *rand.Rand) (Candidate, bool) {
+func (s *DisaggregatedScheduler) PickBackup(req *Request, running Candidate, candidates []Candidate, rng *rand.Rand) (Candidate, bool) {
 	if req.Prompt.Tokens >= req.Costs.BackupBelow {
 		return Candidate{}, false
 	}
--- a/internal/upstreamstate/upstreamstate.go
+++ b/internal/upstreamstate/upstreamstate.go
@@ -75,7 +75,7 @@
 type Picture struct {
 	settings Settings
 	// stages and calls choose engines and the upstreams of plain services.
-	stages *placement.Stages
+	stages *placement.DisaggregatedScheduler
 	calls  *placement.Scheduler
 
 	mu      sync.Mutex // protects all below
