--- a/internal/model/run.go
+++ b/internal/model/run.go
@@ -216,9 +216,9 @@
 func (r *run) handOver(e *engine, w *work) {
 	req := w.req
 	req.at.picture.Judge(e.id, load.VerdictGood, r.now)
-	if req.start.Source.ID == "" && req.start.Fresh <= req.prompt.Tokens-req.prompt.SharedTokens() {
+	if req.start.Source.ID == "" && req.start.UncachedTokens <= req.prompt.Tokens-req.prompt.SharedTokens() {
 		req.at.picture.Prefilled(service, estimate.Prefill{
-			Fresh: req.start.Fresh, Cached: req.prompt.Tokens - req.start.Fresh,
+			Fresh: req.start.UncachedTokens, Cached: req.prompt.Tokens - req.start.UncachedTokens,
 			Ahead: req.start.Engine.Aggregate.Backlog, Took: r.now - req.sent + e.spec.Overhead,
 		})
 	}
--- a/internal/placement/score_start.go
+++ b/internal/placement/score_start.go
@@ -84,8 +84,8 @@
 	// Source is the engine to fetch the shared part from; its ID is empty when
 	// nothing is to be fetched.
 	Source Candidate
-	// Fresh is how many of the prompt's tokens the engine processes.
-	Fresh int
+	// UncachedTokens is how many of the prompt's tokens the engine processes.
+	UncachedTokens int
 	// Work is the predicted time that the prompt keeps the engine busy.
 	Work time.Duration
 }
@@ -102,7 +102,7 @@
 		start.Work = c.fetch(source.Aggregate.CachedTokens-cached, source.Zone, on.Zone)
 		cached = source.Aggregate.CachedTokens
 	}
-	start.Fresh = max(0, req.Prompt.Tokens-cached)
+	start.UncachedTokens = max(0, req.Prompt.Tokens-cached)
 	work := c.work(req.Prompt, cached)
 	if start.Direct() {
 		work = time.Duration(float64(work) * c.DirectSlowdown)
--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -171,10 +171,10 @@
 	took := r.now() - started
 	observe("prefill", took)
 	observe("prefill_predicted", ahead+work)
-	if start.Source.ID == "" && start.Fresh <= g.prompt.Tokens-g.prompt.SharedTokens() {
+	if start.Source.ID == "" && start.UncachedTokens <= g.prompt.Tokens-g.prompt.SharedTokens() {
 		// what is not believed cached may be there all the same
 		r.picture.Prefilled(g.service, estimate.Prefill{
-			Fresh: start.Fresh, Cached: g.prompt.Tokens - start.Fresh, Ahead: ahead, Took: took,
+			Fresh: start.UncachedTokens, Cached: g.prompt.Tokens - start.UncachedTokens, Ahead: ahead, Took: took,
 		})
 	}
 	r.log.Info("relay: prefilled", "request", g.req.ID, "engine", engine.ID, "tokens", g.prompt.Tokens,
