--- a/internal/model/run.go
+++ b/internal/model/run.go
@@ -183,7 +183,7 @@
 		return
 	}
 	if req.start.Engine.ID == req.engine.id {
-		req.at.picture.PromptDone(req.engine.id, req.start.Work, req.turn)
+		req.at.picture.PromptDone(req.engine.id, req.start.BusyTime, req.turn)
 	}
 	req.at.picture.End(req.engine.id, req.id, r.now)
 }
@@ -197,7 +197,7 @@
 			r.handOver(e, w)
 			continue
 		}
-		w.req.at.picture.PromptDone(e.id, w.req.start.Work, w.req.turn)
+		w.req.at.picture.PromptDone(e.id, w.req.start.BusyTime, w.req.turn)
 	}
 	for _, w := range started {
 		if w.req.first == 0 {
--- a/internal/peers/link_test.go
+++ b/internal/peers/link_test.go
@@ -90,7 +90,7 @@
 		return
 	}
 	b.at(promptFor, func() {
-		n.loads.PromptDone(start.Engine.ID, start.Work, turn)
+		n.loads.PromptDone(start.Engine.ID, start.BusyTime, turn)
 		n.loads.End(start.Engine.ID, ask.ID, n.loads.now())
 		chosen, ok := n.loads.PickDecode(ask, "z0", n.loads.now())
 		if !ok {
--- a/internal/placement/score_start.go
+++ b/internal/placement/score_start.go
@@ -63,9 +63,9 @@
 func (c Costs) startCost(s Start) time.Duration {
 	told := s.Engine.Aggregate
 	if s.Direct() {
-		return told.Backlog + c.between(s.Work, told.Utilization) + c.crowd(told.Requests)
+		return told.Backlog + c.between(s.BusyTime, told.Utilization) + c.crowd(told.Requests)
 	}
-	return told.Backlog + s.Work + c.HandOver
+	return told.Backlog + s.BusyTime + c.HandOver
 }
 
 // mostBetween bounds the part of an engine's time that prompts are reckoned to take
@@ -86,8 +86,8 @@
 	Source Candidate
 	// UncachedTokens is how many of the prompt's tokens the engine processes.
 	UncachedTokens int
-	// Work is the predicted time that the prompt keeps the engine busy.
-	Work time.Duration
+	// BusyTime is the predicted time that the prompt keeps the engine busy.
+	BusyTime time.Duration
 }
 
 // Direct tells whether the engine generates too.
@@ -99,7 +99,7 @@
 	cached := on.Aggregate.CachedTokens
 	if source, ok := c.source(on, from); ok {
 		start.Source = source
-		start.Work = c.fetch(source.Aggregate.CachedTokens-cached, source.Zone, on.Zone)
+		start.BusyTime = c.fetch(source.Aggregate.CachedTokens-cached, source.Zone, on.Zone)
 		cached = source.Aggregate.CachedTokens
 	}
 	start.UncachedTokens = max(0, req.Prompt.Tokens-cached)
@@ -107,7 +107,7 @@
 	if start.Direct() {
 		work = time.Duration(float64(work) * c.DirectSlowdown)
 	}
-	start.Work += work
+	start.BusyTime += work
 	return start
 }
 
--- a/internal/placement/turn.go
+++ b/internal/placement/turn.go
@@ -30,7 +30,7 @@
 // with and without on three days of docs/NEW-CUSTOMER.md.
 func (c Costs) Turn(req *Request, s Start, draw float64) Turn {
 	told := s.Engine.Aggregate
-	slack := req.Objective - c.Overhead - c.HandOver - s.Work
+	slack := req.Objective - c.Overhead - c.HandOver - s.BusyTime
 	if req.Objective <= 0 || c.DeferredShare <= 0 || told.Backlog <= slack/2 {
 		return TurnNext
 	}
--- a/internal/placement/turn_test.go
+++ b/internal/placement/turn_test.go
@@ -38,7 +38,7 @@
 	for now := time.Duration(0); now < 8*time.Second; now += tick {
 		if rng.Float64() < rate(now) {
 			ahead := time.Duration(len(next)+len(yields)) * work
-			s := Start{Work: work, Engine: Candidate{Engine: &config.Engine{Loaded: config.EngineState{Role: config.RolePrefill}},
+			s := Start{BusyTime: work, Engine: Candidate{Engine: &config.Engine{Loaded: config.EngineState{Role: config.RolePrefill}},
 				Aggregate: AggregateLoad{Backlog: ahead, DeferredBacklog: time.Duration(len(yields)) * work, Utilization: rate(now) / tick.Seconds() * work.Seconds()}}}
 			req := &Request{Objective: objective, RemainingWait: patience}
 			total++
@@ -80,7 +80,7 @@
 }
 
 func TestNoPromptYieldsWithoutAWait(t *testing.T) {
-	start := Start{Work: 20 * time.Millisecond, Engine: Candidate{Aggregate: AggregateLoad{Backlog: 50 * time.Millisecond, DeferredBacklog: 50 * time.Millisecond, Utilization: 1}}}
+	start := Start{BusyTime: 20 * time.Millisecond, Engine: Candidate{Aggregate: AggregateLoad{Backlog: 50 * time.Millisecond, DeferredBacklog: 50 * time.Millisecond, Utilization: 1}}}
 	for _, objective := range []time.Duration{0, 200 * time.Millisecond} {
 		if got := (Costs{Settings: DefaultSettings()}).Turn(&Request{Objective: objective, RemainingWait: time.Second}, start, 0.99); got != TurnNext {
 			t.Errorf("objective %s: %s", objective, got)
@@ -89,7 +89,7 @@
 }
 
 func TestAPromptThatIsLateAnywayYields(t *testing.T) {
-	start := Start{Work: 20 * time.Millisecond, Engine: Candidate{Aggregate: AggregateLoad{Backlog: 300 * time.Millisecond}}}
+	start := Start{BusyTime: 20 * time.Millisecond, Engine: Candidate{Aggregate: AggregateLoad{Backlog: 300 * time.Millisecond}}}
 	if got := (Costs{Settings: DefaultSettings()}).Turn(&Request{Objective: 200 * time.Millisecond, RemainingWait: time.Second}, start, 0); got != TurnYield {
 		t.Errorf("%s", got)
 	}
--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -128,14 +128,14 @@
 	if !ok {
 		return attempt.Result{Ending: attempt.NoUpstream, Err: errors.WithMessage(ErrNotSent, "no engine for the prompt")}
 	}
-	g.ahead, g.own, g.turn = start.Engine.Aggregate.Backlog, start.Work, turn
+	g.ahead, g.own, g.turn = start.Engine.Aggregate.Backlog, start.BusyTime, turn
 	if g.direct = start.Direct(); g.direct {
 		r.meters.direct.Inc(1)
 		g.start = start
 		return attempt.Result{Ending: attempt.Over}
 	}
 	if !r.reserve(ctx, g) {
-		r.picture.PromptDone(start.Engine.ID, start.Work, turn)
+		r.picture.PromptDone(start.Engine.ID, start.BusyTime, turn)
 		r.picture.End(start.Engine.ID, g.req.ID, r.now())
 		return attempt.Result{Ending: attempt.NoUpstream, Err: errors.WithMessage(ErrLimited, "no room for the answer")}
 	}
@@ -149,7 +149,7 @@
 }
 
 func (r *Relay) prefillOn(ctx context.Context, g *generation, start placement.Start) (KV, error) {
-	engine, work := r.picture.Upstream(start.Engine.ID), start.Work
+	engine, work := r.picture.Upstream(start.Engine.ID), start.BusyTime
 	defer r.picture.PromptDone(engine.ID, work, g.turn)
 	defer func() { r.picture.End(engine.ID, g.req.ID, r.now()) }()
 	g.exchange.prefill = engine.ID
@@ -211,7 +211,7 @@
 func (r *Relay) run(ctx context.Context, g *generation, start placement.Start) attempt.Result {
 	engine := r.picture.Upstream(start.Engine.ID)
 	defer func() { r.picture.End(start.Engine.ID, g.req.ID, r.now()) }()
-	prompted := sync.OnceFunc(func() { r.picture.PromptDone(start.Engine.ID, start.Work, placement.TurnNext) })
+	prompted := sync.OnceFunc(func() { r.picture.PromptDone(start.Engine.ID, start.BusyTime, placement.TurnNext) })
 	defer prompted()
 	if err := r.bar(g.exchange); err != nil { // its prompt may have taken a while
 		return attempt.Result{Ending: attempt.NoUpstream, Err: err}
--- a/internal/upstreamstate/bench_test.go
+++ b/internal/upstreamstate/bench_test.go
@@ -77,7 +77,7 @@
 		if !ok {
 			b.Fatal("no engine")
 		}
-		p.PromptDone(start.Engine.ID, start.Work, turn)
+		p.PromptDone(start.Engine.ID, start.BusyTime, turn)
 		p.End(start.Engine.ID, "r", 0)
 	}
 }
--- a/internal/upstreamstate/limits_test.go
+++ b/internal/upstreamstate/limits_test.go
@@ -69,7 +69,7 @@
 	p := newPicture()
 	ask := Ask{ID: "r", Service: "llm", Prompt: long, Objective: time.Second, Left: 2 * time.Second}
 	first, turn, _ := p.PickStart(ask, 0)
-	p.PromptDone(first.Engine.ID, first.Work, turn)
+	p.PromptDone(first.Engine.ID, first.BusyTime, turn)
 	p.End(first.Engine.ID, "r", 0)
 	p.Announced(p.Upstream(first.Engine.ID), quota.Announcement{Limited: true, Rate: 2}, 0)
 	p.Spent(p.Upstream(first.Engine.ID).Incarnation(), 0, time.Minute)
--- a/internal/upstreamstate/place.go
+++ b/internal/upstreamstate/place.go
@@ -164,9 +164,9 @@
 // placePrompt charges a prompt to the engine that processes it. The lock is held.
 func (p *Picture) placePrompt(s placement.Start, turn placement.Turn, now time.Duration) {
 	w := &p.nodes[s.Engine.ID].work
-	w.own += s.Work
+	w.own += s.BusyTime
 	if turn == placement.TurnYield {
-		w.yielding += s.Work
+		w.yielding += s.BusyTime
 	}
-	w.use.add(s.Work.Seconds(), now)
+	w.use.add(s.BusyTime.Seconds(), now)
 }
--- a/internal/upstreamstate/upstreamstate_test.go
+++ b/internal/upstreamstate/upstreamstate_test.go
@@ -160,14 +160,14 @@
 func TestAPromptIsChargedUntilItIsDone(t *testing.T) {
 	p, other := newPicture(), newPicture()
 	start, turn, ok := p.PickStart(Ask{ID: "r", Service: "llm", Prompt: long, Objective: time.Second, Left: 2 * time.Second}, 0)
-	if !ok || start.Direct() || start.Work <= 0 || turn != placement.TurnNext {
+	if !ok || start.Direct() || start.BusyTime <= 0 || turn != placement.TurnNext {
 		t.Fatalf("%+v, %s, %t", start, turn, ok)
 	}
 	other.TakeReport(BesidePrefix+"one", p.OwnReport(0), 0)
-	if got := toldOf(t, other, start.Engine.ID, Ask{Service: "llm"}, 0).Backlog; got != start.Work {
-		t.Errorf("%s ahead, want %s", got, start.Work)
+	if got := toldOf(t, other, start.Engine.ID, Ask{Service: "llm"}, 0).Backlog; got != start.BusyTime {
+		t.Errorf("%s ahead, want %s", got, start.BusyTime)
 	}
-	p.PromptDone(start.Engine.ID, start.Work, turn)
+	p.PromptDone(start.Engine.ID, start.BusyTime, turn)
 	p.End(start.Engine.ID, "r", 0)
 	other.TakeReport(BesidePrefix+"one", p.OwnReport(0), 0)
 	if got := toldOf(t, other, start.Engine.ID, Ask{Service: "llm"}, 0).Backlog; got != 0 {
