--- a/internal/model/run.go
+++ b/internal/model/run.go
@@ -26,7 +26,7 @@
 	arrived time.Duration
 	at      *instance
 	// start and turn are where and when its prompt is processed.
-	start placement.Start
+	start placement.Prefill
 	turn  placement.Turn
 	// sent is when the prompt was sent, then when the answer was asked for.
 	sent       time.Duration
--- a/internal/placement/score_start.go
+++ b/internal/placement/score_start.go
@@ -60,7 +60,7 @@
 }
 
 // startCost is the predicted time until a generation that starts there has begun.
-func (c Costs) startCost(s Start) time.Duration {
+func (c Costs) startCost(s Prefill) time.Duration {
 	told := s.Engine.Aggregate
 	if s.Direct() {
 		return told.Backlog + c.between(s.BusyTime, told.Utilization) + c.crowd(told.Requests)
@@ -78,8 +78,8 @@
 	return time.Duration(float64(work) / (1 - min(use, mostBetween)))
 }
 
-// Start is where a generation begins.
-type Start struct {
+// Prefill is where a generation begins.
+type Prefill struct {
 	Engine Candidate
 	// Source is the engine to fetch the shared part from; its ID is empty when
 	// nothing is to be fetched.
@@ -91,11 +91,11 @@
 }
 
 // Direct tells whether the engine generates too.
-func (s Start) Direct() bool { return s.Engine.role() != config.RolePrefill }
+func (s Prefill) Direct() bool { return s.Engine.role() != config.RolePrefill }
 
 // startOn works out how a prompt would be processed on an engine.
-func (c Costs) startOn(req *Request, on Candidate, from sources) Start {
-	start := Start{Engine: on}
+func (c Costs) startOn(req *Request, on Candidate, from sources) Prefill {
+	start := Prefill{Engine: on}
 	cached := on.Aggregate.CachedTokens
 	if source, ok := c.source(on, from); ok {
 		start.Source = source
--- a/internal/placement/stages.go
+++ b/internal/placement/stages.go
@@ -38,9 +38,9 @@
 // that generates too, unless prompts take so much of these engines' time that a prefill
 // engine is sooner: else a surge of short prompts stops the answers, while prefill
 // engines idle.
-func (s *DisaggregatedScheduler) PickPrefill(req *Request, candidates []Candidate, rng *rand.Rand) (Start, bool) {
+func (s *DisaggregatedScheduler) PickPrefill(req *Request, candidates []Candidate, rng *rand.Rand) (Prefill, bool) {
 	if s.allSpent(req, candidates) {
-		return Start{}, false
+		return Prefill{}, false
 	}
 	apart, ok := s.beginAs(PhasePrefill, req, candidates, rng)
 	if req.Prompt.Tokens >= req.Costs.DirectBelow {
@@ -77,12 +77,12 @@
 }
 
 // beginAs picks the engine that does a part of a generation first.
-func (s *DisaggregatedScheduler) beginAs(work Phase, req *Request, candidates []Candidate, rng *rand.Rand) (Start, bool) {
+func (s *DisaggregatedScheduler) beginAs(work Phase, req *Request, candidates []Candidate, rng *rand.Rand) (Prefill, bool) {
 	begin := *req
 	begin.Phase = work
 	chosen, ok := s.start.Schedule(&begin, candidates, rng)
 	if !ok {
-		return Start{}, false
+		return Prefill{}, false
 	}
 	return req.Costs.startOn(&begin, chosen, sourcesOf(&begin, s.start.allowed(&begin, candidates))), true
 }
--- a/internal/placement/stages_test.go
+++ b/internal/placement/stages_test.go
@@ -41,7 +41,7 @@
 	Settings: DefaultSettings(),
 }
 
-func begin(t *testing.T, p Prompt, list []Candidate) Start {
+func begin(t *testing.T, p Prompt, list []Candidate) Prefill {
 	t.Helper()
 	start, ok := stages.PickPrefill(&Request{Prompt: p, Costs: costs}, list, rng())
 	if !ok {
--- a/internal/placement/turn.go
+++ b/internal/placement/turn.go
@@ -28,7 +28,7 @@
 //
 // It buys answers on time during a surge: 0.01 to 0.03 of a day's worth, in trials
 // with and without on three days of docs/NEW-CUSTOMER.md.
-func (c Costs) Turn(req *Request, s Start, draw float64) Turn {
+func (c Costs) Turn(req *Request, s Prefill, draw float64) Turn {
 	told := s.Engine.Aggregate
 	slack := req.Objective - c.Overhead - c.HandOver - s.BusyTime
 	if req.Objective <= 0 || c.DeferredShare <= 0 || told.Backlog <= slack/2 {
--- a/internal/placement/turn_test.go
+++ b/internal/placement/turn_test.go
@@ -14,7 +14,7 @@
 // surge plays prompts of one size on one engine, which takes those that do not yield
 // first. It returns the parts of them that were on time and that came to their
 // deadline.
-func surge(t *testing.T, turn func(c Costs, req *Request, s Start, draw float64) Turn) (onTime, missed float64) {
+func surge(t *testing.T, turn func(c Costs, req *Request, s Prefill, draw float64) Turn) (onTime, missed float64) {
 	t.Helper()
 	const (
 		work, objective, patience = 20 * time.Millisecond, 200 * time.Millisecond, 2 * time.Second
@@ -38,7 +38,7 @@
 	for now := time.Duration(0); now < 8*time.Second; now += tick {
 		if rng.Float64() < rate(now) {
 			ahead := time.Duration(len(next)+len(yields)) * work
-			s := Start{BusyTime: work, Engine: Candidate{Engine: &config.Engine{Loaded: config.EngineState{Role: config.RolePrefill}},
+			s := Prefill{BusyTime: work, Engine: Candidate{Engine: &config.Engine{Loaded: config.EngineState{Role: config.RolePrefill}},
 				Aggregate: AggregateLoad{Backlog: ahead, DeferredBacklog: time.Duration(len(yields)) * work, Utilization: rate(now) / tick.Seconds() * work.Seconds()}}}
 			req := &Request{Objective: objective, RemainingWait: patience}
 			total++
@@ -69,7 +69,7 @@
 }
 
 func TestASurgeLeavesMostPromptsOnTime(t *testing.T) {
-	inOrder, missed := surge(t, func(Costs, *Request, Start, float64) Turn { return TurnNext })
+	inOrder, missed := surge(t, func(Costs, *Request, Prefill, float64) Turn { return TurnNext })
 	if inOrder > 0.4 || missed > 0 {
 		t.Errorf("in order: %.2f on time, %.2f missed; the surge is none", inOrder, missed)
 	}
@@ -80,7 +80,7 @@
 }
 
 func TestNoPromptYieldsWithoutAWait(t *testing.T) {
-	start := Start{BusyTime: 20 * time.Millisecond, Engine: Candidate{Aggregate: AggregateLoad{Backlog: 50 * time.Millisecond, DeferredBacklog: 50 * time.Millisecond, Utilization: 1}}}
+	start := Prefill{BusyTime: 20 * time.Millisecond, Engine: Candidate{Aggregate: AggregateLoad{Backlog: 50 * time.Millisecond, DeferredBacklog: 50 * time.Millisecond, Utilization: 1}}}
 	for _, objective := range []time.Duration{0, 200 * time.Millisecond} {
 		if got := (Costs{Settings: DefaultSettings()}).Turn(&Request{Objective: objective, RemainingWait: time.Second}, start, 0.99); got != TurnNext {
 			t.Errorf("objective %s: %s", objective, got)
@@ -89,7 +89,7 @@
 }
 
 func TestAPromptThatIsLateAnywayYields(t *testing.T) {
-	start := Start{BusyTime: 20 * time.Millisecond, Engine: Candidate{Aggregate: AggregateLoad{Backlog: 300 * time.Millisecond}}}
+	start := Prefill{BusyTime: 20 * time.Millisecond, Engine: Candidate{Aggregate: AggregateLoad{Backlog: 300 * time.Millisecond}}}
 	if got := (Costs{Settings: DefaultSettings()}).Turn(&Request{Objective: 200 * time.Millisecond, RemainingWait: time.Second}, start, 0); got != TurnYield {
 		t.Errorf("%s", got)
 	}
--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -27,7 +27,7 @@
 	// direct: the engine that generates processes the prompt too; start says
 	// which one, unless it is to be chosen anew.
 	direct bool
-	start  placement.Start
+	start  placement.Prefill
 	// kv is the processed prompt that no engine has fetched yet.
 	kv KV
 	// begun: the caller has the answer's header.
@@ -92,7 +92,7 @@
 	if !ok {
 		return attempt.Result{Ending: attempt.NoUpstream, Err: errors.WithMessage(ErrNotSent, "no engine to generate")}
 	}
-	return g.relay.run(ctx, g, placement.Start{Engine: engine})
+	return g.relay.run(ctx, g, placement.Prefill{Engine: engine})
 }
 
 // pickDecode chooses the engine that generates from the processed prompt, and charges the
@@ -117,7 +117,7 @@
 	r.meters.copied.Inc(1)
 	g.kv, g.backup = KV{Engine: engine, Handle: g.req.ID}, upstreamstate.Upstream{}
 	defer func() { g.kv = KV{} }() // the engine drops a copy that was not used
-	return r.run(ctx, g, placement.Start{Engine: placement.Candidate{ID: id}})
+	return r.run(ctx, g, placement.Prefill{Engine: placement.Candidate{ID: id}})
 }
 
 // prepare chooses where the generation begins. Unless one engine is to do all
@@ -148,7 +148,7 @@
 	return attempt.Result{Ending: attempt.Over}
 }
 
-func (r *Relay) prefillOn(ctx context.Context, g *generation, start placement.Start) (KV, error) {
+func (r *Relay) prefillOn(ctx context.Context, g *generation, start placement.Prefill) (KV, error) {
 	engine, work := r.picture.Upstream(start.Engine.ID), start.BusyTime
 	defer r.picture.PromptDone(engine.ID, work, g.turn)
 	defer func() { r.picture.End(engine.ID, g.req.ID, r.now()) }()
@@ -208,7 +208,7 @@
 }
 
 // run has an engine generate, and passes its events on.
-func (r *Relay) run(ctx context.Context, g *generation, start placement.Start) attempt.Result {
+func (r *Relay) run(ctx context.Context, g *generation, start placement.Prefill) attempt.Result {
 	engine := r.picture.Upstream(start.Engine.ID)
 	defer func() { r.picture.End(start.Engine.ID, g.req.ID, r.now()) }()
 	prompted := sync.OnceFunc(func() { r.picture.PromptDone(start.Engine.ID, start.BusyTime, placement.TurnNext) })
