--- a/internal/placement/turn.go
+++ b/internal/placement/turn.go
@@ -19,7 +19,7 @@
 	return "next"
 }
 
-// Turn decides whether a prompt yields. Processed in the order of their arrival,
+// QueueOrder decides whether a prompt yields. Processed in the order of their arrival,
 // all prompts are late for as long as a surge's backlog lasts, though the engines
 // could process most of them in time. So those that can still be on time go
 // first, as far as those that yield are still processed in time: with so much
@@ -28,7 +28,7 @@
 //
 // It buys answers on time during a surge: 0.01 to 0.03 of a day's worth, in trials
 // with and without on three days of docs/NEW-CUSTOMER.md.
-func (c Costs) Turn(req *Request, s Prefill, draw float64) Turn {
+func (c Costs) QueueOrder(req *Request, s Prefill, draw float64) Turn {
 	told := s.Engine.Aggregate
 	slack := req.Objective - c.Overhead - c.HandOver - s.BusyTime
 	if req.Objective <= 0 || c.DeferredShare <= 0 || told.Backlog <= slack/2 {
--- a/internal/placement/turn_test.go
+++ b/internal/placement/turn_test.go
@@ -73,7 +73,7 @@
 	if inOrder > 0.4 || missed > 0 {
 		t.Errorf("in order: %.2f on time, %.2f missed; the surge is none", inOrder, missed)
 	}
-	turns, missed := surge(t, Costs.Turn)
+	turns, missed := surge(t, Costs.QueueOrder)
 	if turns < inOrder+0.3 || missed > 0.05 {
 		t.Errorf("with turns: %.2f on time, %.2f missed; in order %.2f on time", turns, missed, inOrder)
 	}
@@ -82,7 +82,7 @@
 func TestNoPromptYieldsWithoutAWait(t *testing.T) {
 	start := Prefill{BusyTime: 20 * time.Millisecond, Engine: Candidate{Aggregate: AggregateLoad{Backlog: 50 * time.Millisecond, DeferredBacklog: 50 * time.Millisecond, Utilization: 1}}}
 	for _, objective := range []time.Duration{0, 200 * time.Millisecond} {
-		if got := (Costs{Settings: DefaultSettings()}).Turn(&Request{Objective: objective, RemainingWait: time.Second}, start, 0.99); got != TurnNext {
+		if got := (Costs{Settings: DefaultSettings()}).QueueOrder(&Request{Objective: objective, RemainingWait: time.Second}, start, 0.99); got != TurnNext {
 			t.Errorf("objective %s: %s", objective, got)
 		}
 	}
@@ -90,7 +90,7 @@
 
 func TestAPromptThatIsLateAnywayYields(t *testing.T) {
 	start := Prefill{BusyTime: 20 * time.Millisecond, Engine: Candidate{Aggregate: AggregateLoad{Backlog: 300 * time.Millisecond}}}
-	if got := (Costs{Settings: DefaultSettings()}).Turn(&Request{Objective: 200 * time.Millisecond, RemainingWait: time.Second}, start, 0); got != TurnYield {
+	if got := (Costs{Settings: DefaultSettings()}).QueueOrder(&Request{Objective: 200 * time.Millisecond, RemainingWait: time.Second}, start, 0); got != TurnYield {
 		t.Errorf("%s", got)
 	}
 }
--- a/internal/upstreamstate/place.go
+++ b/internal/upstreamstate/place.go
@@ -94,7 +94,7 @@
 	}
 	turn := placement.TurnNext
 	if !start.Direct() {
-		turn = req.Costs.Turn(req, start, p.rng.Float64())
+		turn = req.Costs.QueueOrder(req, start, p.rng.Float64())
 	}
 	p.place(start.Engine.ID, a.ID, now)
 	p.placePrompt(start, turn, now)
