--- a/internal/placement/turn.go
+++ b/internal/placement/turn.go
@@ -4,8 +4,8 @@
 type Turn int
 
 const (
-	// TurnNext is before those that yield.
-	TurnNext Turn = iota
+	// QueueNormal is before those that yield.
+	QueueNormal Turn = iota
 	// TurnYield is after all others: the request is late anyway, or is to make
 	// room for others that still can be on time.
 	TurnYield
@@ -32,17 +32,17 @@
 	told := s.Engine.Aggregate
 	slack := req.Objective - c.Overhead - c.HandOver - s.BusyTime
 	if req.Objective <= 0 || c.DeferredShare <= 0 || told.Backlog <= slack/2 {
-		return TurnNext
+		return QueueNormal
 	}
 	if told.Backlog-told.DeferredBacklog > slack {
 		return TurnYield
 	}
 	if told.DeferredBacklog <= 0 || req.RemainingWait <= 0 {
-		return TurnNext
+		return QueueNormal
 	}
 	share := 1 - told.DeferredBacklog.Seconds()/(c.DeferredShare*req.RemainingWait.Seconds())
 	if draw < share/max(told.Utilization, leastTurnUse) {
-		return TurnNext
+		return QueueNormal
 	}
 	return TurnYield
 }
--- a/internal/placement/turn_test.go
+++ b/internal/placement/turn_test.go
@@ -69,7 +69,7 @@
 }
 
 func TestASurgeLeavesMostPromptsOnTime(t *testing.T) {
-	inOrder, missed := surge(t, func(Costs, *Request, Prefill, float64) Turn { return TurnNext })
+	inOrder, missed := surge(t, func(Costs, *Request, Prefill, float64) Turn { return QueueNormal })
 	if inOrder > 0.4 || missed > 0 {
 		t.Errorf("in order: %.2f on time, %.2f missed; the surge is none", inOrder, missed)
 	}
@@ -82,7 +82,7 @@
 func TestNoPromptYieldsWithoutAWait(t *testing.T) {
 	start := Prefill{BusyTime: 20 * time.Millisecond, Engine: Candidate{Aggregate: AggregateLoad{Backlog: 50 * time.Millisecond, DeferredBacklog: 50 * time.Millisecond, Utilization: 1}}}
 	for _, objective := range []time.Duration{0, 200 * time.Millisecond} {
-		if got := (Costs{Settings: DefaultSettings()}).QueueOrder(&Request{Objective: objective, RemainingWait: time.Second}, start, 0.99); got != TurnNext {
+		if got := (Costs{Settings: DefaultSettings()}).QueueOrder(&Request{Objective: objective, RemainingWait: time.Second}, start, 0.99); got != QueueNormal {
 			t.Errorf("objective %s: %s", objective, got)
 		}
 	}
--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -211,7 +211,7 @@
 func (r *Relay) run(ctx context.Context, g *generation, start placement.Prefill) attempt.Result {
 	engine := r.picture.Upstream(start.Engine.ID)
 	defer func() { r.picture.End(start.Engine.ID, g.req.ID, r.now()) }()
-	prompted := sync.OnceFunc(func() { r.picture.PromptDone(start.Engine.ID, start.BusyTime, placement.TurnNext) })
+	prompted := sync.OnceFunc(func() { r.picture.PromptDone(start.Engine.ID, start.BusyTime, placement.QueueNormal) })
 	defer prompted()
 	if err := r.bar(g.exchange); err != nil { // its prompt may have taken a while
 		return attempt.Result{Ending: attempt.NoUpstream, Err: err}
--- a/internal/upstreamstate/place.go
+++ b/internal/upstreamstate/place.go
@@ -90,9 +90,9 @@
 	req := p.request(a, now)
 	start, ok := p.stages.PickPrefill(req, p.candidates(a, req), p.rng)
 	if !ok {
-		return start, placement.TurnNext, false
+		return start, placement.QueueNormal, false
 	}
-	turn := placement.TurnNext
+	turn := placement.QueueNormal
 	if !start.Direct() {
 		turn = req.Costs.QueueOrder(req, start, p.rng.Float64())
 	}
--- a/internal/upstreamstate/upstreamstate_test.go
+++ b/internal/upstreamstate/upstreamstate_test.go
@@ -160,7 +160,7 @@
 func TestAPromptIsChargedUntilItIsDone(t *testing.T) {
 	p, other := newPicture(), newPicture()
 	start, turn, ok := p.PickStart(Ask{ID: "r", Service: "llm", Prompt: long, Objective: time.Second, Left: 2 * time.Second}, 0)
-	if !ok || start.Direct() || start.BusyTime <= 0 || turn != placement.TurnNext {
+	if !ok || start.Direct() || start.BusyTime <= 0 || turn != placement.QueueNormal {
 		t.Fatalf("%+v, %s, %t", start, turn, ok)
 	}
 	other.TakeReport(BesidePrefix+"one", p.OwnReport(0), 0)
