--- a/internal/model/run.go
+++ b/internal/model/run.go
@@ -160,7 +160,7 @@
 		return // it waits until its caller leaves
 	}
 	req.start, req.turn, req.sent, req.engine = start, turn, r.now, r.byID[start.Engine.ID]
-	w := &work{req: req, yields: turn == placement.TurnYield, source: r.byID[start.Source.ID], tokens: req.answer}
+	w := &work{req: req, yields: turn == placement.QueueDeferred, source: r.byID[start.Source.ID], tokens: req.answer}
 	if !req.engine.takes(r.now) {
 		r.refused(req)
 		return
--- a/internal/placement/turn.go
+++ b/internal/placement/turn.go
@@ -6,14 +6,14 @@
 const (
 	// QueueNormal is before those that yield.
 	QueueNormal Turn = iota
-	// TurnYield is after all others: the request is late anyway, or is to make
+	// QueueDeferred is after all others: the request is late anyway, or is to make
 	// room for others that still can be on time.
-	TurnYield
+	QueueDeferred
 )
 
 // String returns the turn's name in logs.
 func (t Turn) String() string {
-	if t == TurnYield {
+	if t == QueueDeferred {
 		return "yields"
 	}
 	return "next"
@@ -35,7 +35,7 @@
 		return QueueNormal
 	}
 	if told.Backlog-told.DeferredBacklog > slack {
-		return TurnYield
+		return QueueDeferred
 	}
 	if told.DeferredBacklog <= 0 || req.RemainingWait <= 0 {
 		return QueueNormal
@@ -44,7 +44,7 @@
 	if draw < share/max(told.Utilization, leastTurnUse) {
 		return QueueNormal
 	}
-	return TurnYield
+	return QueueDeferred
 }
 
 // leastTurnUse is the use of an engine below which none of its prompts has to
--- a/internal/placement/turn_test.go
+++ b/internal/placement/turn_test.go
@@ -42,7 +42,7 @@
 				Aggregate: AggregateLoad{Backlog: ahead, DeferredBacklog: time.Duration(len(yields)) * work, Utilization: rate(now) / tick.Seconds() * work.Seconds()}}}
 			req := &Request{Objective: objective, RemainingWait: patience}
 			total++
-			if turn(Costs{Settings: DefaultSettings()}, req, s, rng.Float64()) == TurnYield {
+			if turn(Costs{Settings: DefaultSettings()}, req, s, rng.Float64()) == QueueDeferred {
 				yields = append(yields, now)
 			} else {
 				next = append(next, now)
@@ -90,7 +90,7 @@
 
 func TestAPromptThatIsLateAnywayYields(t *testing.T) {
 	start := Prefill{BusyTime: 20 * time.Millisecond, Engine: Candidate{Aggregate: AggregateLoad{Backlog: 300 * time.Millisecond}}}
-	if got := (Costs{Settings: DefaultSettings()}).QueueOrder(&Request{Objective: 200 * time.Millisecond, RemainingWait: time.Second}, start, 0); got != TurnYield {
+	if got := (Costs{Settings: DefaultSettings()}).QueueOrder(&Request{Objective: 200 * time.Millisecond, RemainingWait: time.Second}, start, 0); got != QueueDeferred {
 		t.Errorf("%s", got)
 	}
 }
--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -160,7 +160,7 @@
 	defer cancel()
 	go r.whenSilent(ctx, engine.ID, ahead+work+r.settings.PrefillSilence, cancel)
 	send := g.send(engine, started)
-	send.Yields, send.FetchFrom = g.turn == placement.TurnYield, r.picture.Upstream(start.Source.ID).Address
+	send.Yields, send.FetchFrom = g.turn == placement.QueueDeferred, r.picture.Upstream(start.Source.ID).Address
 	kv, said, err := r.sender.Prefill(ctx, g.req, send)
 	if err != nil {
 		return KV{}, err
--- a/internal/upstreamstate/place.go
+++ b/internal/upstreamstate/place.go
@@ -165,7 +165,7 @@
 func (p *Picture) placePrompt(s placement.Prefill, turn placement.Turn, now time.Duration) {
 	w := &p.nodes[s.Engine.ID].work
 	w.own += s.BusyTime
-	if turn == placement.TurnYield {
+	if turn == placement.QueueDeferred {
 		w.yielding += s.BusyTime
 	}
 	w.use.add(s.BusyTime.Seconds(), now)
--- a/internal/upstreamstate/work.go
+++ b/internal/upstreamstate/work.go
@@ -39,7 +39,7 @@
 		return
 	}
 	n.work.own = max(0, n.work.own-work)
-	if turn == placement.TurnYield {
+	if turn == placement.QueueDeferred {
 		n.work.yielding = max(0, n.work.yielding-work)
 	}
 	p.changed(n)
