--- a/internal/model/run.go
+++ b/internal/model/run.go
@@ -27,7 +27,7 @@
 	at      *instance
 	// start and turn are where and when its prompt is processed.
 	start placement.Prefill
-	turn  placement.Turn
+	turn  placement.QueueOrder
 	// sent is when the prompt was sent, then when the answer was asked for.
 	sent       time.Duration
 	engine     *engine
--- a/internal/placement/turn.go
+++ b/internal/placement/turn.go
@@ -1,18 +1,18 @@
 package placement
 
-// Turn is when an engine processes a prompt that waits there with others.
-type Turn int
+// QueueOrder is when an engine processes a prompt that waits there with others.
+type QueueOrder int
 
 const (
 	// QueueNormal is before those that yield.
-	QueueNormal Turn = iota
+	QueueNormal QueueOrder = iota
 	// QueueDeferred is after all others: the request is late anyway, or is to make
 	// room for others that still can be on time.
 	QueueDeferred
 )
 
 // String returns the turn's name in logs.
-func (t Turn) String() string {
+func (t QueueOrder) String() string {
 	if t == QueueDeferred {
 		return "yields"
 	}
@@ -28,7 +28,7 @@
 //
 // It buys answers on time during a surge: 0.01 to 0.03 of a day's worth, in trials
 // with and without on three days of docs/NEW-CUSTOMER.md.
-func (c Costs) QueueOrder(req *Request, s Prefill, draw float64) Turn {
+func (c Costs) QueueOrder(req *Request, s Prefill, draw float64) QueueOrder {
 	told := s.Engine.Aggregate
 	slack := req.Objective - c.Overhead - c.HandOver - s.BusyTime
 	if req.Objective <= 0 || c.DeferredShare <= 0 || told.Backlog <= slack/2 {
--- a/internal/placement/turn_test.go
+++ b/internal/placement/turn_test.go
@@ -14,7 +14,7 @@
 // surge plays prompts of one size on one engine, which takes those that do not yield
 // first. It returns the parts of them that were on time and that came to their
 // deadline.
-func surge(t *testing.T, turn func(c Costs, req *Request, s Prefill, draw float64) Turn) (onTime, missed float64) {
+func surge(t *testing.T, turn func(c Costs, req *Request, s Prefill, draw float64) QueueOrder) (onTime, missed float64) {
 	t.Helper()
 	const (
 		work, objective, patience = 20 * time.Millisecond, 200 * time.Millisecond, 2 * time.Second
@@ -69,7 +69,7 @@
 }
 
 func TestASurgeLeavesMostPromptsOnTime(t *testing.T) {
-	inOrder, missed := surge(t, func(Costs, *Request, Prefill, float64) Turn { return QueueNormal })
+	inOrder, missed := surge(t, func(Costs, *Request, Prefill, float64) QueueOrder { return QueueNormal })
 	if inOrder > 0.4 || missed > 0 {
 		t.Errorf("in order: %.2f on time, %.2f missed; the surge is none", inOrder, missed)
 	}
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -37,7 +37,7 @@
 	// counted: it was counted as one that began to run.
 	counted bool
 	// turn is when that prompt was to be processed there.
-	turn placement.Turn
+	turn placement.QueueOrder
 	// content returns the name of what is asked for, which is computed once.
 	content func() quarantine.Content
 }
--- a/internal/upstreamstate/place.go
+++ b/internal/upstreamstate/place.go
@@ -84,7 +84,7 @@
 
 // PickStart chooses where a generation begins and when its prompt is processed
 // there, and charges the request to that engine.
-func (p *Picture) PickStart(a Ask, now time.Duration) (placement.Prefill, placement.Turn, bool) {
+func (p *Picture) PickStart(a Ask, now time.Duration) (placement.Prefill, placement.QueueOrder, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	req := p.request(a, now)
@@ -162,7 +162,7 @@
 }
 
 // placePrompt charges a prompt to the engine that processes it. The lock is held.
-func (p *Picture) placePrompt(s placement.Prefill, turn placement.Turn, now time.Duration) {
+func (p *Picture) placePrompt(s placement.Prefill, turn placement.QueueOrder, now time.Duration) {
 	w := &p.nodes[s.Engine.ID].work
 	w.own += s.BusyTime
 	if turn == placement.QueueDeferred {
--- a/internal/upstreamstate/work.go
+++ b/internal/upstreamstate/work.go
@@ -31,7 +31,7 @@
 }
 
 // PromptDone takes the prompt work of a request off an engine.
-func (p *Picture) PromptDone(id string, work time.Duration, turn placement.Turn) {
+func (p *Picture) PromptDone(id string, work time.Duration, turn placement.QueueOrder) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n, ok := p.nodes[id]
