--- a/internal/placement/policy.go
+++ b/internal/placement/policy.go
@@ -91,10 +91,10 @@
 		WeightedScorer{Scorer: ZoneScorer{}, Weight: zoneWeight})
 }
 
-// NewToldServiceScheduler returns the scheduler for plain services where the
+// NewAggregateServiceScheduler returns the scheduler for plain services where the
 // instances tell one another what they have under way. An upstream that failed
 // lately is taken when no other is left.
-func NewToldServiceScheduler() *Scheduler {
+func NewAggregateServiceScheduler() *Scheduler {
 	return serviceScheduler(0, WeightedScorer{Scorer: ServiceScorer{View: toldView}, Weight: 1})
 }
 
--- a/internal/placement/stages_test.go
+++ b/internal/placement/stages_test.go
@@ -209,11 +209,11 @@
 			{ID: "near", Zone: "a", Load: table.Engine("near"), Aggregate: AggregateLoad{Requests: tc.near}},
 			{ID: "far", Zone: "b", Load: table.Engine("far"), Aggregate: AggregateLoad{Requests: tc.far}},
 		}
-		if c, _ := NewToldServiceScheduler().Schedule(&Request{Zone: "a"}, list, rng()); c.ID != tc.want {
+		if c, _ := NewAggregateServiceScheduler().Schedule(&Request{Zone: "a"}, list, rng()); c.ID != tc.want {
 			t.Errorf("%d near, %d far: %s", tc.near, tc.far, c.ID)
 		}
 		list = with(list, tc.want, func(c *Candidate) { c.Suspect = true })
-		if c, _ := NewToldServiceScheduler().Schedule(&Request{Zone: "a"}, list, rng()); c.ID == tc.want {
+		if c, _ := NewAggregateServiceScheduler().Schedule(&Request{Zone: "a"}, list, rng()); c.ID == tc.want {
 			t.Errorf("%d near, %d far: the doubtful one is chosen", tc.near, tc.far)
 		}
 	}
--- a/internal/upstreamstate/upstreamstate.go
+++ b/internal/upstreamstate/upstreamstate.go
@@ -122,7 +122,7 @@
 		s.Changed = func() {}
 	}
 	return &Picture{
-		settings: s, stages: placement.NewDisaggregatedScheduler(), calls: placement.NewToldServiceScheduler(),
+		settings: s, stages: placement.NewDisaggregatedScheduler(), calls: placement.NewAggregateServiceScheduler(),
 		table: routes.NewTable(0, nil, nil, routes.Limits{}),
 		nodes: map[string]*node{}, byHash: map[uint32]*node{}, byService: map[string][]*node{}, busy: map[*node]bool{},
 		loads: loads, models: map[string]*estimate.Model{}, told: newToldLoads(), parts: newPartTable(),
