--- a/internal/entry/routing.go
+++ b/internal/entry/routing.go
@@ -92,7 +92,7 @@
 	for _, e := range s.engines {
 		candidates = append(candidates, placement.Candidate{
 			ID: e.ID, Zone: e.Zone, Draining: e.Leave, Engine: e,
-			Load: s.table.Engine(e.ID), Suspect: s.table.Silent(e.ID, now),
+			Load: s.table.Upstream(e.ID), Suspect: s.table.Silent(e.ID, now),
 		})
 	}
 	return candidates
@@ -151,7 +151,7 @@
 	candidates := make([]placement.Candidate, 0, len(svc.Upstreams))
 	for _, u := range svc.Upstreams {
 		candidates = append(candidates, placement.Candidate{
-			ID: u.ID, Zone: u.Zone, Draining: u.Leave, Load: s.table.Engine(servicePrefix + u.ID),
+			ID: u.ID, Zone: u.Zone, Draining: u.Leave, Load: s.table.Upstream(servicePrefix + u.ID),
 		})
 	}
 	req := &placement.Request{Zone: s.zone, Excluded: excluded, Draining: s.leaving, Now: now}
@@ -213,7 +213,7 @@
 func (s *state) eventsAfter(id string) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.table.Engine(id).Prefixes.After()
+	return s.table.Upstream(id).Prefixes.After()
 }
 
 // measure brings the gauges up to date.
@@ -222,7 +222,7 @@
 	defer s.mu.Unlock()
 	charges, shunned := 0, 0
 	for _, e := range s.engines {
-		picture := s.table.Engine(e.ID)
+		picture := s.table.Upstream(e.ID)
 		charges += picture.Charges()
 		if s.table.Silent(e.ID, now) || picture.Health.Ejected(now) {
 			shunned++
--- a/internal/entry/routing_test.go
+++ b/internal/entry/routing_test.go
@@ -115,11 +115,11 @@
 	e, _ := s.place(&placement.Request{Model: "m"}, load.Placement{ID: "r", PrefillTokens: 5, At: time.Second})
 	s.accepted(e.ID, "r", load.Acceptance{Boot: "b", Number: 7})
 	s.reported(e.ID, engine.Report{Boot: "b", Seq: 1, Accepted: 6}, time.Second)
-	if s.table.Engine(e.ID).Charges() != 1 {
+	if s.table.Upstream(e.ID).Charges() != 1 {
 		t.Fatal("a report from before the request ended its charge")
 	}
 	s.reported(e.ID, engine.Report{Boot: "b", Seq: 2, Accepted: 7}, time.Second)
-	if s.table.Engine(e.ID).Charges() != 0 {
+	if s.table.Upstream(e.ID).Charges() != 0 {
 		t.Fatal("the charge outlived the report that counts it")
 	}
 }
--- a/internal/entry/state.go
+++ b/internal/entry/state.go
@@ -110,7 +110,7 @@
 	defer s.mu.Unlock()
 	counts := map[string]int{}
 	for _, e := range s.doc.Engines {
-		if n := s.table.Engine(e.ID).Streams; n > 0 {
+		if n := s.table.Upstream(e.ID).Streams; n > 0 {
 			counts[e.ID] = n
 		}
 	}
--- a/internal/load/health_test.go
+++ b/internal/load/health_test.go
@@ -10,7 +10,7 @@
 func TestFailingUpstreamIsEjectedAndComesBackGradually(t *testing.T) {
 	table := NewTable()
 	rules := table.Outliers
-	h := &table.Engine("e").Health
+	h := &table.Upstream("e").Health
 	table.Failed("e", second)
 	table.Succeeded("e")
 	if table.Failed("e", second); !h.Admits(second) {
@@ -71,7 +71,7 @@
 	now := second + 2*silent
 	table.Reported("e", report("b", 2, 0), now)
 	table.Place("e", Placement{ID: "probe", At: now})
-	if table.Engine("e").Health.Admits(now) {
+	if table.Upstream("e").Health.Admits(now) {
 		t.Fatal("more than a probe after the silence")
 	}
 }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -39,8 +39,8 @@
 	return &Table{ChargeFor: DefaultChargeFor, Outliers: DefaultOutlierRules(), engines: map[string]*Engine{}}
 }
 
-// Engine returns the picture of an upstream, made when there is none.
-func (t *Table) Engine(id string) *Engine {
+// Upstream returns the picture of an upstream, made when there is none.
+func (t *Table) Upstream(id string) *Engine {
 	e, ok := t.engines[id]
 	if !ok {
 		e = &Engine{traffic: &t.Traffic}
@@ -78,7 +78,7 @@
 
 // Place charges a request to an upstream.
 func (t *Table) Place(id string, p Placement) {
-	e := t.Engine(id)
+	e := t.Upstream(id)
 	e.Streams++
 	e.own = append(e.own, placed{Placement: p, charged: true})
 	e.Prefixes.Expect(p.Prefix)
@@ -87,7 +87,7 @@
 
 // Accepted records the number that the engine gave a request.
 func (t *Table) Accepted(id, request string, a Acceptance) {
-	e := t.Engine(id)
+	e := t.Upstream(id)
 	p := e.find(request)
 	if p == nil {
 		return
@@ -100,7 +100,7 @@
 
 // Started records that the first token of a request came.
 func (t *Table) Started(id, request string) {
-	if p := t.Engine(id).find(request); p != nil {
+	if p := t.Upstream(id).find(request); p != nil {
 		p.started = true
 	}
 }
@@ -108,7 +108,7 @@
 // End takes a stream off an upstream, with its charge. A request that is not
 // on the upstream is no error.
 func (t *Table) End(id, request string, now time.Duration) {
-	e := t.Engine(id)
+	e := t.Upstream(id)
 	for i := range e.own {
 		if e.own[i].ID == request {
 			t.Traffic.ended(now - e.own[i].At)
@@ -123,7 +123,7 @@
 // Reported takes a report that came at now. A report that is older than the
 // one held, or of an earlier boot, is dropped.
 func (t *Table) Reported(id string, report engine.Report, now time.Duration) {
-	e := t.Engine(id)
+	e := t.Upstream(id)
 	if !e.newer(&report, now, t.Outliers.SilentFor) {
 		return
 	}
@@ -140,19 +140,19 @@
 
 // CacheEvents takes a batch of cache events.
 func (t *Table) CacheEvents(id string, events engine.CacheEvents) {
-	t.Engine(id).Prefixes.Apply(events)
+	t.Upstream(id).Prefixes.Apply(events)
 }
 
 // Silent tells whether an engine that has reported went without a new report
 // for too long, as one that is frozen or cut off does.
 func (t *Table) Silent(id string, now time.Duration) bool {
-	e := t.Engine(id)
+	e := t.Upstream(id)
 	return e.ReportAt != 0 && now-e.ReportAt > t.Outliers.SilentFor
 }
 
 // Failed records that a call to the upstream failed.
 func (t *Table) Failed(id string, now time.Duration) (ejected bool) {
-	return t.Engine(id).Health.failed(now, t.Outliers)
+	return t.Upstream(id).Health.failed(now, t.Outliers)
 }
 
 // Refused records that the upstream refused a call without running any of it,
@@ -162,13 +162,13 @@
 func (t *Table) Refused(id string, now time.Duration) (ejected bool) {
 	rules := t.Outliers
 	rules.EjectAtMost = rules.EjectFor
-	return t.Engine(id).Health.failed(now, rules)
+	return t.Upstream(id).Health.failed(now, rules)
 }
 
 // Rest records that the upstream wants nothing until a time.
-func (t *Table) Rest(id string, until time.Duration) { t.Engine(id).Health.rest(until) }
+func (t *Table) Rest(id string, until time.Duration) { t.Upstream(id).Health.rest(until) }
 
 // Succeeded records that a call to the upstream went well.
 func (t *Table) Succeeded(id string) {
-	t.Engine(id).Health.succeeded(t.Outliers)
+	t.Upstream(id).Health.succeeded(t.Outliers)
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -28,7 +28,7 @@
 	table.Place("e", Placement{ID: "a", PrefillTokens: 7, At: second})
 	table.Place("e", Placement{ID: "b", PrefillTokens: 9, At: second})
 	table.Accepted("e", "a", Acceptance{Boot: "b1", Number: 11})
-	e := table.Engine("e")
+	e := table.Upstream("e")
 	expect := func(when string, charges, tokens int) {
 		t.Helper()
 		if e.Charges() != charges || e.PrefillTokens() != tokens {
@@ -53,11 +53,11 @@
 	table.Accepted("e", "taken", Acceptance{Boot: "b1", Number: 11})
 	table.Place("e", Placement{ID: "on its way", At: second})
 	table.Reported("e", report("b2", 1, 0), 2*second)
-	if n := table.Engine("e").Charges(); n != 1 {
+	if n := table.Upstream("e").Charges(); n != 1 {
 		t.Fatalf("%d charges after the restart, want the one on its way", n)
 	}
 	table.Reported("e", report("b1", 9, 50, "on its way"), 3*second)
-	if e := table.Engine("e"); e.Report.Boot != "b2" || e.Charges() != 1 {
+	if e := table.Upstream("e"); e.Report.Boot != "b2" || e.Charges() != 1 {
 		t.Fatalf("a late report of the earlier boot was taken: %+v", e.Report)
 	}
 }
@@ -66,11 +66,11 @@
 	table := NewTable()
 	table.Place("e", Placement{ID: "lost", PrefillTokens: 5, At: second})
 	table.Expire(second + table.ChargeFor)
-	if table.Engine("e").Charges() != 1 {
+	if table.Upstream("e").Charges() != 1 {
 		t.Fatal("the charge went before its bound")
 	}
 	table.Expire(second + table.ChargeFor + 1)
-	if e := table.Engine("e"); e.Charges() != 0 || e.Streams != 1 {
+	if e := table.Upstream("e"); e.Charges() != 0 || e.Streams != 1 {
 		t.Fatalf("charges %d, streams %d; want 0, 1", e.Charges(), e.Streams)
 	}
 }
@@ -165,7 +165,7 @@
 			"end of an unknown request": func(*rapid.T) { w.table.End("e", "never placed", w.now) },
 			"time":                      func(*rapid.T) { w.now += second },
 			"": func(t *rapid.T) {
-				e := w.table.Engine("e")
+				e := w.table.Upstream("e")
 				want := 0
 				for id := range w.live {
 					if !w.counted[id] {
@@ -183,7 +183,7 @@
 		for id := range w.live {
 			w.table.End("e", id, w.now)
 		}
-		if e := w.table.Engine("e"); e.Charges() != 0 || e.Streams != 0 || e.Local() != (View{}) {
+		if e := w.table.Upstream("e"); e.Charges() != 0 || e.Streams != 0 || e.Local() != (View{}) {
 			t.Fatalf("left after all ended: %d charges, %d streams, %+v", e.Charges(), e.Streams, e.Local())
 		}
 	})
@@ -225,7 +225,7 @@
 	table := NewTable()
 	full := engine.Report{Boot: "b", Seq: 1, Running: 8, PrefillTokens: 4000, PrefillRate: 1000}
 	table.Reported("e", full, second)
-	e := table.Engine("e")
+	e := table.Upstream("e")
 	if v := e.Estimated(second); v.PrefillTokens != 4000 || v.Requests != 8 {
 		t.Fatalf("a fresh report: %+v", v)
 	}
@@ -264,7 +264,7 @@
 	table.Place("e", Placement{ID: "new", At: second})
 	table.Accepted("e", "new", Acceptance{Boot: "b2", Number: 1})
 	table.Reported("e", report("b1", 6, 11), 2*second)
-	e := table.Engine("e")
+	e := table.Upstream("e")
 	if e.Charges() != 1 {
 		t.Fatal("a report of the earlier boot ended a charge of the new one")
 	}
@@ -285,11 +285,11 @@
 	table.Reported("e", report("b2", 1, 0), second)
 	later := second + table.Outliers.SilentFor
 	table.Reported("e", report("b1", 1, 0), later)
-	if table.Engine("e").Report.Boot != "b2" {
+	if table.Upstream("e").Report.Boot != "b2" {
 		t.Fatal("a report with an older clock was taken while the newer one was fresh")
 	}
 	table.Reported("e", report("b1", 2, 0), later+1)
-	if table.Engine("e").Report.Boot != "b1" {
+	if table.Upstream("e").Report.Boot != "b1" {
 		t.Fatal("an engine whose clock was set back is never heard again")
 	}
 }
@@ -299,7 +299,7 @@
 	table.Place("gone", Placement{ID: "r", At: second})
 	table.Place("kept", Placement{ID: "s", At: second})
 	table.Retain(map[string]bool{"kept": true})
-	if table.Engine("gone").Streams != 1 {
+	if table.Upstream("gone").Streams != 1 {
 		t.Fatal("an upstream with a stream was forgotten")
 	}
 	table.End("gone", "r", second)
--- a/internal/load/refused_test.go
+++ b/internal/load/refused_test.go
@@ -16,7 +16,7 @@
 			for !note(id, now) {
 				now += time.Millisecond
 			}
-			for !table.Engine(id).Health.Admits(now) {
+			for !table.Upstream(id).Health.Admits(now) {
 				now += 10 * time.Millisecond
 			}
 		}
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -21,7 +21,7 @@
 		id := fmt.Sprintf("e%d", i)
 		table.Reported(id, engine.Report{Boot: "b", Seq: 1, PrefillRate: 1000, KVBlocksFree: 100, KVBlocksTotal: 100}, time.Second)
 		candidates = append(candidates, Candidate{
-			ID: id, Zone: "far", Load: table.Engine(id),
+			ID: id, Zone: "far", Load: table.Upstream(id),
 			Engine: &config.Engine{ID: id, Routing: config.RoutingServing, Loaded: config.EngineState{
 				Model: "m", Version: "1", Adapters: []string{"a"}, Role: config.RoleMixed,
 			}},
--- a/internal/placement/stages_test.go
+++ b/internal/placement/stages_test.go
@@ -15,7 +15,7 @@
 	var list []Candidate
 	add := func(id string, i int, role config.Role) {
 		list = append(list, Candidate{
-			ID: id, Zone: string(rune('a' + i%2)), Load: table.Engine(id),
+			ID: id, Zone: string(rune('a' + i%2)), Load: table.Upstream(id),
 			Engine: &config.Engine{ID: id, Loaded: config.EngineState{Role: role}},
 		})
 	}
@@ -206,8 +206,8 @@
 	}{{0, 0, "near"}, {2, 0, "near"}, {4, 0, "far"}, {9, 4, "far"}} {
 		table := load.NewTable()
 		list := []Candidate{
-			{ID: "near", Zone: "a", Load: table.Engine("near"), Aggregate: AggregateLoad{Requests: tc.near}},
-			{ID: "far", Zone: "b", Load: table.Engine("far"), Aggregate: AggregateLoad{Requests: tc.far}},
+			{ID: "near", Zone: "a", Load: table.Upstream("near"), Aggregate: AggregateLoad{Requests: tc.near}},
+			{ID: "far", Zone: "b", Load: table.Upstream("far"), Aggregate: AggregateLoad{Requests: tc.far}},
 		}
 		if c, _ := NewAggregateServiceScheduler().Schedule(&Request{Zone: "a"}, list, rng()); c.ID != tc.want {
 			t.Errorf("%d near, %d far: %s", tc.near, tc.far, c.ID)
--- a/internal/upstreamstate/upstreamstate.go
+++ b/internal/upstreamstate/upstreamstate.go
@@ -165,7 +165,7 @@
 		ok = false
 	}
 	if !ok {
-		n = &node{hash: u.Incarnation(), load: p.loads.Engine(u.ID)}
+		n = &node{hash: u.Incarnation(), load: p.loads.Upstream(u.ID)}
 		n.told = p.told.of(n.hash)
 		p.nodes[u.ID], p.byHash[n.hash] = n, n
 	}
