--- a/internal/load/engine.go
+++ b/internal/load/engine.go
@@ -19,8 +19,8 @@
 	Blocks int
 }
 
-// Engine is the picture of one upstream. Plain services have no reports.
-type Engine struct {
+// Upstream is the picture of one upstream. Plain services have no reports.
+type Upstream struct {
 	Report engine.Report
 	// ReportAt is when the newest report came, on the entry's clock; 0 when
 	// none has.
@@ -39,7 +39,7 @@
 }
 
 // Reported is the load by the lagging report alone.
-func (e *Engine) Reported() View {
+func (e *Upstream) Reported() View {
 	return View{
 		Requests:      e.Report.Running + e.Report.Waiting,
 		Waiting:       e.Report.Waiting,
@@ -48,7 +48,7 @@
 }
 
 // Local is the load by this entry's own streams alone.
-func (e *Engine) Local() View {
+func (e *Upstream) Local() View {
 	view := View{Requests: e.Streams}
 	for i := range e.own {
 		view.Blocks += e.own[i].Blocks
@@ -60,7 +60,7 @@
 }
 
 // chargedView is the load of the charges alone.
-func (e *Engine) chargedView() View {
+func (e *Upstream) chargedView() View {
 	var view View
 	for i := range e.own {
 		p := &e.own[i]
@@ -78,7 +78,7 @@
 
 // Charged is the reported load and the own placements that the report does not
 // account for.
-func (e *Engine) Charged() View {
+func (e *Upstream) Charged() View {
 	view, charges := e.Reported(), e.chargedView()
 	view.Requests += charges.Requests
 	view.PrefillTokens += charges.PrefillTokens
@@ -88,17 +88,17 @@
 
 // PrefillTokens returns the prompt tokens ahead of a new request, charges
 // included.
-func (e *Engine) PrefillTokens() int {
+func (e *Upstream) PrefillTokens() int {
 	return e.Charged().PrefillTokens
 }
 
 // Requests returns the requests on the engine, charges included.
-func (e *Engine) Requests() int {
+func (e *Upstream) Requests() int {
 	return e.Charged().Requests
 }
 
 // Charges counts the own placements that no report accounts for.
-func (e *Engine) Charges() int {
+func (e *Upstream) Charges() int {
 	n := 0
 	for i := range e.own {
 		if e.own[i].charged {
@@ -112,7 +112,7 @@
 // sequence decides; between boots the engine's own clock does, so that a late
 // report of an earlier boot is known for what it is. Should the engine's clock
 // have been set back, the held report gives way once it counts as silent.
-func (e *Engine) newer(report *engine.Report, now, silentFor time.Duration) bool {
+func (e *Upstream) newer(report *engine.Report, now, silentFor time.Duration) bool {
 	if e.ReportAt == 0 {
 		return true
 	}
@@ -124,7 +124,7 @@
 
 // settle takes the charges off that the report accounts for, and tells traffic
 // of those that it counts.
-func (e *Engine) settle() {
+func (e *Upstream) settle() {
 	recent := make(map[string]bool, len(e.Report.Recent))
 	for _, id := range e.Report.Recent {
 		recent[id] = true
@@ -145,7 +145,7 @@
 }
 
 // expire takes the charges off that are older than bound.
-func (e *Engine) expire(now, bound time.Duration) {
+func (e *Upstream) expire(now, bound time.Duration) {
 	for i := range e.own {
 		if now-e.own[i].At > bound {
 			e.own[i].charged = false
@@ -154,7 +154,7 @@
 }
 
 // find returns the newest own placement with the id, or nil.
-func (e *Engine) find(id string) *placed {
+func (e *Upstream) find(id string) *placed {
 	for i := len(e.own) - 1; i >= 0; i-- {
 		if e.own[i].ID == id {
 			return &e.own[i]
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -31,19 +31,19 @@
 	// Traffic is what the placements on all engines tell together.
 	Traffic Traffic
 
-	engines map[string]*Engine
+	engines map[string]*Upstream
 }
 
 // NewTable returns an empty table with the default bounds.
 func NewTable() *Table {
-	return &Table{ChargeFor: DefaultChargeFor, Outliers: DefaultOutlierRules(), engines: map[string]*Engine{}}
+	return &Table{ChargeFor: DefaultChargeFor, Outliers: DefaultOutlierRules(), engines: map[string]*Upstream{}}
 }
 
 // Upstream returns the picture of an upstream, made when there is none.
-func (t *Table) Upstream(id string) *Engine {
+func (t *Table) Upstream(id string) *Upstream {
 	e, ok := t.engines[id]
 	if !ok {
-		e = &Engine{traffic: &t.Traffic}
+		e = &Upstream{traffic: &t.Traffic}
 		t.engines[id] = e
 	}
 	return e
--- a/internal/load/traffic.go
+++ b/internal/load/traffic.go
@@ -72,7 +72,7 @@
 // done since it was taken, and the own placements that it does not count. What
 // the entry knows from its own streams to be on the engine is the least. With
 // reports that are fresh this is Charged, with very old ones Local.
-func (e *Engine) Estimated(now time.Duration) View {
+func (e *Upstream) Estimated(now time.Duration) View {
 	t := e.traffic
 	age := min(longestAge, now-e.ReportAt+t.Lag())
 	charged, own := e.chargedView(), e.Local()
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -71,7 +71,7 @@
 	Draining bool
 	// Engine is nil for a plain service's upstream.
 	Engine *config.Engine
-	Load   *load.Engine
+	Load   *load.Upstream
 	// Suspect: the engine went without a report for too long, or another instance
 	// could not reach it.
 	Suspect bool
--- a/internal/upstreamstate/node.go
+++ b/internal/upstreamstate/node.go
@@ -16,7 +16,7 @@
 	// engine is how placement sees its configuration; nil for one of a plain service.
 	engine *config.Engine
 	// load is this instance's own part, in the picture's table.
-	load *load.Engine
+	load *load.Upstream
 	work workload
 	// told is what the other instances have there.
 	told *toldLoad
