--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// Renew has an upstream begin anew: what it had ended with its process.
-func (t *Table) Renew(id string) { delete(t.engines, id) }
+// Reset has an upstream begin anew: what it had ended with its process.
+func (t *Table) Reset(id string) { delete(t.engines, id) }
 
 // Expire ends the charges that have grown older than the bound.
 func (t *Table) Expire(now time.Duration) {
--- a/internal/upstreamstate/upstreamstate.go
+++ b/internal/upstreamstate/upstreamstate.go
@@ -161,7 +161,7 @@
 		delete(p.limits.spent, n.hash)
 		delete(p.limits.rests, n.hash)
 		p.forget(n)
-		p.loads.Renew(u.ID)
+		p.loads.Reset(u.ID)
 		ok = false
 	}
 	if !ok {
