--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -165,8 +165,8 @@
 	return t.Upstream(id).Health.failed(now, rules)
 }
 
-// Rest records that the upstream wants nothing until a time.
-func (t *Table) Rest(id string, until time.Duration) { t.Upstream(id).Health.rest(until) }
+// BackOff records that the upstream wants nothing until a time.
+func (t *Table) BackOff(id string, until time.Duration) { t.Upstream(id).Health.rest(until) }
 
 // Succeeded records that a call to the upstream went well.
 func (t *Table) Succeeded(id string) {
--- a/internal/upstreamstate/statement.go
+++ b/internal/upstreamstate/statement.go
@@ -45,7 +45,7 @@
 		return false
 	}
 	if listed {
-		p.loads.Rest(n.ID, now+d)
+		p.loads.BackOff(n.ID, now+d)
 	}
 	return true
 }
