--- a/internal/entry/routing.go
+++ b/internal/entry/routing.go
@@ -194,7 +194,7 @@
 func (s *state) judge(id string, v load.Verdict, now time.Duration) (ejected bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.table.Judge(id, v, now)
+	return s.table.RecordCall(id, v, now)
 }
 
 func (s *state) reported(id string, report engine.Report, now time.Duration) {
--- a/internal/load/health.go
+++ b/internal/load/health.go
@@ -129,9 +129,9 @@
 	VerdictMoved
 )
 
-// Judge records what a send told of an upstream, and reports whether that ejects
+// RecordCall records what a send told of an upstream, and reports whether that ejects
 // it.
-func (t *Table) Judge(id string, v Verdict, now time.Duration) (ejected bool) {
+func (t *Table) RecordCall(id string, v Verdict, now time.Duration) (ejected bool) {
 	switch v {
 	case VerdictGood:
 		t.Succeeded(id)
--- a/internal/upstreamstate/work.go
+++ b/internal/upstreamstate/work.go
@@ -87,10 +87,10 @@
 	}
 	if v != load.VerdictGone && v != load.VerdictMoved {
 		n.work.heardAt, n.work.heard = now, true
-		return p.loads.Judge(id, v, now)
+		return p.loads.RecordCall(id, v, now)
 	}
-	first := p.loads.Judge(id, v, now)
-	return p.loads.Judge(id, v, now) || first
+	first := p.loads.RecordCall(id, v, now)
+	return p.loads.RecordCall(id, v, now) || first
 }
 
 // HeardSince tells whether an upstream has answered anything since a time.
