--- a/internal/entry/disaggregated.go
+++ b/internal/entry/disaggregated.go
@@ -107,7 +107,7 @@
 		source.Close()
 	}
 	if err == nil || errors.Is(err, errPrefilled) {
-		s.judge(prefill.ID, load.VerdictGood)
+		s.judge(prefill.ID, load.CallSucceeded)
 		return nil
 	}
 	return s.prefillFailed(ctx, prefill.ID, client, request.ID, err)
--- a/internal/entry/generation.go
+++ b/internal/entry/generation.go
@@ -136,7 +136,7 @@
 		source.Close()
 	}
 	if err == nil {
-		s.judge(chosen.ID, load.VerdictGood)
+		s.judge(chosen.ID, load.CallSucceeded)
 		s.contents.served(comp.content)
 		return nil
 	}
--- a/internal/entry/plain.go
+++ b/internal/entry/plain.go
@@ -169,7 +169,7 @@
 	switch {
 	case err == nil:
 		c.answer = answer
-		s.judge(id, load.VerdictGood)
+		s.judge(id, load.CallSucceeded)
 		return attempt.Result{Ending: attempt.Over}
 	case errors.Is(err, service.ErrRefused):
 		s.judge(id, load.VerdictRefused)
--- a/internal/load/health.go
+++ b/internal/load/health.go
@@ -117,8 +117,8 @@
 type Verdict int
 
 const (
-	// VerdictGood: it answered.
-	VerdictGood Verdict = iota
+	// CallSucceeded: it answered.
+	CallSucceeded Verdict = iota
 	// VerdictRefused: it ran nothing, by its own word.
 	VerdictRefused
 	// VerdictFailed: it gave no valid answer.
@@ -133,7 +133,7 @@
 // it.
 func (t *Table) RecordCall(id string, v Verdict, now time.Duration) (ejected bool) {
 	switch v {
-	case VerdictGood:
+	case CallSucceeded:
 		t.Succeeded(id)
 		return false
 	case VerdictRefused:
--- a/internal/relay/generate_test.go
+++ b/internal/relay/generate_test.go
@@ -179,7 +179,7 @@
 	holder, other := newFake(t, f), newFake(t, g)
 	for _, id := range []string{"dec-1", "dec-2"} { // two of eight may be away
 		holder.SendAway(id, time.Minute)
-		holder.picture.Judge(id, load.VerdictGood, holder.now()) // what ran there ends
+		holder.picture.Judge(id, load.CallSucceeded, holder.now()) // what ran there ends
 	}
 	other.TakeReport("instance holder", holder.OwnReport())
 	for _, r := range []*Relay{holder, other} {
