--- a/internal/entry/completions.go
+++ b/internal/entry/completions.go
@@ -108,7 +108,7 @@
 	case errors.Is(err, engine.ErrUnreachable):
 		s.judge(engineID, load.VerdictFailed)
 	case errors.Is(err, engine.ErrNotRun):
-		s.judge(engineID, load.VerdictRefused)
+		s.judge(engineID, load.CallRefused)
 	}
 	if ranNothing(err) {
 		return
--- a/internal/entry/plain.go
+++ b/internal/entry/plain.go
@@ -172,7 +172,7 @@
 		s.judge(id, load.CallSucceeded)
 		return attempt.Result{Ending: attempt.Over}
 	case errors.Is(err, service.ErrRefused):
-		s.judge(id, load.VerdictRefused)
+		s.judge(id, load.CallRefused)
 	case ctx.Err() == nil:
 		s.judge(id, load.VerdictFailed)
 	}
--- a/internal/load/health.go
+++ b/internal/load/health.go
@@ -119,8 +119,8 @@
 const (
 	// CallSucceeded: it answered.
 	CallSucceeded Verdict = iota
-	// VerdictRefused: it ran nothing, by its own word.
-	VerdictRefused
+	// CallRefused: it ran nothing, by its own word.
+	CallRefused
 	// VerdictFailed: it gave no valid answer.
 	VerdictFailed
 	// VerdictGone: it could not be reached, or fell silent.
@@ -136,7 +136,7 @@
 	case CallSucceeded:
 		t.Succeeded(id)
 		return false
-	case VerdictRefused:
+	case CallRefused:
 		return t.Refused(id, now)
 	default:
 		return t.Failed(id, now)
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -87,7 +87,7 @@
 	case errors.Is(err, ErrMoved):
 		return load.VerdictMoved
 	case errors.Is(err, ErrRefused):
-		return load.VerdictRefused
+		return load.CallRefused
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return load.VerdictGone
 	default:
