--- a/internal/entry/completions.go
+++ b/internal/entry/completions.go
@@ -106,7 +106,7 @@
 func (s *Server) afterFailure(ctx context.Context, engineID string, client engine.Engine, comp *completion, err error, blame bool) {
 	switch {
 	case errors.Is(err, engine.ErrUnreachable):
-		s.judge(engineID, load.VerdictFailed)
+		s.judge(engineID, load.CallFailed)
 	case errors.Is(err, engine.ErrNotRun):
 		s.judge(engineID, load.CallRefused)
 	}
@@ -115,7 +115,7 @@
 	}
 	s.background.Go(func() { s.cancel(ctx, client, comp.id) })
 	if blame {
-		s.judge(engineID, load.VerdictFailed)
+		s.judge(engineID, load.CallFailed)
 	}
 }
 
--- a/internal/entry/disaggregated.go
+++ b/internal/entry/disaggregated.go
@@ -125,7 +125,7 @@
 		return errCallerGone
 	}
 	if !errors.Is(err, engine.ErrNotRun) && !errors.Is(err, errCallerGone) {
-		s.judge(engineID, load.VerdictFailed)
+		s.judge(engineID, load.CallFailed)
 	}
 	return err
 }
--- a/internal/entry/plain.go
+++ b/internal/entry/plain.go
@@ -174,7 +174,7 @@
 	case errors.Is(err, service.ErrRefused):
 		s.judge(id, load.CallRefused)
 	case ctx.Err() == nil:
-		s.judge(id, load.VerdictFailed)
+		s.judge(id, load.CallFailed)
 	}
 	if errors.Is(err, service.ErrNotRun) {
 		return attempt.Result{Ending: attempt.Refused, Upstream: upstream.ID, Err: err}
--- a/internal/entry/routing_test.go
+++ b/internal/entry/routing_test.go
@@ -71,7 +71,7 @@
 	s.end(servicePrefix+"near", "a", time.Second)
 	s.end(servicePrefix+"far", "b", time.Second)
 	for range s.routing.Failures {
-		s.judge(servicePrefix+"near", load.VerdictFailed, time.Second)
+		s.judge(servicePrefix+"near", load.CallFailed, time.Second)
 	}
 	if got := place("c"); got != "far" {
 		t.Fatalf("a call went to the ejected %s", got)
--- a/internal/load/health.go
+++ b/internal/load/health.go
@@ -121,8 +121,8 @@
 	CallSucceeded Verdict = iota
 	// CallRefused: it ran nothing, by its own word.
 	CallRefused
-	// VerdictFailed: it gave no valid answer.
-	VerdictFailed
+	// CallFailed: it gave no valid answer.
+	CallFailed
 	// VerdictGone: it could not be reached, or fell silent.
 	VerdictGone
 	// VerdictMoved: another upstream has its address, so it is gone for good.
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -91,6 +91,6 @@
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return load.VerdictGone
 	default:
-		return load.VerdictFailed
+		return load.CallFailed
 	}
 }
