--- a/internal/load/health.go
+++ b/internal/load/health.go
@@ -123,8 +123,8 @@
 	CallRefused
 	// CallFailed: it gave no valid answer.
 	CallFailed
-	// VerdictGone: it could not be reached, or fell silent.
-	VerdictGone
+	// CallUnreachable: it could not be reached, or fell silent.
+	CallUnreachable
 	// VerdictMoved: another upstream has its address, so it is gone for good.
 	VerdictMoved
 )
--- a/internal/model/run.go
+++ b/internal/model/run.go
@@ -171,7 +171,7 @@
 // refused tries another engine, as this one does not take the request.
 func (r *run) refused(req *request) {
 	r.free(req)
-	req.at.picture.Judge(req.engine.id, load.VerdictGone, r.now)
+	req.at.picture.Judge(req.engine.id, load.CallUnreachable, r.now)
 	req.engine = nil
 	r.result.Refused++
 	r.place(req)
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -83,13 +83,13 @@
 func verdictOf(ctx context.Context, err error) load.Verdict {
 	switch {
 	case errors.Is(err, ErrNotSent):
-		return load.VerdictGone
+		return load.CallUnreachable
 	case errors.Is(err, ErrMoved):
 		return load.VerdictMoved
 	case errors.Is(err, ErrRefused):
 		return load.CallRefused
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		return load.VerdictGone
+		return load.CallUnreachable
 	default:
 		return load.CallFailed
 	}
--- a/internal/upstreamstate/work.go
+++ b/internal/upstreamstate/work.go
@@ -76,7 +76,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch v {
-	case load.VerdictGone:
+	case load.CallUnreachable:
 		p.noteGone(id, now)
 	case load.VerdictMoved:
 		p.sendAway(id, now+movedFor)
@@ -85,7 +85,7 @@
 	if !ok {
 		return false // its entry is gone
 	}
-	if v != load.VerdictGone && v != load.VerdictMoved {
+	if v != load.CallUnreachable && v != load.VerdictMoved {
 		n.work.heardAt, n.work.heard = now, true
 		return p.loads.RecordCall(id, v, now)
 	}
