--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -85,7 +85,7 @@
 	case errors.Is(err, ErrNotSent):
 		return load.CallUnreachable
 	case errors.Is(err, ErrMoved):
-		return load.VerdictMoved
+		return load.CallAddressReused
 	case errors.Is(err, ErrRefused):
 		return load.CallRefused
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
