--- a/internal/entry/reports.go
+++ b/internal/entry/reports.go
@@ -111,7 +111,7 @@
 }
 
 // judge records what a call told of an upstream.
-func (s *Server) judge(id string, v load.Verdict) {
+func (s *Server) judge(id string, v load.CallResult) {
 	if s.state.judge(id, v, s.now()) {
 		s.state.meters.ejections.Inc(1)
 		s.log.Warn("route: ejected", "upstream", id)
--- a/internal/entry/routing.go
+++ b/internal/entry/routing.go
@@ -191,7 +191,7 @@
 
 // judge records what a call told of an upstream, and reports whether that ejects
 // it.
-func (s *state) judge(id string, v load.Verdict, now time.Duration) (ejected bool) {
+func (s *state) judge(id string, v load.CallResult, now time.Duration) (ejected bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.RecordCall(id, v, now)
--- a/internal/load/health.go
+++ b/internal/load/health.go
@@ -113,12 +113,12 @@
 	}
 }
 
-// Verdict is what one send told of an upstream.
-type Verdict int
+// CallResult is what one send told of an upstream.
+type CallResult int
 
 const (
 	// CallSucceeded: it answered.
-	CallSucceeded Verdict = iota
+	CallSucceeded CallResult = iota
 	// CallRefused: it ran nothing, by its own word.
 	CallRefused
 	// CallFailed: it gave no valid answer.
@@ -131,7 +131,7 @@
 
 // RecordCall records what a send told of an upstream, and reports whether that ejects
 // it.
-func (t *Table) RecordCall(id string, v Verdict, now time.Duration) (ejected bool) {
+func (t *Table) RecordCall(id string, v CallResult, now time.Duration) (ejected bool) {
 	switch v {
 	case CallSucceeded:
 		t.Succeeded(id)
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -80,7 +80,7 @@
 }
 
 // verdictOf is what an error tells of the upstream.
-func verdictOf(ctx context.Context, err error) load.Verdict {
+func verdictOf(ctx context.Context, err error) load.CallResult {
 	switch {
 	case errors.Is(err, ErrNotSent):
 		return load.CallUnreachable
--- a/internal/upstreamstate/work.go
+++ b/internal/upstreamstate/work.go
@@ -72,7 +72,7 @@
 
 // Judge records what a send told of an upstream, and reports whether it is
 // ejected by it. One that cannot be reached is ejected at once.
-func (p *Picture) Judge(id string, v load.Verdict, now time.Duration) bool {
+func (p *Picture) Judge(id string, v load.CallResult, now time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch v {
