--- a/internal/load/health.go
+++ b/internal/load/health.go
@@ -13,16 +13,16 @@
 	// SilentFor is how long an engine that has reported may go without a new
 	// report before it counts as frozen.
 	SilentFor time.Duration
-	// FullAt is the number of own streams at a time from which a returning
+	// RecoveredAt is the number of own streams at a time from which a returning
 	// upstream counts as whole again.
-	FullAt int
+	RecoveredAt int
 }
 
 // DefaultOutlierRules returns the defaults.
 func DefaultOutlierRules() OutlierRules {
 	return OutlierRules{
 		Failures: 2, EjectFor: 2 * time.Second, EjectAtMost: 30 * time.Second,
-		SilentFor: 2 * time.Second, FullAt: 16,
+		SilentFor: 2 * time.Second, RecoveredAt: 16,
 	}
 }
 
@@ -108,7 +108,7 @@
 		return
 	}
 	h.room *= 2
-	if h.room >= rules.FullAt {
+	if h.room >= rules.RecoveredAt {
 		*h = Health{}
 	}
 }
--- a/internal/load/health_test.go
+++ b/internal/load/health_test.go
@@ -36,7 +36,7 @@
 		t.Fatal("a failed probe does not double the ejection")
 	}
 	now := back + 2*rules.EjectFor
-	for room := 1; room < rules.FullAt; room *= 2 {
+	for room := 1; room < rules.RecoveredAt; room *= 2 {
 		n := 0
 		for ; h.Admits(now); n++ {
 			table.Place("e", Placement{ID: string(rune('a' + n)), At: now})
