--- a/internal/entry/routing.go
+++ b/internal/entry/routing.go
@@ -213,7 +213,7 @@
 func (s *state) eventsAfter(id string) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.table.Upstream(id).Prefixes.After()
+	return s.table.Upstream(id).Prefixes.LastSeq()
 }
 
 // measure brings the gauges up to date.
--- a/internal/load/health_test.go
+++ b/internal/load/health_test.go
@@ -95,7 +95,7 @@
 		t.Fatal("a gap keeps old beliefs, or drops the new one")
 	}
 	p.Apply(engine.CacheEvents{Boot: "b2"})
-	if p.Len() != 0 || p.After() != 0 {
+	if p.Len() != 0 || p.LastSeq() != 0 {
 		t.Fatal("a restart keeps beliefs")
 	}
 	for i := range uint64(3 * prefixesKept) {
--- a/internal/load/prefixes.go
+++ b/internal/load/prefixes.go
@@ -24,8 +24,8 @@
 	age   uint64
 }
 
-// After is the sequence number to ask for events after.
-func (p *Prefixes) After() int64 { return p.seq }
+// LastSeq is the sequence number to ask for events after.
+func (p *Prefixes) LastSeq() int64 { return p.seq }
 
 // Len counts the blocks believed cached.
 func (p *Prefixes) Len() int { return len(p.blocks) }
