--- a/internal/load/health_test.go
+++ b/internal/load/health_test.go
@@ -99,7 +99,7 @@
 		t.Fatal("a restart keeps beliefs")
 	}
 	for i := range uint64(3 * prefixesKept) {
-		p.Expect([]uint64{i, 1})
+		p.AssumeCached([]uint64{i, 1})
 	}
 	if p.Len() > prefixesKept || len(p.order) > 2*prefixesKept || p.Cached([]uint64{1}) != 1 {
 		t.Fatalf("%d beliefs, %d in order", p.Len(), len(p.order))
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -81,7 +81,7 @@
 	e := t.Upstream(id)
 	e.Streams++
 	e.own = append(e.own, placed{Placement: p, charged: true})
-	e.Prefixes.Expect(p.Prefix)
+	e.Prefixes.AssumeCached(p.Prefix)
 	e.Health.placed(p.ID, p.At)
 }
 
--- a/internal/load/prefixes.go
+++ b/internal/load/prefixes.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// Expect believes the blocks of a prompt that was just placed on the engine.
-func (p *Prefixes) Expect(blocks []uint64) {
+// AssumeCached believes the blocks of a prompt that was just placed on the engine.
+func (p *Prefixes) AssumeCached(blocks []uint64) {
 	for _, block := range blocks {
 		p.believe(block)
 	}
