--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -82,7 +82,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		rules := Rules{
 			MaxQueue: rapid.IntRange(0, 8).Draw(t, "queue"), MaxWait: time.Second,
-			PriorityCredit: 1000, Early: true,
+			PriorityCredit: 1000, EarlyRefusal: true,
 		}
 		g := NewGate(rules)
 		limit := rapid.IntRange(1, 4).Draw(t, "limit")
@@ -91,7 +91,7 @@
 		waiting := map[string]Ticket{}
 		admitted := 0
 		predict := func(ticket Ticket) Prediction {
-			return Prediction{FirstToken: ahead + ticket.Own, Own: ticket.Own, Known: true}
+			return Prediction{FirstToken: ahead + ticket.PrefillTime, PrefillTime: ticket.PrefillTime, Known: true}
 		}
 		refuse := func(refusals []Refusal) {
 			for _, r := range refusals {
@@ -133,10 +133,10 @@
 				}
 			case 3:
 				ahead = time.Duration(rapid.Int64Range(0, int64(2*time.Second)).Draw(t, "ahead"))
-				refuse(g.Review(now, predict))
+				refuse(g.RefuseLate(now, predict))
 				grant()
 				for _, ticket := range waiting {
-					if now >= g.Latest(ticket) || now+predict(ticket).FirstToken > ticket.Deadline {
+					if now >= g.WaitDeadline(ticket) || now+predict(ticket).FirstToken > ticket.Deadline {
 						t.Fatalf("ticket %s waits at %s and can't make its deadline", ticket.ID, now)
 					}
 				}
@@ -155,13 +155,13 @@
 	own := time.Duration(rapid.Int64Range(0, int64(300*time.Millisecond)).Draw(t, "own"))
 	return Ticket{
 		ID: fmt.Sprint(i), Organisation: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "organisation"),
-		Priority: rapid.IntRange(MinPriority, MaxPriority).Draw(t, "priority"), Work: 100, Arrived: now, Own: own,
+		Priority: rapid.IntRange(MinPriority, MaxPriority).Draw(t, "priority"), Work: 100, Arrived: now, PrefillTime: own,
 		Deadline: now + time.Duration(rapid.Int64Range(0, int64(2*time.Second)).Draw(t, "deadline")),
 	}
 }
 
 func TestPredict(t *testing.T) {
-	busy := EngineLoad{PrefillAhead: 5000, PrefillRate: 10000, Running: 4, BlocksFree: 60, BlocksTotal: 100}
+	busy := EngineLoad{QueuedPrefillTokens: 5000, PrefillRate: 10000, Running: 4, BlocksFree: 60, BlocksTotal: 100}
 	full := EngineLoad{PrefillRate: 10000, Running: 8, Waiting: 3, BlocksFree: 50, BlocksTotal: 100}
 	check := func(what string, got, want time.Duration) {
 		t.Helper()
@@ -181,17 +181,17 @@
 // beside what they have, and an entry without any gets its equal part.
 func TestConcurrency(t *testing.T) {
 	engines := []EngineLoad{{Running: 9, BlocksFree: 100, BlocksTotal: 1000}}
-	if got := Concurrency(engines, 9, 1); got != 10 {
+	if got := ConcurrencyLimit(engines, 9, 1); got != 10 {
 		t.Errorf("alone with one place free: %d", got)
 	}
-	if got := Concurrency(engines, 0, 5); got != 2 {
+	if got := ConcurrencyLimit(engines, 0, 5); got != 2 {
 		t.Errorf("one of five without any: %d", got)
 	}
 	engines[0].Waiting = 5
-	if got := Concurrency(engines, 9, 1); got != 9 {
+	if got := ConcurrencyLimit(engines, 9, 1); got != 9 {
 		t.Errorf("5 wait for 9 places: %d", got)
 	}
-	if got := Concurrency([]EngineLoad{{BlocksFree: 10, BlocksTotal: 10}}, 3, 1); got != 0 {
+	if got := ConcurrencyLimit([]EngineLoad{{BlocksFree: 10, BlocksTotal: 10}}, 3, 1); got != 0 {
 		t.Errorf("an idle engine sets a bound of %d", got)
 	}
 }
--- a/internal/admit/capacity.go
+++ b/internal/admit/capacity.go
@@ -7,17 +7,17 @@
 
 // EngineLoad is what the decisions need of the picture of one engine.
 type EngineLoad struct {
-	// PrefillAhead are the prompt tokens that wait, this entry's placements
+	// QueuedPrefillTokens are the prompt tokens that wait, this entry's placements
 	// that no report accounts for included.
-	PrefillAhead int
+	QueuedPrefillTokens int
 	// PrefillRate is in prompt tokens a second; 0 when not known.
 	PrefillRate float64
-	// Cached are tokens of the prompt that the engine is believed to have cached.
-	Cached int
+	// CachedTokens are tokens of the prompt that the engine is believed to have cached.
+	CachedTokens int
 	// Running and Waiting count streams, by the engine's report.
 	Running, Waiting int
-	// Charged counts this entry's placements that no report accounts for.
-	Charged int
+	// UnreportedPlacements counts this entry's placements that no report accounts for.
+	UnreportedPlacements int
 	// BlocksFree and BlocksTotal count pieces of KV memory.
 	BlocksFree, BlocksTotal int
 }
@@ -44,16 +44,16 @@
 		if e.PrefillRate <= 0 {
 			continue
 		}
-		own := seconds(float64(max(0, promptTokens-e.Cached)) / e.PrefillRate)
+		own := seconds(float64(max(0, promptTokens-e.CachedTokens)) / e.PrefillRate)
 		uncached := seconds(float64(promptTokens) / e.PrefillRate)
-		ahead := seconds(float64(e.PrefillAhead) / e.PrefillRate)
+		ahead := seconds(float64(e.QueuedPrefillTokens) / e.PrefillRate)
 		firstToken := own + max(ahead, e.batchWait(service))
 		if !best.Known {
-			best.Own, best.Uncached, best.FirstToken, best.Known = own, uncached, firstToken, true
+			best.PrefillTime, best.UncachedPrefillTime, best.FirstToken, best.Known = own, uncached, firstToken, true
 			continue
 		}
-		best.Own = min(best.Own, own)
-		best.Uncached = min(best.Uncached, uncached)
+		best.PrefillTime = min(best.PrefillTime, own)
+		best.UncachedPrefillTime = min(best.UncachedPrefillTime, uncached)
 		best.FirstToken = min(best.FirstToken, firstToken)
 	}
 	return best
@@ -62,7 +62,7 @@
 // batchWait is the time until a place in the batch is free.
 func (e EngineLoad) batchWait(service time.Duration) time.Duration {
 	free, known := e.free()
-	ahead := float64(e.Waiting+e.Charged) - free
+	ahead := float64(e.Waiting+e.UnreportedPlacements) - free
 	if !known || e.Running == 0 || ahead < 0 {
 		return 0
 	}
@@ -73,12 +73,12 @@
 	return time.Duration(s * float64(time.Second))
 }
 
-// Concurrency bounds the requests that one entry has in flight on engines it
+// ConcurrencyLimit bounds the requests that one entry has in flight on engines it
 // shares with others: what it has already, and its part of what is free or of
 // what waits too much; but never less than its equal part of all places. Each
 // entry works that out by itself from the engines' reports. 0 is no bound:
 // nothing is known that would set one.
-func Concurrency(engines []EngineLoad, inFlight, entries int) int {
+func ConcurrencyLimit(engines []EngineLoad, inFlight, entries int) int {
 	places, free, waiting := 0.0, 0.0, 0.0
 	for _, e := range engines {
 		streams, known := e.free()
--- a/internal/admit/fair_test.go
+++ b/internal/admit/fair_test.go
@@ -17,7 +17,7 @@
 
 func (e *engineModel) predict(now time.Duration) Prediction {
 	wait := max(0, e.busyUntil-now)
-	return Prediction{FirstToken: wait + promptTime, Own: promptTime, Engines: 1, Known: true}
+	return Prediction{FirstToken: wait + promptTime, PrefillTime: promptTime, Engines: 1, Known: true}
 }
 
 // outcome of an overload, by organisation.
@@ -31,7 +31,7 @@
 // and 0.4 times for another, for a minute.
 func overload(backlog time.Duration, slowness time.Duration) outcome {
 	const deadline = 450 * time.Millisecond
-	g := NewGate(Rules{MaxQueue: 256, MaxWait: time.Second, PriorityCredit: 4000, Early: true, Backlog: backlog})
+	g := NewGate(Rules{MaxQueue: 256, MaxWait: time.Second, PriorityCredit: 4000, EarlyRefusal: true, MaxBacklog: backlog})
 	engine := &engineModel{slowness: slowness}
 	o := outcome{offered: map[string]int{}, inTime: map[string]int{}}
 	observations := map[time.Duration][]time.Duration{} // by the time they come
@@ -59,7 +59,7 @@
 			o.offered[organisation]++
 			t := Ticket{
 				ID: fmt.Sprint(organisation, tick), Organisation: organisation, Work: 500,
-				Arrived: now, Deadline: now + deadline, Own: promptTime,
+				Arrived: now, Deadline: now + deadline, PrefillTime: promptTime,
 			}
 			switch decision, _ := g.Arrive(t, engine.predict(now), now); decision {
 			case Admitted:
@@ -68,7 +68,7 @@
 				waiting[t.ID] = t
 			}
 		}
-		for _, r := range g.Review(now, predict) {
+		for _, r := range g.RefuseLate(now, predict) {
 			o.longest = max(o.longest, now-waiting[r.ID].Arrived)
 		}
 		for _, t := range g.Grant(now, predict) {
--- a/internal/admit/gate.go
+++ b/internal/admit/gate.go
@@ -11,15 +11,15 @@
 	MaxQueue int
 	// MaxWait bounds the time in the queue.
 	MaxWait time.Duration
-	// Backlog is how long a request may wait at an engine for its prefill to
+	// MaxBacklog is how long a request may wait at an engine for its prefill to
 	// begin; while it would be longer, requests wait in the queue, where they
 	// get fair shares. 0 is no bound.
-	Backlog time.Duration
+	MaxBacklog time.Duration
 	// PriorityCredit is the credit of the Queue, in tokens.
 	PriorityCredit float64
-	// Early is false to let through what can't make its deadline, for
+	// EarlyRefusal is false to let through what can't make its deadline, for
 	// comparison.
-	Early bool
+	EarlyRefusal bool
 }
 
 // Decision on an arriving ticket.
@@ -68,12 +68,12 @@
 // Waiting returns the number of requests in the queue.
 func (g *Gate) Waiting() int { return g.queue.Len() }
 
-// Service returns the mean time that an admitted request takes; 0 before the
+// ServiceTime returns the mean time that an admitted request takes; 0 before the
 // first is done.
-func (g *Gate) Service() time.Duration { return g.service }
+func (g *Gate) ServiceTime() time.Duration { return g.service }
 
-// Latest is when a queued ticket is given up.
-func (g *Gate) Latest(t Ticket) time.Duration { return t.latest(g.rules.MaxWait) }
+// WaitDeadline is when a queued ticket is given up.
+func (g *Gate) WaitDeadline(t Ticket) time.Duration { return t.latest(g.rules.MaxWait) }
 
 // Arrive decides on a ticket. The refusals are of other tickets, which lose
 // their place to this one; when the decision is Refused, the last one is its
@@ -88,7 +88,7 @@
 		g.enter(t, now)
 		return Admitted, nil
 	}
-	if need := g.wait(t, now) + t.Own + g.margin.get(now); g.rules.Early && now+need > t.Deadline {
+	if need := g.wait(t, now) + t.PrefillTime + g.margin.get(now); g.rules.EarlyRefusal && now+need > t.Deadline {
 		return Refused, []Refusal{{ID: t.ID, Reason: ReasonDeadline, RetryIn: now + need - t.Deadline}}
 	}
 	if g.queue.Len() < g.rules.MaxQueue {
@@ -111,14 +111,14 @@
 
 // late tells whether a ticket can't make its deadline if it is sent now.
 func (g *Gate) late(t Ticket, p Prediction, now time.Duration) (Refusal, bool) {
-	if !g.rules.Early || !p.Known {
+	if !g.rules.EarlyRefusal || !p.Known {
 		return Refusal{}, false
 	}
-	if t.Arrived+p.Own > t.Deadline {
-		return Refusal{ID: t.ID, Reason: ReasonTooShort}, true
+	if t.Arrived+p.PrefillTime > t.Deadline {
+		return Refusal{ID: t.ID, Reason: ReasonDeadlineTooShort}, true
 	}
 	need := p.FirstToken
-	if need > p.Own {
+	if need > p.PrefillTime {
 		need += g.margin.get(now)
 	}
 	if now+need > t.Deadline {
@@ -132,9 +132,9 @@
 // that there is something to observe.
 func (g *Gate) Observe(late, now time.Duration) { g.margin.observe(late, now) }
 
-// Enter counts a request that goes on whatever the load, such as the rest of
+// AdmitUnconditionally counts a request that goes on whatever the load, such as the rest of
 // an answer that was accepted before.
-func (g *Gate) Enter() { g.inFlight++ }
+func (g *Gate) AdmitUnconditionally() { g.inFlight++ }
 
 // Done ends an admitted request that took the time given.
 func (g *Gate) Done(took time.Duration) {
@@ -149,8 +149,8 @@
 // serviceWeight sets the moving average of the service time.
 const serviceWeight = 16
 
-// Leave takes a waiting ticket out; false when it was granted or refused.
-func (g *Gate) Leave(id string) bool { return g.queue.Remove(id) }
+// Cancel takes a waiting ticket out; false when it was granted or refused.
+func (g *Gate) Cancel(id string) bool { return g.queue.Remove(id) }
 
 // Grant admits the waiting tickets that there is room for.
 func (g *Gate) Grant(now time.Duration, predict func(Ticket) Prediction) []Ticket {
@@ -163,7 +163,7 @@
 		}
 		g.queue.Pop()
 		g.enter(t, now)
-		sent += t.Own
+		sent += t.PrefillTime
 		granted = append(granted, t)
 	}
 }
@@ -185,14 +185,14 @@
 	}
 }
 
-// Review gives up the waiting tickets that can't make their deadline any more,
+// RefuseLate gives up the waiting tickets that can't make their deadline any more,
 // by a new picture or by the time that passed.
-func (g *Gate) Review(now time.Duration, predict func(Ticket) Prediction) []Refusal {
+func (g *Gate) RefuseLate(now time.Duration, predict func(Ticket) Prediction) []Refusal {
 	var refusals []Refusal
 	for _, t := range g.queue.all() {
 		refusal, late := g.late(t, predict(t), now)
-		if !late && now >= g.Latest(t) {
-			refusal, late = g.Expired(t, now), true
+		if !late && now >= g.WaitDeadline(t) {
+			refusal, late = g.TimeoutRefusal(t, now), true
 		}
 		if late {
 			g.queue.Remove(t.ID)
@@ -202,10 +202,10 @@
 	return refusals
 }
 
-// Expired is the refusal of a ticket that was not granted by Latest.
-func (g *Gate) Expired(t Ticket, now time.Duration) Refusal {
-	reason := ReasonWaited
-	if now >= t.Deadline-t.Own {
+// TimeoutRefusal is the refusal of a ticket that was not granted by Latest.
+func (g *Gate) TimeoutRefusal(t Ticket, now time.Duration) Refusal {
+	reason := ReasonQueueTimeout
+	if now >= t.Deadline-t.PrefillTime {
 		reason = ReasonDeadline
 	}
 	return Refusal{ID: t.ID, Reason: reason, RetryIn: g.wait(t, now)}
@@ -221,10 +221,10 @@
 	if g.limit > 0 && g.inFlight >= g.limit {
 		return false
 	}
-	if g.rules.Backlog == 0 || !p.Known {
+	if g.rules.MaxBacklog == 0 || !p.Known {
 		return true
 	}
-	return p.FirstToken-p.Own+sent/time.Duration(max(1, p.Engines)) <= g.rules.Backlog
+	return p.FirstToken-p.PrefillTime+sent/time.Duration(max(1, p.Engines)) <= g.rules.MaxBacklog
 }
 
 // wait predicts how long a ticket that comes now waits in the queue.
@@ -233,7 +233,7 @@
 	if g.admitted <= 0 {
 		return 0
 	}
-	return min(longestWait, seconds(g.queue.Ahead(t)/g.admitted))
+	return min(longestWait, seconds(g.queue.WorkAhead(t)/g.admitted))
 }
 
 // longestWait bounds the predicted waits.
--- a/internal/admit/ticket.go
+++ b/internal/admit/ticket.go
@@ -27,9 +27,9 @@
 	Arrived time.Duration
 	// Deadline is when the first token must have come.
 	Deadline time.Duration
-	// Own is the least time from being sent to the first token, on an idle
+	// PrefillTime is the least time from being sent to the first token, on an idle
 	// engine.
-	Own time.Duration
+	PrefillTime time.Duration
 }
 
 // share returns the weight.
@@ -44,11 +44,11 @@
 type Prediction struct {
 	// FirstToken is the time from now to the first token on the best engine.
 	FirstToken time.Duration
-	// Own is that time on an idle engine.
-	Own time.Duration
-	// Uncached is Own for an engine that has none of the prompt cached. It is
+	// PrefillTime is that time on an idle engine.
+	PrefillTime time.Duration
+	// UncachedPrefillTime is Own for an engine that has none of the prompt cached. It is
 	// what a caller can expect, whatever the cache hints say.
-	Uncached time.Duration
+	UncachedPrefillTime time.Duration
 	// Engines is the number of engines that the request could go to.
 	Engines int
 	// Known is false when no engine has reported yet.
@@ -62,12 +62,12 @@
 const (
 	// ReasonDeadline: the first token would come after the deadline.
 	ReasonDeadline Reason = "deadline"
-	// ReasonTooShort: not even an idle engine could make the deadline.
-	ReasonTooShort Reason = "deadline_too_short"
+	// ReasonDeadlineTooShort: not even an idle engine could make the deadline.
+	ReasonDeadlineTooShort Reason = "deadline_too_short"
 	// ReasonQueueFull: the queue has no room for the request.
 	ReasonQueueFull Reason = "queue_full"
-	// ReasonWaited: the longest wait in the queue has passed.
-	ReasonWaited Reason = "queue_timeout"
+	// ReasonQueueTimeout: the longest wait in the queue has passed.
+	ReasonQueueTimeout Reason = "queue_timeout"
 )
 
 // Refusal is the final answer for one ticket.
--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -57,34 +57,34 @@
 // Runs counts the attempts that may have run and brought no whole answer.
 func (a *Attempts) Runs() int { return a.runs }
 
-// Last is the newest failure, or nil.
-func (a *Attempts) Last() error { return a.last }
+// LastError is the newest failure, or nil.
+func (a *Attempts) LastError() error { return a.last }
 
-// Word is what may be told of the request now.
-func (a *Attempts) Word() outcome.Word { return a.progress.Word() }
+// Outcome is what may be told of the request now.
+func (a *Attempts) Outcome() outcome.Word { return a.progress.Word() }
 
 // Excluded are the upstreams that failed this request. Do not change it.
 func (a *Attempts) Excluded() map[string]bool { return a.excluded }
 
-// More tells whether the rules allow one more send.
-func (a *Attempts) More() bool {
+// MaySend tells whether the rules allow one more send.
+func (a *Attempts) MaySend() bool {
 	if a.spent() {
 		return false
 	}
 	return a.runs == 0 || a.mayRunAgain(a.runs) || a.copied != ""
 }
 
-// Copied notes that an upstream has a copy of the run that this attempt loses:
+// SetBackup notes that an upstream has a copy of the run that this attempt loses:
 // the run can go on there, though the request may not run again.
-func (a *Attempts) Copied(upstream string) { a.copied = upstream }
+func (a *Attempts) SetBackup(upstream string) { a.copied = upstream }
 
-// Copy is the upstream where the run that was lost can go on; empty when there is
+// Backup is the upstream where the run that was lost can go on; empty when there is
 // none.
-func (a *Attempts) Copy() string { return a.copied }
+func (a *Attempts) Backup() string { return a.copied }
 
-// AnotherRun tells whether one more upstream may run the request if the present
+// MayRunElsewhere tells whether one more upstream may run the request if the present
 // attempt brings no whole answer.
-func (a *Attempts) AnotherRun() bool {
+func (a *Attempts) MayRunElsewhere() bool {
 	return !a.spent() && a.mayRunAgain(a.runs+1)
 }
 
--- a/internal/attempt/attempt_test.go
+++ b/internal/attempt/attempt_test.go
@@ -20,7 +20,7 @@
 func TestARequestThatMayNotBeRepeatedRunsOnce(t *testing.T) {
 	a := New(Rules{MaxRuns: 3, MaxSends: 5})
 	for _, ranNothing := range []bool{true, true, false} {
-		if !a.More() {
+		if !a.MaySend() {
 			t.Fatal("no more before it ran")
 		}
 		if err := a.Sent(); err != nil {
@@ -28,21 +28,21 @@
 		}
 		a.Failed("u", ranNothing, errFailed)
 	}
-	if a.More() || a.Sent() == nil || a.Word() != outcome.Unknown {
-		t.Errorf("more: %t, word %v", a.More(), a.Word())
+	if a.MaySend() || a.Sent() == nil || a.Outcome() != outcome.Unknown {
+		t.Errorf("more: %t, word %v", a.MaySend(), a.Outcome())
 	}
 }
 
 func TestRunsAndSendsAreBounded(t *testing.T) {
 	a := New(Rules{Repeatable: true, MaxRuns: 2, MaxSends: 9})
 	for range 2 {
-		if !a.More() {
+		if !a.MaySend() {
 			t.Fatal("no more")
 		}
 		_ = a.Sent() // repeatable
 		a.Failed("u", false, errFailed)
 	}
-	if a.More() {
+	if a.MaySend() {
 		t.Error("a third run")
 	}
 	b := New(Rules{Repeatable: true, MaxSends: 2})
@@ -50,8 +50,8 @@
 		_ = b.Sent() // repeatable
 		b.Failed("u", true, errFailed)
 	}
-	if b.More() || b.Word() != outcome.NotRun {
-		t.Errorf("more: %t, word %v", b.More(), b.Word())
+	if b.MaySend() || b.Outcome() != outcome.NotRun {
+		t.Errorf("more: %t, word %v", b.MaySend(), b.Outcome())
 	}
 }
 
@@ -64,7 +64,7 @@
 			MaxRuns:    rapid.IntRange(0, 3).Draw(t, "runs"), MaxSends: rapid.IntRange(1, 5).Draw(t, "sends"),
 		})
 		ran := 0
-		for a.More() {
+		for a.MaySend() {
 			if err := a.Sent(); err != nil {
 				t.Fatalf("more was allowed, and the send was not: %v", err)
 			}
@@ -74,8 +74,8 @@
 			}
 			a.Failed("u", nothing, errFailed)
 		}
-		if (a.Word() == outcome.NotRun) != (ran == 0) {
-			t.Fatalf("word %v after %d runs", a.Word(), ran)
+		if (a.Outcome() == outcome.NotRun) != (ran == 0) {
+			t.Fatalf("word %v after %d runs", a.Outcome(), ran)
 		}
 		if ran > 1 && !a.rules.Repeatable {
 			t.Fatalf("%d runs of what may run once", ran)
@@ -96,7 +96,7 @@
 func TestTheBudgetDeniesFurtherSendsAlone(t *testing.T) {
 	empty := NewBudget(retry.Rules{Max: 1}, retry.Backoff{}, meters, nil, 0)
 	a := New(Rules{Repeatable: true, MaxSends: 5})
-	if v := a.Next(context.Background(), empty, false, 0); v != Go {
+	if v := a.Next(context.Background(), empty, false, 0); v != Proceed {
 		t.Fatalf("the first send: %v", v)
 	}
 	_ = a.Sent() // repeatable
@@ -104,7 +104,7 @@
 	if v := a.Next(context.Background(), empty, false, 0); v != Denied {
 		t.Errorf("the second send: %v", v)
 	}
-	if v := a.Next(context.Background(), empty, true, 0); v != Go {
+	if v := a.Next(context.Background(), empty, true, 0); v != Proceed {
 		t.Errorf("an answer that has begun: %v", v)
 	}
 	full := saved(1)
@@ -117,7 +117,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Millisecond)
 	defer cancel()
 	<-ctx.Done()
-	if v := New(Rules{MaxSends: 1}).Next(ctx, nil, false, 0); v != Spent {
+	if v := New(Rules{MaxSends: 1}).Next(ctx, nil, false, 0); v != Exhausted {
 		t.Errorf("%v", v)
 	}
 }
--- a/internal/attempt/budget.go
+++ b/internal/attempt/budget.go
@@ -14,8 +14,8 @@
 
 // Pool gives further sends to those whose own part of them is spent.
 type Pool interface {
-	// Ask takes one; false means that there is none, or no word in time.
-	Ask(ctx context.Context) bool
+	// Acquire takes one; false means that there is none, or no word in time.
+	Acquire(ctx context.Context) bool
 }
 
 // Budget bounds the further sends of many requests. It is safe for use by
@@ -58,8 +58,8 @@
 	b.spilled += b.budget.Succeeded(now)
 }
 
-// Spilled is what was paid in beyond what can be saved up here, since the start.
-func (b *Budget) Spilled() float64 {
+// Overflow is what was paid in beyond what can be saved up here, since the start.
+func (b *Budget) Overflow() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.spilled
@@ -67,19 +67,19 @@
 
 // Spend takes one further send from this budget or from the pool.
 func (b *Budget) Spend(ctx context.Context, begun bool, now time.Duration) bool {
-	if b.Take(begun, now) {
+	if b.SpendLocal(begun, now) {
 		return true
 	}
-	return b.pool != nil && b.pool.Ask(ctx)
+	return b.pool != nil && b.pool.Acquire(ctx)
 }
 
-// Take spends one further send. An answer that has begun is gone on with
+// SpendLocal spends one further send. An answer that has begun is gone on with
 // whatever is left.
-func (b *Budget) Take(begun bool, now time.Duration) bool {
+func (b *Budget) SpendLocal(begun bool, now time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if begun {
-		b.budget.Force(now)
+		b.budget.ForceTake(now)
 		return true
 	}
 	return b.budget.Take(now)
@@ -102,10 +102,10 @@
 type Verdict int
 
 const (
-	// Go on.
-	Go Verdict = iota
-	// Spent: the rules or the time allow no more.
-	Spent
+	// Proceed on.
+	Proceed Verdict = iota
+	// Exhausted: the rules or the time allow no more.
+	Exhausted
 	// Denied by the budget.
 	Denied
 )
@@ -113,11 +113,11 @@
 // Next asks for leave for one more send and waits as long as the budget's
 // backoff says. The first send is always allowed.
 func (a *Attempts) Next(ctx context.Context, b *Budget, begun bool, now time.Duration) Verdict {
-	if ctx.Err() != nil || !a.More() {
-		return Spent
+	if ctx.Err() != nil || !a.MaySend() {
+		return Exhausted
 	}
 	if a.sends == 0 {
-		return Go
+		return Proceed
 	}
 	if !a.prepaid && !b.Spend(ctx, begun, now) {
 		b.meters.Denied.Inc(1)
@@ -126,13 +126,13 @@
 	a.prepaid = false
 	if a.atOnce {
 		a.atOnce = false
-		return Go
+		return Proceed
 	}
 	if !pause.For(ctx, b.delay(a.sends)) {
-		return Spent
+		return Exhausted
 	}
 	b.meters.Retries.Inc(1)
-	return Go
+	return Proceed
 }
 
 // Prepay takes the next send from the budget now; false means that there will
--- a/internal/attempt/run.go
+++ b/internal/attempt/run.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Ending is how one attempt ended.
-type Ending int
+// Status is how one attempt ended.
+type Status int
 
 const (
-	// Over: the request has its end. The caller has an answer, whole or broken
+	// Done: the request has its end. The caller has an answer, whole or broken
 	// off, or has gone.
-	Over Ending = iota
+	Done Status = iota
 	// NoUpstream: there is none left to ask.
 	NoUpstream
 	// NotReady: the upstream could not be readied; nothing was sent that runs.
@@ -24,7 +24,7 @@
 
 // Result of an attempt.
 type Result struct {
-	Ending Ending
+	Status Status
 	// Upstream that failed; empty when none was asked.
 	Upstream string
 	// Unsent: no byte of the request left for the upstream. What comes next is not
@@ -37,10 +37,10 @@
 	Err error
 }
 
-// Path is a request's way to an upstream and back, as its protocol has it.
-type Path interface {
-	// Begun tells whether the caller has a part of the answer.
-	Begun() bool
+// Call is a request's way to an upstream and back, as its protocol has it.
+type Call interface {
+	// Started tells whether the caller has a part of the answer.
+	Started() bool
 	// Try makes one attempt: it chooses an upstream, notes the send with Sent
 	// or Prepared, and brings the answer to the caller.
 	Try(ctx context.Context) Result
@@ -50,24 +50,24 @@
 // further one is allowed. It returns the last result, and the verdict that
 // stopped it: Go when that was the result. Unless the result is Over, the caller
 // is still to be told, and Word is what may be said.
-func (a *Attempts) Run(ctx context.Context, b *Budget, now func() time.Duration, p Path) (Result, Verdict) {
+func (a *Attempts) Run(ctx context.Context, b *Budget, now func() time.Duration, p Call) (Result, Verdict) {
 	var last Result
 	for {
-		verdict := a.Next(ctx, b, p.Begun(), now())
-		if verdict != Go {
+		verdict := a.Next(ctx, b, p.Started(), now())
+		if verdict != Proceed {
 			return last, verdict
 		}
 		last = p.Try(ctx)
-		switch last.Ending {
+		switch last.Status {
 		case NotReady:
 			a.Exclude(last.Upstream, last.Err)
 		case Refused, Lost:
-			a.Failed(last.Upstream, last.Ending == Refused, last.Err)
+			a.Failed(last.Upstream, last.Status == Refused, last.Err)
 		case NoUpstream:
 			a.note(last.Err)
-			return last, Go
-		case Over:
-			return last, Go
+			return last, Proceed
+		case Done:
+			return last, Proceed
 		}
 		if last.Unsent {
 			a.prepaid, a.atOnce = true, last.Declined
--- a/internal/attempt/run_test.go
+++ b/internal/attempt/run_test.go
@@ -14,12 +14,12 @@
 // scripted plays endings in turn.
 type scripted struct {
 	tries   *Attempts
-	endings []Ending
+	endings []Status
 	unsent  bool
 	made    int
 }
 
-func (s *scripted) Begun() bool { return false }
+func (s *scripted) Started() bool { return false }
 
 func (s *scripted) Try(context.Context) Result {
 	ending := s.endings[s.made]
@@ -30,12 +30,12 @@
 	case Refused, Lost:
 		_ = s.tries.Sent() // Run asks for no more than the rules allow
 	}
-	return Result{Ending: ending, Upstream: "u", Unsent: s.unsent, Err: errFailed}
+	return Result{Status: ending, Upstream: "u", Unsent: s.unsent, Err: errFailed}
 }
 
 func clock() time.Duration { return 0 }
 
-func run(rules Rules, endings ...Ending) (*scripted, Result, Verdict) {
+func run(rules Rules, endings ...Status) (*scripted, Result, Verdict) {
 	budget := saved(100)
 	s := &scripted{tries: New(rules), endings: endings}
 	result, verdict := s.tries.Run(context.Background(), budget, clock, s)
@@ -43,13 +43,13 @@
 }
 
 func TestRunGoesOnUntilTheRequestIsOver(t *testing.T) {
-	s, result, verdict := run(Rules{Repeatable: true, MaxSends: 9}, NotReady, Refused, Lost, Over)
-	if s.made != 4 || result.Ending != Over || verdict != Go || s.tries.Runs() != 1 || s.tries.Sends() != 3 {
+	s, result, verdict := run(Rules{Repeatable: true, MaxSends: 9}, NotReady, Refused, Lost, Done)
+	if s.made != 4 || result.Status != Done || verdict != Proceed || s.tries.Runs() != 1 || s.tries.Sends() != 3 {
 		t.Errorf("%d made, %+v, verdict %v, %d runs", s.made, result, verdict, s.tries.Runs())
 	}
 	s, result, _ = run(Rules{Repeatable: true, MaxSends: 9}, Refused, NoUpstream)
-	if s.made != 2 || result.Ending != NoUpstream || s.tries.Word() != outcome.NotRun || s.tries.Last() == nil {
-		t.Errorf("%d made, %+v, word %v", s.made, result, s.tries.Word())
+	if s.made != 2 || result.Status != NoUpstream || s.tries.Outcome() != outcome.NotRun || s.tries.LastError() == nil {
+		t.Errorf("%d made, %+v, word %v", s.made, result, s.tries.Outcome())
 	}
 }
 
@@ -57,7 +57,7 @@
 // there is no other attempt, and the word follows.
 func TestRunNeverRepeatsWhatMayNotBe(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		endings := rapid.SliceOfN(rapid.SampledFrom([]Ending{NotReady, Refused, Lost}), 6, 6).Draw(t, "endings")
+		endings := rapid.SliceOfN(rapid.SampledFrom([]Status{NotReady, Refused, Lost}), 6, 6).Draw(t, "endings")
 		s, _, verdict := run(Rules{MaxSends: 5}, endings...)
 		lost := 0
 		for _, e := range endings[:s.made] {
@@ -65,11 +65,11 @@
 				lost++
 			}
 		}
-		if lost > 1 || lost == 1 && endings[s.made-1] != Lost || verdict != Spent {
+		if lost > 1 || lost == 1 && endings[s.made-1] != Lost || verdict != Exhausted {
 			t.Fatalf("%v: %d made, verdict %v", endings, s.made, verdict)
 		}
-		if (lost == 0) != (s.tries.Word() == outcome.NotRun) {
-			t.Fatalf("%v: word %v", endings[:s.made], s.tries.Word())
+		if (lost == 0) != (s.tries.Outcome() == outcome.NotRun) {
+			t.Fatalf("%v: word %v", endings[:s.made], s.tries.Outcome())
 		}
 	})
 }
@@ -81,17 +81,17 @@
 	if err := a.Sent(); err != nil {
 		t.Fatal(err)
 	}
-	a.Copied("copy")
+	a.SetBackup("copy")
 	a.Failed("first", false, errFailed)
-	if !a.More() || a.Copy() != "copy" {
-		t.Fatalf("more: %t, copy at %q", a.More(), a.Copy())
+	if !a.MaySend() || a.Backup() != "copy" {
+		t.Fatalf("more: %t, copy at %q", a.MaySend(), a.Backup())
 	}
 	if err := a.Sent(); err != nil {
 		t.Fatal(err)
 	}
 	a.Failed("copy", true, errFailed) // it had none
-	if a.More() || a.Word() != outcome.Unknown {
-		t.Errorf("more: %t, word %v", a.More(), a.Word())
+	if a.MaySend() || a.Outcome() != outcome.Unknown {
+		t.Errorf("more: %t, word %v", a.MaySend(), a.Outcome())
 	}
 }
 
@@ -100,11 +100,11 @@
 // given up.
 func TestWhatWasNotSentTakesNoBudget(t *testing.T) {
 	for _, unsent := range []bool{true, false} {
-		for _, ending := range []Ending{Refused, NotReady} {
-			s := &scripted{tries: New(Rules{MaxSends: 5}), endings: []Ending{ending, ending, Over}, unsent: unsent}
+		for _, ending := range []Status{Refused, NotReady} {
+			s := &scripted{tries: New(Rules{MaxSends: 5}), endings: []Status{ending, ending, Done}, unsent: unsent}
 			empty := NewBudget(retry.Rules{Max: 1}, retry.Backoff{}, meters, nil, 0)
 			result, verdict := s.tries.Run(context.Background(), empty, clock, s)
-			if unsent != (result.Ending == Over) || unsent == (verdict == Denied) {
+			if unsent != (result.Status == Done) || unsent == (verdict == Denied) {
 				t.Errorf("unsent %t, ending %v: %+v, verdict %v", unsent, ending, result, verdict)
 			}
 		}
@@ -116,18 +116,18 @@
 // four connections in a row that were refused within some milliseconds, though other
 // engines took requests.
 func TestUpstreamsThatCannotBeReachedDoNotEndARequest(t *testing.T) {
-	unreachable := []Ending{Refused, Refused, Refused, Refused, Refused, Over}
+	unreachable := []Status{Refused, Refused, Refused, Refused, Refused, Done}
 	s := &scripted{tries: New(Rules{MaxSends: 4}), endings: unreachable, unsent: true}
 	result, _ := s.tries.Run(context.Background(), saved(100), clock, s)
-	if result.Ending != Over || s.made != len(unreachable) {
+	if result.Status != Done || s.made != len(unreachable) {
 		t.Errorf("%+v after %d attempts", result, s.made)
 	}
-	var all []Ending
+	var all []Status
 	for range 2 * maxUnsent {
 		all = append(all, NotReady)
 	}
 	s = &scripted{tries: New(Rules{MaxSends: 4}), endings: all, unsent: true}
-	if _, verdict := s.tries.Run(context.Background(), saved(100), clock, s); verdict != Spent || s.made != maxUnsent {
+	if _, verdict := s.tries.Run(context.Background(), saved(100), clock, s); verdict != Exhausted || s.made != maxUnsent {
 		t.Errorf("verdict %v after %d attempts, want an end after %d", verdict, s.made, maxUnsent)
 	}
 }
@@ -142,8 +142,8 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	result, _ := s.tries.Run(ctx, budget, clock, s)
-	if result.Ending != Over || s.left != 0 || s.tries.Word() == outcome.NotRun {
-		t.Errorf("%+v, %d left, word %v", result, s.left, s.tries.Word())
+	if result.Status != Done || s.left != 0 || s.tries.Outcome() == outcome.NotRun {
+		t.Errorf("%+v, %d left, word %v", result, s.left, s.tries.Outcome())
 	}
 }
 
@@ -153,16 +153,16 @@
 	left  int
 }
 
-func (d *declining) Begun() bool { return false }
+func (d *declining) Started() bool { return false }
 
 func (d *declining) Try(context.Context) Result {
 	if err := d.tries.Sent(); err != nil {
-		return Result{Ending: NoUpstream, Err: err}
+		return Result{Status: NoUpstream, Err: err}
 	}
 	if d.left == 0 {
 		d.tries.Answered()
-		return Result{Ending: Over}
+		return Result{Status: Done}
 	}
 	d.left--
-	return Result{Ending: Refused, Unsent: true, Declined: true, Upstream: "u", Err: errFailed}
+	return Result{Status: Refused, Unsent: true, Declined: true, Upstream: "u", Err: errFailed}
 }
--- a/internal/entry/admission.go
+++ b/internal/entry/admission.go
@@ -76,13 +76,13 @@
 
 func refusalOf(r *admit.Refusal) error {
 	messages := map[admit.Reason]string{
-		admit.ReasonDeadline:  "the first token can't come before the deadline",
-		admit.ReasonTooShort:  "not even an idle engine could make the deadline",
-		admit.ReasonQueueFull: "the queue is full",
-		admit.ReasonWaited:    "no engine had room in the longest wait",
+		admit.ReasonDeadline:         "the first token can't come before the deadline",
+		admit.ReasonDeadlineTooShort: "not even an idle engine could make the deadline",
+		admit.ReasonQueueFull:        "the queue is full",
+		admit.ReasonQueueTimeout:     "no engine had room in the longest wait",
 	}
 	refused := notRun(string(r.Reason), messages[r.Reason], max(r.RetryIn, time.Millisecond))
-	if r.Reason == admit.ReasonTooShort {
+	if r.Reason == admit.ReasonDeadlineTooShort {
 		refused.retryIn = 0
 	}
 	return refused
@@ -96,7 +96,7 @@
 	if resumed {
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		a.gateOf(comp.name).gate.Enter()
+		a.gateOf(comp.name).gate.AdmitUnconditionally()
 		return nil
 	}
 	ticket, w, refused := a.arrive(comp, now)
@@ -132,7 +132,7 @@
 // await waits for the verdict, for the last moment, or for the caller to leave.
 func (a *admission) await(ctx context.Context, ticket admit.Ticket, w *waiter) *admit.Refusal {
 	a.mu.Lock()
-	latest := a.gateOf(w.comp.name).gate.Latest(ticket)
+	latest := a.gateOf(w.comp.name).gate.WaitDeadline(ticket)
 	a.mu.Unlock()
 	timer := time.NewTimer(latest - a.server.now())
 	defer timer.Stop()
@@ -151,12 +151,12 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	g := a.gateOf(w.comp.name)
-	if !g.gate.Leave(ticket.ID) {
+	if !g.gate.Cancel(ticket.ID) {
 		w.comp.admitted = a.server.now()
 		return <-w.verdict
 	}
 	delete(g.waiting, ticket.ID)
-	refusal := g.gate.Expired(ticket, a.server.now())
+	refusal := g.gate.TimeoutRefusal(ticket, a.server.now())
 	return &refusal
 }
 
@@ -198,9 +198,9 @@
 	for name, g := range a.gates {
 		if a.settings.LimitConcurrency {
 			loads := a.server.state.engineLoads(&placement.Request{Model: name, Now: now})
-			g.gate.SetLimit(admit.Concurrency(loads, g.gate.InFlight(), a.entries))
+			g.gate.SetLimit(admit.ConcurrencyLimit(loads, g.gate.InFlight(), a.entries))
 		}
-		refusals := g.gate.Review(now, a.predictor(g))
+		refusals := g.gate.RefuseLate(now, a.predictor(g))
 		for _, r := range refusals {
 			g.tell(r.ID, &r)
 		}
@@ -228,8 +228,8 @@
 	if !ok {
 		rules := admit.Rules{
 			MaxQueue: a.settings.MaxQueue, MaxWait: a.settings.MaxWait,
-			Backlog: a.settings.Backlog, PriorityCredit: float64(a.settings.PriorityCredit),
-			Early: a.settings.EarlyRefusal,
+			MaxBacklog: a.settings.Backlog, PriorityCredit: float64(a.settings.PriorityCredit),
+			EarlyRefusal: a.settings.EarlyRefusal,
 		}
 		g = &modelGate{gate: admit.NewGate(rules), waiting: map[string]*waiter{}}
 		a.gates[model] = g
@@ -240,12 +240,12 @@
 func (a *admission) ticket(comp *completion, p admit.Prediction, now time.Duration) admit.Ticket {
 	deadline := comp.deadline
 	if deadline == 0 {
-		deadline = max(2*p.Uncached, time.Duration(a.settings.Slack*float64(a.settings.FirstToken)))
+		deadline = max(2*p.UncachedPrefillTime, time.Duration(a.settings.Slack*float64(a.settings.FirstToken)))
 	}
 	return admit.Ticket{
 		ID: comp.id, Organisation: comp.organisation.Name, Share: comp.organisation.Share,
 		Priority: comp.priority, Work: float64(comp.promptTokens + comp.maxTokens),
-		Arrived: now, Deadline: now + deadline, Own: p.Own,
+		Arrived: now, Deadline: now + deadline, PrefillTime: p.PrefillTime,
 	}
 }
 
--- a/internal/entry/generation.go
+++ b/internal/entry/generation.go
@@ -16,7 +16,7 @@
 )
 
 // generation is a model's answer on its way to the caller. It implements
-// attempt.Path: each engine has loaded the version that made the first part.
+// attempt.Call: each engine has loaded the version that made the first part.
 type generation struct {
 	server    *Server
 	comp      *completion
@@ -38,7 +38,7 @@
 		}
 	}
 	result, verdict := g.tries.Run(ctx, s.retries, s.now, g)
-	if result.Ending == attempt.Over {
+	if result.Status == attempt.Done {
 		return result.Err
 	}
 	if verdict == attempt.Denied {
@@ -47,7 +47,7 @@
 	if ctx.Err() != nil {
 		return errCallerGone
 	}
-	return s.gaveUp(comp, g.tries.Word(), g.tries.Last())
+	return s.gaveUp(comp, g.tries.Outcome(), g.tries.LastError())
 }
 
 // resume goes on with the stream of an earlier answer, if its engine still holds
@@ -61,7 +61,7 @@
 	case ended(err):
 		return true, err
 	case errors.Is(err, stream.ErrDiverged):
-		return true, g.server.gaveUp(g.comp, g.tries.Word(), err)
+		return true, g.server.gaveUp(g.comp, g.tries.Outcome(), err)
 	case !ranNothing(err):
 		g.tries.Exclude(token.Engine, err)
 	}
@@ -73,14 +73,14 @@
 	return err == nil || errors.Is(err, errCallerGone) || errors.Is(err, errStopping)
 }
 
-// Begun implements attempt.Path.
-func (g *generation) Begun() bool { return g.assembler.Next() > 0 }
+// Started implements attempt.Call.
+func (g *generation) Started() bool { return g.assembler.Next() > 0 }
 
-// Try implements attempt.Path.
+// Try implements attempt.Call.
 func (g *generation) Try(ctx context.Context) attempt.Result {
 	comp, s := g.comp, g.server
 	if s.contents.apart(comp.content) {
-		return attempt.Result{Ending: attempt.NoUpstream, Err: errSetApart}
+		return attempt.Result{Status: attempt.NoUpstream, Err: errSetApart}
 	}
 	placed, ok := s.state.assign(&placement.Request{
 		Model: comp.name, Adapter: comp.adapter, Version: comp.version,
@@ -88,21 +88,21 @@
 		Split: g.tries.Sends() == 0 && mayBeSplit(comp),
 	}, s.placement(comp))
 	if !ok {
-		return attempt.Result{Ending: attempt.NoUpstream}
+		return attempt.Result{Status: attempt.NoUpstream}
 	}
 	if err := g.tries.Sent(); err != nil {
-		return attempt.Result{Ending: attempt.Over, Err: err}
+		return attempt.Result{Status: attempt.Done, Err: err}
 	}
 	s.admitted(comp, placed)
 	failed, err := g.run(ctx, placed)
 	if ended(err) {
-		return attempt.Result{Ending: attempt.Over, Err: err}
+		return attempt.Result{Status: attempt.Done, Err: err}
 	}
 	s.log.Info("request: engine failed, trying another", "request", comp.id, "engine", failed, "error", err)
-	if ranNothing(err) && !g.Begun() {
-		return attempt.Result{Ending: attempt.Refused, Upstream: failed, Err: err}
+	if ranNothing(err) && !g.Started() {
+		return attempt.Result{Status: attempt.Refused, Upstream: failed, Err: err}
 	}
-	return attempt.Result{Ending: attempt.Lost, Upstream: failed, Err: err}
+	return attempt.Result{Status: attempt.Lost, Upstream: failed, Err: err}
 }
 
 // attach goes on with a stream that an engine still holds.
--- a/internal/entry/prediction.go
+++ b/internal/entry/prediction.go
@@ -14,7 +14,7 @@
 		Model: comp.name, Adapter: comp.adapter, Version: comp.version,
 		Prompt: placement.Prompt{Tokens: comp.promptTokens}, Prefix: a.server.prefix(comp), Now: a.server.now(),
 	})
-	return admit.Predict(loads, comp.promptTokens, g.gate.Service())
+	return admit.Predict(loads, comp.promptTokens, g.gate.ServiceTime())
 }
 
 // predictor predicts for those who wait at a gate. The lock is held.
@@ -67,9 +67,9 @@
 	report := &c.Load.Report
 	byNow := c.Load.Estimated(req.Now)
 	return admit.EngineLoad{
-		PrefillAhead: byNow.PrefillTokens, PrefillRate: report.PrefillRate,
-		Cached:  placement.CachedTokens(req, c),
-		Running: report.Running, Waiting: byNow.Waiting, Charged: c.Load.Charges(),
+		QueuedPrefillTokens: byNow.PrefillTokens, PrefillRate: report.PrefillRate,
+		CachedTokens: placement.CachedTokens(req, c),
+		Running:      report.Running, Waiting: byNow.Waiting, UnreportedPlacements: c.Load.Charges(),
 		BlocksFree: report.KVBlocksFree, BlocksTotal: report.KVBlocksTotal,
 	}
 }
--- a/internal/instance/duties.go
+++ b/internal/instance/duties.go
@@ -26,8 +26,8 @@
 	return list
 }
 
-// Scalable implements scaling.View.
-func (in *Instance) Scalable() []scaling.Service {
+// ScalableServices implements scaling.View.
+func (in *Instance) ScalableServices() []scaling.Service {
 	var list []scaling.Service
 	for name, s := range in.relay.Services() {
 		if s.Scale != nil {
@@ -47,16 +47,16 @@
 	for _, u := range in.relay.Members(name) {
 		zone := zones[u.Zone]
 		zone.Name = u.Zone
-		kind := scaling.Lasting
+		kind := scaling.OnDemand
 		if u.Spot {
 			kind = scaling.Spot
 		}
 		if u.Draining {
-			zone.Leaving[kind]++
+			zone.Draining[kind]++
 		} else {
 			zone.Engines[kind]++
 		}
 		zones[u.Zone] = zone
 	}
-	return scaling.Service{Name: name, Limits: *s.Scale, Zones: scaling.ZonesOf(zones)}
+	return scaling.Service{Name: name, Limits: *s.Scale, Zones: scaling.SortedZones(zones)}
 }
--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -28,7 +28,7 @@
 }
 
 // serviceCall is the way of a request to a plain service's upstreams. It implements
-// attempt.Path.
+// attempt.Call.
 type serviceCall struct {
 	*exchange
 	relay *Relay
@@ -39,25 +39,25 @@
 // allows.
 func (r *Relay) serveCall(ctx context.Context, x *exchange, w http.ResponseWriter) error {
 	result, _ := x.tries.Run(ctx, x.budget, r.now, &serviceCall{exchange: x, relay: r, w: w})
-	if result.Ending == attempt.Over {
+	if result.Status == attempt.Done {
 		return result.Err
 	}
 	return r.giveUp(ctx, x)
 }
 
-// Begun implements attempt.Path: no part of an answer is given to the caller
+// Started implements attempt.Call: no part of an answer is given to the caller
 // before it is known that no other upstream will be asked.
-func (c *serviceCall) Begun() bool { return false }
+func (c *serviceCall) Started() bool { return false }
 
-// Try implements attempt.Path.
+// Try implements attempt.Call.
 func (c *serviceCall) Try(ctx context.Context) attempt.Result {
 	r := c.relay
 	if err := r.bar(c.exchange); err != nil {
-		return attempt.Result{Ending: attempt.NoUpstream, Err: err}
+		return attempt.Result{Status: attempt.NoUpstream, Err: err}
 	}
 	upstream, ok := r.picture.PickCall(c.ask(r.now()), r.now())
 	if !ok {
-		return attempt.Result{Ending: attempt.NoUpstream}
+		return attempt.Result{Status: attempt.NoUpstream}
 	}
 	defer func() { r.picture.End(upstream.ID, c.req.ID, r.now()) }()
 	got, err := r.callOnce(ctx, c.exchange, upstream)
@@ -69,7 +69,7 @@
 		got.reply.Body.Close()
 		return failure(upstream.ID, errors.Errorf("relay: the upstream answered %d", got.reply.Status))
 	}
-	return attempt.Result{Ending: attempt.Over, Err: deliver(c.w, c.exchange, got)}
+	return attempt.Result{Status: attempt.Done, Err: deliver(c.w, c.exchange, got)}
 }
 
 // shouldAskAnother tells whether a failure that the upstream answered with
@@ -78,7 +78,7 @@
 	if got.reply.Status < http.StatusInternalServerError || x.route.Kind != routes.Idempotent {
 		return false
 	}
-	if !x.tries.AnotherRun() || ctx.Err() != nil || r.picture.Count(x.service) < 2 {
+	if !x.tries.MayRunElsewhere() || ctx.Err() != nil || r.picture.Count(x.service) < 2 {
 		return false
 	}
 	return x.tries.Prepay(ctx, x.budget, r.now())
@@ -88,7 +88,7 @@
 // objective, at most half of the time left, so that another one has a chance.
 func (r *Relay) tryTime(x *exchange) time.Duration {
 	left := x.left(r.now())
-	if x.route.Kind != routes.Idempotent || !x.tries.AnotherRun() {
+	if x.route.Kind != routes.Idempotent || !x.tries.MayRunElsewhere() {
 		return left
 	}
 	return min(left/2, max(x.route.Objective, left/3))
--- a/internal/rolekeeper/orders.go
+++ b/internal/rolekeeper/orders.go
@@ -93,7 +93,7 @@
 		return
 	}
 	k.log.Info("roles: the split differs", "service", service, "engines", len(list),
-		"wanted_prefill", d.target.Count(len(list)), "changes", len(changes), "at_once", most)
+		"wanted_prefill", d.target.PrefillCount(len(list)), "changes", len(changes), "at_once", most)
 	for _, change := range changes {
 		at := slices.IndexFunc(engines, func(e upstreamstate.Engine) bool { return e.ID == change.Engine })
 		if k.view.Serving() && k.settings.Announce > 0 {
@@ -163,7 +163,7 @@
 
 // atOnce is how many of so many engines may change while requests are served.
 func (k *Keeper) atOnce(engines int) int {
-	return max(k.settings.AtOnce, int(k.settings.Balance.Less*float64(engines)))
+	return max(k.settings.AtOnce, int(k.settings.Balance.MaxPrefillDecrease*float64(engines)))
 }
 
 // asPlanned are the engines with the roles that they have or were ordered to
--- a/internal/rolekeeper/rolekeeper.go
+++ b/internal/rolekeeper/rolekeeper.go
@@ -69,7 +69,7 @@
 	// Target is the split of a deployment that has not served yet; from then on
 	// it follows what the engines are used for, as Balance says.
 	Target  roles.Target
-	Balance roles.Balance
+	Balance roles.SplitPolicy
 }
 
 // View is what the keeper needs to know of the data path.
@@ -117,7 +117,7 @@
 	watches bool
 	// use is what the engines of each service are used for. Those who watch the
 	// lease measure it, so that the next holder knows.
-	use        map[string]roles.Use
+	use        map[string]roles.Workload
 	measuredAt time.Duration
 	// lookedAt is when the last look was, sinceLook the time from the one before
 	// to it.
@@ -128,7 +128,7 @@
 type duty struct {
 	// target is the wanted split, kept the one that the store has.
 	target, kept roles.Target
-	follower     roles.Follower
+	follower     roles.TargetTracker
 	// wrong counts the looks on end that found the split wrong, engines is how
 	// many there were.
 	wrong, engines int
@@ -143,7 +143,7 @@
 	return &Keeper{
 		settings: s, table: table, orderer: orderer, view: view, duties: duties, log: log,
 		machine: lease.New(self, leaseSettings(s.Lease), uuid.NewString),
-		pending: map[string]pending{}, announced: map[string]announced{}, services: map[string]*duty{}, use: map[string]roles.Use{},
+		pending: map[string]pending{}, announced: map[string]announced{}, services: map[string]*duty{}, use: map[string]roles.Workload{},
 	}
 }
 
--- a/internal/rolekeeper/rolekeeper_test.go
+++ b/internal/rolekeeper/rolekeeper_test.go
@@ -177,10 +177,10 @@
 
 func run(t *testing.T, name string, table platform.Table, f *fakeFleet) (stop func()) {
 	t.Helper()
-	balance := roles.DefaultBalance()
-	balance.Over, balance.Evidence = term, 0.05
+	balance := roles.DefaultSplitPolicy()
+	balance.SmoothingTime, balance.EvidenceThreshold = term, 0.05
 	keeper := New(Settings{
-		Instance: name, Lease: term, Every: 20 * time.Millisecond, AtOnce: 2, Confirm: 2, Announce: f.announce, Target: roles.Target{Share: 11.0 / 18, MinDecode: 2}, Balance: balance,
+		Instance: name, Lease: term, Every: 20 * time.Millisecond, AtOnce: 2, Confirm: 2, Announce: f.announce, Target: roles.Target{PrefillShare: 11.0 / 18, MinDecode: 2}, Balance: balance,
 	}, table, f, f, nil, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -256,7 +256,7 @@
 	if err := json.Unmarshal(row.Value, &target); err != nil {
 		t.Fatal(err)
 	}
-	return target.Count(9)
+	return target.PrefillCount(9)
 }
 
 // TestTheSplitFollowsTheUse has engines that generate more than they can, and
@@ -400,7 +400,7 @@
 // TestWhatTheStoreLostIsGoneOnWith guards against a wanted split that falls back to the one of the
 // store's copy: the holder keeps it, and writes it again.
 func TestWhatTheStoreLostIsGoneOnWith(t *testing.T) {
-	target := roles.Target{Share: 0.5, MinDecode: 2}
+	target := roles.Target{PrefillShare: 0.5, MinDecode: 2}
 	for _, c := range []struct {
 		grant lease.Grant
 		keeps bool
--- a/internal/rolekeeper/use.go
+++ b/internal/rolekeeper/use.go
@@ -32,7 +32,7 @@
 		if !k.view.Times(service).Known {
 			continue // its use would be measured in times of other engines
 		}
-		k.use[service] = k.use[service].Add(seen(engines), since, k.settings.Balance.Over)
+		k.use[service] = k.use[service].Add(seen(engines), since, k.settings.Balance.SmoothingTime)
 	}
 }
 
@@ -40,15 +40,15 @@
 func seen(engines []upstreamstate.Engine) []roles.Engine {
 	list := make([]roles.Engine, len(engines))
 	for i, e := range engines {
-		list[i] = roles.Engine{ID: e.ID, Zone: e.Zone, Role: e.Role, Running: e.Load.Requests, Use: e.Load.Use}
+		list[i] = roles.Engine{ID: e.ID, Zone: e.Zone, Role: e.Role, Running: e.Load.Requests, PrefillUtilization: e.Load.Use}
 	}
 	return list
 }
 
 // balance is the balance with what the engines of a service take.
-func (k *Keeper) balance(service string) roles.Balance {
+func (k *Keeper) balance(service string) roles.SplitPolicy {
 	b, times := k.settings.Balance, k.view.Times(service)
-	b.Step, b.StepPerRequest = milliseconds(times.Step), milliseconds(times.StepPerRequest)
+	b.StepMillis, b.StepMillisPerRequest = milliseconds(times.Step), milliseconds(times.StepPerRequest)
 	b.Slots = times.Slots
 	return b
 }
@@ -59,14 +59,14 @@
 func (k *Keeper) follow(service string, d *duty, engines []roles.Engine) {
 	prefill := roles.CountPrefill(engines)
 	use := k.use[service]
-	follower, target := d.follower.Look(k.balance(service), d.target, use, prefill, len(engines), k.sinceLook)
+	follower, target := d.follower.Update(k.balance(service), d.target, use, prefill, len(engines), k.sinceLook)
 	d.follower = follower
-	before, after := d.target.Count(len(engines)), target.Count(len(engines))
+	before, after := d.target.PrefillCount(len(engines)), target.PrefillCount(len(engines))
 	if before == after {
 		return
 	}
 	d.target, d.wrong = target, k.settings.Confirm // what was measured over seconds needs no further looks
 	k.log.Info("roles: the wanted split follows the use", "service", service, "engines", len(engines), "prefill", prefill,
-		"wanted_before", before, "wanted", after, "prompts", use.Prompts, "generations", use.Generations, "direct", use.Direct)
-	k.use[service] = use.Moved()
+		"wanted_before", before, "wanted", after, "prompts", use.PrefillLoad, "generations", use.Generations, "direct", use.DirectPrefillLoad)
+	k.use[service] = use.AfterSplitChange()
 }
--- a/internal/roles/use.go
+++ b/internal/roles/use.go
@@ -7,43 +7,48 @@
 	"sassafrasfield/internal/config"
 )
 
-// Use is what the engines of a service are used for, smoothed over time.
-type Use struct {
-	// Prompts is how many prefill engines' time the prompts take.
-	Prompts float64
-	// Generations is the number of requests at a time on the other engines,
-	// Direct how many of these engines' time their prompts take.
-	Generations, Direct float64
-	// span is how long was measured.
-	span time.Duration
+// Workload is the measured load on the engines of a service, smoothed over time.
+type Workload struct {
+	// PrefillLoad is the load of prompts on the prefill engines, as a number of
+	// fully used engines.
+	PrefillLoad float64
+	// Generations is the number of concurrent requests on the other engines.
+	// DirectPrefillLoad is the load of the prompts that these engines process
+	// themselves, as a number of fully used engines.
+	Generations, DirectPrefillLoad float64
+	// measured is the time that the measurements cover, up to the time constant.
+	measured time.Duration
 }
 
-// Moved returns the measurement after the split has changed: it has to follow for
-// a while before it is known again.
-func (u Use) Moved() Use {
-	u.span /= 2
-	return u
+// AfterSplitChange returns the workload after the split has changed. It halves the
+// time that the measurements cover: TargetTracker does not move the target again
+// until new measurements have made up for that.
+func (w Workload) AfterSplitChange() Workload {
+	w.measured /= 2
+	return w
 }
 
-// Add takes a look at the engines that stands for the time since the one before,
-// and fades to a third over a time. Until then it is the mean of all looks.
-func (u Use) Add(engines []Engine, since, over time.Duration) Use {
-	var now Use
+// Add adds a measurement of the engines that stands for the elapsed time since the
+// previous one. Older measurements decay exponentially, to about a third over the
+// time constant. Until they cover the time constant, the workload is the mean of
+// all of them.
+func (w Workload) Add(engines []Engine, elapsed, timeConstant time.Duration) Workload {
+	var current Workload
 	for _, e := range engines {
 		if e.Role == config.RolePrefill {
-			now.Prompts += e.Use
+			current.PrefillLoad += e.PrefillUtilization
 			continue
 		}
-		now.Direct += e.Use
-		now.Generations += float64(e.Running)
+		current.DirectPrefillLoad += e.PrefillUtilization
+		current.Generations += float64(e.Running)
 	}
 	weight := 1.0
-	if u.span > 0 {
-		weight = 1 - math.Exp(-since.Seconds()/(u.span+since).Seconds())
+	if w.measured > 0 {
+		weight = 1 - math.Exp(-elapsed.Seconds()/(w.measured+elapsed).Seconds())
 	}
-	u.Prompts += weight * (now.Prompts - u.Prompts)
-	u.Direct += weight * (now.Direct - u.Direct)
-	u.Generations += weight * (now.Generations - u.Generations)
-	u.span = min(u.span+since, over)
-	return u
+	w.PrefillLoad += weight * (current.PrefillLoad - w.PrefillLoad)
+	w.DirectPrefillLoad += weight * (current.DirectPrefillLoad - w.DirectPrefillLoad)
+	w.Generations += weight * (current.Generations - w.Generations)
+	w.measured = min(w.measured+elapsed, timeConstant)
+	return w
 }
