--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -36,7 +36,7 @@
 // Request is what the choice depends on.
 type Request struct {
 	Model, Adapter, Version string
-	Phase                    Phase
+	Phase                   Phase
 	// Split allows a pair of prefill and decode engines; see Assign.
 	Split bool
 	// Zone of the instance.
@@ -61,7 +61,7 @@
 	Excluded map[string]bool
 	// Draining upstreams get no new work, by the platform's word.
 	Draining map[string]bool
-	Now     time.Duration
+	Now      time.Duration
 }
 
 // Candidate is an upstream with its picture.
