--- a/internal/placement/turn.go
+++ b/internal/placement/turn.go
@@ -1,12 +1,12 @@
 package placement
 
-// QueueOrder is when an engine processes a prompt that waits there with others.
+// Turn is when an engine processes a prompt that waits there with others.
 type QueueOrder int
 
 const (
-	// QueueNormal is before those that yield.
+	// TurnNext is before those that yield.
 	QueueNormal QueueOrder = iota
-	// QueueDeferred is after all others: the request is late anyway, or is to make
+	// TurnYield is after all others: the request is late anyway, or is to make
 	// room for others that still can be on time.
 	QueueDeferred
 )
@@ -19,7 +19,7 @@
 	return "next"
 }
 
-// QueueOrder decides whether a prompt yields. Processed in the order of their arrival,
+// Turn decides whether a prompt yields. Processed in the order of their arrival,
 // all prompts are late for as long as a surge's backlog lasts, though the engines
 // could process most of them in time. So those that can still be on time go
 // first, as far as those that yield are still processed in time: with so much
