--- a/internal/placement/filter_allowance.go
+++ b/internal/placement/filter_allowance.go
@@ -1,8 +1,8 @@
 package placement
 
-// LimitFilter drops upstreams that limit the requests which they take, and have nothing
+// AllowanceFilter drops upstreams that limit the requests which they take, and have nothing
 // left at the moment.
-type LimitFilter struct{}
+type AllowanceFilter struct{}
 
 // Keep implements Filter.
-func (LimitFilter) Keep(_ *Request, c Candidate) bool { return !c.Exhausted }
+func (AllowanceFilter) Keep(_ *Request, c Candidate) bool { return !c.Exhausted }
