--- a/internal/placement/stages.go
+++ b/internal/placement/stages.go
@@ -15,7 +15,7 @@
 
 // NewDisaggregatedScheduler returns the schedulers of both stages.
 func NewDisaggregatedScheduler() *DisaggregatedScheduler {
-	strict := []Filter{DrainingFilter{}, ExcludedFilter{}}
+	strict := []Filter{LeavingFilter{}, ExcludedFilter{}}
 	allowance := Preference{Filter: AllowanceFilter{}, Mandatory: true}
 	return &DisaggregatedScheduler{
 		start: &Scheduler{
