--- a/internal/instance/orders.go
+++ b/internal/instance/orders.go
@@ -16,16 +16,16 @@
 
 // State implements rolekeeper.Orderer.
 func (o restingOrderer) State(ctx context.Context, engine upstreamstate.Upstream) (rolekeeper.EngineState, error) {
-	if o.relay.Resting(engine) {
-		return rolekeeper.EngineState{}, relay.ErrResting
+	if o.relay.BackingOff(engine) {
+		return rolekeeper.EngineState{}, relay.ErrBackingOff
 	}
 	return o.Orderer.State(ctx, engine)
 }
 
 // Order implements rolekeeper.Orderer.
 func (o restingOrderer) Order(ctx context.Context, engine upstreamstate.Upstream, order rolekeeper.Order) error {
-	if o.relay.Resting(engine) {
-		return relay.ErrResting
+	if o.relay.BackingOff(engine) {
+		return relay.ErrBackingOff
 	}
 	return o.Orderer.Order(ctx, engine, order)
 }
--- a/internal/instance/times.go
+++ b/internal/instance/times.go
@@ -17,11 +17,11 @@
 // requests come.
 func (in *Instance) tellTimes(ctx context.Context) {
 	for pause.For(ctx, timesEvery) {
-		if !in.relay.Serving() {
+		if !in.relay.HasRecentRequests() {
 			continue
 		}
 		for service := range in.relay.Engines() {
-			in.tellTimesOf(service, in.relay.Times(service))
+			in.tellTimesOf(service, in.relay.EngineTimes(service))
 		}
 	}
 }
--- a/internal/relay/generate_test.go
+++ b/internal/relay/generate_test.go
@@ -47,7 +47,7 @@
 		return KV{Engine: s.To, Handle: "h"}, nil
 	}
 	w, err := serve(newFake(t, f), longPrompt("/resumable/1"))
-	if !errors.Is(err, ErrBroken) {
+	if !errors.Is(err, ErrAnswerAborted) {
 		t.Fatalf("%v after %q; want ErrBroken", err, w.Body.String())
 	}
 }
@@ -73,7 +73,7 @@
 	f := &fakeSender{run: func(int, Send) (*Reply, error) { return cutAfter("id: 1\ndata: a\n\n"), nil }}
 	r := newFake(t, f)
 	plentiful(r)
-	if _, err := serve(r, longPrompt("/once/1")); !errors.Is(err, ErrBroken) {
+	if _, err := serve(r, longPrompt("/once/1")); !errors.Is(err, ErrAnswerAborted) {
 		t.Fatalf("%v; want ErrBroken", err)
 	}
 	if f.runs != 1 {
@@ -82,7 +82,7 @@
 }
 
 func TestALostGenerationIsNotRunAgain(t *testing.T) {
-	f := &fakeSender{run: func(int, Send) (*Reply, error) { return nil, ErrLost }}
+	f := &fakeSender{run: func(int, Send) (*Reply, error) { return nil, ErrNoValidAnswer }}
 	r := newFake(t, f)
 	plentiful(r)
 	_, err := serve(r, longPrompt("/once/1"))
@@ -134,7 +134,7 @@
 	}
 	if s.first == send.To.ID {
 		<-ctx.Done()
-		return KV{}, upstreamstate.Load{}, ErrLost
+		return KV{}, upstreamstate.Load{}, ErrNoValidAnswer
 	}
 	return s.fakeSender.Prefill(ctx, req, send)
 }
@@ -155,12 +155,12 @@
 	ctx, leave := context.WithCancel(context.Background())
 	f := &fakeSender{run: func(int, Send) (*Reply, error) {
 		leave()
-		return nil, ErrLost
+		return nil, ErrNoValidAnswer
 	}}
 	r := newFake(t, f)
 	plentiful(r)
 	err := r.Serve(ctx, longPrompt("/resumable/1"), nil)
-	if !errors.Is(err, ErrCallerGone) {
+	if !errors.Is(err, ErrCallerDisconnected) {
 		t.Errorf("%v", err)
 	}
 }
@@ -178,7 +178,7 @@
 	f, g := &fakeSender{}, &fakeSender{}
 	holder, other := newFake(t, f), newFake(t, g)
 	for _, id := range []string{"dec-1", "dec-2"} { // two of eight may be away
-		holder.SendAway(id, time.Minute)
+		holder.MarkUnavailable(id, time.Minute)
 		holder.picture.Judge(id, load.CallSucceeded, holder.now()) // what ran there ends
 	}
 	other.TakeReport("instance holder", holder.OwnReport())
--- a/internal/relay/leaving_test.go
+++ b/internal/relay/leaving_test.go
@@ -39,7 +39,7 @@
 // sendKinds are all ways to upstreams.
 var sendKinds = map[string]sendKind{
 	"a call":                    {good, requestTo(call, "/unsafe/1")},
-	"a call that is repeated":   {answering(failFirst(ErrLost, plainReply)), requestTo(call, "/safe/1")},
+	"a call that is repeated":   {answering(failFirst(ErrNoValidAnswer, plainReply)), requestTo(call, "/safe/1")},
 	"a call that is refused":    {answering(failFirst(ErrRefused, plainReply)), requestTo(call, "/unsafe/1")},
 	"a prompt and its answer":   {good, requestTo(longPrompt, "/once/1")},
 	"a prompt processed anew":   {answering(failFirst(ErrRefused, wholeEvents)), requestTo(longPrompt, "/once/1")},
@@ -165,10 +165,10 @@
 		began := time.Now()
 		_, err := serve(r, req)
 		var refusal *Refusal
-		if !errors.As(err, &refusal) || refusal.Word != NotRun || refusal.RetryIn <= 0 || refusal.Reason != "all upstreams leave" {
+		if !errors.As(err, &refusal) || refusal.Outcome != NotRun || refusal.RetryIn <= 0 || refusal.Reason != "all upstreams leave" {
 			t.Errorf("%s: %+v", req.Path, err)
 		}
-		if took := time.Since(began); sender.count() > 0 || took > req.Patience/2 {
+		if took := time.Since(began); sender.count() > 0 || took > req.WaitBudget/2 {
 			t.Errorf("%s: %d sends, refused after %s", req.Path, sender.count(), took)
 		}
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -35,18 +35,18 @@
 	Prior     estimate.Prior
 	// MaxSends bounds the sends of one request, refused ones included.
 	MaxSends int
-	// PrefillSilence is how long an engine may take for a prompt beyond what
+	// PrefillIdleTimeout is how long an engine may take for a prompt beyond what
 	// was predicted, before another one is asked.
-	PrefillSilence time.Duration
-	// StreamSilence is how long a resumable generation may pause before
+	PrefillIdleTimeout time.Duration
+	// StreamIdleTimeout is how long a resumable generation may pause before
 	// another engine goes on with it.
-	StreamSilence time.Duration
+	StreamIdleTimeout time.Duration
 	// RetryIn is told to callers whose request did not run.
 	RetryIn time.Duration
-	// StartIn is told to them instead while this instance does not know the
+	// StartupRetryIn is told to them instead while this instance does not know the
 	// configuration or any upstream yet.
-	StartIn  time.Duration
-	Outliers load.OutlierRules
+	StartupRetryIn time.Duration
+	Outliers       load.OutlierRules
 	// UsageWindow is the length of the windows in which requests are counted that begin
 	// to run; 0 for a deployment that wants no such counts.
 	UsageWindow time.Duration
@@ -57,15 +57,15 @@
 	outliers := load.DefaultOutlierRules()
 	outliers.EjectAtMost = 5 * time.Second // a crashed upstream loses its entry within that
 	return Settings{
-		Budget:         BudgetSettings{Share: 0.2, Slack: 58, Window: 10 * time.Second},
-		Placement:      placement.DefaultSettings(),
-		Prior:          estimate.DefaultPrior(),
-		MaxSends:       4,
-		PrefillSilence: 1200 * time.Millisecond, // above the queue of a busy engine, below most deadlines
-		StreamSilence:  1200 * time.Millisecond, // callers leave after two seconds of silence
-		RetryIn:        150 * time.Millisecond,  // about the time of one long prompt
-		StartIn:        400 * time.Millisecond,  // of 79 instances that start at once half have the configuration after 0.55 s, the last after 0.9 s
-		Outliers:       outliers,
+		Budget:             BudgetSettings{Share: 0.2, Slack: 58, Window: 10 * time.Second},
+		Placement:          placement.DefaultSettings(),
+		Prior:              estimate.DefaultPrior(),
+		MaxSends:           4,
+		PrefillIdleTimeout: 1200 * time.Millisecond, // above the queue of a busy engine, below most deadlines
+		StreamIdleTimeout:  1200 * time.Millisecond, // callers leave after two seconds of silence
+		RetryIn:            150 * time.Millisecond,  // about the time of one long prompt
+		StartupRetryIn:     400 * time.Millisecond,  // of 79 instances that start at once half have the configuration after 0.55 s, the last after 0.9 s
+		Outliers:           outliers,
 	}
 }
 
@@ -103,7 +103,7 @@
 		pool: newPool(), contents: newContents(), usage: newUsageCounter(s.UsageWindow), link: newLink(), meters: newMeters(), grants: newGrants(), changed: make(chan struct{}, 1),
 	}
 	r.sender = limitedSender{Sender: sender, relay: r}
-	sender.Listen(r.hear)
+	sender.SetStatementHandler(r.hear)
 	r.budgets = newBudgets(s.Budget, newRetryMeters(), r.askPool)
 	r.picture = upstreamstate.New(upstreamstate.Settings{
 		Zone: s.Zone, Placement: s.Placement, Prior: s.Prior, Outliers: s.Outliers, Changed: r.noteChanged,
@@ -131,11 +131,11 @@
 // SetBudget takes other bounds of the sends beyond the first.
 func (r *Relay) SetBudget(s BudgetSettings) { r.budgets.set(s) }
 
-// Learn takes an upstream's newest entry.
-func (r *Relay) Learn(u upstreamstate.Upstream) { r.picture.Learn(u) }
+// UpdateUpstream takes an upstream's newest entry.
+func (r *Relay) UpdateUpstream(u upstreamstate.Upstream) { r.picture.Learn(u) }
 
-// Forget drops an upstream that is gone.
-func (r *Relay) Forget(id string) { r.picture.Forget(id) }
+// RemoveUpstream drops an upstream that is gone.
+func (r *Relay) RemoveUpstream(id string) { r.picture.Forget(id) }
 
 // Engines returns the model engines that take requests, by service.
 func (r *Relay) Engines() map[string][]upstreamstate.Engine { return r.picture.Engines(r.now()) }
@@ -146,15 +146,15 @@
 	return table.Services
 }
 
-// Members returns the upstreams of a service, those that are leaving too.
-func (r *Relay) Members(service string) []upstreamstate.Upstream { return r.picture.Members(service) }
+// Upstreams returns the upstreams of a service, those that are leaving too.
+func (r *Relay) Upstreams(service string) []upstreamstate.Upstream { return r.picture.Members(service) }
 
-// Times returns what the engines of a service take.
-func (r *Relay) Times(service string) upstreamstate.Times { return r.picture.Times(service) }
+// EngineTimes returns what the engines of a service take.
+func (r *Relay) EngineTimes(service string) upstreamstate.Times { return r.picture.Times(service) }
 
-// SendAway has all instances leave an upstream out for a time in which it takes no
+// MarkUnavailable has all instances leave an upstream out for a time in which it takes no
 // requests, or until its role has changed.
-func (r *Relay) SendAway(id string, d time.Duration) { r.picture.SendAway(id, r.now()+d) }
+func (r *Relay) MarkUnavailable(id string, d time.Duration) { r.picture.SendAway(id, r.now()+d) }
 
 // OwnReport returns what this instance tells the others.
 func (r *Relay) OwnReport() upstreamstate.Report {
@@ -201,14 +201,14 @@
 // depositOwn pays what this instance has too much into its own pool.
 func (r *Relay) depositOwn() { r.pool.deposit(ownSource, r.budgets.spilled(), r.now()) }
 
-// Knows tells whether a part was placed on an engine, as far as is known here.
-func (r *Relay) Knows(placed upstreamstate.Placed) bool { return r.picture.Knows(placed) }
+// HasPlacement tells whether a part was placed on an engine, as far as is known here.
+func (r *Relay) HasPlacement(placed upstreamstate.Placed) bool { return r.picture.Knows(placed) }
 
 // servingFor is for how long after a request the instance counts as serving.
 const servingFor = 2 * time.Second
 
-// Serving tells whether requests came lately.
-func (r *Relay) Serving() bool {
+// HasRecentRequests tells whether requests came lately.
+func (r *Relay) HasRecentRequests() bool {
 	last := r.lastRequest.Load()
 	return last > 0 && r.now()-time.Duration(last) < servingFor
 }
@@ -256,25 +256,25 @@
 	r.lastRequest.Store(int64(now))
 	table, age := r.picture.Routes(now)
 	if r.closed.Load() {
-		return nil, &Refusal{Word: NotRun, Reason: "stopping", RetryIn: r.settings.RetryIn}
+		return nil, &Refusal{Outcome: NotRun, Reason: "stopping", RetryIn: r.settings.RetryIn}
 	}
 	if table.Version == 0 {
-		return nil, &Refusal{Word: NotRun, Reason: "no configuration yet", RetryIn: r.startIn(req.Patience)}
+		return nil, &Refusal{Outcome: NotRun, Reason: "no configuration yet", RetryIn: r.startIn(req.WaitBudget)}
 	}
 	if why := r.Trouble(); why != "" {
 		r.meters.choked.Inc(1)
-		return nil, refuseTroubled(why, r.comeBackIn(req.Patience))
+		return nil, refuseTroubled(why, r.comeBackIn(req.WaitBudget))
 	}
 	matched := table.Match(req.Host, req.Path)
 	if matched == nil {
-		return nil, &Refusal{Word: NoRoute, Reason: "no route"}
+		return nil, &Refusal{Outcome: NoRoute, Reason: "no route"}
 	}
 	identity, known := table.Identify(matched, req.Credential)
 	if !known {
 		return nil, refuseKey()
 	}
 	limit := unbounded
-	for _, bound := range []time.Duration{req.Patience, matched.Timeout} {
+	for _, bound := range []time.Duration{req.WaitBudget, matched.Timeout} {
 		if bound > 0 {
 			limit = min(limit, bound)
 		}
@@ -307,7 +307,7 @@
 	if errors.Is(err, ErrDeclined) {
 		return // it was not asked
 	}
-	if errors.Is(err, ErrCut) {
+	if errors.Is(err, ErrCutOff) {
 		r.noteCut(x, id)
 	}
 	r.noteLink(id, err)
@@ -323,7 +323,7 @@
 // giveUp is the truthful end of a request without an answer.
 func (r *Relay) giveUp(ctx context.Context, x *exchange) error {
 	if errors.Is(ctx.Err(), context.Canceled) {
-		return ErrCallerGone
+		return ErrCallerDisconnected
 	}
 	if x.tries.Outcome() == outcome.NotRun {
 		if err := r.refuse(x); err != nil {
@@ -332,17 +332,17 @@
 		if err := r.refuseAnnounced(x); err != nil {
 			return err
 		}
-		return &Refusal{Word: NotRun, Reason: reason(x, "no upstream took it"), RetryIn: r.retryIn(x)}
+		return &Refusal{Outcome: NotRun, Reason: reason(x, "no upstream took it"), RetryIn: r.retryIn(x)}
 	}
 	if ctx.Err() != nil {
-		return &Refusal{Word: TimedOut, Reason: "timed out"}
+		return &Refusal{Outcome: TimedOut, Reason: "timed out"}
 	}
-	return &Refusal{Word: Unknown, Reason: reason(x, "no whole answer")}
+	return &Refusal{Outcome: Unknown, Reason: reason(x, "no whole answer")}
 }
 
 // startIn is when to come back to an instance that has just started.
 func (r *Relay) startIn(left time.Duration) time.Duration {
-	in := jittered(r.settings.StartIn)
+	in := jittered(r.settings.StartupRetryIn)
 	if left > 0 {
 		in = min(in, left/retryPart)
 	}
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -38,9 +38,9 @@
 	Body   []byte
 	// Credential is the API key that the caller gave.
 	Credential apikey.Credential
-	// Patience is how long the caller waits for the answer; 0 when it did not
+	// WaitBudget is how long the caller waits for the answer; 0 when it did not
 	// say.
-	Patience time.Duration
+	WaitBudget time.Duration
 	// Prompt is nil when the request carries none.
 	Prompt *placement.Prompt
 	// LastEvent is the id of the last event that the caller has of an earlier
@@ -64,8 +64,8 @@
 // Send is one way to send a request.
 type Send struct {
 	To upstreamstate.Upstream
-	// Within is how long the upstream may work on it.
-	Within time.Duration
+	// Timeout is how long the upstream may work on it.
+	Timeout time.Duration
 	// KV is the processed prompt to fetch; the zero value when there is none.
 	KV KV
 	// LastEvent is the event after which a generation goes on; empty from the
@@ -81,8 +81,8 @@
 	Priority int
 	// Identity is who the request comes from.
 	Identity routes.Identity
-	// Yields: the engine is to process the prompt after all that do not yield.
-	Yields bool
+	// Deferred: the engine is to process the prompt after all that do not yield.
+	Deferred bool
 	// Continues: the caller has a part of the answer already.
 	Continues bool
 	// Granted: the upstream's limit has room for it that was asked for before.
@@ -107,79 +107,79 @@
 var (
 	// ErrNotSent: no byte of the request left.
 	ErrNotSent = errors.New("relay: not sent")
-	// ErrSilent is the ErrNotSent of a request whose connection was not answered in time.
-	ErrSilent = errors.WithMessage(ErrNotSent, "no connection in time")
+	// ErrConnectTimeout is the ErrNotSent of a request whose connection was not answered in time.
+	ErrConnectTimeout = errors.WithMessage(ErrNotSent, "no connection in time")
 	// ErrDeclined is the ErrNotSent of a request whose upstream takes none now, by its own
 	// word. It was not asked.
 	ErrDeclined = errors.WithMessage(ErrNotSent, "the upstream takes none now")
 	// ErrLimited, ErrLeaving and ErrResting tell by which word.
-	ErrLimited = errors.WithMessage(ErrDeclined, "its limit leaves no room")
-	ErrLeaving = errors.WithMessage(ErrDeclined, "it leaves")
-	ErrResting = errors.WithMessage(ErrDeclined, "it asked for rest")
+	ErrLimited    = errors.WithMessage(ErrDeclined, "its limit leaves no room")
+	ErrDraining   = errors.WithMessage(ErrDeclined, "it leaves")
+	ErrBackingOff = errors.WithMessage(ErrDeclined, "it asked for rest")
 	// ErrRefused: the upstream says that it did not run the request.
 	ErrRefused = errors.New("relay: the upstream did not run it")
-	// ErrMoved: another upstream has the address now; it did not run the
+	// ErrAddressReassigned: another upstream has the address now; it did not run the
 	// request.
-	ErrMoved = errors.New("relay: another upstream has the address")
-	// ErrLost: the request was sent, and nothing valid came back.
-	ErrLost = errors.New("relay: no valid answer")
-	// ErrCut is the ErrLost of a request whose connection was ended by the upstream's
+	ErrAddressReassigned = errors.New("relay: another upstream has the address")
+	// ErrNoValidAnswer: the request was sent, and nothing valid came back.
+	ErrNoValidAnswer = errors.New("relay: no valid answer")
+	// ErrCutOff is the ErrLost of a request whose connection was ended by the upstream's
 	// side before the answer's end.
-	ErrCut = errors.WithMessage(ErrLost, "cut off")
+	ErrCutOff = errors.WithMessage(ErrNoValidAnswer, "cut off")
 )
 
-// Lost is the error of a request that was sent and whose whole answer could not be read.
-func Lost(err error) error {
+// WrapReadError is the error of a request that was sent and whose whole answer could not be read.
+func WrapReadError(err error) error {
 	for _, cut := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE, errCutEvent} {
 		if errors.Is(err, cut) {
-			return errors.WithMessage(ErrCut, err.Error())
+			return errors.WithMessage(ErrCutOff, err.Error())
 		}
 	}
-	return errors.WithMessage(ErrLost, err.Error())
+	return errors.WithMessage(ErrNoValidAnswer, err.Error())
 }
 
 // ranNothing tells whether an error says that the upstream ran nothing.
 func ranNothing(err error) bool {
-	return errors.Is(err, ErrNotSent) || errors.Is(err, ErrRefused) || errors.Is(err, ErrMoved)
+	return errors.Is(err, ErrNotSent) || errors.Is(err, ErrRefused) || errors.Is(err, ErrAddressReassigned)
 }
 
 // Sender is the adapter to the upstreams. The end of the context ends the
 // upstream's work on a request.
 type Sender interface {
-	// Listen has hear called with what upstreams say of themselves in any answer, whatever was
+	// SetStatementHandler has hear called with what upstreams say of themselves in any answer, whatever was
 	// asked. It is called once, before all else.
-	Listen(hear func(from upstreamstate.Upstream, s upstreamstate.Statement))
+	SetStatementHandler(hear func(from upstreamstate.Upstream, s upstreamstate.Statement))
 	// Send has an upstream run a request, and returns once its answer begins.
 	Send(ctx context.Context, req *Request, s Send) (*Reply, error)
 	// Prefill has an engine process a request's prompt and keep the KV cache.
 	Prefill(ctx context.Context, req *Request, s Send) (KV, upstreamstate.Load, error)
 	// Free drops a KV cache that nobody will fetch.
 	Free(ctx context.Context, kv KV) error
-	// Ended tells whether an upstream's process has ended: its machine answers, and
+	// Crashed tells whether an upstream's process has ended: its machine answers, and
 	// nobody listens at its address, or another upstream does, which is asked at the
 	// health path where the service has one. An error means that there is no word on it.
-	Ended(ctx context.Context, to upstreamstate.Upstream, healthPath string) (bool, error)
+	Crashed(ctx context.Context, to upstreamstate.Upstream, healthPath string) (bool, error)
 }
 
-// Word is what a refusal tells of the request.
-type Word int
+// Outcome is what a refusal tells of the request.
+type Outcome int
 
 const (
 	// NotRun: nothing of it ran, and nothing will.
-	NotRun Word = iota
+	NotRun Outcome = iota
 	// Unknown: it may have run.
 	Unknown
 	// NoRoute: the configuration has no route for it.
 	NoRoute
-	// NoKey: the route asks for an API key, and it has none that is known. Nothing ran.
-	NoKey
+	// Unauthenticated: the route asks for an API key, and it has none that is known. Nothing ran.
+	Unauthenticated
 	// TimedOut: it may have run; the time that it had is over.
 	TimedOut
 )
 
 // Refusal is the answer to a request that was given up.
 type Refusal struct {
-	Word Word
+	Outcome Outcome
 	// Reason in a word or two, for logs and metrics.
 	Reason string
 	// RetryIn is when the caller should come back; 0 when it should not.
@@ -189,9 +189,9 @@
 // Error implements error.
 func (r *Refusal) Error() string { return "relay: " + r.Reason }
 
-// ErrBroken ends an answer that had begun and cannot be finished. The caller's
+// ErrAnswerAborted ends an answer that had begun and cannot be finished. The caller's
 // connection must be closed without the answer's end.
-var ErrBroken = errors.New("relay: the answer broke off")
+var ErrAnswerAborted = errors.New("relay: the answer broke off")
 
-// ErrCallerGone: nobody waits for the answer any more.
-var ErrCallerGone = errors.New("relay: the caller has gone")
+// ErrCallerDisconnected: nobody waits for the answer any more.
+var ErrCallerDisconnected = errors.New("relay: the caller has gone")
