--- a/internal/load/health.go
+++ b/internal/load/health.go
@@ -125,8 +125,8 @@
 	CallFailed
 	// CallUnreachable: it could not be reached, or fell silent.
 	CallUnreachable
-	// CallAddressReused: another upstream has its address, so it is gone for good.
-	CallAddressReused
+	// CallAddressReassigned: another upstream has its address, so it is gone for good.
+	CallAddressReassigned
 )
 
 // RecordCall records what a send told of an upstream, and reports whether that ejects
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -85,7 +85,7 @@
 	case errors.Is(err, ErrNotSent):
 		return load.CallUnreachable
 	case errors.Is(err, ErrAddressReassigned):
-		return load.CallAddressReused
+		return load.CallAddressReassigned
 	case errors.Is(err, ErrRefused):
 		return load.CallRefused
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
--- a/internal/upstreamstate/upstreamstate_test.go
+++ b/internal/upstreamstate/upstreamstate_test.go
@@ -196,7 +196,7 @@
 	chosen, _ := p.PickCall(Ask{ID: "r", Service: "app"}, 0)
 	other.Judge(chosen.ID, load.CallSucceeded, 0) // it answered there just now
 	beyond.Judge(chosen.ID, load.CallSucceeded, 0)
-	p.Judge(chosen.ID, load.CallAddressReused, 0)
+	p.Judge(chosen.ID, load.CallAddressReassigned, 0)
 	p.End(chosen.ID, "r", 0)
 	callsWithout(t, p, chosen.ID, time.Second)
 	other.TakeReport(BesidePrefix+"one", p.OwnReport(0), 0)
--- a/internal/upstreamstate/work.go
+++ b/internal/upstreamstate/work.go
@@ -78,14 +78,14 @@
 	switch v {
 	case load.CallUnreachable:
 		p.noteGone(id, now)
-	case load.CallAddressReused:
+	case load.CallAddressReassigned:
 		p.sendAway(id, now+movedFor)
 	}
 	n, ok := p.nodes[id]
 	if !ok {
 		return false // its entry is gone
 	}
-	if v != load.CallUnreachable && v != load.CallAddressReused {
+	if v != load.CallUnreachable && v != load.CallAddressReassigned {
 		n.work.heardAt, n.work.heard = now, true
 		return p.loads.RecordCall(id, v, now)
 	}
