--- a/internal/load/engine.go
+++ b/internal/load/engine.go
@@ -6,64 +6,63 @@
 	"sassafrasfield/internal/engine"
 )
 
-// View is one way to see an engine's load.
+// View is one estimate of an upstream's load.
 type View struct {
-	// Requests on the engine, running or waiting.
+	// Requests is the number of requests that run or wait on the upstream.
 	Requests int
-	// Waiting requests that are not in the batch yet.
+	// Waiting is the number of requests that are not in the batch yet.
 	Waiting int
-	// PrefillTokens are prompt tokens that wait to be processed.
+	// PrefillTokens is the number of prompt tokens that wait to be processed.
 	PrefillTokens int
-	// Blocks are pieces of KV memory that are promised to placements and that
-	// the report does not show as taken.
+	// Blocks is the number of KV memory blocks that placements need and that the report does not show as
+	// used.
 	Blocks int
 }
 
-// Upstream is the picture of one upstream. Plain services have no reports.
+// Upstream is the state of one upstream. Upstreams of plain services have no reports.
 type Upstream struct {
 	Report engine.Report
-	// ReportAt is when the newest report came, on the entry's clock; 0 when
-	// none has.
+	// ReportAt is when the newest report arrived, on the instance's clock; 0 before the first report.
 	ReportAt time.Duration
-	// Streams counts this entry's own streams on the upstream.
+	// Streams counts this instance's own streams on the upstream.
 	Streams int
-	// Health is what this entry's own calls tell.
+	// Health is the health as observed by this instance's own calls.
 	Health Health
-	// Prefixes are what the engine is believed to have cached.
+	// Prefixes are the prompt blocks that the engine is estimated to have cached.
 	Prefixes Prefixes
 
-	traffic *Traffic // the table's
-	own     []placed
-	// replaced is the boot whose reports the present one's took the place of.
-	replaced string
+	traffic    *Traffic // the table's
+	placements []activePlacement
+	// previousBoot is the boot of the reports before the engine's latest restart.
+	previousBoot string
 }
 
-// Reported is the load by the lagging report alone.
-func (e *Upstream) Reported() View {
+// Reported returns the load according to the lagging report alone.
+func (u *Upstream) Reported() View {
 	return View{
-		Requests:      e.Report.Running + e.Report.Waiting,
-		Waiting:       e.Report.Waiting,
-		PrefillTokens: e.Report.PrefillTokens,
+		Requests:      u.Report.Running + u.Report.Waiting,
+		Waiting:       u.Report.Waiting,
+		PrefillTokens: u.Report.PrefillTokens,
 	}
 }
 
-// Local is the load by this entry's own streams alone.
-func (e *Upstream) Local() View {
-	view := View{Requests: e.Streams}
-	for i := range e.own {
-		view.Blocks += e.own[i].Blocks
-		if !e.own[i].started {
-			view.PrefillTokens += e.own[i].PrefillTokens
+// Local returns the load of this instance's own streams alone.
+func (u *Upstream) Local() View {
+	view := View{Requests: u.Streams}
+	for i := range u.placements {
+		view.Blocks += u.placements[i].Blocks
+		if !u.placements[i].started {
+			view.PrefillTokens += u.placements[i].PrefillTokens
 		}
 	}
 	return view
 }
 
-// chargedView is the load of the charges alone.
-func (e *Upstream) chargedView() View {
+// chargedView returns the load of the charges alone.
+func (u *Upstream) chargedView() View {
 	var view View
-	for i := range e.own {
-		p := &e.own[i]
+	for i := range u.placements {
+		p := &u.placements[i]
 		if !p.charged {
 			continue
 		}
@@ -76,88 +75,85 @@
 	return view
 }
 
-// Charged is the reported load and the own placements that the report does not
-// account for.
-func (e *Upstream) Charged() View {
-	view, charges := e.Reported(), e.chargedView()
+// Charged returns the reported load plus the own placements that the report does not account for.
+func (u *Upstream) Charged() View {
+	view, charges := u.Reported(), u.chargedView()
 	view.Requests += charges.Requests
 	view.PrefillTokens += charges.PrefillTokens
 	view.Blocks = charges.Blocks
 	return view
 }
 
-// PrefillTokens returns the prompt tokens ahead of a new request, charges
-// included.
-func (e *Upstream) PrefillTokens() int {
-	return e.Charged().PrefillTokens
+// PrefillTokens returns the prompt tokens queued ahead of a new request, including charges.
+func (u *Upstream) PrefillTokens() int {
+	return u.Charged().PrefillTokens
 }
 
-// Requests returns the requests on the engine, charges included.
-func (e *Upstream) Requests() int {
-	return e.Charged().Requests
+// Requests returns the requests on the upstream, including charges.
+func (u *Upstream) Requests() int {
+	return u.Charged().Requests
 }
 
 // Charges counts the own placements that no report accounts for.
-func (e *Upstream) Charges() int {
+func (u *Upstream) Charges() int {
 	n := 0
-	for i := range e.own {
-		if e.own[i].charged {
+	for i := range u.placements {
+		if u.placements[i].charged {
 			n++
 		}
 	}
 	return n
 }
 
-// newer tells whether a report is to replace the one held. Within a boot the
-// sequence decides; between boots the engine's own clock does, so that a late
-// report of an earlier boot is known for what it is. Should the engine's clock
-// have been set back, the held report gives way once it counts as silent.
-func (e *Upstream) newer(report *engine.Report, now, silentFor time.Duration) bool {
-	if e.ReportAt == 0 {
+// supersedes reports whether a report replaces the current one. Within a boot the sequence number decides.
+// Between boots the engine's own clock decides, which detects a late report of an earlier boot. If the
+// engine's clock was set back, the current report is replaced once it counts as silent.
+func (u *Upstream) supersedes(report *engine.Report, now, silentFor time.Duration) bool {
+	if u.ReportAt == 0 {
 		return true
 	}
-	if report.Boot == e.Report.Boot {
-		return report.Seq > e.Report.Seq
+	if report.Boot == u.Report.Boot {
+		return report.Seq > u.Report.Seq
 	}
-	return report.UnixMilli > e.Report.UnixMilli || now-e.ReportAt > silentFor
+	return report.UnixMilli > u.Report.UnixMilli || now-u.ReportAt > silentFor
 }
 
-// settle takes the charges off that the report accounts for, and tells traffic
-// of those that it counts.
-func (e *Upstream) settle() {
-	recent := make(map[string]bool, len(e.Report.Recent))
-	for _, id := range e.Report.Recent {
+// settleCharges ends the charges that the report accounts for. It passes the age of the placements that the
+// report counts, and of those that it does not count yet, to the traffic statistics.
+func (u *Upstream) settleCharges() {
+	recent := make(map[string]bool, len(u.Report.Recent))
+	for _, id := range u.Report.Recent {
 		recent[id] = true
 	}
-	for i := range e.own {
-		p := &e.own[i]
+	for i := range u.placements {
+		p := &u.placements[i]
 		switch {
 		case !p.charged:
-		case p.accountedBy(&e.Report, recent):
+		case p.accountedBy(&u.Report, recent):
 			p.charged = false
-			e.traffic.counted(e.ReportAt - p.At)
-		case p.lostBy(e.replaced):
+			u.traffic.addUpperBound(u.ReportAt - p.At)
+		case p.acceptedBy(u.previousBoot):
 			p.charged = false
-		case p.accepted.Boot == e.Report.Boot:
-			e.traffic.uncounted(e.ReportAt - p.At)
+		case p.accepted.Boot == u.Report.Boot:
+			u.traffic.addLowerBound(u.ReportAt - p.At)
 		}
 	}
 }
 
-// expire takes the charges off that are older than bound.
-func (e *Upstream) expire(now, bound time.Duration) {
-	for i := range e.own {
-		if now-e.own[i].At > bound {
-			e.own[i].charged = false
+// expireCharges ends the charges that are older than maxAge.
+func (u *Upstream) expireCharges(now, maxAge time.Duration) {
+	for i := range u.placements {
+		if now-u.placements[i].At > maxAge {
+			u.placements[i].charged = false
 		}
 	}
 }
 
-// find returns the newest own placement with the id, or nil.
-func (e *Upstream) find(id string) *placed {
-	for i := len(e.own) - 1; i >= 0; i-- {
-		if e.own[i].ID == id {
-			return &e.own[i]
+// findPlacement returns the newest own placement with the id, or nil.
+func (u *Upstream) findPlacement(id string) *activePlacement {
+	for i := len(u.placements) - 1; i >= 0; i-- {
+		if u.placements[i].ID == id {
+			return &u.placements[i]
 		}
 	}
 	return nil
--- a/internal/load/health.go
+++ b/internal/load/health.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// OutlierRules tell when an upstream is ejected and how it comes back.
+// OutlierRules determine when an upstream is ejected and how it recovers.
 type OutlierRules struct {
-	// Failures in a row that eject an upstream.
+	// Failures is the number of consecutive failures that eject an upstream.
 	Failures int
-	// EjectFor is the first ejection's time; it doubles with each ejection in
-	// a row, up to EjectAtMost.
+	// EjectFor is the duration of the first ejection. It doubles with each consecutive ejection, up to
+	// EjectAtMost.
 	EjectFor    time.Duration
 	EjectAtMost time.Duration
-	// SilentFor is how long an engine that has reported may go without a new
-	// report before it counts as frozen.
+	// SilentFor is how long an engine that has reported may go without a new report before it counts as
+	// unresponsive.
 	SilentFor time.Duration
-	// RecoveredAt is the number of own streams at a time from which a returning
-	// upstream counts as whole again.
+	// RecoveredAt is the number of concurrent own streams at which a recovering upstream counts as healthy
+	// again.
 	RecoveredAt int
 }
 
@@ -26,35 +26,34 @@
 	}
 }
 
-// Health is what an entry's own calls tell of an upstream. The zero value is
-// whole. An ejected upstream gets no new work for a time; then one request at
-// a time, and twice as many after each that went well, until it is whole.
+// Health is the health of an upstream as observed by an instance's own calls. The zero value is healthy. An
+// ejected upstream gets no new requests for a time. It then recovers: it may have one request at a time, and
+// the limit doubles after each success until the upstream is healthy.
 type Health struct {
-	failures  int
-	ejections int
-	until     time.Duration
-	// room is how many own streams a returning upstream may have; 0 when it
-	// is whole.
-	room int
-	// probes are the requests placed since the return that have not ended.
+	failures     int
+	ejections    int
+	ejectedUntil time.Duration
+	// probeLimit is how many own streams a recovering upstream may have; 0 when it is healthy.
+	probeLimit int
+	// probes are the requests placed since the recovery began that have not ended.
 	probes map[string]bool
 }
 
-// Admits tells whether the upstream may get one more request.
+// Admits reports whether the upstream may get one more request.
 func (h *Health) Admits(now time.Duration) bool {
-	if h.room == 0 {
+	if h.probeLimit == 0 {
 		return true
 	}
-	return now >= h.until && len(h.probes) < h.room
+	return now >= h.ejectedUntil && len(h.probes) < h.probeLimit
 }
 
-// Ejected tells whether the upstream is ejected at a time.
+// Ejected reports whether the upstream is ejected at a time.
 func (h *Health) Ejected(now time.Duration) bool {
-	return h.room > 0 && now < h.until
+	return h.probeLimit > 0 && now < h.ejectedUntil
 }
 
 func (h *Health) placed(request string, now time.Duration) {
-	if h.room == 0 || now < h.until {
+	if h.probeLimit == 0 || now < h.ejectedUntil {
 		return
 	}
 	if h.probes == nil {
@@ -67,72 +66,71 @@
 	delete(h.probes, request)
 }
 
-// failed counts a failure and reports whether it ejects the upstream. Failures
-// of streams from before an ejection do not prolong it.
+// failed counts a failure and reports whether it ejects the upstream. Failures during an ejection come from
+// streams that began before it and do not prolong it.
 func (h *Health) failed(now time.Duration, rules OutlierRules) bool {
 	if h.Ejected(now) {
 		return false
 	}
 	h.failures++
-	if h.room == 0 && h.failures < rules.Failures {
+	if h.probeLimit == 0 && h.failures < rules.Failures {
 		return false
 	}
-	wait := rules.EjectFor
+	duration := rules.EjectFor
 	for range h.ejections {
-		wait = min(2*wait, rules.EjectAtMost)
+		duration = min(2*duration, rules.EjectAtMost)
 	}
 	h.ejections++
-	h.failures, h.room, h.probes = 0, 1, nil
-	h.until = now + wait
+	h.failures, h.probeLimit, h.probes = 0, 1, nil
+	h.ejectedUntil = now + duration
 	return true
 }
 
-// rest leaves an upstream alone until a time that it asked for, in place of any that was guessed.
-// It comes back gradually.
-func (h *Health) rest(until time.Duration) {
-	h.failures, h.room, h.probes = 0, 1, nil
-	h.until = until
+// backOff sends no requests to the upstream until a time that it asked for. This time replaces that of any
+// ejection. The upstream recovers gradually afterwards.
+func (h *Health) backOff(until time.Duration) {
+	h.failures, h.probeLimit, h.probes = 0, 1, nil
+	h.ejectedUntil = until
 }
 
-// returned makes an upstream that was silent come back gradually.
-func (h *Health) returned(now time.Duration) {
-	if h.room > 0 {
+// startProbing begins the gradual recovery of an upstream that was silent.
+func (h *Health) startProbing(now time.Duration) {
+	if h.probeLimit > 0 {
 		return
 	}
-	h.room, h.until, h.probes = 1, now, nil
+	h.probeLimit, h.ejectedUntil, h.probes = 1, now, nil
 }
 
 func (h *Health) succeeded(rules OutlierRules) {
 	h.failures = 0
-	if h.room == 0 || len(h.probes) == 0 {
+	if h.probeLimit == 0 || len(h.probes) == 0 {
 		return
 	}
-	h.room *= 2
-	if h.room >= rules.RecoveredAt {
+	h.probeLimit *= 2
+	if h.probeLimit >= rules.RecoveredAt {
 		*h = Health{}
 	}
 }
 
-// CallResult is what one send told of an upstream.
+// CallResult is the result of one call to an upstream.
 type CallResult int
 
 const (
-	// CallSucceeded: it answered.
+	// CallSucceeded: the upstream answered.
 	CallSucceeded CallResult = iota
-	// CallRefused: it ran nothing, by its own word.
+	// CallRefused: the upstream stated that it executed nothing.
 	CallRefused
-	// CallFailed: it gave no valid answer.
+	// CallFailed: the upstream gave no valid answer.
 	CallFailed
-	// CallUnreachable: it could not be reached, or fell silent.
+	// CallUnreachable: the upstream could not be reached or stopped responding.
 	CallUnreachable
-	// CallAddressReassigned: another upstream has its address, so it is gone for good.
+	// CallAddressReassigned: another upstream has the address now, so this one is permanently gone.
 	CallAddressReassigned
 )
 
-// RecordCall records what a send told of an upstream, and reports whether that ejects
-// it.
-func (t *Table) RecordCall(id string, v CallResult, now time.Duration) (ejected bool) {
-	switch v {
+// RecordCall records the result of a call to an upstream and reports whether that ejects it.
+func (t *Table) RecordCall(id string, r CallResult, now time.Duration) (ejected bool) {
+	switch r {
 	case CallSucceeded:
 		t.Succeeded(id)
 		return false
--- a/internal/load/health_test.go
+++ b/internal/load/health_test.go
@@ -7,7 +7,7 @@
 	"sassafrasfield/internal/engine"
 )
 
-func TestFailingUpstreamIsEjectedAndComesBackGradually(t *testing.T) {
+func TestFailingUpstreamIsEjectedAndRecoversGradually(t *testing.T) {
 	table := NewTable()
 	rules := table.Outliers
 	h := &table.Upstream("e").Health
@@ -20,41 +20,41 @@
 		t.Fatal("not ejected by failures in a row")
 	}
 	if table.Failed("e", second) {
-		t.Fatal("a stream from before the ejection prolonged it")
+		t.Fatal("a failure of a stream that began before the ejection prolonged it")
 	}
-	back := second + rules.EjectFor
-	if !h.Admits(back) {
+	ejectionEnd := second + rules.EjectFor
+	if !h.Admits(ejectionEnd) {
 		t.Fatal("no probe after the ejection")
 	}
-	table.Place("e", Placement{ID: "probe", At: back})
-	if h.Admits(back) {
-		t.Fatal("a second request beside the probe")
+	table.Place("e", Placement{ID: "probe", At: ejectionEnd})
+	if h.Admits(ejectionEnd) {
+		t.Fatal("admitted a second request during the probe")
 	}
-	table.Failed("e", back)
-	table.End("e", "probe", back)
-	if h.Admits(back+rules.EjectFor) || !h.Admits(back+2*rules.EjectFor) {
-		t.Fatal("a failed probe does not double the ejection")
+	table.Failed("e", ejectionEnd)
+	table.End("e", "probe", ejectionEnd)
+	if h.Admits(ejectionEnd+rules.EjectFor) || !h.Admits(ejectionEnd+2*rules.EjectFor) {
+		t.Fatal("a failed probe did not double the ejection")
 	}
-	now := back + 2*rules.EjectFor
-	for room := 1; room < rules.RecoveredAt; room *= 2 {
+	now := ejectionEnd + 2*rules.EjectFor
+	for limit := 1; limit < rules.RecoveredAt; limit *= 2 {
 		n := 0
 		for ; h.Admits(now); n++ {
 			table.Place("e", Placement{ID: string(rune('a' + n)), At: now})
 		}
-		if n != room {
-			t.Fatalf("%d requests at a time, want %d", n, room)
+		if n != limit {
+			t.Fatalf("%d requests at a time, want %d", n, limit)
 		}
 		table.Succeeded("e")
 		for i := range n {
 			table.End("e", string(rune('a'+i)), now)
 		}
 	}
-	if h.room != 0 || !h.Admits(now) {
-		t.Fatal("not whole after the probes went well")
+	if h.probeLimit != 0 || !h.Admits(now) {
+		t.Fatal("not healthy after the probes succeeded")
 	}
 }
 
-func TestSilentEngineComesBackGradually(t *testing.T) {
+func TestSilentEngineRecoversGradually(t *testing.T) {
 	table := NewTable()
 	silent := table.Outliers.SilentFor
 	if table.Silent("e", time.Hour) {
@@ -66,13 +66,13 @@
 	}
 	table.Reported("e", report("b", 1, 0), second+silent+1)
 	if !table.Silent("e", second+silent+1) {
-		t.Fatal("the same report again counts as a sign of life")
+		t.Fatal("a repeated report ended the silence")
 	}
 	now := second + 2*silent
 	table.Reported("e", report("b", 2, 0), now)
 	table.Place("e", Placement{ID: "probe", At: now})
 	if table.Upstream("e").Health.Admits(now) {
-		t.Fatal("more than a probe after the silence")
+		t.Fatal("admitted more than one probe after the silence")
 	}
 }
 
@@ -88,20 +88,20 @@
 	}
 	p.Apply(engine.CacheEvents{Boot: "b1", Events: []engine.CacheEvent{{Seq: 7, Block: 10}, stored(5, 10)}})
 	if n := p.Cached([]uint64{10}); n != 0 {
-		t.Fatal("a dropped block is still believed")
+		t.Fatal("an evicted block is still assumed cached")
 	}
 	p.Apply(engine.CacheEvents{Boot: "b1", Events: []engine.CacheEvent{stored(9, 20)}})
 	if p.Cached([]uint64{11}) != 0 || p.Cached([]uint64{20}) != 1 {
-		t.Fatal("a gap keeps old beliefs, or drops the new one")
+		t.Fatal("a gap did not discard the old blocks, or discarded the new one")
 	}
 	p.Apply(engine.CacheEvents{Boot: "b2"})
 	if p.Len() != 0 || p.LastSeq() != 0 {
-		t.Fatal("a restart keeps beliefs")
+		t.Fatal("a restart did not discard the blocks")
 	}
-	for i := range uint64(3 * prefixesKept) {
+	for i := range uint64(3 * maxPrefixBlocks) {
 		p.AssumeCached([]uint64{i, 1})
 	}
-	if p.Len() > prefixesKept || len(p.order) > 2*prefixesKept || p.Cached([]uint64{1}) != 1 {
-		t.Fatalf("%d beliefs, %d in order", p.Len(), len(p.order))
+	if p.Len() > maxPrefixBlocks || len(p.order) > 2*maxPrefixBlocks || p.Cached([]uint64{1}) != 1 {
+		t.Fatalf("%d blocks, %d in order", p.Len(), len(p.order))
 	}
 }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,14 +1,14 @@
-// Package load keeps one entry's picture of the upstreams: the lagging reports,
-// the entry's own placements that no report accounts for yet, what the engines
-// are believed to have cached, and how the entry's own calls went. It is pure:
-// times are on the entry's monotonic clock.
+// Package load tracks what one instance knows of the load and health of the upstreams: the engines' lagging
+// reports, the instance's own placements that no report accounts for yet, the prompt blocks that the engines
+// are estimated to have cached, and the results of the instance's own calls. The callers feed it these
+// events; it returns views of the load and whether an upstream may get another request. It does no I/O. Times
+// are on the instance's monotonic clock.
 //
-// A placement is charged to its engine until a report accounts for it. By the
-// engine's own sequence: a report does when it names the request (Recent), or
-// when its count Accepted has reached the number that the engine gave the
-// request. No clock of an engine is looked at. A charge also goes when the
-// stream ends, when the engine that took it has restarted, and, should none of
-// these be seen, after a bound of time.
+// A placement is charged to its engine until a report accounts for it. A report does so when it names the
+// request (Recent), or when its count Accepted has reached the number that the engine gave the request. This
+// follows the engine's own sequence, and no clock of an engine is compared. A charge also ends when the
+// stream ends, when the engine that accepted it has restarted, and, if none of these is observed, after a
+// time limit.
 package load
 
 import (
@@ -18,157 +18,156 @@
 	"sassafrasfield/internal/engine"
 )
 
-// DefaultChargeFor bounds a charge that no report accounts for. It is longer
-// than the longest lag of reports that was measured with (5 s).
+// DefaultChargeFor bounds the time of a charge that no report accounts for. It is longer than the longest lag
+// of reports in the measurements (5 s).
 const DefaultChargeFor = 15 * time.Second
 
-// Table is the picture of all upstreams. It is not safe for concurrent use.
+// Table holds the state of all upstreams. It is not safe for concurrent use.
 type Table struct {
 	// ChargeFor bounds the time of a charge.
 	ChargeFor time.Duration
 	// Outliers are the rules for ejection.
 	Outliers OutlierRules
-	// Traffic is what the placements on all engines tell together.
+	// Traffic has the statistics of the placements on all upstreams.
 	Traffic Traffic
 
-	engines map[string]*Upstream
+	upstreams map[string]*Upstream
 }
 
 // NewTable returns an empty table with the default bounds.
 func NewTable() *Table {
-	return &Table{ChargeFor: DefaultChargeFor, Outliers: DefaultOutlierRules(), engines: map[string]*Upstream{}}
+	return &Table{ChargeFor: DefaultChargeFor, Outliers: DefaultOutlierRules(), upstreams: map[string]*Upstream{}}
 }
 
-// Upstream returns the picture of an upstream, made when there is none.
+// Upstream returns the state of an upstream and creates it when there is none.
 func (t *Table) Upstream(id string) *Upstream {
-	e, ok := t.engines[id]
+	u, ok := t.upstreams[id]
 	if !ok {
-		e = &Upstream{traffic: &t.Traffic}
-		t.engines[id] = e
+		u = &Upstream{traffic: &t.Traffic}
+		t.upstreams[id] = u
 	}
-	return e
+	return u
 }
 
-// Retain forgets the upstreams that keep does not name and that have no stream
-// of this entry left.
+// Retain removes the upstreams that are not in keep and have no stream of this instance.
 func (t *Table) Retain(keep map[string]bool) {
-	for id, e := range t.engines {
-		if !keep[id] && e.Streams == 0 {
-			delete(t.engines, id)
+	for id, u := range t.upstreams {
+		if !keep[id] && u.Streams == 0 {
+			delete(t.upstreams, id)
 		}
 	}
 }
 
-// Drop forgets an upstream, unless a stream of this entry is left there.
+// Drop removes an upstream, unless it has a stream of this instance.
 func (t *Table) Drop(id string) {
-	if e, ok := t.engines[id]; ok && e.Streams == 0 {
-		delete(t.engines, id)
+	if u, ok := t.upstreams[id]; ok && u.Streams == 0 {
+		delete(t.upstreams, id)
 	}
 }
 
-// Reset has an upstream begin anew: what it had ended with its process.
-func (t *Table) Reset(id string) { delete(t.engines, id) }
+// Reset discards the state of an upstream whose process has restarted. Its requests ended with the old
+// process.
+func (t *Table) Reset(id string) { delete(t.upstreams, id) }
 
-// Expire ends the charges that have grown older than the bound.
+// Expire ends the charges that are older than ChargeFor.
 func (t *Table) Expire(now time.Duration) {
-	for _, e := range t.engines {
-		e.expire(now, t.ChargeFor)
+	for _, u := range t.upstreams {
+		u.expireCharges(now, t.ChargeFor)
 	}
 }
 
 // Place charges a request to an upstream.
 func (t *Table) Place(id string, p Placement) {
-	e := t.Upstream(id)
-	e.Streams++
-	e.own = append(e.own, placed{Placement: p, charged: true})
-	e.Prefixes.AssumeCached(p.Prefix)
-	e.Health.placed(p.ID, p.At)
+	u := t.Upstream(id)
+	u.Streams++
+	u.placements = append(u.placements, activePlacement{Placement: p, charged: true})
+	u.Prefixes.AssumeCached(p.Prefix)
+	u.Health.placed(p.ID, p.At)
 }
 
 // Accepted records the number that the engine gave a request.
 func (t *Table) Accepted(id, request string, a Acceptance) {
-	e := t.Upstream(id)
-	p := e.find(request)
+	u := t.Upstream(id)
+	p := u.findPlacement(request)
 	if p == nil {
 		return
 	}
 	p.accepted = a
-	if p.accountedBy(&e.Report, nil) || p.lostBy(e.replaced) {
+	if p.accountedBy(&u.Report, nil) || p.acceptedBy(u.previousBoot) {
 		p.charged = false
 	}
 }
 
-// Started records that the first token of a request came.
+// Started records the arrival of a request's first token.
 func (t *Table) Started(id, request string) {
-	if p := t.Upstream(id).find(request); p != nil {
+	if p := t.Upstream(id).findPlacement(request); p != nil {
 		p.started = true
 	}
 }
 
-// End takes a stream off an upstream, with its charge. A request that is not
-// on the upstream is no error.
+// End removes a stream from an upstream, with its charge. It ignores a request that is not on the upstream.
 func (t *Table) End(id, request string, now time.Duration) {
-	e := t.Upstream(id)
-	for i := range e.own {
-		if e.own[i].ID == request {
-			t.Traffic.ended(now - e.own[i].At)
-			e.own = slices.Delete(e.own, i, i+1)
-			e.Streams--
+	u := t.Upstream(id)
+	for i := range u.placements {
+		if u.placements[i].ID == request {
+			t.Traffic.addDuration(now - u.placements[i].At)
+			u.placements = slices.Delete(u.placements, i, i+1)
+			u.Streams--
 			break
 		}
 	}
-	e.Health.ended(request)
+	u.Health.ended(request)
 }
 
-// Reported takes a report that came at now. A report that is older than the
-// one held, or of an earlier boot, is dropped.
+// Reported records a report that arrived at now. It drops a report that is older than the current one or from
+// an earlier boot.
 func (t *Table) Reported(id string, report engine.Report, now time.Duration) {
-	e := t.Upstream(id)
-	if !e.newer(&report, now, t.Outliers.SilentFor) {
+	u := t.Upstream(id)
+	if !u.supersedes(&report, now, t.Outliers.SilentFor) {
 		return
 	}
-	if e.ReportAt != 0 && now-e.ReportAt > t.Outliers.SilentFor {
-		e.Health.returned(now)
+	if u.ReportAt != 0 && now-u.ReportAt > t.Outliers.SilentFor {
+		u.Health.startProbing(now)
 	}
-	if e.ReportAt != 0 && report.Boot != e.Report.Boot {
-		e.replaced = e.Report.Boot
+	if u.ReportAt != 0 && report.Boot != u.Report.Boot {
+		u.previousBoot = u.Report.Boot
 	}
-	e.Report, e.ReportAt = report, now
-	e.settle()
-	e.expire(now, t.ChargeFor)
+	u.Report, u.ReportAt = report, now
+	u.settleCharges()
+	u.expireCharges(now, t.ChargeFor)
 }
 
-// CacheEvents takes a batch of cache events.
+// CacheEvents applies a batch of cache events.
 func (t *Table) CacheEvents(id string, events engine.CacheEvents) {
 	t.Upstream(id).Prefixes.Apply(events)
 }
 
-// Silent tells whether an engine that has reported went without a new report
-// for too long, as one that is frozen or cut off does.
+// Silent reports whether the reports of an engine that has sent one before are overdue, as happens when the
+// engine hangs or is cut off from the network.
 func (t *Table) Silent(id string, now time.Duration) bool {
-	e := t.Upstream(id)
-	return e.ReportAt != 0 && now-e.ReportAt > t.Outliers.SilentFor
+	u := t.Upstream(id)
+	return u.ReportAt != 0 && now-u.ReportAt > t.Outliers.SilentFor
 }
 
-// Failed records that a call to the upstream failed.
+// Failed records a failed call to the upstream and reports whether that ejects it.
 func (t *Table) Failed(id string, now time.Duration) (ejected bool) {
 	return t.Upstream(id).Health.failed(now, t.Outliers)
 }
 
-// Refused records that the upstream refused a call without running any of it,
-// as one that has no room or loads something does. It looks idle meanwhile, so
-// it is ejected too, but never for longer than the first ejection: what made
-// it refuse passes by itself.
+// Refused records a call that the upstream refused without executing any of it, and reports whether that
+// ejects the upstream. An upstream does so when it has no room or is loading, and it looks idle meanwhile. It
+// is therefore ejected too, but never for longer than the first ejection, since the cause of a refusal passes
+// without intervention.
 func (t *Table) Refused(id string, now time.Duration) (ejected bool) {
 	rules := t.Outliers
 	rules.EjectAtMost = rules.EjectFor
 	return t.Upstream(id).Health.failed(now, rules)
 }
 
-// BackOff records that the upstream wants nothing until a time.
-func (t *Table) BackOff(id string, until time.Duration) { t.Upstream(id).Health.rest(until) }
+// BackOff records that the upstream asked for no requests until a time.
+func (t *Table) BackOff(id string, until time.Duration) { t.Upstream(id).Health.backOff(until) }
 
-// Succeeded records that a call to the upstream went well.
+// Succeeded records a successful call to the upstream.
 func (t *Table) Succeeded(id string) {
 	t.Upstream(id).Health.succeeded(t.Outliers)
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -12,7 +12,7 @@
 
 const second = time.Second
 
-// clocks are the engine's clock at the start of each boot.
+// clocks has the engine's clock at the start of each boot.
 var clocks = map[string]int64{"b1": 1000, "b2": 2000}
 
 func report(boot string, seq, accepted int64, recent ...string) engine.Report {
@@ -41,12 +41,12 @@
 	table.Reported("e", report("b1", 4, 20, "a", "b"), 2*second)
 	expect("a report out of order", 2, 116)
 	table.Reported("e", report("b1", 7, 90), 3*second)
-	expect("a report whose count has passed a's number, without names", 1, 109)
+	expect("a report whose count has reached a's number, without names", 1, 109)
 	table.Reported("e", report("b1", 8, 91, "b"), 4*second)
 	expect("a report that names b", 0, 100)
 }
 
-func TestRestartedEngineOwesNoCharge(t *testing.T) {
+func TestRestartEndsChargesOfAcceptedPlacements(t *testing.T) {
 	table := NewTable()
 	table.Reported("e", report("b1", 5, 10), second)
 	table.Place("e", Placement{ID: "taken", At: second})
@@ -54,11 +54,11 @@
 	table.Place("e", Placement{ID: "on its way", At: second})
 	table.Reported("e", report("b2", 1, 0), 2*second)
 	if n := table.Upstream("e").Charges(); n != 1 {
-		t.Fatalf("%d charges after the restart, want the one on its way", n)
+		t.Fatalf("%d charges after the restart, want 1 for the request that is not accepted yet", n)
 	}
 	table.Reported("e", report("b1", 9, 50, "on its way"), 3*second)
 	if e := table.Upstream("e"); e.Report.Boot != "b2" || e.Charges() != 1 {
-		t.Fatalf("a late report of the earlier boot was taken: %+v", e.Report)
+		t.Fatalf("a late report of the earlier boot was applied: %+v", e.Report)
 	}
 }
 
@@ -67,7 +67,7 @@
 	table.Place("e", Placement{ID: "lost", PrefillTokens: 5, At: second})
 	table.Expire(second + table.ChargeFor)
 	if table.Upstream("e").Charges() != 1 {
-		t.Fatal("the charge went before its bound")
+		t.Fatal("the charge ended before its bound")
 	}
 	table.Expire(second + table.ChargeFor + 1)
 	if e := table.Upstream("e"); e.Charges() != 0 || e.Streams != 1 {
@@ -75,121 +75,121 @@
 	}
 }
 
-// world is a model of one engine and of what its reports count.
-type world struct {
+// chargeModel is a model of one engine and of the placements that its reports count.
+type chargeModel struct {
 	table    *Table
 	now      time.Duration
 	boot     int
 	seq      int64
 	accepted int64
 	recent   []string
-	live     map[string]int  // own streams, with the boot that took them
-	counted  map[string]bool // those that a taken report counts, or shows to be lost
-	held     int             // boot of the report taken last; -1 before any
+	live     map[string]int  // own streams, with the boot that accepted them
+	counted  map[string]bool // streams that an applied report counts, or shows to be lost in a restart
+	lastBoot int             // boot of the last applied report; -1 before the first
 	late     []engine.Report
 	placed   int
 }
 
-func (w *world) place() {
-	w.placed++
-	id := fmt.Sprintf("r%d", w.placed)
-	w.table.Place("e", Placement{ID: id, PrefillTokens: 10, Blocks: 1, At: w.now})
-	w.live[id] = w.boot
-	w.accept(id)
-	w.table.Accepted("e", id, Acceptance{Boot: w.bootName(), Number: w.accepted})
+func (m *chargeModel) place() {
+	m.placed++
+	id := fmt.Sprintf("r%d", m.placed)
+	m.table.Place("e", Placement{ID: id, PrefillTokens: 10, Blocks: 1, At: m.now})
+	m.live[id] = m.boot
+	m.accept(id)
+	m.table.Accepted("e", id, Acceptance{Boot: m.bootName(), Number: m.accepted})
 }
 
-func (w *world) bootName() string { return fmt.Sprintf("b%d", w.boot) }
+func (m *chargeModel) bootName() string { return fmt.Sprintf("b%d", m.boot) }
 
-func (w *world) accept(id string) {
-	w.accepted++
-	w.recent = append(w.recent, id)
-	w.recent = w.recent[max(0, len(w.recent)-3):]
+func (m *chargeModel) accept(id string) {
+	m.accepted++
+	m.recent = append(m.recent, id)
+	m.recent = m.recent[max(0, len(m.recent)-3):]
 }
 
-func (w *world) report() engine.Report {
-	w.seq++
+func (m *chargeModel) report() engine.Report {
+	m.seq++
 	return engine.Report{
-		Boot: w.bootName(), Seq: w.seq, UnixMilli: int64(w.now/time.Millisecond) + w.seq + 1000*int64(w.boot), Accepted: w.accepted,
-		Recent: append([]string(nil), w.recent...), Running: len(w.live),
+		Boot: m.bootName(), Seq: m.seq, UnixMilli: int64(m.now/time.Millisecond) + m.seq + 1000*int64(m.boot), Accepted: m.accepted,
+		Recent: append([]string(nil), m.recent...), Running: len(m.live),
 	}
 }
 
-// deliver brings a fresh report. It counts what the present boot took; what the
-// boot of the report before took is lost, if that is another.
-func (w *world) deliver() {
-	w.table.Reported("e", w.report(), w.now)
-	for id, boot := range w.live {
-		if boot == w.boot || boot == w.held {
-			w.counted[id] = true
+// deliver applies a fresh report. It counts the streams that the present boot accepted. If the previous
+// report was of another boot, the streams that that boot accepted are lost.
+func (m *chargeModel) deliver() {
+	m.table.Reported("e", m.report(), m.now)
+	for id, boot := range m.live {
+		if boot == m.boot || boot == m.lastBoot {
+			m.counted[id] = true
 		}
 	}
-	w.held = w.boot
+	m.lastBoot = m.boot
 }
 
 func TestChargesFollowTheReportsExactly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{table: NewTable(), live: map[string]int{}, counted: map[string]bool{}, held: -1, now: second}
-		w.table.ChargeFor = time.Hour
-		w.table.Outliers.SilentFor = time.Hour
+		m := &chargeModel{table: NewTable(), live: map[string]int{}, counted: map[string]bool{}, lastBoot: -1, now: second}
+		m.table.ChargeFor = time.Hour
+		m.table.Outliers.SilentFor = time.Hour
 		t.Repeat(map[string]func(*rapid.T){
-			"place": func(*rapid.T) { w.place() },
+			"place": func(*rapid.T) { m.place() },
 			"others": func(t *rapid.T) {
 				for range rapid.IntRange(1, 6).Draw(t, "requests") {
-					w.accept("other")
+					m.accept("other")
 				}
 			},
 			"report": func(*rapid.T) {
-				w.deliver()
+				m.deliver()
 			},
-			"report that comes late": func(*rapid.T) { w.late = append(w.late, w.report()) },
+			"report that comes late": func(*rapid.T) { m.late = append(m.late, m.report()) },
 			"late report after a newer one": func(*rapid.T) {
-				w.deliver()
-				for _, late := range w.late {
-					w.table.Reported("e", late, w.now)
+				m.deliver()
+				for _, late := range m.late {
+					m.table.Reported("e", late, m.now)
 				}
-				w.late = nil
+				m.late = nil
 			},
 			"restart": func(*rapid.T) {
-				w.boot++
-				w.now += second
-				w.seq, w.accepted, w.recent = 0, 0, nil
+				m.boot++
+				m.now += second
+				m.seq, m.accepted, m.recent = 0, 0, nil
 			},
 			"end": func(t *rapid.T) {
-				for id := range w.live {
-					w.table.End("e", id, w.now)
-					delete(w.live, id)
+				for id := range m.live {
+					m.table.End("e", id, m.now)
+					delete(m.live, id)
 					break
 				}
 			},
-			"end of an unknown request": func(*rapid.T) { w.table.End("e", "never placed", w.now) },
-			"time":                      func(*rapid.T) { w.now += second },
+			"end of an unknown request": func(*rapid.T) { m.table.End("e", "never placed", m.now) },
+			"time":                      func(*rapid.T) { m.now += second },
 			"": func(t *rapid.T) {
-				e := w.table.Upstream("e")
+				e := m.table.Upstream("e")
 				want := 0
-				for id := range w.live {
-					if !w.counted[id] {
+				for id := range m.live {
+					if !m.counted[id] {
 						want++
 					}
 				}
-				if e.Streams != len(w.live) || e.Charges() != want {
-					t.Fatalf("%d streams, %d charges; want %d, %d", e.Streams, e.Charges(), len(w.live), want)
+				if e.Streams != len(m.live) || e.Charges() != want {
+					t.Fatalf("%d streams, %d charges; want %d, %d", e.Streams, e.Charges(), len(m.live), want)
 				}
-				if v := e.Local(); v.PrefillTokens != 10*len(w.live) || v.Blocks != len(w.live) {
-					t.Fatalf("local view %+v for %d streams", v, len(w.live))
+				if v := e.Local(); v.PrefillTokens != 10*len(m.live) || v.Blocks != len(m.live) {
+					t.Fatalf("local view %+v for %d streams", v, len(m.live))
 				}
 			},
 		})
-		for id := range w.live {
-			w.table.End("e", id, w.now)
+		for id := range m.live {
+			m.table.End("e", id, m.now)
 		}
-		if e := w.table.Upstream("e"); e.Charges() != 0 || e.Streams != 0 || e.Local() != (View{}) {
-			t.Fatalf("left after all ended: %d charges, %d streams, %+v", e.Charges(), e.Streams, e.Local())
+		if e := m.table.Upstream("e"); e.Charges() != 0 || e.Streams != 0 || e.Local() != (View{}) {
+			t.Fatalf("remaining after all streams ended: %d charges, %d streams, %+v", e.Charges(), e.Streams, e.Local())
 		}
 	})
 }
 
-func TestSubsetsCoverTheFleetAndStayPut(t *testing.T) {
+func TestSubsetsCoverAllEnginesAndAreStable(t *testing.T) {
 	var ids []string
 	for i := range 40 {
 		ids = append(ids, fmt.Sprintf("engine-%d", i))
@@ -197,13 +197,13 @@
 	seen := map[string]int{}
 	moved := 0
 	for i := range 60 {
-		entry := fmt.Sprintf("inst-%d", i)
-		subset := Subset(entry, ids, 8)
+		instance := fmt.Sprintf("inst-%d", i)
+		subset := Subset(instance, ids, 8)
 		if len(subset) != 8 {
 			t.Fatalf("%d engines, want 8", len(subset))
 		}
 		kept := map[string]bool{}
-		for _, id := range Subset(entry, ids[1:], 8) {
+		for _, id := range Subset(instance, ids[1:], 8) {
 			kept[id] = true
 		}
 		for _, id := range subset {
@@ -214,7 +214,7 @@
 		}
 	}
 	if len(seen) != len(ids) || moved != 0 {
-		t.Fatalf("%d of %d engines seen; %d moved without need", len(seen), len(ids), moved)
+		t.Fatalf("%d of %d engines are in a subset; %d changed without need", len(seen), len(ids), moved)
 	}
 	if len(Subset("inst", ids, 0)) != len(ids) {
 		t.Fatal("size 0 is not all")
@@ -232,8 +232,8 @@
 	if v := e.Estimated(3 * second); v.PrefillTokens != 2000 {
 		t.Fatalf("two seconds later: %+v", v)
 	}
-	// A placement that the next report, two seconds later, does not count shows
-	// that reports are two seconds old at least.
+	// A placement that the next report, two seconds later, does not count shows that reports are at least two
+	// seconds old.
 	table.Place("e", Placement{ID: "a", PrefillTokens: 300, At: second})
 	table.Accepted("e", "a", Acceptance{Boot: "b", Number: 1})
 	full.Seq = 2
@@ -250,11 +250,11 @@
 		t.Fatalf("lag %s, want the upper bound of 5s", lag)
 	}
 	if v := e.Estimated(6 * second); v.PrefillTokens != 300 {
-		t.Fatalf("an old report hides the own prompt: %+v", v)
+		t.Fatalf("the estimate from an old report leaves out the own prompt: %+v", v)
 	}
 	table.End("e", "a", 8*second)
 	if v := e.Estimated(1000 * second); v != (View{}) {
-		t.Fatalf("an ancient report still counts: %+v", v)
+		t.Fatalf("a very old report still counts: %+v", v)
 	}
 }
 
@@ -273,38 +273,38 @@
 	if e.Charges() != 1 {
 		t.Fatalf("%d charges, want that of the placement without a number", e.Charges())
 	}
-	// Its answer, from before the restart, is read only now.
+	// The acceptance from before the restart arrives late.
 	table.Accepted("e", "old", Acceptance{Boot: "b1", Number: 12})
 	if e.Charges() != 0 {
-		t.Fatal("a placement that the restart lost is still charged")
+		t.Fatal("a placement that was lost in the restart is still charged")
 	}
 }
 
-func TestClockSetBackDoesNotShutOutAnEngine(t *testing.T) {
+func TestReportsAreAcceptedAfterTheEngineClockIsSetBack(t *testing.T) {
 	table := NewTable()
 	table.Reported("e", report("b2", 1, 0), second)
 	later := second + table.Outliers.SilentFor
 	table.Reported("e", report("b1", 1, 0), later)
 	if table.Upstream("e").Report.Boot != "b2" {
-		t.Fatal("a report with an older clock was taken while the newer one was fresh")
+		t.Fatal("a report with an older clock was applied while the newer one was fresh")
 	}
 	table.Reported("e", report("b1", 2, 0), later+1)
 	if table.Upstream("e").Report.Boot != "b1" {
-		t.Fatal("an engine whose clock was set back is never heard again")
+		t.Fatal("reports of an engine whose clock was set back are still dropped")
 	}
 }
 
-func TestForgottenUpstreamsLeaveNothing(t *testing.T) {
+func TestRetainRemovesUpstreamsWithoutStreams(t *testing.T) {
 	table := NewTable()
 	table.Place("gone", Placement{ID: "r", At: second})
 	table.Place("kept", Placement{ID: "s", At: second})
 	table.Retain(map[string]bool{"kept": true})
 	if table.Upstream("gone").Streams != 1 {
-		t.Fatal("an upstream with a stream was forgotten")
+		t.Fatal("an upstream with a stream was removed")
 	}
 	table.End("gone", "r", second)
 	table.Retain(map[string]bool{"kept": true})
-	if n := len(table.engines); n != 1 {
+	if n := len(table.upstreams); n != 1 {
 		t.Fatalf("%d upstreams in the table, want 1", n)
 	}
 }
--- a/internal/load/placement.go
+++ b/internal/load/placement.go
@@ -6,47 +6,46 @@
 	"sassafrasfield/internal/engine"
 )
 
-// Placement is a request that this entry put on an upstream.
+// Placement is a request that this instance placed on an upstream.
 type Placement struct {
 	ID string
-	// PrefillTokens are the prompt tokens that the engine has to process.
+	// PrefillTokens is the number of prompt tokens that the engine has to process.
 	PrefillTokens int
-	// Blocks of KV memory that the request takes.
+	// Blocks is the number of KV memory blocks that the request needs.
 	Blocks int
-	// Prefix has the hashes of the prompt's blocks, first block first; nil
-	// when prefix hints are off.
+	// Prefix has the hashes of the prompt's blocks, first block first; nil when prefix hints are off.
 	Prefix []uint64
 	At     time.Duration
 }
 
-// Acceptance is an engine's word that it took a request: the value of its
-// count Report.Accepted at that request, and the boot that counted. The zero
-// value is unknown.
+// Acceptance identifies a request in the sequence of requests that an engine accepted. Number is the value of
+// the engine's count Report.Accepted at that request, and Boot the boot that counted. The zero value is
+// unknown.
 type Acceptance struct {
 	Boot   string
 	Number int64
 }
 
-// placed is a placement that has not ended.
-type placed struct {
+// activePlacement is a placement that has not ended.
+type activePlacement struct {
 	Placement
 	accepted Acceptance
-	// started: the first token came, so the prompt has been processed.
+	// started is set once the first token arrived, which means that the prompt has been processed.
 	started bool
-	// charged: no report accounts for it yet.
+	// charged is set while no report accounts for the placement.
 	charged bool
 }
 
-// accountedBy tells whether a report counts the placement.
-func (p *placed) accountedBy(report *engine.Report, recent map[string]bool) bool {
+// accountedBy reports whether a report counts the placement.
+func (p *activePlacement) accountedBy(report *engine.Report, recent map[string]bool) bool {
 	if recent[p.ID] {
 		return true
 	}
 	return p.accepted.Boot == report.Boot && p.accepted.Boot != "" && p.accepted.Number <= report.Accepted
 }
 
-// lostBy tells whether the engine took the placement under a boot that was
-// replaced, so that no report will count it.
-func (p *placed) lostBy(replaced string) bool {
-	return p.accepted.Boot != "" && p.accepted.Boot == replaced
+// acceptedBy reports whether the engine accepted the placement in the given boot. If that boot has been
+// replaced, no report will count the placement.
+func (p *activePlacement) acceptedBy(boot string) bool {
+	return p.accepted.Boot != "" && p.accepted.Boot == boot
 }
--- a/internal/load/prefixes.go
+++ b/internal/load/prefixes.go
@@ -2,37 +2,36 @@
 
 import "sassafrasfield/internal/engine"
 
-// prefixesKept bounds the blocks believed cached at one engine: as many as an
-// engine has pieces of memory (about four thousand, by the brief).
-const prefixesKept = 4096
+// maxPrefixBlocks bounds the number of blocks tracked for one engine. It is the number of memory blocks of an
+// engine, which the brief states as about four thousand.
+const maxPrefixBlocks = 4096
 
-// Prefixes are the prompt blocks that an engine is believed to have cached: a
-// hint, fed by cache events that are late and have gaps, and by the entry's
-// own placements. The zero value believes nothing.
+// Prefixes are the prompt blocks that an engine is estimated to have cached. They are a hint: they come from
+// cache events, which are late and have gaps, and from the instance's own placements. The zero value is
+// empty.
 type Prefixes struct {
 	boot string
 	seq  int64
-	// blocks maps a believed block to the age of the belief.
+	// blocks maps a block to the age counter at its latest addition.
 	blocks map[uint64]uint64
 	age    uint64
-	// order holds beliefs by age, stale ones included; it is cut when long.
-	order []belief
+	// order lists the additions from oldest to newest, including outdated ones; add bounds its length.
+	order []blockAge
 }
 
-type belief struct {
+type blockAge struct {
 	block uint64
 	age   uint64
 }
 
-// LastSeq is the sequence number to ask for events after.
+// LastSeq returns the sequence number of the last applied event, after which to request further events.
 func (p *Prefixes) LastSeq() int64 { return p.seq }
 
-// Len counts the blocks believed cached.
+// Len counts the blocks that are assumed cached.
 func (p *Prefixes) Len() int { return len(p.blocks) }
 
-// Apply takes a batch of events. A change of boot, or a gap in the sequence,
-// drops what was believed: an event that did not come may have been the drop
-// of any block.
+// Apply applies a batch of events. A new boot or a gap in the sequence discards all blocks: a missing event
+// may have been the eviction of any block.
 func (p *Prefixes) Apply(batch engine.CacheEvents) {
 	if batch.Boot != p.boot {
 		*p = Prefixes{boot: batch.Boot}
@@ -42,25 +41,25 @@
 			continue
 		}
 		if event.Seq != p.seq+1 && p.seq != 0 {
-			p.forget()
+			p.clear()
 		}
 		p.seq = event.Seq
 		if event.Stored {
-			p.believe(event.Block)
+			p.add(event.Block)
 		} else {
 			delete(p.blocks, event.Block)
 		}
 	}
 }
 
-// AssumeCached believes the blocks of a prompt that was just placed on the engine.
+// AssumeCached adds the blocks of a prompt that was just placed on the engine.
 func (p *Prefixes) AssumeCached(blocks []uint64) {
 	for _, block := range blocks {
-		p.believe(block)
+		p.add(block)
 	}
 }
 
-// Cached returns how many leading blocks are believed cached.
+// Cached returns how many leading blocks are assumed cached.
 func (p *Prefixes) Cached(blocks []uint64) int {
 	for i, block := range blocks {
 		if _, ok := p.blocks[block]; !ok {
@@ -70,18 +69,19 @@
 	return len(blocks)
 }
 
-func (p *Prefixes) forget() {
+func (p *Prefixes) clear() {
 	p.blocks, p.order = nil, nil
 }
 
-func (p *Prefixes) believe(block uint64) {
+// add adds a block and discards the oldest blocks beyond the bounds.
+func (p *Prefixes) add(block uint64) {
 	if p.blocks == nil {
 		p.blocks = map[uint64]uint64{}
 	}
 	p.age++
 	p.blocks[block] = p.age
-	p.order = append(p.order, belief{block: block, age: p.age})
-	for len(p.blocks) > prefixesKept || len(p.order) > 2*prefixesKept {
+	p.order = append(p.order, blockAge{block: block, age: p.age})
+	for len(p.blocks) > maxPrefixBlocks || len(p.order) > 2*maxPrefixBlocks {
 		oldest := p.order[0]
 		p.order = p.order[1:]
 		if p.blocks[oldest.block] == oldest.age {
--- a/internal/load/refused_test.go
+++ b/internal/load/refused_test.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// An engine that goes on refusing is asked again after the first ejection's
-// time, however often it refused; one that goes on failing, ever later.
+// TestRefusalsDoNotProlongEjection checks that an engine that keeps refusing gets a request again after the
+// time of the first ejection, however often it refused. The ejections of an engine that keeps failing grow
+// longer.
 func TestRefusalsDoNotProlongEjection(t *testing.T) {
 	table := NewTable()
 	rules := table.Outliers
-	back := func(note func(string, time.Duration) bool, id string) time.Duration {
+	recoveredAt := func(record func(string, time.Duration) bool, id string) time.Duration {
 		now := time.Second
 		for range 5 {
-			for !note(id, now) {
+			for !record(id, now) {
 				now += time.Millisecond
 			}
 			for !table.Upstream(id).Health.Admits(now) {
@@ -22,10 +23,10 @@
 		}
 		return now
 	}
-	if refused := back(table.Refused, "refusing"); refused > 5*(rules.EjectFor+time.Second) {
-		t.Errorf("five refusals in a row keep an engine away for %s", refused)
+	if refused := recoveredAt(table.Refused, "refusing"); refused > 5*(rules.EjectFor+time.Second) {
+		t.Errorf("five refusals in a row eject an engine for %s", refused)
 	}
-	if failed := back(table.Failed, "failing"); failed < 5*(rules.EjectFor+time.Second) {
-		t.Errorf("five failures in a row keep an engine away for %s only", failed)
+	if failed := recoveredAt(table.Failed, "failing"); failed < 5*(rules.EjectFor+time.Second) {
+		t.Errorf("five failures in a row eject an engine for %s only", failed)
 	}
 }
--- a/internal/load/traffic.go
+++ b/internal/load/traffic.go
@@ -5,44 +5,44 @@
 	"time"
 )
 
-// Bounds of what is learnt from the traffic.
+// Parameters of the traffic statistics.
 const (
-	lagsKept   = 32
-	lifeWeight = 0.05 // of the newest stream in the mean duration
-	// longestAge bounds the age that is reckoned with for a report.
-	longestAge = time.Minute
+	lagSamples     = 32
+	durationWeight = 0.05 // of the newest stream in the mean duration
+	// maxReportAge bounds the age that is assumed for a report.
+	maxReportAge = time.Minute
 )
 
-// Traffic is what an entry learns from its own placements on all engines: how
-// old reports are, and how long streams last. The zero value knows nothing.
+// Traffic has statistics that an instance derives from its own placements on all engines: the age of reports
+// and the duration of streams. The zero value has no samples.
 type Traffic struct {
-	lags     [lagsKept]time.Duration
-	observed int
-	// least is the age that reports had at least, while no upper bound is
-	// known.
-	least time.Duration
-	life  time.Duration
+	// lags is a ring of the newest upper bounds of a report's age, samples the number recorded so far.
+	lags    [lagSamples]time.Duration
+	samples int
+	// minLag is the greatest lower bound of a report's age, used while no upper bound is known.
+	minLag       time.Duration
+	meanDuration time.Duration
 }
 
-// counted records that a report, which came age after the placement, is the
-// first to account for it: the report was taken at most that long ago.
-func (t *Traffic) counted(age time.Duration) {
-	t.lags[t.observed%lagsKept] = age
-	t.observed++
+// addUpperBound records that a report is the first to account for a placement and arrived age after the
+// placement. The report was taken at most that long before its arrival.
+func (t *Traffic) addUpperBound(age time.Duration) {
+	t.lags[t.samples%lagSamples] = age
+	t.samples++
 }
 
-// uncounted records that a report, which came age after an engine took a
-// placement, does not account for it: the report was taken before that.
-func (t *Traffic) uncounted(age time.Duration) {
-	t.least = max(t.least, age)
+// addLowerBound records that a report does not account for a placement and arrived age after the engine
+// accepted the placement. The report was taken before that.
+func (t *Traffic) addLowerBound(age time.Duration) {
+	t.minLag = max(t.minLag, age)
 }
 
-// Lag is the age of a report when it comes: the least of the newest upper
-// bounds. While there is none it is the greatest lower bound.
+// Lag returns the estimated age of a report at its arrival: the least of the newest upper bounds or, while
+// there is none, the greatest lower bound.
 func (t *Traffic) Lag() time.Duration {
-	n := min(t.observed, lagsKept)
+	n := min(t.samples, lagSamples)
 	if n == 0 {
-		return t.least
+		return t.minLag
 	}
 	least := t.lags[0]
 	for _, lag := range t.lags[1:n] {
@@ -51,37 +51,36 @@
 	return least
 }
 
-func (t *Traffic) ended(duration time.Duration) {
-	if t.life == 0 {
-		t.life = duration
+// addDuration adds the duration of a stream to the moving mean.
+func (t *Traffic) addDuration(duration time.Duration) {
+	if t.meanDuration == 0 {
+		t.meanDuration = duration
 		return
 	}
-	t.life += time.Duration(lifeWeight * float64(duration-t.life))
+	t.meanDuration += time.Duration(durationWeight * float64(duration-t.meanDuration))
 }
 
-// left is the share of the requests in a report of some age that are still
-// running.
-func (t *Traffic) left(age time.Duration) float64 {
-	if t.life <= 0 {
+// remainingShare returns the share of the requests in a report of the given age that still run.
+func (t *Traffic) remainingShare(age time.Duration) float64 {
+	if t.meanDuration <= 0 {
 		return 1
 	}
-	return math.Exp(-age.Seconds() / t.life.Seconds())
+	return math.Exp(-age.Seconds() / t.meanDuration.Seconds())
 }
 
-// Estimated is the load as it should be by now: the report, less what has been
-// done since it was taken, and the own placements that it does not count. What
-// the entry knows from its own streams to be on the engine is the least. With
-// reports that are fresh this is Charged, with very old ones Local.
-func (e *Upstream) Estimated(now time.Duration) View {
-	t := e.traffic
-	age := min(longestAge, now-e.ReportAt+t.Lag())
-	charged, own := e.chargedView(), e.Local()
-	reported := e.Reported()
-	left := t.left(age)
-	prefill := max(0, reported.PrefillTokens-int(e.Report.PrefillRate*age.Seconds()))
+// Estimated returns the estimated load at now: the reported load, less the work done since the report was
+// taken, plus the own placements that the report does not count. The load of the instance's own streams is
+// the lower bound. With fresh reports the result is close to Charged, with very old ones close to Local.
+func (u *Upstream) Estimated(now time.Duration) View {
+	t := u.traffic
+	age := min(maxReportAge, now-u.ReportAt+t.Lag())
+	charged, own := u.chargedView(), u.Local()
+	reported := u.Reported()
+	remaining := t.remainingShare(age)
+	prefill := max(0, reported.PrefillTokens-int(u.Report.PrefillRate*age.Seconds()))
 	return View{
-		Requests:      max(own.Requests, int(float64(reported.Requests)*left)+charged.Requests),
-		Waiting:       int(float64(reported.Waiting) * left),
+		Requests:      max(own.Requests, int(float64(reported.Requests)*remaining)+charged.Requests),
+		Waiting:       int(float64(reported.Waiting) * remaining),
 		PrefillTokens: max(own.PrefillTokens, prefill+charged.PrefillTokens),
 		Blocks:        charged.Blocks,
 	}
