--- a/internal/roles/balance.go
+++ b/internal/roles/balance.go
@@ -26,10 +26,10 @@
 	// requests fluctuates within seconds, and an engine that changes its role loses
 	// its cached prefixes.
 	MinGain float64
-	// EvidenceThreshold is the sum that the gain above MinGain must reach without
-	// interruption before the target moves. It is in seconds, multiplied by the
-	// fraction of all requests. A large gain moves the target soon, a small one
-	// only if it lasts.
+	// EvidenceThreshold is when the target moves: when the gain above MinGain, a
+	// fraction of all requests, integrated over time without interruption, reaches
+	// this number of seconds. A large gain moves the target soon, a small one only
+	// if it lasts.
 	EvidenceThreshold float64
 	// SmoothingTime is the time constant for smoothing the workload, and the time
 	// that must be measured before the workload is used. It is longer than the gaps
@@ -37,8 +37,8 @@
 	SmoothingTime time.Duration
 	// MaxPrefillDecrease and MaxPrefillIncrease are the largest changes of the
 	// number of prefill engines in one move, as fractions of all engines. The
-	// workload is then measured again before the next move. Engines taken away from
-	// decode are missed at once, because the answers in progress slow down.
+	// workload is then measured again before the next move. Taking engines from
+	// decode has an immediate effect: it slows down the answers in progress.
 	MaxPrefillDecrease, MaxPrefillIncrease float64
 }
 
@@ -125,7 +125,7 @@
 
 // tokenRate returns the tokens per millisecond that the requests receive on a
 // number of decode engines. It is the number of requests, times the share of the
-// engines' time that prompts leave, divided by the time of a generation step.
+// engines' time that prompts leave free, divided by the time of a generation step.
 func (p SplitPolicy) tokenRate(w Workload, decode int) float64 {
 	batch := w.Generations / float64(decode)
 	available := max(0, 1-w.DirectPrefillLoad/float64(decode))
@@ -134,8 +134,8 @@
 
 // concurrentRequests predicts the number of concurrent requests with n engines in
 // prefill. Prompts are predicted by the mean length of a queue. Answers are
-// predicted from the token rate, which must be reached in the time that prompts
-// leave the decode engines.
+// predicted from the token rate, which the decode engines must reach in the time
+// that prompts leave free.
 func (p SplitPolicy) concurrentRequests(w Workload, tokenRate float64, n, total int) float64 {
 	decode := float64(total - n)
 	prefillUtilization := w.PrefillLoad / float64(n)
--- a/internal/scaling/plan.go
+++ b/internal/scaling/plan.go
@@ -94,9 +94,9 @@
 }
 
 // nextCounts returns the numbers of engines to order next on the way to the wanted ones.
-// Missing engines are ordered first. Engines are ordered away only after their replacements
-// are running, in any zone, except in a zone that is full. The sum of both kinds stays
-// within the limits of a zone at each step.
+// Missing engines are ordered first. Engines are removed only after their replacements are
+// running, in any zone, except in a zone that is full. The sum of both kinds stays within
+// the limits of a zone at each step.
 func nextCounts(limits routes.ScaleLimits, zones []Zone, wanted []EngineCounts, total int) []EngineCounts {
 	next := make([]EngineCounts, len(zones))
 	surplus := -total
@@ -148,7 +148,7 @@
 	}
 }
 
-// makeRoom orders engines of the wrong kind away in a zone that is full. Otherwise their
+// makeRoom removes engines of the wrong kind in a zone that is full. Otherwise their
 // replacements could not start.
 func makeRoom(limits routes.ScaleLimits, zone Zone, wanted EngineCounts, next *EngineCounts) {
 	if EngineCounts(zone.Engines).sum() < limits.Max || next.sum() <= limits.Max {
--- a/internal/scaling/scaler.go
+++ b/internal/scaling/scaler.go
@@ -89,7 +89,7 @@
 type service struct {
 	// initialEngines is the number of engines that the service began with, or the most that
 	// were seen while that is not known. stableFor counts the consecutive observations
-	// without more engines.
+	// without more engines. known is true once the number is stored.
 	initialEngines, stableFor int
 	known                     bool
 }
@@ -150,7 +150,7 @@
 
 // countInitialEngines counts the engines that the service began with. The very first lease
 // holder does so, and stores the number once it is stable. Until then the scaler orders
-// more engines as more are seen, and orders none away.
+// more engines as more are seen, and removes none.
 func (k *Scaler) countInitialEngines(ctx context.Context, state *service, s Service, grant lease.Grant) error {
 	total := 0
 	for _, z := range s.Zones {
--- a/internal/scaling/scaler_test.go
+++ b/internal/scaling/scaler_test.go
@@ -104,8 +104,8 @@
 }
 
 // TestFirstHolderOrdersWhileCounting: the list of engines is incomplete when the first lease
-// holder begins. It orders spot engines for the engines seen so far, and orders none away
-// before the number is stable.
+// holder begins. It orders spot engines for the engines seen so far, and removes none before
+// the number is stable.
 func TestFirstHolderOrdersWhileCounting(t *testing.T) {
 	f := newFakePlatform(Zone{Name: "a", Engines: EngineCounts{4, 0}}, Zone{Name: "b"})
 	k, grant := newTestScaler(f, "inst-1"), f.takeOver(1)
@@ -155,7 +155,7 @@
 }
 
 // TestEarlierHolderCannotStoreCount: of two initial lease holders, only the one with the
-// newest epoch may store the number of engines. The other orders no engines away.
+// newest epoch may store the number of engines. The other removes no engines.
 func TestEarlierHolderCannotStoreCount(t *testing.T) {
 	f := newFakePlatform(Zone{Name: "a", Engines: EngineCounts{3, 0}})
 	k, grant := newTestScaler(f, "inst-1"), f.takeOver(1)
--- a/internal/scaling/scaling.go
+++ b/internal/scaling/scaling.go
@@ -1,12 +1,12 @@
 // Package scaling decides how many engines of each kind run in each availability zone, and
-// orders them from the platform. There are two kinds: on-demand engines, which run until
-// they are ordered away, and spot engines, which cost a fraction of that but may be
-// reclaimed by the platform, all of a zone at once.
+// orders them from the platform. There are two kinds: on-demand engines, which run until an
+// order removes them, and spot engines, which cost a fraction of that but may be reclaimed
+// by the platform, all of a zone at once.
 //
 // The decision (plan.go) is pure. Its inputs are the limits of a service and the engines
 // running in each zone, its output is the number of engines to order. The lease holder
-// carries it out (scaler.go): it orders missing engines first, and orders the engines that
-// they replace away once the new ones are running.
+// carries it out (scaler.go): it orders missing engines first, and removes the engines that
+// they replace once the new ones are running.
 //
 // Callers: instance (the duty).
 package scaling
@@ -21,7 +21,7 @@
 type Kind int
 
 const (
-	// OnDemand engines run until they are ordered away. Logs call them "lasting".
+	// OnDemand engines run until an order removes them. Logs call them "lasting".
 	OnDemand Kind = iota
 	// Spot engines cost less, and may be reclaimed by the platform.
 	Spot
--- a/internal/scaling/scaling_test.go
+++ b/internal/scaling/scaling_test.go
@@ -31,7 +31,7 @@
 }
 
 // TestSpotEnginesReplaceOnDemandEngines: spot engines are ordered first, and the on-demand
-// engines that they replace are ordered away once the spot engines are running. The
+// engines that they replace are removed once the spot engines are running. The
 // deployment begins with 15 on-demand engines in each of four zones; a spot engine costs
 // 0.18 of an on-demand one.
 func TestSpotEnginesReplaceOnDemandEngines(t *testing.T) {
@@ -61,7 +61,7 @@
 
 // TestOtherZonesReplaceUnavailableSpotEngines: all spot engines of a zone were reclaimed and
 // new ones are unavailable there. When they are available again, the replacements in the
-// other zones must not be ordered away before the new engines are running.
+// other zones must not be removed before the new engines are running.
 func TestOtherZonesReplaceUnavailableSpotEngines(t *testing.T) {
 	list := zones(EngineCounts{0, 15}, EngineCounts{0, 15}, EngineCounts{0, 15}, EngineCounts{})
 	list[3].SpotRefusedFor = time.Second
@@ -135,8 +135,8 @@
 }
 
 // TestStepsStayWithinLimits starts from random numbers of engines. No step may order more
-// engines than the limits allow (or than are running, if that is more) or order engines
-// away while others are missing, and the steps must lead to the wanted engines.
+// engines than the limits allow (or than are running, if that is more) or remove engines
+// while others are missing, and the steps must lead to the wanted engines.
 func TestStepsStayWithinLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := routes.ScaleLimits{Min: rapid.IntRange(0, 3).Draw(t, "min"), SpotPrice: 0.18}
