--- a/internal/instance/apart.go
+++ b/internal/instance/apart.go
@@ -43,7 +43,7 @@
 
 // ready tells whether this instance can serve.
 func (in *Instance) ready() bool {
-	if !in.relay.Ready() || in.relay.Choked() {
+	if !in.relay.Ready() || in.relay.Impaired() {
 		return false
 	}
 	return time.Since(in.started) > informedWithin || slices.Contains(in.follower.Informed(), in.adapter.ApartTable)
@@ -79,7 +79,7 @@
 	if err := json.Unmarshal(row.Value, &told); err != nil {
 		return errors.Wrap(err, "instance: content")
 	}
-	in.relay.SetApart(content, told.Times)
+	in.relay.Quarantine(content, told.Times)
 	in.log.Info("instance: content set apart", "content", content, "times", told.Times, "by", told.Instance, "revision", row.Revision)
 	return nil
 }
@@ -89,7 +89,7 @@
 func (in *Instance) keepLost(content quarantine.Content, revision int64) {
 	writes := in.peers.Passes()
 	if writes {
-		in.relay.KeepAgain(content)
+		in.relay.PersistAgain(content)
 	}
 	in.log.Warn("instance: the store lost a content that is set apart", "content", content, "revision", revision, "writes_it_again", writes)
 }
@@ -104,9 +104,9 @@
 		case <-ctx.Done():
 			timer.Stop()
 			return
-		case <-in.relay.Decided():
+		case <-in.relay.PersistNeeded():
 		case <-timer.C:
-			in.relay.LapseContents(in.peers.Passes())
+			in.relay.ExpireQuarantines(in.peers.Passes())
 		}
 		timer.Stop()
 		wait = sweepApartEvery
@@ -135,7 +135,7 @@
 // written without a condition: of two instances that set a content apart, the one that
 // lags may be the last to write, and whoever starts then lets it through the earlier.
 func (in *Instance) writeApart(ctx context.Context) bool {
-	unkept, txn := in.relay.Unkept(), platform.Txn{}
+	unkept, txn := in.relay.Unpersisted(), platform.Txn{}
 	for content, times := range unkept {
 		if len(txn.Writes) == rowsAtOnce {
 			delete(unkept, content)
@@ -150,7 +150,7 @@
 		in.log.Info("instance: contents are not kept yet", "contents", len(unkept), "error", err)
 		return false
 	}
-	in.relay.Kept(unkept)
+	in.relay.MarkPersisted(unkept)
 	in.log.Info("instance: contents kept", "contents", len(unkept))
-	return len(in.relay.Unkept()) == 0
+	return len(in.relay.Unpersisted()) == 0
 }
--- a/internal/relay/apart.go
+++ b/internal/relay/apart.go
@@ -140,7 +140,7 @@
 	}
 	r.contents.refused.Inc(1)
 	r.log.Info("relay: content refused", "request", x.req.ID, "route", x.route.Name, "content", x.content())
-	return &Refusal{Word: NotRun, Reason: "upstreams ended under its content"}
+	return &Refusal{Outcome: NotRun, Reason: "upstreams ended under its content"}
 }
 
 // contentServed notes that a request was answered whole.
@@ -177,7 +177,7 @@
 		return
 	}
 	for _, one := range requests {
-		apart, ends := r.NoteEnd(quarantine.End{Content: one.content, Upstream: to.Incarnation()})
+		apart, ends := r.RecordCrash(quarantine.End{Content: one.content, Upstream: to.Incarnation()})
 		r.contents.ends.Inc(1)
 		r.log.Info("relay: upstream ended", "upstream", to.ID, "request", one.request, "content", one.content, "ends", ends, "apart", apart)
 	}
@@ -190,12 +190,12 @@
 	ctx, cancel := context.WithTimeout(context.Background(), endedWithin)
 	defer cancel()
 	healthPath := r.Services()[to.Service].HealthPath
-	if r.Resting(to) {
+	if r.BackingOff(to) {
 		healthPath = "" // the machine alone is asked
 	}
 	for {
 		asked, stop := context.WithTimeout(ctx, endedTimeout)
-		ended, err := r.sender.Ended(asked, to, healthPath)
+		ended, err := r.sender.Crashed(asked, to, healthPath)
 		stop()
 		if err == nil {
 			return ended
@@ -207,9 +207,9 @@
 	}
 }
 
-// NoteEnd takes an end that this instance saw, and returns whether the content is set apart
+// RecordCrash takes an end that this instance saw, and returns whether the content is set apart
 // by it and how many ends count against it.
-func (r *Relay) NoteEnd(end quarantine.End) (apart bool, ends int) {
+func (r *Relay) RecordCrash(end quarantine.End) (apart bool, ends int) {
 	return r.contents.decide(end.Content, func(t *quarantine.Table) bool { return t.Note(end, bootclock.Now()) })
 }
 
@@ -223,9 +223,9 @@
 	}
 }
 
-// SetApart takes it that a content was set apart so often, as it is kept for all. One that
+// Quarantine takes it that a content was set apart so often, as it is kept for all. One that
 // was served here lately is released by all instead.
-func (r *Relay) SetApart(content quarantine.Content, times int) {
+func (r *Relay) Quarantine(content quarantine.Content, times int) {
 	c := r.contents
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -246,8 +246,8 @@
 	c.apart.Update(int64(c.table.Count(bootclock.Now())))
 }
 
-// KeepAgain has this instance keep for all, once more, how often a content was set apart.
-func (r *Relay) KeepAgain(content quarantine.Content) {
+// PersistAgain has this instance keep for all, once more, how often a content was set apart.
+func (r *Relay) PersistAgain(content quarantine.Content) {
 	c := r.contents
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -256,20 +256,20 @@
 	}
 }
 
-// Decided has a value when there is something in Unkept.
-func (r *Relay) Decided() <-chan struct{} { return r.contents.decided }
+// PersistNeeded has a value when there is something in Unkept.
+func (r *Relay) PersistNeeded() <-chan struct{} { return r.contents.decided }
 
-// Unkept is what this instance is to keep for all: how often each content was set apart;
+// Unpersisted is what this instance is to keep for all: how often each content was set apart;
 // 0 when that is over.
-func (r *Relay) Unkept() map[quarantine.Content]int {
+func (r *Relay) Unpersisted() map[quarantine.Content]int {
 	c := r.contents
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return maps.Clone(c.unkept)
 }
 
-// Kept takes note of what is kept now.
-func (r *Relay) Kept(kept map[quarantine.Content]int) {
+// MarkPersisted takes note of what is kept now.
+func (r *Relay) MarkPersisted(kept map[quarantine.Content]int) {
 	c := r.contents
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -280,9 +280,9 @@
 	}
 }
 
-// LapseContents forgets the ends that count no longer, and has what lapsed released by
+// ExpireQuarantines forgets the ends that count no longer, and has what lapsed released by
 // all if this instance is to see to it.
-func (r *Relay) LapseContents(release bool) {
+func (r *Relay) ExpireQuarantines(release bool) {
 	c := r.contents
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -101,7 +101,7 @@
 	sentAt := r.now()
 	sending, cancel := context.WithTimeout(ctx, r.tryTime(x))
 	reply, err := r.sender.Send(sending, x.req, x.send(to, r.now()))
-	if err == nil || errors.Is(err, ErrCut) { // it ran, though its answer may be lost
+	if err == nil || errors.Is(err, ErrCutOff) { // it ran, though its answer may be lost
 		r.noteBegan(x, sentAt)
 	}
 	if err != nil {
@@ -113,7 +113,7 @@
 	first, err := io.ReadAll(io.LimitReader(reply.Body, wholeBytes))
 	if err != nil {
 		reply.Body.Close()
-		return answer{}, Lost(err)
+		return answer{}, WrapReadError(err)
 	}
 	if reply.Status < http.StatusInternalServerError {
 		r.picture.Judge(to.ID, load.VerdictGood, r.now())
@@ -139,11 +139,11 @@
 	x.tries.Answered()
 	writeHeader(w, x, got.reply)
 	if _, err := w.Write(got.first); err != nil {
-		return ErrCallerGone
+		return ErrCallerDisconnected
 	}
 	if !got.whole {
 		if _, err := io.Copy(w, got.reply.Body); err != nil {
-			return errors.WithMessage(ErrBroken, err.Error())
+			return errors.WithMessage(ErrAnswerAborted, err.Error())
 		}
 	}
 	x.tries.Finished()
--- a/internal/relay/call_test.go
+++ b/internal/relay/call_test.go
@@ -12,7 +12,7 @@
 func TestAnIdempotentCallIsSentAgain(t *testing.T) {
 	f := &fakeSender{run: func(n int, _ Send) (*Reply, error) {
 		if n == 1 {
-			return nil, ErrLost
+			return nil, ErrNoValidAnswer
 		}
 		return reply(http.StatusOK, strings.NewReader("whole")), nil
 	}}
@@ -43,7 +43,7 @@
 }
 
 func TestALostNonIdempotentCallIsSentOnce(t *testing.T) {
-	f := &fakeSender{run: func(int, Send) (*Reply, error) { return nil, ErrLost }}
+	f := &fakeSender{run: func(int, Send) (*Reply, error) { return nil, ErrNoValidAnswer }}
 	r := newFake(t, f)
 	plentiful(r)
 	_, err := serve(r, call("/unsafe/1"))
@@ -53,7 +53,7 @@
 }
 
 func TestANonIdempotentCallThatDidNotRunIsSentAgain(t *testing.T) {
-	for _, notRun := range []error{ErrNotSent, ErrRefused, ErrMoved} {
+	for _, notRun := range []error{ErrNotSent, ErrRefused, ErrAddressReassigned} {
 		f := &fakeSender{run: func(n int, _ Send) (*Reply, error) {
 			if n == 1 {
 				return nil, notRun
@@ -95,9 +95,9 @@
 	f := &fakeSender{}
 	r := newFake(t, f)
 	for _, id := range []string{"app-1", "app-2"} {
-		r.Learn(upstreamstate.Upstream{ID: id, Service: "app", Address: id, Zone: "a", Draining: true})
+		r.UpdateUpstream(upstreamstate.Upstream{ID: id, Service: "app", Address: id, Zone: "a", Draining: true})
 	}
-	r.Forget("app-3")
+	r.RemoveUpstream("app-3")
 	_, err := serve(r, call("/safe/1"))
 	if word := wordOf(t, err); word != NotRun || f.count() != 0 {
 		t.Errorf("word %v after %d sends", word, f.count())
@@ -122,11 +122,11 @@
 func TestTheTimeOfARouteBoundsARequest(t *testing.T) {
 	f := &fakeSender{}
 	req := call("/safe/1")
-	req.Patience = time.Hour
+	req.WaitBudget = time.Hour
 	if _, err := serve(newFake(t, f), req); err != nil {
 		t.Fatal(err)
 	}
-	if within := f.calls[0].send.Within; within > time.Second {
+	if within := f.calls[0].send.Timeout; within > time.Second {
 		t.Errorf("an upstream got %s for a request of one second", within)
 	}
 }
--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -60,7 +60,7 @@
 func (g *generation) ended(err error) error {
 	var refusal *Refusal
 	if g.begun && errors.As(err, &refusal) {
-		return errors.WithMessagef(ErrBroken, "%s: %s", refusal.Reason, causeOf(g.exchange))
+		return errors.WithMessagef(ErrAnswerAborted, "%s: %s", refusal.Reason, causeOf(g.exchange))
 	}
 	return err
 }
@@ -158,9 +158,9 @@
 	ahead := start.Engine.Told.Ahead
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	go r.whenSilent(ctx, engine.ID, ahead+work+r.settings.PrefillSilence, cancel)
+	go r.whenSilent(ctx, engine.ID, ahead+work+r.settings.PrefillIdleTimeout, cancel)
 	send := g.send(engine, started)
-	send.Yields, send.FetchFrom = g.turn == placement.TurnYield, r.picture.Upstream(start.Source.ID).Address
+	send.Deferred, send.FetchFrom = g.turn == placement.TurnYield, r.picture.Upstream(start.Source.ID).Address
 	kv, said, err := r.sender.Prefill(ctx, g.req, send)
 	if err != nil {
 		return KV{}, err
@@ -203,7 +203,7 @@
 			return
 		}
 		since = r.now()
-		timer.Reset(r.settings.PrefillSilence)
+		timer.Reset(r.settings.PrefillIdleTimeout)
 	}
 }
 
@@ -256,13 +256,13 @@
 func (r *Relay) passFailure(ctx context.Context, g *generation, engine upstreamstate.Upstream, reply *Reply) attempt.Result {
 	again := g.tries.MayRunElsewhere() && ctx.Err() == nil
 	if g.begun || again {
-		err := errors.WithMessagef(ErrLost, "the engine answered %d", reply.Status)
+		err := errors.WithMessagef(ErrNoValidAnswer, "the engine answered %d", reply.Status)
 		r.blame(ctx, g.exchange, engine.ID, err)
 		return failure(engine.ID, err)
 	}
 	first, err := io.ReadAll(io.LimitReader(reply.Body, wholeBytes))
 	if err != nil {
-		return failure(engine.ID, errors.WithMessage(ErrLost, err.Error()))
+		return failure(engine.ID, errors.WithMessage(ErrNoValidAnswer, err.Error()))
 	}
 	return attempt.Result{Status: attempt.Done, Err: deliver(g.w, g.exchange, answer{reply: reply, first: first, whole: true})}
 }
@@ -287,7 +287,7 @@
 	}
 	p := passing{w: g.w, flush: http.NewResponseController(g.w).Flush, lastEvent: g.lastEvent}
 	if g.tries.MayRunElsewhere() {
-		p.silence, p.stop = r.settings.StreamSilence, stop
+		p.silence, p.stop = r.settings.StreamIdleTimeout, stop
 	}
 	began, whole := r.now(), g.lastEvent == ""
 	err := p.pass(reply.Body)
@@ -302,13 +302,13 @@
 			}, r.now())
 		}
 		return attempt.Result{Status: attempt.Done}
-	case errors.Is(err, ErrCallerGone) || errors.Is(ctx.Err(), context.Canceled):
-		return attempt.Result{Status: attempt.Done, Err: ErrCallerGone}
+	case errors.Is(err, ErrCallerDisconnected) || errors.Is(ctx.Err(), context.Canceled):
+		return attempt.Result{Status: attempt.Done, Err: ErrCallerDisconnected}
 	}
 	if g.backup.ID != "" && g.lastEvent != "" {
 		g.tries.SetBackup(g.backup.ID)
 	}
-	err = Lost(err)
+	err = WrapReadError(err)
 	r.blame(ctx, g.exchange, engine.ID, err)
 	return failure(engine.ID, err)
 }
@@ -322,7 +322,7 @@
 		return
 	}
 	kv := g.kv
-	if r.Resting(kv.Engine) {
+	if r.BackingOff(kv.Engine) {
 		r.log.Info("relay: a KV cache is left to lapse, its engine rests", "request", g.req.ID, "engine", kv.Engine.ID)
 		return
 	}
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -67,18 +67,18 @@
 		return ErrLimited
 	}
 	if r.picture.Leaves(send.To) && !send.goesOnAtCopy() {
-		r.withhold(req, send, ErrLeaving)
-		return ErrLeaving
+		r.withhold(req, send, ErrDraining)
+		return ErrDraining
 	}
-	if r.Resting(send.To) {
-		r.withhold(req, send, ErrResting)
-		return ErrResting
+	if r.BackingOff(send.To) {
+		r.withhold(req, send, ErrBackingOff)
+		return ErrBackingOff
 	}
 	return nil
 }
 
-// Resting tells whether an upstream wants nothing from this instance now.
-func (r *Relay) Resting(u upstreamstate.Upstream) bool {
+// BackingOff tells whether an upstream wants nothing from this instance now.
+func (r *Relay) BackingOff(u upstreamstate.Upstream) bool {
 	return r.picture.Resting(u.Incarnation(), r.now()) > 0
 }
 
@@ -88,9 +88,9 @@
 	r.log.Info("relay: send withheld", "request", req.ID, "upstream", send.To.ID, "error", why)
 }
 
-// AskLimitWith sets how a send to an upstream with a limit is asked for at the instance that
+// SetGrantRequester sets how a send to an upstream with a limit is asked for at the instance that
 // coordinates the grants.
-func (r *Relay) AskLimitWith(ask func(context.Context, quota.Ask) quota.Verdict) {
+func (r *Relay) SetGrantRequester(ask func(context.Context, quota.Ask) quota.Verdict) {
 	r.askLimit.Store(&ask)
 }
 
@@ -153,7 +153,7 @@
 func (r *Relay) refuseAnnounced(x *exchange) error {
 	if r.picture.AllLeave(x.service) {
 		r.meters.limits.refusedLeaving.Inc(1)
-		return &Refusal{Word: NotRun, Reason: "all upstreams leave", RetryIn: r.retryIn(x)}
+		return &Refusal{Outcome: NotRun, Reason: "all upstreams leave", RetryIn: r.retryIn(x)}
 	}
 	in, resting, found := r.picture.AllowanceIn(x.ask(r.now()), r.now())
 	switch {
@@ -161,10 +161,10 @@
 		return nil
 	case resting:
 		r.meters.limits.refusedResting.Inc(1)
-		return &Refusal{Word: NotRun, Reason: "upstreams asked for rest", RetryIn: jittered(in)}
+		return &Refusal{Outcome: NotRun, Reason: "upstreams asked for rest", RetryIn: jittered(in)}
 	}
 	r.meters.limits.refused.Inc(1)
-	return &Refusal{Word: NotRun, Reason: "the upstreams' limits leave no room", RetryIn: jittered(in)}
+	return &Refusal{Outcome: NotRun, Reason: "the upstreams' limits leave no room", RetryIn: jittered(in)}
 }
 
 // grants are those that this instance gives out while it coordinates them for all.
--- a/internal/relay/rest_test.go
+++ b/internal/relay/rest_test.go
@@ -72,7 +72,7 @@
 		saidBy(r, restOf(time.Minute), s.Backup.ID)
 		return cutFirst(n, s)
 	}
-	if _, err := serve(r, shortOnce()); !errors.Is(err, ErrBroken) || sender.count() != 1 {
+	if _, err := serve(r, shortOnce()); !errors.Is(err, ErrAnswerAborted) || sender.count() != 1 {
 		t.Errorf("%v, sent to %v", err, sender.sentTo())
 	}
 }
@@ -94,7 +94,7 @@
 		for range 10 {
 			_, err := serve(r, make())
 			var refusal *Refusal
-			if !errors.As(err, &refusal) || refusal.Word != NotRun || refusal.Reason != "upstreams asked for rest" {
+			if !errors.As(err, &refusal) || refusal.Outcome != NotRun || refusal.Reason != "upstreams asked for rest" {
 				t.Fatalf("%+v", err)
 			}
 			if in := refusal.RetryIn; in < first-time.Second || in > 2*first {
--- a/internal/relay/usage_test.go
+++ b/internal/relay/usage_test.go
@@ -50,8 +50,8 @@
 		"two upstreams' failures": {call("/safe/1"), func(int, Send) (*Reply, error) {
 			return reply(http.StatusInternalServerError, strings.NewReader("")), nil
 		}, 1},
-		"its answer was lost":        {call("/unsafe/1"), func(int, Send) (*Reply, error) { return nil, Lost(io.EOF) }, 1},
-		"cut before its first event": {longPrompt("/once/1"), func(int, Send) (*Reply, error) { return nil, Lost(io.EOF) }, 0},
+		"its answer was lost":        {call("/unsafe/1"), func(int, Send) (*Reply, error) { return nil, WrapReadError(io.EOF) }, 1},
+		"cut before its first event": {longPrompt("/once/1"), func(int, Send) (*Reply, error) { return nil, WrapReadError(io.EOF) }, 0},
 		"resumed elsewhere": {longPrompt("/resumable/1"), func(n int, _ Send) (*Reply, error) {
 			if n == 1 {
 				return cutAfter("id: 1\ndata: a\n\n"), nil
@@ -91,7 +91,7 @@
 // TestARequestRefusedForItsKeyIsNotCounted: nothing ran.
 func TestARequestRefusedForItsKeyIsNotCounted(t *testing.T) {
 	r := counting(t, &fakeSender{})
-	if _, err := serve(r, withKey(call("/unsafe/1"), "x")); wordOf(t, err) != NoKey {
+	if _, err := serve(r, withKey(call("/unsafe/1"), "x")); wordOf(t, err) != Unauthenticated {
 		t.Error(err)
 	}
 	if n := counted(r, "mill") + counted(r, ""); n != 0 {
@@ -125,7 +125,7 @@
 func TestWithoutWindowsNothingIsCounted(t *testing.T) {
 	r := newFake(t, &fakeSender{})
 	withKeys(r, 2, millKey)
-	if _, err := serve(r, withKey(call("/unsafe/1"), millKey)); err != nil && !errors.Is(err, ErrBroken) {
+	if _, err := serve(r, withKey(call("/unsafe/1"), millKey)); err != nil && !errors.Is(err, ErrAnswerAborted) {
 		t.Fatal(err)
 	}
 	if report := r.OwnReport(); len(report.Usage) != 0 {
