--- a/internal/entry/routing.go
+++ b/internal/entry/routing.go
@@ -91,8 +91,8 @@
 	candidates := make([]placement.Candidate, 0, len(s.engines))
 	for _, e := range s.engines {
 		candidates = append(candidates, placement.Candidate{
-			ID: e.ID, Zone: e.Zone, Leave: e.Leave, Engine: e,
-			Load: s.table.Engine(e.ID), Silent: s.table.Silent(e.ID, now),
+			ID: e.ID, Zone: e.Zone, Draining: e.Leave, Engine: e,
+			Load: s.table.Upstream(e.ID), Suspect: s.table.Silent(e.ID, now),
 		})
 	}
 	return candidates
@@ -102,7 +102,7 @@
 type assignment struct {
 	// engine is an entry of the configuration; treat it as read-only.
 	engine *config.Engine
-	work   placement.Work
+	work   placement.Phase
 	// prefillTokens are the prompt tokens that the engine has to process.
 	prefillTokens int
 }
@@ -119,7 +119,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.table.Expire(p.At)
-	req.Zone, req.Leaving, req.Now = s.zone, s.leaving, p.At
+	req.Zone, req.Draining, req.Now = s.zone, s.leaving, p.At
 	req.Blocks, req.Prefix = p.Blocks, p.Prefix
 	chosen, work, ok := s.scheduler.Assign(req, s.candidates(p.At), s.rng)
 	if !ok {
@@ -151,10 +151,10 @@
 	candidates := make([]placement.Candidate, 0, len(svc.Upstreams))
 	for _, u := range svc.Upstreams {
 		candidates = append(candidates, placement.Candidate{
-			ID: u.ID, Zone: u.Zone, Leave: u.Leave, Load: s.table.Engine(servicePrefix + u.ID),
+			ID: u.ID, Zone: u.Zone, Draining: u.Leave, Load: s.table.Upstream(servicePrefix + u.ID),
 		})
 	}
-	req := &placement.Request{Zone: s.zone, Excluded: excluded, Leaving: s.leaving, Now: now}
+	req := &placement.Request{Zone: s.zone, Excluded: excluded, Draining: s.leaving, Now: now}
 	chosen, ok := s.services.Schedule(req, candidates, s.rng)
 	if !ok {
 		return nil, false
@@ -191,10 +191,10 @@
 
 // judge records what a call told of an upstream, and reports whether that ejects
 // it.
-func (s *state) judge(id string, v load.Verdict, now time.Duration) (ejected bool) {
+func (s *state) judge(id string, v load.CallResult, now time.Duration) (ejected bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.table.Judge(id, v, now)
+	return s.table.RecordCall(id, v, now)
 }
 
 func (s *state) reported(id string, report engine.Report, now time.Duration) {
@@ -213,7 +213,7 @@
 func (s *state) eventsAfter(id string) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.table.Engine(id).Prefixes.After()
+	return s.table.Upstream(id).Prefixes.LastSeq()
 }
 
 // measure brings the gauges up to date.
@@ -222,7 +222,7 @@
 	defer s.mu.Unlock()
 	charges, shunned := 0, 0
 	for _, e := range s.engines {
-		picture := s.table.Engine(e.ID)
+		picture := s.table.Upstream(e.ID)
 		charges += picture.Charges()
 		if s.table.Silent(e.ID, now) || picture.Health.Ejected(now) {
 			shunned++
--- a/internal/entry/routing_test.go
+++ b/internal/entry/routing_test.go
@@ -71,7 +71,7 @@
 	s.end(servicePrefix+"near", "a", time.Second)
 	s.end(servicePrefix+"far", "b", time.Second)
 	for range s.routing.Failures {
-		s.judge(servicePrefix+"near", load.VerdictFailed, time.Second)
+		s.judge(servicePrefix+"near", load.CallFailed, time.Second)
 	}
 	if got := place("c"); got != "far" {
 		t.Fatalf("a call went to the ejected %s", got)
@@ -115,11 +115,11 @@
 	e, _ := s.place(&placement.Request{Model: "m"}, load.Placement{ID: "r", PrefillTokens: 5, At: time.Second})
 	s.accepted(e.ID, "r", load.Acceptance{Boot: "b", Number: 7})
 	s.reported(e.ID, engine.Report{Boot: "b", Seq: 1, Accepted: 6}, time.Second)
-	if s.table.Engine(e.ID).Charges() != 1 {
+	if s.table.Upstream(e.ID).Charges() != 1 {
 		t.Fatal("a report from before the request ended its charge")
 	}
 	s.reported(e.ID, engine.Report{Boot: "b", Seq: 2, Accepted: 7}, time.Second)
-	if s.table.Engine(e.ID).Charges() != 0 {
+	if s.table.Upstream(e.ID).Charges() != 0 {
 		t.Fatal("the charge outlived the report that counts it")
 	}
 }
--- a/internal/load/health.go
+++ b/internal/load/health.go
@@ -13,16 +13,16 @@
 	// SilentFor is how long an engine that has reported may go without a new
 	// report before it counts as frozen.
 	SilentFor time.Duration
-	// FullAt is the number of own streams at a time from which a returning
+	// RecoveredAt is the number of own streams at a time from which a returning
 	// upstream counts as whole again.
-	FullAt int
+	RecoveredAt int
 }
 
 // DefaultOutlierRules returns the defaults.
 func DefaultOutlierRules() OutlierRules {
 	return OutlierRules{
 		Failures: 2, EjectFor: 2 * time.Second, EjectAtMost: 30 * time.Second,
-		SilentFor: 2 * time.Second, FullAt: 16,
+		SilentFor: 2 * time.Second, RecoveredAt: 16,
 	}
 }
 
@@ -108,35 +108,35 @@
 		return
 	}
 	h.room *= 2
-	if h.room >= rules.FullAt {
+	if h.room >= rules.RecoveredAt {
 		*h = Health{}
 	}
 }
 
-// Verdict is what one send told of an upstream.
-type Verdict int
+// CallResult is what one send told of an upstream.
+type CallResult int
 
 const (
-	// VerdictGood: it answered.
-	VerdictGood Verdict = iota
-	// VerdictRefused: it ran nothing, by its own word.
-	VerdictRefused
-	// VerdictFailed: it gave no valid answer.
-	VerdictFailed
-	// VerdictGone: it could not be reached, or fell silent.
-	VerdictGone
-	// VerdictMoved: another upstream has its address, so it is gone for good.
-	VerdictMoved
+	// CallSucceeded: it answered.
+	CallSucceeded CallResult = iota
+	// CallRefused: it ran nothing, by its own word.
+	CallRefused
+	// CallFailed: it gave no valid answer.
+	CallFailed
+	// CallUnreachable: it could not be reached, or fell silent.
+	CallUnreachable
+	// CallAddressReassigned: another upstream has its address, so it is gone for good.
+	CallAddressReassigned
 )
 
-// Judge records what a send told of an upstream, and reports whether that ejects
+// RecordCall records what a send told of an upstream, and reports whether that ejects
 // it.
-func (t *Table) Judge(id string, v Verdict, now time.Duration) (ejected bool) {
+func (t *Table) RecordCall(id string, v CallResult, now time.Duration) (ejected bool) {
 	switch v {
-	case VerdictGood:
+	case CallSucceeded:
 		t.Succeeded(id)
 		return false
-	case VerdictRefused:
+	case CallRefused:
 		return t.Refused(id, now)
 	default:
 		return t.Failed(id, now)
--- a/internal/load/health_test.go
+++ b/internal/load/health_test.go
@@ -10,7 +10,7 @@
 func TestFailingUpstreamIsEjectedAndComesBackGradually(t *testing.T) {
 	table := NewTable()
 	rules := table.Outliers
-	h := &table.Engine("e").Health
+	h := &table.Upstream("e").Health
 	table.Failed("e", second)
 	table.Succeeded("e")
 	if table.Failed("e", second); !h.Admits(second) {
@@ -36,7 +36,7 @@
 		t.Fatal("a failed probe does not double the ejection")
 	}
 	now := back + 2*rules.EjectFor
-	for room := 1; room < rules.FullAt; room *= 2 {
+	for room := 1; room < rules.RecoveredAt; room *= 2 {
 		n := 0
 		for ; h.Admits(now); n++ {
 			table.Place("e", Placement{ID: string(rune('a' + n)), At: now})
@@ -71,7 +71,7 @@
 	now := second + 2*silent
 	table.Reported("e", report("b", 2, 0), now)
 	table.Place("e", Placement{ID: "probe", At: now})
-	if table.Engine("e").Health.Admits(now) {
+	if table.Upstream("e").Health.Admits(now) {
 		t.Fatal("more than a probe after the silence")
 	}
 }
@@ -95,11 +95,11 @@
 		t.Fatal("a gap keeps old beliefs, or drops the new one")
 	}
 	p.Apply(engine.CacheEvents{Boot: "b2"})
-	if p.Len() != 0 || p.After() != 0 {
+	if p.Len() != 0 || p.LastSeq() != 0 {
 		t.Fatal("a restart keeps beliefs")
 	}
 	for i := range uint64(3 * prefixesKept) {
-		p.Expect([]uint64{i, 1})
+		p.AssumeCached([]uint64{i, 1})
 	}
 	if p.Len() > prefixesKept || len(p.order) > 2*prefixesKept || p.Cached([]uint64{1}) != 1 {
 		t.Fatalf("%d beliefs, %d in order", p.Len(), len(p.order))
--- a/internal/load/prefixes.go
+++ b/internal/load/prefixes.go
@@ -24,8 +24,8 @@
 	age   uint64
 }
 
-// After is the sequence number to ask for events after.
-func (p *Prefixes) After() int64 { return p.seq }
+// LastSeq is the sequence number to ask for events after.
+func (p *Prefixes) LastSeq() int64 { return p.seq }
 
 // Len counts the blocks believed cached.
 func (p *Prefixes) Len() int { return len(p.blocks) }
@@ -53,8 +53,8 @@
 	}
 }
 
-// Expect believes the blocks of a prompt that was just placed on the engine.
-func (p *Prefixes) Expect(blocks []uint64) {
+// AssumeCached believes the blocks of a prompt that was just placed on the engine.
+func (p *Prefixes) AssumeCached(blocks []uint64) {
 	for _, block := range blocks {
 		p.believe(block)
 	}
--- a/internal/peers/link_test.go
+++ b/internal/peers/link_test.go
@@ -82,7 +82,7 @@
 func (b *busyFleet) place(n *virtualNode) {
 	b.requests++
 	ask := upstreamstate.Ask{ID: fmt.Sprint("r", b.requests), Service: "llm", Objective: time.Second, Left: 2 * time.Second}
-	ask.Prompt = placement.Prompt{Tokens: 9200, Output: 2, Parts: []placement.Part{
+	ask.Prompt = placement.Prompt{Tokens: 9200, MaxOutput: 2, Parts: []placement.Part{
 		{ID: fmt.Sprint("part-", b.rng.IntN(2000)), Tokens: 6300}, {ID: "own", Tokens: 2900},
 	}}
 	start, turn, ok := n.loads.PickStart(ask, n.loads.now())
@@ -90,7 +90,7 @@
 		return
 	}
 	b.at(promptFor, func() {
-		n.loads.PromptDone(start.Engine.ID, start.Work, turn)
+		n.loads.PromptDone(start.Engine.ID, start.BusyTime, turn)
 		n.loads.End(start.Engine.ID, ask.ID, n.loads.now())
 		chosen, ok := n.loads.PickDecode(ask, "z0", n.loads.now())
 		if !ok {
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -21,7 +21,7 @@
 		id := fmt.Sprintf("e%d", i)
 		table.Reported(id, engine.Report{Boot: "b", Seq: 1, PrefillRate: 1000, KVBlocksFree: 100, KVBlocksTotal: 100}, time.Second)
 		candidates = append(candidates, Candidate{
-			ID: id, Zone: "far", Load: table.Engine(id),
+			ID: id, Zone: "far", Load: table.Upstream(id),
 			Engine: &config.Engine{ID: id, Routing: config.RoutingServing, Loaded: config.EngineState{
 				Model: "m", Version: "1", Adapters: []string{"a"}, Role: config.RoleMixed,
 			}},
@@ -46,15 +46,15 @@
 		change func(*Candidate)
 	}{
 		"out of routing":       {change: func(c *Candidate) { c.Engine.Routing = config.RoutingDraining }},
-		"leaving by operators": {change: func(c *Candidate) { c.Leave = true }},
-		"leaving by platform":  {req: Request{Leaving: map[string]bool{"e0": true}}},
+		"leaving by operators": {change: func(c *Candidate) { c.Draining = true }},
+		"leaving by platform":  {req: Request{Draining: map[string]bool{"e0": true}}},
 		"failed this request":  {req: Request{Excluded: map[string]bool{"e0": true}}},
 		"other model":          {change: func(c *Candidate) { c.Engine.Loaded.Model = "n" }},
 		"other version":        {req: Request{Version: "2"}},
 		"adapter not loaded":   {req: Request{Adapter: "b"}},
 		"role for prompts":     {change: func(c *Candidate) { c.Engine.Loaded.Role = config.RolePrefill }},
 		"role for answers": {
-			req:    Request{Work: WorkPrefill},
+			req:    Request{Phase: PhasePrefill},
 			change: func(c *Candidate) { c.Engine.Loaded.Role = config.RoleDecode },
 		},
 	}
@@ -69,7 +69,7 @@
 	}
 	_, candidates := fleet(1)
 	candidates[0].Engine.Loaded.Role = config.RolePrefill
-	if got := schedule(t, PolicyCharge, Request{Adapter: "a", Version: "1", Work: WorkPrefill}, candidates); got != "e0" {
+	if got := schedule(t, PolicyCharge, Request{Adapter: "a", Version: "1", Phase: PhasePrefill}, candidates); got != "e0" {
 		t.Errorf("an engine that fits is not chosen: %s", got)
 	}
 }
@@ -100,7 +100,7 @@
 	if seen := chosen(); len(seen) != 10 {
 		t.Fatalf("chosen with 8 of 10 ejected: %v, want all", seen)
 	}
-	candidates[9].Silent = true
+	candidates[9].Suspect = true
 	eject(0)
 	if seen := chosen(); len(seen) != 10 {
 		t.Fatalf("chosen with 9 of 10 failing: %v, want all", seen)
--- a/internal/placement/score_start.go
+++ b/internal/placement/score_start.go
@@ -7,21 +7,21 @@
 	"sassafrasfield/internal/rendezvous"
 )
 
-// StartScorer prefers the engine that is predicted to bring the first token
+// PrefillScorer prefers the engine that is predicted to bring the first token
 // soonest, from what the instances told one another: the prompts ahead, the
 // request's own less what is cached there or can be fetched, and the hand-over
 // to a decode engine. The score is 1 for no wait and falls towards 0; it is a
 // half at half a second. Reason: where shared parts live decides most, so an
 // engine that does not rank first for the part also pays for another copy.
-type StartScorer struct{}
+type PrefillScorer struct{}
 
 // Score implements Scorer, for a candidate alone.
-func (s StartScorer) Score(req *Request, c Candidate) float64 {
-	return s.Among(req, []Candidate{c}, []Candidate{c}).Score(req, c)
+func (s PrefillScorer) Score(req *Request, c Candidate) float64 {
+	return s.ForCandidates(req, []Candidate{c}, []Candidate{c}).Score(req, c)
 }
 
-// Among implements Comparer.
-func (s StartScorer) Among(req *Request, kept, all []Candidate) Scorer {
+// ForCandidates implements Comparer.
+func (s PrefillScorer) ForCandidates(req *Request, kept, all []Candidate) Scorer {
 	key := req.Prompt.SharedKey()
 	among := startAmong{
 		prefill: rendezvous.Leader{Key: key}, other: rendezvous.Leader{Key: key}, sources: sourcesOf(req, all),
@@ -51,7 +51,7 @@
 func (s *startAmong) Score(req *Request, c Candidate) float64 {
 	cost := req.Costs.startCost(req.Costs.startOn(req, c, s.sources))
 	if s.leaderOf(c.role()).Node != c.ID {
-		cost += req.Costs.copyCost(req.Prompt, c.Told.Cached)
+		cost += req.Costs.copyCost(req.Prompt, c.Aggregate.CachedTokens)
 	}
 	if c.role() != config.RolePrefill {
 		cost += req.Costs.send(req.Zone, c) // the answer comes from there
@@ -60,12 +60,12 @@
 }
 
 // startCost is the predicted time until a generation that starts there has begun.
-func (c Costs) startCost(s Start) time.Duration {
-	told := s.Engine.Told
+func (c Costs) startCost(s Prefill) time.Duration {
+	told := s.Engine.Aggregate
 	if s.Direct() {
-		return told.Ahead + c.between(s.Work, told.Use) + c.crowd(told.Requests)
+		return told.Backlog + c.between(s.BusyTime, told.Utilization) + c.crowd(told.Requests)
 	}
-	return told.Ahead + s.Work + c.HandOver
+	return told.Backlog + s.BusyTime + c.HandOver
 }
 
 // mostBetween bounds the part of an engine's time that prompts are reckoned to take
@@ -78,36 +78,36 @@
 	return time.Duration(float64(work) / (1 - min(use, mostBetween)))
 }
 
-// Start is where a generation begins.
-type Start struct {
+// Prefill is where a generation begins.
+type Prefill struct {
 	Engine Candidate
 	// Source is the engine to fetch the shared part from; its ID is empty when
 	// nothing is to be fetched.
 	Source Candidate
-	// Fresh is how many of the prompt's tokens the engine processes.
-	Fresh int
-	// Work is the predicted time that the prompt keeps the engine busy.
-	Work time.Duration
+	// UncachedTokens is how many of the prompt's tokens the engine processes.
+	UncachedTokens int
+	// BusyTime is the predicted time that the prompt keeps the engine busy.
+	BusyTime time.Duration
 }
 
 // Direct tells whether the engine generates too.
-func (s Start) Direct() bool { return s.Engine.role() != config.RolePrefill }
+func (s Prefill) Direct() bool { return s.Engine.role() != config.RolePrefill }
 
 // startOn works out how a prompt would be processed on an engine.
-func (c Costs) startOn(req *Request, on Candidate, from sources) Start {
-	start := Start{Engine: on}
-	cached := on.Told.Cached
+func (c Costs) startOn(req *Request, on Candidate, from sources) Prefill {
+	start := Prefill{Engine: on}
+	cached := on.Aggregate.CachedTokens
 	if source, ok := c.source(on, from); ok {
 		start.Source = source
-		start.Work = c.fetch(source.Told.Cached-cached, source.Zone, on.Zone)
-		cached = source.Told.Cached
+		start.BusyTime = c.fetch(source.Aggregate.CachedTokens-cached, source.Zone, on.Zone)
+		cached = source.Aggregate.CachedTokens
 	}
-	start.Fresh = max(0, req.Prompt.Tokens-cached)
+	start.UncachedTokens = max(0, req.Prompt.Tokens-cached)
 	work := c.work(req.Prompt, cached)
 	if start.Direct() {
-		work = time.Duration(float64(work) * c.MixedFactor)
+		work = time.Duration(float64(work) * c.DirectSlowdown)
 	}
-	start.Work += work
+	start.BusyTime += work
 	return start
 }
 
@@ -123,7 +123,7 @@
 func sourcesOf(req *Request, all []Candidate) sources {
 	var s sources
 	for i := range all {
-		cached := all[i].Told.Cached
+		cached := all[i].Aggregate.CachedTokens
 		if cached == 0 || cached < s.tokens || !(HealthFilter{}).Keep(req, all[i]) {
 			continue
 		}
@@ -138,7 +138,7 @@
 // source is the engine to fetch a prompt's shared part from, if that is enough more
 // than one has to be worth a fetch; the nearest of equals.
 func (c Costs) source(to Candidate, from sources) (Candidate, bool) {
-	if len(from.list) == 0 || from.tokens-to.Told.Cached < max(1, c.FetchFrom) {
+	if len(from.list) == 0 || from.tokens-to.Aggregate.CachedTokens < max(1, c.MinFetchTokens) {
 		return Candidate{}, false
 	}
 	for i := range from.list {
--- a/internal/upstreamstate/learn.go
+++ b/internal/upstreamstate/learn.go
@@ -41,14 +41,14 @@
 	m := p.model(service)
 	t := Times{}
 	t.TokenTime, t.PairTime, t.Overhead = m.Prompt()
-	t.HandOver, t.Stream = m.HandOver(), m.Slot()
+	t.HandOver, t.SlotTime = m.HandOver(), m.Slot()
 	t.Step, t.StepPerRequest = m.Step()
 	t.Known = m.PromptsKnown() && m.StepsKnown()
 	limits := p.table.Services[service].Engine
 	if limits == nil {
 		return t
 	}
-	t.FetchTime, t.Slots, t.Memory = limits.TransferTime, limits.Slots, limits.KVTokens
+	t.FetchTime, t.Slots, t.CacheTokens = limits.TransferTime, limits.Slots, limits.KVTokens
 	t.RoleChange = limits.RoleSwitch
 	return t
 }
--- a/internal/upstreamstate/upstreamstate.go
+++ b/internal/upstreamstate/upstreamstate.go
@@ -75,7 +75,7 @@
 type Picture struct {
 	settings Settings
 	// stages and calls choose engines and the upstreams of plain services.
-	stages *placement.Stages
+	stages *placement.DisaggregatedScheduler
 	calls  *placement.Scheduler
 
 	mu      sync.Mutex // protects all below
@@ -122,7 +122,7 @@
 		s.Changed = func() {}
 	}
 	return &Picture{
-		settings: s, stages: placement.NewStages(), calls: placement.NewToldServiceScheduler(),
+		settings: s, stages: placement.NewDisaggregatedScheduler(), calls: placement.NewAggregateServiceScheduler(),
 		table: routes.NewTable(0, nil, nil, routes.Limits{}),
 		nodes: map[string]*node{}, byHash: map[uint32]*node{}, byService: map[string][]*node{}, busy: map[*node]bool{},
 		loads: loads, models: map[string]*estimate.Model{}, told: newToldLoads(), parts: newPartTable(),
@@ -161,11 +161,11 @@
 		delete(p.limits.spent, n.hash)
 		delete(p.limits.rests, n.hash)
 		p.forget(n)
-		p.loads.Renew(u.ID)
+		p.loads.Reset(u.ID)
 		ok = false
 	}
 	if !ok {
-		n = &node{hash: u.Incarnation(), load: p.loads.Engine(u.ID)}
+		n = &node{hash: u.Incarnation(), load: p.loads.Upstream(u.ID)}
 		n.told = p.told.of(n.hash)
 		p.nodes[u.ID], p.byHash[n.hash] = n, n
 	}
