--- a/internal/entry/completions.go
+++ b/internal/entry/completions.go
@@ -95,7 +95,7 @@
 // prefix returns the hashes of the prompt's blocks, which are worked out once;
 // nil when hints are off.
 func (s *Server) prefix(comp *completion) []uint64 {
-	if comp.prefix == nil && s.settings.Routing.Policy.Hints() {
+	if comp.prefix == nil && s.settings.Routing.Policy.UsesPrefixHints() {
 		comp.prefix = engine.BlockHashes(comp.prompt, engine.BlockTokens, prefixBlocksAtMost)
 	}
 	return comp.prefix
@@ -106,16 +106,16 @@
 func (s *Server) afterFailure(ctx context.Context, engineID string, client engine.Engine, comp *completion, err error, blame bool) {
 	switch {
 	case errors.Is(err, engine.ErrUnreachable):
-		s.judge(engineID, load.VerdictFailed)
+		s.judge(engineID, load.CallFailed)
 	case errors.Is(err, engine.ErrNotRun):
-		s.judge(engineID, load.VerdictRefused)
+		s.judge(engineID, load.CallRefused)
 	}
 	if ranNothing(err) {
 		return
 	}
 	s.background.Go(func() { s.cancel(ctx, client, comp.id) })
 	if blame {
-		s.judge(engineID, load.VerdictFailed)
+		s.judge(engineID, load.CallFailed)
 	}
 }
 
--- a/internal/entry/plain.go
+++ b/internal/entry/plain.go
@@ -169,12 +169,12 @@
 	switch {
 	case err == nil:
 		c.answer = answer
-		s.judge(id, load.VerdictGood)
+		s.judge(id, load.CallSucceeded)
 		return attempt.Result{Status: attempt.Done}
 	case errors.Is(err, service.ErrRefused):
-		s.judge(id, load.VerdictRefused)
+		s.judge(id, load.CallRefused)
 	case ctx.Err() == nil:
-		s.judge(id, load.VerdictFailed)
+		s.judge(id, load.CallFailed)
 	}
 	if errors.Is(err, service.ErrNotRun) {
 		return attempt.Result{Status: attempt.Refused, Upstream: upstream.ID, Err: err}
--- a/internal/model/run.go
+++ b/internal/model/run.go
@@ -26,8 +26,8 @@
 	arrived time.Duration
 	at      *instance
 	// start and turn are where and when its prompt is processed.
-	start placement.Start
-	turn  placement.Turn
+	start placement.Prefill
+	turn  placement.QueueOrder
 	// sent is when the prompt was sent, then when the answer was asked for.
 	sent       time.Duration
 	engine     *engine
@@ -160,7 +160,7 @@
 		return // it waits until its caller leaves
 	}
 	req.start, req.turn, req.sent, req.engine = start, turn, r.now, r.byID[start.Engine.ID]
-	w := &work{req: req, yields: turn == placement.TurnYield, source: r.byID[start.Source.ID], tokens: req.answer}
+	w := &work{req: req, yields: turn == placement.QueueDeferred, source: r.byID[start.Source.ID], tokens: req.answer}
 	if !req.engine.takes(r.now) {
 		r.refused(req)
 		return
@@ -171,7 +171,7 @@
 // refused tries another engine, as this one does not take the request.
 func (r *run) refused(req *request) {
 	r.free(req)
-	req.at.picture.Judge(req.engine.id, load.VerdictGone, r.now)
+	req.at.picture.Judge(req.engine.id, load.CallUnreachable, r.now)
 	req.engine = nil
 	r.result.Refused++
 	r.place(req)
@@ -183,7 +183,7 @@
 		return
 	}
 	if req.start.Engine.ID == req.engine.id {
-		req.at.picture.PromptDone(req.engine.id, req.start.Work, req.turn)
+		req.at.picture.PromptDone(req.engine.id, req.start.BusyTime, req.turn)
 	}
 	req.at.picture.End(req.engine.id, req.id, r.now)
 }
@@ -197,7 +197,7 @@
 			r.handOver(e, w)
 			continue
 		}
-		w.req.at.picture.PromptDone(e.id, w.req.start.Work, w.req.turn)
+		w.req.at.picture.PromptDone(e.id, w.req.start.BusyTime, w.req.turn)
 	}
 	for _, w := range started {
 		if w.req.first == 0 {
@@ -215,11 +215,11 @@
 // handOver has a decode engine go on after the prompt.
 func (r *run) handOver(e *engine, w *work) {
 	req := w.req
-	req.at.picture.Judge(e.id, load.VerdictGood, r.now)
-	if req.start.Source.ID == "" && req.start.Fresh <= req.prompt.Tokens-req.prompt.SharedTokens() {
+	req.at.picture.Judge(e.id, load.CallSucceeded, r.now)
+	if req.start.Source.ID == "" && req.start.UncachedTokens <= req.prompt.Tokens-req.prompt.SharedTokens() {
 		req.at.picture.Prefilled(service, estimate.Prefill{
-			Fresh: req.start.Fresh, Cached: req.prompt.Tokens - req.start.Fresh,
-			Ahead: req.start.Engine.Told.Ahead, Took: r.now - req.sent + e.spec.Overhead,
+			Fresh: req.start.UncachedTokens, Cached: req.prompt.Tokens - req.start.UncachedTokens,
+			Ahead: req.start.Engine.Aggregate.Backlog, Took: r.now - req.sent + e.spec.Overhead,
 		})
 	}
 	r.free(req)
@@ -230,7 +230,7 @@
 	to := r.byID[chosen.ID]
 	fetched := max(0, req.prompt.Tokens-to.cache.has(req.prompt))
 	r.result.Moved += fetched
-	req.engine, req.cachedHere, req.sent = to, chosen.Told.Cached, r.now+e.spec.Overhead
+	req.engine, req.cachedHere, req.sent = to, chosen.Aggregate.CachedTokens, r.now+e.spec.Overhead
 	if to.role != config.RoleDecode || to.gone {
 		req.at.picture.End(to.id, req.id, r.now)
 		return
@@ -242,7 +242,7 @@
 // end takes note of a request that is answered.
 func (r *run) end(e *engine, w *work) {
 	req := w.req
-	req.at.picture.Judge(e.id, load.VerdictGood, r.now)
+	req.at.picture.Judge(e.id, load.CallSucceeded, r.now)
 	events := 1 + int(req.answer)/e.spec.EventTokens
 	req.at.picture.Streamed(service, e.id, events, estimate.Stream{Took: r.now - req.first, Slot: r.now - req.sent}, r.now)
 	req.at.picture.End(e.id, req.id, r.now)
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -14,29 +14,29 @@
 	"sassafrasfield/internal/load"
 )
 
-// Work is the part of a request that an engine is to do.
-type Work string
+// Phase is the part of a request that an engine is to do.
+type Phase string
 
 // Parts of a request.
 const (
-	// WorkWhole is prefill and decode on one engine.
-	WorkWhole Work = ""
-	// WorkPrefill is the prompt alone; its KV cache is exported.
-	WorkPrefill Work = "prefill"
-	// WorkDecode is the answer alone, from imported KV cache.
-	WorkDecode Work = "decode"
-	// WorkDirect is prefill and decode on a decode engine: a short prompt is
+	// PhaseFull is prefill and decode on one engine.
+	PhaseFull Phase = ""
+	// PhasePrefill is the prompt alone; its KV cache is exported.
+	PhasePrefill Phase = "prefill"
+	// PhaseDecode is the answer alone, from imported KV cache.
+	PhaseDecode Phase = "decode"
+	// PhaseDirect is prefill and decode on a decode engine: a short prompt is
 	// processed there between the tokens of other requests.
-	WorkDirect Work = "direct"
-	// WorkAny is prefill and decode on one engine of whatever role, where no
+	PhaseDirect Phase = "direct"
+	// PhaseAnyRole is prefill and decode on one engine of whatever role, where no
 	// engine of the right one can take the request.
-	WorkAny Work = "any"
+	PhaseAnyRole Phase = "any"
 )
 
 // Request is what the choice depends on.
 type Request struct {
 	Model, Adapter, Version string
-	Work                    Work
+	Phase                   Phase
 	// Split allows a pair of prefill and decode engines; see Assign.
 	Split bool
 	// Zone of the instance.
@@ -45,56 +45,56 @@
 	// Costs are what the service's engines take, where the instances tell one
 	// another what they have under way.
 	Costs Costs
-	// Objective is what is left of the time in which the answer is on time, Left
+	// Objective is what is left of the time in which the answer is on time, RemainingWait
 	// of the time that the caller waits for it; 0 when the route has none.
-	Objective, Left time.Duration
+	Objective, RemainingWait time.Duration
 	// KVZone is where the processed prompt's KV cache lies, for WorkDecode.
 	KVZone string
-	// Limits: upstreams may limit the requests that they take. Without it no candidate
+	// CheckLimits: upstreams may limit the requests that they take. Without it no candidate
 	// counts as Spent, which saves a look at all of them.
-	Limits bool
+	CheckLimits bool
 	// Blocks of KV memory that the request takes.
 	Blocks int
 	// Prefix has the hashes of the prompt's blocks; nil when hints are off.
 	Prefix []uint64
 	// Excluded upstreams failed this request already.
 	Excluded map[string]bool
-	// Leaving upstreams get no new work, by the platform's word.
-	Leaving map[string]bool
-	Now     time.Duration
+	// Draining upstreams get no new work, by the platform's word.
+	Draining map[string]bool
+	Now      time.Duration
 }
 
 // Candidate is an upstream with its picture.
 type Candidate struct {
 	ID, Zone string
-	// Leave is the operators' word that the upstream should leave.
-	Leave bool
+	// Draining is the operators' word that the upstream should leave.
+	Draining bool
 	// Engine is nil for a plain service's upstream.
 	Engine *config.Engine
-	Load   *load.Engine
-	// Silent: the engine went without a report for too long, or another instance
+	Load   *load.Upstream
+	// Suspect: the engine went without a report for too long, or another instance
 	// could not reach it.
-	Silent bool
-	// Limited: it limits the requests that it takes. Spent: it has nothing left.
-	Limited, Spent bool
-	// Told is what the instances told one another of an engine, where they do.
-	Told Told
+	Suspect bool
+	// Limited: it limits the requests that it takes. Exhausted: it has nothing left.
+	Limited, Exhausted bool
+	// Aggregate is what the instances told one another of an engine, where they do.
+	Aggregate AggregateLoad
 }
 
-// Told is the part of an engine's picture that all instances have made together.
-type Told struct {
-	// Ahead is the predicted time of the prompts that wait there.
-	Ahead time.Duration
-	// Yielding is the part of Ahead that yields to other prompts.
-	Yielding time.Duration
-	// Use is the part of the engine's time that the prompts take which were
+// AggregateLoad is the part of an engine's picture that all instances have made together.
+type AggregateLoad struct {
+	// Backlog is the predicted time of the prompts that wait there.
+	Backlog time.Duration
+	// DeferredBacklog is the part of Ahead that yields to other prompts.
+	DeferredBacklog time.Duration
+	// Utilization is the part of the engine's time that the prompts take which were
 	// placed there lately; above 1 when they are more than it can process.
-	Use float64
+	Utilization float64
 	// Requests that run or wait there.
 	Requests int
-	// Cached is how many leading tokens of the request's prompt it is believed
+	// CachedTokens is how many leading tokens of the request's prompt it is believed
 	// to have.
-	Cached int
+	CachedTokens int
 }
 
 // role of a model engine; "" for other upstreams.
@@ -116,12 +116,12 @@
 	Score(req *Request, c Candidate) float64
 }
 
-// Comparer is a scorer whose score depends on the other candidates.
-type Comparer interface {
+// RelativeScorer is a scorer whose score depends on the other candidates.
+type RelativeScorer interface {
 	Scorer
-	// Among returns the scorer for a choice among the kept candidates; all are
+	// ForCandidates returns the scorer for a choice among the kept candidates; all are
 	// those that the strict filters left.
-	Among(req *Request, kept, all []Candidate) Scorer
+	ForCandidates(req *Request, kept, all []Candidate) Scorer
 }
 
 // WeightedScorer is a scorer with its weight in the sum.
@@ -162,12 +162,12 @@
 // Preference is a filter that yields when it would leave too few.
 type Preference struct {
 	Filter Filter
-	// KeepShare is the least share of the candidates that has to be left;
+	// MinShare is the least share of the candidates that has to be left;
 	// 0 means at least one candidate.
-	KeepShare float64
-	// Must, of the filter on limits: it never yields. What it drops is not chosen, but unlike with a strict filter it
+	MinShare float64
+	// Mandatory, of the filter on limits: it never yields. What it drops is not chosen, but unlike with a strict filter it
 	// still counts as having cached parts that others can fetch.
-	Must bool
+	Mandatory bool
 }
 
 // Schedule picks an upstream; ok is false when none can take the request.
@@ -210,11 +210,11 @@
 		s.leftBufs = make([][]Candidate, len(s.Preferences))
 	}
 	for i, p := range s.Preferences {
-		if p.Must && !req.Limits {
+		if p.Mandatory && !req.CheckLimits {
 			continue
 		}
 		s.leftBufs[i] = p.kept(req, candidates, s.leftBufs[i][:0])
-		if p.Must || p.enough(len(s.leftBufs[i]), len(candidates)) {
+		if p.Mandatory || p.enough(len(s.leftBufs[i]), len(candidates)) {
 			candidates = s.leftBufs[i]
 		}
 	}
@@ -225,8 +225,8 @@
 func (s *Scheduler) among(req *Request, kept, all []Candidate) []WeightedScorer {
 	scorers := slices.Clone(s.Scorers)
 	for i, w := range scorers {
-		if comparer, ok := w.Scorer.(Comparer); ok {
-			scorers[i].Scorer = comparer.Among(req, kept, all)
+		if comparer, ok := w.Scorer.(RelativeScorer); ok {
+			scorers[i].Scorer = comparer.ForCandidates(req, kept, all)
 		}
 	}
 	return scorers
@@ -264,5 +264,5 @@
 
 // enough tells whether so many of a number of candidates are enough to choose from.
 func (p Preference) enough(left, of int) bool {
-	return left > 0 && float64(left) >= p.KeepShare*float64(of)
+	return left > 0 && float64(left) >= p.MinShare*float64(of)
 }
--- a/internal/placement/policy.go
+++ b/internal/placement/policy.go
@@ -30,8 +30,8 @@
 	return []Policy{PolicyRoundRobin, PolicyReport, PolicyLocal, PolicyCharge, PolicyChargePrefix, PolicyEstimate, PolicyLocalPrefix}
 }
 
-// Hints tells whether the policy uses prefix hints.
-func (p Policy) Hints() bool {
+// UsesPrefixHints tells whether the policy uses prefix hints.
+func (p Policy) UsesPrefixHints() bool {
 	return p == PolicyChargePrefix || p == PolicyEstimate || p == PolicyLocalPrefix
 }
 
@@ -67,7 +67,7 @@
 	s := &Scheduler{
 		Filters: []Filter{ServingFilter{}, LeavingFilter{}, ExcludedFilter{}, ModelFilter{}, RoleFilter{}},
 		Preferences: []Preference{
-			{Filter: HealthFilter{}, KeepShare: keepShare},
+			{Filter: HealthFilter{}, MinShare: keepShare},
 		},
 		Picker: picker(policy, pick),
 	}
@@ -76,7 +76,7 @@
 	}
 	s.Preferences = append(s.Preferences, Preference{Filter: MemoryFilter{View: view}})
 	s.Scorers = []WeightedScorer{
-		{Scorer: FirstTokenScorer{View: view, Hints: policy.Hints()}, Weight: firstTokenWeight},
+		{Scorer: FirstTokenScorer{View: view, PrefixHints: policy.UsesPrefixHints()}, Weight: firstTokenWeight},
 		{Scorer: BatchScorer{View: view}, Weight: batchWeight},
 		{Scorer: ZoneScorer{}, Weight: zoneWeight},
 	}
@@ -91,17 +91,17 @@
 		WeightedScorer{Scorer: ZoneScorer{}, Weight: zoneWeight})
 }
 
-// NewToldServiceScheduler returns the scheduler for plain services where the
+// NewAggregateServiceScheduler returns the scheduler for plain services where the
 // instances tell one another what they have under way. An upstream that failed
 // lately is taken when no other is left.
-func NewToldServiceScheduler() *Scheduler {
-	return serviceScheduler(0, WeightedScorer{Scorer: CallScorer{View: toldView}, Weight: 1})
+func NewAggregateServiceScheduler() *Scheduler {
+	return serviceScheduler(0, WeightedScorer{Scorer: ServiceScorer{View: toldView}, Weight: 1})
 }
 
 func serviceScheduler(keep float64, scorers ...WeightedScorer) *Scheduler {
 	return &Scheduler{
 		Filters:     []Filter{LeavingFilter{}, ExcludedFilter{}},
-		Preferences: []Preference{{Filter: AllowanceFilter{}, Must: true}, {Filter: HealthFilter{}, KeepShare: keep}},
+		Preferences: []Preference{{Filter: AllowanceFilter{}, Mandatory: true}, {Filter: HealthFilter{}, MinShare: keep}},
 		Scorers:     scorers,
 		Picker:      BestPicker{},
 	}
@@ -120,7 +120,7 @@
 	}
 }
 
-func toldView(_ *Request, c Candidate) load.View { return load.View{Requests: c.Told.Requests} }
+func toldView(_ *Request, c Candidate) load.View { return load.View{Requests: c.Aggregate.Requests} }
 
 func localView(_ *Request, c Candidate) load.View { return c.Load.Local() }
 
--- a/internal/placement/stages.go
+++ b/internal/placement/stages.go
@@ -5,48 +5,48 @@
 	"slices"
 )
 
-// Stages places generations on engines that are split into prefill and decode,
+// DisaggregatedScheduler places generations on engines that are split into prefill and decode,
 // where the instances tell one another what they have under way: which engine
 // processes the prompt, which one generates, and whether one engine does both.
-type Stages struct {
+type DisaggregatedScheduler struct {
 	start    *Scheduler
 	generate *Scheduler
 }
 
-// NewStages returns the schedulers of both stages.
-func NewStages() *Stages {
+// NewDisaggregatedScheduler returns the schedulers of both stages.
+func NewDisaggregatedScheduler() *DisaggregatedScheduler {
 	strict := []Filter{LeavingFilter{}, ExcludedFilter{}}
-	allowance := Preference{Filter: AllowanceFilter{}, Must: true}
-	return &Stages{
+	allowance := Preference{Filter: AllowanceFilter{}, Mandatory: true}
+	return &DisaggregatedScheduler{
 		start: &Scheduler{
 			Filters:     strict,
 			Preferences: []Preference{allowance, {Filter: RoleFilter{}}, {Filter: HealthFilter{}}},
-			Scorers:     []WeightedScorer{{Scorer: StartScorer{}, Weight: 1}},
+			Scorers:     []WeightedScorer{{Scorer: PrefillScorer{}, Weight: 1}},
 			Picker:      RankedPicker{},
 		},
 		generate: &Scheduler{
 			Filters:     append([]Filter{RoleFilter{}}, strict...),
 			Preferences: []Preference{allowance, {Filter: HealthFilter{}}},
-			Scorers:     []WeightedScorer{{Scorer: GenerateScorer{}, Weight: 1}},
+			Scorers:     []WeightedScorer{{Scorer: DecodeScorer{}, Weight: 1}},
 			Picker:      RankedPicker{},
 		},
 	}
 }
 
-// Begin picks the engine that processes a prompt. False means that there is no
+// PickPrefill picks the engine that processes a prompt. False means that there is no
 // engine at all, or none with room for the answer. A short prompt goes to an engine
 // that generates too, unless prompts take so much of these engines' time that a prefill
 // engine is sooner: else a surge of short prompts stops the answers, while prefill
 // engines idle.
-func (s *Stages) Begin(req *Request, candidates []Candidate, rng *rand.Rand) (Start, bool) {
+func (s *DisaggregatedScheduler) PickPrefill(req *Request, candidates []Candidate, rng *rand.Rand) (Prefill, bool) {
 	if s.allSpent(req, candidates) {
-		return Start{}, false
+		return Prefill{}, false
 	}
-	apart, ok := s.beginAs(WorkPrefill, req, candidates, rng)
+	apart, ok := s.beginAs(PhasePrefill, req, candidates, rng)
 	if req.Prompt.Tokens >= req.Costs.DirectBelow {
 		return apart, ok
 	}
-	direct, ok := s.beginAs(WorkDirect, req, candidates, rng)
+	direct, ok := s.beginAs(PhaseDirect, req, candidates, rng)
 	if !ok || apart.Direct() || req.Costs.startCost(direct) <= req.Costs.startCost(apart) {
 		return direct, ok
 	}
@@ -55,54 +55,54 @@
 
 // allSpent tells whether no engine may take the answer: a prompt that is processed now
 // would find none afterwards.
-func (s *Stages) allSpent(req *Request, candidates []Candidate) bool {
-	if !req.Limits {
+func (s *DisaggregatedScheduler) allSpent(req *Request, candidates []Candidate) bool {
+	if !req.CheckLimits {
 		return false
 	}
 	able := s.generators(req, candidates)
-	return len(able) > 0 && !slices.ContainsFunc(able, func(c Candidate) bool { return !c.Spent })
+	return len(able) > 0 && !slices.ContainsFunc(able, func(c Candidate) bool { return !c.Exhausted })
 }
 
 // AllLimited tells whether all engines that may take the answer limit their requests.
-func (s *Stages) AllLimited(req *Request, candidates []Candidate) bool {
+func (s *DisaggregatedScheduler) AllLimited(req *Request, candidates []Candidate) bool {
 	able := s.generators(req, candidates)
 	return len(able) > 0 && !slices.ContainsFunc(able, func(c Candidate) bool { return !c.Limited })
 }
 
 // generators are the engines that may take the answer, until the next choice.
-func (s *Stages) generators(req *Request, candidates []Candidate) []Candidate {
+func (s *DisaggregatedScheduler) generators(req *Request, candidates []Candidate) []Candidate {
 	generate := *req
-	generate.Work = WorkDecode
+	generate.Phase = PhaseDecode
 	return s.generate.allowed(&generate, candidates)
 }
 
 // beginAs picks the engine that does a part of a generation first.
-func (s *Stages) beginAs(work Work, req *Request, candidates []Candidate, rng *rand.Rand) (Start, bool) {
+func (s *DisaggregatedScheduler) beginAs(work Phase, req *Request, candidates []Candidate, rng *rand.Rand) (Prefill, bool) {
 	begin := *req
-	begin.Work = work
+	begin.Phase = work
 	chosen, ok := s.start.Schedule(&begin, candidates, rng)
 	if !ok {
-		return Start{}, false
+		return Prefill{}, false
 	}
 	return req.Costs.startOn(&begin, chosen, sourcesOf(&begin, s.start.allowed(&begin, candidates))), true
 }
 
-// Generate picks the engine that generates from a processed prompt that lies in
+// PickDecode picks the engine that generates from a processed prompt that lies in
 // the request's KVZone.
-func (s *Stages) Generate(req *Request, candidates []Candidate, rng *rand.Rand) (Candidate, bool) {
+func (s *DisaggregatedScheduler) PickDecode(req *Request, candidates []Candidate, rng *rand.Rand) (Candidate, bool) {
 	generate := *req
-	generate.Work = WorkDecode
+	generate.Phase = PhaseDecode
 	return s.generate.Schedule(&generate, candidates, rng)
 }
 
-// Backup picks the engine that a run on another one is copied to: the one that
+// PickBackup picks the engine that a run on another one is copied to: the one that
 // would generate next. False means that none is worth it.
-func (s *Stages) Backup(req *Request, running Candidate, candidates []Candidate, rng *rand.Rand) (Candidate, bool) {
+func (s *DisaggregatedScheduler) PickBackup(req *Request, running Candidate, candidates []Candidate, rng *rand.Rand) (Candidate, bool) {
 	if req.Prompt.Tokens >= req.Costs.BackupBelow {
 		return Candidate{}, false
 	}
 	others := slices.DeleteFunc(slices.Clone(candidates), func(c Candidate) bool { return c.ID == running.ID })
 	beside := *req
 	beside.KVZone = running.Zone
-	return s.Generate(&beside, others, rng)
+	return s.PickDecode(&beside, others, rng)
 }
--- a/internal/placement/turn.go
+++ b/internal/placement/turn.go
@@ -1,19 +1,19 @@
 package placement
 
 // Turn is when an engine processes a prompt that waits there with others.
-type Turn int
+type QueueOrder int
 
 const (
 	// TurnNext is before those that yield.
-	TurnNext Turn = iota
+	QueueNormal QueueOrder = iota
 	// TurnYield is after all others: the request is late anyway, or is to make
 	// room for others that still can be on time.
-	TurnYield
+	QueueDeferred
 )
 
 // String returns the turn's name in logs.
-func (t Turn) String() string {
-	if t == TurnYield {
+func (t QueueOrder) String() string {
+	if t == QueueDeferred {
 		return "yields"
 	}
 	return "next"
@@ -28,23 +28,23 @@
 //
 // It buys answers on time during a surge: 0.01 to 0.03 of a day's worth, in trials
 // with and without on three days of docs/NEW-CUSTOMER.md.
-func (c Costs) Turn(req *Request, s Start, draw float64) Turn {
-	told := s.Engine.Told
-	slack := req.Objective - c.Overhead - c.HandOver - s.Work
-	if req.Objective <= 0 || c.YieldPart <= 0 || told.Ahead <= slack/2 {
-		return TurnNext
+func (c Costs) QueueOrder(req *Request, s Prefill, draw float64) QueueOrder {
+	told := s.Engine.Aggregate
+	slack := req.Objective - c.Overhead - c.HandOver - s.BusyTime
+	if req.Objective <= 0 || c.DeferredShare <= 0 || told.Backlog <= slack/2 {
+		return QueueNormal
 	}
-	if told.Ahead-told.Yielding > slack {
-		return TurnYield
+	if told.Backlog-told.DeferredBacklog > slack {
+		return QueueDeferred
 	}
-	if told.Yielding <= 0 || req.Left <= 0 {
-		return TurnNext
+	if told.DeferredBacklog <= 0 || req.RemainingWait <= 0 {
+		return QueueNormal
 	}
-	share := 1 - told.Yielding.Seconds()/(c.YieldPart*req.Left.Seconds())
-	if draw < share/max(told.Use, leastTurnUse) {
-		return TurnNext
+	share := 1 - told.DeferredBacklog.Seconds()/(c.DeferredShare*req.RemainingWait.Seconds())
+	if draw < share/max(told.Utilization, leastTurnUse) {
+		return QueueNormal
 	}
-	return TurnYield
+	return QueueDeferred
 }
 
 // leastTurnUse is the use of an engine below which none of its prompts has to
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -37,7 +37,7 @@
 	// counted: it was counted as one that began to run.
 	counted bool
 	// turn is when that prompt was to be processed there.
-	turn placement.Turn
+	turn placement.QueueOrder
 	// content returns the name of what is asked for, which is computed once.
 	content func() quarantine.Content
 }
@@ -80,17 +80,17 @@
 }
 
 // verdictOf is what an error tells of the upstream.
-func verdictOf(ctx context.Context, err error) load.Verdict {
+func verdictOf(ctx context.Context, err error) load.CallResult {
 	switch {
 	case errors.Is(err, ErrNotSent):
-		return load.VerdictGone
+		return load.CallUnreachable
 	case errors.Is(err, ErrAddressReassigned):
-		return load.VerdictMoved
+		return load.CallAddressReassigned
 	case errors.Is(err, ErrRefused):
-		return load.VerdictRefused
+		return load.CallRefused
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		return load.VerdictGone
+		return load.CallUnreachable
 	default:
-		return load.VerdictFailed
+		return load.CallFailed
 	}
 }
--- a/internal/upstreamstate/place.go
+++ b/internal/upstreamstate/place.go
@@ -26,8 +26,8 @@
 func (p *Picture) request(a Ask, now time.Duration) *placement.Request {
 	return &placement.Request{
 		Zone: p.settings.Zone, Prompt: a.Prompt, Excluded: a.Excluded, Now: now,
-		Objective: a.Objective, Left: a.Left, Costs: p.costs(a.Service),
-		Limits: p.limits.any(),
+		Objective: a.Objective, RemainingWait: a.Left, Costs: p.costs(a.Service),
+		CheckLimits: p.limits.any(),
 	}
 }
 
@@ -38,15 +38,15 @@
 	list, cached := p.candidateBuf[:0], p.cached(req)
 	for _, n := range p.byService[a.Service] {
 		list = append(list, placement.Candidate{
-			ID: n.ID, Zone: n.Zone, Leave: n.Draining, Engine: n.engine,
-			Load: n.load, Silent: p.takesNone(n, req.Now), Told: n.toldTo(req.Now),
+			ID: n.ID, Zone: n.Zone, Draining: n.Draining, Engine: n.engine,
+			Load: n.load, Suspect: p.takesNone(n, req.Now), Aggregate: n.toldTo(req.Now),
 		})
-		if req.Limits {
+		if req.CheckLimits {
 			one := &list[len(list)-1]
-			one.Limited, one.Spent = p.limits.book.Limits(n.hash), req.Now < p.limits.takesAgain(n.hash, a.Priority)
+			one.Limited, one.Exhausted = p.limits.book.Limits(n.hash), req.Now < p.limits.takesAgain(n.hash, a.Priority)
 		}
 		if len(cached) > 0 {
-			list[len(list)-1].Told.Cached = cached[n.hash]
+			list[len(list)-1].Aggregate.CachedTokens = cached[n.hash]
 		}
 	}
 	p.candidateBuf = list
@@ -60,9 +60,9 @@
 
 // toldTo is what all instances together have on an upstream, or what it said of
 // itself lately, as placement sees it.
-func (n *node) toldTo(now time.Duration) placement.Told {
+func (n *node) toldTo(now time.Duration) placement.AggregateLoad {
 	all := n.all(now)
-	told := placement.Told{Ahead: all.Ahead, Yielding: all.Yielding, Use: all.Use, Requests: all.Requests}
+	told := placement.AggregateLoad{Backlog: all.Ahead, DeferredBacklog: all.Yielding, Utilization: all.Use, Requests: all.Requests}
 	if n.work.reported.Known && now-n.work.reportedAt < reportFades {
 		told.Requests = max(told.Requests, n.work.reported.Running+n.work.reported.Waiting)
 	}
@@ -84,21 +84,21 @@
 
 // PickStart chooses where a generation begins and when its prompt is processed
 // there, and charges the request to that engine.
-func (p *Picture) PickStart(a Ask, now time.Duration) (placement.Start, placement.Turn, bool) {
+func (p *Picture) PickStart(a Ask, now time.Duration) (placement.Prefill, placement.QueueOrder, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	req := p.request(a, now)
-	start, ok := p.stages.Begin(req, p.candidates(a, req), p.rng)
+	start, ok := p.stages.PickPrefill(req, p.candidates(a, req), p.rng)
 	if !ok {
-		return start, placement.TurnNext, false
+		return start, placement.QueueNormal, false
 	}
-	turn := placement.TurnNext
+	turn := placement.QueueNormal
 	if !start.Direct() {
-		turn = req.Costs.Turn(req, start, p.rng.Float64())
+		turn = req.Costs.QueueOrder(req, start, p.rng.Float64())
 	}
 	p.place(start.Engine.ID, a.ID, now)
 	p.placePrompt(start, turn, now)
-	p.nodes[start.Engine.ID].work.inflow.add(float64(req.Prompt.Tokens-start.Engine.Told.Cached), now)
+	p.nodes[start.Engine.ID].work.inflow.add(float64(req.Prompt.Tokens-start.Engine.Aggregate.CachedTokens), now)
 	p.notePrompt(start.Engine.ID, req.Prompt, now)
 	return start, turn, true
 }
@@ -110,12 +110,12 @@
 	defer p.mu.Unlock()
 	req := p.request(a, now)
 	req.KVZone = kvZone
-	chosen, ok := p.stages.Generate(req, p.candidates(a, req), p.rng)
+	chosen, ok := p.stages.PickDecode(req, p.candidates(a, req), p.rng)
 	if !ok {
 		return chosen, false
 	}
 	p.place(chosen.ID, a.ID, now)
-	p.nodes[chosen.ID].work.inflow.add(float64(a.Prompt.Tokens-chosen.Told.Cached), now)
+	p.nodes[chosen.ID].work.inflow.add(float64(a.Prompt.Tokens-chosen.Aggregate.CachedTokens), now)
 	p.notePrompt(chosen.ID, req.Prompt, now)
 	return chosen, true
 }
@@ -138,7 +138,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	req := p.request(a, now)
-	chosen, ok := p.stages.Backup(req, running, p.candidates(a, req), p.rng)
+	chosen, ok := p.stages.PickBackup(req, running, p.candidates(a, req), p.rng)
 	if !ok {
 		return Upstream{}
 	}
@@ -162,11 +162,11 @@
 }
 
 // placePrompt charges a prompt to the engine that processes it. The lock is held.
-func (p *Picture) placePrompt(s placement.Start, turn placement.Turn, now time.Duration) {
+func (p *Picture) placePrompt(s placement.Prefill, turn placement.QueueOrder, now time.Duration) {
 	w := &p.nodes[s.Engine.ID].work
-	w.own += s.Work
-	if turn == placement.TurnYield {
-		w.yielding += s.Work
+	w.own += s.BusyTime
+	if turn == placement.QueueDeferred {
+		w.yielding += s.BusyTime
 	}
-	w.use.add(s.Work.Seconds(), now)
+	w.use.add(s.BusyTime.Seconds(), now)
 }
--- a/internal/upstreamstate/upstreamstate_test.go
+++ b/internal/upstreamstate/upstreamstate_test.go
@@ -36,17 +36,17 @@
 }
 
 // toldOf is what placement is told of an upstream.
-func toldOf(t *testing.T, p *Picture, id string, a Ask, now time.Duration) placement.Told {
+func toldOf(t *testing.T, p *Picture, id string, a Ask, now time.Duration) placement.AggregateLoad {
 	t.Helper()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.candidates(a, p.request(a, now)) {
 		if c.ID == id {
-			return c.Told
+			return c.Aggregate
 		}
 	}
 	t.Fatalf("no upstream %s", id)
-	return placement.Told{}
+	return placement.AggregateLoad{}
 }
 
 // TestAnUpstreamThatStartedAgainIsANewOne, under the id that it had: it has nothing under
@@ -90,7 +90,7 @@
 	if !ok {
 		t.Fatal("no upstream")
 	}
-	p.Judge(first.ID, load.VerdictGood, 0)
+	p.Judge(first.ID, load.CallSucceeded, 0)
 	p.End(first.ID, "r", 0)
 	const later = time.Minute // it answered long ago
 	p.TakeReport("zone b", Report{Gone: []uint32{hashOf(first.ID)}}, later)
@@ -118,7 +118,7 @@
 	}
 }
 
-var long = placement.Prompt{Tokens: 9000, Output: 600, Parts: []placement.Part{{ID: "shared", Tokens: 6000}, {ID: "own", Tokens: 3000}}}
+var long = placement.Prompt{Tokens: 9000, MaxOutput: 600, Parts: []placement.Part{{ID: "shared", Tokens: 6000}, {ID: "own", Tokens: 3000}}}
 
 // TestPlainCallsAreToldOf: behind many instances, each sees few of the calls that an
 // upstream of a plain service has.
@@ -150,7 +150,7 @@
 		p.TakeReport("zone b", Report{Placed: []Placed{{Engine: hashOf("pre-1"), Part: hashOf("shared")}}}, 0)
 		p.TakeReport("zone b", Report{Loads: []EngineLoad{{Engine: hashOf("pre-1"), Inflow: c.inflow}}}, c.after)
 		ask := Ask{Service: "llm", Prompt: long}
-		if got := toldOf(t, p, "pre-1", ask, c.after).Cached; got != c.cached {
+		if got := toldOf(t, p, "pre-1", ask, c.after).CachedTokens; got != c.cached {
 			t.Errorf("%g tokens a second, after %s: %d believed cached, want %d", c.inflow, c.after, got, c.cached)
 		}
 	}
@@ -160,17 +160,17 @@
 func TestAPromptIsChargedUntilItIsDone(t *testing.T) {
 	p, other := newPicture(), newPicture()
 	start, turn, ok := p.PickStart(Ask{ID: "r", Service: "llm", Prompt: long, Objective: time.Second, Left: 2 * time.Second}, 0)
-	if !ok || start.Direct() || start.Work <= 0 || turn != placement.TurnNext {
+	if !ok || start.Direct() || start.BusyTime <= 0 || turn != placement.QueueNormal {
 		t.Fatalf("%+v, %s, %t", start, turn, ok)
 	}
 	other.TakeReport(BesidePrefix+"one", p.OwnReport(0), 0)
-	if got := toldOf(t, other, start.Engine.ID, Ask{Service: "llm"}, 0).Ahead; got != start.Work {
-		t.Errorf("%s ahead, want %s", got, start.Work)
+	if got := toldOf(t, other, start.Engine.ID, Ask{Service: "llm"}, 0).Backlog; got != start.BusyTime {
+		t.Errorf("%s ahead, want %s", got, start.BusyTime)
 	}
-	p.PromptDone(start.Engine.ID, start.Work, turn)
+	p.PromptDone(start.Engine.ID, start.BusyTime, turn)
 	p.End(start.Engine.ID, "r", 0)
 	other.TakeReport(BesidePrefix+"one", p.OwnReport(0), 0)
-	if got := toldOf(t, other, start.Engine.ID, Ask{Service: "llm"}, 0).Ahead; got != 0 {
+	if got := toldOf(t, other, start.Engine.ID, Ask{Service: "llm"}, 0).Backlog; got != 0 {
 		t.Errorf("%s ahead of nothing", got)
 	}
 }
@@ -194,9 +194,9 @@
 func TestAnUpstreamWhoseAddressAnotherHasIsLeftOutByAll(t *testing.T) {
 	p, other, beyond := newPicture(), newPicture(), newPicture()
 	chosen, _ := p.PickCall(Ask{ID: "r", Service: "app"}, 0)
-	other.Judge(chosen.ID, load.VerdictGood, 0) // it answered there just now
-	beyond.Judge(chosen.ID, load.VerdictGood, 0)
-	p.Judge(chosen.ID, load.VerdictMoved, 0)
+	other.Judge(chosen.ID, load.CallSucceeded, 0) // it answered there just now
+	beyond.Judge(chosen.ID, load.CallSucceeded, 0)
+	p.Judge(chosen.ID, load.CallAddressReassigned, 0)
 	p.End(chosen.ID, "r", 0)
 	callsWithout(t, p, chosen.ID, time.Second)
 	other.TakeReport(BesidePrefix+"one", p.OwnReport(0), 0)
@@ -211,7 +211,7 @@
 func TestAnEngineIsAwayUntilItsRoleHasChanged(t *testing.T) {
 	p, other := newPicture(), newPicture()
 	p.SendAway("dec-1", time.Minute)
-	other.Judge("dec-1", load.VerdictGood, 0)
+	other.Judge("dec-1", load.CallSucceeded, 0)
 	other.TakeReport(BesidePrefix+"one", p.OwnReport(0), 0)
 	silent := func() bool {
 		other.mu.Lock()
--- a/internal/upstreamstate/work.go
+++ b/internal/upstreamstate/work.go
@@ -31,7 +31,7 @@
 }
 
 // PromptDone takes the prompt work of a request off an engine.
-func (p *Picture) PromptDone(id string, work time.Duration, turn placement.Turn) {
+func (p *Picture) PromptDone(id string, work time.Duration, turn placement.QueueOrder) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n, ok := p.nodes[id]
@@ -39,7 +39,7 @@
 		return
 	}
 	n.work.own = max(0, n.work.own-work)
-	if turn == placement.TurnYield {
+	if turn == placement.QueueDeferred {
 		n.work.yielding = max(0, n.work.yielding-work)
 	}
 	p.changed(n)
@@ -72,25 +72,25 @@
 
 // Judge records what a send told of an upstream, and reports whether it is
 // ejected by it. One that cannot be reached is ejected at once.
-func (p *Picture) Judge(id string, v load.Verdict, now time.Duration) bool {
+func (p *Picture) Judge(id string, v load.CallResult, now time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch v {
-	case load.VerdictGone:
+	case load.CallUnreachable:
 		p.noteGone(id, now)
-	case load.VerdictMoved:
+	case load.CallAddressReassigned:
 		p.sendAway(id, now+movedFor)
 	}
 	n, ok := p.nodes[id]
 	if !ok {
 		return false // its entry is gone
 	}
-	if v != load.VerdictGone && v != load.VerdictMoved {
+	if v != load.CallUnreachable && v != load.CallAddressReassigned {
 		n.work.heardAt, n.work.heard = now, true
-		return p.loads.Judge(id, v, now)
+		return p.loads.RecordCall(id, v, now)
 	}
-	first := p.loads.Judge(id, v, now)
-	return p.loads.Judge(id, v, now) || first
+	first := p.loads.RecordCall(id, v, now)
+	return p.loads.RecordCall(id, v, now) || first
 }
 
 // HeardSince tells whether an upstream has answered anything since a time.
