--- a/internal/fanout/inbox_test.go
+++ b/internal/fanout/inbox_test.go
@@ -109,15 +109,15 @@
 // told of, and each is as old as it is when it is passed on.
 func TestLimitsWaitWithTheirAge(t *testing.T) {
 	b := NewInbox()
-	told := func(sequence uint32, now time.Duration, words ...quota.Word) {
+	told := func(sequence uint32, now time.Duration, words ...quota.UpstreamLimit) {
 		o := own(7, 1, sequence, 1)
 		o.Report.Limits = words
 		b.Keep(o, now)
 	}
-	told(1, 0, quota.Word{Upstream: 1, Rate: 2, Age: time.Second}, quota.Word{Upstream: 2, Rate: 5})
-	told(2, 100*time.Millisecond, quota.Word{Upstream: 2, Rate: 3})
+	told(1, 0, quota.UpstreamLimit{Upstream: 1, Rate: 2, Age: time.Second}, quota.UpstreamLimit{Upstream: 2, Rate: 5})
+	told(2, 100*time.Millisecond, quota.UpstreamLimit{Upstream: 2, Rate: 3})
 	got := b.Batch(300*time.Millisecond, all)[0].Report.Limits
-	want := []quota.Word{
+	want := []quota.UpstreamLimit{
 		{Upstream: 2, Rate: 3, Age: 200 * time.Millisecond}, {Upstream: 1, Rate: 2, Age: 1300 * time.Millisecond},
 	}
 	if !slices.Equal(got, want) {
--- a/internal/peers/fleet_test.go
+++ b/internal/peers/fleet_test.go
@@ -90,8 +90,8 @@
 func (l *virtualLoads) GrantRetry(uint32) bool { l.granted++; return true }
 
 // Limits and HearLimits are not played: these instances do not pull.
-func (l *virtualLoads) Limits() []quota.Word           { return nil }
-func (l *virtualLoads) ApplyLimits([]quota.Word, bool) {}
+func (l *virtualLoads) Limits() []quota.UpstreamLimit           { return nil }
+func (l *virtualLoads) ApplyLimits([]quota.UpstreamLimit, bool) {}
 
 // SetGrantShare takes what this instance gives out.
 func (l *virtualLoads) SetGrantShare(share float64) { l.grants.Keep(share, l.now()) }
--- a/internal/peers/messages.go
+++ b/internal/peers/messages.go
@@ -113,7 +113,7 @@
 	return report
 }
 
-func limitsToMessages(words []quota.Word) []*sfv1.UpstreamLimit {
+func limitsToMessages(words []quota.UpstreamLimit) []*sfv1.UpstreamLimit {
 	var messages []*sfv1.UpstreamLimit
 	for _, w := range words {
 		messages = append(messages, limitToMessage(w))
@@ -121,20 +121,20 @@
 	return messages
 }
 
-func limitsFromMessages(messages []*sfv1.UpstreamLimit) []quota.Word {
-	var words []quota.Word
+func limitsFromMessages(messages []*sfv1.UpstreamLimit) []quota.UpstreamLimit {
+	var words []quota.UpstreamLimit
 	for _, m := range messages {
 		words = append(words, limitFromMessage(m))
 	}
 	return words
 }
 
-func limitToMessage(w quota.Word) *sfv1.UpstreamLimit {
+func limitToMessage(w quota.UpstreamLimit) *sfv1.UpstreamLimit {
 	return &sfv1.UpstreamLimit{Upstream: w.Upstream, Rate: w.Rate, Leaving: w.Leaving, AgeMs: uint32(w.Age.Milliseconds())}
 }
 
-func limitFromMessage(m *sfv1.UpstreamLimit) quota.Word {
-	return quota.Word{Upstream: m.GetUpstream(), Rate: m.GetRate(), Leaving: m.GetLeaving(), Age: time.Duration(m.GetAgeMs()) * time.Millisecond}
+func limitFromMessage(m *sfv1.UpstreamLimit) quota.UpstreamLimit {
+	return quota.UpstreamLimit{Upstream: m.GetUpstream(), Rate: m.GetRate(), Leaving: m.GetLeaving(), Age: time.Duration(m.GetAgeMs()) * time.Millisecond}
 }
 
 func toMessage(p Peer) *sfv1.ReplicaPeer {
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -359,7 +359,7 @@
 // it has anything to serve by.
 func TestLimitsComeWithTheRows(t *testing.T) {
 	first := newNode(t, "n0", "a")
-	first.relay.ApplyLimits([]quota.Word{{Upstream: 7, Rate: 2, Age: time.Second}}, true)
+	first.relay.ApplyLimits([]quota.UpstreamLimit{{Upstream: 7, Rate: 2, Age: time.Second}}, true)
 	first.Take(news(1), 0)
 	second := newNode(t, "n1", "b", first.self.Address)
 	if err := second.Pull(context.Background()); err != nil {
--- a/internal/peers/reports.go
+++ b/internal/peers/reports.go
@@ -57,9 +57,9 @@
 // Limits are those of upstreams that an instance knows. One that has just started takes them
 // from the peer that gives it the platform's rows, before it serves.
 type Limits interface {
-	Limits() []quota.Word
+	Limits() []quota.UpstreamLimit
 	// ApplyLimits takes those of an instance of this zone, or of another one.
-	ApplyLimits(words []quota.Word, beside bool)
+	ApplyLimits(words []quota.UpstreamLimit, beside bool)
 }
 
 // Reports sends and takes the reports.
--- a/internal/quota/book.go
+++ b/internal/quota/book.go
@@ -107,22 +107,22 @@
 
 // Word returns what is known of an upstream's announcements, and whether the upstream told this
 // instance itself; known is false for one that never announced anything.
-func (b *Book) Word(upstream uint32, now time.Duration) (w Word, firstHand, known bool) {
+func (b *Book) Word(upstream uint32, now time.Duration) (w UpstreamLimit, firstHand, known bool) {
 	e, known := b.entries[upstream]
 	if !known {
-		return Word{Upstream: upstream, Rate: Unlimited}, false, false
+		return UpstreamLimit{Upstream: upstream, Rate: Unlimited}, false, false
 	}
 	return e.word(upstream, now), e.scope == Own, true
 }
 
 // word is what is told of an entry.
-func (e *entry) word(upstream uint32, now time.Duration) Word {
-	return Word{Upstream: upstream, Rate: e.rate, Leaving: e.leaving, Age: now - e.at}
+func (e *entry) word(upstream uint32, now time.Duration) UpstreamLimit {
+	return UpstreamLimit{Upstream: upstream, Rate: e.rate, Leaving: e.leaving, Age: now - e.at}
 }
 
 // Words returns what is known of all upstreams that announce anything, or did so lately.
-func (b *Book) Words(now time.Duration) []Word {
-	var words []Word
+func (b *Book) Words(now time.Duration) []UpstreamLimit {
+	var words []UpstreamLimit
 	for upstream, e := range b.entries {
 		words = append(words, e.word(upstream, now))
 	}
@@ -134,11 +134,11 @@
 
 // Announced takes what an answer to this instance says, and returns what it changes.
 func (b *Book) Announced(upstream uint32, a Announcement, now time.Duration) (Change, bool) {
-	return b.take(Word{Upstream: upstream, Rate: a.rate(), Leaving: a.Leaving}, Own, now)
+	return b.take(UpstreamLimit{Upstream: upstream, Rate: a.rate(), Leaving: a.Leaving}, Own, now)
 }
 
 // Heard takes another instance's word, and returns what it changes.
-func (b *Book) Heard(w Word, scope Scope, now time.Duration) (Change, bool) {
+func (b *Book) Heard(w UpstreamLimit, scope Scope, now time.Duration) (Change, bool) {
 	if math.IsNaN(w.Rate) || w.Rate <= 0 {
 		return Change{}, false
 	}
@@ -146,7 +146,7 @@
 }
 
 // take takes a word, and returns what it changes.
-func (b *Book) take(w Word, scope Scope, now time.Duration) (Change, bool) {
+func (b *Book) take(w UpstreamLimit, scope Scope, now time.Duration) (Change, bool) {
 	e, known := b.entries[w.Upstream]
 	if !known {
 		if !w.Limits() && !w.Leaving {
@@ -172,7 +172,7 @@
 
 // takeRate has a word's rate take the place of the one before if it is newer, and tells whether
 // it did. Of rates that may have crossed the lower one stands.
-func (e *entry) takeRate(w Word, scope Scope, now time.Duration) bool {
+func (e *entry) takeRate(w UpstreamLimit, scope Scope, now time.Duration) bool {
 	at := now - w.Age
 	if at <= e.at-crossing || w.Rate > e.rate && at <= e.at+patience(w.Rate) {
 		return false
@@ -209,28 +209,28 @@
 // OwnWords are the words that are due to the zone of what this instance was told itself,
 // ZoneWords those due to other zones of what its zone was told, and BeyondWords those due
 // to the zone of what others were told.
-func (b *Book) OwnWords(now time.Duration) []Word {
+func (b *Book) OwnWords(now time.Duration) []UpstreamLimit {
 	return b.due(now, toZone, func(s Scope) bool { return s == Own })
 }
 
 // ZoneWords: see OwnWords.
-func (b *Book) ZoneWords(now time.Duration) []Word {
+func (b *Book) ZoneWords(now time.Duration) []UpstreamLimit {
 	return b.due(now, toOtherZones, func(s Scope) bool { return s != Beyond })
 }
 
 // BeyondWords: see OwnWords.
-func (b *Book) BeyondWords(now time.Duration) []Word {
+func (b *Book) BeyondWords(now time.Duration) []UpstreamLimit {
 	return b.due(now, toZone, func(s Scope) bool { return s == Beyond })
 }
 
-func (b *Book) due(now time.Duration, to int, tells func(Scope) bool) []Word {
-	var words []Word
+func (b *Book) due(now time.Duration, to int, tells func(Scope) bool) []UpstreamLimit {
+	var words []UpstreamLimit
 	for upstream, e := range b.entries {
 		if tells(e.scope) && now-e.told[to] >= retellEvery {
 			words = append(words, e.word(upstream, now))
 		}
 	}
-	slices.SortFunc(words, func(a, c Word) int {
+	slices.SortFunc(words, func(a, c UpstreamLimit) int {
 		return cmp.Compare(b.entries[a.Upstream].told[to], b.entries[c.Upstream].told[to])
 	})
 	words = words[:min(len(words), tellAtMost)]
--- a/internal/quota/book_test.go
+++ b/internal/quota/book_test.go
@@ -36,7 +36,7 @@
 		now := time.Duration(0)
 		for _, s := range c.said {
 			now = max(now, s.at)
-			b.Heard(Word{Upstream: upstream, Rate: s.rate, Age: now - s.at}, Beside, now)
+			b.Heard(UpstreamLimit{Upstream: upstream, Rate: s.rate, Age: now - s.at}, Beside, now)
 		}
 		if got := b.Rate(upstream); got != c.want {
 			t.Errorf("%s: %g a second, want %g", name, got, c.want)
@@ -56,7 +56,7 @@
 	}
 	b := NewBook()
 	for _, rate := range []float64{math.NaN(), -1, 0} {
-		if _, changed := b.Heard(Word{Upstream: upstream, Rate: rate}, Beside, 0); changed || b.Any() {
+		if _, changed := b.Heard(UpstreamLimit{Upstream: upstream, Rate: rate}, Beside, 0); changed || b.Any() {
 			t.Errorf("%g was believed", rate)
 		}
 	}
@@ -91,8 +91,8 @@
 func TestWordsAreToldAgainToTheirReceivers(t *testing.T) {
 	b := NewBook()
 	b.Announced(1, limited(1), 0)
-	b.Heard(Word{Upstream: 2, Rate: 2}, Beside, 0)
-	b.Heard(Word{Upstream: 3, Rate: 3}, Beyond, 0)
+	b.Heard(UpstreamLimit{Upstream: 2, Rate: 2}, Beside, 0)
+	b.Heard(UpstreamLimit{Upstream: 3, Rate: 3}, Beyond, 0)
 	for _, now := range []time.Duration{0, retellEvery, 2 * retellEvery} {
 		own, zone, beyond := b.OwnWords(now), b.ZoneWords(now), b.BeyondWords(now)
 		if len(own) != 1 || len(zone) != 2 || len(beyond) != 1 || own[0].Age != now || beyond[0].Upstream != 3 {
@@ -138,7 +138,7 @@
 		t.Error("shown twice")
 	}
 	b.Announced(upstream, Announcement{}, time.Minute)
-	b.Heard(Word{Upstream: upstream, Rate: 3, Age: time.Second}, Beside, time.Minute)
+	b.Heard(UpstreamLimit{Upstream: upstream, Rate: 3, Age: time.Second}, Beside, time.Minute)
 	listed := true
 	b.Lapse(func(uint32) bool { return listed }, time.Hour)
 	if !b.Leaving(upstream) || len(b.OwnWords(time.Hour)) != 1 {
--- a/internal/quota/grants.go
+++ b/internal/quota/grants.go
@@ -9,7 +9,7 @@
 // Ask is a question for one send to an upstream with a limit.
 type Ask struct {
 	// Word is what the asking instance knows of the upstream's limit.
-	Word Word
+	Word UpstreamLimit
 	// FirstHand: the upstream itself told it so, and no other instance.
 	FirstHand bool
 	// From names the asking instance.
@@ -111,10 +111,10 @@
 // Limits is what is known of upstreams' limits.
 type Limits interface {
 	// HearLimit takes what an instance was told by the upstream itself.
-	HearLimit(w Word, now time.Duration)
+	HearLimit(w UpstreamLimit, now time.Duration)
 	// Limit returns what is known of an upstream's limit; known is false for one that never
 	// had one.
-	Limit(upstream uint32, now time.Duration) (w Word, firstHand, known bool)
+	Limit(upstream uint32, now time.Duration) (w UpstreamLimit, firstHand, known bool)
 }
 
 // Decide takes what an instance that asks for a send was told, and decides on it by the
--- a/internal/quota/grants_test.go
+++ b/internal/quota/grants_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-func asks(rate float64) Ask { return Ask{Word: Word{Upstream: upstream, Rate: rate}} }
+func asks(rate float64) Ask { return Ask{Word: UpstreamLimit{Upstream: upstream, Rate: rate}} }
 
 // coordinating returns grants of an instance that has coordinated for long, and the time.
 func coordinating(rate float64) (*Grants, time.Duration) {
@@ -163,9 +163,9 @@
 		"it knows that it has ended": {func(b *Book) {
 			b.Announced(upstream, limited(1), 0)
 			b.Announced(upstream, Announcement{}, 5*time.Second)
-		}, Ask{Word: Word{Upstream: upstream, Rate: 1, Age: 8 * time.Second}}, true},
-		"the asker's word is newer":   {func(b *Book) { b.Announced(upstream, limited(9), 0) }, Ask{Word: Word{Upstream: upstream, Rate: 1}, FirstHand: true}, false},
-		"the asker's word is hearsay": {func(b *Book) { b.Announced(upstream, limited(1), 0) }, Ask{Word: Word{Upstream: upstream, Rate: 1}}, false},
+		}, Ask{Word: UpstreamLimit{Upstream: upstream, Rate: 1, Age: 8 * time.Second}}, true},
+		"the asker's word is newer":   {func(b *Book) { b.Announced(upstream, limited(9), 0) }, Ask{Word: UpstreamLimit{Upstream: upstream, Rate: 1}, FirstHand: true}, false},
+		"the asker's word is hearsay": {func(b *Book) { b.Announced(upstream, limited(1), 0) }, Ask{Word: UpstreamLimit{Upstream: upstream, Rate: 1}}, false},
 	} {
 		known := bookOf{NewBook()}
 		c.book(known.Book)
@@ -185,8 +185,8 @@
 // bookOf is what is known of limits.
 type bookOf struct{ *Book }
 
-func (b bookOf) HearLimit(w Word, now time.Duration) { b.Heard(w, Beside, now) }
+func (b bookOf) HearLimit(w UpstreamLimit, now time.Duration) { b.Heard(w, Beside, now) }
 
-func (b bookOf) Limit(upstream uint32, now time.Duration) (Word, bool, bool) {
+func (b bookOf) Limit(upstream uint32, now time.Duration) (UpstreamLimit, bool, bool) {
 	return b.Word(upstream, now)
 }
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -46,7 +46,7 @@
 }
 
 // Aged returns words that have waited for a time since they were told.
-func Aged(words []Word, by time.Duration) []Word {
+func Aged(words []UpstreamLimit, by time.Duration) []UpstreamLimit {
 	aged := slices.Clone(words)
 	for i := range aged {
 		aged[i].Age += by
@@ -55,10 +55,10 @@
 }
 
 // Merged returns newer words, with the older ones on other upstreams.
-func Merged(older, newer []Word) []Word {
+func Merged(older, newer []UpstreamLimit) []UpstreamLimit {
 	merged := slices.Clone(newer)
 	for _, w := range older {
-		if !slices.ContainsFunc(newer, func(n Word) bool { return n.Upstream == w.Upstream }) {
+		if !slices.ContainsFunc(newer, func(n UpstreamLimit) bool { return n.Upstream == w.Upstream }) {
 			merged = append(merged, w)
 		}
 	}
@@ -66,10 +66,10 @@
 }
 
 // Limits tells whether the upstream limits its requests.
-func (w Word) Limits() bool { return !math.IsInf(w.Rate, 1) }
+func (w UpstreamLimit) Limits() bool { return !math.IsInf(w.Rate, 1) }
 
-// Word is what one instance tells others of an upstream's announcements.
-type Word struct {
+// UpstreamLimit is what one instance tells others of an upstream's announcements.
+type UpstreamLimit struct {
 	// Upstream is a hash of its incarnation.
 	Upstream uint32
 	// Rate in requests a second, Unlimited where there is no limit, or it ended.
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -202,10 +202,10 @@
 }
 
 // Limits returns what is known of upstreams' limits.
-func (r *Relay) Limits() []quota.Word { return r.picture.Limits(r.now()) }
+func (r *Relay) Limits() []quota.UpstreamLimit { return r.picture.Limits(r.now()) }
 
 // ApplyLimits takes what an instance of this zone, or of another one, knows of them.
-func (r *Relay) ApplyLimits(words []quota.Word, beside bool) {
+func (r *Relay) ApplyLimits(words []quota.UpstreamLimit, beside bool) {
 	r.picture.HearLimits(words, beside, r.now())
 	r.showLimits()
 }
--- a/internal/upstreamstate/limits.go
+++ b/internal/upstreamstate/limits.go
@@ -82,7 +82,7 @@
 }
 
 // hearLimits takes what others told of upstreams' announcements. The lock is held.
-func (p *Picture) hearLimits(words []quota.Word, beside bool, now time.Duration) {
+func (p *Picture) hearLimits(words []quota.UpstreamLimit, beside bool, now time.Duration) {
 	scope := quota.Beyond
 	if beside {
 		scope = quota.Beside
@@ -94,24 +94,24 @@
 }
 
 // Limits returns what is known of the announcements of all upstreams.
-func (p *Picture) Limits(now time.Duration) []quota.Word {
+func (p *Picture) Limits(now time.Duration) []quota.UpstreamLimit {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.limits.book.Words(now)
 }
 
 // HearLimits takes what an instance of this zone, or of another one, knows of all upstreams.
-func (p *Picture) HearLimits(words []quota.Word, beside bool, now time.Duration) {
+func (p *Picture) HearLimits(words []quota.UpstreamLimit, beside bool, now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.hearLimits(words, beside, now)
 }
 
 // HearLimit takes what an instance that asks for a grant was told by the upstream.
-func (p *Picture) HearLimit(w quota.Word, now time.Duration) {
+func (p *Picture) HearLimit(w quota.UpstreamLimit, now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.hearLimits([]quota.Word{w}, true, now)
+	p.hearLimits([]quota.UpstreamLimit{w}, true, now)
 }
 
 // noteLimit keeps a change to be logged. What was told to wait for by the limit before
@@ -140,7 +140,7 @@
 
 // Limit returns what is known of an upstream's limit, whether the upstream told this instance
 // itself, and whether anything is known of one.
-func (p *Picture) Limit(hash uint32, now time.Duration) (w quota.Word, firstHand, known bool) {
+func (p *Picture) Limit(hash uint32, now time.Duration) (w quota.UpstreamLimit, firstHand, known bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.limits.book.Word(hash, now)
--- a/internal/upstreamstate/reports.go
+++ b/internal/upstreamstate/reports.go
@@ -81,7 +81,7 @@
 	// Ends are those of upstreams under a request's content that are to be known to all.
 	Ends []quarantine.End
 	// Limits of upstreams, as far as they are due.
-	Limits []quota.Word
+	Limits []quota.UpstreamLimit
 }
 
 // partLoads is how many loads one part of a report has: about half a datagram.
