--- a/internal/peers/limit_test.go
+++ b/internal/peers/limit_test.go
@@ -129,7 +129,7 @@
 		n.loads.End(chosen.ID, c.id, now)
 		u := f.upstreams[slices.IndexFunc(f.upstreams, func(u *limitedUpstream) bool { return u.ID == chosen.ID })]
 		word, firstHand, _ := n.loads.Limit(chosen.Incarnation(), now)
-		if !word.Limits() {
+		if !word.Limited() {
 			f.arrives(c, u)
 			return
 		}
--- a/internal/quota/book.go
+++ b/internal/quota/book.go
@@ -149,7 +149,7 @@
 func (b *Book) take(w UpstreamLimit, scope Scope, now time.Duration) (Change, bool) {
 	e, known := b.entries[w.Upstream]
 	if !known {
-		if !w.Limits() && !w.Leaving {
+		if !w.Limited() && !w.Leaving {
 			return Change{}, false
 		}
 		e = &entry{rate: Unlimited, at: never}
--- a/internal/quota/grants.go
+++ b/internal/quota/grants.go
@@ -127,7 +127,7 @@
 	if !known {
 		word = ask.Word
 	}
-	if !word.Limits() {
+	if !word.Limited() {
 		return Verdict{Granted: true}
 	}
 	return g.Take(ask, word.Rate, now)
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -65,8 +65,8 @@
 	return merged[:min(len(merged), tellAtMost)]
 }
 
-// Limits tells whether the upstream limits its requests.
-func (w UpstreamLimit) Limits() bool { return !math.IsInf(w.Rate, 1) }
+// Limited tells whether the upstream limits its requests.
+func (w UpstreamLimit) Limited() bool { return !math.IsInf(w.Rate, 1) }
 
 // UpstreamLimit is what one instance tells others of an upstream's announcements.
 type UpstreamLimit struct {
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -105,7 +105,7 @@
 	}
 	upstream, now := send.To.Incarnation(), r.now()
 	limit, firstHand, _ := r.picture.Limit(upstream, now)
-	if !limit.Limits() {
+	if !limit.Limited() {
 		return true
 	}
 	if r.picture.IsSpent(upstream, send.Priority, now) && !send.Continues {
--- a/internal/relay/limits_test.go
+++ b/internal/relay/limits_test.go
@@ -274,7 +274,7 @@
 	r.UpdateUpstream(again)
 	r.hear(before, limitOf(1))
 	w, _, known := r.picture.Limit(again.Incarnation(), r.now())
-	if w.Limits() || known {
+	if w.Limited() || known {
 		t.Errorf("it is kept to %+v", w)
 	}
 }
@@ -286,7 +286,7 @@
 		r.hear(r.picture.Upstream(id), upstreamstate.Statement{Unread: []error{errors.New("no rate")}})
 	}
 	for id, limits := range map[string]bool{"app-1": true, "app-2": false} {
-		if w, _, _ := r.picture.Limit(hashOfUpstream(id), r.now()); w.Limits() != limits {
+		if w, _, _ := r.picture.Limit(hashOfUpstream(id), r.now()); w.Limited() != limits {
 			t.Errorf("%s: %+v", id, w)
 		}
 	}
