--- a/internal/peers/messages.go
+++ b/internal/peers/messages.go
@@ -130,11 +130,11 @@
 }
 
 func limitToMessage(w quota.UpstreamLimit) *sfv1.UpstreamLimit {
-	return &sfv1.UpstreamLimit{Upstream: w.Upstream, Rate: w.Rate, Leaving: w.Leaving, AgeMs: uint32(w.Age.Milliseconds())}
+	return &sfv1.UpstreamLimit{Upstream: w.Upstream, Rate: w.Rate, Leaving: w.Draining, AgeMs: uint32(w.Age.Milliseconds())}
 }
 
 func limitFromMessage(m *sfv1.UpstreamLimit) quota.UpstreamLimit {
-	return quota.UpstreamLimit{Upstream: m.GetUpstream(), Rate: m.GetRate(), Leaving: m.GetLeaving(), Age: time.Duration(m.GetAgeMs()) * time.Millisecond}
+	return quota.UpstreamLimit{Upstream: m.GetUpstream(), Rate: m.GetRate(), Draining: m.GetLeaving(), Age: time.Duration(m.GetAgeMs()) * time.Millisecond}
 }
 
 func toMessage(p Peer) *sfv1.ReplicaPeer {
--- a/internal/quota/book.go
+++ b/internal/quota/book.go
@@ -117,7 +117,7 @@
 
 // word is what is told of an entry.
 func (e *entry) word(upstream uint32, now time.Duration) UpstreamLimit {
-	return UpstreamLimit{Upstream: upstream, Rate: e.rate, Leaving: e.leaving, Age: now - e.at}
+	return UpstreamLimit{Upstream: upstream, Rate: e.rate, Draining: e.leaving, Age: now - e.at}
 }
 
 // Words returns what is known of all upstreams that announce anything, or did so lately.
@@ -134,7 +134,7 @@
 
 // Announced takes what an answer to this instance says, and returns what it changes.
 func (b *Book) Announced(upstream uint32, a Announcement, now time.Duration) (Change, bool) {
-	return b.take(UpstreamLimit{Upstream: upstream, Rate: a.rate(), Leaving: a.Leaving}, Own, now)
+	return b.take(UpstreamLimit{Upstream: upstream, Rate: a.rate(), Draining: a.Leaving}, Own, now)
 }
 
 // Heard takes another instance's word, and returns what it changes.
@@ -149,14 +149,14 @@
 func (b *Book) take(w UpstreamLimit, scope Scope, now time.Duration) (Change, bool) {
 	e, known := b.entries[w.Upstream]
 	if !known {
-		if !w.Limited() && !w.Leaving {
+		if !w.Limited() && !w.Draining {
 			return Change{}, false
 		}
 		e = &entry{rate: Unlimited, at: never}
 		b.entries[w.Upstream] = e
 	}
 	change := Change{Upstream: w.Upstream, Before: e.rate, Rate: e.rate, Scope: scope, Age: w.Age}
-	if w.Leaving && !e.leaving {
+	if w.Draining && !e.leaving {
 		e.leaving, e.scope, change.Leaves = true, scope, true
 		e.at = max(e.at, now-w.Age)
 	}
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -74,8 +74,8 @@
 	Upstream uint32
 	// Rate in requests a second, Unlimited where there is no limit, or it ended.
 	Rate float64
-	// Leaving upstreams end soon. No incarnation takes this back.
-	Leaving bool
+	// Draining upstreams end soon. No incarnation takes this back.
+	Draining bool
 	// Age of the newest answer that said so.
 	Age time.Duration
 }
--- a/internal/upstreamstate/leaving_test.go
+++ b/internal/upstreamstate/leaving_test.go
@@ -60,7 +60,7 @@
 			t.Errorf("%s: %d lines, want 1", name, n)
 		}
 	}
-	if again := told.OwnReport(time.Minute).Limits; len(again) != 1 || !again[0].Leaving {
+	if again := told.OwnReport(time.Minute).Limits; len(again) != 1 || !again[0].Draining {
 		t.Errorf("not told again: %v", again)
 	}
 }
