--- a/internal/quota/book.go
+++ b/internal/quota/book.go
@@ -134,7 +134,7 @@
 
 // Announced takes what an answer to this instance says, and returns what it changes.
 func (b *Book) Announced(upstream uint32, a Announcement, now time.Duration) (Change, bool) {
-	return b.take(UpstreamLimit{Upstream: upstream, Rate: a.rate(), Draining: a.Leaving}, Own, now)
+	return b.take(UpstreamLimit{Upstream: upstream, Rate: a.rate(), Draining: a.Draining}, Own, now)
 }
 
 // Heard takes another instance's word, and returns what it changes.
--- a/internal/quota/book_test.go
+++ b/internal/quota/book_test.go
@@ -130,11 +130,11 @@
 // an entry that lapses, each of which could hide that an upstream leaves.
 func TestThatAnUpstreamLeavesIsNotTakenBack(t *testing.T) {
 	b := NewBook()
-	change, shown := b.Announced(upstream, Announcement{Limited: true, Rate: 2, Leaving: true}, 0)
+	change, shown := b.Announced(upstream, Announcement{Limited: true, Rate: 2, Draining: true}, 0)
 	if !shown || !change.Leaves || change.Rate != 2 {
 		t.Errorf("%+v", change)
 	}
-	if _, shown := b.Announced(upstream, Announcement{Limited: true, Rate: 2, Leaving: true}, 1); shown {
+	if _, shown := b.Announced(upstream, Announcement{Limited: true, Rate: 2, Draining: true}, 1); shown {
 		t.Error("shown twice")
 	}
 	b.Announced(upstream, Announcement{}, time.Minute)
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -33,8 +33,8 @@
 	// Limited tells that it names a limit; Rate is in requests a second, 0 for none at all.
 	Limited bool
 	Rate    float64
-	// Leaving: it ends soon, and takes no new requests.
-	Leaving bool
+	// Draining: it ends soon, and takes no new requests.
+	Draining bool
 }
 
 // rate is the announced rate as it is kept to.
--- a/internal/relay/leaving_test.go
+++ b/internal/relay/leaving_test.go
@@ -15,7 +15,7 @@
 
 // leavingWord is an upstream's word that it leaves.
 func leavingWord() upstreamstate.Statement {
-	return upstreamstate.Statement{Announcement: &quota.Announcement{Leaving: true}}
+	return upstreamstate.Statement{Announcement: &quota.Announcement{Draining: true}}
 }
 
 // sendKind is a kind of request whose sends must heed what upstreams say.
--- a/internal/upstreamstate/leaving_test.go
+++ b/internal/upstreamstate/leaving_test.go
@@ -15,7 +15,7 @@
 	u := p.Members("app")[0]
 	u.Born = 1
 	p.Learn(u)
-	p.Announced(u, quota.Announcement{Leaving: true}, 0)
+	p.Announced(u, quota.Announcement{Draining: true}, 0)
 	leaves := func(when string, want bool) {
 		t.Helper()
 		if now := p.Upstream(u.ID); now.Draining != want || p.Leaves(now) != want {
@@ -38,7 +38,7 @@
 	again.Born = 2
 	p.Learn(again)
 	leaves("at its new start", false)
-	p.Announced(u, quota.Announcement{Leaving: true}, time.Minute)
+	p.Announced(u, quota.Announcement{Draining: true}, time.Minute)
 	leaves("after a late answer of the start before", false)
 }
 
@@ -47,7 +47,7 @@
 func TestThatAnUpstreamLeavesReachesAllZones(t *testing.T) {
 	told, hub, farHub, far, newcomer := newPicture(), newPicture(), newPicture(), newPicture(), newPicture()
 	u := told.Members("app")[0]
-	told.Announced(u, quota.Announcement{Leaving: true}, 0)
+	told.Announced(u, quota.Announcement{Draining: true}, 0)
 	hub.TakeReport(BesidePrefix+"one", told.OwnReport(0), 0)
 	farHub.TakeReport("zone a", hub.ZoneReport(0), 0)
 	far.TakeReport("zones", farHub.BeyondReport(0), 0)
