--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -45,8 +45,8 @@
 	return max(a.Rate, leastRate)
 }
 
-// Aged returns words that have waited for a time since they were told.
-func Aged(words []UpstreamLimit, by time.Duration) []UpstreamLimit {
+// AddAge returns words that have waited for a time since they were told.
+func AddAge(words []UpstreamLimit, by time.Duration) []UpstreamLimit {
 	aged := slices.Clone(words)
 	for i := range aged {
 		aged[i].Age += by
