--- a/internal/fanout/inbox.go
+++ b/internal/fanout/inbox.go
@@ -70,7 +70,7 @@
 	ends := append(b.waiting[o.Source].own.Report.Ends, o.Report.Ends...)
 	o.Report.Ends = ends[max(0, len(ends)-endsAtMost):]
 	if w, waits := b.waiting[o.Source]; waits {
-		o.Report.Limits = quota.Merged(quota.AddAge(w.own.Report.Limits, now-w.at), o.Report.Limits)
+		o.Report.Limits = quota.Merge(quota.AddAge(w.own.Report.Limits, now-w.at), o.Report.Limits)
 	}
 	o.Report.Spilled, o.Report.Usage = nil, nil // these are for those that pass reports on
 	since := now
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -54,8 +54,8 @@
 	return aged
 }
 
-// Merged returns newer words, with the older ones on other upstreams.
-func Merged(older, newer []UpstreamLimit) []UpstreamLimit {
+// Merge returns newer words, with the older ones on other upstreams.
+func Merge(older, newer []UpstreamLimit) []UpstreamLimit {
 	merged := slices.Clone(newer)
 	for _, w := range older {
 		if !slices.ContainsFunc(newer, func(n UpstreamLimit) bool { return n.Upstream == w.Upstream }) {
