--- a/internal/quota/book.go
+++ b/internal/quota/book.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// Scope is where a word comes from.
-type Scope int
+// Source is where a word comes from.
+type Source int
 
 const (
 	// Own: this instance got the answer.
-	Own Scope = iota
+	Own Source = iota
 	// Beside: an instance of the same zone did.
 	Beside
 	// Beyond: an instance of another zone did.
@@ -20,7 +20,7 @@
 )
 
 // String names the scope in logs.
-func (s Scope) String() string {
+func (s Source) String() string {
 	return [...]string{"own", "zone", "other zones"}[s]
 }
 
@@ -49,7 +49,7 @@
 type entry struct {
 	rate    float64
 	leaving bool
-	scope   Scope
+	scope   Source
 	// at is when the newest answer came that said so.
 	at time.Duration
 	// told is when it was last told, by whom it is told to.
@@ -72,7 +72,7 @@
 	Before, Rate float64
 	// Leaves: it was not known before that the upstream leaves.
 	Leaves bool
-	Scope  Scope
+	Scope  Source
 	// Age of the answer that said so.
 	Age time.Duration
 }
@@ -138,7 +138,7 @@
 }
 
 // Heard takes another instance's word, and returns what it changes.
-func (b *Book) Heard(w UpstreamLimit, scope Scope, now time.Duration) (Change, bool) {
+func (b *Book) Heard(w UpstreamLimit, scope Source, now time.Duration) (Change, bool) {
 	if math.IsNaN(w.Rate) || w.Rate <= 0 {
 		return Change{}, false
 	}
@@ -146,7 +146,7 @@
 }
 
 // take takes a word, and returns what it changes.
-func (b *Book) take(w UpstreamLimit, scope Scope, now time.Duration) (Change, bool) {
+func (b *Book) take(w UpstreamLimit, scope Source, now time.Duration) (Change, bool) {
 	e, known := b.entries[w.Upstream]
 	if !known {
 		if !w.Limited() && !w.Draining {
@@ -172,7 +172,7 @@
 
 // takeRate has a word's rate take the place of the one before if it is newer, and tells whether
 // it did. Of rates that may have crossed the lower one stands.
-func (e *entry) takeRate(w UpstreamLimit, scope Scope, now time.Duration) bool {
+func (e *entry) takeRate(w UpstreamLimit, scope Source, now time.Duration) bool {
 	at := now - w.Age
 	if at <= e.at-crossing || w.Rate > e.rate && at <= e.at+patience(w.Rate) {
 		return false
@@ -210,20 +210,20 @@
 // ZoneWords those due to other zones of what its zone was told, and BeyondWords those due
 // to the zone of what others were told.
 func (b *Book) OwnWords(now time.Duration) []UpstreamLimit {
-	return b.due(now, toZone, func(s Scope) bool { return s == Own })
+	return b.due(now, toZone, func(s Source) bool { return s == Own })
 }
 
 // ZoneWords: see OwnWords.
 func (b *Book) ZoneWords(now time.Duration) []UpstreamLimit {
-	return b.due(now, toOtherZones, func(s Scope) bool { return s != Beyond })
+	return b.due(now, toOtherZones, func(s Source) bool { return s != Beyond })
 }
 
 // BeyondWords: see OwnWords.
 func (b *Book) BeyondWords(now time.Duration) []UpstreamLimit {
-	return b.due(now, toZone, func(s Scope) bool { return s == Beyond })
+	return b.due(now, toZone, func(s Source) bool { return s == Beyond })
 }
 
-func (b *Book) due(now time.Duration, to int, tells func(Scope) bool) []UpstreamLimit {
+func (b *Book) due(now time.Duration, to int, tells func(Source) bool) []UpstreamLimit {
 	var words []UpstreamLimit
 	for upstream, e := range b.entries {
 		if tells(e.scope) && now-e.told[to] >= retellEvery {
