--- a/internal/quota/book.go
+++ b/internal/quota/book.go
@@ -13,8 +13,8 @@
 const (
 	// Own: this instance got the answer.
 	Own Source = iota
-	// Beside: an instance of the same zone did.
-	Beside
+	// SameZone: an instance of the same zone did.
+	SameZone
 	// Beyond: an instance of another zone did.
 	Beyond
 )
--- a/internal/quota/book_test.go
+++ b/internal/quota/book_test.go
@@ -36,7 +36,7 @@
 		now := time.Duration(0)
 		for _, s := range c.said {
 			now = max(now, s.at)
-			b.Heard(UpstreamLimit{Upstream: upstream, Rate: s.rate, Age: now - s.at}, Beside, now)
+			b.Heard(UpstreamLimit{Upstream: upstream, Rate: s.rate, Age: now - s.at}, SameZone, now)
 		}
 		if got := b.Rate(upstream); got != c.want {
 			t.Errorf("%s: %g a second, want %g", name, got, c.want)
@@ -56,7 +56,7 @@
 	}
 	b := NewBook()
 	for _, rate := range []float64{math.NaN(), -1, 0} {
-		if _, changed := b.Heard(UpstreamLimit{Upstream: upstream, Rate: rate}, Beside, 0); changed || b.Any() {
+		if _, changed := b.Heard(UpstreamLimit{Upstream: upstream, Rate: rate}, SameZone, 0); changed || b.Any() {
 			t.Errorf("%g was believed", rate)
 		}
 	}
@@ -68,17 +68,17 @@
 	missed, saw, later := NewBook(), NewBook(), NewBook()
 	missed.Announced(upstream, limited(2), 0)
 	for _, w := range missed.OwnWords(0) {
-		saw.Heard(w, Beside, 0)
+		saw.Heard(w, SameZone, 0)
 	}
 	end := 10 * time.Second
 	saw.Announced(upstream, Announcement{}, end)
 	for _, w := range saw.OwnWords(end) {
-		later.Heard(w, Beside, end)
-		missed.Heard(w, Beside, end)
+		later.Heard(w, SameZone, end)
+		missed.Heard(w, SameZone, end)
 	}
 	for name, b := range map[string]*Book{"who missed it": missed, "who saw it": saw, "who heard of it alone": later} {
 		for _, w := range missed.OwnWords(end + retellEvery) {
-			b.Heard(w, Beside, end+retellEvery)
+			b.Heard(w, SameZone, end+retellEvery)
 		}
 		if got := b.Rate(upstream); !math.IsInf(got, 1) {
 			t.Errorf("%s keeps to %g", name, got)
@@ -91,7 +91,7 @@
 func TestWordsAreToldAgainToTheirReceivers(t *testing.T) {
 	b := NewBook()
 	b.Announced(1, limited(1), 0)
-	b.Heard(UpstreamLimit{Upstream: 2, Rate: 2}, Beside, 0)
+	b.Heard(UpstreamLimit{Upstream: 2, Rate: 2}, SameZone, 0)
 	b.Heard(UpstreamLimit{Upstream: 3, Rate: 3}, Beyond, 0)
 	for _, now := range []time.Duration{0, retellEvery, 2 * retellEvery} {
 		own, zone, beyond := b.OwnWords(now), b.ZoneWords(now), b.BeyondWords(now)
@@ -138,7 +138,7 @@
 		t.Error("shown twice")
 	}
 	b.Announced(upstream, Announcement{}, time.Minute)
-	b.Heard(UpstreamLimit{Upstream: upstream, Rate: 3, Age: time.Second}, Beside, time.Minute)
+	b.Heard(UpstreamLimit{Upstream: upstream, Rate: 3, Age: time.Second}, SameZone, time.Minute)
 	listed := true
 	b.Lapse(func(uint32) bool { return listed }, time.Hour)
 	if !b.Leaving(upstream) || len(b.OwnWords(time.Hour)) != 1 {
--- a/internal/quota/grants_test.go
+++ b/internal/quota/grants_test.go
@@ -185,7 +185,7 @@
 // bookOf is what is known of limits.
 type bookOf struct{ *Book }
 
-func (b bookOf) HearLimit(w UpstreamLimit, now time.Duration) { b.Heard(w, Beside, now) }
+func (b bookOf) HearLimit(w UpstreamLimit, now time.Duration) { b.Heard(w, SameZone, now) }
 
 func (b bookOf) Limit(upstream uint32, now time.Duration) (UpstreamLimit, bool, bool) {
 	return b.Word(upstream, now)
--- a/internal/upstreamstate/limits.go
+++ b/internal/upstreamstate/limits.go
@@ -85,7 +85,7 @@
 func (p *Picture) hearLimits(words []quota.UpstreamLimit, beside bool, now time.Duration) {
 	scope := quota.Beyond
 	if beside {
-		scope = quota.Beside
+		scope = quota.SameZone
 	}
 	for _, w := range words {
 		change, changed := p.limits.book.Heard(w, scope, now)
