--- a/internal/quota/book.go
+++ b/internal/quota/book.go
@@ -15,8 +15,8 @@
 	Own Source = iota
 	// SameZone: an instance of the same zone did.
 	SameZone
-	// Beyond: an instance of another zone did.
-	Beyond
+	// OtherZone: an instance of another zone did.
+	OtherZone
 )
 
 // String names the scope in logs.
@@ -215,12 +215,12 @@
 
 // ZoneWords: see OwnWords.
 func (b *Book) ZoneWords(now time.Duration) []UpstreamLimit {
-	return b.due(now, toOtherZones, func(s Source) bool { return s != Beyond })
+	return b.due(now, toOtherZones, func(s Source) bool { return s != OtherZone })
 }
 
 // BeyondWords: see OwnWords.
 func (b *Book) BeyondWords(now time.Duration) []UpstreamLimit {
-	return b.due(now, toZone, func(s Source) bool { return s == Beyond })
+	return b.due(now, toZone, func(s Source) bool { return s == OtherZone })
 }
 
 func (b *Book) due(now time.Duration, to int, tells func(Source) bool) []UpstreamLimit {
--- a/internal/quota/book_test.go
+++ b/internal/quota/book_test.go
@@ -92,7 +92,7 @@
 	b := NewBook()
 	b.Announced(1, limited(1), 0)
 	b.Heard(UpstreamLimit{Upstream: 2, Rate: 2}, SameZone, 0)
-	b.Heard(UpstreamLimit{Upstream: 3, Rate: 3}, Beyond, 0)
+	b.Heard(UpstreamLimit{Upstream: 3, Rate: 3}, OtherZone, 0)
 	for _, now := range []time.Duration{0, retellEvery, 2 * retellEvery} {
 		own, zone, beyond := b.OwnWords(now), b.ZoneWords(now), b.BeyondWords(now)
 		if len(own) != 1 || len(zone) != 2 || len(beyond) != 1 || own[0].Age != now || beyond[0].Upstream != 3 {
--- a/internal/upstreamstate/limits.go
+++ b/internal/upstreamstate/limits.go
@@ -83,7 +83,7 @@
 
 // hearLimits takes what others told of upstreams' announcements. The lock is held.
 func (p *Picture) hearLimits(words []quota.UpstreamLimit, beside bool, now time.Duration) {
-	scope := quota.Beyond
+	scope := quota.OtherZone
 	if beside {
 		scope = quota.SameZone
 	}
