--- a/internal/quota/book.go
+++ b/internal/quota/book.go
@@ -72,7 +72,7 @@
 	Before, Rate float64
 	// Leaves: it was not known before that the upstream leaves.
 	Leaves bool
-	Scope  Source
+	Source  Source
 	// Age of the answer that said so.
 	Age time.Duration
 }
@@ -155,7 +155,7 @@
 		e = &entry{rate: Unlimited, at: never}
 		b.entries[w.Upstream] = e
 	}
-	change := Change{Upstream: w.Upstream, Before: e.rate, Rate: e.rate, Scope: scope, Age: w.Age}
+	change := Change{Upstream: w.Upstream, Before: e.rate, Rate: e.rate, Source: scope, Age: w.Age}
 	if w.Draining && !e.leaving {
 		e.leaving, e.scope, change.Leaves = true, scope, true
 		e.at = max(e.at, now-w.Age)
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -239,7 +239,7 @@
 	for _, c := range r.picture.LimitChanges() {
 		inputs := []any{
 			"upstream", r.picture.NameOf(c.Upstream), "per_second", c.Rate, "before", c.Before,
-			"source", c.Scope.String(), "age", c.Age,
+			"source", c.Source.String(), "age", c.Age,
 		}
 		if c.Leaves {
 			r.meters.limits.leaving.Inc(1)
