--- a/internal/quota/book.go
+++ b/internal/quota/book.go
@@ -69,7 +69,7 @@
 // Change of what is known of an upstream's announcements.
 type Change struct {
 	Upstream     uint32
-	Before, Rate float64
+	OldRate, Rate float64
 	// Leaves: it was not known before that the upstream leaves.
 	Leaves bool
 	Source  Source
@@ -155,7 +155,7 @@
 		e = &entry{rate: Unlimited, at: never}
 		b.entries[w.Upstream] = e
 	}
-	change := Change{Upstream: w.Upstream, Before: e.rate, Rate: e.rate, Source: scope, Age: w.Age}
+	change := Change{Upstream: w.Upstream, OldRate: e.rate, Rate: e.rate, Source: scope, Age: w.Age}
 	if w.Draining && !e.leaving {
 		e.leaving, e.scope, change.Leaves = true, scope, true
 		e.at = max(e.at, now-w.Age)
@@ -192,10 +192,10 @@
 	if c.Leaves {
 		return true
 	}
-	if math.IsInf(c.Before, 1) || math.IsInf(c.Rate, 1) {
-		return c.Before != c.Rate
+	if math.IsInf(c.OldRate, 1) || math.IsInf(c.Rate, 1) {
+		return c.OldRate != c.Rate
 	}
-	return math.Abs(c.Before-c.Rate) > leastChange*c.Before
+	return math.Abs(c.OldRate-c.Rate) > leastChange*c.OldRate
 }
 
 // patience is how much newer a word for a higher rate must be.
--- a/internal/quota/book_test.go
+++ b/internal/quota/book_test.go
@@ -102,7 +102,7 @@
 			t.Errorf("told twice within %s", retellEvery)
 		}
 	}
-	if change, shown := b.Announced(1, limited(0.5), 2*retellEvery); !shown || change.Before != 1 || len(b.OwnWords(2*retellEvery)) != 1 {
+	if change, shown := b.Announced(1, limited(0.5), 2*retellEvery); !shown || change.OldRate != 1 || len(b.OwnWords(2*retellEvery)) != 1 {
 		t.Errorf("a change is not told at once: %+v", change)
 	}
 }
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -238,7 +238,7 @@
 func (r *Relay) showLimits() {
 	for _, c := range r.picture.LimitChanges() {
 		inputs := []any{
-			"upstream", r.picture.NameOf(c.Upstream), "per_second", c.Rate, "before", c.Before,
+			"upstream", r.picture.NameOf(c.Upstream), "per_second", c.Rate, "before", c.OldRate,
 			"source", c.Source.String(), "age", c.Age,
 		}
 		if c.Leaves {
@@ -246,8 +246,8 @@
 			r.log.Info("relay: upstream says that it leaves", inputs...)
 		}
 		switch {
-		case c.Rate == c.Before:
-		case math.IsInf(c.Before, 1):
+		case c.Rate == c.OldRate:
+		case math.IsInf(c.OldRate, 1):
 			r.meters.limits.learned.Inc(1)
 			r.log.Info("relay: upstream limits its requests", inputs...)
 		case math.IsInf(c.Rate, 1):
--- a/internal/upstreamstate/limits.go
+++ b/internal/upstreamstate/limits.go
@@ -120,7 +120,7 @@
 	if !changed {
 		return
 	}
-	if c.Rate != c.Before {
+	if c.Rate != c.OldRate {
 		delete(p.limits.spent, c.Upstream)
 	}
 	if n, ok := p.byHash[c.Upstream]; ok && c.Leaves {
