--- a/internal/quota/book.go
+++ b/internal/quota/book.go
@@ -70,8 +70,8 @@
 type Change struct {
 	Upstream     uint32
 	OldRate, Rate float64
-	// Leaves: it was not known before that the upstream leaves.
-	Leaves bool
+	// StartsDraining: it was not known before that the upstream leaves.
+	StartsDraining bool
 	Source  Source
 	// Age of the answer that said so.
 	Age time.Duration
@@ -157,7 +157,7 @@
 	}
 	change := Change{Upstream: w.Upstream, OldRate: e.rate, Rate: e.rate, Source: scope, Age: w.Age}
 	if w.Draining && !e.leaving {
-		e.leaving, e.scope, change.Leaves = true, scope, true
+		e.leaving, e.scope, change.StartsDraining = true, scope, true
 		e.at = max(e.at, now-w.Age)
 	}
 	if e.takeRate(w, scope, now) {
@@ -189,7 +189,7 @@
 
 // shown tells whether anything changed but the last digits of the rate.
 func (c Change) shown() bool {
-	if c.Leaves {
+	if c.StartsDraining {
 		return true
 	}
 	if math.IsInf(c.OldRate, 1) || math.IsInf(c.Rate, 1) {
--- a/internal/quota/book_test.go
+++ b/internal/quota/book_test.go
@@ -131,7 +131,7 @@
 func TestThatAnUpstreamLeavesIsNotTakenBack(t *testing.T) {
 	b := NewBook()
 	change, shown := b.Announced(upstream, Announcement{Limited: true, Rate: 2, Draining: true}, 0)
-	if !shown || !change.Leaves || change.Rate != 2 {
+	if !shown || !change.StartsDraining || change.Rate != 2 {
 		t.Errorf("%+v", change)
 	}
 	if _, shown := b.Announced(upstream, Announcement{Limited: true, Rate: 2, Draining: true}, 1); shown {
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -241,7 +241,7 @@
 			"upstream", r.picture.NameOf(c.Upstream), "per_second", c.Rate, "before", c.OldRate,
 			"source", c.Source.String(), "age", c.Age,
 		}
-		if c.Leaves {
+		if c.StartsDraining {
 			r.meters.limits.leaving.Inc(1)
 			r.log.Info("relay: upstream says that it leaves", inputs...)
 		}
--- a/internal/upstreamstate/limits.go
+++ b/internal/upstreamstate/limits.go
@@ -123,7 +123,7 @@
 	if c.Rate != c.OldRate {
 		delete(p.limits.spent, c.Upstream)
 	}
-	if n, ok := p.byHash[c.Upstream]; ok && c.Leaves {
+	if n, ok := p.byHash[c.Upstream]; ok && c.StartsDraining {
 		n.Draining = true
 	}
 	p.limits.changes = append(p.limits.changes, c)
