--- a/internal/quota/book.go
+++ b/internal/quota/book.go
@@ -77,16 +77,16 @@
 	Age time.Duration
 }
 
-// Book has the announcements that are known. It is not safe for concurrent use.
-type Book struct {
+// Table has the announcements that are known. It is not safe for concurrent use.
+type Table struct {
 	entries map[uint32]*entry
 }
 
 // NewBook returns an empty book.
-func NewBook() *Book { return &Book{entries: map[uint32]*entry{}} }
+func NewBook() *Table { return &Table{entries: map[uint32]*entry{}} }
 
 // Rate returns the rate that an upstream is kept to; Unlimited for most.
-func (b *Book) Rate(upstream uint32) float64 {
+func (b *Table) Rate(upstream uint32) float64 {
 	if e, ok := b.entries[upstream]; ok {
 		return e.rate
 	}
@@ -94,20 +94,20 @@
 }
 
 // Limits tells whether an upstream limits its requests.
-func (b *Book) Limits(upstream uint32) bool { return !math.IsInf(b.Rate(upstream), 1) }
+func (b *Table) Limits(upstream uint32) bool { return !math.IsInf(b.Rate(upstream), 1) }
 
 // Leaving tells whether an upstream has said that it leaves.
-func (b *Book) Leaving(upstream uint32) bool {
+func (b *Table) Leaving(upstream uint32) bool {
 	e, known := b.entries[upstream]
 	return known && e.leaving
 }
 
 // Any tells whether any upstream announces anything, or did so lately.
-func (b *Book) Any() bool { return len(b.entries) > 0 }
+func (b *Table) Any() bool { return len(b.entries) > 0 }
 
 // Word returns what is known of an upstream's announcements, and whether the upstream told this
 // instance itself; known is false for one that never announced anything.
-func (b *Book) Word(upstream uint32, now time.Duration) (w UpstreamLimit, firstHand, known bool) {
+func (b *Table) Word(upstream uint32, now time.Duration) (w UpstreamLimit, firstHand, known bool) {
 	e, known := b.entries[upstream]
 	if !known {
 		return UpstreamLimit{Upstream: upstream, Rate: Unlimited}, false, false
@@ -121,7 +121,7 @@
 }
 
 // Words returns what is known of all upstreams that announce anything, or did so lately.
-func (b *Book) Words(now time.Duration) []UpstreamLimit {
+func (b *Table) Words(now time.Duration) []UpstreamLimit {
 	var words []UpstreamLimit
 	for upstream, e := range b.entries {
 		words = append(words, e.word(upstream, now))
@@ -130,15 +130,15 @@
 }
 
 // Forget drops what is known of an upstream.
-func (b *Book) Forget(upstream uint32) { delete(b.entries, upstream) }
+func (b *Table) Forget(upstream uint32) { delete(b.entries, upstream) }
 
 // Announced takes what an answer to this instance says, and returns what it changes.
-func (b *Book) Announced(upstream uint32, a Announcement, now time.Duration) (Change, bool) {
+func (b *Table) Announced(upstream uint32, a Announcement, now time.Duration) (Change, bool) {
 	return b.take(UpstreamLimit{Upstream: upstream, Rate: a.rate(), Draining: a.Draining}, Own, now)
 }
 
 // Heard takes another instance's word, and returns what it changes.
-func (b *Book) Heard(w UpstreamLimit, scope Source, now time.Duration) (Change, bool) {
+func (b *Table) Heard(w UpstreamLimit, scope Source, now time.Duration) (Change, bool) {
 	if math.IsNaN(w.Rate) || w.Rate <= 0 {
 		return Change{}, false
 	}
@@ -146,7 +146,7 @@
 }
 
 // take takes a word, and returns what it changes.
-func (b *Book) take(w UpstreamLimit, scope Source, now time.Duration) (Change, bool) {
+func (b *Table) take(w UpstreamLimit, scope Source, now time.Duration) (Change, bool) {
 	e, known := b.entries[w.Upstream]
 	if !known {
 		if !w.Limited() && !w.Draining {
@@ -209,21 +209,21 @@
 // OwnWords are the words that are due to the zone of what this instance was told itself,
 // ZoneWords those due to other zones of what its zone was told, and BeyondWords those due
 // to the zone of what others were told.
-func (b *Book) OwnWords(now time.Duration) []UpstreamLimit {
+func (b *Table) OwnWords(now time.Duration) []UpstreamLimit {
 	return b.due(now, toZone, func(s Source) bool { return s == Own })
 }
 
 // ZoneWords: see OwnWords.
-func (b *Book) ZoneWords(now time.Duration) []UpstreamLimit {
+func (b *Table) ZoneWords(now time.Duration) []UpstreamLimit {
 	return b.due(now, toOtherZones, func(s Source) bool { return s != OtherZone })
 }
 
 // BeyondWords: see OwnWords.
-func (b *Book) BeyondWords(now time.Duration) []UpstreamLimit {
+func (b *Table) BeyondWords(now time.Duration) []UpstreamLimit {
 	return b.due(now, toZone, func(s Source) bool { return s == OtherZone })
 }
 
-func (b *Book) due(now time.Duration, to int, tells func(Source) bool) []UpstreamLimit {
+func (b *Table) due(now time.Duration, to int, tells func(Source) bool) []UpstreamLimit {
 	var words []UpstreamLimit
 	for upstream, e := range b.entries {
 		if tells(e.scope) && now-e.told[to] >= retellEvery {
@@ -242,7 +242,7 @@
 
 // Lapse drops the ends of limits that were told for long enough, and the announcements of
 // upstreams that have not been listed for long.
-func (b *Book) Lapse(listed func(upstream uint32) bool, now time.Duration) {
+func (b *Table) Lapse(listed func(upstream uint32) bool, now time.Duration) {
 	for upstream, e := range b.entries {
 		age := now - e.at
 		ended := math.IsInf(e.rate, 1) && !e.leaving
--- a/internal/quota/book_test.go
+++ b/internal/quota/book_test.go
@@ -76,7 +76,7 @@
 		later.Heard(w, SameZone, end)
 		missed.Heard(w, SameZone, end)
 	}
-	for name, b := range map[string]*Book{"who missed it": missed, "who saw it": saw, "who heard of it alone": later} {
+	for name, b := range map[string]*Table{"who missed it": missed, "who saw it": saw, "who heard of it alone": later} {
 		for _, w := range missed.OwnWords(end + retellEvery) {
 			b.Heard(w, SameZone, end+retellEvery)
 		}
--- a/internal/quota/grants_test.go
+++ b/internal/quota/grants_test.go
@@ -155,20 +155,20 @@
 // TestAnUnknownLimitIsTheAskers: the word of the instance that asks may be ahead of the reports.
 func TestAnUnknownLimitIsTheAskers(t *testing.T) {
 	for name, c := range map[string]struct {
-		book      func(*Book)
+		book      func(*Table)
 		ask       Ask
 		unbounded bool
 	}{
-		"the coordinator knows none": {func(*Book) {}, asks(1), false},
-		"it knows that it has ended": {func(b *Book) {
+		"the coordinator knows none": {func(*Table) {}, asks(1), false},
+		"it knows that it has ended": {func(b *Table) {
 			b.Announced(upstream, limited(1), 0)
 			b.Announced(upstream, Announcement{}, 5*time.Second)
 		}, Ask{Word: UpstreamLimit{Upstream: upstream, Rate: 1, Age: 8 * time.Second}}, true},
-		"the asker's word is newer":   {func(b *Book) { b.Announced(upstream, limited(9), 0) }, Ask{Word: UpstreamLimit{Upstream: upstream, Rate: 1}, FirstHand: true}, false},
-		"the asker's word is hearsay": {func(b *Book) { b.Announced(upstream, limited(1), 0) }, Ask{Word: UpstreamLimit{Upstream: upstream, Rate: 1}}, false},
+		"the asker's word is newer":   {func(b *Table) { b.Announced(upstream, limited(9), 0) }, Ask{Word: UpstreamLimit{Upstream: upstream, Rate: 1}, FirstHand: true}, false},
+		"the asker's word is hearsay": {func(b *Table) { b.Announced(upstream, limited(1), 0) }, Ask{Word: UpstreamLimit{Upstream: upstream, Rate: 1}}, false},
 	} {
 		known := bookOf{NewBook()}
-		c.book(known.Book)
+		c.book(known.Table)
 		g, now := coordinating(1)
 		granted := 0
 		for range 100 {
@@ -183,7 +183,7 @@
 }
 
 // bookOf is what is known of limits.
-type bookOf struct{ *Book }
+type bookOf struct{ *Table }
 
 func (b bookOf) HearLimit(w UpstreamLimit, now time.Duration) { b.Heard(w, SameZone, now) }
 
--- a/internal/upstreamstate/limits.go
+++ b/internal/upstreamstate/limits.go
@@ -11,7 +11,7 @@
 
 // limits are what upstreams announced, which of them have nothing left, and which want rest.
 type limits struct {
-	book  *quota.Book
+	book  *quota.Table
 	spent spentTable
 	rests restTable
 	// changes wait to be logged.
