--- a/internal/quota/book.go
+++ b/internal/quota/book.go
@@ -82,8 +82,8 @@
 	entries map[uint32]*entry
 }
 
-// NewBook returns an empty book.
-func NewBook() *Table { return &Table{entries: map[uint32]*entry{}} }
+// NewTable returns an empty book.
+func NewTable() *Table { return &Table{entries: map[uint32]*entry{}} }
 
 // Rate returns the rate that an upstream is kept to; Unlimited for most.
 func (b *Table) Rate(upstream uint32) float64 {
--- a/internal/quota/book_test.go
+++ b/internal/quota/book_test.go
@@ -32,7 +32,7 @@
 		"an answer from before comes late": {[]said{{time.Second, 4}, {0, 1}}, 4},
 		"never limited":                    {[]said{{0, Unlimited}}, Unlimited},
 	} {
-		b := NewBook()
+		b := NewTable()
 		now := time.Duration(0)
 		for _, s := range c.said {
 			now = max(now, s.at)
@@ -48,13 +48,13 @@
 // then, as only its answers show that this has ended.
 func TestWhatCannotBeKeptToIsBounded(t *testing.T) {
 	for rate, want := range map[float64]float64{0: leastRate, 1e-300: leastRate, 2: 2, mostRate: Unlimited, 1e300: Unlimited} {
-		b := NewBook()
+		b := NewTable()
 		b.Announced(upstream, limited(rate), 0)
 		if got := b.Rate(upstream); got != want {
 			t.Errorf("%g: kept to %g, want %g", rate, got, want)
 		}
 	}
-	b := NewBook()
+	b := NewTable()
 	for _, rate := range []float64{math.NaN(), -1, 0} {
 		if _, changed := b.Heard(UpstreamLimit{Upstream: upstream, Rate: rate}, SameZone, 0); changed || b.Any() {
 			t.Errorf("%g was believed", rate)
@@ -65,7 +65,7 @@
 // TestALimitThatEndedIsBelievedByNobody: an instance that missed the end tells of the limit
 // as long as it has heard of nothing newer.
 func TestALimitThatEndedIsBelievedByNobody(t *testing.T) {
-	missed, saw, later := NewBook(), NewBook(), NewBook()
+	missed, saw, later := NewTable(), NewTable(), NewTable()
 	missed.Announced(upstream, limited(2), 0)
 	for _, w := range missed.OwnWords(0) {
 		saw.Heard(w, SameZone, 0)
@@ -89,7 +89,7 @@
 // TestWordsAreToldAgainToTheirReceivers: what an instance was told itself goes to its zone,
 // what its zone was told to the other zones, and what these were told to the zone.
 func TestWordsAreToldAgainToTheirReceivers(t *testing.T) {
-	b := NewBook()
+	b := NewTable()
 	b.Announced(1, limited(1), 0)
 	b.Heard(UpstreamLimit{Upstream: 2, Rate: 2}, SameZone, 0)
 	b.Heard(UpstreamLimit{Upstream: 3, Rate: 3}, OtherZone, 0)
@@ -110,7 +110,7 @@
 // TestOnlyWhatIsListedIsKeptForLong: an entry that lapsed for a while comes back with its
 // limit; one that is gone is forgotten, and so is an end that all have heard.
 func TestOnlyWhatIsListedIsKeptForLong(t *testing.T) {
-	b := NewBook()
+	b := NewTable()
 	b.Announced(1, limited(1), 0)
 	b.Announced(2, limited(1), 0)
 	b.Announced(3, limited(1), 0)
@@ -129,7 +129,7 @@
 // TestThatAnUpstreamLeavesIsNotTakenBack guards against words that cross, a limit that ends, and
 // an entry that lapses, each of which could hide that an upstream leaves.
 func TestThatAnUpstreamLeavesIsNotTakenBack(t *testing.T) {
-	b := NewBook()
+	b := NewTable()
 	change, shown := b.Announced(upstream, Announcement{Limited: true, Rate: 2, Draining: true}, 0)
 	if !shown || !change.StartsDraining || change.Rate != 2 {
 		t.Errorf("%+v", change)
--- a/internal/quota/grants_test.go
+++ b/internal/quota/grants_test.go
@@ -167,7 +167,7 @@
 		"the asker's word is newer":   {func(b *Table) { b.Announced(upstream, limited(9), 0) }, Ask{Word: UpstreamLimit{Upstream: upstream, Rate: 1}, FirstHand: true}, false},
 		"the asker's word is hearsay": {func(b *Table) { b.Announced(upstream, limited(1), 0) }, Ask{Word: UpstreamLimit{Upstream: upstream, Rate: 1}}, false},
 	} {
-		known := bookOf{NewBook()}
+		known := bookOf{NewTable()}
 		c.book(known.Table)
 		g, now := coordinating(1)
 		granted := 0
--- a/internal/upstreamstate/limits.go
+++ b/internal/upstreamstate/limits.go
@@ -28,7 +28,7 @@
 func (l limits) any() bool { return l.book.Any() || len(l.rests) > 0 }
 
 func newLimits() limits {
-	return limits{book: quota.NewBook(), spent: spentTable{}, rests: restTable{}}
+	return limits{book: quota.NewTable(), spent: spentTable{}, rests: restTable{}}
 }
 
 // spentTable is until when upstreams have nothing left for requests of a priority and for less
