--- a/internal/quota/book.go
+++ b/internal/quota/book.go
@@ -93,8 +93,8 @@
 	return Unlimited
 }
 
-// Limits tells whether an upstream limits its requests.
-func (b *Table) Limits(upstream uint32) bool { return !math.IsInf(b.Rate(upstream), 1) }
+// Limited tells whether an upstream limits its requests.
+func (b *Table) Limited(upstream uint32) bool { return !math.IsInf(b.Rate(upstream), 1) }
 
 // Leaving tells whether an upstream has said that it leaves.
 func (b *Table) Leaving(upstream uint32) bool {
--- a/internal/upstreamstate/place.go
+++ b/internal/upstreamstate/place.go
@@ -43,7 +43,7 @@
 		})
 		if req.CheckLimits {
 			one := &list[len(list)-1]
-			one.Limited, one.Exhausted = p.limits.book.Limits(n.hash), req.Now < p.limits.takesAgain(n.hash, a.Priority)
+			one.Limited, one.Exhausted = p.limits.book.Limited(n.hash), req.Now < p.limits.takesAgain(n.hash, a.Priority)
 		}
 		if len(cached) > 0 {
 			list[len(list)-1].Aggregate.CachedTokens = cached[n.hash]
