--- a/internal/quota/book.go
+++ b/internal/quota/book.go
@@ -96,8 +96,8 @@
 // Limited tells whether an upstream limits its requests.
 func (b *Table) Limited(upstream uint32) bool { return !math.IsInf(b.Rate(upstream), 1) }
 
-// Leaving tells whether an upstream has said that it leaves.
-func (b *Table) Leaving(upstream uint32) bool {
+// Draining tells whether an upstream has said that it leaves.
+func (b *Table) Draining(upstream uint32) bool {
 	e, known := b.entries[upstream]
 	return known && e.leaving
 }
--- a/internal/quota/book_test.go
+++ b/internal/quota/book_test.go
@@ -141,12 +141,12 @@
 	b.Heard(UpstreamLimit{Upstream: upstream, Rate: 3, Age: time.Second}, SameZone, time.Minute)
 	listed := true
 	b.Lapse(func(uint32) bool { return listed }, time.Hour)
-	if !b.Leaving(upstream) || len(b.OwnWords(time.Hour)) != 1 {
+	if !b.Draining(upstream) || len(b.OwnWords(time.Hour)) != 1 {
 		t.Error("forgotten while it is listed")
 	}
 	listed = false
 	b.Lapse(func(uint32) bool { return listed }, 2*time.Hour)
-	if b.Leaving(upstream) || b.Any() {
+	if b.Draining(upstream) || b.Any() {
 		t.Error("kept though it has gone for long")
 	}
 }
--- a/internal/upstreamstate/upstreamstate.go
+++ b/internal/upstreamstate/upstreamstate.go
@@ -177,7 +177,7 @@
 		p.away.forget(n.hash) // the order is carried out
 	}
 	n.Upstream, n.engine = u, engineOf(u)
-	n.Draining = u.Draining || p.limits.book.Leaving(n.hash)
+	n.Draining = u.Draining || p.limits.book.Draining(n.hash)
 }
 
 // leave takes an upstream off its service's list. The lock is held.
