--- a/internal/quota/book.go
+++ b/internal/quota/book.go
@@ -105,9 +105,9 @@
 // Any tells whether any upstream announces anything, or did so lately.
 func (b *Table) Any() bool { return len(b.entries) > 0 }
 
-// Word returns what is known of an upstream's announcements, and whether the upstream told this
+// Lookup returns what is known of an upstream's announcements, and whether the upstream told this
 // instance itself; known is false for one that never announced anything.
-func (b *Table) Word(upstream uint32, now time.Duration) (w UpstreamLimit, firstHand, known bool) {
+func (b *Table) Lookup(upstream uint32, now time.Duration) (w UpstreamLimit, firstHand, known bool) {
 	e, known := b.entries[upstream]
 	if !known {
 		return UpstreamLimit{Upstream: upstream, Rate: Unlimited}, false, false
--- a/internal/quota/grants_test.go
+++ b/internal/quota/grants_test.go
@@ -188,5 +188,5 @@
 func (b bookOf) HearLimit(w UpstreamLimit, now time.Duration) { b.Heard(w, SameZone, now) }
 
 func (b bookOf) Limit(upstream uint32, now time.Duration) (UpstreamLimit, bool, bool) {
-	return b.Word(upstream, now)
+	return b.Lookup(upstream, now)
 }
--- a/internal/upstreamstate/limits.go
+++ b/internal/upstreamstate/limits.go
@@ -143,7 +143,7 @@
 func (p *Picture) Limit(hash uint32, now time.Duration) (w quota.UpstreamLimit, firstHand, known bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.limits.book.Word(hash, now)
+	return p.limits.book.Lookup(hash, now)
 }
 
 // Spent takes it that an upstream with a limit has nothing left for a time, for requests of a
