--- a/internal/quota/book.go
+++ b/internal/quota/book.go
@@ -120,8 +120,8 @@
 	return UpstreamLimit{Upstream: upstream, Rate: e.rate, Draining: e.leaving, Age: now - e.at}
 }
 
-// Words returns what is known of all upstreams that announce anything, or did so lately.
-func (b *Table) Words(now time.Duration) []UpstreamLimit {
+// All returns what is known of all upstreams that announce anything, or did so lately.
+func (b *Table) All(now time.Duration) []UpstreamLimit {
 	var words []UpstreamLimit
 	for upstream, e := range b.entries {
 		words = append(words, e.word(upstream, now))
--- a/internal/upstreamstate/limits.go
+++ b/internal/upstreamstate/limits.go
@@ -97,7 +97,7 @@
 func (p *Picture) Limits(now time.Duration) []quota.UpstreamLimit {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.limits.book.Words(now)
+	return p.limits.book.All(now)
 }
 
 // HearLimits takes what an instance of this zone, or of another one, knows of all upstreams.
