--- a/internal/quota/book.go
+++ b/internal/quota/book.go
@@ -132,8 +132,8 @@
 // Forget drops what is known of an upstream.
 func (b *Table) Forget(upstream uint32) { delete(b.entries, upstream) }
 
-// Announced takes what an answer to this instance says, and returns what it changes.
-func (b *Table) Announced(upstream uint32, a Announcement, now time.Duration) (Change, bool) {
+// ApplyAnnouncement takes what an answer to this instance says, and returns what it changes.
+func (b *Table) ApplyAnnouncement(upstream uint32, a Announcement, now time.Duration) (Change, bool) {
 	return b.take(UpstreamLimit{Upstream: upstream, Rate: a.rate(), Draining: a.Draining}, Own, now)
 }
 
--- a/internal/quota/book_test.go
+++ b/internal/quota/book_test.go
@@ -49,7 +49,7 @@
 func TestWhatCannotBeKeptToIsBounded(t *testing.T) {
 	for rate, want := range map[float64]float64{0: leastRate, 1e-300: leastRate, 2: 2, mostRate: Unlimited, 1e300: Unlimited} {
 		b := NewTable()
-		b.Announced(upstream, limited(rate), 0)
+		b.ApplyAnnouncement(upstream, limited(rate), 0)
 		if got := b.Rate(upstream); got != want {
 			t.Errorf("%g: kept to %g, want %g", rate, got, want)
 		}
@@ -66,12 +66,12 @@
 // as long as it has heard of nothing newer.
 func TestALimitThatEndedIsBelievedByNobody(t *testing.T) {
 	missed, saw, later := NewTable(), NewTable(), NewTable()
-	missed.Announced(upstream, limited(2), 0)
+	missed.ApplyAnnouncement(upstream, limited(2), 0)
 	for _, w := range missed.OwnWords(0) {
 		saw.Heard(w, SameZone, 0)
 	}
 	end := 10 * time.Second
-	saw.Announced(upstream, Announcement{}, end)
+	saw.ApplyAnnouncement(upstream, Announcement{}, end)
 	for _, w := range saw.OwnWords(end) {
 		later.Heard(w, SameZone, end)
 		missed.Heard(w, SameZone, end)
@@ -90,7 +90,7 @@
 // what its zone was told to the other zones, and what these were told to the zone.
 func TestWordsAreToldAgainToTheirReceivers(t *testing.T) {
 	b := NewTable()
-	b.Announced(1, limited(1), 0)
+	b.ApplyAnnouncement(1, limited(1), 0)
 	b.Heard(UpstreamLimit{Upstream: 2, Rate: 2}, SameZone, 0)
 	b.Heard(UpstreamLimit{Upstream: 3, Rate: 3}, OtherZone, 0)
 	for _, now := range []time.Duration{0, retellEvery, 2 * retellEvery} {
@@ -102,7 +102,7 @@
 			t.Errorf("told twice within %s", retellEvery)
 		}
 	}
-	if change, shown := b.Announced(1, limited(0.5), 2*retellEvery); !shown || change.OldRate != 1 || len(b.OwnWords(2*retellEvery)) != 1 {
+	if change, shown := b.ApplyAnnouncement(1, limited(0.5), 2*retellEvery); !shown || change.OldRate != 1 || len(b.OwnWords(2*retellEvery)) != 1 {
 		t.Errorf("a change is not told at once: %+v", change)
 	}
 }
@@ -111,10 +111,10 @@
 // limit; one that is gone is forgotten, and so is an end that all have heard.
 func TestOnlyWhatIsListedIsKeptForLong(t *testing.T) {
 	b := NewTable()
-	b.Announced(1, limited(1), 0)
-	b.Announced(2, limited(1), 0)
-	b.Announced(3, limited(1), 0)
-	b.Announced(3, Announcement{}, endsAfter+1)
+	b.ApplyAnnouncement(1, limited(1), 0)
+	b.ApplyAnnouncement(2, limited(1), 0)
+	b.ApplyAnnouncement(3, limited(1), 0)
+	b.ApplyAnnouncement(3, Announcement{}, endsAfter+1)
 	listed := func(upstream uint32) bool { return upstream != 2 }
 	b.Lapse(listed, unlistedFor)
 	if b.Rate(1) != 1 || b.Rate(2) != 1 {
@@ -130,14 +130,14 @@
 // an entry that lapses, each of which could hide that an upstream leaves.
 func TestThatAnUpstreamLeavesIsNotTakenBack(t *testing.T) {
 	b := NewTable()
-	change, shown := b.Announced(upstream, Announcement{Limited: true, Rate: 2, Draining: true}, 0)
+	change, shown := b.ApplyAnnouncement(upstream, Announcement{Limited: true, Rate: 2, Draining: true}, 0)
 	if !shown || !change.StartsDraining || change.Rate != 2 {
 		t.Errorf("%+v", change)
 	}
-	if _, shown := b.Announced(upstream, Announcement{Limited: true, Rate: 2, Draining: true}, 1); shown {
+	if _, shown := b.ApplyAnnouncement(upstream, Announcement{Limited: true, Rate: 2, Draining: true}, 1); shown {
 		t.Error("shown twice")
 	}
-	b.Announced(upstream, Announcement{}, time.Minute)
+	b.ApplyAnnouncement(upstream, Announcement{}, time.Minute)
 	b.Heard(UpstreamLimit{Upstream: upstream, Rate: 3, Age: time.Second}, SameZone, time.Minute)
 	listed := true
 	b.Lapse(func(uint32) bool { return listed }, time.Hour)
--- a/internal/quota/grants_test.go
+++ b/internal/quota/grants_test.go
@@ -161,11 +161,11 @@
 	}{
 		"the coordinator knows none": {func(*Table) {}, asks(1), false},
 		"it knows that it has ended": {func(b *Table) {
-			b.Announced(upstream, limited(1), 0)
-			b.Announced(upstream, Announcement{}, 5*time.Second)
+			b.ApplyAnnouncement(upstream, limited(1), 0)
+			b.ApplyAnnouncement(upstream, Announcement{}, 5*time.Second)
 		}, Ask{Word: UpstreamLimit{Upstream: upstream, Rate: 1, Age: 8 * time.Second}}, true},
-		"the asker's word is newer":   {func(b *Table) { b.Announced(upstream, limited(9), 0) }, Ask{Word: UpstreamLimit{Upstream: upstream, Rate: 1}, FirstHand: true}, false},
-		"the asker's word is hearsay": {func(b *Table) { b.Announced(upstream, limited(1), 0) }, Ask{Word: UpstreamLimit{Upstream: upstream, Rate: 1}}, false},
+		"the asker's word is newer":   {func(b *Table) { b.ApplyAnnouncement(upstream, limited(9), 0) }, Ask{Word: UpstreamLimit{Upstream: upstream, Rate: 1}, FirstHand: true}, false},
+		"the asker's word is hearsay": {func(b *Table) { b.ApplyAnnouncement(upstream, limited(1), 0) }, Ask{Word: UpstreamLimit{Upstream: upstream, Rate: 1}}, false},
 	} {
 		known := bookOf{NewTable()}
 		c.book(known.Table)
--- a/internal/upstreamstate/limits.go
+++ b/internal/upstreamstate/limits.go
@@ -74,7 +74,7 @@
 	if n, ok := p.nodes[from.ID]; ok && n.hash != hash {
 		return
 	}
-	change, changed := p.limits.book.Announced(hash, a, now)
+	change, changed := p.limits.book.ApplyAnnouncement(hash, a, now)
 	p.noteLimit(change, changed)
 	if changed {
 		p.settings.Changed()
