--- a/internal/quota/book.go
+++ b/internal/quota/book.go
@@ -137,8 +137,8 @@
 	return b.take(UpstreamLimit{Upstream: upstream, Rate: a.rate(), Draining: a.Draining}, Own, now)
 }
 
-// Heard takes another instance's word, and returns what it changes.
-func (b *Table) Heard(w UpstreamLimit, scope Source, now time.Duration) (Change, bool) {
+// ApplyReport takes another instance's word, and returns what it changes.
+func (b *Table) ApplyReport(w UpstreamLimit, scope Source, now time.Duration) (Change, bool) {
 	if math.IsNaN(w.Rate) || w.Rate <= 0 {
 		return Change{}, false
 	}
--- a/internal/quota/book_test.go
+++ b/internal/quota/book_test.go
@@ -36,7 +36,7 @@
 		now := time.Duration(0)
 		for _, s := range c.said {
 			now = max(now, s.at)
-			b.Heard(UpstreamLimit{Upstream: upstream, Rate: s.rate, Age: now - s.at}, SameZone, now)
+			b.ApplyReport(UpstreamLimit{Upstream: upstream, Rate: s.rate, Age: now - s.at}, SameZone, now)
 		}
 		if got := b.Rate(upstream); got != c.want {
 			t.Errorf("%s: %g a second, want %g", name, got, c.want)
@@ -56,7 +56,7 @@
 	}
 	b := NewTable()
 	for _, rate := range []float64{math.NaN(), -1, 0} {
-		if _, changed := b.Heard(UpstreamLimit{Upstream: upstream, Rate: rate}, SameZone, 0); changed || b.Any() {
+		if _, changed := b.ApplyReport(UpstreamLimit{Upstream: upstream, Rate: rate}, SameZone, 0); changed || b.Any() {
 			t.Errorf("%g was believed", rate)
 		}
 	}
@@ -68,17 +68,17 @@
 	missed, saw, later := NewTable(), NewTable(), NewTable()
 	missed.ApplyAnnouncement(upstream, limited(2), 0)
 	for _, w := range missed.OwnWords(0) {
-		saw.Heard(w, SameZone, 0)
+		saw.ApplyReport(w, SameZone, 0)
 	}
 	end := 10 * time.Second
 	saw.ApplyAnnouncement(upstream, Announcement{}, end)
 	for _, w := range saw.OwnWords(end) {
-		later.Heard(w, SameZone, end)
-		missed.Heard(w, SameZone, end)
+		later.ApplyReport(w, SameZone, end)
+		missed.ApplyReport(w, SameZone, end)
 	}
 	for name, b := range map[string]*Table{"who missed it": missed, "who saw it": saw, "who heard of it alone": later} {
 		for _, w := range missed.OwnWords(end + retellEvery) {
-			b.Heard(w, SameZone, end+retellEvery)
+			b.ApplyReport(w, SameZone, end+retellEvery)
 		}
 		if got := b.Rate(upstream); !math.IsInf(got, 1) {
 			t.Errorf("%s keeps to %g", name, got)
@@ -91,8 +91,8 @@
 func TestWordsAreToldAgainToTheirReceivers(t *testing.T) {
 	b := NewTable()
 	b.ApplyAnnouncement(1, limited(1), 0)
-	b.Heard(UpstreamLimit{Upstream: 2, Rate: 2}, SameZone, 0)
-	b.Heard(UpstreamLimit{Upstream: 3, Rate: 3}, OtherZone, 0)
+	b.ApplyReport(UpstreamLimit{Upstream: 2, Rate: 2}, SameZone, 0)
+	b.ApplyReport(UpstreamLimit{Upstream: 3, Rate: 3}, OtherZone, 0)
 	for _, now := range []time.Duration{0, retellEvery, 2 * retellEvery} {
 		own, zone, beyond := b.OwnWords(now), b.ZoneWords(now), b.BeyondWords(now)
 		if len(own) != 1 || len(zone) != 2 || len(beyond) != 1 || own[0].Age != now || beyond[0].Upstream != 3 {
@@ -138,7 +138,7 @@
 		t.Error("shown twice")
 	}
 	b.ApplyAnnouncement(upstream, Announcement{}, time.Minute)
-	b.Heard(UpstreamLimit{Upstream: upstream, Rate: 3, Age: time.Second}, SameZone, time.Minute)
+	b.ApplyReport(UpstreamLimit{Upstream: upstream, Rate: 3, Age: time.Second}, SameZone, time.Minute)
 	listed := true
 	b.Lapse(func(uint32) bool { return listed }, time.Hour)
 	if !b.Draining(upstream) || len(b.OwnWords(time.Hour)) != 1 {
--- a/internal/upstreamstate/limits.go
+++ b/internal/upstreamstate/limits.go
@@ -88,7 +88,7 @@
 		scope = quota.SameZone
 	}
 	for _, w := range words {
-		change, changed := p.limits.book.Heard(w, scope, now)
+		change, changed := p.limits.book.ApplyReport(w, scope, now)
 		p.noteLimit(change, changed)
 	}
 }
