--- a/internal/quota/book.go
+++ b/internal/quota/book.go
@@ -206,10 +206,10 @@
 	return crossing
 }
 
-// OwnWords are the words that are due to the zone of what this instance was told itself,
+// DueOwn are the words that are due to the zone of what this instance was told itself,
 // ZoneWords those due to other zones of what its zone was told, and BeyondWords those due
 // to the zone of what others were told.
-func (b *Table) OwnWords(now time.Duration) []UpstreamLimit {
+func (b *Table) DueOwn(now time.Duration) []UpstreamLimit {
 	return b.due(now, toZone, func(s Source) bool { return s == Own })
 }
 
--- a/internal/quota/book_test.go
+++ b/internal/quota/book_test.go
@@ -67,17 +67,17 @@
 func TestALimitThatEndedIsBelievedByNobody(t *testing.T) {
 	missed, saw, later := NewTable(), NewTable(), NewTable()
 	missed.ApplyAnnouncement(upstream, limited(2), 0)
-	for _, w := range missed.OwnWords(0) {
+	for _, w := range missed.DueOwn(0) {
 		saw.ApplyReport(w, SameZone, 0)
 	}
 	end := 10 * time.Second
 	saw.ApplyAnnouncement(upstream, Announcement{}, end)
-	for _, w := range saw.OwnWords(end) {
+	for _, w := range saw.DueOwn(end) {
 		later.ApplyReport(w, SameZone, end)
 		missed.ApplyReport(w, SameZone, end)
 	}
 	for name, b := range map[string]*Table{"who missed it": missed, "who saw it": saw, "who heard of it alone": later} {
-		for _, w := range missed.OwnWords(end + retellEvery) {
+		for _, w := range missed.DueOwn(end + retellEvery) {
 			b.ApplyReport(w, SameZone, end+retellEvery)
 		}
 		if got := b.Rate(upstream); !math.IsInf(got, 1) {
@@ -94,15 +94,15 @@
 	b.ApplyReport(UpstreamLimit{Upstream: 2, Rate: 2}, SameZone, 0)
 	b.ApplyReport(UpstreamLimit{Upstream: 3, Rate: 3}, OtherZone, 0)
 	for _, now := range []time.Duration{0, retellEvery, 2 * retellEvery} {
-		own, zone, beyond := b.OwnWords(now), b.ZoneWords(now), b.BeyondWords(now)
+		own, zone, beyond := b.DueOwn(now), b.ZoneWords(now), b.BeyondWords(now)
 		if len(own) != 1 || len(zone) != 2 || len(beyond) != 1 || own[0].Age != now || beyond[0].Upstream != 3 {
 			t.Errorf("at %s: %v, %v, %v", now, own, zone, beyond)
 		}
-		if again := b.OwnWords(now + 1); len(again) > 0 {
+		if again := b.DueOwn(now + 1); len(again) > 0 {
 			t.Errorf("told twice within %s", retellEvery)
 		}
 	}
-	if change, shown := b.ApplyAnnouncement(1, limited(0.5), 2*retellEvery); !shown || change.OldRate != 1 || len(b.OwnWords(2*retellEvery)) != 1 {
+	if change, shown := b.ApplyAnnouncement(1, limited(0.5), 2*retellEvery); !shown || change.OldRate != 1 || len(b.DueOwn(2*retellEvery)) != 1 {
 		t.Errorf("a change is not told at once: %+v", change)
 	}
 }
@@ -141,7 +141,7 @@
 	b.ApplyReport(UpstreamLimit{Upstream: upstream, Rate: 3, Age: time.Second}, SameZone, time.Minute)
 	listed := true
 	b.Lapse(func(uint32) bool { return listed }, time.Hour)
-	if !b.Draining(upstream) || len(b.OwnWords(time.Hour)) != 1 {
+	if !b.Draining(upstream) || len(b.DueOwn(time.Hour)) != 1 {
 		t.Error("forgotten while it is listed")
 	}
 	listed = false
--- a/internal/upstreamstate/reports.go
+++ b/internal/upstreamstate/reports.go
@@ -112,7 +112,7 @@
 	report := Report{Whole: true, Placed: p.placed, Gone: p.goneList(p.gone.here, now), Away: awayList(p.away.here, now)}
 	p.placed = nil
 	p.lapseLimits(now)
-	report.Limits = p.limits.book.OwnWords(now)
+	report.Limits = p.limits.book.DueOwn(now)
 	for n := range p.busy {
 		load := n.own(now)
 		if load.idle() {
