--- a/internal/quota/book.go
+++ b/internal/quota/book.go
@@ -213,8 +213,8 @@
 	return b.due(now, toZone, func(s Source) bool { return s == Own })
 }
 
-// ZoneWords: see OwnWords.
-func (b *Table) ZoneWords(now time.Duration) []UpstreamLimit {
+// DueZone: see OwnWords.
+func (b *Table) DueZone(now time.Duration) []UpstreamLimit {
 	return b.due(now, toOtherZones, func(s Source) bool { return s != OtherZone })
 }
 
--- a/internal/upstreamstate/reports.go
+++ b/internal/upstreamstate/reports.go
@@ -143,7 +143,7 @@
 	p.told.lapse(now)
 	report := Report{Placed: p.zonePlaced, Gone: p.goneList(p.gone.beside, now), Away: awayList(p.away.beside, now)}
 	p.zonePlaced = nil
-	report.Limits = p.limits.book.ZoneWords(now)
+	report.Limits = p.limits.book.DueZone(now)
 	report.Loads = p.due(&p.zone, now, func(n *node) EngineLoad { return n.here(now) })
 	return report
 }
