--- a/internal/quota/book.go
+++ b/internal/quota/book.go
@@ -218,8 +218,8 @@
 	return b.due(now, toOtherZones, func(s Source) bool { return s != OtherZone })
 }
 
-// BeyondWords: see OwnWords.
-func (b *Table) BeyondWords(now time.Duration) []UpstreamLimit {
+// DueOtherZones: see OwnWords.
+func (b *Table) DueOtherZones(now time.Duration) []UpstreamLimit {
 	return b.due(now, toZone, func(s Source) bool { return s == OtherZone })
 }
 
--- a/internal/quota/book_test.go
+++ b/internal/quota/book_test.go
@@ -94,7 +94,7 @@
 	b.ApplyReport(UpstreamLimit{Upstream: 2, Rate: 2}, SameZone, 0)
 	b.ApplyReport(UpstreamLimit{Upstream: 3, Rate: 3}, OtherZone, 0)
 	for _, now := range []time.Duration{0, retellEvery, 2 * retellEvery} {
-		own, zone, beyond := b.DueOwn(now), b.DueZone(now), b.BeyondWords(now)
+		own, zone, beyond := b.DueOwn(now), b.DueZone(now), b.DueOtherZones(now)
 		if len(own) != 1 || len(zone) != 2 || len(beyond) != 1 || own[0].Age != now || beyond[0].Upstream != 3 {
 			t.Errorf("at %s: %v, %v, %v", now, own, zone, beyond)
 		}
--- a/internal/upstreamstate/reports.go
+++ b/internal/upstreamstate/reports.go
@@ -156,7 +156,7 @@
 	p.told.lapse(now)
 	report := Report{Placed: p.beyondPlaced, Gone: p.goneList(p.gone.beyond, now), Away: awayList(p.away.beyond, now)}
 	p.beyondPlaced = nil
-	report.Limits = p.limits.book.BeyondWords(now)
+	report.Limits = p.limits.book.DueOtherZones(now)
 	report.Loads = p.due(&p.beyond, now, func(n *node) EngineLoad {
 		load := n.told.beyond.at(now)
 		load.Engine = n.hash
