--- a/internal/quota/book.go
+++ b/internal/quota/book.go
@@ -240,9 +240,9 @@
 	return words
 }
 
-// Lapse drops the ends of limits that were told for long enough, and the announcements of
+// Expire drops the ends of limits that were told for long enough, and the announcements of
 // upstreams that have not been listed for long.
-func (b *Table) Lapse(listed func(upstream uint32) bool, now time.Duration) {
+func (b *Table) Expire(listed func(upstream uint32) bool, now time.Duration) {
 	for upstream, e := range b.entries {
 		age := now - e.at
 		ended := math.IsInf(e.rate, 1) && !e.leaving
--- a/internal/quota/book_test.go
+++ b/internal/quota/book_test.go
@@ -116,11 +116,11 @@
 	b.ApplyAnnouncement(3, limited(1), 0)
 	b.ApplyAnnouncement(3, Announcement{}, endsAfter+1)
 	listed := func(upstream uint32) bool { return upstream != 2 }
-	b.Lapse(listed, unlistedFor)
+	b.Expire(listed, unlistedFor)
 	if b.Rate(1) != 1 || b.Rate(2) != 1 {
 		t.Error("a limit was forgotten early")
 	}
-	b.Lapse(listed, unlistedFor+endToldFor)
+	b.Expire(listed, unlistedFor+endToldFor)
 	if b.Rate(1) != 1 || len(b.entries) != 1 {
 		t.Errorf("%d entries are left, want the one that is listed", len(b.entries))
 	}
@@ -140,12 +140,12 @@
 	b.ApplyAnnouncement(upstream, Announcement{}, time.Minute)
 	b.ApplyReport(UpstreamLimit{Upstream: upstream, Rate: 3, Age: time.Second}, SameZone, time.Minute)
 	listed := true
-	b.Lapse(func(uint32) bool { return listed }, time.Hour)
+	b.Expire(func(uint32) bool { return listed }, time.Hour)
 	if !b.Draining(upstream) || len(b.DueOwn(time.Hour)) != 1 {
 		t.Error("forgotten while it is listed")
 	}
 	listed = false
-	b.Lapse(func(uint32) bool { return listed }, 2*time.Hour)
+	b.Expire(func(uint32) bool { return listed }, 2*time.Hour)
 	if b.Draining(upstream) || b.Any() {
 		t.Error("kept though it has gone for long")
 	}
--- a/internal/upstreamstate/limits.go
+++ b/internal/upstreamstate/limits.go
@@ -196,7 +196,7 @@
 // lapseLimits forgets what counts no longer. The lock is held.
 func (p *Picture) lapseLimits(now time.Duration) {
 	p.limits.spent.lapse(now)
-	p.limits.book.Lapse(func(hash uint32) bool { return p.byHash[hash] != nil }, now)
+	p.limits.book.Expire(func(hash uint32) bool { return p.byHash[hash] != nil }, now)
 }
 
 // NameOf returns the id of the upstream with a hash; empty when it is not listed.
