--- a/internal/peers/fleet_test.go
+++ b/internal/peers/fleet_test.go
@@ -97,7 +97,7 @@
 func (l *virtualLoads) SetGrantShare(share float64) { l.grants.Keep(share, l.now()) }
 
 // DecideGrant decides as an instance does.
-func (l *virtualLoads) DecideGrant(ask quota.Ask) quota.Verdict {
+func (l *virtualLoads) DecideGrant(ask quota.GrantRequest) quota.Verdict {
 	return l.grants.Decide(l.Picture, ask, l.now())
 }
 
--- a/internal/peers/grants.go
+++ b/internal/peers/grants.go
@@ -102,7 +102,7 @@
 
 // AskLimit asks the coordinator for one send to an upstream with a limit. Without a word in
 // time there is none.
-func (r *Reports) AskLimit(ctx context.Context, ask quota.Ask) quota.Verdict {
+func (r *Reports) AskLimit(ctx context.Context, ask quota.GrantRequest) quota.Verdict {
 	ask.From = uint64(r.exchange.id)
 	coordinator := r.exchange.coordinator()
 	if coordinator == r.exchange.self.Address {
@@ -132,7 +132,7 @@
 	}
 }
 
-func (r *Reports) sendLimitAsk(id uint64, ask quota.Ask, to string) {
+func (r *Reports) sendLimitAsk(id uint64, ask quota.GrantRequest, to string) {
 	message := r.message(sfv1.Datagram_KIND_LIMIT_ASK)
 	message.LimitAsk = &sfv1.LimitAsk{
 		Id: id, Limit: limitToMessage(ask.Word), FirstHand: ask.FirstHand, Priority: uint32(max(0, ask.Priority)), Continues: ask.Continues,
@@ -142,7 +142,7 @@
 
 // takeLimitAsk answers a question for a send to an upstream with a limit.
 func (r *Reports) takeLimitAsk(m *sfv1.LimitAsk, k *known) {
-	ask := quota.Ask{
+	ask := quota.GrantRequest{
 		From: uint64(k.ID()), Word: limitFromMessage(m.GetLimit()), FirstHand: m.GetFirstHand(), Priority: int(m.GetPriority()), Continues: m.GetContinues(),
 	}
 	verdict := r.verdicts.of(question{k.ID(), m.GetId()}, r.exchange.now(), func() quota.Verdict { return r.loads.DecideGrant(ask) })
--- a/internal/peers/reports.go
+++ b/internal/peers/reports.go
@@ -48,7 +48,7 @@
 	// SetGrantShare takes the part of upstreams' limits that this instance gives out; 0 for
 	// none. GrantLimited decides on one send to such an upstream.
 	SetGrantShare(share float64)
-	DecideGrant(ask quota.Ask) quota.Verdict
+	DecideGrant(ask quota.GrantRequest) quota.Verdict
 	// GrantRetry gives a further send to a service away, from the pool that this instance
 	// keeps for its zone; false when there is none.
 	GrantRetry(service uint32) bool
--- a/internal/quota/grants.go
+++ b/internal/quota/grants.go
@@ -6,8 +6,8 @@
 	"sassafrasfield/internal/limit"
 )
 
-// Ask is a question for one send to an upstream with a limit.
-type Ask struct {
+// GrantRequest is a question for one send to an upstream with a limit.
+type GrantRequest struct {
 	// Word is what the asking instance knows of the upstream's limit.
 	Word UpstreamLimit
 	// FirstHand: the upstream itself told it so, and no other instance.
@@ -119,7 +119,7 @@
 
 // Decide takes what an instance that asks for a send was told, and decides on it by the
 // newest word. Without one here, the asker's counts.
-func (g *Grants) Decide(limits Limits, ask Ask, now time.Duration) Verdict {
+func (g *Grants) Decide(limits Limits, ask GrantRequest, now time.Duration) Verdict {
 	if ask.FirstHand {
 		limits.HearLimit(ask.Word, now)
 	}
@@ -134,7 +134,7 @@
 }
 
 // Take decides on one send to an upstream that takes so many requests a second.
-func (g *Grants) Take(ask Ask, rate float64, now time.Duration) Verdict {
+func (g *Grants) Take(ask GrantRequest, rate float64, now time.Duration) Verdict {
 	if !g.Coordinates(now) {
 		return Verdict{RetryIn: NoWordRetry}
 	}
@@ -161,7 +161,7 @@
 
 // leaves is how many tokens must be left after a request: one for those that are more
 // urgent while these ask too.
-func (a *allowance) leaves(ask Ask, now time.Duration) float64 {
+func (a *allowance) leaves(ask GrantRequest, now time.Duration) float64 {
 	if ask.Continues {
 		return -debt
 	}
--- a/internal/quota/grants_test.go
+++ b/internal/quota/grants_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-func asks(rate float64) Ask { return Ask{Word: UpstreamLimit{Upstream: upstream, Rate: rate}} }
+func asks(rate float64) GrantRequest { return GrantRequest{Word: UpstreamLimit{Upstream: upstream, Rate: rate}} }
 
 // coordinating returns grants of an instance that has coordinated for long, and the time.
 func coordinating(rate float64) (*Grants, time.Duration) {
@@ -29,7 +29,7 @@
 }
 
 // granted counts what is granted of many questions at once.
-func granted(g *Grants, a Ask, rate float64, now time.Duration) int {
+func granted(g *Grants, a GrantRequest, rate float64, now time.Duration) int {
 	count := 0
 	for range 100 {
 		if g.Take(a, rate, now).Granted {
@@ -107,7 +107,7 @@
 	won := map[int]int{}
 	for range 200 {
 		now = later(g, now, 100*time.Millisecond)
-		for _, a := range []Ask{other, urgent} { // the less urgent one is there first
+		for _, a := range []GrantRequest{other, urgent} { // the less urgent one is there first
 			if g.Take(a, rate, now).Granted {
 				won[a.Priority]++
 			}
@@ -156,16 +156,16 @@
 func TestAnUnknownLimitIsTheAskers(t *testing.T) {
 	for name, c := range map[string]struct {
 		book      func(*Table)
-		ask       Ask
+		ask       GrantRequest
 		unbounded bool
 	}{
 		"the coordinator knows none": {func(*Table) {}, asks(1), false},
 		"it knows that it has ended": {func(b *Table) {
 			b.ApplyAnnouncement(upstream, limited(1), 0)
 			b.ApplyAnnouncement(upstream, Announcement{}, 5*time.Second)
-		}, Ask{Word: UpstreamLimit{Upstream: upstream, Rate: 1, Age: 8 * time.Second}}, true},
-		"the asker's word is newer":   {func(b *Table) { b.ApplyAnnouncement(upstream, limited(9), 0) }, Ask{Word: UpstreamLimit{Upstream: upstream, Rate: 1}, FirstHand: true}, false},
-		"the asker's word is hearsay": {func(b *Table) { b.ApplyAnnouncement(upstream, limited(1), 0) }, Ask{Word: UpstreamLimit{Upstream: upstream, Rate: 1}}, false},
+		}, GrantRequest{Word: UpstreamLimit{Upstream: upstream, Rate: 1, Age: 8 * time.Second}}, true},
+		"the asker's word is newer":   {func(b *Table) { b.ApplyAnnouncement(upstream, limited(9), 0) }, GrantRequest{Word: UpstreamLimit{Upstream: upstream, Rate: 1}, FirstHand: true}, false},
+		"the asker's word is hearsay": {func(b *Table) { b.ApplyAnnouncement(upstream, limited(1), 0) }, GrantRequest{Word: UpstreamLimit{Upstream: upstream, Rate: 1}}, false},
 	} {
 		known := bookOf{NewTable()}
 		c.book(known.Table)
--- a/internal/relay/leaving_test.go
+++ b/internal/relay/leaving_test.go
@@ -102,7 +102,7 @@
 		sender := &fakeSender{}
 		var r *Relay
 		left := ""
-		asked := &coordinator{decide: func(a quota.Ask) quota.Verdict {
+		asked := &coordinator{decide: func(a quota.GrantRequest) quota.Verdict {
 			if left == "" { // the first one leaves while its grant is asked for
 				left = r.picture.NameOf(a.Word.Upstream)
 				r.hear(r.picture.Upstream(left), leavingWord())
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -90,7 +90,7 @@
 
 // SetGrantRequester sets how a send to an upstream with a limit is asked for at the instance that
 // coordinates the grants.
-func (r *Relay) SetGrantRequester(ask func(context.Context, quota.Ask) quota.Verdict) {
+func (r *Relay) SetGrantRequester(ask func(context.Context, quota.GrantRequest) quota.Verdict) {
 	r.askLimit.Store(&ask)
 }
 
@@ -114,7 +114,7 @@
 	}
 	verdict := quota.Verdict{RetryIn: quota.NoWordRetry}
 	if ask := r.askLimit.Load(); ask != nil {
-		verdict = (*ask)(ctx, quota.Ask{Word: limit, FirstHand: firstHand, Priority: send.Priority, Continues: send.Continues})
+		verdict = (*ask)(ctx, quota.GrantRequest{Word: limit, FirstHand: firstHand, Priority: send.Priority, Continues: send.Continues})
 	}
 	r.log.Info("relay: send to a limited upstream", "request", req.ID, "upstream", send.To.ID, "per_second", limit.Rate,
 		"limit_age", limit.Age, "granted", verdict.Granted, "retry_in", verdict.RetryIn, "took", r.now()-now)
@@ -188,7 +188,7 @@
 
 // DecideGrant decides on one send to an upstream with a limit, of this instance or of
 // another one.
-func (r *Relay) DecideGrant(ask quota.Ask) quota.Verdict {
+func (r *Relay) DecideGrant(ask quota.GrantRequest) quota.Verdict {
 	r.grants.mu.Lock()
 	verdict := r.grants.state.Decide(r.picture, ask, r.now())
 	r.grants.mu.Unlock()
--- a/internal/relay/limits_test.go
+++ b/internal/relay/limits_test.go
@@ -17,13 +17,13 @@
 // coordinator answers the questions for grants by script.
 type coordinator struct {
 	// decide answers them; nil grants all.
-	decide func(quota.Ask) quota.Verdict
+	decide func(quota.GrantRequest) quota.Verdict
 
 	mu   sync.Mutex // protects asks
-	asks []quota.Ask
+	asks []quota.GrantRequest
 }
 
-func (c *coordinator) ask(_ context.Context, a quota.Ask) quota.Verdict {
+func (c *coordinator) ask(_ context.Context, a quota.GrantRequest) quota.Verdict {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.asks = append(c.asks, a)
@@ -138,7 +138,7 @@
 func TestWhatOneUpstreamHasNoRoomForGoesToAnother(t *testing.T) {
 	for _, path := range []string{"/unsafe/1", "/safe/1", "/once/1"} {
 		sender := &fakeSender{}
-		asked := &coordinator{decide: func(a quota.Ask) quota.Verdict {
+		asked := &coordinator{decide: func(a quota.GrantRequest) quota.Verdict {
 			return quota.Verdict{RetryIn: time.Minute}
 		}}
 		r := limitedRelay(t, sender, asked, "app-1", "app-2", "pre-1", "dec-1", "dec-2")
@@ -180,7 +180,7 @@
 		"engines that generate, resumed": {"/resumable/1", allEngines[2:]},
 	} {
 		sender := &fakeSender{}
-		r := limitedRelay(t, sender, &coordinator{decide: func(quota.Ask) quota.Verdict {
+		r := limitedRelay(t, sender, &coordinator{decide: func(quota.GrantRequest) quota.Verdict {
 			return quota.Verdict{RetryIn: room}
 		}}, c.limited...)
 		for range 2 { // the second one asks nobody
@@ -213,7 +213,7 @@
 	asked := &coordinator{}
 	sender := &fakeSender{run: cutFirst}
 	r := limitedRelay(t, sender, asked, allEngines...)
-	asked.decide = func(a quota.Ask) quota.Verdict {
+	asked.decide = func(a quota.GrantRequest) quota.Verdict {
 		if len(asked.asks) == 2 { // the answer began; all others find nothing from now on
 			for _, id := range allEngines {
 				r.picture.Spent(hashOfUpstream(id), 0, time.Minute)
@@ -259,7 +259,7 @@
 	if _, err := serve(r, call("/safe/1")); wordOf(t, err) != NotRun || sender.count() > 0 {
 		t.Errorf("%v, %d sends", err, sender.count())
 	}
-	if verdict := r.DecideGrant(quota.Ask{Word: quota.UpstreamLimit{Upstream: 1, Rate: 2}}); verdict.Granted {
+	if verdict := r.DecideGrant(quota.GrantRequest{Word: quota.UpstreamLimit{Upstream: 1, Rate: 2}}); verdict.Granted {
 		t.Error("an instance that does not coordinate granted")
 	}
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -85,7 +85,7 @@
 	grants   *grants
 	// askLimit asks the instance that coordinates the grants of sends to upstreams with
 	// limits; nil for none.
-	askLimit atomic.Pointer[func(context.Context, quota.Ask) quota.Verdict]
+	askLimit atomic.Pointer[func(context.Context, quota.GrantRequest) quota.Verdict]
 	// ask asks the instance that keeps the zone's pool; nil for none.
 	ask atomic.Pointer[func(context.Context, uint32) bool]
 	// closed: new requests are refused.
--- a/internal/relay/rest_test.go
+++ b/internal/relay/rest_test.go
@@ -46,7 +46,7 @@
 		sender := &fakeSender{}
 		var r *Relay
 		rests := ""
-		asked := &coordinator{decide: func(a quota.Ask) quota.Verdict {
+		asked := &coordinator{decide: func(a quota.GrantRequest) quota.Verdict {
 			if rests == "" {
 				rests = r.picture.NameOf(a.Word.Upstream)
 				r.hear(r.picture.Upstream(rests), restOf(time.Minute))
