--- a/internal/peers/grants.go
+++ b/internal/peers/grants.go
@@ -135,7 +135,7 @@
 func (r *Reports) sendLimitAsk(id uint64, ask quota.GrantRequest, to string) {
 	message := r.message(sfv1.Datagram_KIND_LIMIT_ASK)
 	message.LimitAsk = &sfv1.LimitAsk{
-		Id: id, Limit: limitToMessage(ask.Word), FirstHand: ask.FirstHand, Priority: uint32(max(0, ask.Priority)), Continues: ask.Continues,
+		Id: id, Limit: limitToMessage(ask.Limit), FirstHand: ask.FirstHand, Priority: uint32(max(0, ask.Priority)), Continues: ask.Continues,
 	}
 	r.send(message, []string{to})
 }
@@ -143,7 +143,7 @@
 // takeLimitAsk answers a question for a send to an upstream with a limit.
 func (r *Reports) takeLimitAsk(m *sfv1.LimitAsk, k *known) {
 	ask := quota.GrantRequest{
-		From: uint64(k.ID()), Word: limitFromMessage(m.GetLimit()), FirstHand: m.GetFirstHand(), Priority: int(m.GetPriority()), Continues: m.GetContinues(),
+		From: uint64(k.ID()), Limit: limitFromMessage(m.GetLimit()), FirstHand: m.GetFirstHand(), Priority: int(m.GetPriority()), Continues: m.GetContinues(),
 	}
 	verdict := r.verdicts.of(question{k.ID(), m.GetId()}, r.exchange.now(), func() quota.Verdict { return r.loads.DecideGrant(ask) })
 	reply := r.message(sfv1.Datagram_KIND_LIMIT_VERDICT)
--- a/internal/peers/limit_test.go
+++ b/internal/peers/limit_test.go
@@ -134,7 +134,7 @@
 			return
 		}
 		f.asked++
-		ask := quota.GrantRequest{Word: word, FirstHand: firstHand, From: uint64(n.exchange.id)}
+		ask := quota.GrantRequest{Limit: word, FirstHand: firstHand, From: uint64(n.exchange.id)}
 		switch coordinator := n.exchange.coordinator(); coordinator {
 		case n.exchange.self.Address:
 			if f.decided(c, u, n.loads.DecideGrant(ask)) {
--- a/internal/quota/grants.go
+++ b/internal/quota/grants.go
@@ -8,8 +8,8 @@
 
 // GrantRequest is a question for one send to an upstream with a limit.
 type GrantRequest struct {
-	// Word is what the asking instance knows of the upstream's limit.
-	Word UpstreamLimit
+	// Limit is what the asking instance knows of the upstream's limit.
+	Limit UpstreamLimit
 	// FirstHand: the upstream itself told it so, and no other instance.
 	FirstHand bool
 	// From names the asking instance.
@@ -121,11 +121,11 @@
 // newest word. Without one here, the asker's counts.
 func (g *Grants) Decide(limits Limits, ask GrantRequest, now time.Duration) Verdict {
 	if ask.FirstHand {
-		limits.HearLimit(ask.Word, now)
+		limits.HearLimit(ask.Limit, now)
 	}
-	word, _, known := limits.Limit(ask.Word.Upstream, now)
+	word, _, known := limits.Limit(ask.Limit.Upstream, now)
 	if !known {
-		word = ask.Word
+		word = ask.Limit
 	}
 	if !word.Limited() {
 		return Verdict{Granted: true}
@@ -138,7 +138,7 @@
 	if !g.Coordinates(now) {
 		return Verdict{RetryIn: NoWordRetry}
 	}
-	a := g.allowance(ask.Word.Upstream, now)
+	a := g.allowance(ask.Limit.Upstream, now)
 	a.usedAt = now
 	a.bucket.Set(rate*g.share, burstOf(rate*g.share), now)
 	left := a.leaves(ask, now)
--- a/internal/quota/grants_test.go
+++ b/internal/quota/grants_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-func asks(rate float64) GrantRequest { return GrantRequest{Word: UpstreamLimit{Upstream: upstream, Rate: rate}} }
+func asks(rate float64) GrantRequest { return GrantRequest{Limit: UpstreamLimit{Upstream: upstream, Rate: rate}} }
 
 // coordinating returns grants of an instance that has coordinated for long, and the time.
 func coordinating(rate float64) (*Grants, time.Duration) {
@@ -163,9 +163,9 @@
 		"it knows that it has ended": {func(b *Table) {
 			b.ApplyAnnouncement(upstream, limited(1), 0)
 			b.ApplyAnnouncement(upstream, Announcement{}, 5*time.Second)
-		}, GrantRequest{Word: UpstreamLimit{Upstream: upstream, Rate: 1, Age: 8 * time.Second}}, true},
-		"the asker's word is newer":   {func(b *Table) { b.ApplyAnnouncement(upstream, limited(9), 0) }, GrantRequest{Word: UpstreamLimit{Upstream: upstream, Rate: 1}, FirstHand: true}, false},
-		"the asker's word is hearsay": {func(b *Table) { b.ApplyAnnouncement(upstream, limited(1), 0) }, GrantRequest{Word: UpstreamLimit{Upstream: upstream, Rate: 1}}, false},
+		}, GrantRequest{Limit: UpstreamLimit{Upstream: upstream, Rate: 1, Age: 8 * time.Second}}, true},
+		"the asker's word is newer":   {func(b *Table) { b.ApplyAnnouncement(upstream, limited(9), 0) }, GrantRequest{Limit: UpstreamLimit{Upstream: upstream, Rate: 1}, FirstHand: true}, false},
+		"the asker's word is hearsay": {func(b *Table) { b.ApplyAnnouncement(upstream, limited(1), 0) }, GrantRequest{Limit: UpstreamLimit{Upstream: upstream, Rate: 1}}, false},
 	} {
 		known := bookOf{NewTable()}
 		c.book(known.Table)
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -114,7 +114,7 @@
 	}
 	verdict := quota.Verdict{RetryIn: quota.NoWordRetry}
 	if ask := r.askLimit.Load(); ask != nil {
-		verdict = (*ask)(ctx, quota.GrantRequest{Word: limit, FirstHand: firstHand, Priority: send.Priority, Continues: send.Continues})
+		verdict = (*ask)(ctx, quota.GrantRequest{Limit: limit, FirstHand: firstHand, Priority: send.Priority, Continues: send.Continues})
 	}
 	r.log.Info("relay: send to a limited upstream", "request", req.ID, "upstream", send.To.ID, "per_second", limit.Rate,
 		"limit_age", limit.Age, "granted", verdict.Granted, "retry_in", verdict.RetryIn, "took", r.now()-now)
--- a/internal/relay/limits_test.go
+++ b/internal/relay/limits_test.go
@@ -259,7 +259,7 @@
 	if _, err := serve(r, call("/safe/1")); wordOf(t, err) != NotRun || sender.count() > 0 {
 		t.Errorf("%v, %d sends", err, sender.count())
 	}
-	if verdict := r.DecideGrant(quota.GrantRequest{Word: quota.UpstreamLimit{Upstream: 1, Rate: 2}}); verdict.Granted {
+	if verdict := r.DecideGrant(quota.GrantRequest{Limit: quota.UpstreamLimit{Upstream: 1, Rate: 2}}); verdict.Granted {
 		t.Error("an instance that does not coordinate granted")
 	}
 }
