--- a/internal/peers/grants.go
+++ b/internal/peers/grants.go
@@ -109,7 +109,7 @@
 		return r.loads.DecideGrant(ask)
 	}
 	if coordinator == "" {
-		return quota.Verdict{RetryIn: quota.NoWordRetry}
+		return quota.Verdict{RetryIn: quota.NoCoordinatorRetry}
 	}
 	id, answer := r.limitAsks.begin()
 	defer r.limitAsks.end(id)
@@ -125,9 +125,9 @@
 			r.sendLimitAsk(id, ask, coordinator)
 		case <-timer.C:
 			r.exchange.log.Info("peers: no word from the coordinator of the grants", "coordinator", coordinator)
-			return quota.Verdict{RetryIn: quota.NoWordRetry}
+			return quota.Verdict{RetryIn: quota.NoCoordinatorRetry}
 		case <-ctx.Done():
-			return quota.Verdict{RetryIn: quota.NoWordRetry}
+			return quota.Verdict{RetryIn: quota.NoCoordinatorRetry}
 		}
 	}
 }
--- a/internal/peers/limit_test.go
+++ b/internal/peers/limit_test.go
@@ -141,7 +141,7 @@
 				return
 			}
 		case "":
-			f.decided(c, u, quota.Verdict{RetryIn: quota.NoWordRetry})
+			f.decided(c, u, quota.Verdict{RetryIn: quota.NoCoordinatorRetry})
 		default:
 			c.asks, c.until = u, f.now+limitAskTimeout
 			c.ask, c.answer = n.limitAsks.begin()
@@ -181,7 +181,7 @@
 			f.open = append(f.open, c)
 			continue
 		}
-		verdict, came := quota.Verdict{RetryIn: quota.NoWordRetry}, false
+		verdict, came := quota.Verdict{RetryIn: quota.NoCoordinatorRetry}, false
 		if f.now < c.until {
 			select {
 			case verdict = <-c.answer:
--- a/internal/quota/grants.go
+++ b/internal/quota/grants.go
@@ -47,8 +47,8 @@
 	asksEach = 2
 	// waitAtMost bounds the time until an instance asks again.
 	waitAtMost = time.Second
-	// NoWordRetry is when to ask again where nobody grants.
-	NoWordRetry = 200 * time.Millisecond
+	// NoCoordinatorRetry is when to ask again where nobody grants.
+	NoCoordinatorRetry = 200 * time.Millisecond
 	// idleFor is for how long the bucket of an upstream is kept that nobody asks for.
 	idleFor = time.Minute
 )
@@ -136,7 +136,7 @@
 // Take decides on one send to an upstream that takes so many requests a second.
 func (g *Grants) Take(ask GrantRequest, rate float64, now time.Duration) Verdict {
 	if !g.Coordinates(now) {
-		return Verdict{RetryIn: NoWordRetry}
+		return Verdict{RetryIn: NoCoordinatorRetry}
 	}
 	a := g.allowance(ask.Limit.Upstream, now)
 	a.usedAt = now
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -112,7 +112,7 @@
 		r.meters.limits.declined.Inc(1)
 		return false
 	}
-	verdict := quota.Verdict{RetryIn: quota.NoWordRetry}
+	verdict := quota.Verdict{RetryIn: quota.NoCoordinatorRetry}
 	if ask := r.askLimit.Load(); ask != nil {
 		verdict = (*ask)(ctx, quota.GrantRequest{Limit: limit, FirstHand: firstHand, Priority: send.Priority, Continues: send.Continues})
 	}
