--- a/internal/peers/fleet_test.go
+++ b/internal/peers/fleet_test.go
@@ -58,7 +58,7 @@
 	now     func() time.Duration
 	changed chan struct{}
 	granted int
-	grants  *quota.Grants
+	grants  *quota.Coordinator
 }
 
 func newVirtualLoads(now func() time.Duration) *virtualLoads {
--- a/internal/quota/grants.go
+++ b/internal/quota/grants.go
@@ -53,9 +53,9 @@
 	idleFor = time.Minute
 )
 
-// Grants gives the sends to upstreams with limits out, where one instance does so for all.
+// Coordinator gives the sends to upstreams with limits out, where one instance does so for all.
 // It is not safe for concurrent use.
-type Grants struct {
+type Coordinator struct {
 	// share is the part of each limit that is given out here; 0 is none.
 	share float64
 	// since is when this instance began to coordinate, keptAt its last sign of life.
@@ -82,12 +82,12 @@
 }
 
 // NewGrants returns grants of an instance that does not coordinate.
-func NewGrants() *Grants { return &Grants{allowances: map[uint32]*allowance{}} }
+func NewGrants() *Coordinator { return &Coordinator{allowances: map[uint32]*allowance{}} }
 
 // Keep has this instance give out a part of each limit, or none when the share is 0. It is
 // called several times a second. Who begins has nothing to give out yet, as the instance
 // before may have given out all.
-func (g *Grants) Keep(share float64, now time.Duration) {
+func (g *Coordinator) Keep(share float64, now time.Duration) {
 	if g.share == 0 || share == 0 || now-g.keptAt > standstill {
 		g.since = now
 		clear(g.allowances)
@@ -101,10 +101,10 @@
 }
 
 // Share is the part of each limit that is given out here.
-func (g *Grants) Share() float64 { return g.share }
+func (g *Coordinator) Share() float64 { return g.share }
 
 // Coordinates tells whether this instance grants.
-func (g *Grants) Coordinates(now time.Duration) bool {
+func (g *Coordinator) Coordinates(now time.Duration) bool {
 	return g.share > 0 && now-g.keptAt <= standstill && now-g.since >= settleFor
 }
 
@@ -119,7 +119,7 @@
 
 // Decide takes what an instance that asks for a send was told, and decides on it by the
 // newest word. Without one here, the asker's counts.
-func (g *Grants) Decide(limits Limits, ask GrantRequest, now time.Duration) Verdict {
+func (g *Coordinator) Decide(limits Limits, ask GrantRequest, now time.Duration) Verdict {
 	if ask.FirstHand {
 		limits.HearLimit(ask.Limit, now)
 	}
@@ -134,7 +134,7 @@
 }
 
 // Take decides on one send to an upstream that takes so many requests a second.
-func (g *Grants) Take(ask GrantRequest, rate float64, now time.Duration) Verdict {
+func (g *Coordinator) Take(ask GrantRequest, rate float64, now time.Duration) Verdict {
 	if !g.Coordinates(now) {
 		return Verdict{RetryIn: NoCoordinatorRetry}
 	}
@@ -150,7 +150,7 @@
 
 func burstOf(rate float64) float64 { return max(leastBurst, rate*burstTime.Seconds()) }
 
-func (g *Grants) allowance(upstream uint32, now time.Duration) *allowance {
+func (g *Coordinator) allowance(upstream uint32, now time.Duration) *allowance {
 	a, ok := g.allowances[upstream]
 	if !ok {
 		a = &allowance{bucket: limit.NewBucket(now), urgent: -1, turns: map[asker]time.Duration{}}
--- a/internal/quota/grants_test.go
+++ b/internal/quota/grants_test.go
@@ -10,7 +10,7 @@
 func asks(rate float64) GrantRequest { return GrantRequest{Limit: UpstreamLimit{Upstream: upstream, Rate: rate}} }
 
 // coordinating returns grants of an instance that has coordinated for long, and the time.
-func coordinating(rate float64) (*Grants, time.Duration) {
+func coordinating(rate float64) (*Coordinator, time.Duration) {
 	g, now := NewGrants(), time.Duration(0)
 	for ; now < 10*time.Second; now += 100 * time.Millisecond {
 		g.Keep(1, now)
@@ -20,7 +20,7 @@
 }
 
 // later has time pass at an instance that coordinates.
-func later(g *Grants, now, d time.Duration) time.Duration {
+func later(g *Coordinator, now, d time.Duration) time.Duration {
 	for end := now + d; now < end; now += 100 * time.Millisecond {
 		g.Keep(1, now)
 	}
@@ -29,7 +29,7 @@
 }
 
 // granted counts what is granted of many questions at once.
-func granted(g *Grants, a GrantRequest, rate float64, now time.Duration) int {
+func granted(g *Coordinator, a GrantRequest, rate float64, now time.Duration) int {
 	count := 0
 	for range 100 {
 		if g.Take(a, rate, now).Granted {
--- a/internal/quota/ways_test.go
+++ b/internal/quota/ways_test.go
@@ -87,7 +87,7 @@
 
 // grant asks the one that coordinates, unless it was told to wait.
 type grant struct {
-	grants *Grants
+	grants *Coordinator
 	rate   float64
 	waits  []time.Duration
 }
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -170,7 +170,7 @@
 // grants are those that this instance gives out while it coordinates them for all.
 type grants struct {
 	mu    sync.Mutex // protects state
-	state *quota.Grants
+	state *quota.Coordinator
 }
 
 func newGrants() *grants { return &grants{state: quota.NewGrants()} }
