--- a/internal/peers/fleet_test.go
+++ b/internal/peers/fleet_test.go
@@ -62,7 +62,7 @@
 }
 
 func newVirtualLoads(now func() time.Duration) *virtualLoads {
-	l := &virtualLoads{now: now, changed: make(chan struct{}, 1), grants: quota.NewGrants()}
+	l := &virtualLoads{now: now, changed: make(chan struct{}, 1), grants: quota.NewCoordinator()}
 	l.Picture = upstreamstate.New(upstreamstate.Settings{Seed: 1, Changed: func() {
 		select {
 		case l.changed <- struct{}{}:
--- a/internal/quota/grants.go
+++ b/internal/quota/grants.go
@@ -81,8 +81,8 @@
 	priority int
 }
 
-// NewGrants returns grants of an instance that does not coordinate.
-func NewGrants() *Coordinator { return &Coordinator{allowances: map[uint32]*allowance{}} }
+// NewCoordinator returns grants of an instance that does not coordinate.
+func NewCoordinator() *Coordinator { return &Coordinator{allowances: map[uint32]*allowance{}} }
 
 // Keep has this instance give out a part of each limit, or none when the share is 0. It is
 // called several times a second. Who begins has nothing to give out yet, as the instance
--- a/internal/quota/grants_test.go
+++ b/internal/quota/grants_test.go
@@ -11,7 +11,7 @@
 
 // coordinating returns grants of an instance that has coordinated for long, and the time.
 func coordinating(rate float64) (*Coordinator, time.Duration) {
-	g, now := NewGrants(), time.Duration(0)
+	g, now := NewCoordinator(), time.Duration(0)
 	for ; now < 10*time.Second; now += 100 * time.Millisecond {
 		g.Keep(1, now)
 	}
@@ -42,7 +42,7 @@
 // TestWhoBeginsHasNothingToGiveOut: the coordinator before may have given out all. One that
 // stood still begins anew.
 func TestWhoBeginsHasNothingToGiveOut(t *testing.T) {
-	g := NewGrants()
+	g := NewCoordinator()
 	g.Keep(1, 0)
 	if n := granted(g, asks(10), 10, settleFor-1); n > 0 {
 		t.Errorf("%d grants before others could have heard of it", n)
--- a/internal/quota/ways_test.go
+++ b/internal/quota/ways_test.go
@@ -93,7 +93,7 @@
 }
 
 func newGrant(instances int, rate float64) *grant {
-	g := &grant{grants: NewGrants(), rate: rate, waits: make([]time.Duration, instances)}
+	g := &grant{grants: NewCoordinator(), rate: rate, waits: make([]time.Duration, instances)}
 	for now := -2 * settleFor; now < 0; now += 100 * time.Millisecond {
 		g.grants.Keep(1, now)
 	}
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -173,7 +173,7 @@
 	state *quota.Coordinator
 }
 
-func newGrants() *grants { return &grants{state: quota.NewGrants()} }
+func newGrants() *grants { return &grants{state: quota.NewCoordinator()} }
 
 // SetGrantShare takes the part of upstreams' limits that this instance gives out; 0 for none.
 func (r *Relay) SetGrantShare(share float64) {
