--- a/internal/peers/fleet_test.go
+++ b/internal/peers/fleet_test.go
@@ -94,7 +94,7 @@
 func (l *virtualLoads) ApplyLimits([]quota.UpstreamLimit, bool) {}
 
 // SetGrantShare takes what this instance gives out.
-func (l *virtualLoads) SetGrantShare(share float64) { l.grants.Keep(share, l.now()) }
+func (l *virtualLoads) SetGrantShare(share float64) { l.grants.SetShare(share, l.now()) }
 
 // DecideGrant decides as an instance does.
 func (l *virtualLoads) DecideGrant(ask quota.GrantRequest) quota.Verdict {
--- a/internal/quota/grants.go
+++ b/internal/quota/grants.go
@@ -84,10 +84,10 @@
 // NewCoordinator returns grants of an instance that does not coordinate.
 func NewCoordinator() *Coordinator { return &Coordinator{allowances: map[uint32]*allowance{}} }
 
-// Keep has this instance give out a part of each limit, or none when the share is 0. It is
+// SetShare has this instance give out a part of each limit, or none when the share is 0. It is
 // called several times a second. Who begins has nothing to give out yet, as the instance
 // before may have given out all.
-func (g *Coordinator) Keep(share float64, now time.Duration) {
+func (g *Coordinator) SetShare(share float64, now time.Duration) {
 	if g.share == 0 || share == 0 || now-g.keptAt > standstill {
 		g.since = now
 		clear(g.allowances)
--- a/internal/quota/grants_test.go
+++ b/internal/quota/grants_test.go
@@ -13,7 +13,7 @@
 func coordinating(rate float64) (*Coordinator, time.Duration) {
 	g, now := NewCoordinator(), time.Duration(0)
 	for ; now < 10*time.Second; now += 100 * time.Millisecond {
-		g.Keep(1, now)
+		g.SetShare(1, now)
 	}
 	g.Take(asks(rate), rate, now)
 	return g, now
@@ -22,9 +22,9 @@
 // later has time pass at an instance that coordinates.
 func later(g *Coordinator, now, d time.Duration) time.Duration {
 	for end := now + d; now < end; now += 100 * time.Millisecond {
-		g.Keep(1, now)
+		g.SetShare(1, now)
 	}
-	g.Keep(1, now)
+	g.SetShare(1, now)
 	return now
 }
 
@@ -43,7 +43,7 @@
 // stood still begins anew.
 func TestWhoBeginsHasNothingToGiveOut(t *testing.T) {
 	g := NewCoordinator()
-	g.Keep(1, 0)
+	g.SetShare(1, 0)
 	if n := granted(g, asks(10), 10, settleFor-1); n > 0 {
 		t.Errorf("%d grants before others could have heard of it", n)
 	}
@@ -59,11 +59,11 @@
 		if n := granted(g, asks(10), 10, wakes); n > 0 {
 			t.Errorf("%d grants %s after it stood still", n, wakes-now)
 		}
-		g.Keep(1, wakes)
+		g.SetShare(1, wakes)
 	}
 	now = later(g, now, 10*time.Second)
-	g.Keep(0, now)
-	g.Keep(1, now)
+	g.SetShare(0, now)
+	g.SetShare(1, now)
 	now = later(g, now, settleFor)
 	if n := granted(g, asks(10), 10, now); n > 0 {
 		t.Errorf("%d grants of what was saved up before another one coordinated", n)
@@ -79,7 +79,7 @@
 		start, count := now, 0
 		for range rapid.IntRange(1, 200).Draw(t, "questions") {
 			now += time.Duration(rapid.Int64Range(0, int64(300*time.Millisecond)).Draw(t, "pause"))
-			g.Keep(rapid.Float64Range(0.1, 1).Draw(t, "share"), now)
+			g.SetShare(rapid.Float64Range(0.1, 1).Draw(t, "share"), now)
 			rate := highest * rapid.Float64Range(0.2, 1).Draw(t, "part")
 			a := asks(rate)
 			a.Priority, a.Continues = rapid.IntRange(0, 3).Draw(t, "priority"), rapid.Bool().Draw(t, "continues")
--- a/internal/quota/ways_test.go
+++ b/internal/quota/ways_test.go
@@ -95,12 +95,12 @@
 func newGrant(instances int, rate float64) *grant {
 	g := &grant{grants: NewCoordinator(), rate: rate, waits: make([]time.Duration, instances)}
 	for now := -2 * settleFor; now < 0; now += 100 * time.Millisecond {
-		g.grants.Keep(1, now)
+		g.grants.SetShare(1, now)
 	}
 	return g
 }
 
-func (g *grant) exchange(now time.Duration) { g.grants.Keep(1, now) }
+func (g *grant) exchange(now time.Duration) { g.grants.SetShare(1, now) }
 
 func (g *grant) take(i int, now time.Duration) bool {
 	if now < g.waits[i] {
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -179,7 +179,7 @@
 func (r *Relay) SetGrantShare(share float64) {
 	r.grants.mu.Lock()
 	before := r.grants.state.Share()
-	r.grants.state.Keep(share, r.now())
+	r.grants.state.SetShare(share, r.now())
 	r.grants.mu.Unlock()
 	if share != before {
 		r.log.Info("relay: coordinates upstreams' limits", "share", share, "before", before)
