--- a/internal/peers/limit_test.go
+++ b/internal/peers/limit_test.go
@@ -320,7 +320,7 @@
 func (f *limitedFleet) coordinatorOf(t *testing.T) int {
 	t.Helper()
 	for i, n := range f.nodes {
-		if n.up && n.loads.grants.Coordinates(n.loads.now()) {
+		if n.up && n.loads.grants.Active(n.loads.now()) {
 			return i
 		}
 	}
--- a/internal/quota/grants.go
+++ b/internal/quota/grants.go
@@ -103,8 +103,8 @@
 // Share is the part of each limit that is given out here.
 func (g *Coordinator) Share() float64 { return g.share }
 
-// Coordinates tells whether this instance grants.
-func (g *Coordinator) Coordinates(now time.Duration) bool {
+// Active tells whether this instance grants.
+func (g *Coordinator) Active(now time.Duration) bool {
 	return g.share > 0 && now-g.keptAt <= standstill && now-g.since >= settleFor
 }
 
@@ -135,7 +135,7 @@
 
 // Take decides on one send to an upstream that takes so many requests a second.
 func (g *Coordinator) Take(ask GrantRequest, rate float64, now time.Duration) Verdict {
-	if !g.Coordinates(now) {
+	if !g.Active(now) {
 		return Verdict{RetryIn: NoCoordinatorRetry}
 	}
 	a := g.allowance(ask.Limit.Upstream, now)
