--- a/internal/quota/grants.go
+++ b/internal/quota/grants.go
@@ -110,8 +110,8 @@
 
 // Limits is what is known of upstreams' limits.
 type Limits interface {
-	// HearLimit takes what an instance was told by the upstream itself.
-	HearLimit(w UpstreamLimit, now time.Duration)
+	// ApplyLimit takes what an instance was told by the upstream itself.
+	ApplyLimit(w UpstreamLimit, now time.Duration)
 	// Limit returns what is known of an upstream's limit; known is false for one that never
 	// had one.
 	Limit(upstream uint32, now time.Duration) (w UpstreamLimit, firstHand, known bool)
@@ -121,7 +121,7 @@
 // newest word. Without one here, the asker's counts.
 func (g *Coordinator) Decide(limits Limits, ask GrantRequest, now time.Duration) Verdict {
 	if ask.FirstHand {
-		limits.HearLimit(ask.Limit, now)
+		limits.ApplyLimit(ask.Limit, now)
 	}
 	word, _, known := limits.Limit(ask.Limit.Upstream, now)
 	if !known {
--- a/internal/quota/grants_test.go
+++ b/internal/quota/grants_test.go
@@ -185,7 +185,7 @@
 // bookOf is what is known of limits.
 type bookOf struct{ *Table }
 
-func (b bookOf) HearLimit(w UpstreamLimit, now time.Duration) { b.ApplyReport(w, SameZone, now) }
+func (b bookOf) ApplyLimit(w UpstreamLimit, now time.Duration) { b.ApplyReport(w, SameZone, now) }
 
 func (b bookOf) Limit(upstream uint32, now time.Duration) (UpstreamLimit, bool, bool) {
 	return b.Lookup(upstream, now)
