--- a/internal/placement/policy.go
+++ b/internal/placement/policy.go
@@ -101,7 +101,7 @@
 func serviceScheduler(keep float64, scorers ...WeightedScorer) *Scheduler {
 	return &Scheduler{
 		Filters:     []Filter{LeavingFilter{}, ExcludedFilter{}},
-		Preferences: []Preference{{Filter: AllowanceFilter{}, Mandatory: true}, {Filter: HealthFilter{}, MinShare: keep}},
+		Preferences: []Preference{{Filter: LimitFilter{}, Mandatory: true}, {Filter: HealthFilter{}, MinShare: keep}},
 		Scorers:     scorers,
 		Picker:      BestPicker{},
 	}
--- a/internal/placement/stages.go
+++ b/internal/placement/stages.go
@@ -16,7 +16,7 @@
 // NewDisaggregatedScheduler returns the schedulers of both stages.
 func NewDisaggregatedScheduler() *DisaggregatedScheduler {
 	strict := []Filter{LeavingFilter{}, ExcludedFilter{}}
-	allowance := Preference{Filter: AllowanceFilter{}, Mandatory: true}
+	allowance := Preference{Filter: LimitFilter{}, Mandatory: true}
 	return &DisaggregatedScheduler{
 		start: &Scheduler{
 			Filters:     strict,
