--- a/internal/placement/policy.go
+++ b/internal/placement/policy.go
@@ -65,7 +65,7 @@
 func NewScheduler(policy Policy, pick Pick) *Scheduler {
 	view := viewOf(policy)
 	s := &Scheduler{
-		Filters: []Filter{ServingFilter{}, LeavingFilter{}, ExcludedFilter{}, ModelFilter{}, RoleFilter{}},
+		Filters: []Filter{ServingFilter{}, DrainingFilter{}, ExcludedFilter{}, ModelFilter{}, RoleFilter{}},
 		Preferences: []Preference{
 			{Filter: HealthFilter{}, MinShare: keepShare},
 		},
@@ -100,7 +100,7 @@
 
 func serviceScheduler(keep float64, scorers ...WeightedScorer) *Scheduler {
 	return &Scheduler{
-		Filters:     []Filter{LeavingFilter{}, ExcludedFilter{}},
+		Filters:     []Filter{DrainingFilter{}, ExcludedFilter{}},
 		Preferences: []Preference{{Filter: LimitFilter{}, Mandatory: true}, {Filter: HealthFilter{}, MinShare: keep}},
 		Scorers:     scorers,
 		Picker:      BestPicker{},
--- a/internal/placement/stages.go
+++ b/internal/placement/stages.go
@@ -15,7 +15,7 @@
 
 // NewDisaggregatedScheduler returns the schedulers of both stages.
 func NewDisaggregatedScheduler() *DisaggregatedScheduler {
-	strict := []Filter{LeavingFilter{}, ExcludedFilter{}}
+	strict := []Filter{DrainingFilter{}, ExcludedFilter{}}
 	allowance := Preference{Filter: LimitFilter{}, Mandatory: true}
 	return &DisaggregatedScheduler{
 		start: &Scheduler{
