--- a/internal/placement/assign.go
+++ b/internal/placement/assign.go
@@ -6,34 +6,33 @@
 	"sassafrasfield/internal/config"
 )
 
-// Assign picks the engine that begins a request, and says which part of it
-// that engine is to do: the whole on a mixed engine or, when the request may
-// be split, the prompt on a prefill engine, if the weaker engine of the best
-// pair of prefill and decode scores higher than the best mixed one. Where the
-// configuration has neither, any engine takes the whole.
-func (s *Scheduler) Assign(req *Request, candidates []Candidate, rng *rand.Rand) (first Candidate, work Phase, ok bool) {
+// Assign picks the engine that starts a request and returns the phase that this engine runs. A mixed engine
+// runs the full request. If the request may be split, a prefill engine runs the prompt when the lower score
+// of the best pair of prefill and decode engines is above the score of the best mixed engine. If neither
+// exists, an engine of any role runs the full request.
+func (s *Scheduler) Assign(req *Request, candidates []Candidate, rng *rand.Rand) (first Candidate, phase Phase, ok bool) {
 	if req.Phase != PhaseFull {
 		first, ok = s.Schedule(req, candidates, rng)
 		return first, req.Phase, ok
 	}
-	whole, hasWhole := s.Schedule(req, candidates, rng)
+	full, hasFull := s.Schedule(req, candidates, rng)
 	if req.Split {
 		prefill, score, hasPair := s.pair(req, candidates, rng)
-		if hasPair && (!hasWhole || score > s.score(req, whole)) {
+		if hasPair && (!hasFull || score > s.score(req, full)) {
 			return prefill, PhasePrefill, true
 		}
 	}
-	if hasWhole {
-		return whole, PhaseFull, true
+	if hasFull {
+		return full, PhaseFull, true
 	}
-	any := *req
-	any.Phase = PhaseAnyRole
-	first, ok = s.Schedule(&any, candidates, rng)
+	anyRole := *req
+	anyRole.Phase = PhaseAnyRole
+	first, ok = s.Schedule(&anyRole, candidates, rng)
 	return first, PhaseAnyRole, ok
 }
 
-// pair returns the best prefill engine, if a decode engine can go on after it,
-// and the lower of the two scores.
+// pair returns the best prefill engine and the lower of the scores of the best prefill and decode engines;
+// ok is false when either is missing.
 func (s *Scheduler) pair(req *Request, candidates []Candidate, rng *rand.Rand) (prefill Candidate, score float64, ok bool) {
 	first, next := *req, *req
 	first.Phase = PhasePrefill
--- a/internal/placement/costs.go
+++ b/internal/placement/costs.go
@@ -2,73 +2,70 @@
 
 import "time"
 
-// EngineTimes are what the engines of a service take. Package estimate learns
-// them; what the operators' configuration says of the engines comes from there.
+// EngineTimes are the processing times and capacities of the engines of a service. Package estimate learns
+// the times; values that the operators' configuration states are taken from the configuration.
 type EngineTimes struct {
-	// TokenTime is the time that a prefill engine takes for a prompt token, in
-	// nanoseconds.
+	// TokenTime is the time in nanoseconds that a prefill engine needs per prompt token.
 	TokenTime float64
-	// PairTime is the time that it takes for attention over one pair of tokens,
-	// in nanoseconds.
+	// PairTime is the time in nanoseconds that attention needs per pair of tokens.
 	PairTime float64
-	// Overhead is the time of a prompt besides its tokens, in which the engine can
-	// process others.
+	// Overhead is the time per prompt that does not depend on its tokens. The engine can process other
+	// prompts meanwhile.
 	Overhead time.Duration
-	// FetchTime is the time to fetch a token's KV cache from another engine of
-	// the zone, in nanoseconds.
+	// FetchTime is the time in nanoseconds to fetch the KV cache of one token from another engine of the
+	// same zone.
 	FetchTime float64
-	// HandOver is the time from the end of the prefill to the first token at the
-	// decode engine, besides the fetch.
+	// HandOver is the time from the end of the prefill to the first token on the decode engine, without the
+	// fetch.
 	HandOver time.Duration
-	// SlotTime is the mean time that a generation keeps its slot.
+	// SlotTime is the mean time that a generation occupies its slot.
 	SlotTime time.Duration
-	// Slots is how many requests an engine runs at a time.
+	// Slots is the number of requests that an engine runs concurrently.
 	Slots int
 	// CacheTokens is the size of an engine's KV cache, in tokens.
 	CacheTokens int
 }
 
-// Settings are what is weighed against the engines' times. None of them is a
-// property of one kind of engine.
+// Settings are the weights that are compared with the engines' times. None of them is a property of one kind
+// of engine.
 type Settings struct {
-	// DirectSlowdown is how much slower a decode engine processes a prompt: at half
-	// the speed, by the engines' interface, and between the tokens of its other
-	// requests.
+	// DirectSlowdown is the factor by which a decode engine processes a prompt more slowly than a prefill
+	// engine. By the engines' interface it runs at half the speed, and it interleaves the prompt with the
+	// tokens of its other requests.
 	DirectSlowdown float64
-	// DirectBelow is the number of prompt tokens below which the engine that
-	// generates may process the prompt too. Longer ones make
-	// the streams there pause: trials with them lost 0.1 to 0.6 of the worth.
+	// DirectBelow is the number of prompt tokens below which a decode engine may also process the prompt.
+	// Longer prompts stall the streams on that engine: trials with them lost 0.1 to 0.6 of the worth.
 	DirectBelow int
-	// BackupBelow is the number of prompt tokens below which a run that may not
-	// be repeated is copied to a second engine as it goes. A copy of a long one
-	// costs more memory and transfer than the runs that it saves are worth.
+	// BackupBelow is the number of prompt tokens below which a run that must not be repeated is copied to a
+	// second engine while it proceeds. Copying a longer one costs more memory and transfer than the saved
+	// runs are worth.
 	BackupBelow int
-	// MinFetchTokens is the fewest tokens that a fetch is asked for; below it, the
-	// engine has processed them as soon.
+	// MinFetchTokens is the smallest number of tokens worth fetching. The engine processes fewer tokens in
+	// the same time.
 	MinFetchTokens int
-	// CrossZoneFactor is how much longer a transfer from another zone takes, by the
-	// engines' interface.
+	// CrossZoneFactor is the factor by which a transfer from another zone takes longer, by the engines'
+	// interface.
 	CrossZoneFactor float64
-	// MemoryPrice is what all of an engine's memory is worth, as time that a
-	// request may wait instead: a further copy of a shared part costs the part of
-	// it that its tokens take, as others are pushed out and processed again. 60 to
-	// 180 s serve alike where copies matter (docs/NEW-CUSTOMER.md).
+	// MemoryPrice is the worth of an engine's whole KV cache, expressed as the time that a request may wait
+	// instead. Another copy of a shared part costs the fraction that its tokens occupy, because other
+	// entries are evicted and have to be processed again. Values from 60 to 180 s perform alike where copies
+	// matter (docs/NEW-CUSTOMER.md).
 	MemoryPrice time.Duration
-	// FullBatchCost is what an engine whose slots are all taken costs a request that
-	// joins it, against an idle one.
+	// FullBatchCost is the cost for a request of joining an engine whose slots are all occupied, compared
+	// with an idle engine.
 	FullBatchCost time.Duration
-	// CrossZoneCost is what it costs to send a request to an engine of another zone,
-	// and to have its answer back from there: bytes between zones are paid for.
+	// CrossZoneCost is the cost of sending a request to an engine in another zone and receiving the answer
+	// from there. Traffic between zones is billed by the byte.
 	CrossZoneCost time.Duration
-	// DeferredShare is the part of the time that callers wait in which prompts that
-	// yield are to be processed; with 0, all are processed in the order they come. With more of it, more prompts are on time, and more
-	// of those that yield miss their deadline: of a surge, 0 in 100 at 0.5, 2 at 0.7
-	// and 5 at 1 where waits are known exactly (TestASurgeLeavesMostPromptsOnTime).
+	// DeferredShare is the share of the callers' wait time within which deferred prompts have to be
+	// processed; with 0, no prompt is deferred. A larger share gets more prompts on time, but more deferred
+	// prompts miss their deadline: of the prompts in a surge, 0 in 100 at 0.5, 2 at 0.7 and 5 at 1 where
+	// waits are known exactly (TestDeferringKeepsMostPromptsOnTimeInASurge).
 	DeferredShare float64
 }
 
-// DefaultSettings returns the defaults. Those without a source in their comment
-// were chosen by the runs that docs/measurements/platform.md names.
+// DefaultSettings returns the defaults. docs/measurements/platform.md names the runs behind the values for
+// which the field comments give no source.
 func DefaultSettings() Settings {
 	return Settings{
 		DirectSlowdown: 2.4, DirectBelow: 2500, BackupBelow: 2500, MinFetchTokens: 500, CrossZoneFactor: 2,
@@ -76,40 +73,40 @@
 	}
 }
 
-// Costs are the times of a service's engines with what is weighed against them.
+// Costs is the cost model of a service's engines.
 type Costs struct {
 	EngineTimes
 	Settings
 }
 
-// work is the time that a prefill engine takes for a prompt of which it has the
-// first cached tokens.
-func (c Costs) work(p Prompt, cached int) time.Duration {
-	fresh := max(0, p.Tokens-cached)
-	pairs := float64(fresh) * (float64(cached) + float64(fresh)/2)
-	return time.Duration(float64(fresh)*c.TokenTime + pairs*c.PairTime)
+// prefillTime returns the time that a prefill engine needs for a prompt whose first cached tokens it already
+// has.
+func (c Costs) prefillTime(p Prompt, cached int) time.Duration {
+	uncached := max(0, p.Tokens-cached)
+	pairs := float64(uncached) * (float64(cached) + float64(uncached)/2)
+	return time.Duration(float64(uncached)*c.TokenTime + pairs*c.PairTime)
 }
 
-// fetch is the time to bring tokens from an engine's KV cache to another one.
-func (c Costs) fetch(tokens int, from, to string) time.Duration {
+// fetchTime returns the time to copy the KV cache of tokens from an engine in one zone to one in another.
+func (c Costs) fetchTime(tokens int, fromZone, toZone string) time.Duration {
 	t := float64(max(0, tokens)) * c.FetchTime
-	if from != to {
+	if fromZone != toZone {
 		t *= c.CrossZoneFactor
 	}
 	return time.Duration(t)
 }
 
-// send is what it costs an instance of a zone to send a request to an engine.
-func (c Costs) send(zone string, to Candidate) time.Duration {
+// sendCost returns the cost of sending a request from an instance in a zone to an engine.
+func (c Costs) sendCost(zone string, to Candidate) time.Duration {
 	if to.Zone == zone {
 		return 0
 	}
 	return c.CrossZoneCost
 }
 
-// crowd is what the requests that an engine has cost one that joins them: they
-// share its steps and, once all slots are taken, it waits for one of them to end.
-func (c Costs) crowd(requests int) time.Duration {
+// occupancyCost returns the cost that an engine's current requests impose on one that joins them. They share
+// the engine's steps and, once all slots are occupied, the new request waits for one of them to end.
+func (c Costs) occupancyCost(requests int) time.Duration {
 	if c.Slots == 0 {
 		return 0
 	}
@@ -120,20 +117,19 @@
 	return cost
 }
 
-// copyCost is what another copy of the shared part on an engine costs.
+// copyCost returns the cost of another copy of the shared part on an engine.
 func (c Costs) copyCost(p Prompt, cached int) time.Duration {
 	if c.CacheTokens == 0 {
 		return 0
 	}
-	lacking := max(0, p.SharedTokens()-cached)
-	return time.Duration(float64(c.MemoryPrice) * float64(lacking) / float64(c.CacheTokens))
+	missing := max(0, p.SharedTokens()-cached)
+	return time.Duration(float64(c.MemoryPrice) * float64(missing) / float64(c.CacheTokens))
 }
 
-// scoreScale is the predicted time that halves a score. It has no effect on the
-// order of the candidates.
+// scoreScale is the predicted time that halves a score. It has no effect on the order of the candidates.
 const scoreScale = 500 * time.Millisecond
 
-// scoreOf turns a predicted time into a score: 1 for none, towards 0 for long.
+// scoreOf converts a predicted time to a score: 1 for no time, approaching 0 for long times.
 func scoreOf(cost time.Duration) float64 {
 	return 1 / (1 + cost.Seconds()/scoreScale.Seconds())
 }
--- a/internal/placement/filter_allowance.go
+++ b/internal/placement/filter_allowance.go
@@ -1,7 +1,6 @@
 package placement
 
-// LimitFilter drops upstreams that limit the requests which they take, and have nothing
-// left at the moment.
+// LimitFilter drops upstreams whose own request limit is exhausted at present.
 type LimitFilter struct{}
 
 // Keep implements Filter.
--- a/internal/placement/filter_excluded.go
+++ b/internal/placement/filter_excluded.go
@@ -1,6 +1,6 @@
 package placement
 
-// ExcludedFilter drops upstreams that failed this request already.
+// ExcludedFilter drops upstreams on which this request has already failed.
 type ExcludedFilter struct{}
 
 // Keep implements Filter.
--- a/internal/placement/filter_health.go
+++ b/internal/placement/filter_health.go
@@ -1,9 +1,9 @@
 package placement
 
-// HealthFilter drops upstreams that are ejected or silent, and returning ones
-// that have as many requests as they may. It is a preference: an entry that
-// finds most upstreams failing rather doubts itself (it was paused, or its own
-// network is cut) than send all work to the few that are left.
+// HealthFilter drops upstreams that are ejected or suspect, and recovering upstreams that already have as
+// many requests as they are allowed. It is used as a preference: when an instance sees most upstreams fail,
+// the fault is more likely its own (it was paused, or its network is cut off), and it should not send all
+// requests to the few that remain.
 type HealthFilter struct{}
 
 // Keep implements Filter.
--- a/internal/placement/filter_leaving.go
+++ b/internal/placement/filter_leaving.go
@@ -1,7 +1,6 @@
 package placement
 
-// DrainingFilter drops upstreams that leave, by the operators' or the
-// platform's word.
+// DrainingFilter drops upstreams that the operators or the platform take out of service.
 type DrainingFilter struct{}
 
 // Keep implements Filter.
--- a/internal/placement/filter_memory.go
+++ b/internal/placement/filter_memory.go
@@ -1,8 +1,8 @@
 package placement
 
-// MemoryFilter drops engines whose KV memory has no room for the request, by
-// the report and the charges: there it would wait for another stream's end. It
-// is a preference: with no room anywhere the request queues.
+// MemoryFilter drops engines whose KV memory has no room for the request, according to the report and the
+// charged placements. The request would wait there for another stream to end. It is used as a preference:
+// when no engine has room, the request queues.
 type MemoryFilter struct {
 	View LoadView
 }
--- a/internal/placement/filter_model.go
+++ b/internal/placement/filter_model.go
@@ -2,8 +2,7 @@
 
 import "slices"
 
-// ModelFilter keeps engines that have loaded the model, version and adapter
-// that the request asks for.
+// ModelFilter keeps engines that have loaded the requested model, version and adapter.
 type ModelFilter struct{}
 
 // Keep implements Filter.
--- a/internal/placement/filter_role.go
+++ b/internal/placement/filter_role.go
@@ -2,8 +2,7 @@
 
 import "sassafrasfield/internal/config"
 
-// RoleFilter keeps engines whose role covers the work. An engine without a
-// role is mixed.
+// RoleFilter keeps engines whose role covers the request's phase. An engine without a role counts as mixed.
 type RoleFilter struct{}
 
 // Keep implements Filter.
--- a/internal/placement/filter_serving.go
+++ b/internal/placement/filter_serving.go
@@ -2,7 +2,7 @@
 
 import "sassafrasfield/internal/config"
 
-// ServingFilter keeps engines that the configuration routes to.
+// ServingFilter keeps engines that the configuration marks as serving.
 type ServingFilter struct{}
 
 // Keep implements Filter.
--- a/internal/placement/pick_best.go
+++ b/internal/placement/pick_best.go
@@ -2,8 +2,8 @@
 
 import "math/rand/v2"
 
-// BestPicker takes the highest score; ties are broken at random, so that
-// entries do not all choose the same upstream.
+// BestPicker picks the highest score. It breaks ties at random, so that instances do not all choose the same
+// upstream.
 type BestPicker struct{}
 
 // Pick implements Picker.
--- a/internal/placement/pick_nearbest.go
+++ b/internal/placement/pick_nearbest.go
@@ -2,10 +2,9 @@
 
 import "math/rand/v2"
 
-// NearBestPicker chooses at random among the candidates whose score is within
-// Within of the best one. Entries that see the same lagging reports would all
-// choose the one best engine until the next report; those that are almost as
-// good share the work instead.
+// NearBestPicker chooses at random among the candidates whose score is at most Within below the best one.
+// Instances that see the same lagging reports would otherwise all choose the same engine until the next
+// report. This way the engines that are almost as good share the load.
 type NearBestPicker struct {
 	Within float64
 }
--- a/internal/placement/pick_ranked.go
+++ b/internal/placement/pick_ranked.go
@@ -6,8 +6,8 @@
 	"sassafrasfield/internal/rendezvous"
 )
 
-// RankedPicker takes the highest score; ties go to the candidate that ranks
-// first for the prompt's shared part, so that all instances choose alike.
+// RankedPicker picks the highest score. Ties go to the candidate that ranks first for the prompt's shared
+// part by rendezvous hashing, so that all instances choose the same one.
 type RankedPicker struct{}
 
 // Pick implements Picker.
--- a/internal/placement/pick_twochoices.go
+++ b/internal/placement/pick_twochoices.go
@@ -2,9 +2,8 @@
 
 import "math/rand/v2"
 
-// TwoChoicesPicker draws two candidates at random and takes the better one.
-// The load of the fullest upstream stays low even when the picture is old,
-// since no upstream can be everybody's choice.
+// TwoChoicesPicker draws two candidates at random and picks the better one. Even when the load data is
+// stale, the load of the busiest upstream stays low, because no upstream is chosen by every instance.
 type TwoChoicesPicker struct{}
 
 // Pick implements Picker.
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,7 +1,7 @@
-// Package placement picks the upstream for a request: filters drop candidates that
-// cannot take it, scorers rate the rest, a picker chooses. It is pure: the
-// picture of the upstreams comes from package load, and randomness is passed
-// in. Each plugin has a file. The layout follows that of the Gateway API
+// Package placement picks the upstream for a request. Filters drop candidates that cannot serve it, scorers
+// rate the remaining ones, and a picker chooses. The inputs are the request, the candidates with the load
+// that package load tracks for them, and a random source; the output is the chosen candidate. The package
+// does no I/O and reads no clock. Each plugin has its own file. The layout follows that of the Gateway API
 // Inference Extension's endpoint picker.
 package placement
 
@@ -14,90 +14,91 @@
 	"sassafrasfield/internal/load"
 )
 
-// Phase is the part of a request that an engine is to do.
+// Phase is the part of a request that an engine runs.
 type Phase string
 
-// Parts of a request.
+// Phases of a request.
 const (
 	// PhaseFull is prefill and decode on one engine.
 	PhaseFull Phase = ""
-	// PhasePrefill is the prompt alone; its KV cache is exported.
+	// PhasePrefill is prefill only; the engine exports the KV cache.
 	PhasePrefill Phase = "prefill"
-	// PhaseDecode is the answer alone, from imported KV cache.
+	// PhaseDecode is decode only, from an imported KV cache.
 	PhaseDecode Phase = "decode"
-	// PhaseDirect is prefill and decode on a decode engine: a short prompt is
-	// processed there between the tokens of other requests.
+	// PhaseDirect is prefill and decode on a decode engine. The engine processes a short prompt between the
+	// decode steps of other requests.
 	PhaseDirect Phase = "direct"
-	// PhaseAnyRole is prefill and decode on one engine of whatever role, where no
-	// engine of the right one can take the request.
+	// PhaseAnyRole is prefill and decode on one engine of any role. It is the fallback when no engine of a
+	// suitable role can take the request.
 	PhaseAnyRole Phase = "any"
 )
 
-// Request is what the choice depends on.
+// Request holds the properties of a request that the choice depends on.
 type Request struct {
 	Model, Adapter, Version string
 	Phase                   Phase
-	// Split allows a pair of prefill and decode engines; see Assign.
+	// Split allows prefill and decode on two different engines; see Assign.
 	Split bool
-	// Zone of the instance.
+	// Zone is the availability zone of the instance that routes the request.
 	Zone   string
 	Prompt Prompt
-	// Costs are what the service's engines take, where the instances tell one
-	// another what they have under way.
+	// Costs is the cost model of the service's engines. It is set where the instances share their load with
+	// one another.
 	Costs Costs
-	// Objective is what is left of the time in which the answer is on time, RemainingWait
-	// of the time that the caller waits for it; 0 when the route has none.
+	// Objective is the time that remains until the answer misses its latency objective, RemainingWait the
+	// time that the caller still waits for it; 0 when the route has none.
 	Objective, RemainingWait time.Duration
-	// KVZone is where the processed prompt's KV cache lies, for WorkDecode.
+	// KVZone is the zone that holds the prompt's KV cache, for PhaseDecode.
 	KVZone string
-	// CheckLimits: upstreams may limit the requests that they take. Without it no candidate
-	// counts as Spent, which saves a look at all of them.
+	// CheckLimits is set when upstreams may limit the requests that they accept. Without it no candidate
+	// counts as Exhausted, and the candidates need not be scanned for it.
 	CheckLimits bool
-	// Blocks of KV memory that the request takes.
+	// Blocks is the number of KV memory blocks that the request needs.
 	Blocks int
-	// Prefix has the hashes of the prompt's blocks; nil when hints are off.
+	// Prefix has the hashes of the prompt's blocks; nil when prefix hints are off.
 	Prefix []uint64
-	// Excluded upstreams failed this request already.
+	// Excluded has the upstreams on which this request has already failed.
 	Excluded map[string]bool
-	// Draining upstreams get no new work, by the platform's word.
+	// Draining has the upstreams that the platform is shutting down. They get no new requests.
 	Draining map[string]bool
 	Now      time.Duration
 }
 
-// Candidate is an upstream with its picture.
+// Candidate is an upstream and what is known of its load.
 type Candidate struct {
 	ID, Zone string
-	// Draining is the operators' word that the upstream should leave.
+	// Draining is set when the operators take the upstream out of service.
 	Draining bool
-	// Engine is nil for a plain service's upstream.
+	// Engine is nil for an upstream of a plain service.
 	Engine *config.Engine
 	Load   *load.Upstream
-	// Suspect: the engine went without a report for too long, or another instance
-	// could not reach it.
+	// Suspect is set when the engine's reports are overdue, or another instance could not reach the
+	// upstream.
 	Suspect bool
-	// Limited: it limits the requests that it takes. Exhausted: it has nothing left.
+	// Limited is set when the upstream limits the requests that it accepts, Exhausted when its limit is used
+	// up at present.
 	Limited, Exhausted bool
-	// Aggregate is what the instances told one another of an engine, where they do.
+	// Aggregate is the load of all instances on the upstream, where they share it with one another.
 	Aggregate AggregateLoad
 }
 
-// AggregateLoad is the part of an engine's picture that all instances have made together.
+// AggregateLoad is the load that all instances together have placed on an upstream.
 type AggregateLoad struct {
-	// Backlog is the predicted time of the prompts that wait there.
+	// Backlog is the predicted processing time of the prompts that wait on the engine.
 	Backlog time.Duration
-	// DeferredBacklog is the part of Ahead that yields to other prompts.
+	// DeferredBacklog is the part of Backlog that is processed after all other prompts.
 	DeferredBacklog time.Duration
-	// Utilization is the part of the engine's time that the prompts take which were
-	// placed there lately; above 1 when they are more than it can process.
+	// Utilization is the share of the engine's time that recently placed prompts take. It is above 1 when
+	// they need more time than the engine has.
 	Utilization float64
-	// Requests that run or wait there.
+	// Requests is the number of running and waiting requests.
 	Requests int
-	// CachedTokens is how many leading tokens of the request's prompt it is believed
-	// to have.
+	// CachedTokens is the estimated number of leading tokens of the request's prompt that the engine has
+	// cached.
 	CachedTokens int
 }
 
-// role of a model engine; "" for other upstreams.
+// role returns the role of a model engine; "" for other upstreams.
 func (c Candidate) role() config.Role {
 	if c.Engine == nil {
 		return ""
@@ -107,7 +108,7 @@
 
 // Filter drops candidates that cannot take the request.
 type Filter interface {
-	// Keep tells whether the candidate may take the request.
+	// Keep reports whether the candidate may take the request.
 	Keep(req *Request, c Candidate) bool
 }
 
@@ -119,8 +120,8 @@
 // RelativeScorer is a scorer whose score depends on the other candidates.
 type RelativeScorer interface {
 	Scorer
-	// ForCandidates returns the scorer for a choice among the kept candidates; all are
-	// those that the strict filters left.
+	// ForCandidates returns the scorer for one choice among the kept candidates; all has every candidate
+	// that passed the strict filters.
 	ForCandidates(req *Request, kept, all []Candidate) Scorer
 }
 
@@ -130,12 +131,12 @@
 	Weight float64
 }
 
-// Picker chooses one of the scored candidates, of which there is one or more.
+// Picker chooses one of the scored candidates, of which there is at least one.
 type Picker interface {
 	Pick(req *Request, scored []Scored, rng *rand.Rand) Candidate
 }
 
-// Scored is a candidate with its weighted sum.
+// Scored is a candidate with its weighted score.
 type Scored struct {
 	Candidate Candidate
 	Score     float64
@@ -143,30 +144,28 @@
 
 // Scheduler runs the plugins. It is not safe for concurrent use.
 type Scheduler struct {
-	// Filters are strict: a candidate that one drops is never chosen.
+	// Filters are strict: a candidate that fails one is never chosen.
 	Filters []Filter
-	// Preferences are filters that are passed over when they would leave
-	// fewer than KeepShare of the candidates that the strict ones kept.
+	// Preferences are filters that are skipped when they would leave less than MinShare of the candidates
+	// that the strict filters kept.
 	Preferences []Preference
 	Scorers     []WeightedScorer
 	Picker      Picker
 
-	// allowedBuf, leftBufs (one for each preference) and scoredBuf are kept from one
-	// choice to the next, so that a choice among many candidates allocates nothing
-	// that grows with them.
-	allowedBuf []Candidate
-	leftBufs   [][]Candidate
-	scoredBuf  []Scored
+	// The buffers are reused by each choice, so that a choice makes no allocation that grows with the number
+	// of candidates. preferredBufs has one buffer for each preference.
+	allowedBuf    []Candidate
+	preferredBufs [][]Candidate
+	scoredBuf     []Scored
 }
 
-// Preference is a filter that yields when it would leave too few.
+// Preference is a filter that is skipped when it would leave too few candidates.
 type Preference struct {
 	Filter Filter
-	// MinShare is the least share of the candidates that has to be left;
-	// 0 means at least one candidate.
+	// MinShare is the smallest share of the candidates that has to remain; 0 means at least one candidate.
 	MinShare float64
-	// Mandatory, of the filter on limits: it never yields. What it drops is not chosen, but unlike with a strict filter it
-	// still counts as having cached parts that others can fetch.
+	// Mandatory is set for the filter on request limits, which is never skipped. Unlike with a strict
+	// filter, a candidate that it drops can still serve as a source of cached KV for other engines.
 	Mandatory bool
 }
 
@@ -177,7 +176,7 @@
 	if len(kept) == 0 {
 		return Candidate{}, false
 	}
-	scorers := s.among(req, kept, all)
+	scorers := s.scorersFor(req, kept, all)
 	scored := s.scoredBuf[:0]
 	for _, candidate := range kept {
 		scored = append(scored, Scored{Candidate: candidate, Score: sum(scorers, req, candidate)})
@@ -186,13 +185,14 @@
 	return s.Picker.Pick(req, scored, rng), true
 }
 
-// Eligible returns the candidates that Schedule would choose from. They are valid
-// until the scheduler's next choice.
+// Eligible returns the candidates that Schedule would choose from. The slice is valid until the scheduler's
+// next choice.
 func (s *Scheduler) Eligible(req *Request, candidates []Candidate) []Candidate {
 	return s.preferred(req, s.allowed(req, candidates))
 }
 
-// allowed returns what the strict filters keep, until the scheduler's next choice.
+// allowed returns the candidates that pass the strict filters. The slice is valid until the scheduler's next
+// choice.
 func (s *Scheduler) allowed(req *Request, candidates []Candidate) []Candidate {
 	kept := s.allowedBuf[:0]
 	for i := range candidates {
@@ -204,34 +204,35 @@
 	return kept
 }
 
-// preferred applies the preferences in turn.
+// preferred applies the preferences one after another.
 func (s *Scheduler) preferred(req *Request, candidates []Candidate) []Candidate {
-	if s.leftBufs == nil {
-		s.leftBufs = make([][]Candidate, len(s.Preferences))
+	if s.preferredBufs == nil {
+		s.preferredBufs = make([][]Candidate, len(s.Preferences))
 	}
 	for i, p := range s.Preferences {
 		if p.Mandatory && !req.CheckLimits {
 			continue
 		}
-		s.leftBufs[i] = p.kept(req, candidates, s.leftBufs[i][:0])
-		if p.Mandatory || p.enough(len(s.leftBufs[i]), len(candidates)) {
-			candidates = s.leftBufs[i]
+		s.preferredBufs[i] = p.apply(req, candidates, s.preferredBufs[i][:0])
+		if p.Mandatory || p.enough(len(s.preferredBufs[i]), len(candidates)) {
+			candidates = s.preferredBufs[i]
 		}
 	}
 	return candidates
 }
 
-// among returns the scorers for a choice among the kept candidates.
-func (s *Scheduler) among(req *Request, kept, all []Candidate) []WeightedScorer {
+// scorersFor returns the scorers for a choice among the kept candidates.
+func (s *Scheduler) scorersFor(req *Request, kept, all []Candidate) []WeightedScorer {
 	scorers := slices.Clone(s.Scorers)
 	for i, w := range scorers {
-		if comparer, ok := w.Scorer.(RelativeScorer); ok {
-			scorers[i].Scorer = comparer.ForCandidates(req, kept, all)
+		if relative, ok := w.Scorer.(RelativeScorer); ok {
+			scorers[i].Scorer = relative.ForCandidates(req, kept, all)
 		}
 	}
 	return scorers
 }
 
+// keep reports whether the candidate passes all strict filters.
 func (s *Scheduler) keep(req *Request, c Candidate) bool {
 	for _, f := range s.Filters {
 		if !f.Keep(req, c) {
@@ -243,7 +244,7 @@
 
 func (s *Scheduler) score(req *Request, c Candidate) float64 { return sum(s.Scorers, req, c) }
 
-// sum is the weighted sum of a candidate's scores.
+// sum returns the weighted sum of a candidate's scores.
 func sum(scorers []WeightedScorer, req *Request, c Candidate) float64 {
 	total := 0.0
 	for _, w := range scorers {
@@ -252,17 +253,17 @@
 	return total
 }
 
-// kept appends what the filter keeps.
-func (p Preference) kept(req *Request, candidates, left []Candidate) []Candidate {
+// apply appends the candidates that pass the filter to kept.
+func (p Preference) apply(req *Request, candidates, kept []Candidate) []Candidate {
 	for i := range candidates {
 		if p.Filter.Keep(req, candidates[i]) {
-			left = append(left, candidates[i])
+			kept = append(kept, candidates[i])
 		}
 	}
-	return left
+	return kept
 }
 
-// enough tells whether so many of a number of candidates are enough to choose from.
-func (p Preference) enough(left, of int) bool {
-	return left > 0 && float64(left) >= p.MinShare*float64(of)
+// enough reports whether kept out of total candidates are enough to choose from.
+func (p Preference) enough(kept, total int) bool {
+	return kept > 0 && float64(kept) >= p.MinShare*float64(total)
 }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -13,8 +13,8 @@
 
 func rng() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-// fleet has n engines that serve model m, each with an idle report.
-func fleet(n int) (*load.Table, []Candidate) {
+// newEngines returns n engines that serve model m, each with a report of an idle engine.
+func newEngines(n int) (*load.Table, []Candidate) {
 	table := load.NewTable()
 	var candidates []Candidate
 	for i := range n {
@@ -45,37 +45,37 @@
 		req    Request
 		change func(*Candidate)
 	}{
-		"out of routing":       {change: func(c *Candidate) { c.Engine.Routing = config.RoutingDraining }},
-		"leaving by operators": {change: func(c *Candidate) { c.Draining = true }},
-		"leaving by platform":  {req: Request{Draining: map[string]bool{"e0": true}}},
-		"failed this request":  {req: Request{Excluded: map[string]bool{"e0": true}}},
-		"other model":          {change: func(c *Candidate) { c.Engine.Loaded.Model = "n" }},
-		"other version":        {req: Request{Version: "2"}},
-		"adapter not loaded":   {req: Request{Adapter: "b"}},
-		"role for prompts":     {change: func(c *Candidate) { c.Engine.Loaded.Role = config.RolePrefill }},
-		"role for answers": {
+		"out of routing":        {change: func(c *Candidate) { c.Engine.Routing = config.RoutingDraining }},
+		"draining by operators": {change: func(c *Candidate) { c.Draining = true }},
+		"draining by platform":  {req: Request{Draining: map[string]bool{"e0": true}}},
+		"failed this request":   {req: Request{Excluded: map[string]bool{"e0": true}}},
+		"other model":           {change: func(c *Candidate) { c.Engine.Loaded.Model = "n" }},
+		"other version":         {req: Request{Version: "2"}},
+		"adapter not loaded":    {req: Request{Adapter: "b"}},
+		"prefill role":          {change: func(c *Candidate) { c.Engine.Loaded.Role = config.RolePrefill }},
+		"decode role": {
 			req:    Request{Phase: PhasePrefill},
 			change: func(c *Candidate) { c.Engine.Loaded.Role = config.RoleDecode },
 		},
 	}
 	for name, tc := range cases {
-		_, candidates := fleet(1)
+		_, candidates := newEngines(1)
 		if tc.change != nil {
 			tc.change(&candidates[0])
 		}
 		if got := schedule(t, PolicyCharge, tc.req, candidates); got != "none" {
-			t.Errorf("%s: chosen all the same", name)
+			t.Errorf("%s: the engine was chosen", name)
 		}
 	}
-	_, candidates := fleet(1)
+	_, candidates := newEngines(1)
 	candidates[0].Engine.Loaded.Role = config.RolePrefill
 	if got := schedule(t, PolicyCharge, Request{Adapter: "a", Version: "1", Phase: PhasePrefill}, candidates); got != "e0" {
-		t.Errorf("an engine that fits is not chosen: %s", got)
+		t.Errorf("got %s, want the engine that fits", got)
 	}
 }
 
-func TestEjectionYieldsWhenMostFail(t *testing.T) {
-	table, candidates := fleet(10)
+func TestEjectionIsIgnoredWhenMostUpstreamsFail(t *testing.T) {
+	table, candidates := newEngines(10)
 	eject := func(n int) {
 		for i := range n {
 			for range table.Outliers.Failures {
@@ -107,10 +107,10 @@
 	}
 }
 
-func TestPoliciesSeeTheirOwnPartOfTheLoad(t *testing.T) {
-	table, candidates := fleet(2)
-	// By the report e0 is the better one; the entry's own placements, which the
-	// report does not count yet, say e1.
+func TestPoliciesUseTheirOwnLoadView(t *testing.T) {
+	table, candidates := newEngines(2)
+	// According to the reports e0 is less loaded. With the instance's own placements, which the reports do
+	// not count yet, e1 is.
 	table.Reported("e1", engine.Report{Boot: "b", Seq: 2, Running: 1, PrefillTokens: 100, PrefillRate: 1000}, time.Second)
 	table.Place("e0", load.Placement{ID: "r", PrefillTokens: 5000, At: time.Second})
 	for policy, want := range map[Policy]string{PolicyReport: "e0", PolicyLocal: "e1", PolicyCharge: "e1"} {
@@ -121,41 +121,41 @@
 	table.Started("e0", "r")
 	table.End("e0", "r", time.Second)
 	if got := schedule(t, PolicyCharge, Request{Prompt: Prompt{Tokens: 10}}, candidates); got != "e0" {
-		t.Errorf("the charge outlived its stream: %s", got)
+		t.Errorf("got %s: the placement is still charged after its stream ended", got)
 	}
 }
 
-func TestPrefixHintsWinUntilTheQueueCostsMore(t *testing.T) {
-	table, candidates := fleet(2)
+func TestLongQueueOutweighsPrefixHint(t *testing.T) {
+	table, candidates := newEngines(2)
 	prefix := []uint64{1, 2, 3, 4, 5}
 	table.CacheEvents("e1", engine.CacheEvents{Boot: "b", Events: []engine.CacheEvent{
 		{Seq: 1, Block: 1, Stored: true}, {Seq: 2, Block: 2, Stored: true}, {Seq: 3, Block: 3, Stored: true},
 	}})
 	req := Request{Prompt: Prompt{Tokens: 80}, Prefix: prefix}
 	if got := schedule(t, PolicyChargePrefix, req, candidates); got != "e1" {
-		t.Errorf("the engine with the cached prefix is not chosen: %s", got)
+		t.Errorf("got %s, want the engine with the cached prefix", got)
 	}
 	table.Place("e1", load.Placement{ID: "r", PrefillTokens: 4000, At: time.Second})
 	if got := schedule(t, PolicyChargePrefix, req, candidates); got != "e0" {
-		t.Errorf("a long queue was preferred for a small hit: %s", got)
+		t.Errorf("got %s: a small cache hit outweighed a long queue", got)
 	}
 }
 
-func TestMemoryAndZone(t *testing.T) {
-	table, candidates := fleet(3)
+func TestOwnZoneIsPreferredUnlessItsMemoryIsFull(t *testing.T) {
+	table, candidates := newEngines(3)
 	candidates[1].Zone = "near"
 	req := Request{Prompt: Prompt{Tokens: 10}, Blocks: 60, Zone: "near"}
 	if got := schedule(t, PolicyCharge, req, candidates); got != "e1" {
-		t.Errorf("the own zone is not preferred: %s", got)
+		t.Errorf("got %s, want the engine of the own zone", got)
 	}
 	table.Place("e1", load.Placement{ID: "r", Blocks: 60, At: time.Second})
 	if got := schedule(t, PolicyCharge, req, candidates); got == "e1" {
-		t.Error("placed where the memory has no room")
+		t.Error("chose an engine without room in its KV memory")
 	}
 }
 
-func TestNearBestSpreadsEntriesWithTheSamePicture(t *testing.T) {
-	table, candidates := fleet(5)
+func TestNearBestSpreadsInstancesWithTheSameReports(t *testing.T) {
+	table, candidates := newEngines(5)
 	for i := 2; i < 5; i++ {
 		table.Reported(candidates[i].ID, engine.Report{Boot: "b", Seq: 2, PrefillTokens: 9000, PrefillRate: 1000}, time.Second)
 	}
@@ -175,6 +175,6 @@
 		two[c.ID]++
 	}
 	if two["e2"]+two["e3"]+two["e4"] > 500 {
-		t.Errorf("two choices took loaded engines: %v", two)
+		t.Errorf("two choices picked loaded engines: %v", two)
 	}
 }
--- a/internal/placement/policy.go
+++ b/internal/placement/policy.go
@@ -2,26 +2,25 @@
 
 import "sassafrasfield/internal/load"
 
-// Policy names a way to see the load of the engines.
+// Policy selects how the load of the engines is estimated.
 type Policy string
 
 // Policies.
 const (
-	// PolicyRoundRobin takes the engines in turn.
+	// PolicyRoundRobin cycles through the engines.
 	PolicyRoundRobin Policy = "round-robin"
-	// PolicyReport trusts the lagging report alone.
+	// PolicyReport uses the engines' reports only, which lag.
 	PolicyReport Policy = "report"
-	// PolicyLocal counts the entry's own streams alone.
+	// PolicyLocal uses the instance's own streams only.
 	PolicyLocal Policy = "local"
-	// PolicyCharge adds to the report the own placements that it does not
-	// account for.
+	// PolicyCharge adds the instance's own placements that the report does not account for to the report.
 	PolicyCharge Policy = "charge"
 	// PolicyChargePrefix is PolicyCharge with hints of cached prefixes.
 	PolicyChargePrefix Policy = "charge-prefix"
-	// PolicyEstimate is PolicyChargePrefix with what was done since the report
-	// was taken taken off it, and the own streams as the least.
+	// PolicyEstimate is PolicyChargePrefix without the work that the engine is expected to have done since
+	// the report was taken. The instance's own streams are the lower bound.
 	PolicyEstimate Policy = "estimate"
-	// PolicyLocalPrefix is PolicyLocal with hints.
+	// PolicyLocalPrefix is PolicyLocal with hints of cached prefixes.
 	PolicyLocalPrefix Policy = "local-prefix"
 )
 
@@ -30,27 +29,27 @@
 	return []Policy{PolicyRoundRobin, PolicyReport, PolicyLocal, PolicyCharge, PolicyChargePrefix, PolicyEstimate, PolicyLocalPrefix}
 }
 
-// UsesPrefixHints tells whether the policy uses prefix hints.
+// UsesPrefixHints reports whether the policy uses prefix hints.
 func (p Policy) UsesPrefixHints() bool {
 	return p == PolicyChargePrefix || p == PolicyEstimate || p == PolicyLocalPrefix
 }
 
-// Pick names a way to choose among scored engines.
+// Pick selects how one of the scored engines is chosen.
 type Pick string
 
-// Ways to choose.
+// Picks.
 const (
 	PickBest       Pick = "best"
 	PickNearBest   Pick = "near-best"
 	PickTwoChoices Pick = "two-choices"
 )
 
-// Picks lists all ways to choose.
+// Picks lists all picks.
 func Picks() []Pick {
 	return []Pick{PickBest, PickNearBest, PickTwoChoices}
 }
 
-// Weights of the scorers, and the width of the near-best choice.
+// Weights of the scorers, and the score range of the near-best choice.
 const (
 	firstTokenWeight = 1.0
 	batchWeight      = 0.5
@@ -58,8 +57,9 @@
 	nearBestWithin   = 0.05
 )
 
-// keepShare is the least share of upstreams that ejection leaves.
-const keepShare = 0.3
+// minHealthyShare is the smallest share of the upstreams that the health preference leaves. If fewer are
+// healthy, ejections are ignored.
+const minHealthyShare = 0.3
 
 // NewScheduler returns the scheduler of a policy for engines.
 func NewScheduler(policy Policy, pick Pick) *Scheduler {
@@ -67,7 +67,7 @@
 	s := &Scheduler{
 		Filters: []Filter{ServingFilter{}, DrainingFilter{}, ExcludedFilter{}, ModelFilter{}, RoleFilter{}},
 		Preferences: []Preference{
-			{Filter: HealthFilter{}, MinShare: keepShare},
+			{Filter: HealthFilter{}, MinShare: minHealthyShare},
 		},
 		Picker: picker(policy, pick),
 	}
@@ -83,25 +83,24 @@
 	return s
 }
 
-// NewServiceScheduler returns the scheduler for plain services: fewest own
-// calls first, and among equals the entry's own zone.
+// NewServiceScheduler returns the scheduler for plain services. It prefers the upstream with the fewest calls
+// of this instance and, among equals, one in the instance's own zone.
 func NewServiceScheduler() *Scheduler {
-	return serviceScheduler(keepShare,
+	return serviceScheduler(minHealthyShare,
 		WeightedScorer{Scorer: BatchScorer{View: localView}, Weight: 1},
 		WeightedScorer{Scorer: ZoneScorer{}, Weight: zoneWeight})
 }
 
-// NewAggregateServiceScheduler returns the scheduler for plain services where the
-// instances tell one another what they have under way. An upstream that failed
-// lately is taken when no other is left.
+// NewAggregateServiceScheduler returns the scheduler for plain services where the instances share their load
+// with one another. An upstream that failed recently is chosen only when no other is left.
 func NewAggregateServiceScheduler() *Scheduler {
-	return serviceScheduler(0, WeightedScorer{Scorer: ServiceScorer{View: toldView}, Weight: 1})
+	return serviceScheduler(0, WeightedScorer{Scorer: ServiceScorer{View: aggregateView}, Weight: 1})
 }
 
-func serviceScheduler(keep float64, scorers ...WeightedScorer) *Scheduler {
+func serviceScheduler(minShare float64, scorers ...WeightedScorer) *Scheduler {
 	return &Scheduler{
 		Filters:     []Filter{DrainingFilter{}, ExcludedFilter{}},
-		Preferences: []Preference{{Filter: LimitFilter{}, Mandatory: true}, {Filter: HealthFilter{}, MinShare: keep}},
+		Preferences: []Preference{{Filter: LimitFilter{}, Mandatory: true}, {Filter: HealthFilter{}, MinShare: minShare}},
 		Scorers:     scorers,
 		Picker:      BestPicker{},
 	}
@@ -120,7 +119,9 @@
 	}
 }
 
-func toldView(_ *Request, c Candidate) load.View { return load.View{Requests: c.Aggregate.Requests} }
+func aggregateView(_ *Request, c Candidate) load.View {
+	return load.View{Requests: c.Aggregate.Requests}
+}
 
 func localView(_ *Request, c Candidate) load.View { return c.Load.Local() }
 
--- a/internal/placement/prompt.go
+++ b/internal/placement/prompt.go
@@ -1,24 +1,24 @@
 package placement
 
-// Part is one part of a prompt, in the order of the prompt.
+// Part is one part of a prompt. Parts are listed in the order in which they appear in the prompt.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// Prompt is what placement knows of a request's prompt.
+// Prompt describes a request's prompt for placement.
 type Prompt struct {
-	// Tokens of the whole prompt.
+	// Tokens is the length of the whole prompt.
 	Tokens int
 	// MaxOutput bounds the tokens to generate; 0 when it is not known.
 	MaxOutput int
-	// Parts are the prompt's parts by their ids; nil where the blocks' hashes
-	// are known instead (Request.Prefix).
+	// Parts has the prompt's parts by their ids; nil where the hashes of the blocks are known instead
+	// (Request.Prefix).
 	Parts []Part
 }
 
-// SharedKey names the prompt's parts up to the last one that other requests
-// share. The last part is the request's own, unless it is the only one.
+// SharedKey returns the id of the last part that other requests share. It stands for all parts up to that
+// one. The last part of the prompt belongs to the request alone, unless it is the only one.
 func (p Prompt) SharedKey() string {
 	if len(p.Parts) == 0 {
 		return ""
--- a/internal/placement/score_batch.go
+++ b/internal/placement/score_batch.go
@@ -3,9 +3,9 @@
 // batchScale is the number of requests that halves the score.
 const batchScale = 8
 
-// BatchScorer prefers engines with fewer requests. The score is 1 for an idle
-// engine and falls towards 0; it is a half at eight requests. Reason: the time
-// between tokens grows with the batch, which the prompt tokens do not show.
+// BatchScorer prefers engines with fewer requests. The score is 1 for an idle engine, one half at eight
+// requests, and approaches 0. The time between tokens grows with the batch, which the number of queued prompt
+// tokens does not show.
 type BatchScorer struct {
 	View LoadView
 }
--- a/internal/placement/score_firsttoken.go
+++ b/internal/placement/score_firsttoken.go
@@ -7,23 +7,21 @@
 	"sassafrasfield/internal/load"
 )
 
-// LoadView chooses what of a candidate's picture is looked at.
+// LoadView returns the view of a candidate's load that a plugin uses.
 type LoadView func(req *Request, c Candidate) load.View
 
-// defaultPrefillRate, in prompt tokens a second, is taken for an engine that
-// has reported none.
+// defaultPrefillRate, in prompt tokens per second, is used for an engine that has not reported a rate.
 const defaultPrefillRate = 4000
 
 // firstTokenScale is the predicted time that halves the score.
 const firstTokenScale = 500 * time.Millisecond
 
-// FirstTokenScorer prefers engines that will send the first token sooner. The
-// score is 1 for no wait and falls towards 0; it is a half at half a second.
-// Reason: the deadline of the first token is what a swing to long prompts
-// breaks first.
+// FirstTokenScorer prefers engines that are predicted to send the first token sooner. The score is 1 for no
+// wait, one half at half a second, and approaches 0. The deadline of the first token is the first one missed
+// when the traffic shifts to long prompts.
 type FirstTokenScorer struct {
 	View LoadView
-	// PrefixHints subtracts the part of the prompt that is believed cached.
+	// PrefixHints subtracts the part of the prompt that the engine is estimated to have cached.
 	PrefixHints bool
 }
 
@@ -33,32 +31,30 @@
 	return 1 / (1 + wait.Seconds()/firstTokenScale.Seconds())
 }
 
-// PredictFirstToken is the time to the first token of a request on an engine:
-// the prompt tokens ahead and its own, less the cached prefix, over the
-// measured prefill rate, and the wait for a place in the batch.
-func PredictFirstToken(req *Request, c Candidate, view LoadView, hints bool) time.Duration {
+// PredictFirstToken returns the predicted time to the first token of a request on an engine. It divides the
+// queued prompt tokens and the request's own, less the cached prefix, by the measured prefill rate, and adds
+// the wait for a place in the batch.
+func PredictFirstToken(req *Request, c Candidate, view LoadView, prefixHints bool) time.Duration {
 	rate := c.Load.Report.PrefillRate
 	if rate <= 0 {
 		rate = defaultPrefillRate
 	}
-	seen := view(req, c)
-	tokens := seen.PrefillTokens + req.Prompt.Tokens
-	if hints {
+	current := view(req, c)
+	tokens := current.PrefillTokens + req.Prompt.Tokens
+	if prefixHints {
 		tokens -= CachedTokens(req, c)
 	}
 	wait := float64(tokens) / rate
 	if decode := c.Load.Report.DecodeRate; decode > 0 {
-		wait += float64(seen.Waiting) * answerTokens / decode
+		wait += float64(current.Waiting) * answerTokens / decode
 	}
 	return time.Duration(wait * float64(time.Second))
 }
 
-// answerTokens is the length of an answer that the wait for a place in the
-// batch is reckoned with.
+// answerTokens is the answer length assumed for the wait for a place in the batch.
 const answerTokens = 64
 
-// CachedTokens are the prompt tokens that the engine is believed to have
-// cached.
+// CachedTokens returns the number of prompt tokens that the engine is estimated to have cached.
 func CachedTokens(req *Request, c Candidate) int {
 	return min(req.Prompt.Tokens, c.Load.Prefixes.Cached(req.Prefix)*engine.BlockTokens)
 }
--- a/internal/placement/score_start.go
+++ b/internal/placement/score_start.go
@@ -7,40 +7,39 @@
 	"sassafrasfield/internal/rendezvous"
 )
 
-// PrefillScorer prefers the engine that is predicted to bring the first token
-// soonest, from what the instances told one another: the prompts ahead, the
-// request's own less what is cached there or can be fetched, and the hand-over
-// to a decode engine. The score is 1 for no wait and falls towards 0; it is a
-// half at half a second. Reason: where shared parts live decides most, so an
-// engine that does not rank first for the part also pays for another copy.
+// PrefillScorer prefers the engine that is predicted to lead to the first token soonest. It uses the load
+// that the instances share with one another: the prompt backlog, the time of the request's own prompt less
+// what the engine has cached or can fetch, and the hand-over to a decode engine. The score is 1 for no wait,
+// one half at half a second, and approaches 0. Where shared parts are cached matters most, so an engine that
+// does not rank first for the shared part is also charged for another copy of it.
 type PrefillScorer struct{}
 
-// Score implements Scorer, for a candidate alone.
+// Score implements Scorer for a single candidate.
 func (s PrefillScorer) Score(req *Request, c Candidate) float64 {
 	return s.ForCandidates(req, []Candidate{c}, []Candidate{c}).Score(req, c)
 }
 
-// ForCandidates implements Comparer.
+// ForCandidates implements RelativeScorer.
 func (s PrefillScorer) ForCandidates(req *Request, kept, all []Candidate) Scorer {
 	key := req.Prompt.SharedKey()
-	among := startAmong{
-		prefill: rendezvous.Leader{Key: key}, other: rendezvous.Leader{Key: key}, sources: sourcesOf(req, all),
+	scorer := relativePrefillScorer{
+		prefill: rendezvous.Leader{Key: key}, other: rendezvous.Leader{Key: key}, sources: findCacheSources(req, all),
 	}
 	for i := range kept {
-		among.leaderOf(kept[i].role()).Offer(kept[i].ID)
+		scorer.leaderOf(kept[i].role()).Offer(kept[i].ID)
 	}
-	return &among
+	return &scorer
 }
 
-// startAmong scores candidates against all others.
-type startAmong struct {
-	// prefill and other are the candidates that rank first for the shared part, of
-	// the prefill engines and of those that generate too.
+// relativePrefillScorer scores a candidate in comparison with all others.
+type relativePrefillScorer struct {
+	// prefill and other are the candidates that rank first for the shared part: prefill among the prefill
+	// engines, other among the engines that also generate.
 	prefill, other rendezvous.Leader
-	sources        sources
+	sources        cacheSources
 }
 
-func (s *startAmong) leaderOf(role config.Role) *rendezvous.Leader {
+func (s *relativePrefillScorer) leaderOf(role config.Role) *rendezvous.Leader {
 	if role == config.RolePrefill {
 		return &s.prefill
 	}
@@ -48,80 +47,79 @@
 }
 
 // Score implements Scorer.
-func (s *startAmong) Score(req *Request, c Candidate) float64 {
-	cost := req.Costs.startCost(req.Costs.startOn(req, c, s.sources))
+func (s *relativePrefillScorer) Score(req *Request, c Candidate) float64 {
+	cost := req.Costs.timeToStart(req.Costs.prefillOn(req, c, s.sources))
 	if s.leaderOf(c.role()).Node != c.ID {
 		cost += req.Costs.copyCost(req.Prompt, c.Aggregate.CachedTokens)
 	}
 	if c.role() != config.RolePrefill {
-		cost += req.Costs.send(req.Zone, c) // the answer comes from there
+		cost += req.Costs.sendCost(req.Zone, c) // this engine also sends the answer
 	}
 	return scoreOf(cost)
 }
 
-// startCost is the predicted time until a generation that starts there has begun.
-func (c Costs) startCost(s Prefill) time.Duration {
-	told := s.Engine.Aggregate
-	if s.Direct() {
-		return told.Backlog + c.between(s.BusyTime, told.Utilization) + c.crowd(told.Requests)
+// timeToStart returns the predicted time until a generation with this placement has started.
+func (c Costs) timeToStart(p Prefill) time.Duration {
+	load := p.Engine.Aggregate
+	if p.Direct() {
+		return load.Backlog + c.interleavedTime(p.BusyTime, load.Utilization) + c.occupancyCost(load.Requests)
 	}
-	return told.Backlog + s.BusyTime + c.HandOver
+	return load.Backlog + p.BusyTime + c.HandOver
 }
 
-// mostBetween bounds the part of an engine's time that prompts are reckoned to take
-// between the tokens of others: beyond it, the time ahead tells.
-const mostBetween = 0.9
+// maxUtilization bounds the share of an engine's time that prompts are assumed to take between the tokens of
+// other requests. Above it, the backlog shows how busy the engine is.
+const maxUtilization = 0.9
 
-// between is the time of a prompt that is processed between the tokens of other
-// requests, on an engine of whose time other prompts take a part.
-func (c Costs) between(work time.Duration, use float64) time.Duration {
-	return time.Duration(float64(work) / (1 - min(use, mostBetween)))
+// interleavedTime returns the time of a prompt that is processed between the tokens of other requests, on an
+// engine that spends the share utilization of its time on other prompts.
+func (c Costs) interleavedTime(busyTime time.Duration, utilization float64) time.Duration {
+	return time.Duration(float64(busyTime) / (1 - min(utilization, maxUtilization)))
 }
 
-// Prefill is where a generation begins.
+// Prefill is the engine that a generation starts on, and how the prompt is processed there.
 type Prefill struct {
 	Engine Candidate
-	// Source is the engine to fetch the shared part from; its ID is empty when
-	// nothing is to be fetched.
+	// Source is the engine to fetch the shared part from; its ID is empty when nothing is fetched.
 	Source Candidate
-	// UncachedTokens is how many of the prompt's tokens the engine processes.
+	// UncachedTokens is the number of prompt tokens that the engine processes.
 	UncachedTokens int
-	// BusyTime is the predicted time that the prompt keeps the engine busy.
+	// BusyTime is the predicted time that the prompt occupies the engine, including the fetch.
 	BusyTime time.Duration
 }
 
-// Direct tells whether the engine generates too.
-func (s Prefill) Direct() bool { return s.Engine.role() != config.RolePrefill }
+// Direct reports whether the engine that processes the prompt also generates the answer.
+func (p Prefill) Direct() bool { return p.Engine.role() != config.RolePrefill }
 
-// startOn works out how a prompt would be processed on an engine.
-func (c Costs) startOn(req *Request, on Candidate, from sources) Prefill {
-	start := Prefill{Engine: on}
+// prefillOn returns the placement of a prompt on an engine.
+func (c Costs) prefillOn(req *Request, on Candidate, sources cacheSources) Prefill {
+	result := Prefill{Engine: on}
 	cached := on.Aggregate.CachedTokens
-	if source, ok := c.source(on, from); ok {
-		start.Source = source
-		start.BusyTime = c.fetch(source.Aggregate.CachedTokens-cached, source.Zone, on.Zone)
+	if source, ok := c.pickSource(on, sources); ok {
+		result.Source = source
+		result.BusyTime = c.fetchTime(source.Aggregate.CachedTokens-cached, source.Zone, on.Zone)
 		cached = source.Aggregate.CachedTokens
 	}
-	start.UncachedTokens = max(0, req.Prompt.Tokens-cached)
-	work := c.work(req.Prompt, cached)
-	if start.Direct() {
-		work = time.Duration(float64(work) * c.DirectSlowdown)
+	result.UncachedTokens = max(0, req.Prompt.Tokens-cached)
+	prefill := c.prefillTime(req.Prompt, cached)
+	if result.Direct() {
+		prefill = time.Duration(float64(prefill) * c.DirectSlowdown)
 	}
-	start.BusyTime += work
-	return start
+	result.BusyTime += prefill
+	return result
 }
 
-// sources are the candidates that have the most leading tokens of a prompt cached.
-type sources struct {
+// cacheSources are the candidates that have the most leading tokens of a prompt cached.
+type cacheSources struct {
 	tokens int
 	list   []Candidate
 }
 
-// sourcesOf finds the sources among the candidates that can be reached; none when
-// nobody has any of the prompt. It is called once a choice, as the search for each
-// candidate among all others would grow with their square.
-func sourcesOf(req *Request, all []Candidate) sources {
-	var s sources
+// findCacheSources returns the sources among the candidates that pass the health filter. The list is empty
+// when no candidate has any of the prompt cached. It is computed once per choice: searching all other
+// candidates for each candidate would take quadratic time.
+func findCacheSources(req *Request, all []Candidate) cacheSources {
+	var s cacheSources
 	for i := range all {
 		cached := all[i].Aggregate.CachedTokens
 		if cached == 0 || cached < s.tokens || !(HealthFilter{}).Keep(req, all[i]) {
@@ -135,16 +133,16 @@
 	return s
 }
 
-// source is the engine to fetch a prompt's shared part from, if that is enough more
-// than one has to be worth a fetch; the nearest of equals.
-func (c Costs) source(to Candidate, from sources) (Candidate, bool) {
-	if len(from.list) == 0 || from.tokens-to.Aggregate.CachedTokens < max(1, c.MinFetchTokens) {
+// pickSource returns the engine to fetch a prompt's shared part from. It returns false when the sources have
+// too few additional tokens to be worth a fetch. Sources in the engine's own zone are preferred.
+func (c Costs) pickSource(to Candidate, sources cacheSources) (Candidate, bool) {
+	if len(sources.list) == 0 || sources.tokens-to.Aggregate.CachedTokens < max(1, c.MinFetchTokens) {
 		return Candidate{}, false
 	}
-	for i := range from.list {
-		if from.list[i].Zone == to.Zone {
-			return from.list[i], true
+	for i := range sources.list {
+		if sources.list[i].Zone == to.Zone {
+			return sources.list[i], true
 		}
 	}
-	return from.list[0], true
+	return sources.list[0], true
 }
--- a/internal/placement/score_zone.go
+++ b/internal/placement/score_zone.go
@@ -1,8 +1,7 @@
 package placement
 
-// ZoneScorer prefers upstreams in the entry's own availability zone: 1 there,
-// 0 elsewhere. Its weight is small: a zone is about a millisecond away, and a
-// queue costs more.
+// ZoneScorer prefers upstreams in the instance's own availability zone: 1 there, 0 elsewhere. Its weight is
+// small: another zone is about a millisecond away, and waiting in a queue costs more.
 type ZoneScorer struct{}
 
 // Score implements Scorer.
--- a/internal/placement/stages.go
+++ b/internal/placement/stages.go
@@ -5,104 +5,104 @@
 	"slices"
 )
 
-// DisaggregatedScheduler places generations on engines that are split into prefill and decode,
-// where the instances tell one another what they have under way: which engine
-// processes the prompt, which one generates, and whether one engine does both.
+// DisaggregatedScheduler places generations on engines with separate prefill and decode roles, where the
+// instances share their load with one another. It decides which engine processes the prompt, which one
+// generates, and whether one engine does both.
 type DisaggregatedScheduler struct {
-	start    *Scheduler
-	generate *Scheduler
+	prefill *Scheduler
+	decode  *Scheduler
 }
 
-// NewDisaggregatedScheduler returns the schedulers of both stages.
+// NewDisaggregatedScheduler returns a scheduler for both phases.
 func NewDisaggregatedScheduler() *DisaggregatedScheduler {
 	strict := []Filter{DrainingFilter{}, ExcludedFilter{}}
-	allowance := Preference{Filter: LimitFilter{}, Mandatory: true}
+	limit := Preference{Filter: LimitFilter{}, Mandatory: true}
 	return &DisaggregatedScheduler{
-		start: &Scheduler{
+		prefill: &Scheduler{
 			Filters:     strict,
-			Preferences: []Preference{allowance, {Filter: RoleFilter{}}, {Filter: HealthFilter{}}},
+			Preferences: []Preference{limit, {Filter: RoleFilter{}}, {Filter: HealthFilter{}}},
 			Scorers:     []WeightedScorer{{Scorer: PrefillScorer{}, Weight: 1}},
 			Picker:      RankedPicker{},
 		},
-		generate: &Scheduler{
+		decode: &Scheduler{
 			Filters:     append([]Filter{RoleFilter{}}, strict...),
-			Preferences: []Preference{allowance, {Filter: HealthFilter{}}},
+			Preferences: []Preference{limit, {Filter: HealthFilter{}}},
 			Scorers:     []WeightedScorer{{Scorer: DecodeScorer{}, Weight: 1}},
 			Picker:      RankedPicker{},
 		},
 	}
 }
 
-// PickPrefill picks the engine that processes a prompt. False means that there is no
-// engine at all, or none with room for the answer. A short prompt goes to an engine
-// that generates too, unless prompts take so much of these engines' time that a prefill
-// engine is sooner: else a surge of short prompts stops the answers, while prefill
-// engines idle.
+// PickPrefill picks the engine that processes a prompt. It returns false when there is no engine at all, or
+// no engine that may take the answer. A short prompt goes to an engine that also generates, unless prompts
+// use so much of these engines' time that a prefill engine is sooner. Otherwise a surge of short prompts
+// would stall the answers while prefill engines are idle.
 func (s *DisaggregatedScheduler) PickPrefill(req *Request, candidates []Candidate, rng *rand.Rand) (Prefill, bool) {
-	if s.allSpent(req, candidates) {
+	if s.allExhausted(req, candidates) {
 		return Prefill{}, false
 	}
-	apart, ok := s.beginAs(PhasePrefill, req, candidates, rng)
+	separate, ok := s.pickFirst(PhasePrefill, req, candidates, rng)
 	if req.Prompt.Tokens >= req.Costs.DirectBelow {
-		return apart, ok
+		return separate, ok
 	}
-	direct, ok := s.beginAs(PhaseDirect, req, candidates, rng)
-	if !ok || apart.Direct() || req.Costs.startCost(direct) <= req.Costs.startCost(apart) {
+	direct, ok := s.pickFirst(PhaseDirect, req, candidates, rng)
+	if !ok || separate.Direct() || req.Costs.timeToStart(direct) <= req.Costs.timeToStart(separate) {
 		return direct, ok
 	}
-	return apart, ok
+	return separate, ok
 }
 
-// allSpent tells whether no engine may take the answer: a prompt that is processed now
-// would find none afterwards.
-func (s *DisaggregatedScheduler) allSpent(req *Request, candidates []Candidate) bool {
+// allExhausted reports whether the limits of all engines that could generate the answer are exhausted. A
+// prompt that is processed now would find no engine for its answer afterwards.
+func (s *DisaggregatedScheduler) allExhausted(req *Request, candidates []Candidate) bool {
 	if !req.CheckLimits {
 		return false
 	}
-	able := s.generators(req, candidates)
-	return len(able) > 0 && !slices.ContainsFunc(able, func(c Candidate) bool { return !c.Exhausted })
+	engines := s.decodeEngines(req, candidates)
+	return len(engines) > 0 && !slices.ContainsFunc(engines, func(c Candidate) bool { return !c.Exhausted })
 }
 
-// AllLimited tells whether all engines that may take the answer limit their requests.
+// AllLimited reports whether all engines that could generate the answer limit their requests.
 func (s *DisaggregatedScheduler) AllLimited(req *Request, candidates []Candidate) bool {
-	able := s.generators(req, candidates)
-	return len(able) > 0 && !slices.ContainsFunc(able, func(c Candidate) bool { return !c.Limited })
+	engines := s.decodeEngines(req, candidates)
+	return len(engines) > 0 && !slices.ContainsFunc(engines, func(c Candidate) bool { return !c.Limited })
 }
 
-// generators are the engines that may take the answer, until the next choice.
-func (s *DisaggregatedScheduler) generators(req *Request, candidates []Candidate) []Candidate {
-	generate := *req
-	generate.Phase = PhaseDecode
-	return s.generate.allowed(&generate, candidates)
+// decodeEngines returns the engines that could generate the answer. The slice is valid until the next choice.
+func (s *DisaggregatedScheduler) decodeEngines(req *Request, candidates []Candidate) []Candidate {
+	decode := *req
+	decode.Phase = PhaseDecode
+	return s.decode.allowed(&decode, candidates)
 }
 
-// beginAs picks the engine that does a part of a generation first.
-func (s *DisaggregatedScheduler) beginAs(work Phase, req *Request, candidates []Candidate, rng *rand.Rand) (Prefill, bool) {
-	begin := *req
-	begin.Phase = work
-	chosen, ok := s.start.Schedule(&begin, candidates, rng)
+// pickFirst picks the engine that runs the first phase of a generation.
+func (s *DisaggregatedScheduler) pickFirst(phase Phase, req *Request, candidates []Candidate, rng *rand.Rand) (Prefill, bool) {
+	first := *req
+	first.Phase = phase
+	chosen, ok := s.prefill.Schedule(&first, candidates, rng)
 	if !ok {
 		return Prefill{}, false
 	}
-	return req.Costs.startOn(&begin, chosen, sourcesOf(&begin, s.start.allowed(&begin, candidates))), true
+	return req.Costs.prefillOn(&first, chosen, findCacheSources(&first, s.prefill.allowed(&first, candidates))), true
 }
 
-// PickDecode picks the engine that generates from a processed prompt that lies in
-// the request's KVZone.
+// PickDecode picks the engine that generates the answer to a processed prompt, whose KV cache is in the
+// request's KVZone.
 func (s *DisaggregatedScheduler) PickDecode(req *Request, candidates []Candidate, rng *rand.Rand) (Candidate, bool) {
-	generate := *req
-	generate.Phase = PhaseDecode
-	return s.generate.Schedule(&generate, candidates, rng)
+	decode := *req
+	decode.Phase = PhaseDecode
+	return s.decode.Schedule(&decode, candidates, rng)
 }
 
-// PickBackup picks the engine that a run on another one is copied to: the one that
-// would generate next. False means that none is worth it.
+// PickBackup picks the engine that a run on another engine is copied to, which is the next best engine to
+// generate the answer. It returns false when the prompt is too long to be worth a copy or no other engine can
+// take it.
 func (s *DisaggregatedScheduler) PickBackup(req *Request, running Candidate, candidates []Candidate, rng *rand.Rand) (Candidate, bool) {
 	if req.Prompt.Tokens >= req.Costs.BackupBelow {
 		return Candidate{}, false
 	}
 	others := slices.DeleteFunc(slices.Clone(candidates), func(c Candidate) bool { return c.ID == running.ID })
-	beside := *req
-	beside.KVZone = running.Zone
-	return s.PickDecode(&beside, others, rng)
+	backup := *req
+	backup.KVZone = running.Zone
+	return s.PickDecode(&backup, others, rng)
 }
--- a/internal/placement/stages_test.go
+++ b/internal/placement/stages_test.go
@@ -9,8 +9,8 @@
 	"sassafrasfield/internal/load"
 )
 
-// split has engines of both roles, in two zones by turns.
-func split(prefill, decode int) []Candidate {
+// newSplitEngines returns engines of both roles, alternating between two zones.
+func newSplitEngines(prefill, decode int) []Candidate {
 	table := load.NewTable()
 	var list []Candidate
 	add := func(id string, i int, role config.Role) {
@@ -28,11 +28,11 @@
 	return list
 }
 
-var long = Prompt{Tokens: 17000, MaxOutput: 100, Parts: []Part{{"shared", 13000}, {"own", 4000}}}
+var longPrompt = Prompt{Tokens: 17000, MaxOutput: 100, Parts: []Part{{"shared", 13000}, {"own", 4000}}}
 
-var stages = NewDisaggregatedScheduler()
+var scheduler = NewDisaggregatedScheduler()
 
-// costs are those of a large mixture-of-experts model's engines.
+// costs describe the engines of a large mixture-of-experts model.
 var costs = Costs{
 	EngineTimes: EngineTimes{
 		TokenTime: 16300, PairTime: 0.525, Overhead: 90 * time.Millisecond, FetchTime: 760, HandOver: 50 * time.Millisecond, SlotTime: time.Second,
@@ -41,25 +41,25 @@
 	Settings: DefaultSettings(),
 }
 
-func begin(t *testing.T, p Prompt, list []Candidate) Prefill {
+func pickPrefill(t *testing.T, p Prompt, list []Candidate) Prefill {
 	t.Helper()
-	start, ok := stages.PickPrefill(&Request{Prompt: p, Costs: costs}, list, rng())
+	start, ok := scheduler.PickPrefill(&Request{Prompt: p, Costs: costs}, list, rng())
 	if !ok {
 		t.Fatal("no engine")
 	}
 	return start
 }
 
-func generateIn(t *testing.T, zone string, p Prompt, list []Candidate) Candidate {
+func pickDecodeIn(t *testing.T, zone string, p Prompt, list []Candidate) Candidate {
 	t.Helper()
-	chosen, ok := stages.PickDecode(&Request{Prompt: p, Costs: costs, Zone: zone, KVZone: zone}, list, rng())
+	chosen, ok := scheduler.PickDecode(&Request{Prompt: p, Costs: costs, Zone: zone, KVZone: zone}, list, rng())
 	if !ok {
 		t.Fatal("no engine")
 	}
 	return chosen
 }
 
-func with(list []Candidate, id string, change func(*Candidate)) []Candidate {
+func modify(list []Candidate, id string, change func(*Candidate)) []Candidate {
 	for i := range list {
 		if list[i].ID == id {
 			change(&list[i])
@@ -68,24 +68,24 @@
 	return list
 }
 
-func TestAllInstancesChooseTheSameEngineForAPart(t *testing.T) {
-	first := begin(t, long, split(11, 7)).Engine.ID
-	list := split(11, 7)
-	for i := range list { // another order, as another instance may have it
+func TestAllInstancesChooseTheSameEngineForASharedPart(t *testing.T) {
+	first := pickPrefill(t, longPrompt, newSplitEngines(11, 7)).Engine.ID
+	list := newSplitEngines(11, 7)
+	for i := range list { // another instance may list the engines in another order
 		j := len(list) - 1 - i
 		if i < j {
 			list[i], list[j] = list[j], list[i]
 		}
 	}
-	if got := begin(t, long, list).Engine.ID; got != first {
-		t.Errorf("%s and %s", first, got)
+	if got := pickPrefill(t, longPrompt, list).Engine.ID; got != first {
+		t.Errorf("chose %s, and %s with the engines in reverse order", first, got)
 	}
 }
 
-func TestABusyEngineIsPassedOver(t *testing.T) {
-	first := begin(t, long, split(3, 1)).Engine.ID
-	list := with(split(3, 1), first, func(c *Candidate) { c.Aggregate.Backlog, c.Aggregate.CachedTokens = time.Minute, 13000 })
-	start := begin(t, long, list)
+func TestBusyEngineIsNotChosen(t *testing.T) {
+	first := pickPrefill(t, longPrompt, newSplitEngines(3, 1)).Engine.ID
+	list := modify(newSplitEngines(3, 1), first, func(c *Candidate) { c.Aggregate.Backlog, c.Aggregate.CachedTokens = time.Minute, 13000 })
+	start := pickPrefill(t, longPrompt, list)
 	if start.Engine.ID == first {
 		t.Error("the busy engine was chosen")
 	}
@@ -94,112 +94,112 @@
 	}
 }
 
-func TestAPartIsNotCopiedForAShortWait(t *testing.T) {
-	first := begin(t, long, split(3, 1)).Engine.ID
-	list := with(split(3, 1), first, func(c *Candidate) { c.Aggregate.Backlog, c.Aggregate.CachedTokens = 300*time.Millisecond, 13000 })
-	if got := begin(t, long, list).Engine.ID; got != first {
-		t.Errorf("%s was chosen, which lacks the part", got)
+func TestSharedPartIsNotCopiedForAShortWait(t *testing.T) {
+	first := pickPrefill(t, longPrompt, newSplitEngines(3, 1)).Engine.ID
+	list := modify(newSplitEngines(3, 1), first, func(c *Candidate) { c.Aggregate.Backlog, c.Aggregate.CachedTokens = 300*time.Millisecond, 13000 })
+	if got := pickPrefill(t, longPrompt, list).Engine.ID; got != first {
+		t.Errorf("chose %s, which does not have the shared part cached", got)
 	}
 }
 
-func TestTheSourceIsTheNearestThatHasMost(t *testing.T) {
-	list := split(1, 4) // d0 and d2 are in zone a with p0
+func TestFetchSourceIsTheNearestEngineWithMostCachedTokens(t *testing.T) {
+	list := newSplitEngines(1, 4) // d0 and d2 are in zone a with p0
 	for _, id := range []string{"d1", "d2"} {
-		list = with(list, id, func(c *Candidate) { c.Aggregate.CachedTokens = 13000 })
+		list = modify(list, id, func(c *Candidate) { c.Aggregate.CachedTokens = 13000 })
 	}
-	if got := begin(t, long, list).Source.ID; got != "d2" {
+	if got := pickPrefill(t, longPrompt, list).Source.ID; got != "d2" {
 		t.Errorf("source %q, want d2", got)
 	}
-	list = with(list, "d2", func(c *Candidate) { c.Suspect = true })
-	if got := begin(t, long, list).Source.ID; got != "d1" {
-		t.Errorf("source %q while d2 is doubtful, want d1", got)
+	list = modify(list, "d2", func(c *Candidate) { c.Suspect = true })
+	if got := pickPrefill(t, longPrompt, list).Source.ID; got != "d1" {
+		t.Errorf("source %q while d2 is suspect, want d1", got)
 	}
 }
 
-func TestAShortPromptGoesStraightToADecodeEngine(t *testing.T) {
-	start := begin(t, Prompt{Tokens: 1000, MaxOutput: 10}, split(3, 2))
+func TestShortPromptGoesToADecodeEngine(t *testing.T) {
+	start := pickPrefill(t, Prompt{Tokens: 1000, MaxOutput: 10}, newSplitEngines(3, 2))
 	if !start.Direct() || start.Engine.Engine.Loaded.Role != config.RoleDecode {
 		t.Errorf("%+v", start.Engine)
 	}
 }
 
-// TestShortPromptsLeaveCrowdedDecodeEngines: prompts take most of the decode
-// engines' time while prefill engines idle.
-func TestShortPromptsLeaveCrowdedDecodeEngines(t *testing.T) {
+// TestShortPromptsAvoidBusyDecodeEngines checks that short prompts go to prefill engines when prompts use
+// most of the decode engines' time. Otherwise the prefill engines would be idle meanwhile.
+func TestShortPromptsAvoidBusyDecodeEngines(t *testing.T) {
 	short := Prompt{Tokens: 1500, MaxOutput: 25}
 	for _, c := range []struct {
-		use    float64
-		direct bool
+		utilization float64
+		direct      bool
 	}{{0, true}, {0.15, true}, {0.8, false}, {2, false}} {
-		list := split(3, 2)
+		list := newSplitEngines(3, 2)
 		for i := range list {
 			if list[i].role() == config.RoleDecode {
-				list[i].Aggregate.Utilization = c.use
+				list[i].Aggregate.Utilization = c.utilization
 			}
 		}
-		if start := begin(t, short, list); start.Direct() != c.direct {
-			t.Errorf("decode engines with %g of their time taken: direct %t", c.use, start.Direct())
+		if start := pickPrefill(t, short, list); start.Direct() != c.direct {
+			t.Errorf("decode engines with a utilization of %g: direct %t", c.utilization, start.Direct())
 		}
 	}
 }
 
-func TestWithoutPrefillEnginesADecodeEngineDoesAll(t *testing.T) {
-	if start := begin(t, long, split(0, 2)); !start.Direct() {
+func TestDecodeEngineProcessesThePromptWithoutPrefillEngines(t *testing.T) {
+	if start := pickPrefill(t, longPrompt, newSplitEngines(0, 2)); !start.Direct() {
 		t.Errorf("%+v", start.Engine)
 	}
-	if _, ok := stages.PickPrefill(&Request{Prompt: long, Costs: costs}, nil, rng()); ok {
-		t.Error("an engine was found among none")
+	if _, ok := scheduler.PickPrefill(&Request{Prompt: longPrompt, Costs: costs}, nil, rng()); ok {
+		t.Error("an engine was chosen although there is none")
 	}
 }
 
-func TestADoubtfulEngineIsTakenLast(t *testing.T) {
-	first := begin(t, long, split(2, 1)).Engine.ID
-	list := with(split(2, 1), first, func(c *Candidate) { c.Suspect = true })
-	if got := begin(t, long, list).Engine.ID; got == first {
-		t.Error("the doubtful engine was chosen")
+func TestSuspectEngineIsChosenLast(t *testing.T) {
+	first := pickPrefill(t, longPrompt, newSplitEngines(2, 1)).Engine.ID
+	list := modify(newSplitEngines(2, 1), first, func(c *Candidate) { c.Suspect = true })
+	if got := pickPrefill(t, longPrompt, list).Engine.ID; got == first {
+		t.Error("the suspect engine was chosen")
 	}
 	for i := range list {
 		list[i].Suspect = true
 	}
-	begin(t, long, list)
+	pickPrefill(t, longPrompt, list)
 }
 
-func TestEnginesThatLeaveOrFailedTheRequestAreNotChosen(t *testing.T) {
-	list := with(split(2, 2), "p0", func(c *Candidate) { c.Draining = true })
-	req := &Request{Prompt: long, Costs: costs, Excluded: map[string]bool{"p1": true, "d0": true}}
-	if start, ok := stages.PickPrefill(req, list, rng()); !ok || start.Engine.ID != "d1" {
-		t.Errorf("%q, %t: want the one that is left", start.Engine.ID, ok)
+func TestDrainingAndExcludedEnginesAreNotChosen(t *testing.T) {
+	list := modify(newSplitEngines(2, 2), "p0", func(c *Candidate) { c.Draining = true })
+	req := &Request{Prompt: longPrompt, Costs: costs, Excluded: map[string]bool{"p1": true, "d0": true}}
+	if start, ok := scheduler.PickPrefill(req, list, rng()); !ok || start.Engine.ID != "d1" {
+		t.Errorf("got %q, %t: want the remaining engine d1", start.Engine.ID, ok)
 	}
-	if chosen, ok := stages.PickDecode(req, list, rng()); !ok || chosen.ID != "d1" {
-		t.Errorf("%q, %t: want the one that is left", chosen.ID, ok)
+	if chosen, ok := scheduler.PickDecode(req, list, rng()); !ok || chosen.ID != "d1" {
+		t.Errorf("got %q, %t: want the remaining engine d1", chosen.ID, ok)
 	}
 }
 
-func TestDecodeStaysNearTheKVCacheUnlessCrowded(t *testing.T) {
-	list := split(0, 4)
-	request := &Request{Prompt: long, Costs: costs, KVZone: "a"}
-	if chosen, _ := stages.PickDecode(request, list, rng()); chosen.Zone != "a" {
+func TestDecodeStaysInTheZoneOfTheKVCacheUnlessItsEnginesAreFull(t *testing.T) {
+	list := newSplitEngines(0, 4)
+	request := &Request{Prompt: longPrompt, Costs: costs, KVZone: "a"}
+	if chosen, _ := scheduler.PickDecode(request, list, rng()); chosen.Zone != "a" {
 		t.Errorf("zone %s", chosen.Zone)
 	}
 	for _, id := range []string{"d0", "d2"} {
-		list = with(list, id, func(c *Candidate) { c.Aggregate.Requests = 60 })
+		list = modify(list, id, func(c *Candidate) { c.Aggregate.Requests = 60 })
 	}
-	if chosen, _ := stages.PickDecode(request, list, rng()); chosen.Zone != "b" {
-		t.Errorf("zone %s, though its engines are crowded", chosen.Zone)
+	if chosen, _ := scheduler.PickDecode(request, list, rng()); chosen.Zone != "b" {
+		t.Errorf("zone %s, although its engines are almost full", chosen.Zone)
 	}
 }
 
-func TestAnEngineOfTheOwnZoneIsPreferredAmongEquals(t *testing.T) {
+func TestOwnZoneIsPreferredAmongEquals(t *testing.T) {
 	for _, zone := range []string{"a", "b"} {
-		chosen := generateIn(t, zone, Prompt{Tokens: 3000}, split(0, 4))
-		start, _ := stages.PickPrefill(&Request{Prompt: Prompt{Tokens: 1000}, Costs: costs, Zone: zone}, split(2, 4), rng())
+		chosen := pickDecodeIn(t, zone, Prompt{Tokens: 3000}, newSplitEngines(0, 4))
+		start, _ := scheduler.PickPrefill(&Request{Prompt: Prompt{Tokens: 1000}, Costs: costs, Zone: zone}, newSplitEngines(2, 4), rng())
 		if chosen.Zone != zone || start.Engine.Zone != zone {
 			t.Errorf("zone %s: decode in %s, direct in %s", zone, chosen.Zone, start.Engine.Zone)
 		}
 	}
 }
 
-func TestACallGoesToTheLeastBusyAndStaysNear(t *testing.T) {
+func TestCallGoesToTheLeastBusyUpstreamWithPreferenceForTheOwnZone(t *testing.T) {
 	for _, tc := range []struct {
 		near, far int
 		want      string
@@ -212,9 +212,9 @@
 		if c, _ := NewAggregateServiceScheduler().Schedule(&Request{Zone: "a"}, list, rng()); c.ID != tc.want {
 			t.Errorf("%d near, %d far: %s", tc.near, tc.far, c.ID)
 		}
-		list = with(list, tc.want, func(c *Candidate) { c.Suspect = true })
+		list = modify(list, tc.want, func(c *Candidate) { c.Suspect = true })
 		if c, _ := NewAggregateServiceScheduler().Schedule(&Request{Zone: "a"}, list, rng()); c.ID == tc.want {
-			t.Errorf("%d near, %d far: the doubtful one is chosen", tc.near, tc.far)
+			t.Errorf("%d near, %d far: the suspect upstream is chosen", tc.near, tc.far)
 		}
 	}
 }
--- a/internal/placement/turn.go
+++ b/internal/placement/turn.go
@@ -1,52 +1,52 @@
 package placement
 
-// Turn is when an engine processes a prompt that waits there with others.
+// QueueOrder is the position at which a prompt joins an engine's prefill queue.
 type QueueOrder int
 
 const (
-	// TurnNext is before those that yield.
+	// QueueNormal places a prompt before the deferred ones.
 	QueueNormal QueueOrder = iota
-	// TurnYield is after all others: the request is late anyway, or is to make
-	// room for others that still can be on time.
+	// QueueDeferred places a prompt after all others. The request misses its objective anyway, or makes room
+	// for others that can still meet theirs.
 	QueueDeferred
 )
 
-// String returns the turn's name in logs.
-func (t QueueOrder) String() string {
-	if t == QueueDeferred {
+// String returns the name of the queue order in logs.
+func (o QueueOrder) String() string {
+	if o == QueueDeferred {
 		return "yields"
 	}
 	return "next"
 }
 
-// Turn decides whether a prompt yields. Processed in the order of their arrival,
-// all prompts are late for as long as a surge's backlog lasts, though the engines
-// could process most of them in time. So those that can still be on time go
-// first, as far as those that yield are still processed in time: with so much
-// yielding work L that has to be done in a part T of the time that callers wait, the
-// others may take the part 1-L/T of the engine. The draw is uniform in [0, 1).
+// QueueOrder decides whether a prompt is deferred. If prompts were processed in the order of their arrival,
+// all of them would miss their objective for as long as the backlog of a surge lasts, although the engines
+// could process most of them in time. Prompts that can still meet their objective therefore go first, as far
+// as the deferred ones are still processed while their callers wait. With a deferred backlog L that has to be
+// processed within a share T of the callers' wait time, the other prompts may use the share 1-L/T of the
+// engine. The draw is uniform in [0, 1).
 //
-// It buys answers on time during a surge: 0.01 to 0.03 of a day's worth, in trials
-// with and without on three days of docs/NEW-CUSTOMER.md.
-func (c Costs) QueueOrder(req *Request, s Prefill, draw float64) QueueOrder {
-	told := s.Engine.Aggregate
-	slack := req.Objective - c.Overhead - c.HandOver - s.BusyTime
-	if req.Objective <= 0 || c.DeferredShare <= 0 || told.Backlog <= slack/2 {
+// During a surge, deferring gets more answers on time: 0.01 to 0.03 of a day's worth, in trials with and
+// without it on three days of docs/NEW-CUSTOMER.md.
+func (c Costs) QueueOrder(req *Request, p Prefill, draw float64) QueueOrder {
+	load := p.Engine.Aggregate
+	slack := req.Objective - c.Overhead - c.HandOver - p.BusyTime
+	if req.Objective <= 0 || c.DeferredShare <= 0 || load.Backlog <= slack/2 {
 		return QueueNormal
 	}
-	if told.Backlog-told.DeferredBacklog > slack {
+	if load.Backlog-load.DeferredBacklog > slack {
 		return QueueDeferred
 	}
-	if told.DeferredBacklog <= 0 || req.RemainingWait <= 0 {
+	if load.DeferredBacklog <= 0 || req.RemainingWait <= 0 {
 		return QueueNormal
 	}
-	share := 1 - told.DeferredBacklog.Seconds()/(c.DeferredShare*req.RemainingWait.Seconds())
-	if draw < share/max(told.Utilization, leastTurnUse) {
+	share := 1 - load.DeferredBacklog.Seconds()/(c.DeferredShare*req.RemainingWait.Seconds())
+	if draw < share/max(load.Utilization, minDeferUtilization) {
 		return QueueNormal
 	}
 	return QueueDeferred
 }
 
-// leastTurnUse is the use of an engine below which none of its prompts has to
-// yield for those that did.
-const leastTurnUse = 0.1
+// minDeferUtilization is the utilization below which an engine's prompts need not make room for the deferred
+// ones.
+const minDeferUtilization = 0.1
--- a/internal/placement/turn_test.go
+++ b/internal/placement/turn_test.go
@@ -7,20 +7,18 @@
 	"sassafrasfield/internal/config"
 )
 
-// Pattern: prompts come at three times their mean for some seconds, more than their
-// engine can process; then about as many as it can. Grounds: on the new customer's
-// days, a burst of 0.6 s left every prompt of the next four seconds late.
-
-// surge plays prompts of one size on one engine, which takes those that do not yield
-// first. It returns the parts of them that were on time and that came to their
-// deadline.
-func surge(t *testing.T, turn func(c Costs, req *Request, s Prefill, draw float64) QueueOrder) (onTime, missed float64) {
+// surge simulates prompts of one size on one engine, which processes deferred prompts last. Prompts first
+// arrive below the engine's capacity, then in a short burst above it, then at about its capacity. On the days
+// of docs/NEW-CUSTOMER.md, prompts arrived at three times their mean rate for some seconds, and a burst of
+// 0.6 s made every prompt of the next four seconds late. It returns the share of prompts that met their
+// objective and the share that missed their deadline.
+func surge(t *testing.T, order func(c Costs, req *Request, p Prefill, draw float64) QueueOrder) (onTime, missed float64) {
 	t.Helper()
 	const (
-		work, objective, patience = 20 * time.Millisecond, 200 * time.Millisecond, 2 * time.Second
-		tick                      = time.Millisecond
+		work, objective, waitBudget = 20 * time.Millisecond, 200 * time.Millisecond, 2 * time.Second
+		tick                        = time.Millisecond
 	)
-	// prompts a tick: the engine bears 0.05
+	// arrivals per tick; the capacity of the engine is 0.05
 	rate := func(now time.Duration) float64 {
 		switch {
 		case now < time.Second:
@@ -32,65 +30,65 @@
 		}
 	}
 	rng := rng()
-	var next, yields []time.Duration // when they came
+	var normal, deferred []time.Duration // arrival times
 	var busyUntil time.Duration
-	total, good, late := 0, 0, 0
+	total, inTime, late := 0, 0, 0
 	for now := time.Duration(0); now < 8*time.Second; now += tick {
 		if rng.Float64() < rate(now) {
-			ahead := time.Duration(len(next)+len(yields)) * work
-			s := Prefill{BusyTime: work, Engine: Candidate{Engine: &config.Engine{Loaded: config.EngineState{Role: config.RolePrefill}},
-				Aggregate: AggregateLoad{Backlog: ahead, DeferredBacklog: time.Duration(len(yields)) * work, Utilization: rate(now) / tick.Seconds() * work.Seconds()}}}
-			req := &Request{Objective: objective, RemainingWait: patience}
+			backlog := time.Duration(len(normal)+len(deferred)) * work
+			p := Prefill{BusyTime: work, Engine: Candidate{Engine: &config.Engine{Loaded: config.EngineState{Role: config.RolePrefill}},
+				Aggregate: AggregateLoad{Backlog: backlog, DeferredBacklog: time.Duration(len(deferred)) * work, Utilization: rate(now) / tick.Seconds() * work.Seconds()}}}
+			req := &Request{Objective: objective, RemainingWait: waitBudget}
 			total++
-			if turn(Costs{Settings: DefaultSettings()}, req, s, rng.Float64()) == QueueDeferred {
-				yields = append(yields, now)
+			if order(Costs{Settings: DefaultSettings()}, req, p, rng.Float64()) == QueueDeferred {
+				deferred = append(deferred, now)
 			} else {
-				next = append(next, now)
+				normal = append(normal, now)
 			}
 		}
-		if now < busyUntil || len(next)+len(yields) == 0 {
+		if now < busyUntil || len(normal)+len(deferred) == 0 {
 			continue
 		}
-		queue := &next
-		if len(next) == 0 {
-			queue = &yields
+		queue := &normal
+		if len(normal) == 0 {
+			queue = &deferred
 		}
-		took := now + work - (*queue)[0]
+		elapsed := now + work - (*queue)[0]
 		*queue = (*queue)[1:]
 		busyUntil = now + work
-		if took <= objective {
-			good++
+		if elapsed <= objective {
+			inTime++
 		}
-		if took > patience {
+		if elapsed > waitBudget {
 			late++
 		}
 	}
-	return float64(good) / float64(total), float64(late+len(yields)) / float64(total)
+	return float64(inTime) / float64(total), float64(late+len(deferred)) / float64(total)
 }
 
-func TestASurgeLeavesMostPromptsOnTime(t *testing.T) {
+func TestDeferringKeepsMostPromptsOnTimeInASurge(t *testing.T) {
 	inOrder, missed := surge(t, func(Costs, *Request, Prefill, float64) QueueOrder { return QueueNormal })
 	if inOrder > 0.4 || missed > 0 {
-		t.Errorf("in order: %.2f on time, %.2f missed; the surge is none", inOrder, missed)
+		t.Errorf("in order: %.2f on time, %.2f missed; want a surge that exceeds the capacity", inOrder, missed)
 	}
-	turns, missed := surge(t, Costs.QueueOrder)
-	if turns < inOrder+0.3 || missed > 0.05 {
-		t.Errorf("with turns: %.2f on time, %.2f missed; in order %.2f on time", turns, missed, inOrder)
+	deferring, missed := surge(t, Costs.QueueOrder)
+	if deferring < inOrder+0.3 || missed > 0.05 {
+		t.Errorf("deferring: %.2f on time, %.2f missed; in order %.2f on time", deferring, missed, inOrder)
 	}
 }
 
-func TestNoPromptYieldsWithoutAWait(t *testing.T) {
-	start := Prefill{BusyTime: 20 * time.Millisecond, Engine: Candidate{Aggregate: AggregateLoad{Backlog: 50 * time.Millisecond, DeferredBacklog: 50 * time.Millisecond, Utilization: 1}}}
+func TestNoPromptIsDeferredWithoutAWait(t *testing.T) {
+	prefill := Prefill{BusyTime: 20 * time.Millisecond, Engine: Candidate{Aggregate: AggregateLoad{Backlog: 50 * time.Millisecond, DeferredBacklog: 50 * time.Millisecond, Utilization: 1}}}
 	for _, objective := range []time.Duration{0, 200 * time.Millisecond} {
-		if got := (Costs{Settings: DefaultSettings()}).QueueOrder(&Request{Objective: objective, RemainingWait: time.Second}, start, 0.99); got != QueueNormal {
+		if got := (Costs{Settings: DefaultSettings()}).QueueOrder(&Request{Objective: objective, RemainingWait: time.Second}, prefill, 0.99); got != QueueNormal {
 			t.Errorf("objective %s: %s", objective, got)
 		}
 	}
 }
 
-func TestAPromptThatIsLateAnywayYields(t *testing.T) {
-	start := Prefill{BusyTime: 20 * time.Millisecond, Engine: Candidate{Aggregate: AggregateLoad{Backlog: 300 * time.Millisecond}}}
-	if got := (Costs{Settings: DefaultSettings()}).QueueOrder(&Request{Objective: 200 * time.Millisecond, RemainingWait: time.Second}, start, 0); got != QueueDeferred {
-		t.Errorf("%s", got)
+func TestPromptThatMissesItsObjectiveIsDeferred(t *testing.T) {
+	prefill := Prefill{BusyTime: 20 * time.Millisecond, Engine: Candidate{Aggregate: AggregateLoad{Backlog: 300 * time.Millisecond}}}
+	if got := (Costs{Settings: DefaultSettings()}).QueueOrder(&Request{Objective: 200 * time.Millisecond, RemainingWait: time.Second}, prefill, 0); got != QueueDeferred {
+		t.Errorf("got the queue order %s", got)
 	}
 }
