--- a/internal/model/run.go
+++ b/internal/model/run.go
@@ -40,7 +40,7 @@
 // instance is one instance with its picture.
 type instance struct {
 	name, zone string
-	picture    *upstreamstate.Picture
+	picture    *upstreamstate.State
 }
 
 // run is a pattern under a policy on its way.
--- a/internal/peers/fleet_test.go
+++ b/internal/peers/fleet_test.go
@@ -54,7 +54,7 @@
 
 // virtualLoads is an instance's picture in virtual time.
 type virtualLoads struct {
-	*upstreamstate.Picture
+	*upstreamstate.State
 	now     func() time.Duration
 	changed chan struct{}
 	granted int
@@ -63,7 +63,7 @@
 
 func newVirtualLoads(now func() time.Duration) *virtualLoads {
 	l := &virtualLoads{now: now, changed: make(chan struct{}, 1), grants: quota.NewGrants()}
-	l.Picture = upstreamstate.New(upstreamstate.Settings{Seed: 1, Changed: func() {
+	l.State = upstreamstate.New(upstreamstate.Settings{Seed: 1, Changed: func() {
 		select {
 		case l.changed <- struct{}{}:
 		default: // it is told already
@@ -74,13 +74,13 @@
 }
 
 func (l *virtualLoads) Changed() <-chan struct{}         { return l.changed }
-func (l *virtualLoads) OwnReport() upstreamstate.Report  { return l.Picture.OwnReport(l.now()) }
-func (l *virtualLoads) ZoneReport() upstreamstate.Report { return l.Picture.ZoneReport(l.now()) }
+func (l *virtualLoads) OwnReport() upstreamstate.Report  { return l.State.OwnReport(l.now()) }
+func (l *virtualLoads) ZoneReport() upstreamstate.Report { return l.State.ZoneReport(l.now()) }
 func (l *virtualLoads) OtherZonesReport() upstreamstate.Report {
-	return l.Picture.BeyondReport(l.now())
+	return l.State.BeyondReport(l.now())
 }
 func (l *virtualLoads) ApplyReport(source string, report upstreamstate.Report) {
-	l.Picture.TakeReport(source, report, l.now())
+	l.State.TakeReport(source, report, l.now())
 }
 
 // SetBehind is not played.
@@ -98,7 +98,7 @@
 
 // DecideGrant decides as an instance does.
 func (l *virtualLoads) DecideGrant(ask quota.Ask) quota.Verdict {
-	return l.grants.Decide(l.Picture, ask, l.now())
+	return l.grants.Decide(l.State, ask, l.now())
 }
 
 // requests is what this instance believes all have on the engine.
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -75,7 +75,7 @@
 	sender   Sender
 	log      *slog.Logger
 	start    time.Time
-	picture  *upstreamstate.Picture
+	picture  *upstreamstate.State
 	budgets  *budgets
 	pool     *pool
 	contents *contents
--- a/internal/upstreamstate/bench_test.go
+++ b/internal/upstreamstate/bench_test.go
@@ -21,7 +21,7 @@
 )
 
 // largePicture knows engines of which 13 in 18 process prompts, in six zones.
-func largePicture(engines int) *Picture {
+func largePicture(engines int) *State {
 	p := New(Settings{
 		Zone: "z0", Placement: placement.DefaultSettings(), Prior: estimate.DefaultPrior(), Outliers: load.DefaultOutlierRules(), Seed: 1,
 	})
--- a/internal/upstreamstate/gone.go
+++ b/internal/upstreamstate/gone.go
@@ -88,7 +88,7 @@
 
 // goneList is what a table of upstreams that could not be reached has to tell;
 // nothing when they are too many to be believed. The lock is held.
-func (p *Picture) goneList(t untilTable, now time.Duration) []uint32 {
+func (p *State) goneList(t untilTable, now time.Duration) []uint32 {
 	list := t.list(now)
 	if len(list) > len(p.nodes)/suspectShare {
 		return nil
@@ -98,20 +98,20 @@
 
 // noteGone records that an upstream could not be reached from here. The lock is
 // held.
-func (p *Picture) noteGone(id string, now time.Duration) {
+func (p *State) noteGone(id string, now time.Duration) {
 	p.gone.tell(p.hash(id), now+goneFor)
 	p.settings.Changed()
 }
 
 // sendAway records that an upstream takes no requests for a time. The lock is held.
-func (p *Picture) sendAway(id string, until time.Duration) {
+func (p *State) sendAway(id string, until time.Duration) {
 	p.away.tell(p.hash(id), until)
 	p.settings.Changed()
 }
 
 // hearWords takes what another instance, or other zones, told of upstreams that do not
 // answer or take no requests. The lock is held.
-func (p *Picture) hearWords(report Report, beside bool, now time.Duration) {
+func (p *State) hearWords(report Report, beside bool, now time.Duration) {
 	for _, hash := range report.Gone {
 		p.gone.hear(hash, now+goneFor, beside)
 	}
@@ -123,7 +123,7 @@
 // takesNone tells whether an upstream should be left out: it takes no requests for a
 // time, or another instance could not reach it lately and this one has not heard from
 // it since about then. The lock is held.
-func (p *Picture) takesNone(n *node, now time.Duration) bool {
+func (p *State) takesNone(n *node, now time.Duration) bool {
 	if p.away.here.names(n.hash, now) || p.away.heard.names(n.hash, now) {
 		return true
 	}
--- a/internal/upstreamstate/learn.go
+++ b/internal/upstreamstate/learn.go
@@ -20,7 +20,7 @@
 }
 
 // model returns what is known of a service's engines. The lock is held.
-func (p *Picture) model(service string) *estimate.Model {
+func (p *State) model(service string) *estimate.Model {
 	m, ok := p.models[service]
 	if !ok {
 		m = estimate.New(p.settings.Prior)
@@ -30,14 +30,14 @@
 }
 
 // Times returns what the engines of a service take.
-func (p *Picture) Times(service string) Times {
+func (p *State) Times(service string) Times {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.times(service)
 }
 
 // times is Times. The lock is held.
-func (p *Picture) times(service string) Times {
+func (p *State) times(service string) Times {
 	m := p.model(service)
 	t := Times{}
 	t.TokenTime, t.PairTime, t.Overhead = m.Prompt()
@@ -54,12 +54,12 @@
 }
 
 // costs are what placement weighs for a service. The lock is held.
-func (p *Picture) costs(service string) placement.Costs {
+func (p *State) costs(service string) placement.Costs {
 	return placement.Costs{EngineTimes: p.times(service).EngineTimes, Settings: p.settings.Placement}
 }
 
 // Prefilled takes note of a prompt that an engine has processed, without a fetch.
-func (p *Picture) Prefilled(service string, done estimate.Prefill) {
+func (p *State) Prefilled(service string, done estimate.Prefill) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.model(service).Prefilled(done)
@@ -67,7 +67,7 @@
 
 // Began takes note of how long a decode engine took to begin with a processed
 // prompt of so many tokens.
-func (p *Picture) Began(service string, tokens int, took time.Duration) {
+func (p *State) Began(service string, tokens int, took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	fetch := time.Duration(float64(tokens) * p.times(service).FetchTime)
@@ -76,7 +76,7 @@
 
 // Streamed takes note of an answer that an engine has generated whole, in so many
 // events.
-func (p *Picture) Streamed(service, engine string, events int, done estimate.Stream, now time.Duration) {
+func (p *State) Streamed(service, engine string, events int, done estimate.Stream, now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	eventTokens := 1
@@ -92,7 +92,7 @@
 
 // learned is what this instance has learned of the engines, by a hash of the
 // service. The lock is held.
-func (p *Picture) learned() map[uint32]estimate.Learned {
+func (p *State) learned() map[uint32]estimate.Learned {
 	all := map[uint32]estimate.Learned{}
 	for service, m := range p.models {
 		if l := m.Learned(); l.Prompts > 0 || l.Streams > 0 {
@@ -103,7 +103,7 @@
 }
 
 // hear takes what another instance has learned. The lock is held.
-func (p *Picture) hear(times map[uint32]estimate.Learned) {
+func (p *State) hear(times map[uint32]estimate.Learned) {
 	if len(times) == 0 {
 		return
 	}
--- a/internal/upstreamstate/leaving_test.go
+++ b/internal/upstreamstate/leaving_test.go
@@ -52,7 +52,7 @@
 	farHub.TakeReport("zone a", hub.ZoneReport(0), 0)
 	far.TakeReport("zones", farHub.BeyondReport(0), 0)
 	newcomer.HearLimits(far.Limits(0), true, 0)
-	for name, p := range map[string]*Picture{"told": told, "hub": hub, "far hub": farHub, "far": far, "newcomer": newcomer} {
+	for name, p := range map[string]*State{"told": told, "hub": hub, "far hub": farHub, "far": far, "newcomer": newcomer} {
 		if !p.Leaves(u) {
 			t.Errorf("%s does not know", name)
 		}
--- a/internal/upstreamstate/limits.go
+++ b/internal/upstreamstate/limits.go
@@ -67,7 +67,7 @@
 
 // Announced takes what an upstream's answer says to all instances. An answer of a start of it
 // that is over says nothing of the one that is there now.
-func (p *Picture) Announced(from Upstream, a quota.Announcement, now time.Duration) {
+func (p *State) Announced(from Upstream, a quota.Announcement, now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	hash := from.Incarnation()
@@ -82,7 +82,7 @@
 }
 
 // hearLimits takes what others told of upstreams' announcements. The lock is held.
-func (p *Picture) hearLimits(words []quota.Word, beside bool, now time.Duration) {
+func (p *State) hearLimits(words []quota.Word, beside bool, now time.Duration) {
 	scope := quota.Beyond
 	if beside {
 		scope = quota.Beside
@@ -94,21 +94,21 @@
 }
 
 // Limits returns what is known of the announcements of all upstreams.
-func (p *Picture) Limits(now time.Duration) []quota.Word {
+func (p *State) Limits(now time.Duration) []quota.Word {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.limits.book.Words(now)
 }
 
 // HearLimits takes what an instance of this zone, or of another one, knows of all upstreams.
-func (p *Picture) HearLimits(words []quota.Word, beside bool, now time.Duration) {
+func (p *State) HearLimits(words []quota.Word, beside bool, now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.hearLimits(words, beside, now)
 }
 
 // HearLimit takes what an instance that asks for a grant was told by the upstream.
-func (p *Picture) HearLimit(w quota.Word, now time.Duration) {
+func (p *State) HearLimit(w quota.Word, now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.hearLimits([]quota.Word{w}, true, now)
@@ -116,7 +116,7 @@
 
 // noteLimit keeps a change to be logged. What was told to wait for by the limit before
 // counts no longer. The lock is held.
-func (p *Picture) noteLimit(c quota.Change, changed bool) {
+func (p *State) noteLimit(c quota.Change, changed bool) {
 	if !changed {
 		return
 	}
@@ -130,7 +130,7 @@
 }
 
 // LimitChanges returns the changes of announcements since the last call.
-func (p *Picture) LimitChanges() []quota.Change {
+func (p *State) LimitChanges() []quota.Change {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	changes := p.limits.changes
@@ -140,7 +140,7 @@
 
 // Limit returns what is known of an upstream's limit, whether the upstream told this instance
 // itself, and whether anything is known of one.
-func (p *Picture) Limit(hash uint32, now time.Duration) (w quota.Word, firstHand, known bool) {
+func (p *State) Limit(hash uint32, now time.Duration) (w quota.Word, firstHand, known bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.limits.book.Word(hash, now)
@@ -148,21 +148,21 @@
 
 // Spent takes it that an upstream with a limit has nothing left for a time, for requests of a
 // priority and for less urgent ones.
-func (p *Picture) Spent(hash uint32, priority int, until time.Duration) {
+func (p *State) Spent(hash uint32, priority int, until time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.limits.spent.note(hash, priority, until)
 }
 
 // IsSpent tells whether an upstream has nothing left for a request of a priority.
-func (p *Picture) IsSpent(hash uint32, priority int, now time.Duration) bool {
+func (p *State) IsSpent(hash uint32, priority int, now time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return now < p.limits.spent.until(hash, priority)
 }
 
 // Leaves tells whether a start of an upstream leaves, as far as is known now.
-func (p *Picture) Leaves(u Upstream) bool {
+func (p *State) Leaves(u Upstream) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n, ok := p.byHash[u.Incarnation()]
@@ -170,7 +170,7 @@
 }
 
 // AllLeave tells whether a service has upstreams, and all of them leave.
-func (p *Picture) AllLeave(service string) bool {
+func (p *State) AllLeave(service string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.byService[service]
@@ -179,7 +179,7 @@
 
 // AllowanceIn returns when the first of the upstreams that take no request now, by their limit
 // or as they rest, takes one again; false when there are none. Resting tells that it rests.
-func (p *Picture) AllowanceIn(a Ask, now time.Duration) (in time.Duration, resting, found bool) {
+func (p *State) AllowanceIn(a Ask, now time.Duration) (in time.Duration, resting, found bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	in = time.Duration(math.MaxInt64)
@@ -194,13 +194,13 @@
 }
 
 // lapseLimits forgets what counts no longer. The lock is held.
-func (p *Picture) lapseLimits(now time.Duration) {
+func (p *State) lapseLimits(now time.Duration) {
 	p.limits.spent.lapse(now)
 	p.limits.book.Lapse(func(hash uint32) bool { return p.byHash[hash] != nil }, now)
 }
 
 // NameOf returns the id of the upstream with a hash; empty when it is not listed.
-func (p *Picture) NameOf(hash uint32) string {
+func (p *State) NameOf(hash uint32) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if n, ok := p.byHash[hash]; ok {
--- a/internal/upstreamstate/limits_test.go
+++ b/internal/upstreamstate/limits_test.go
@@ -52,7 +52,7 @@
 		hub.TakeReport(BesidePrefix+"one", told.OwnReport(now), now)
 		farHub.TakeReport("zone a", hub.ZoneReport(now), now)
 		far.TakeReport("zones", farHub.BeyondReport(now), now)
-		for name, p := range map[string]*Picture{"told": told, "hub": hub, "far hub": farHub, "far": far} {
+		for name, p := range map[string]*State{"told": told, "hub": hub, "far hub": farHub, "far": far} {
 			if w, firstHand, _ := p.Limit(u.Incarnation(), now); w.Rate != rate || firstHand != (p == told) {
 				t.Errorf("%s keeps to %+v, first-hand %t", name, w, firstHand)
 			}
--- a/internal/upstreamstate/parts.go
+++ b/internal/upstreamstate/parts.go
@@ -86,7 +86,7 @@
 
 // cached counts the leading tokens of a request's prompt that each engine is
 // believed to have. The lock is held.
-func (p *Picture) cached(req *placement.Request) map[uint32]int {
+func (p *State) cached(req *placement.Request) map[uint32]int {
 	if len(req.Prompt.Parts) < 2 {
 		return nil
 	}
@@ -101,7 +101,7 @@
 
 // notePrompt records that a prompt was placed on an engine, here and for the
 // next reports. The lock is held.
-func (p *Picture) notePrompt(engine string, prompt placement.Prompt, now time.Duration) {
+func (p *State) notePrompt(engine string, prompt placement.Prompt, now time.Duration) {
 	for i := 0; i < len(prompt.Parts)-1; i++ {
 		placed := Placed{Engine: p.hash(engine), Part: hashOf(prompt.Parts[i].ID)}
 		p.parts.note(placed, now)
@@ -111,7 +111,7 @@
 }
 
 // Knows tells whether a part was placed on an engine, as far as is known here.
-func (p *Picture) Knows(placed Placed) bool {
+func (p *State) Knows(placed Placed) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.ContainsFunc(p.parts.holders[placed.Part], func(h holder) bool { return h.engine == placed.Engine })
--- a/internal/upstreamstate/place.go
+++ b/internal/upstreamstate/place.go
@@ -23,7 +23,7 @@
 }
 
 // request is how placement sees what is asked. The lock is held.
-func (p *Picture) request(a Ask, now time.Duration) *placement.Request {
+func (p *State) request(a Ask, now time.Duration) *placement.Request {
 	return &placement.Request{
 		Zone: p.settings.Zone, Prompt: a.Prompt, Excluded: a.Excluded, Now: now,
 		Objective: a.Objective, RemainingWait: a.Left, Costs: p.costs(a.Service),
@@ -33,7 +33,7 @@
 
 // candidates returns the upstreams that a request may go to as placement sees them, until
 // the next choice. The lock is held.
-func (p *Picture) candidates(a Ask, req *placement.Request) []placement.Candidate {
+func (p *State) candidates(a Ask, req *placement.Request) []placement.Candidate {
 	p.told.lapse(req.Now)
 	list, cached := p.candidateBuf[:0], p.cached(req)
 	for _, n := range p.byService[a.Service] {
@@ -70,7 +70,7 @@
 }
 
 // PickCall chooses an upstream of a plain service and charges the request to it.
-func (p *Picture) PickCall(a Ask, now time.Duration) (Upstream, bool) {
+func (p *State) PickCall(a Ask, now time.Duration) (Upstream, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	req := p.request(a, now)
@@ -84,7 +84,7 @@
 
 // PickStart chooses where a generation begins and when its prompt is processed
 // there, and charges the request to that engine.
-func (p *Picture) PickStart(a Ask, now time.Duration) (placement.Prefill, placement.QueueOrder, bool) {
+func (p *State) PickStart(a Ask, now time.Duration) (placement.Prefill, placement.QueueOrder, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	req := p.request(a, now)
@@ -105,7 +105,7 @@
 
 // PickDecode chooses the engine that generates from a KV cache which lies in a
 // zone, and charges the request to it.
-func (p *Picture) PickDecode(a Ask, kvZone string, now time.Duration) (placement.Candidate, bool) {
+func (p *State) PickDecode(a Ask, kvZone string, now time.Duration) (placement.Candidate, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	req := p.request(a, now)
@@ -122,7 +122,7 @@
 
 // GeneratorsLimited tells whether all engines that may generate for a request limit what they
 // take, so that one of them has to have room before the prompt is processed.
-func (p *Picture) GeneratorsLimited(a Ask, now time.Duration) bool {
+func (p *State) GeneratorsLimited(a Ask, now time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.limits.book.Any() {
@@ -134,7 +134,7 @@
 
 // PickBackup chooses the engine that a run on another one is copied to; the zero
 // value when none is.
-func (p *Picture) PickBackup(a Ask, running placement.Candidate, now time.Duration) Upstream {
+func (p *State) PickBackup(a Ask, running placement.Candidate, now time.Duration) Upstream {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	req := p.request(a, now)
@@ -146,7 +146,7 @@
 }
 
 // PlaceOn charges a request to the engine that has its run.
-func (p *Picture) PlaceOn(id, request string, now time.Duration) Upstream {
+func (p *State) PlaceOn(id, request string, now time.Duration) Upstream {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if _, ok := p.nodes[id]; ok {
@@ -156,13 +156,13 @@
 }
 
 // place charges a request to an upstream. The lock is held.
-func (p *Picture) place(id, request string, now time.Duration) {
+func (p *State) place(id, request string, now time.Duration) {
 	p.loads.Place(id, load.Placement{ID: request, At: now})
 	p.changed(p.nodes[id])
 }
 
 // placePrompt charges a prompt to the engine that processes it. The lock is held.
-func (p *Picture) placePrompt(s placement.Prefill, turn placement.QueueOrder, now time.Duration) {
+func (p *State) placePrompt(s placement.Prefill, turn placement.QueueOrder, now time.Duration) {
 	w := &p.nodes[s.Engine.ID].work
 	w.own += s.BusyTime
 	if turn == placement.QueueDeferred {
--- a/internal/upstreamstate/reports.go
+++ b/internal/upstreamstate/reports.go
@@ -106,7 +106,7 @@
 
 // OwnReport returns what this instance has under way on the upstreams, and what
 // it has placed there since the last report.
-func (p *Picture) OwnReport(now time.Duration) Report {
+func (p *State) OwnReport(now time.Duration) Report {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	report := Report{Whole: true, Placed: p.placed, Gone: p.goneList(p.gone.here, now), Away: awayList(p.away.here, now)}
@@ -126,7 +126,7 @@
 
 // Learned returns what this instance has learned of the engines, by a hash of the
 // service, for the others.
-func (p *Picture) Learned() map[uint32]estimate.Learned {
+func (p *State) Learned() map[uint32]estimate.Learned {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.learned()
@@ -137,7 +137,7 @@
 
 // ZoneReport tells other zones what this instance and those beside it have under
 // way, as far as that changed, and what they placed since the last one.
-func (p *Picture) ZoneReport(now time.Duration) Report {
+func (p *State) ZoneReport(now time.Duration) Report {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.told.lapse(now)
@@ -150,7 +150,7 @@
 
 // BeyondReport tells the instances beside this one what those of all other zones
 // have under way, as far as that changed, and what they placed since the last one.
-func (p *Picture) BeyondReport(now time.Duration) Report {
+func (p *State) BeyondReport(now time.Duration) Report {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.told.lapse(now)
@@ -166,7 +166,7 @@
 }
 
 // due lists the loads that a ledger's receivers are to be told of. The lock is held.
-func (p *Picture) due(l *ledger, now time.Duration, of func(*node) EngineLoad) []EngineLoad {
+func (p *State) due(l *ledger, now time.Duration, of func(*node) EngineLoad) []EngineLoad {
 	var loads []EngineLoad
 	for _, n := range p.nodes {
 		load := of(n)
@@ -184,7 +184,7 @@
 }
 
 // TakeReport takes the report of another instance, or of other zones.
-func (p *Picture) TakeReport(source string, report Report, now time.Duration) {
+func (p *State) TakeReport(source string, report Report, now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.told.lapse(now)
@@ -207,7 +207,7 @@
 func newest(placed []Placed) []Placed { return placed[max(0, len(placed)-placedAtMost):] }
 
 // DropSource forgets what a source told.
-func (p *Picture) DropSource(source string, now time.Duration) {
+func (p *State) DropSource(source string, now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.told.drop(source, now)
--- a/internal/upstreamstate/statement.go
+++ b/internal/upstreamstate/statement.go
@@ -36,7 +36,7 @@
 // whether it is left alone for longer by that. Afterwards it gets one request at first, and ever
 // more as they go well. An answer of a start of it that is over says nothing of the one that is
 // there now.
-func (p *Picture) RestFor(from Upstream, d, now time.Duration) bool {
+func (p *State) RestFor(from Upstream, d, now time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	hash := from.Incarnation()
@@ -51,7 +51,7 @@
 }
 
 // RestsOver returns the ids of the listed upstreams whose rest has ended since the last call.
-func (p *Picture) RestsOver(now time.Duration) []string {
+func (p *State) RestsOver(now time.Duration) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var over []string
@@ -69,7 +69,7 @@
 
 // Resting is for how much longer an upstream wants nothing from this instance; 0 for one that
 // takes requests.
-func (p *Picture) Resting(hash uint32, now time.Duration) time.Duration {
+func (p *State) Resting(hash uint32, now time.Duration) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return max(0, p.limits.rests[hash]-now)
--- a/internal/upstreamstate/upstreamstate.go
+++ b/internal/upstreamstate/upstreamstate.go
@@ -70,9 +70,9 @@
 	Changed func()
 }
 
-// Picture is the configuration in force and what is known of the upstreams. It is
+// State is the configuration in force and what is known of the upstreams. It is
 // safe for use by several goroutines.
-type Picture struct {
+type State struct {
 	settings Settings
 	// stages and calls choose engines and the upstreams of plain services.
 	stages *placement.DisaggregatedScheduler
@@ -112,7 +112,7 @@
 }
 
 // New returns a picture that knows no routes and no upstreams.
-func New(s Settings) *Picture {
+func New(s Settings) *State {
 	loads := load.NewTable()
 	loads.Outliers = s.Outliers
 	if s.Seed == 0 {
@@ -121,7 +121,7 @@
 	if s.Changed == nil {
 		s.Changed = func() {}
 	}
-	return &Picture{
+	return &State{
 		settings: s, stages: placement.NewDisaggregatedScheduler(), calls: placement.NewAggregateServiceScheduler(),
 		table: routes.NewTable(0, nil, nil, routes.Limits{}),
 		nodes: map[string]*node{}, byHash: map[uint32]*node{}, byService: map[string][]*node{}, busy: map[*node]bool{},
@@ -133,7 +133,7 @@
 
 // SetRoutes puts a version of the configuration in force unless it is older, and
 // tells whether it did.
-func (p *Picture) SetRoutes(t *routes.Table, now time.Duration) bool {
+func (p *State) SetRoutes(t *routes.Table, now time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if t.Version <= p.table.Version {
@@ -144,7 +144,7 @@
 }
 
 // Routes returns the version in force and its age.
-func (p *Picture) Routes(now time.Duration) (*routes.Table, time.Duration) {
+func (p *State) Routes(now time.Duration) (*routes.Table, time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.table, now - p.tableAt
@@ -152,7 +152,7 @@
 
 // Learn takes an upstream's newest entry. One that has started again under its id has
 // nothing and knows nothing of before, so that all that is known of it is dropped.
-func (p *Picture) Learn(u Upstream) {
+func (p *State) Learn(u Upstream) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n, ok := p.nodes[u.ID]
@@ -181,7 +181,7 @@
 }
 
 // leave takes an upstream off its service's list. The lock is held.
-func (p *Picture) leave(n *node) {
+func (p *State) leave(n *node) {
 	list := p.byService[n.Service]
 	if i := slices.Index(list, n); i >= 0 {
 		p.byService[n.Service] = slices.Delete(list, i, i+1)
@@ -189,7 +189,7 @@
 }
 
 // Forget drops an upstream that is gone.
-func (p *Picture) Forget(id string) {
+func (p *State) Forget(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n, ok := p.nodes[id]
@@ -201,7 +201,7 @@
 }
 
 // forget drops what is known of one start of an upstream. The lock is held.
-func (p *Picture) forget(n *node) {
+func (p *State) forget(n *node) {
 	p.leave(n)
 	delete(p.nodes, n.ID)
 	delete(p.busy, n)
@@ -211,7 +211,7 @@
 }
 
 // hash names an upstream in reports. The lock is held.
-func (p *Picture) hash(id string) uint32 {
+func (p *State) hash(id string) uint32 {
 	if n, ok := p.nodes[id]; ok {
 		return n.hash
 	}
@@ -219,14 +219,14 @@
 }
 
 // Upstream returns an upstream's entry; the zero value when it is gone.
-func (p *Picture) Upstream(id string) Upstream {
+func (p *State) Upstream(id string) Upstream {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.upstream(id)
 }
 
 // upstream is Upstream. The lock is held.
-func (p *Picture) upstream(id string) Upstream {
+func (p *State) upstream(id string) Upstream {
 	if n, ok := p.nodes[id]; ok {
 		return n.Upstream
 	}
@@ -234,7 +234,7 @@
 }
 
 // Members returns the upstreams of a service, those that are leaving too.
-func (p *Picture) Members(service string) []Upstream {
+func (p *State) Members(service string) []Upstream {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := make([]Upstream, 0, len(p.byService[service]))
@@ -245,7 +245,7 @@
 }
 
 // Count returns how many upstreams there are of a service.
-func (p *Picture) Count(service string) int {
+func (p *State) Count(service string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.byService[service])
@@ -258,7 +258,7 @@
 }
 
 // Engines returns the model engines that take requests, by service.
-func (p *Picture) Engines(now time.Duration) map[string][]Engine {
+func (p *State) Engines(now time.Duration) map[string][]Engine {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.told.lapse(now)
@@ -274,7 +274,7 @@
 
 // SendAway has all instances leave an upstream out for a time in which it takes no
 // requests, or until its role has changed.
-func (p *Picture) SendAway(id string, until time.Duration) {
+func (p *State) SendAway(id string, until time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.sendAway(id, until)
--- a/internal/upstreamstate/upstreamstate_test.go
+++ b/internal/upstreamstate/upstreamstate_test.go
@@ -13,7 +13,7 @@
 
 // newPicture knows two prefill and three decode engines and three upstreams of a
 // plain service.
-func newPicture() *Picture {
+func newPicture() *State {
 	p := New(Settings{
 		Zone: "a", Placement: placement.DefaultSettings(), Prior: estimate.DefaultPrior(), Outliers: load.DefaultOutlierRules(), Seed: 1,
 	})
@@ -36,7 +36,7 @@
 }
 
 // toldOf is what placement is told of an upstream.
-func toldOf(t *testing.T, p *Picture, id string, a Ask, now time.Duration) placement.AggregateLoad {
+func toldOf(t *testing.T, p *State, id string, a Ask, now time.Duration) placement.AggregateLoad {
 	t.Helper()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -176,7 +176,7 @@
 }
 
 // callsWithout places calls and fails when one goes to an upstream.
-func callsWithout(t *testing.T, p *Picture, id string, now time.Duration) {
+func callsWithout(t *testing.T, p *State, id string, now time.Duration) {
 	t.Helper()
 	for range 10 {
 		next, ok := p.PickCall(Ask{ID: "q", Service: "app"}, now)
--- a/internal/upstreamstate/work.go
+++ b/internal/upstreamstate/work.go
@@ -25,13 +25,13 @@
 
 // changed notes that this instance has something else under way on an upstream than
 // it told. The lock is held.
-func (p *Picture) changed(n *node) {
+func (p *State) changed(n *node) {
 	p.busy[n] = true
 	p.settings.Changed()
 }
 
 // PromptDone takes the prompt work of a request off an engine.
-func (p *Picture) PromptDone(id string, work time.Duration, turn placement.QueueOrder) {
+func (p *State) PromptDone(id string, work time.Duration, turn placement.QueueOrder) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n, ok := p.nodes[id]
@@ -46,7 +46,7 @@
 }
 
 // End takes a request off an upstream.
-func (p *Picture) End(id, request string, now time.Duration) {
+func (p *State) End(id, request string, now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.loads.End(id, request, now)
@@ -59,7 +59,7 @@
 }
 
 // Reported takes an upstream's word on its load.
-func (p *Picture) Reported(id string, l Load, now time.Duration) {
+func (p *State) Reported(id string, l Load, now time.Duration) {
 	if !l.Known {
 		return
 	}
@@ -72,7 +72,7 @@
 
 // Judge records what a send told of an upstream, and reports whether it is
 // ejected by it. One that cannot be reached is ejected at once.
-func (p *Picture) Judge(id string, v load.CallResult, now time.Duration) bool {
+func (p *State) Judge(id string, v load.CallResult, now time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch v {
@@ -94,7 +94,7 @@
 }
 
 // HeardSince tells whether an upstream has answered anything since a time.
-func (p *Picture) HeardSince(id string, since time.Duration) bool {
+func (p *State) HeardSince(id string, since time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n, ok := p.nodes[id]
