--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -233,7 +233,7 @@
 	}
 	in.relay.UpdateUpstream(u)
 	in.log.Info("instance: upstream", "upstream", u.ID, "service", u.Service, "zone", u.Zone, "role", u.Role,
-		"draining", u.Draining, "born", u.Born, "revision", row.Revision)
+		"draining", u.Draining, "born", u.StartedAt, "revision", row.Revision)
 }
 
 // Engines implements rolekeeper.View.
--- a/internal/peers/limit_test.go
+++ b/internal/peers/limit_test.go
@@ -68,7 +68,7 @@
 	f := &limitedFleet{virtualFleet: newVirtualFleet(instances, zones, 0.01, seed), zones: zones}
 	for i, rate := range rates {
 		f.upstreams = append(f.upstreams, &limitedUpstream{
-			Upstream: upstreamstate.Upstream{ID: fmt.Sprint("app-", i), Service: "app", Address: "a", Zone: fmt.Sprint("z", i%zones), Born: 1},
+			Upstream: upstreamstate.Upstream{ID: fmt.Sprint("app-", i), Service: "app", Address: "a", Zone: fmt.Sprint("z", i%zones), StartedAt: 1},
 			rate:     rate,
 		})
 	}
@@ -482,7 +482,7 @@
 	u.rate = 1
 	f.serve(60, limitKnownIn+limitWindow, everywhere)
 	u.rate = quota.Unlimited
-	u.Born++
+	u.StartedAt++
 	f.list()
 	from := f.now
 	f.serve(60, time.Second, everywhere)
--- a/internal/relay/limits_test.go
+++ b/internal/relay/limits_test.go
@@ -270,7 +270,7 @@
 	r := limitedRelay(t, &fakeSender{}, asked, "app-1")
 	before := r.picture.Upstream("app-1")
 	again := before
-	again.Born = 7
+	again.StartedAt = 7
 	r.UpdateUpstream(again)
 	r.hear(before, limitOf(1))
 	w, _, known := r.picture.Limit(again.Incarnation(), r.now())
--- a/internal/rolekeeper/rolekeeper_test.go
+++ b/internal/rolekeeper/rolekeeper_test.go
@@ -124,7 +124,7 @@
 	defer f.mu.Unlock()
 	for i := range f.engines {
 		if f.engines[i].ID == id {
-			f.engines[i].Born++
+			f.engines[i].StartedAt++
 		}
 	}
 }
--- a/internal/upstreamstate/leaving_test.go
+++ b/internal/upstreamstate/leaving_test.go
@@ -13,7 +13,7 @@
 func TestThatAnUpstreamLeavesHoldsForItsStart(t *testing.T) {
 	p := newPicture()
 	u := p.Members("app")[0]
-	u.Born = 1
+	u.StartedAt = 1
 	p.Learn(u)
 	p.Announced(u, quota.Announcement{Leaving: true}, 0)
 	leaves := func(when string, want bool) {
@@ -35,7 +35,7 @@
 	p.Learn(u)
 	leaves("once it has come back late", true)
 	again := u
-	again.Born = 2
+	again.StartedAt = 2
 	p.Learn(again)
 	leaves("at its new start", false)
 	p.Announced(u, quota.Announcement{Leaving: true}, time.Minute)
--- a/internal/upstreamstate/rest_test.go
+++ b/internal/upstreamstate/rest_test.go
@@ -30,7 +30,7 @@
 		}
 	}
 	again := u
-	again.Born = 7
+	again.StartedAt = 7
 	p.Learn(again)
 	p.RestFor(u, time.Hour, 6*time.Second)
 	if left := p.Resting(again.Incarnation(), 6*time.Second); left > 0 {
--- a/internal/upstreamstate/upstreamstate.go
+++ b/internal/upstreamstate/upstreamstate.go
@@ -28,9 +28,9 @@
 // Upstream is an engine or a plain service's process.
 type Upstream struct {
 	ID, Service, Address, Zone string
-	// Born is the Unix millisecond of the process's start, by its own clock; 0 where the
+	// StartedAt is the Unix millisecond of the process's start, by its own clock; 0 where the
 	// platform does not tell it. A process may start again under the id that it had.
-	Born int64
+	StartedAt int64
 	// Draining upstreams take no new requests, by their entry or by their answers.
 	Draining bool
 	// Spot upstreams may be taken back by the platform, all of a zone at once.
@@ -42,10 +42,10 @@
 
 // Incarnation is a hash of this start of the upstream.
 func (u Upstream) Incarnation() uint32 {
-	if u.Born == 0 {
+	if u.StartedAt == 0 {
 		return hashOf(u.ID)
 	}
-	return hashOf(u.ID + "@" + strconv.FormatInt(u.Born, 10))
+	return hashOf(u.ID + "@" + strconv.FormatInt(u.StartedAt, 10))
 }
 
 // Load is what an upstream says of its load with an answer.
@@ -156,7 +156,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n, ok := p.nodes[u.ID]
-	if ok && n.Born != u.Born {
+	if ok && n.StartedAt != u.StartedAt {
 		p.limits.book.Forget(n.hash)
 		delete(p.limits.spent, n.hash)
 		delete(p.limits.rests, n.hash)
--- a/internal/upstreamstate/upstreamstate_test.go
+++ b/internal/upstreamstate/upstreamstate_test.go
@@ -53,7 +53,7 @@
 // way, no parts, and no word on it from before counts.
 func TestAnUpstreamThatStartedAgainIsANewOne(t *testing.T) {
 	p := New(Settings{Zone: "a"})
-	engine := Upstream{ID: "e", Service: "llm", Zone: "a", Role: config.RoleDecode, Born: 1000}
+	engine := Upstream{ID: "e", Service: "llm", Zone: "a", Role: config.RoleDecode, StartedAt: 1000}
 	p.Learn(engine)
 	before := engine.Incarnation()
 	p.TakeReport("zone b", Report{
@@ -65,7 +65,7 @@
 	if n := p.nodes["e"]; n.toldTo(time.Second).Requests != 10 || !p.takesNone(n, time.Second) {
 		t.Fatalf("forgotten without a new start: %+v", n.toldTo(time.Second))
 	}
-	engine.Born = 5000
+	engine.StartedAt = 5000
 	p.Learn(engine)
 	n := p.nodes["e"]
 	if engine.Incarnation() == before || n.own(time.Second).Requests != 0 || n.toldTo(time.Second).Requests != 0 || p.takesNone(n, time.Second) {
