--- a/internal/peers/fleet_test.go
+++ b/internal/peers/fleet_test.go
@@ -63,7 +63,7 @@
 
 func newVirtualLoads(now func() time.Duration) *virtualLoads {
 	l := &virtualLoads{now: now, changed: make(chan struct{}, 1), grants: quota.NewGrants()}
-	l.State = upstreamstate.New(upstreamstate.Settings{Seed: 1, Changed: func() {
+	l.State = upstreamstate.New(upstreamstate.Settings{Seed: 1, OnChange: func() {
 		select {
 		case l.changed <- struct{}{}:
 		default: // it is told already
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -106,7 +106,7 @@
 	sender.SetStatementHandler(r.hear)
 	r.budgets = newBudgets(s.Budget, newRetryMeters(), r.askPool)
 	r.picture = upstreamstate.New(upstreamstate.Settings{
-		Zone: s.Zone, Placement: s.Placement, Prior: s.Prior, Outliers: s.Outliers, Changed: r.noteChanged,
+		Zone: s.Zone, Placement: s.Placement, Prior: s.Prior, Outliers: s.Outliers, OnChange: r.noteChanged,
 	})
 	return r
 }
--- a/internal/upstreamstate/gone.go
+++ b/internal/upstreamstate/gone.go
@@ -100,13 +100,13 @@
 // held.
 func (p *State) noteGone(id string, now time.Duration) {
 	p.gone.tell(p.hash(id), now+goneFor)
-	p.settings.Changed()
+	p.settings.OnChange()
 }
 
 // sendAway records that an upstream takes no requests for a time. The lock is held.
 func (p *State) sendAway(id string, until time.Duration) {
 	p.away.tell(p.hash(id), until)
-	p.settings.Changed()
+	p.settings.OnChange()
 }
 
 // hearWords takes what another instance, or other zones, told of upstreams that do not
--- a/internal/upstreamstate/limits.go
+++ b/internal/upstreamstate/limits.go
@@ -77,7 +77,7 @@
 	change, changed := p.limits.book.Announced(hash, a, now)
 	p.noteLimit(change, changed)
 	if changed {
-		p.settings.Changed()
+		p.settings.OnChange()
 	}
 }
 
--- a/internal/upstreamstate/upstreamstate.go
+++ b/internal/upstreamstate/upstreamstate.go
@@ -65,9 +65,9 @@
 	Outliers load.OutlierRules
 	// Seed of the draws that spread requests; 0 for any.
 	Seed uint64
-	// Changed is called when the next report of this instance would differ from the
+	// OnChange is called when the next report of this instance would differ from the
 	// last one. It must not call the picture, and not block. Nil for nothing.
-	Changed func()
+	OnChange func()
 }
 
 // State is the configuration in force and what is known of the upstreams. It is
@@ -118,8 +118,8 @@
 	if s.Seed == 0 {
 		s.Seed = rand.Uint64()
 	}
-	if s.Changed == nil {
-		s.Changed = func() {}
+	if s.OnChange == nil {
+		s.OnChange = func() {}
 	}
 	return &State{
 		settings: s, stages: placement.NewDisaggregatedScheduler(), calls: placement.NewAggregateServiceScheduler(),
--- a/internal/upstreamstate/work.go
+++ b/internal/upstreamstate/work.go
@@ -27,7 +27,7 @@
 // it told. The lock is held.
 func (p *State) changed(n *node) {
 	p.busy[n] = true
-	p.settings.Changed()
+	p.settings.OnChange()
 }
 
 // PromptDone takes the prompt work of a request off an engine.
