--- a/internal/instance/orders_test.go
+++ b/internal/instance/orders_test.go
@@ -16,10 +16,10 @@
 // hearing keeps how upstreams' words reach the relay.
 type hearing struct {
 	relay.Sender
-	hear func(upstreamstate.Upstream, upstreamstate.Statement)
+	hear func(upstreamstate.Upstream, upstreamstate.UpstreamStatus)
 }
 
-func (h *hearing) SetStatementHandler(hear func(upstreamstate.Upstream, upstreamstate.Statement)) {
+func (h *hearing) SetStatementHandler(hear func(upstreamstate.Upstream, upstreamstate.UpstreamStatus)) {
 	h.hear = hear
 }
 
@@ -44,7 +44,7 @@
 	in.changed([]replica.Row{upstreamRow("e-1", "decode", 1), upstreamRow("e-2", "decode", 2)})
 	all := in.relay.Engines()["llm"]
 	one, other := all[0].Upstream, all[1].Upstream
-	sender.hear(one, upstreamstate.Statement{Rest: time.Minute})
+	sender.hear(one, upstreamstate.UpstreamStatus{Rest: time.Minute})
 	orderer := restingOrderer{engines, in.relay}
 	if _, err := orderer.State(context.Background(), one); !errors.Is(err, relay.ErrBackingOff) {
 		t.Errorf("asked: %v", err)
--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -32,7 +32,7 @@
 	run     func(n int, s Send) (*Reply, error)
 	prefill func(n int, s Send) (KV, error)
 
-	hear func(upstreamstate.Upstream, upstreamstate.Statement)
+	hear func(upstreamstate.Upstream, upstreamstate.UpstreamStatus)
 
 	mu       sync.Mutex // protects all below
 	calls    []sent
@@ -47,7 +47,7 @@
 	healthPath string
 }
 
-func (f *fakeSender) SetStatementHandler(hear func(upstreamstate.Upstream, upstreamstate.Statement)) {
+func (f *fakeSender) SetStatementHandler(hear func(upstreamstate.Upstream, upstreamstate.UpstreamStatus)) {
 	f.hear = hear
 }
 
--- a/internal/relay/leaving_test.go
+++ b/internal/relay/leaving_test.go
@@ -14,8 +14,8 @@
 )
 
 // leavingWord is an upstream's word that it leaves.
-func leavingWord() upstreamstate.Statement {
-	return upstreamstate.Statement{Announcement: &quota.Announcement{Leaving: true}}
+func leavingWord() upstreamstate.UpstreamStatus {
+	return upstreamstate.UpstreamStatus{Announcement: &quota.Announcement{Leaving: true}}
 }
 
 // sendKind is a kind of request whose sends must heed what upstreams say.
@@ -51,7 +51,7 @@
 }
 
 // saidBy has upstreams say a word in answers of before.
-func saidBy(r *Relay, word upstreamstate.Statement, ids ...string) {
+func saidBy(r *Relay, word upstreamstate.UpstreamStatus, ids ...string) {
 	for _, id := range ids {
 		r.hear(r.picture.Upstream(id), word)
 	}
--- a/internal/relay/limits_test.go
+++ b/internal/relay/limits_test.go
@@ -53,8 +53,8 @@
 }
 
 // limitOf is an upstream's word on the requests a second that it takes.
-func limitOf(rate float64) upstreamstate.Statement {
-	return upstreamstate.Statement{Announcement: &quota.Announcement{Limited: true, Rate: rate}}
+func limitOf(rate float64) upstreamstate.UpstreamStatus {
+	return upstreamstate.UpstreamStatus{Announcement: &quota.Announcement{Limited: true, Rate: rate}}
 }
 
 var (
@@ -283,7 +283,7 @@
 func TestAWordThatCannotBeReadChangesNothing(t *testing.T) {
 	r := limitedRelay(t, &fakeSender{}, &coordinator{}, "app-1")
 	for _, id := range []string{"app-1", "app-2"} {
-		r.hear(r.picture.Upstream(id), upstreamstate.Statement{Unread: []error{errors.New("no rate")}})
+		r.hear(r.picture.Upstream(id), upstreamstate.UpstreamStatus{Unread: []error{errors.New("no rate")}})
 	}
 	for id, limits := range map[string]bool{"app-1": true, "app-2": false} {
 		if w, _, _ := r.picture.Limit(hashOfUpstream(id), r.now()); w.Limits() != limits {
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -148,7 +148,7 @@
 type Sender interface {
 	// SetStatementHandler has hear called with what upstreams say of themselves in any answer, whatever was
 	// asked. It is called once, before all else.
-	SetStatementHandler(hear func(from upstreamstate.Upstream, s upstreamstate.Statement))
+	SetStatementHandler(hear func(from upstreamstate.Upstream, s upstreamstate.UpstreamStatus))
 	// Send has an upstream run a request, and returns once its answer begins.
 	Send(ctx context.Context, req *Request, s Send) (*Reply, error)
 	// Prefill has an engine process a request's prompt and keep the KV cache.
--- a/internal/upstreamstate/statement.go
+++ b/internal/upstreamstate/statement.go
@@ -6,8 +6,8 @@
 	"sassafrasfield/internal/quota"
 )
 
-// Statement is what an upstream says of itself with an answer.
-type Statement struct {
+// UpstreamStatus is what an upstream says of itself with an answer.
+type UpstreamStatus struct {
 	// Load is what it has under way.
 	Load Load
 	// Announcement is for all instances; nil where it cannot be read.
