--- a/internal/instance/orders_test.go
+++ b/internal/instance/orders_test.go
@@ -44,7 +44,7 @@
 	in.changed([]replica.Row{upstreamRow("e-1", "decode", 1), upstreamRow("e-2", "decode", 2)})
 	all := in.relay.Engines()["llm"]
 	one, other := all[0].Upstream, all[1].Upstream
-	sender.hear(one, upstreamstate.UpstreamStatus{Rest: time.Minute})
+	sender.hear(one, upstreamstate.UpstreamStatus{Backoff: time.Minute})
 	orderer := restingOrderer{engines, in.relay}
 	if _, err := orderer.State(context.Background(), one); !errors.Is(err, relay.ErrBackingOff) {
 		t.Errorf("asked: %v", err)
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -220,9 +220,9 @@
 		r.picture.Announced(from, *s.Announcement, r.now())
 		r.showLimits()
 	}
-	if s.Rest > 0 && r.picture.RestFor(from, s.Rest, r.now()) {
+	if s.Backoff > 0 && r.picture.RestFor(from, s.Backoff, r.now()) {
 		r.meters.limits.rests.Inc(1)
-		r.log.Info("relay: upstream asks for rest", "upstream", from.ID, "for", s.Rest)
+		r.log.Info("relay: upstream asks for rest", "upstream", from.ID, "for", s.Backoff)
 	}
 }
 
--- a/internal/relay/rest_test.go
+++ b/internal/relay/rest_test.go
@@ -13,7 +13,7 @@
 )
 
 // restOf is an upstream's wish to be left alone.
-func restOf(d time.Duration) upstreamstate.UpstreamStatus { return upstreamstate.UpstreamStatus{Rest: d} }
+func restOf(d time.Duration) upstreamstate.UpstreamStatus { return upstreamstate.UpstreamStatus{Backoff: d} }
 
 // TestNoKindOfSendReachesAnUpstreamThatRests guards against a way to upstreams that does not heed
 // the rest which they asked for.
--- a/internal/upstreamstate/statement.go
+++ b/internal/upstreamstate/statement.go
@@ -12,9 +12,9 @@
 	Load Load
 	// Announcement is for all instances; nil where it cannot be read.
 	Announcement *quota.Announcement
-	// Rest is for how long the upstream wants nothing from this instance; 0 for no such
+	// Backoff is for how long the upstream wants nothing from this instance; 0 for no such
 	// wish.
-	Rest time.Duration
+	Backoff time.Duration
 	// Unread are the errors of what cannot be read. It says nothing.
 	Unread []error
 }
