--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -212,7 +212,7 @@
 
 // hear takes what an upstream says of itself with an answer.
 func (r *Relay) hear(from upstreamstate.Upstream, s upstreamstate.UpstreamStatus) {
-	for _, err := range s.Unread {
+	for _, err := range s.ParseErrors {
 		r.meters.limits.unread.Inc(1)
 		r.log.Info("relay: upstream's word cannot be read", "upstream", from.ID, "error", err)
 	}
--- a/internal/relay/limits_test.go
+++ b/internal/relay/limits_test.go
@@ -283,7 +283,7 @@
 func TestAWordThatCannotBeReadChangesNothing(t *testing.T) {
 	r := limitedRelay(t, &fakeSender{}, &coordinator{}, "app-1")
 	for _, id := range []string{"app-1", "app-2"} {
-		r.hear(r.picture.Upstream(id), upstreamstate.UpstreamStatus{Unread: []error{errors.New("no rate")}})
+		r.hear(r.picture.Upstream(id), upstreamstate.UpstreamStatus{ParseErrors: []error{errors.New("no rate")}})
 	}
 	for id, limits := range map[string]bool{"app-1": true, "app-2": false} {
 		if w, _, _ := r.picture.Limit(hashOfUpstream(id), r.now()); w.Limits() != limits {
--- a/internal/upstreamstate/statement.go
+++ b/internal/upstreamstate/statement.go
@@ -15,8 +15,8 @@
 	// Backoff is for how long the upstream wants nothing from this instance; 0 for no such
 	// wish.
 	Backoff time.Duration
-	// Unread are the errors of what cannot be read. It says nothing.
-	Unread []error
+	// ParseErrors are the errors of what cannot be read. It says nothing.
+	ParseErrors []error
 }
 
 // restTable is until when upstreams want nothing from this instance.
