--- a/internal/model/run.go
+++ b/internal/model/run.go
@@ -145,9 +145,9 @@
 	}
 }
 
-func (req *request) ask(now time.Duration) upstreamstate.Ask {
+func (req *request) ask(now time.Duration) upstreamstate.PlacementRequest {
 	waited := now - req.arrived
-	return upstreamstate.Ask{
+	return upstreamstate.PlacementRequest{
 		ID: req.id, Service: service, Prompt: req.prompt,
 		Objective: req.class.Objective - waited, Left: req.class.Patience - waited,
 	}
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -43,8 +43,8 @@
 }
 
 // ask is what the choice of an upstream depends on.
-func (x *exchange) ask(now time.Duration) upstreamstate.Ask {
-	ask := upstreamstate.Ask{
+func (x *exchange) ask(now time.Duration) upstreamstate.PlacementRequest {
+	ask := upstreamstate.PlacementRequest{
 		ID: x.req.ID, Service: x.service, Excluded: x.tries.Excluded(),
 		Objective: x.route.Objective - (now - x.arrived), Left: x.left(now),
 		Priority: x.identity.Priority(x.route),
--- a/internal/upstreamstate/limits.go
+++ b/internal/upstreamstate/limits.go
@@ -179,7 +179,7 @@
 
 // AllowanceIn returns when the first of the upstreams that take no request now, by their limit
 // or as they rest, takes one again; false when there are none. Resting tells that it rests.
-func (p *State) AllowanceIn(a Ask, now time.Duration) (in time.Duration, resting, found bool) {
+func (p *State) AllowanceIn(a PlacementRequest, now time.Duration) (in time.Duration, resting, found bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	in = time.Duration(math.MaxInt64)
--- a/internal/upstreamstate/limits_test.go
+++ b/internal/upstreamstate/limits_test.go
@@ -26,7 +26,7 @@
 		{0, 0, true, 0}, {1, 0, len(all) > 1, time.Second}, {3, 0, false, 2 * time.Second}, {4, time.Second, false, time.Second},
 		{1, time.Second, true, 0}, {4, 2 * time.Second, true, 0},
 	} {
-		ask := Ask{ID: "r", Service: "app", Priority: c.priority}
+		ask := PlacementRequest{ID: "r", Service: "app", Priority: c.priority}
 		chosen, ok := p.PickCall(ask, c.at)
 		if ok != c.chosen {
 			t.Errorf("priority %d at %s: %q chosen, %t", c.priority, c.at, chosen.ID, ok)
@@ -67,7 +67,7 @@
 // it.
 func TestCachedPartsOfASpentEngineAreFetched(t *testing.T) {
 	p := newPicture()
-	ask := Ask{ID: "r", Service: "llm", Prompt: long, Objective: time.Second, Left: 2 * time.Second}
+	ask := PlacementRequest{ID: "r", Service: "llm", Prompt: long, Objective: time.Second, Left: 2 * time.Second}
 	first, turn, _ := p.PickStart(ask, 0)
 	p.PromptDone(first.Engine.ID, first.BusyTime, turn)
 	p.End(first.Engine.ID, "r", 0)
--- a/internal/upstreamstate/place.go
+++ b/internal/upstreamstate/place.go
@@ -7,8 +7,8 @@
 	"sassafrasfield/internal/placement"
 )
 
-// Ask is a request for which an upstream is to be chosen.
-type Ask struct {
+// PlacementRequest is a request for which an upstream is to be chosen.
+type PlacementRequest struct {
 	// ID of the request, Service that it goes to.
 	ID, Service string
 	// Prompt is the zero value for a request to a plain service.
@@ -23,7 +23,7 @@
 }
 
 // request is how placement sees what is asked. The lock is held.
-func (p *State) request(a Ask, now time.Duration) *placement.Request {
+func (p *State) request(a PlacementRequest, now time.Duration) *placement.Request {
 	return &placement.Request{
 		Zone: p.settings.Zone, Prompt: a.Prompt, Excluded: a.Excluded, Now: now,
 		Objective: a.Objective, RemainingWait: a.Left, Costs: p.costs(a.Service),
@@ -33,7 +33,7 @@
 
 // candidates returns the upstreams that a request may go to as placement sees them, until
 // the next choice. The lock is held.
-func (p *State) candidates(a Ask, req *placement.Request) []placement.Candidate {
+func (p *State) candidates(a PlacementRequest, req *placement.Request) []placement.Candidate {
 	p.told.lapse(req.Now)
 	list, cached := p.candidateBuf[:0], p.cached(req)
 	for _, n := range p.byService[a.Service] {
@@ -70,7 +70,7 @@
 }
 
 // PickCall chooses an upstream of a plain service and charges the request to it.
-func (p *State) PickCall(a Ask, now time.Duration) (Upstream, bool) {
+func (p *State) PickCall(a PlacementRequest, now time.Duration) (Upstream, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	req := p.request(a, now)
@@ -84,7 +84,7 @@
 
 // PickStart chooses where a generation begins and when its prompt is processed
 // there, and charges the request to that engine.
-func (p *State) PickStart(a Ask, now time.Duration) (placement.Prefill, placement.QueueOrder, bool) {
+func (p *State) PickStart(a PlacementRequest, now time.Duration) (placement.Prefill, placement.QueueOrder, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	req := p.request(a, now)
@@ -105,7 +105,7 @@
 
 // PickDecode chooses the engine that generates from a KV cache which lies in a
 // zone, and charges the request to it.
-func (p *State) PickDecode(a Ask, kvZone string, now time.Duration) (placement.Candidate, bool) {
+func (p *State) PickDecode(a PlacementRequest, kvZone string, now time.Duration) (placement.Candidate, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	req := p.request(a, now)
@@ -122,7 +122,7 @@
 
 // GeneratorsLimited tells whether all engines that may generate for a request limit what they
 // take, so that one of them has to have room before the prompt is processed.
-func (p *State) GeneratorsLimited(a Ask, now time.Duration) bool {
+func (p *State) GeneratorsLimited(a PlacementRequest, now time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.limits.book.Any() {
@@ -134,7 +134,7 @@
 
 // PickBackup chooses the engine that a run on another one is copied to; the zero
 // value when none is.
-func (p *State) PickBackup(a Ask, running placement.Candidate, now time.Duration) Upstream {
+func (p *State) PickBackup(a PlacementRequest, running placement.Candidate, now time.Duration) Upstream {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	req := p.request(a, now)
--- a/internal/upstreamstate/upstreamstate_test.go
+++ b/internal/upstreamstate/upstreamstate_test.go
@@ -36,7 +36,7 @@
 }
 
 // toldOf is what placement is told of an upstream.
-func toldOf(t *testing.T, p *State, id string, a Ask, now time.Duration) placement.AggregateLoad {
+func toldOf(t *testing.T, p *State, id string, a PlacementRequest, now time.Duration) placement.AggregateLoad {
 	t.Helper()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -85,7 +85,7 @@
 
 func TestAnUpstreamThatOthersCannotReachIsAvoided(t *testing.T) {
 	p := newPicture()
-	call := Ask{ID: "r", Service: "app"}
+	call := PlacementRequest{ID: "r", Service: "app"}
 	first, ok := p.PickCall(call, 0)
 	if !ok {
 		t.Fatal("no upstream")
@@ -106,10 +106,10 @@
 func TestTheLoadOfASourceThatFallsSilentIsForgotten(t *testing.T) {
 	p := newPicture()
 	p.TakeReport("zone b", Report{Loads: []EngineLoad{{Engine: hashOf("dec-1"), Requests: 9}}}, 0)
-	if n := toldOf(t, p, "dec-1", Ask{Service: "llm"}, 0).Requests; n != 9 {
+	if n := toldOf(t, p, "dec-1", PlacementRequest{Service: "llm"}, 0).Requests; n != 9 {
 		t.Errorf("%d requests counted, nine were told of", n)
 	}
-	if n := toldOf(t, p, "dec-1", Ask{Service: "llm"}, time.Minute).Requests; n != 0 {
+	if n := toldOf(t, p, "dec-1", PlacementRequest{Service: "llm"}, time.Minute).Requests; n != 0 {
 		t.Errorf("%d requests counted", n)
 	}
 	p.OwnReport(time.Minute)
@@ -124,13 +124,13 @@
 // upstream of a plain service has.
 func TestPlainCallsAreToldOf(t *testing.T) {
 	p, other := newPicture(), newPicture()
-	chosen, _ := p.PickCall(Ask{ID: "r", Service: "app"}, 0)
+	chosen, _ := p.PickCall(PlacementRequest{ID: "r", Service: "app"}, 0)
 	other.TakeReport(BesidePrefix+"one", p.OwnReport(0), 0)
-	if n := toldOf(t, other, chosen.ID, Ask{Service: "app"}, 0).Requests; n != 1 {
+	if n := toldOf(t, other, chosen.ID, PlacementRequest{Service: "app"}, 0).Requests; n != 1 {
 		t.Errorf("%d calls told of, want one", n)
 	}
 	for range 10 {
-		next, _ := other.PickCall(Ask{ID: "q", Service: "app"}, 0)
+		next, _ := other.PickCall(PlacementRequest{ID: "q", Service: "app"}, 0)
 		if next.ID == chosen.ID {
 			t.Fatal("the busy upstream was chosen while others idle")
 		}
@@ -149,7 +149,7 @@
 		p := newPicture()
 		p.TakeReport("zone b", Report{Placed: []Placed{{Engine: hashOf("pre-1"), Part: hashOf("shared")}}}, 0)
 		p.TakeReport("zone b", Report{Loads: []EngineLoad{{Engine: hashOf("pre-1"), Inflow: c.inflow}}}, c.after)
-		ask := Ask{Service: "llm", Prompt: long}
+		ask := PlacementRequest{Service: "llm", Prompt: long}
 		if got := toldOf(t, p, "pre-1", ask, c.after).CachedTokens; got != c.cached {
 			t.Errorf("%g tokens a second, after %s: %d believed cached, want %d", c.inflow, c.after, got, c.cached)
 		}
@@ -159,18 +159,18 @@
 // TestAPromptIsChargedUntilItIsDone has two instances; one hears of the other's.
 func TestAPromptIsChargedUntilItIsDone(t *testing.T) {
 	p, other := newPicture(), newPicture()
-	start, turn, ok := p.PickStart(Ask{ID: "r", Service: "llm", Prompt: long, Objective: time.Second, Left: 2 * time.Second}, 0)
+	start, turn, ok := p.PickStart(PlacementRequest{ID: "r", Service: "llm", Prompt: long, Objective: time.Second, Left: 2 * time.Second}, 0)
 	if !ok || start.Direct() || start.BusyTime <= 0 || turn != placement.QueueNormal {
 		t.Fatalf("%+v, %s, %t", start, turn, ok)
 	}
 	other.TakeReport(BesidePrefix+"one", p.OwnReport(0), 0)
-	if got := toldOf(t, other, start.Engine.ID, Ask{Service: "llm"}, 0).Backlog; got != start.BusyTime {
+	if got := toldOf(t, other, start.Engine.ID, PlacementRequest{Service: "llm"}, 0).Backlog; got != start.BusyTime {
 		t.Errorf("%s ahead, want %s", got, start.BusyTime)
 	}
 	p.PromptDone(start.Engine.ID, start.BusyTime, turn)
 	p.End(start.Engine.ID, "r", 0)
 	other.TakeReport(BesidePrefix+"one", p.OwnReport(0), 0)
-	if got := toldOf(t, other, start.Engine.ID, Ask{Service: "llm"}, 0).Backlog; got != 0 {
+	if got := toldOf(t, other, start.Engine.ID, PlacementRequest{Service: "llm"}, 0).Backlog; got != 0 {
 		t.Errorf("%s ahead of nothing", got)
 	}
 }
@@ -179,7 +179,7 @@
 func callsWithout(t *testing.T, p *State, id string, now time.Duration) {
 	t.Helper()
 	for range 10 {
-		next, ok := p.PickCall(Ask{ID: "q", Service: "app"}, now)
+		next, ok := p.PickCall(PlacementRequest{ID: "q", Service: "app"}, now)
 		if !ok || next.ID == id {
 			t.Fatalf("%q was chosen at %s", next.ID, now)
 		}
@@ -193,7 +193,7 @@
 // as each of 195 instances had to meet each of 20 such upstreams twice by itself.
 func TestAnUpstreamWhoseAddressAnotherHasIsLeftOutByAll(t *testing.T) {
 	p, other, beyond := newPicture(), newPicture(), newPicture()
-	chosen, _ := p.PickCall(Ask{ID: "r", Service: "app"}, 0)
+	chosen, _ := p.PickCall(PlacementRequest{ID: "r", Service: "app"}, 0)
 	other.Judge(chosen.ID, load.CallSucceeded, 0) // it answered there just now
 	beyond.Judge(chosen.ID, load.CallSucceeded, 0)
 	p.Judge(chosen.ID, load.CallAddressReassigned, 0)
