--- a/internal/relay/rest_test.go
+++ b/internal/relay/rest_test.go
@@ -13,7 +13,9 @@
 )
 
 // restOf is an upstream's wish to be left alone.
-func restOf(d time.Duration) upstreamstate.UpstreamStatus { return upstreamstate.UpstreamStatus{Backoff: d} }
+func restOf(d time.Duration) upstreamstate.UpstreamStatus {
+	return upstreamstate.UpstreamStatus{Backoff: d}
+}
 
 // TestNoKindOfSendReachesAnUpstreamThatRests guards against a way to upstreams that does not heed
 // the rest which they asked for.
