--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -201,7 +201,7 @@
 	speaker := hubOf(all, "b")
 	waitFor(func() bool {
 		// A part is told once, and a datagram may be lost: it is placed again.
-		speaker.relay.TakeReport("instance x", upstreamstate.Report{Placed: []upstreamstate.Placed{{Engine: 1, Part: 2}}})
+		speaker.relay.ApplyReport("instance x", upstreamstate.Report{Placed: []upstreamstate.Placed{{Engine: 1, Part: 2}}})
 		for _, n := range all {
 			if n.self.Zone != speaker.self.Zone && !n.relay.HasPlacement(upstreamstate.Placed{Engine: 1, Part: 2}) {
 				return false
@@ -228,7 +228,7 @@
 	return relay.KV{}, upstreamstate.Load{}, relay.ErrNoValidAnswer
 }
 
-func (*heldSender) SetStatementHandler(func(upstreamstate.Upstream, upstreamstate.Statement)) {}
+func (*heldSender) SetStatementHandler(func(upstreamstate.Upstream, upstreamstate.UpstreamStatus)) {}
 
 func (*heldSender) Crashed(context.Context, upstreamstate.Upstream, string) (bool, error) {
 	return false, nil
@@ -359,7 +359,7 @@
 // it has anything to serve by.
 func TestLimitsComeWithTheRows(t *testing.T) {
 	first := newNode(t, "n0", "a")
-	first.relay.HearLimits([]quota.Word{{Upstream: 7, Rate: 2, Age: time.Second}}, true)
+	first.relay.ApplyLimits([]quota.Word{{Upstream: 7, Rate: 2, Age: time.Second}}, true)
 	first.Take(news(1), 0)
 	second := newNode(t, "n1", "b", first.self.Address)
 	if err := second.Pull(context.Background()); err != nil {
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -175,8 +175,8 @@
 
 func newGrants() *grants { return &grants{state: quota.NewGrants()} }
 
-// Coordinate takes the part of upstreams' limits that this instance gives out; 0 for none.
-func (r *Relay) Coordinate(share float64) {
+// SetGrantShare takes the part of upstreams' limits that this instance gives out; 0 for none.
+func (r *Relay) SetGrantShare(share float64) {
 	r.grants.mu.Lock()
 	before := r.grants.state.Share()
 	r.grants.state.Keep(share, r.now())
@@ -186,9 +186,9 @@
 	}
 }
 
-// GrantLimited decides on one send to an upstream with a limit, of this instance or of
+// DecideGrant decides on one send to an upstream with a limit, of this instance or of
 // another one.
-func (r *Relay) GrantLimited(ask quota.Ask) quota.Verdict {
+func (r *Relay) DecideGrant(ask quota.Ask) quota.Verdict {
 	r.grants.mu.Lock()
 	verdict := r.grants.state.Decide(r.picture, ask, r.now())
 	r.grants.mu.Unlock()
@@ -204,15 +204,15 @@
 // Limits returns what is known of upstreams' limits.
 func (r *Relay) Limits() []quota.Word { return r.picture.Limits(r.now()) }
 
-// HearLimits takes what an instance of this zone, or of another one, knows of them.
-func (r *Relay) HearLimits(words []quota.Word, beside bool) {
+// ApplyLimits takes what an instance of this zone, or of another one, knows of them.
+func (r *Relay) ApplyLimits(words []quota.Word, beside bool) {
 	r.picture.HearLimits(words, beside, r.now())
 	r.showLimits()
 }
 
 // hear takes what an upstream says of itself with an answer.
-func (r *Relay) hear(from upstreamstate.Upstream, s upstreamstate.Statement) {
-	for _, err := range s.Unread {
+func (r *Relay) hear(from upstreamstate.Upstream, s upstreamstate.UpstreamStatus) {
+	for _, err := range s.ParseErrors {
 		r.meters.limits.unread.Inc(1)
 		r.log.Info("relay: upstream's word cannot be read", "upstream", from.ID, "error", err)
 	}
@@ -220,9 +220,9 @@
 		r.picture.Announced(from, *s.Announcement, r.now())
 		r.showLimits()
 	}
-	if s.Rest > 0 && r.picture.RestFor(from, s.Rest, r.now()) {
+	if s.Backoff > 0 && r.picture.RestFor(from, s.Backoff, r.now()) {
 		r.meters.limits.rests.Inc(1)
-		r.log.Info("relay: upstream asks for rest", "upstream", from.ID, "for", s.Rest)
+		r.log.Info("relay: upstream asks for rest", "upstream", from.ID, "for", s.Backoff)
 	}
 }
 
--- a/internal/relay/limits_test.go
+++ b/internal/relay/limits_test.go
@@ -53,8 +53,8 @@
 }
 
 // limitOf is an upstream's word on the requests a second that it takes.
-func limitOf(rate float64) upstreamstate.Statement {
-	return upstreamstate.Statement{Announcement: &quota.Announcement{Limited: true, Rate: rate}}
+func limitOf(rate float64) upstreamstate.UpstreamStatus {
+	return upstreamstate.UpstreamStatus{Announcement: &quota.Announcement{Limited: true, Rate: rate}}
 }
 
 var (
@@ -259,7 +259,7 @@
 	if _, err := serve(r, call("/safe/1")); wordOf(t, err) != NotRun || sender.count() > 0 {
 		t.Errorf("%v, %d sends", err, sender.count())
 	}
-	if verdict := r.GrantLimited(quota.Ask{Word: quota.Word{Upstream: 1, Rate: 2}}); verdict.Granted {
+	if verdict := r.DecideGrant(quota.Ask{Word: quota.Word{Upstream: 1, Rate: 2}}); verdict.Granted {
 		t.Error("an instance that does not coordinate granted")
 	}
 }
@@ -270,7 +270,7 @@
 	r := limitedRelay(t, &fakeSender{}, asked, "app-1")
 	before := r.picture.Upstream("app-1")
 	again := before
-	again.Born = 7
+	again.StartedAt = 7
 	r.UpdateUpstream(again)
 	r.hear(before, limitOf(1))
 	w, _, known := r.picture.Limit(again.Incarnation(), r.now())
@@ -283,7 +283,7 @@
 func TestAWordThatCannotBeReadChangesNothing(t *testing.T) {
 	r := limitedRelay(t, &fakeSender{}, &coordinator{}, "app-1")
 	for _, id := range []string{"app-1", "app-2"} {
-		r.hear(r.picture.Upstream(id), upstreamstate.Statement{Unread: []error{errors.New("no rate")}})
+		r.hear(r.picture.Upstream(id), upstreamstate.UpstreamStatus{ParseErrors: []error{errors.New("no rate")}})
 	}
 	for id, limits := range map[string]bool{"app-1": true, "app-2": false} {
 		if w, _, _ := r.picture.Limit(hashOfUpstream(id), r.now()); w.Limits() != limits {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -75,7 +75,7 @@
 	sender   Sender
 	log      *slog.Logger
 	start    time.Time
-	picture  *upstreamstate.Picture
+	picture  *upstreamstate.State
 	budgets  *budgets
 	pool     *pool
 	contents *contents
@@ -106,7 +106,7 @@
 	sender.SetStatementHandler(r.hear)
 	r.budgets = newBudgets(s.Budget, newRetryMeters(), r.askPool)
 	r.picture = upstreamstate.New(upstreamstate.Settings{
-		Zone: s.Zone, Placement: s.Placement, Prior: s.Prior, Outliers: s.Outliers, Changed: r.noteChanged,
+		Zone: s.Zone, Placement: s.Placement, Prior: s.Prior, Outliers: s.Outliers, OnChange: r.noteChanged,
 	})
 	return r
 }
@@ -174,8 +174,8 @@
 	return report
 }
 
-// BeyondReport returns what this instance tells its zone of the other zones.
-func (r *Relay) BeyondReport() upstreamstate.Report {
+// OtherZonesReport returns what this instance tells its zone of the other zones.
+func (r *Relay) OtherZonesReport() upstreamstate.Report {
 	report := r.picture.BeyondReport(r.now())
 	report.Ends = r.contents.told((*quarantine.Table).BeyondEnds)
 	return report
@@ -184,8 +184,8 @@
 // Learned returns what this instance has learned of the engines.
 func (r *Relay) Learned() map[uint32]estimate.Learned { return r.picture.Learned() }
 
-// TakeReport takes the report of another instance, or of a whole zone.
-func (r *Relay) TakeReport(source string, report upstreamstate.Report) {
+// ApplyReport takes the report of another instance, or of a whole zone.
+func (r *Relay) ApplyReport(source string, report upstreamstate.Report) {
 	now := r.now()
 	r.picture.TakeReport(source, report, now)
 	r.showLimits()
