--- a/internal/placement/costs.go
+++ b/internal/placement/costs.go
@@ -40,8 +40,8 @@
 	// second engine while it proceeds. Copying a longer one costs more memory and transfer than the saved
 	// runs are worth.
 	BackupBelow int
-	// MinFetchTokens is the smallest number of tokens worth fetching. The engine processes fewer tokens in
-	// the same time.
+	// MinFetchTokens is the smallest number of tokens worth fetching. Below it, the engine needs no more time
+	// to process the tokens itself.
 	MinFetchTokens int
 	// CrossZoneFactor is the factor by which a transfer from another zone takes longer, by the engines'
 	// interface.
