--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -8,12 +8,13 @@
 	"pgregory.net/rapid"
 )
 
-const biggestWork = 1000.0
+const maxWork = 1000.0
 
-// Organisations that always have tickets waiting get work by their shares:
-// none is ahead of another by more than one ticket each and the credit that
-// priorities have, whatever priorities and sizes they declare.
-func TestQueueShares(t *testing.T) {
+// TestQueueServesOrganisationsByShare checks that organisations that always have
+// tickets waiting are served in proportion to their shares. Whatever priorities
+// and sizes they declare, none is ahead of another by more than one ticket plus
+// the priority credit.
+func TestQueueServesOrganisationsByShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		credit := rapid.Float64Range(0, 3000).Draw(t, "credit")
 		q := NewQueue(credit)
@@ -24,7 +25,7 @@
 			q.Push(Ticket{
 				ID: "t", Organisation: fmt.Sprint(i), Share: shares[i],
 				Priority: rapid.IntRange(0, MaxPriority).Draw(t, "priority"),
-				Work:     rapid.Float64Range(1, biggestWork).Draw(t, "work"),
+				Work:     rapid.Float64Range(1, maxWork).Draw(t, "work"),
 			})
 		}
 		for i := range n {
@@ -35,7 +36,7 @@
 		for range rapid.IntRange(1, 150).Draw(t, "pops") {
 			ticket, ok := q.Pop()
 			if !ok {
-				t.Fatal("the queue is empty")
+				t.Fatal("the queue is empty, but every organisation has tickets waiting")
 			}
 			var i int
 			fmt.Sscan(ticket.Organisation, &i)
@@ -45,17 +46,18 @@
 		for i := range n {
 			for j := range n {
 				ahead := served[i]/shares[i] - served[j]/shares[j]
-				if bound := (credit+biggestWork)/shares[i] + 1e-6; ahead > bound {
-					t.Fatalf("organisation %d is %.0f ahead of %d, bound %.0f", i, ahead, j, bound)
+				if bound := (credit+maxWork)/shares[i] + 1e-6; ahead > bound {
+					t.Fatalf("organisation %d is %.0f ahead of organisation %d, bound %.0f", i, ahead, j, bound)
 				}
 			}
 		}
 	})
 }
 
-// An organisation that comes to a queue full of another's urgent tickets is
-// served before the other has used up its credit twice.
-func TestQueueNoStarvation(t *testing.T) {
+// TestQueueDoesNotStarveAnOrganisation checks that an organisation that joins a
+// queue full of another's urgent tickets is served before the other has used its
+// priority credit twice.
+func TestQueueDoesNotStarveAnOrganisation(t *testing.T) {
 	q := NewQueue(2000)
 	for range 200 {
 		q.Push(Ticket{ID: "g", Organisation: "greedy", Priority: MaxPriority, Work: 500})
@@ -67,7 +69,7 @@
 	for i := range 200 {
 		if ticket, _ := q.Pop(); ticket.Organisation == "modest" {
 			if i > 6 {
-				t.Fatalf("the modest organisation waited for %d urgent tickets", i)
+				t.Fatalf("the modest organisation was served after %d urgent tickets, want at most 6", i)
 			}
 			return
 		}
@@ -75,10 +77,11 @@
 	t.Fatal("the modest organisation was never served")
 }
 
-// Whatever comes, each ticket has one verdict; the queue and what is in flight
-// keep their bounds; and after a review no ticket waits that can't make its
-// deadline.
-func TestGate(t *testing.T) {
+// TestGateInvariants applies random events to a Gate. It checks that each ticket
+// gets exactly one decision, that the queue and the requests in flight stay
+// within their bounds, and that after RefuseLate no waiting ticket is predicted
+// to miss its deadline.
+func TestGateInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rules := Rules{
 			MaxQueue: rapid.IntRange(0, 8).Draw(t, "queue"), MaxWait: time.Second,
@@ -87,16 +90,16 @@
 		g := NewGate(rules)
 		limit := rapid.IntRange(1, 4).Draw(t, "limit")
 		g.SetLimit(limit)
-		now, ahead := time.Duration(0), time.Duration(0)
+		now, engineWait := time.Duration(0), time.Duration(0)
 		waiting := map[string]Ticket{}
 		admitted := 0
 		predict := func(ticket Ticket) Prediction {
-			return Prediction{FirstToken: ahead + ticket.PrefillTime, PrefillTime: ticket.PrefillTime, Known: true}
+			return Prediction{FirstToken: engineWait + ticket.PrefillTime, PrefillTime: ticket.PrefillTime, Known: true}
 		}
 		refuse := func(refusals []Refusal) {
 			for _, r := range refusals {
 				if _, ok := waiting[r.ID]; !ok {
-					t.Fatalf("%s was refused and does not wait", r.ID)
+					t.Fatalf("ticket %s was refused, but was not waiting", r.ID)
 				}
 				delete(waiting, r.ID)
 			}
@@ -104,7 +107,7 @@
 		grant := func() {
 			for _, ticket := range g.Grant(now, predict) {
 				if _, ok := waiting[ticket.ID]; !ok {
-					t.Fatalf("%s was granted and does not wait", ticket.ID)
+					t.Fatalf("ticket %s was granted, but was not waiting", ticket.ID)
 				}
 				delete(waiting, ticket.ID)
 				admitted++
@@ -119,7 +122,7 @@
 				decision, refusals := g.Arrive(ticket, predict(ticket), now)
 				refuse(refusals)
 				if _, still := waiting[ticket.ID]; still == (decision == Refused) {
-					t.Fatalf("decision %d and refusals %v disagree", decision, refusals)
+					t.Fatalf("decision %d contradicts refusals %v", decision, refusals)
 				}
 				if decision == Admitted {
 					delete(waiting, ticket.ID)
@@ -132,30 +135,30 @@
 					grant()
 				}
 			case 3:
-				ahead = time.Duration(rapid.Int64Range(0, int64(2*time.Second)).Draw(t, "ahead"))
+				engineWait = time.Duration(rapid.Int64Range(0, int64(2*time.Second)).Draw(t, "ahead"))
 				refuse(g.RefuseLate(now, predict))
 				grant()
 				for _, ticket := range waiting {
 					if now >= g.WaitDeadline(ticket) || now+predict(ticket).FirstToken > ticket.Deadline {
-						t.Fatalf("ticket %s waits at %s and can't make its deadline", ticket.ID, now)
+						t.Fatalf("ticket %s still waits at %s, but can't meet its deadline", ticket.ID, now)
 					}
 				}
 			}
 			if g.Waiting() != len(waiting) || g.Waiting() > rules.MaxQueue {
-				t.Fatalf("%d in the queue, %d wait, bound %d", g.Waiting(), len(waiting), rules.MaxQueue)
+				t.Fatalf("gate reports %d waiting, want %d, bound %d", g.Waiting(), len(waiting), rules.MaxQueue)
 			}
 			if g.InFlight() != admitted || admitted > limit {
-				t.Fatalf("%d in flight by the gate, %d by count, limit %d", g.InFlight(), admitted, limit)
+				t.Fatalf("gate reports %d in flight, want %d, limit %d", g.InFlight(), admitted, limit)
 			}
 		}
 	})
 }
 
 func drawTicket(t *rapid.T, i int, now time.Duration) Ticket {
-	own := time.Duration(rapid.Int64Range(0, int64(300*time.Millisecond)).Draw(t, "own"))
+	prefillTime := time.Duration(rapid.Int64Range(0, int64(300*time.Millisecond)).Draw(t, "own"))
 	return Ticket{
 		ID: fmt.Sprint(i), Organisation: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "organisation"),
-		Priority: rapid.IntRange(MinPriority, MaxPriority).Draw(t, "priority"), Work: 100, Arrived: now, PrefillTime: own,
+		Priority: rapid.IntRange(MinPriority, MaxPriority).Draw(t, "priority"), Work: 100, Arrived: now, PrefillTime: prefillTime,
 		Deadline: now + time.Duration(rapid.Int64Range(0, int64(2*time.Second)).Draw(t, "deadline")),
 	}
 }
@@ -163,35 +166,36 @@
 func TestPredict(t *testing.T) {
 	busy := EngineLoad{QueuedPrefillTokens: 5000, PrefillRate: 10000, Running: 4, BlocksFree: 60, BlocksTotal: 100}
 	full := EngineLoad{PrefillRate: 10000, Running: 8, Waiting: 3, BlocksFree: 50, BlocksTotal: 100}
-	check := func(what string, got, want time.Duration) {
+	check := func(name string, got, want time.Duration) {
 		t.Helper()
 		if got != want {
-			t.Errorf("%s: %s, want %s", what, got, want)
+			t.Errorf("%s: %s, want %s", name, got, want)
 		}
 	}
-	check("prefill ahead", Predict([]EngineLoad{busy}, 1000, time.Second).FirstToken, 600*time.Millisecond)
-	check("a full batch", Predict([]EngineLoad{full}, 1000, time.Second).FirstToken, 600*time.Millisecond)
-	check("the better of both", Predict([]EngineLoad{busy, {PrefillRate: 5000}}, 1000, 0).FirstToken, 200*time.Millisecond)
+	check("queued prefill", Predict([]EngineLoad{busy}, 1000, time.Second).FirstToken, 600*time.Millisecond)
+	check("full batch", Predict([]EngineLoad{full}, 1000, time.Second).FirstToken, 600*time.Millisecond)
+	check("best of two engines", Predict([]EngineLoad{busy, {PrefillRate: 5000}}, 1000, 0).FirstToken, 200*time.Millisecond)
 	if Predict([]EngineLoad{{}}, 1000, 0).Known {
-		t.Error("a prediction without any report")
+		t.Error("the prediction is known although no engine has reported")
 	}
 }
 
-// Entries that work their bounds out alone never have more than what is free
-// beside what they have, and an entry without any gets its equal part.
-func TestConcurrency(t *testing.T) {
+// TestConcurrencyLimit checks that a single entry's limit is its requests in
+// flight plus the free slots, and that an entry without requests gets an equal
+// share of all slots.
+func TestConcurrencyLimit(t *testing.T) {
 	engines := []EngineLoad{{Running: 9, BlocksFree: 100, BlocksTotal: 1000}}
 	if got := ConcurrencyLimit(engines, 9, 1); got != 10 {
-		t.Errorf("alone with one place free: %d", got)
+		t.Errorf("one entry, 9 slots used and 1 free: limit %d, want 10", got)
 	}
 	if got := ConcurrencyLimit(engines, 0, 5); got != 2 {
-		t.Errorf("one of five without any: %d", got)
+		t.Errorf("one of 5 entries, none of 10 slots used by it: limit %d, want 2", got)
 	}
 	engines[0].Waiting = 5
 	if got := ConcurrencyLimit(engines, 9, 1); got != 9 {
-		t.Errorf("5 wait for 9 places: %d", got)
+		t.Errorf("one entry, 9 slots used and 5 streams waiting: limit %d, want 9", got)
 	}
 	if got := ConcurrencyLimit([]EngineLoad{{BlocksFree: 10, BlocksTotal: 10}}, 3, 1); got != 0 {
-		t.Errorf("an idle engine sets a bound of %d", got)
+		t.Errorf("idle engine: limit %d, want 0 (none)", got)
 	}
 }
--- a/internal/admit/capacity.go
+++ b/internal/admit/capacity.go
@@ -5,26 +5,29 @@
 	"time"
 )
 
-// EngineLoad is what the decisions need of the picture of one engine.
+// EngineLoad is the state of one engine that admission decisions depend on.
 type EngineLoad struct {
-	// QueuedPrefillTokens are the prompt tokens that wait, this entry's placements
-	// that no report accounts for included.
+	// QueuedPrefillTokens counts the prompt tokens that wait for prefill at the
+	// engine, including those of this entry's placements that no engine report
+	// covers yet.
 	QueuedPrefillTokens int
-	// PrefillRate is in prompt tokens a second; 0 when not known.
+	// PrefillRate is in prompt tokens per second; 0 when unknown.
 	PrefillRate float64
-	// CachedTokens are tokens of the prompt that the engine is believed to have cached.
+	// CachedTokens estimates how many tokens of the prompt the engine has cached.
 	CachedTokens int
-	// Running and Waiting count streams, by the engine's report.
+	// Running and Waiting count streams, as the engine reported them.
 	Running, Waiting int
-	// UnreportedPlacements counts this entry's placements that no report accounts for.
+	// UnreportedPlacements counts this entry's placements that no engine report
+	// covers yet.
 	UnreportedPlacements int
-	// BlocksFree and BlocksTotal count pieces of KV memory.
+	// BlocksFree and BlocksTotal count KV cache blocks.
 	BlocksFree, BlocksTotal int
 }
 
-// free estimates how many more streams the engine's KV memory holds; known is
-// false for an idle engine, which says nothing of the size of a stream.
-func (e EngineLoad) free() (streams float64, known bool) {
+// freeStreams estimates how many more streams fit into the engine's KV cache.
+// Known is false for an idle engine: without running streams, the memory that
+// one stream needs cannot be estimated.
+func (e EngineLoad) freeStreams() (streams float64, known bool) {
 	used := e.BlocksTotal - e.BlocksFree
 	switch {
 	case e.Waiting > 0:
@@ -35,57 +38,58 @@
 	return float64(e.BlocksFree) * float64(e.Running) / float64(used), true
 }
 
-// Predict returns the time to the first token of a prompt on the best of the
-// engines. Service is the mean time that a stream holds its place in an
-// engine's batch.
-func Predict(engines []EngineLoad, promptTokens int, service time.Duration) Prediction {
+// Predict predicts the time to first token of a prompt. Each time is the
+// minimum over the engines. ServiceTime is the mean time that a stream occupies
+// a slot in an engine's batch.
+func Predict(engines []EngineLoad, promptTokens int, serviceTime time.Duration) Prediction {
 	best := Prediction{Engines: len(engines)}
 	for _, e := range engines {
 		if e.PrefillRate <= 0 {
 			continue
 		}
-		own := seconds(float64(max(0, promptTokens-e.CachedTokens)) / e.PrefillRate)
+		prefill := seconds(float64(max(0, promptTokens-e.CachedTokens)) / e.PrefillRate)
 		uncached := seconds(float64(promptTokens) / e.PrefillRate)
-		ahead := seconds(float64(e.QueuedPrefillTokens) / e.PrefillRate)
-		firstToken := own + max(ahead, e.batchWait(service))
+		queued := seconds(float64(e.QueuedPrefillTokens) / e.PrefillRate)
+		firstToken := prefill + max(queued, e.batchSlotWait(serviceTime))
 		if !best.Known {
-			best.PrefillTime, best.UncachedPrefillTime, best.FirstToken, best.Known = own, uncached, firstToken, true
+			best.PrefillTime, best.UncachedPrefillTime, best.FirstToken, best.Known = prefill, uncached, firstToken, true
 			continue
 		}
-		best.PrefillTime = min(best.PrefillTime, own)
+		best.PrefillTime = min(best.PrefillTime, prefill)
 		best.UncachedPrefillTime = min(best.UncachedPrefillTime, uncached)
 		best.FirstToken = min(best.FirstToken, firstToken)
 	}
 	return best
 }
 
-// batchWait is the time until a place in the batch is free.
-func (e EngineLoad) batchWait(service time.Duration) time.Duration {
-	free, known := e.free()
+// batchSlotWait estimates the time until a slot in the engine's batch is free.
+func (e EngineLoad) batchSlotWait(serviceTime time.Duration) time.Duration {
+	free, known := e.freeStreams()
 	ahead := float64(e.Waiting+e.UnreportedPlacements) - free
 	if !known || e.Running == 0 || ahead < 0 {
 		return 0
 	}
-	return time.Duration(float64(service) * (ahead + 1) / float64(e.Running))
+	return time.Duration(float64(serviceTime) * (ahead + 1) / float64(e.Running))
 }
 
 func seconds(s float64) time.Duration {
 	return time.Duration(s * float64(time.Second))
 }
 
-// ConcurrencyLimit bounds the requests that one entry has in flight on engines it
-// shares with others: what it has already, and its part of what is free or of
-// what waits too much; but never less than its equal part of all places. Each
-// entry works that out by itself from the engines' reports. 0 is no bound:
-// nothing is known that would set one.
+// ConcurrencyLimit returns how many requests one entry may have in flight on
+// engines that it shares with other entries. The limit is the entry's requests
+// in flight plus an equal share of the free slots, less an equal share of the
+// streams that wait at the engines. It is at least an equal share of all slots.
+// Each entry computes its limit independently, from the engines' reports. 0
+// means no limit: there are no engines, or the capacity of one is unknown.
 func ConcurrencyLimit(engines []EngineLoad, inFlight, entries int) int {
-	places, free, waiting := 0.0, 0.0, 0.0
+	slots, free, waiting := 0.0, 0.0, 0.0
 	for _, e := range engines {
-		streams, known := e.free()
+		streams, known := e.freeStreams()
 		if !known {
 			return 0
 		}
-		places += float64(e.Running) + streams
+		slots += float64(e.Running) + streams
 		free += streams
 		waiting += float64(e.Waiting)
 	}
@@ -93,6 +97,6 @@
 		return 0
 	}
 	n := float64(max(1, entries))
-	bound := max(places/n, float64(inFlight)+(free-waiting)/n)
-	return max(1, int(math.Ceil(bound)))
+	limit := max(slots/n, float64(inFlight)+(free-waiting)/n)
+	return max(1, int(math.Ceil(limit)))
 }
--- a/internal/admit/fair_test.go
+++ b/internal/admit/fair_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// engineModel is one engine that processes prompts in order of arrival. It
-// predicts promptTime for each and takes slowness times that.
+// engineModel simulates an engine that processes prompts in order of arrival.
+// Predictions assume promptTime for each prompt; the engine takes slowness times
+// as long.
 type engineModel struct {
 	busyUntil time.Duration
 	slowness  time.Duration
@@ -20,21 +21,22 @@
 	return Prediction{FirstToken: wait + promptTime, PrefillTime: promptTime, Engines: 1, Known: true}
 }
 
-// outcome of an overload, by organisation.
-type outcome struct {
-	offered, inTime map[string]int
-	late            int           // admitted, and not in time
-	longest         time.Duration // wait for a refusal
+// overloadResult is the result of simulateOverload.
+type overloadResult struct {
+	offered, inTime map[string]int // requests by organisation
+	late            int            // admitted requests that missed their deadline
+	longestWait     time.Duration  // of a request in the queue that was refused
 }
 
-// overload offers four times what the engine is said to do for one organisation
-// and 0.4 times for another, for a minute.
-func overload(backlog time.Duration, slowness time.Duration) outcome {
+// simulateOverload sends requests to one engine for a minute of simulated time.
+// One organisation offers 4 times the load that the engine can process as
+// predicted, another one 0.4 times.
+func simulateOverload(backlog time.Duration, slowness time.Duration) overloadResult {
 	const deadline = 450 * time.Millisecond
 	g := NewGate(Rules{MaxQueue: 256, MaxWait: time.Second, PriorityCredit: 4000, EarlyRefusal: true, MaxBacklog: backlog})
 	engine := &engineModel{slowness: slowness}
-	o := outcome{offered: map[string]int{}, inTime: map[string]int{}}
-	observations := map[time.Duration][]time.Duration{} // by the time they come
+	o := overloadResult{offered: map[string]int{}, inTime: map[string]int{}}
+	observations := map[time.Duration][]time.Duration{} // lateness of first tokens, by their arrival time
 	waiting := map[string]Ticket{}
 	send := func(t Ticket, now time.Duration) {
 		expected := now + engine.predict(now).FirstToken
@@ -69,7 +71,7 @@
 			}
 		}
 		for _, r := range g.RefuseLate(now, predict) {
-			o.longest = max(o.longest, now-waiting[r.ID].Arrived)
+			o.longestWait = max(o.longestWait, now-waiting[r.ID].Arrived)
 		}
 		for _, t := range g.Grant(now, predict) {
 			send(t, now)
@@ -78,29 +80,31 @@
 	return o
 }
 
-// Under overload by one organisation the other gets what it asks for, which is
-// less than its share, and the engine is kept busy. Without the bound on the
-// engine's backlog who comes most often gets most.
+// TestOverloadFairShares checks that, while one organisation overloads the
+// engine, another one that offers less than its share is served in full and the
+// engine stays busy. Without a bound on the engine's backlog, the organisation
+// that sends the most requests gets the most service.
 func TestOverloadFairShares(t *testing.T) {
 	for _, backlog := range []time.Duration{0, 225 * time.Millisecond} {
-		o := overload(backlog, 1)
+		o := simulateOverload(backlog, 1)
 		modest := float64(o.inTime["modest"]) / float64(o.offered["modest"])
 		busy := float64(o.inTime["greedy"]+o.inTime["modest"]) * promptTime.Minutes()
-		t.Logf("backlog %-5s modest in time %3.0f%%, greedy in time %d of %d, engine's time in use %.0f%%, longest wait before a refusal %s",
-			backlog, 100*modest, o.inTime["greedy"], o.offered["greedy"], 100*busy, o.longest)
+		t.Logf("backlog %-5s modest in time %3.0f%%, greedy in time %d of %d, engine utilisation %.0f%%, longest wait before a refusal %s",
+			backlog, 100*modest, o.inTime["greedy"], o.offered["greedy"], 100*busy, o.longestWait)
 		if backlog > 0 && (modest < 0.9 || busy < 0.9) {
-			t.Errorf("backlog %s: modest in time %.2f, engine's time in use %.2f", backlog, modest, busy)
+			t.Errorf("backlog %s: modest in time %.2f, engine utilisation %.2f, want at least 0.9 each", backlog, modest, busy)
 		}
 	}
 }
 
-// An engine that takes twice as long as its report says is given less: most of
-// what is admitted is in time all the same.
-func TestMarginLearnsSlowness(t *testing.T) {
-	o := overload(225*time.Millisecond, 2)
+// TestMarginAdaptsToSlowEngine checks that an engine that takes twice as long as
+// predicted is sent fewer requests, so that most admitted requests still meet
+// their deadline.
+func TestMarginAdaptsToSlowEngine(t *testing.T) {
+	o := simulateOverload(225*time.Millisecond, 2)
 	inTime := o.inTime["greedy"] + o.inTime["modest"]
-	t.Logf("in time %d, admitted and late %d", inTime, o.late)
+	t.Logf("%d in time, %d admitted but late", inTime, o.late)
 	if o.late > inTime/10 || inTime < 200 {
-		t.Errorf("%d in time of 300 that the engine can do, %d admitted and late", inTime, o.late)
+		t.Errorf("%d in time of the 300 that the engine can process, %d admitted but late", inTime, o.late)
 	}
 }
--- a/internal/admit/margin.go
+++ b/internal/admit/margin.go
@@ -5,42 +5,43 @@
 	"time"
 )
 
-// margin learns by how much first tokens come later than predicted: a moving
-// mean of the error and of its deviation, as a retransmission timer has (RFC
-// 6298). It fades when nothing is observed, so that what was learnt under
-// overload does not refuse for good.
+// margin estimates how much later than predicted first tokens arrive. Like the
+// retransmission timer of RFC 6298, it keeps moving averages of the prediction
+// error and of the error's deviation. Both decay while nothing is observed, so
+// that errors observed under overload do not cause refusals permanently.
 type margin struct {
 	mean, deviation float64 // seconds
-	at              time.Duration
+	updatedAt       time.Duration
 }
 
-// Weights and fading of the margin.
 const (
 	meanWeight      = 1.0 / 8
 	deviationWeight = 1.0 / 4
-	marginFades     = 5 * time.Second
+	// marginDecay is the time constant of the decay.
+	marginDecay = 5 * time.Second
 )
 
-// observe takes the error of one prediction; positive is late.
+// observe records the error of one prediction; positive means that the first
+// token was late.
 func (m *margin) observe(late, now time.Duration) {
-	m.fade(now)
-	off := late.Seconds() - m.mean
-	m.mean += meanWeight * off
-	m.deviation += deviationWeight * (math.Abs(off) - m.deviation)
+	m.decay(now)
+	diff := late.Seconds() - m.mean
+	m.mean += meanWeight * diff
+	m.deviation += deviationWeight * (math.Abs(diff) - m.deviation)
 }
 
-// get returns what to add to a prediction.
+// get returns the safety margin to add to a prediction.
 func (m *margin) get(now time.Duration) time.Duration {
-	m.fade(now)
+	m.decay(now)
 	return seconds(max(0, m.mean+m.deviation))
 }
 
-func (m *margin) fade(now time.Duration) {
-	if now <= m.at {
+func (m *margin) decay(now time.Duration) {
+	if now <= m.updatedAt {
 		return
 	}
-	left := math.Exp(-(now - m.at).Seconds() / marginFades.Seconds())
-	m.mean *= left
-	m.deviation *= left
-	m.at = now
+	factor := math.Exp(-(now - m.updatedAt).Seconds() / marginDecay.Seconds())
+	m.mean *= factor
+	m.deviation *= factor
+	m.updatedAt = now
 }
--- a/internal/admit/queue.go
+++ b/internal/admit/queue.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// Queue holds tickets until there is room. The next one is the one with the
-// highest priority; between organisations of the same priority the order is
-// start-time fair queueing over tokens of work. An organisation that is ahead
-// of its fair share by more than the credit gets no use of a priority above 0,
-// so that none takes more than its share by declaring all its requests urgent.
-// It is not safe for concurrent use.
+// Queue holds tickets until there is capacity for them. It serves the highest
+// priority first. Within a priority, start-time fair queueing over tokens of
+// work decides between organisations. When an organisation is ahead of its fair
+// share by more than the priority credit, its priorities above 0 count as 0.
+// Otherwise an organisation could exceed its share by declaring all its requests
+// urgent. A Queue is not safe for concurrent use.
 type Queue struct {
-	credit  float64
-	flows   map[string]*flow
-	virtual float64
-	length  int
+	priorityCredit float64
+	flows          map[string]*flow
+	virtualTime    float64
+	length         int
 }
 
-// flow is one organisation's part of the queue.
+// flow holds the waiting tickets of one organisation.
 type flow struct {
 	organisation string
 	share        float64
@@ -28,10 +28,10 @@
 	tickets []Ticket // by priority, then by arrival
 }
 
-// NewQueue returns an empty queue. Credit is in tokens of work for a share of
-// 1.
-func NewQueue(credit float64) *Queue {
-	return &Queue{credit: credit, flows: map[string]*flow{}}
+// NewQueue returns an empty queue. The priority credit is in tokens of work,
+// whatever the share of an organisation.
+func NewQueue(priorityCredit float64) *Queue {
+	return &Queue{priorityCredit: priorityCredit, flows: map[string]*flow{}}
 }
 
 // Len returns the number of tickets.
@@ -44,57 +44,57 @@
 		f = &flow{organisation: t.Organisation}
 		q.flows[t.Organisation] = f
 	}
-	f.share = t.share()
+	f.share = t.weight()
 	if len(f.tickets) == 0 {
-		f.start = max(f.start, q.virtual)
+		f.start = max(f.start, q.virtualTime)
 	}
-	at := len(f.tickets)
-	for at > 0 && f.tickets[at-1].Priority < t.Priority {
-		at--
+	position := len(f.tickets)
+	for position > 0 && f.tickets[position-1].Priority < t.Priority {
+		position--
 	}
-	f.tickets = slices.Insert(f.tickets, at, t)
+	f.tickets = slices.Insert(f.tickets, position, t)
 	q.length++
 }
 
-// Next returns the ticket that Pop would take out.
+// Next returns the ticket that Pop would remove.
 func (q *Queue) Next() (t Ticket, ok bool) {
-	if f := q.next(); f != nil {
+	if f := q.nextFlow(); f != nil {
 		return f.tickets[0], true
 	}
 	return Ticket{}, false
 }
 
-// Pop takes the next ticket out and charges its work to its organisation. The
-// virtual time becomes the earliest start of those that waited, so that a flow
-// that comes next starts before one that has just been served.
+// Pop removes the next ticket and charges its work to its organisation. It
+// advances the virtual time to the earliest start of the waiting flows, so that
+// a flow that joins next starts before one that has just been served.
 func (q *Queue) Pop() (t Ticket, ok bool) {
-	best := q.next()
+	best := q.nextFlow()
 	if best == nil {
 		return Ticket{}, false
 	}
-	q.virtual = max(q.virtual, q.earliest())
+	q.virtualTime = max(q.virtualTime, q.earliestStart())
 	t = best.tickets[0]
 	best.tickets = slices.Delete(best.tickets, 0, 1)
 	best.start += t.Work / best.share
 	q.length--
-	q.forget()
+	q.dropIdleFlows()
 	return t, true
 }
 
-// next returns the flow whose turn it is, or nil.
-func (q *Queue) next() *flow {
-	earliest := q.earliest()
+// nextFlow returns the flow to serve next, or nil when no ticket waits.
+func (q *Queue) nextFlow() *flow {
+	earliest := q.earliestStart()
 	var best *flow
 	for _, f := range q.flows {
-		if len(f.tickets) > 0 && (best == nil || q.before(f, best, earliest)) {
+		if len(f.tickets) > 0 && (best == nil || q.precedes(f, best, earliest)) {
 			best = f
 		}
 	}
 	return best
 }
 
-// earliest is the earliest start of the waiting flows.
-func (q *Queue) earliest() float64 {
+// earliestStart returns the earliest start of the waiting flows.
+func (q *Queue) earliestStart() float64 {
 	earliest := math.Inf(1)
 	for _, f := range q.flows {
 		if len(f.tickets) > 0 {
@@ -104,26 +104,26 @@
 	return earliest
 }
 
-// WorkAhead returns the work that is served before a ticket that comes now is, by
-// the fair shares: its organisation's own waiting work, and what the others
-// get meanwhile.
+// WorkAhead estimates the work that is served before a ticket that arrives now,
+// under fair sharing without priorities: the waiting work of the ticket's own
+// organisation, and the work that the others are served in the meantime.
 func (q *Queue) WorkAhead(t Ticket) float64 {
-	own, shares, others := 0.0, t.share(), 0.0
+	own, shares, others := 0.0, t.weight(), 0.0
 	for name, f := range q.flows {
-		waiting := f.work()
+		waiting := f.queuedWork()
 		switch {
 		case name == t.Organisation:
-			own = waiting + max(0, f.start-q.virtual)*f.share
+			own = waiting + max(0, f.start-q.virtualTime)*f.share
 		case waiting > 0:
 			shares += f.share
 			others += waiting
 		}
 	}
-	return own + min(others, (own+t.Work)*(shares-t.share())/t.share())
+	return own + min(others, (own+t.Work)*(shares-t.weight())/t.weight())
 }
 
-// work is what waits in the flow, in tokens.
-func (f *flow) work() float64 {
+// queuedWork returns the work of the flow's waiting tickets, in tokens.
+func (f *flow) queuedWork() float64 {
 	total := 0.0
 	for _, t := range f.tickets {
 		total += t.Work
@@ -131,8 +131,9 @@
 	return total
 }
 
-func (q *Queue) before(a, b *flow, earliest float64) bool {
-	if pa, pb := q.priority(a, earliest), q.priority(b, earliest); pa != pb {
+// precedes reports whether flow a is served before flow b.
+func (q *Queue) precedes(a, b *flow, earliest float64) bool {
+	if pa, pb := q.effectivePriority(a, earliest), q.effectivePriority(b, earliest); pa != pb {
 		return pa > pb
 	}
 	if a.start != b.start {
@@ -141,30 +142,32 @@
 	return a.organisation < b.organisation
 }
 
-// priority is that of the flow's next ticket, as far as its share allows.
-func (q *Queue) priority(f *flow, earliest float64) int {
+// effectivePriority returns the priority of the flow's next ticket, limited to 0
+// when the flow is ahead of its fair share by more than the priority credit.
+func (q *Queue) effectivePriority(f *flow, earliest float64) int {
 	priority := f.tickets[0].Priority
-	if priority > 0 && f.start-earliest > q.credit/f.share {
+	if priority > 0 && f.start-earliest > q.priorityCredit/f.share {
 		return 0
 	}
 	return priority
 }
 
-// forget drops flows that are empty and have no work charged ahead.
-func (q *Queue) forget() {
+// dropIdleFlows deletes flows that are empty and not ahead of the virtual time.
+func (q *Queue) dropIdleFlows() {
 	for name, f := range q.flows {
-		if len(f.tickets) == 0 && f.start <= q.virtual {
+		if len(f.tickets) == 0 && f.start <= q.virtualTime {
 			delete(q.flows, name)
 		}
 	}
 }
 
-// Remove takes a ticket out without charging it; false when it is not there.
+// Remove removes a ticket without charging its work. It returns false when the
+// ticket is not in the queue.
 func (q *Queue) Remove(id string) bool {
 	for _, f := range q.flows {
-		at := slices.IndexFunc(f.tickets, func(t Ticket) bool { return t.ID == id })
-		if at >= 0 {
-			f.tickets = slices.Delete(f.tickets, at, at+1)
+		i := slices.IndexFunc(f.tickets, func(t Ticket) bool { return t.ID == id })
+		if i >= 0 {
+			f.tickets = slices.Delete(f.tickets, i, i+1)
 			q.length--
 			return true
 		}
@@ -172,8 +175,8 @@
 	return false
 }
 
-// Lowest returns the ticket to give up first for one of a higher priority: of
-// the lowest priority the newest.
+// Lowest returns the ticket to remove first in favour of a ticket with a higher
+// priority: the newest one of the lowest priority.
 func (q *Queue) Lowest() (t Ticket, ok bool) {
 	for _, candidate := range q.all() {
 		if !ok || candidate.Priority < t.Priority ||
@@ -184,6 +187,7 @@
 	return t, ok
 }
 
+// newer reports whether a arrived after b; the ID breaks ties.
 func newer(a, b Ticket) bool {
 	if a.Arrived != b.Arrived {
 		return a.Arrived > b.Arrived
@@ -191,7 +195,7 @@
 	return a.ID > b.ID
 }
 
-// all returns the tickets in no order.
+// all returns the tickets in arbitrary order.
 func (q *Queue) all() []Ticket {
 	tickets := make([]Ticket, 0, q.length)
 	for _, f := range q.flows {
@@ -200,8 +204,8 @@
 	return tickets
 }
 
-// latest is when the ticket must leave the queue to make its deadline, or has
-// waited as long as allowed.
-func (t *Ticket) latest(maxWait time.Duration) time.Duration {
+// waitDeadline returns the latest time for the ticket to leave the queue. It is
+// limited by maxWait and by the time left for the prefill before the deadline.
+func (t *Ticket) waitDeadline(maxWait time.Duration) time.Duration {
 	return min(t.Arrived+maxWait, t.Deadline-t.PrefillTime)
 }
