--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -1,95 +1,103 @@
-// Package attempt follows the attempts at one request, whoever brought it and
-// whatever its upstreams speak: it says whether one more may be made, which
-// upstreams have had theirs, and what may be told of the request. Run is the loop
-// over the attempts. It is pure but for Run, which waits between attempts, and
-// Budget, which several requests share.
+// Package attempt tracks the attempts at one request, whoever sent it and
+// whatever protocol its upstreams use. Its input is what happened to each
+// attempt; it decides whether another attempt may be made, which upstreams are
+// excluded from it, and what callers may be told about whether the request ran.
+// Run is the retry loop. The package has no side effects except in Run, which
+// waits between attempts, and in Budget, which several requests share.
 package attempt
 
 import (
 	"sassafrasfield/internal/outcome"
 )
 
-// Rules bound the attempts at a request.
+// Rules limit the attempts at a request.
 type Rules struct {
-	// Repeatable requests may run again after an attempt's outcome was lost.
+	// Repeatable requests may run again after the outcome of an attempt was lost.
 	Repeatable bool
-	// MaxRuns is how many upstreams the request may run on; 0 is no bound.
+	// MaxRuns bounds the number of upstreams that the request may run on; 0 means
+	// no bound.
 	MaxRuns int
-	// MaxSends bounds the sends that reached an upstream, those included that it
-	// refused.
+	// MaxSends bounds the sends that reached an upstream, including those that the
+	// upstream refused.
 	MaxSends int
 }
 
-// maxUnsent bounds the sends of one request of which no byte left. A connection that
-// is refused costs a millisecond; when a fifth of the engines is gone at once, a
-// request meets three of them in a row once in a hundred times.
+// maxUnsent bounds the attempts at one request that failed before any byte was
+// sent, except those that were declined. A refused connection costs about a
+// millisecond. When a fifth of the engines crash at once, one request in a hundred
+// tries three crashed engines in a row.
 const maxUnsent = 12
 
-// Attempts are those made at one request so far. They are not safe for
+// Attempts records the attempts made at one request. It is not safe for
 // concurrent use.
 type Attempts struct {
 	rules    Rules
 	progress outcome.Request
 	excluded map[string]bool
 	sends    int
-	// unsent are the sends of which no byte left.
+	// unsent counts the attempts that failed before any byte was sent.
 	unsent int
-	// declined are those of the unsent ones that an upstream's limit left no room for.
+	// declined counts those of the unsent attempts that were not made because the
+	// upstream accepts no requests at present; see Result.Declined.
 	declined int
 	runs     int
-	last     error
+	lastErr  error
+	// prepaid: the next send needs nothing from the budget.
 	prepaid  bool
-	// atOnce: the next attempt needs no pause.
-	atOnce bool
-	// copied is the upstream that has a copy of the run that was lost.
-	copied string
+	// skipBackoff: the next attempt is made without a delay.
+	skipBackoff bool
+	// backup is the upstream that has a copy of the state of the lost run.
+	backup string
 }
 
-// New returns the attempts at a request that was checked and may go on.
+// New returns the Attempts of a request that was validated and may be sent.
 func New(rules Rules) *Attempts {
-	progress, _ := outcome.Request{Repeatable: rules.Repeatable}.Apply(outcome.Admit) // always in order
+	progress, _ := outcome.Request{Repeatable: rules.Repeatable}.Apply(outcome.Admit) // Admit is always valid first
 	return &Attempts{rules: rules, progress: progress, excluded: map[string]bool{}}
 }
 
-// Sends counts all sends, Runs the attempts that may have run.
+// Sends returns the number of all sends.
 func (a *Attempts) Sends() int { return a.sends }
 
-// Runs counts the attempts that may have run and brought no whole answer.
+// Runs returns the number of attempts that may have run, but returned no complete
+// response.
 func (a *Attempts) Runs() int { return a.runs }
 
-// LastError is the newest failure, or nil.
-func (a *Attempts) LastError() error { return a.last }
+// LastError returns the error of the latest failure, or nil.
+func (a *Attempts) LastError() error { return a.lastErr }
 
-// Outcome is what may be told of the request now.
+// Outcome returns what is known about whether the request ran.
 func (a *Attempts) Outcome() outcome.Word { return a.progress.Word() }
 
-// Excluded are the upstreams that failed this request. Do not change it.
+// Excluded returns the upstreams that failed this request. The caller must not
+// modify the map.
 func (a *Attempts) Excluded() map[string]bool { return a.excluded }
 
-// MaySend tells whether the rules allow one more send.
+// MaySend reports whether the rules allow one more send.
 func (a *Attempts) MaySend() bool {
-	if a.spent() {
+	if a.sendsExhausted() {
 		return false
 	}
-	return a.runs == 0 || a.mayRunAgain(a.runs) || a.copied != ""
+	return a.runs == 0 || a.mayRunAgain(a.runs) || a.backup != ""
 }
 
-// SetBackup notes that an upstream has a copy of the run that this attempt loses:
-// the run can go on there, though the request may not run again.
-func (a *Attempts) SetBackup(upstream string) { a.copied = upstream }
+// SetBackup records, before Failed, that an upstream has a copy of the state of
+// the run that this attempt loses. The run can continue there even if the request
+// must not run a second time.
+func (a *Attempts) SetBackup(upstream string) { a.backup = upstream }
 
-// Backup is the upstream where the run that was lost can go on; empty when there is
+// Backup returns the upstream where the lost run can continue; empty when there is
 // none.
-func (a *Attempts) Backup() string { return a.copied }
+func (a *Attempts) Backup() string { return a.backup }
 
-// MayRunElsewhere tells whether one more upstream may run the request if the present
-// attempt brings no whole answer.
+// MayRunElsewhere reports whether another upstream may run the request if the
+// current attempt returns no complete response.
 func (a *Attempts) MayRunElsewhere() bool {
-	return !a.spent() && a.mayRunAgain(a.runs+1)
+	return !a.sendsExhausted() && a.mayRunAgain(a.runs+1)
 }
 
-// spent tells whether the bound of the sends is reached.
-func (a *Attempts) spent() bool {
+// sendsExhausted reports whether a bound on the sends is reached.
+func (a *Attempts) sendsExhausted() bool {
 	return a.sends-a.unsent >= a.rules.MaxSends || a.unsent-a.declined >= maxUnsent
 }
 
@@ -97,12 +105,13 @@
 	return a.rules.Repeatable && (a.rules.MaxRuns == 0 || runs < a.rules.MaxRuns)
 }
 
-// Sent notes that the request goes to an upstream, or that its run goes on at the
-// one that has the copy. The error says that it may not run a second time.
+// Sent records that the request is sent to an upstream, or that its run continues
+// at the backup if one was set. It returns an error when the request must not run a
+// second time.
 func (a *Attempts) Sent() error {
 	event := outcome.Send
-	if a.copied != "" {
-		event, a.copied = outcome.Continue, ""
+	if a.backup != "" {
+		event, a.backup = outcome.Continue, ""
 	}
 	next, err := a.progress.Apply(event)
 	if err != nil {
@@ -113,25 +122,26 @@
 	return nil
 }
 
-// Prepared notes a send that only readies an upstream and runs nothing.
+// Prepared records a send that only prepares an upstream and runs nothing.
 func (a *Attempts) Prepared() { a.sends++ }
 
-// Answered notes that the whole answer, or its first part, came.
+// Answered records that the response, or its first part, was received.
 func (a *Attempts) Answered() {
 	if next, err := a.progress.Apply(outcome.Answer); err == nil {
 		a.progress = next
 	}
 }
 
-// Finished notes that the caller has the whole answer.
+// Finished records that the caller has the complete response.
 func (a *Attempts) Finished() {
 	if next, err := a.progress.Apply(outcome.Finish); err == nil {
 		a.progress = next
 	}
 }
 
-// Failed notes that an upstream brought no whole answer; ranNothing is its word
-// that it ran nothing. A refusal in the middle of an answer is no refusal.
+// Failed records that an upstream returned no complete response and excludes it.
+// If ranNothing is true, the upstream reported that it ran nothing. This is ignored
+// once the response has started: the run then counts as lost.
 func (a *Attempts) Failed(upstream string, ranNothing bool, err error) {
 	event := outcome.Lose
 	if ranNothing {
@@ -151,15 +161,15 @@
 	a.Exclude(upstream, err)
 }
 
-// Exclude keeps an upstream out of what is left of the request.
+// Exclude excludes an upstream from all further attempts at the request.
 func (a *Attempts) Exclude(upstream string, err error) {
 	a.excluded[upstream] = true
-	a.note(err)
+	a.setLastError(err)
 }
 
-// note keeps the newest failure.
-func (a *Attempts) note(err error) {
+// setLastError keeps the latest error.
+func (a *Attempts) setLastError(err error) {
 	if err != nil {
-		a.last = err
+		a.lastErr = err
 	}
 }
--- a/internal/attempt/attempt_test.go
+++ b/internal/attempt/attempt_test.go
@@ -17,11 +17,11 @@
 
 var meters = Meters{Retries: metrics.NewCounter(), Denied: metrics.NewCounter()}
 
-func TestARequestThatMayNotBeRepeatedRunsOnce(t *testing.T) {
+func TestNonRepeatableRequestRunsOnce(t *testing.T) {
 	a := New(Rules{MaxRuns: 3, MaxSends: 5})
 	for _, ranNothing := range []bool{true, true, false} {
 		if !a.MaySend() {
-			t.Fatal("no more before it ran")
+			t.Fatal("no further send is allowed although nothing ran")
 		}
 		if err := a.Sent(); err != nil {
 			t.Fatal(err)
@@ -29,7 +29,7 @@
 		a.Failed("u", ranNothing, errFailed)
 	}
 	if a.MaySend() || a.Sent() == nil || a.Outcome() != outcome.Unknown {
-		t.Errorf("more: %t, word %v", a.MaySend(), a.Outcome())
+		t.Errorf("after a lost run: may send %t, outcome %v", a.MaySend(), a.Outcome())
 	}
 }
 
@@ -37,27 +37,27 @@
 	a := New(Rules{Repeatable: true, MaxRuns: 2, MaxSends: 9})
 	for range 2 {
 		if !a.MaySend() {
-			t.Fatal("no more")
+			t.Fatal("no further send is allowed below the bound on runs")
 		}
-		_ = a.Sent() // repeatable
+		_ = a.Sent() // cannot fail: repeatable
 		a.Failed("u", false, errFailed)
 	}
 	if a.MaySend() {
-		t.Error("a third run")
+		t.Error("a third run is allowed, want at most 2")
 	}
 	b := New(Rules{Repeatable: true, MaxSends: 2})
 	for range 2 {
-		_ = b.Sent() // repeatable
+		_ = b.Sent() // cannot fail: repeatable
 		b.Failed("u", true, errFailed)
 	}
 	if b.MaySend() || b.Outcome() != outcome.NotRun {
-		t.Errorf("more: %t, word %v", b.MaySend(), b.Outcome())
+		t.Errorf("after 2 refused sends: may send %t, outcome %v", b.MaySend(), b.Outcome())
 	}
 }
 
-// TestNotRunIsTrue makes any attempts and compares the word with what upstreams
-// did.
-func TestNotRunIsTrue(t *testing.T) {
+// TestOutcomeMatchesWhatUpstreamsRan makes random attempts and compares the outcome
+// with what the upstreams ran. It also checks the bounds on runs.
+func TestOutcomeMatchesWhatUpstreamsRan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := New(Rules{
 			Repeatable: rapid.Bool().Draw(t, "repeatable"),
@@ -66,19 +66,19 @@
 		ran := 0
 		for a.MaySend() {
 			if err := a.Sent(); err != nil {
-				t.Fatalf("more was allowed, and the send was not: %v", err)
+				t.Fatalf("MaySend allowed a send, but Sent failed: %v", err)
 			}
-			nothing := rapid.Bool().Draw(t, "ran nothing")
-			if !nothing {
+			ranNothing := rapid.Bool().Draw(t, "ran nothing")
+			if !ranNothing {
 				ran++
 			}
-			a.Failed("u", nothing, errFailed)
+			a.Failed("u", ranNothing, errFailed)
 		}
 		if (a.Outcome() == outcome.NotRun) != (ran == 0) {
-			t.Fatalf("word %v after %d runs", a.Outcome(), ran)
+			t.Fatalf("outcome %v after %d runs", a.Outcome(), ran)
 		}
 		if ran > 1 && !a.rules.Repeatable {
-			t.Fatalf("%d runs of what may run once", ran)
+			t.Fatalf("%d runs of a request that is not repeatable", ran)
 		}
 		if a.rules.MaxRuns > 0 && ran > a.rules.MaxRuns {
 			t.Fatalf("%d runs, at most %d allowed", ran, a.rules.MaxRuns)
@@ -86,38 +86,39 @@
 	})
 }
 
-// saved is a budget with so many sends saved up, and no more to come.
-func saved(sends float64) *Budget {
-	b := NewBudget(retry.Rules{Share: sends, Max: sends}, retry.Backoff{}, meters, nil, 0)
+// budgetWith returns a budget with a balance of so many retries that is not refilled
+// over time.
+func budgetWith(retries float64) *Budget {
+	b := NewBudget(retry.Rules{Share: retries, Max: retries}, retry.Backoff{}, meters, nil, 0)
 	b.Succeeded(0)
 	return b
 }
 
-func TestTheBudgetDeniesFurtherSendsAlone(t *testing.T) {
+func TestBudgetDeniesOnlyRetries(t *testing.T) {
 	empty := NewBudget(retry.Rules{Max: 1}, retry.Backoff{}, meters, nil, 0)
 	a := New(Rules{Repeatable: true, MaxSends: 5})
 	if v := a.Next(context.Background(), empty, false, 0); v != Proceed {
-		t.Fatalf("the first send: %v", v)
+		t.Fatalf("first send: verdict %v", v)
 	}
-	_ = a.Sent() // repeatable
+	_ = a.Sent() // cannot fail: repeatable
 	a.Failed("u", true, errFailed)
 	if v := a.Next(context.Background(), empty, false, 0); v != Denied {
-		t.Errorf("the second send: %v", v)
+		t.Errorf("retry without budget: verdict %v", v)
 	}
 	if v := a.Next(context.Background(), empty, true, 0); v != Proceed {
-		t.Errorf("an answer that has begun: %v", v)
+		t.Errorf("retry after the response has started: verdict %v", v)
 	}
-	full := saved(1)
+	full := budgetWith(1)
 	if !a.Prepay(context.Background(), full, 0) || a.Prepay(context.Background(), full, 0) {
-		t.Error("one send was saved up")
+		t.Error("a budget with one retry did not allow exactly one")
 	}
 }
 
-func TestNothingIsSentForACallerThatLeft(t *testing.T) {
+func TestNothingIsSentAfterTheContextEnds(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Millisecond)
 	defer cancel()
 	<-ctx.Done()
 	if v := New(Rules{MaxSends: 1}).Next(ctx, nil, false, 0); v != Exhausted {
-		t.Errorf("%v", v)
+		t.Errorf("verdict %v after the context ended", v)
 	}
 }
--- a/internal/attempt/budget.go
+++ b/internal/attempt/budget.go
@@ -12,34 +12,36 @@
 	"sassafrasfield/internal/retry"
 )
 
-// Pool gives further sends to those whose own part of them is spent.
+// Pool grants retries to budgets that are exhausted themselves.
 type Pool interface {
-	// Acquire takes one; false means that there is none, or no word in time.
+	// Acquire takes one retry from the pool. It returns false when none is left, or
+	// when the pool does not reply in time.
 	Acquire(ctx context.Context) bool
 }
 
-// Budget bounds the further sends of many requests. It is safe for use by
-// several goroutines.
+// Budget limits the retries of many requests. A retry is any send of a request
+// after its first. Budget is safe for concurrent use.
 type Budget struct {
 	backoff retry.Backoff
 	meters  Meters
 	pool    Pool // nil for none
 
-	mu     sync.Mutex // protects all below
+	mu     sync.Mutex // protects the fields below
 	budget *retry.Budget
-	// spilled is what was paid in beyond what can be saved up here.
-	spilled float64
-	rng     *rand.Rand
+	// overflow is the total of deposits that exceeded the maximum balance.
+	overflow float64
+	rng      *rand.Rand
 }
 
-// Meters count what became of further sends.
+// Meters count retries.
 type Meters struct {
-	// Retries were made, Denied were not, for want of budget.
+	// Retries counts the retries made after a backoff; Denied counts those that the
+	// budget did not allow.
 	Retries, Denied metrics.Counter
 }
 
-// NewBudget returns a budget that starts with one second of its floor, and asks a pool
-// once it is spent, unless that is nil.
+// NewBudget returns a budget whose balance starts at one second of the floor rate.
+// When it is exhausted, it takes retries from the pool, unless that is nil.
 func NewBudget(rules retry.Rules, backoff retry.Backoff, meters Meters, pool Pool, now time.Duration) *Budget {
 	return &Budget{backoff: backoff, meters: meters, pool: pool, budget: retry.NewBudget(rules, now), rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))}
 }
@@ -51,92 +53,93 @@
 	b.budget.SetRules(rules)
 }
 
-// Succeeded pays in.
+// Succeeded records a success, which pays for a share of a retry.
 func (b *Budget) Succeeded(now time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.spilled += b.budget.Succeeded(now)
+	b.overflow += b.budget.Succeeded(now)
 }
 
-// Overflow is what was paid in beyond what can be saved up here, since the start.
+// Overflow returns the total of deposits that exceeded the maximum balance, since
+// the start.
 func (b *Budget) Overflow() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.spilled
+	return b.overflow
 }
 
-// Spend takes one further send from this budget or from the pool.
-func (b *Budget) Spend(ctx context.Context, begun bool, now time.Duration) bool {
-	if b.SpendLocal(begun, now) {
+// Spend takes one retry from this budget or, when it is exhausted, from the pool.
+func (b *Budget) Spend(ctx context.Context, responseStarted bool, now time.Duration) bool {
+	if b.SpendLocal(responseStarted, now) {
 		return true
 	}
 	return b.pool != nil && b.pool.Acquire(ctx)
 }
 
-// SpendLocal spends one further send. An answer that has begun is gone on with
-// whatever is left.
-func (b *Budget) SpendLocal(begun bool, now time.Duration) bool {
+// SpendLocal takes one retry from this budget. If the response has started, the
+// retry is always allowed and may leave a negative balance.
+func (b *Budget) SpendLocal(responseStarted bool, now time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if begun {
+	if responseStarted {
 		b.budget.ForceTake(now)
 		return true
 	}
 	return b.budget.Take(now)
 }
 
-// Jittered spreads a time that is told to callers.
+// Jittered adds random jitter to a retry delay that is sent to callers.
 func (b *Budget) Jittered(d time.Duration) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return retry.Jittered(d, b.rng)
 }
 
-func (b *Budget) delay(n int) time.Duration {
+func (b *Budget) backoffDelay(retries int) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.backoff.Delay(n, b.rng)
+	return b.backoff.Delay(retries, b.rng)
 }
 
-// Verdict on one more send.
+// Verdict is the decision on one more send.
 type Verdict int
 
 const (
-	// Proceed on.
+	// Proceed: the send may be made.
 	Proceed Verdict = iota
-	// Exhausted: the rules or the time allow no more.
+	// Exhausted: the rules allow no more sends, or the context has ended.
 	Exhausted
-	// Denied by the budget.
+	// Denied: the budget allows no retry.
 	Denied
 )
 
-// Next asks for leave for one more send and waits as long as the budget's
-// backoff says. The first send is always allowed.
-func (a *Attempts) Next(ctx context.Context, b *Budget, begun bool, now time.Duration) Verdict {
+// Next decides whether one more send may be made. Before a retry it takes one from
+// the budget and waits for the backoff. The first send needs no budget.
+func (a *Attempts) Next(ctx context.Context, b *Budget, responseStarted bool, now time.Duration) Verdict {
 	if ctx.Err() != nil || !a.MaySend() {
 		return Exhausted
 	}
 	if a.sends == 0 {
 		return Proceed
 	}
-	if !a.prepaid && !b.Spend(ctx, begun, now) {
+	if !a.prepaid && !b.Spend(ctx, responseStarted, now) {
 		b.meters.Denied.Inc(1)
 		return Denied
 	}
 	a.prepaid = false
-	if a.atOnce {
-		a.atOnce = false
+	if a.skipBackoff {
+		a.skipBackoff = false
 		return Proceed
 	}
-	if !pause.For(ctx, b.delay(a.sends)) {
+	if !pause.For(ctx, b.backoffDelay(a.sends)) {
 		return Exhausted
 	}
 	b.meters.Retries.Inc(1)
 	return Proceed
 }
 
-// Prepay takes the next send from the budget now; false means that there will
-// be none.
+// Prepay takes the next send from the budget in advance. False means that no
+// further send is allowed.
 func (a *Attempts) Prepay(ctx context.Context, b *Budget, now time.Duration) bool {
 	a.prepaid = b.Spend(ctx, false, now)
 	return a.prepaid
--- a/internal/attempt/run.go
+++ b/internal/attempt/run.go
@@ -9,68 +9,70 @@
 type Status int
 
 const (
-	// Done: the request has its end. The caller has an answer, whole or broken
-	// off, or has gone.
+	// Done: no further attempt is needed. The caller has a complete or truncated
+	// response, or has disconnected.
 	Done Status = iota
-	// NoUpstream: there is none left to ask.
+	// NoUpstream: no upstream is left to try.
 	NoUpstream
-	// NotReady: the upstream could not be readied; nothing was sent that runs.
+	// NotReady: preparing the upstream failed; nothing was sent that runs.
 	NotReady
-	// Refused: the upstream said that it ran nothing, or no byte left.
+	// Refused: the upstream reported that it ran nothing, or no byte was sent.
 	Refused
-	// Lost: no whole answer came, and no word on what ran.
+	// Lost: no complete response was received, and it is unknown what ran.
 	Lost
 )
 
-// Result of an attempt.
+// Result is the result of an attempt.
 type Result struct {
 	Status Status
-	// Upstream that failed; empty when none was asked.
+	// Upstream is the upstream that failed; empty when none was tried.
 	Upstream string
-	// Unsent: no byte of the request left for the upstream. What comes next is not
-	// a further send then, and the budget has no part in it.
+	// Unsent: no byte of the request was sent to the upstream. The next attempt then
+	// does not count as a retry and uses no budget.
 	Unsent bool
-	// Declined: it was Unsent as the upstream's limit left no room for it. The next attempt
-	// follows at once.
+	// Declined: the request was Unsent because the upstream accepts no requests at
+	// present, for example because its limit is reached or it is draining. The next
+	// attempt is made without a backoff.
 	Declined bool
-	// Err is why there is no whole answer.
+	// Err is the reason why there is no complete response.
 	Err error
 }
 
-// Call is a request's way to an upstream and back, as its protocol has it.
+// Call sends a request to upstreams in the request's protocol.
 type Call interface {
-	// Started tells whether the caller has a part of the answer.
+	// Started reports whether the caller has received a part of the response.
 	Started() bool
-	// Try makes one attempt: it chooses an upstream, notes the send with Sent
-	// or Prepared, and brings the answer to the caller.
+	// Try makes one attempt: it chooses an upstream, records the send with Sent or
+	// Prepared, and passes the response on to the caller.
 	Try(ctx context.Context) Result
 }
 
-// Run makes attempts until one ends the request, none is left to ask, or no
-// further one is allowed. It returns the last result, and the verdict that
-// stopped it: Go when that was the result. Unless the result is Over, the caller
-// is still to be told, and Word is what may be said.
-func (a *Attempts) Run(ctx context.Context, b *Budget, now func() time.Duration, p Call) (Result, Verdict) {
+// Run makes attempts until one completes the request, no upstream is left to try,
+// or no further attempt is allowed. It returns the last result and the verdict of
+// the last Next, which is Proceed when the result ended the loop. Unless the status
+// is Done, the caller still has to be sent an error; Outcome is what that may say
+// about the request.
+func (a *Attempts) Run(ctx context.Context, b *Budget, now func() time.Duration, call Call) (Result, Verdict) {
 	var last Result
 	for {
-		verdict := a.Next(ctx, b, p.Started(), now())
+		verdict := a.Next(ctx, b, call.Started(), now())
 		if verdict != Proceed {
 			return last, verdict
 		}
-		last = p.Try(ctx)
+		last = call.Try(ctx)
 		switch last.Status {
 		case NotReady:
 			a.Exclude(last.Upstream, last.Err)
 		case Refused, Lost:
 			a.Failed(last.Upstream, last.Status == Refused, last.Err)
 		case NoUpstream:
-			a.note(last.Err)
+			a.setLastError(last.Err)
 			return last, Proceed
 		case Done:
 			return last, Proceed
 		}
 		if last.Unsent {
-			a.prepaid, a.atOnce = true, last.Declined
+			a.prepaid, a.skipBackoff = true, last.Declined
 			a.unsent++
 		}
 		if last.Declined {
--- a/internal/attempt/run_test.go
+++ b/internal/attempt/run_test.go
@@ -11,72 +11,72 @@
 	"sassafrasfield/internal/retry"
 )
 
-// scripted plays endings in turn.
-type scripted struct {
-	tries   *Attempts
-	endings []Status
-	unsent  bool
-	made    int
+// scriptedCall is a Call whose attempts end with the given statuses in order.
+type scriptedCall struct {
+	tries    *Attempts
+	statuses []Status
+	unsent   bool
+	made     int
 }
 
-func (s *scripted) Started() bool { return false }
+func (s *scriptedCall) Started() bool { return false }
 
-func (s *scripted) Try(context.Context) Result {
-	ending := s.endings[s.made]
+func (s *scriptedCall) Try(context.Context) Result {
+	status := s.statuses[s.made]
 	s.made++
-	switch ending {
+	switch status {
 	case NotReady:
 		s.tries.Prepared()
 	case Refused, Lost:
-		_ = s.tries.Sent() // Run asks for no more than the rules allow
+		_ = s.tries.Sent() // cannot fail: Run makes no more attempts than the rules allow
 	}
-	return Result{Status: ending, Upstream: "u", Unsent: s.unsent, Err: errFailed}
+	return Result{Status: status, Upstream: "u", Unsent: s.unsent, Err: errFailed}
 }
 
 func clock() time.Duration { return 0 }
 
-func run(rules Rules, endings ...Status) (*scripted, Result, Verdict) {
-	budget := saved(100)
-	s := &scripted{tries: New(rules), endings: endings}
+func run(rules Rules, statuses ...Status) (*scriptedCall, Result, Verdict) {
+	budget := budgetWith(100)
+	s := &scriptedCall{tries: New(rules), statuses: statuses}
 	result, verdict := s.tries.Run(context.Background(), budget, clock, s)
 	return s, result, verdict
 }
 
-func TestRunGoesOnUntilTheRequestIsOver(t *testing.T) {
+func TestRunRetriesUntilDone(t *testing.T) {
 	s, result, verdict := run(Rules{Repeatable: true, MaxSends: 9}, NotReady, Refused, Lost, Done)
 	if s.made != 4 || result.Status != Done || verdict != Proceed || s.tries.Runs() != 1 || s.tries.Sends() != 3 {
-		t.Errorf("%d made, %+v, verdict %v, %d runs", s.made, result, verdict, s.tries.Runs())
+		t.Errorf("%d attempts, %+v, verdict %v, %d runs", s.made, result, verdict, s.tries.Runs())
 	}
 	s, result, _ = run(Rules{Repeatable: true, MaxSends: 9}, Refused, NoUpstream)
 	if s.made != 2 || result.Status != NoUpstream || s.tries.Outcome() != outcome.NotRun || s.tries.LastError() == nil {
-		t.Errorf("%d made, %+v, word %v", s.made, result, s.tries.Outcome())
+		t.Errorf("%d attempts, %+v, outcome %v", s.made, result, s.tries.Outcome())
 	}
 }
 
-// TestRunNeverRepeatsWhatMayNotBe plays any endings: after one that may have run
-// there is no other attempt, and the word follows.
-func TestRunNeverRepeatsWhatMayNotBe(t *testing.T) {
+// TestRunNeverRepeatsNonRepeatableRequest checks, for random statuses, that no attempt
+// follows one that may have run, and that the outcome matches.
+func TestRunNeverRepeatsNonRepeatableRequest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		endings := rapid.SliceOfN(rapid.SampledFrom([]Status{NotReady, Refused, Lost}), 6, 6).Draw(t, "endings")
-		s, _, verdict := run(Rules{MaxSends: 5}, endings...)
+		statuses := rapid.SliceOfN(rapid.SampledFrom([]Status{NotReady, Refused, Lost}), 6, 6).Draw(t, "endings")
+		s, _, verdict := run(Rules{MaxSends: 5}, statuses...)
 		lost := 0
-		for _, e := range endings[:s.made] {
-			if e == Lost {
+		for _, status := range statuses[:s.made] {
+			if status == Lost {
 				lost++
 			}
 		}
-		if lost > 1 || lost == 1 && endings[s.made-1] != Lost || verdict != Exhausted {
-			t.Fatalf("%v: %d made, verdict %v", endings, s.made, verdict)
+		if lost > 1 || lost == 1 && statuses[s.made-1] != Lost || verdict != Exhausted {
+			t.Fatalf("statuses %v: %d attempts, verdict %v", statuses, s.made, verdict)
 		}
 		if (lost == 0) != (s.tries.Outcome() == outcome.NotRun) {
-			t.Fatalf("%v: word %v", endings[:s.made], s.tries.Outcome())
+			t.Fatalf("statuses %v: outcome %v", statuses[:s.made], s.tries.Outcome())
 		}
 	})
 }
 
-// TestARunGoesOnOnceWhereItsCopyIs: a request that may not run again is sent to
-// the copy of its run, and nowhere else.
-func TestARunGoesOnOnceWhereItsCopyIs(t *testing.T) {
+// TestLostRunContinuesOnceAtItsBackup checks that a request that is not repeatable is
+// sent once to the upstream that has a copy of its lost run, and nowhere else.
+func TestLostRunContinuesOnceAtItsBackup(t *testing.T) {
 	a := New(Rules{MaxSends: 5})
 	if err := a.Sent(); err != nil {
 		t.Fatal(err)
@@ -84,41 +84,41 @@
 	a.SetBackup("copy")
 	a.Failed("first", false, errFailed)
 	if !a.MaySend() || a.Backup() != "copy" {
-		t.Fatalf("more: %t, copy at %q", a.MaySend(), a.Backup())
+		t.Fatalf("after the run was lost: may send %t, backup %q", a.MaySend(), a.Backup())
 	}
 	if err := a.Sent(); err != nil {
 		t.Fatal(err)
 	}
-	a.Failed("copy", true, errFailed) // it had none
+	a.Failed("copy", true, errFailed) // the backup had no copy
 	if a.MaySend() || a.Outcome() != outcome.Unknown {
-		t.Errorf("more: %t, word %v", a.MaySend(), a.Outcome())
+		t.Errorf("after the backup refused: may send %t, outcome %v", a.MaySend(), a.Outcome())
 	}
 }
 
-// TestWhatWasNotSentTakesNoBudget: a crash of several engines used up the budget
-// on connections that were refused, and requests whose prompts were processed were
-// given up.
-func TestWhatWasNotSentTakesNoBudget(t *testing.T) {
+// TestUnsentAttemptsUseNoBudget guards against retry budgets that are exhausted by
+// refused connections. When several engines crashed, these used up the budget, and
+// requests whose prompts had already been processed were abandoned.
+func TestUnsentAttemptsUseNoBudget(t *testing.T) {
 	for _, unsent := range []bool{true, false} {
-		for _, ending := range []Status{Refused, NotReady} {
-			s := &scripted{tries: New(Rules{MaxSends: 5}), endings: []Status{ending, ending, Done}, unsent: unsent}
+		for _, status := range []Status{Refused, NotReady} {
+			s := &scriptedCall{tries: New(Rules{MaxSends: 5}), statuses: []Status{status, status, Done}, unsent: unsent}
 			empty := NewBudget(retry.Rules{Max: 1}, retry.Backoff{}, meters, nil, 0)
 			result, verdict := s.tries.Run(context.Background(), empty, clock, s)
 			if unsent != (result.Status == Done) || unsent == (verdict == Denied) {
-				t.Errorf("unsent %t, ending %v: %+v, verdict %v", unsent, ending, result, verdict)
+				t.Errorf("unsent %t, status %v: %+v, verdict %v", unsent, status, result, verdict)
 			}
 		}
 	}
 }
 
-// TestUpstreamsThatCannotBeReachedDoNotEndARequest. Pattern: a fifth of the engines
-// crash at once. Grounds: 33 requests on a day of 195 instances were given up after
-// four connections in a row that were refused within some milliseconds, though other
-// engines took requests.
-func TestUpstreamsThatCannotBeReachedDoNotEndARequest(t *testing.T) {
+// TestUnreachableUpstreamsDoNotEndARequest guards against requests that are abandoned
+// while other engines accept requests. When a fifth of the engines crashed at once,
+// 33 requests in one day with 195 instances were abandoned after four connections in
+// a row were refused within a few milliseconds.
+func TestUnreachableUpstreamsDoNotEndARequest(t *testing.T) {
 	unreachable := []Status{Refused, Refused, Refused, Refused, Refused, Done}
-	s := &scripted{tries: New(Rules{MaxSends: 4}), endings: unreachable, unsent: true}
-	result, _ := s.tries.Run(context.Background(), saved(100), clock, s)
+	s := &scriptedCall{tries: New(Rules{MaxSends: 4}), statuses: unreachable, unsent: true}
+	result, _ := s.tries.Run(context.Background(), budgetWith(100), clock, s)
 	if result.Status != Done || s.made != len(unreachable) {
 		t.Errorf("%+v after %d attempts", result, s.made)
 	}
@@ -126,36 +126,37 @@
 	for range 2 * maxUnsent {
 		all = append(all, NotReady)
 	}
-	s = &scripted{tries: New(Rules{MaxSends: 4}), endings: all, unsent: true}
-	if _, verdict := s.tries.Run(context.Background(), saved(100), clock, s); verdict != Exhausted || s.made != maxUnsent {
-		t.Errorf("verdict %v after %d attempts, want an end after %d", verdict, s.made, maxUnsent)
+	s = &scriptedCall{tries: New(Rules{MaxSends: 4}), statuses: all, unsent: true}
+	if _, verdict := s.tries.Run(context.Background(), budgetWith(100), clock, s); verdict != Exhausted || s.made != maxUnsent {
+		t.Errorf("verdict %v after %d attempts, want Exhausted after %d", verdict, s.made, maxUnsent)
 	}
 }
 
-// TestWhatUpstreamsDeclineNeitherWaitsNorCosts: there may be more of them than of sends that
-// could not be made, and the next one is asked at once.
-func TestWhatUpstreamsDeclineNeitherWaitsNorCosts(t *testing.T) {
+// TestDeclinedSendsNeitherWaitNorUseBudget checks that the next upstream is tried
+// without a backoff, and that declined sends do not count towards maxUnsent.
+func TestDeclinedSendsNeitherWaitNorUseBudget(t *testing.T) {
 	const declined = 3 * maxUnsent
-	s := &declining{left: declined}
+	s := &decliningCall{left: declined}
 	s.tries = New(Rules{MaxSends: 1})
 	budget := NewBudget(retry.Rules{}, retry.Backoff{Base: time.Hour, Max: time.Hour}, meters, nil, 0)
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	result, _ := s.tries.Run(ctx, budget, clock, s)
 	if result.Status != Done || s.left != 0 || s.tries.Outcome() == outcome.NotRun {
-		t.Errorf("%+v, %d left, word %v", result, s.left, s.tries.Outcome())
+		t.Errorf("%+v, %d upstreams not tried, outcome %v", result, s.left, s.tries.Outcome())
 	}
 }
 
-// declining has so many upstreams decline, and the next one answer.
-type declining struct {
+// decliningCall is a Call whose next left upstreams decline; the one after them
+// responds.
+type decliningCall struct {
 	tries *Attempts
 	left  int
 }
 
-func (d *declining) Started() bool { return false }
+func (d *decliningCall) Started() bool { return false }
 
-func (d *declining) Try(context.Context) Result {
+func (d *decliningCall) Try(context.Context) Result {
 	if err := d.tries.Sent(); err != nil {
 		return Result{Status: NoUpstream, Err: err}
 	}
