--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -1,56 +1,60 @@
-// Package retry decides whether and when a failed attempt is tried again. A
-// budget bounds retries to a share of recent successes, so that a failing
-// fleet is not drowned by its own retries; waits are exponential with full
-// jitter. It is pure: time is passed in as a monotonic duration, and
+// Package retry decides whether a failed attempt is retried, and when. A budget
+// limits retries to a share of the recent successes, so that retries do not
+// overload a failing fleet further. Delays are exponential with full jitter. The
+// package has no side effects: times are passed in as monotonic durations, and
 // randomness as a seeded source.
 package retry
 
 import "time"
 
-// Rules of a budget.
+// Rules configure a Budget.
 type Rules struct {
-	// Share is how many retries each success pays for, such as 0.1.
+	// Share is the number of retries that each success adds to the balance, such
+	// as 0.1.
 	Share float64
-	// Floor is how many retries a second are allowed without any success.
+	// Floor is the number of retries per second that are allowed without any
+	// success.
 	Floor float64
-	// Max bounds what can be saved up, in retries.
+	// Max bounds the balance, in retries.
 	Max float64
 }
 
-// Budget counts the retries that may still be made. It is not safe for
-// concurrent use.
+// Budget is a token bucket of retries: its balance is the number of retries that
+// may still be made. It is not safe for concurrent use.
 type Budget struct {
-	rules   Rules
-	balance float64
-	at      time.Duration
+	rules     Rules
+	balance   float64
+	updatedAt time.Duration
 }
 
-// NewBudget returns a budget that starts with one second of the floor.
+// NewBudget returns a budget whose balance starts at one second of the floor rate.
 func NewBudget(rules Rules, now time.Duration) *Budget {
-	return &Budget{rules: rules, balance: min(rules.Floor, rules.Max), at: now}
+	return &Budget{rules: rules, balance: min(rules.Floor, rules.Max), updatedAt: now}
 }
 
-// SetRules changes the rules; what is saved up beyond them is lost.
+// SetRules changes the rules. It reduces the balance to the new maximum.
 func (b *Budget) SetRules(rules Rules) {
 	b.rules = rules
 	b.balance = min(b.balance, rules.Max)
 }
 
-// Succeeded pays a share of a retry in, and returns what of it is more than can be
-// saved up.
-func (b *Budget) Succeeded(now time.Duration) (spilled float64) {
+// Succeeded adds the share of one success to the balance. It returns the part that
+// exceeds the maximum balance and is not added.
+func (b *Budget) Succeeded(now time.Duration) (overflow float64) {
 	return b.Add(b.rules.Share, now)
 }
 
-// Add pays an amount in, and returns what of it is more than can be saved up.
-func (b *Budget) Add(amount float64, now time.Duration) (spilled float64) {
+// Add adds an amount to the balance. It returns the part that exceeds the maximum
+// balance and is not added.
+func (b *Budget) Add(amount float64, now time.Duration) (overflow float64) {
 	b.refill(now)
-	paid := min(amount, max(0, b.rules.Max-b.balance))
-	b.balance += paid
-	return amount - paid
+	added := min(amount, max(0, b.rules.Max-b.balance))
+	b.balance += added
+	return amount - added
 }
 
-// Take spends one retry; false means that none is left, and nothing is spent.
+// Take takes one retry from the balance. It returns false, and takes nothing, when
+// less than one is left.
 func (b *Budget) Take(now time.Duration) bool {
 	b.refill(now)
 	if b.balance < 1 {
@@ -60,17 +64,19 @@
 	return true
 }
 
-// ForceTake spends one retry whatever is left, for an answer that has begun. The
-// debt is bounded, and keeps other retries back until it is paid.
+// ForceTake takes one retry whatever the balance, for a response that has already
+// started. The balance may become negative, down to -Max; other retries are then
+// denied until it has recovered.
 func (b *Budget) ForceTake(now time.Duration) {
 	b.refill(now)
 	b.balance = max(-b.rules.Max, b.balance-1)
 }
 
+// refill adds the floor rate for the time since the last update.
 func (b *Budget) refill(now time.Duration) {
-	if now <= b.at {
+	if now <= b.updatedAt {
 		return
 	}
-	b.balance = min(b.rules.Max, b.balance+b.rules.Floor*(now-b.at).Seconds())
-	b.at = now
+	b.balance = min(b.rules.Max, b.balance+b.rules.Floor*(now-b.updatedAt).Seconds())
+	b.updatedAt = now
 }
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -8,9 +8,10 @@
 	"pgregory.net/rapid"
 )
 
-// The budget never grants more retries than the share of successes, the floor
-// and what was saved up allow, whatever the order of events.
-func TestBudgetBound(t *testing.T) {
+// TestBudgetNeverExceedsItsRules checks that, whatever the order of events, a budget
+// grants no more retries than its initial balance, the floor rate and the share of
+// the successes add up to.
+func TestBudgetNeverExceedsItsRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rules := Rules{
 			Share: rapid.Float64Range(0, 1).Draw(t, "share"),
@@ -32,14 +33,15 @@
 		}
 		bound := rules.Floor*(1+now.Seconds()) + rules.Share*float64(successes) + 1e-6
 		if float64(granted) > bound {
-			t.Fatalf("%d retries granted, bound %.3f", granted, bound)
+			t.Fatalf("%d retries granted, want at most %.3f", granted, bound)
 		}
 	})
 }
 
-// A storm without successes gets the floor alone; successes pay for retries
-// again, and debt of begun answers is paid first.
-func TestBudgetStormAndRecovery(t *testing.T) {
+// TestBudgetLimitsRetryStormAndRecovers checks that a retry storm without successes
+// is limited to the floor rate. Later successes first make up for the negative
+// balance that forced retries left, and then allow retries again.
+func TestBudgetLimitsRetryStormAndRecovers(t *testing.T) {
 	budget := NewBudget(Rules{Share: 0.1, Floor: 1, Max: 10}, 0)
 	granted := 0
 	for i := range 1000 {
@@ -48,20 +50,20 @@
 		}
 	}
 	if granted > 11 {
-		t.Fatalf("%d retries in a storm of 10 s with a floor of 1 a second", granted)
+		t.Fatalf("%d retries granted in 10 s without successes, want at most 11 at a floor of 1 per second", granted)
 	}
 	now := 10 * time.Second
 	for range 3 {
 		budget.ForceTake(now)
 	}
 	if budget.Take(now) {
-		t.Fatal("a retry was granted in debt")
+		t.Fatal("a retry was granted while the balance was negative")
 	}
 	for range 45 {
 		budget.Succeeded(now)
 	}
 	if !budget.Take(now) {
-		t.Fatal("45 successes do not pay a debt of 3 and one retry")
+		t.Fatal("no retry granted after 45 successes, which pay for 4.5 retries, 3 of them owed")
 	}
 }
 
@@ -74,15 +76,15 @@
 		for range 100 {
 			d := backoff.Delay(i+1, rng)
 			if d < 0 || d > bound*time.Millisecond {
-				t.Fatalf("retry %d waits %s, bound %s", i+1, d, bound*time.Millisecond)
+				t.Fatalf("retry %d has a delay of %s, bound %s", i+1, d, bound*time.Millisecond)
 			}
 			seen[d] = true
 		}
 		if len(seen) < 90 {
-			t.Fatalf("retry %d: only %d different waits of 100", i+1, len(seen))
+			t.Fatalf("retry %d: only %d of 100 delays are distinct, want at least 90", i+1, len(seen))
 		}
 	}
 	if d := Jittered(4*time.Second, rng); d < 4*time.Second || d > 6*time.Second {
-		t.Fatalf("jittered to %s", d)
+		t.Fatalf("4s with jitter is %s, want 4s to 6s", d)
 	}
 }
