--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -43,7 +43,7 @@
 	runs     int
 	lastErr  error
 	// prepaid: the next send needs nothing from the budget.
-	prepaid  bool
+	prepaid bool
 	// skipBackoff: the next attempt is made without a delay.
 	skipBackoff bool
 	// backup is the upstream that has a copy of the state of the lost run.
