--- a/internal/entry/disaggregated.go
+++ b/internal/entry/disaggregated.go
@@ -29,7 +29,7 @@
 // run brings the rest of an answer from the engine that was assigned, or from
 // it and a decode engine. With an error it names the engine that failed.
 func (g *generation) run(ctx context.Context, placed assignment) (failed string, err error) {
-	if placed.work != placement.WorkPrefill {
+	if placed.work != placement.PhasePrefill {
 		return placed.engine.ID, g.runOn(ctx, placed.engine, false)
 	}
 	decode, err := g.handOver(ctx, placed.engine)
@@ -59,7 +59,7 @@
 		return prefill, errors.WithMessage(err, "export of KV cache")
 	}
 	decode, ok := s.state.place(&placement.Request{
-		Model: comp.name, Adapter: comp.adapter, Version: prefill.Loaded.Version, Work: placement.WorkDecode,
+		Model: comp.name, Adapter: comp.adapter, Version: prefill.Loaded.Version, Phase: placement.PhaseDecode,
 	}, load.Placement{ID: comp.id, Blocks: s.placement(comp).Blocks, At: s.now()})
 	if !ok {
 		return prefill, errors.WithMessage(engine.ErrNotRun, "no engine to decode on")
@@ -107,7 +107,7 @@
 		source.Close()
 	}
 	if err == nil || errors.Is(err, errPrefilled) {
-		s.judge(prefill.ID, load.VerdictGood)
+		s.judge(prefill.ID, load.CallSucceeded)
 		return nil
 	}
 	return s.prefillFailed(ctx, prefill.ID, client, request.ID, err)
@@ -125,7 +125,7 @@
 		return errCallerGone
 	}
 	if !errors.Is(err, engine.ErrNotRun) && !errors.Is(err, errCallerGone) {
-		s.judge(engineID, load.VerdictFailed)
+		s.judge(engineID, load.CallFailed)
 	}
 	return err
 }
--- a/internal/entry/reports.go
+++ b/internal/entry/reports.go
@@ -72,7 +72,7 @@
 
 // reportLoop reads the load reports, and the cache events when they are used.
 func (s *Server) reportLoop(ctx context.Context) {
-	if s.settings.Routing.Policy.Hints() {
+	if s.settings.Routing.Policy.UsesPrefixHints() {
 		events := poller{every: s.settings.Routing.EventsEvery, engines: s.state.watched, read: s.readEvents}
 		go events.run(ctx)
 	}
@@ -111,7 +111,7 @@
 }
 
 // judge records what a call told of an upstream.
-func (s *Server) judge(id string, v load.Verdict) {
+func (s *Server) judge(id string, v load.CallResult) {
 	if s.state.judge(id, v, s.now()) {
 		s.state.meters.ejections.Inc(1)
 		s.log.Warn("route: ejected", "upstream", id)
--- a/internal/instance/apart_test.go
+++ b/internal/instance/apart_test.go
@@ -61,7 +61,7 @@
 func TestTheRowsOfContentsAreFollowed(t *testing.T) {
 	in := newInstance()
 	in.relay.SetRoutes(routes.NewTable(1, []routes.Route{{Host: "h", Prefix: "/", Shares: []routes.Share{{Service: "s", Weight: 1}}}}, nil, routes.Limits{}))
-	req := &relay.Request{ID: "r", Method: "POST", Host: "h", Path: "/a", Target: "/a", Patience: time.Second}
+	req := &relay.Request{ID: "r", Method: "POST", Host: "h", Path: "/a", Target: "/a", WaitBudget: time.Second}
 	unreadable := apartRowOf(8, "what", 1)
 	unnamed := replica.Row{Key: replica.Key{Table: "apart", Key: "no content"}, Value: []byte(`{"times":1}`), Revision: 2}
 	in.changed([]replica.Row{unreadable, unnamed, apartRowOf(req.Content(), `{"times":1}`, 3)})
@@ -80,9 +80,9 @@
 	in.adapter.Table = table
 	ctx := context.Background()
 	for upstream := range uint32(2) {
-		in.relay.NoteEnd(quarantine.End{Content: 7, Upstream: upstream})
+		in.relay.RecordCrash(quarantine.End{Content: 7, Upstream: upstream})
 	}
-	if in.writeApart(ctx) || len(in.relay.Unkept()) != 1 {
+	if in.writeApart(ctx) || len(in.relay.Unpersisted()) != 1 {
 		t.Fatal("kept, though the store did not take it")
 	}
 	if !in.writeApart(ctx) {
@@ -103,7 +103,7 @@
 	in, table := newInstance(), &fakeTable{}
 	in.adapter.Table = table
 	in.relay.SetRoutes(routes.NewTable(1, []routes.Route{{Host: "h", Prefix: "/", Shares: []routes.Share{{Service: "s", Weight: 1}}}}, nil, routes.Limits{}))
-	req := &relay.Request{ID: "r", Method: "POST", Host: "h", Path: "/a", Target: "/a", Patience: time.Second}
+	req := &relay.Request{ID: "r", Method: "POST", Host: "h", Path: "/a", Target: "/a", WaitBudget: time.Second}
 	in.changed([]replica.Row{apartRowOf(req.Content(), `{"times":2}`, 3)})
 	lost := apartRowOf(req.Content(), "", platform.RevisionOf(1, 0))
 	lost.Lost = true
@@ -120,7 +120,7 @@
 	other := apartRowOf(5, "", platform.RevisionOf(1, 0))
 	other.Lost = true
 	in.changed([]replica.Row{other})
-	if len(in.relay.Unkept()) > 0 {
+	if len(in.relay.Unpersisted()) > 0 {
 		t.Error("a content that is not apart here is written")
 	}
 }
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -95,8 +95,8 @@
 	in.peers = peers.New(s.Self, s.Seeds, in.follower, logging.Part(log, "peers"))
 	in.follower.Join(in.peers)
 	in.reports = peers.NewReports(in.peers, in.relay)
-	in.relay.AskWith(in.reports.Ask)
-	in.relay.AskLimitWith(in.reports.AskLimit)
+	in.relay.SetPoolRequester(in.reports.Ask)
+	in.relay.SetGrantRequester(in.reports.AskLimit)
 	in.budget.Store(&s.Relay.Budget)
 	in.limits.Store(&routes.Limits{})
 	in.settings.Front.Limits = in.limitsInForce
@@ -221,32 +221,32 @@
 
 func (in *Instance) noteUpstream(row replica.Row) {
 	if row.Deleted {
-		in.relay.Forget(row.Key.Key)
+		in.relay.RemoveUpstream(row.Key.Key)
 		in.log.Info("instance: upstream gone", "upstream", row.Key.Key, "revision", row.Revision)
 		return
 	}
 	u, err := in.adapter.Documents.Upstream(row)
 	if err != nil {
-		in.relay.Forget(row.Key.Key) // whatever it named before
+		in.relay.RemoveUpstream(row.Key.Key) // whatever it named before
 		in.log.Error("instance: upstream not read", "upstream", row.Key.Key, "revision", row.Revision, "error", err)
 		return
 	}
-	in.relay.Learn(u)
+	in.relay.UpdateUpstream(u)
 	in.log.Info("instance: upstream", "upstream", u.ID, "service", u.Service, "zone", u.Zone, "role", u.Role,
-		"draining", u.Draining, "born", u.Born, "revision", row.Revision)
+		"draining", u.Draining, "born", u.StartedAt, "revision", row.Revision)
 }
 
 // Engines implements rolekeeper.View.
 func (in *Instance) Engines() map[string][]upstreamstate.Engine { return in.relay.Engines() }
 
 // Times implements rolekeeper.View.
-func (in *Instance) Times(service string) upstreamstate.Times { return in.relay.Times(service) }
+func (in *Instance) Times(service string) upstreamstate.Times { return in.relay.EngineTimes(service) }
 
 // SendAway implements rolekeeper.View.
-func (in *Instance) SendAway(engine string, d time.Duration) { in.relay.SendAway(engine, d) }
+func (in *Instance) SendAway(engine string, d time.Duration) { in.relay.MarkUnavailable(engine, d) }
 
 // Serving implements rolekeeper.View.
-func (in *Instance) Serving() bool { return in.relay.Serving() }
+func (in *Instance) Serving() bool { return in.relay.HasRecentRequests() }
 
 // Candidates implements rolekeeper.View: the instances that pass reports on know all
 // others of their kind.
--- a/internal/instance/orders_test.go
+++ b/internal/instance/orders_test.go
@@ -16,10 +16,12 @@
 // hearing keeps how upstreams' words reach the relay.
 type hearing struct {
 	relay.Sender
-	hear func(upstreamstate.Upstream, upstreamstate.Statement)
+	hear func(upstreamstate.Upstream, upstreamstate.UpstreamStatus)
 }
 
-func (h *hearing) Listen(hear func(upstreamstate.Upstream, upstreamstate.Statement)) { h.hear = hear }
+func (h *hearing) SetStatementHandler(hear func(upstreamstate.Upstream, upstreamstate.UpstreamStatus)) {
+	h.hear = hear
+}
 
 // countingOrderer counts what reaches engines.
 type countingOrderer struct{ calls int }
@@ -42,12 +44,12 @@
 	in.changed([]replica.Row{upstreamRow("e-1", "decode", 1), upstreamRow("e-2", "decode", 2)})
 	all := in.relay.Engines()["llm"]
 	one, other := all[0].Upstream, all[1].Upstream
-	sender.hear(one, upstreamstate.Statement{Rest: time.Minute})
+	sender.hear(one, upstreamstate.UpstreamStatus{Backoff: time.Minute})
 	orderer := restingOrderer{engines, in.relay}
-	if _, err := orderer.State(context.Background(), one); !errors.Is(err, relay.ErrResting) {
+	if _, err := orderer.State(context.Background(), one); !errors.Is(err, relay.ErrBackingOff) {
 		t.Errorf("asked: %v", err)
 	}
-	if err := orderer.Order(context.Background(), one, rolekeeper.Order{}); !errors.Is(err, relay.ErrResting) {
+	if err := orderer.Order(context.Background(), one, rolekeeper.Order{}); !errors.Is(err, relay.ErrBackingOff) {
 		t.Errorf("ordered: %v", err)
 	}
 	if engines.calls > 0 {
--- a/internal/peers/fleet_test.go
+++ b/internal/peers/fleet_test.go
@@ -54,7 +54,7 @@
 
 // virtualLoads is an instance's picture in virtual time.
 type virtualLoads struct {
-	*upstreamstate.Picture
+	*upstreamstate.State
 	now     func() time.Duration
 	changed chan struct{}
 	granted int
@@ -63,7 +63,7 @@
 
 func newVirtualLoads(now func() time.Duration) *virtualLoads {
 	l := &virtualLoads{now: now, changed: make(chan struct{}, 1), grants: quota.NewGrants()}
-	l.Picture = upstreamstate.New(upstreamstate.Settings{Seed: 1, Changed: func() {
+	l.State = upstreamstate.New(upstreamstate.Settings{Seed: 1, OnChange: func() {
 		select {
 		case l.changed <- struct{}{}:
 		default: // it is told already
@@ -73,30 +73,32 @@
 	return l
 }
 
-func (l *virtualLoads) Changed() <-chan struct{}           { return l.changed }
-func (l *virtualLoads) OwnReport() upstreamstate.Report    { return l.Picture.OwnReport(l.now()) }
-func (l *virtualLoads) ZoneReport() upstreamstate.Report   { return l.Picture.ZoneReport(l.now()) }
-func (l *virtualLoads) BeyondReport() upstreamstate.Report { return l.Picture.BeyondReport(l.now()) }
-func (l *virtualLoads) TakeReport(source string, report upstreamstate.Report) {
-	l.Picture.TakeReport(source, report, l.now())
+func (l *virtualLoads) Changed() <-chan struct{}         { return l.changed }
+func (l *virtualLoads) OwnReport() upstreamstate.Report  { return l.State.OwnReport(l.now()) }
+func (l *virtualLoads) ZoneReport() upstreamstate.Report { return l.State.ZoneReport(l.now()) }
+func (l *virtualLoads) OtherZonesReport() upstreamstate.Report {
+	return l.State.BeyondReport(l.now())
+}
+func (l *virtualLoads) ApplyReport(source string, report upstreamstate.Report) {
+	l.State.TakeReport(source, report, l.now())
 }
 
-// Behind is not played.
-func (l *virtualLoads) Behind(bool) {}
+// SetBehind is not played.
+func (l *virtualLoads) SetBehind(bool) {}
 
-// Grant gives whatever is asked for.
-func (l *virtualLoads) Grant(uint32) bool { l.granted++; return true }
+// GrantRetry gives whatever is asked for.
+func (l *virtualLoads) GrantRetry(uint32) bool { l.granted++; return true }
 
 // Limits and HearLimits are not played: these instances do not pull.
-func (l *virtualLoads) Limits() []quota.Word          { return nil }
-func (l *virtualLoads) HearLimits([]quota.Word, bool) {}
+func (l *virtualLoads) Limits() []quota.Word           { return nil }
+func (l *virtualLoads) ApplyLimits([]quota.Word, bool) {}
 
-// Coordinate takes what this instance gives out.
-func (l *virtualLoads) Coordinate(share float64) { l.grants.Keep(share, l.now()) }
+// SetGrantShare takes what this instance gives out.
+func (l *virtualLoads) SetGrantShare(share float64) { l.grants.Keep(share, l.now()) }
 
-// GrantLimited decides as an instance does.
-func (l *virtualLoads) GrantLimited(ask quota.Ask) quota.Verdict {
-	return l.grants.Decide(l.Picture, ask, l.now())
+// DecideGrant decides as an instance does.
+func (l *virtualLoads) DecideGrant(ask quota.Ask) quota.Verdict {
+	return l.grants.Decide(l.State, ask, l.now())
 }
 
 // requests is what this instance believes all have on the engine.
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -196,14 +196,14 @@
 func TestLoadsAreToldToAllZones(t *testing.T) {
 	all := fleet(t)
 	for _, n := range all {
-		n.relay.Learn(upstreamstate.Upstream{ID: "e", Service: "s", Role: "decode"})
+		n.relay.UpdateUpstream(upstreamstate.Upstream{ID: "e", Service: "s", Role: "decode"})
 	}
 	speaker := hubOf(all, "b")
 	waitFor(func() bool {
 		// A part is told once, and a datagram may be lost: it is placed again.
-		speaker.relay.TakeReport("instance x", upstreamstate.Report{Placed: []upstreamstate.Placed{{Engine: 1, Part: 2}}})
+		speaker.relay.ApplyReport("instance x", upstreamstate.Report{Placed: []upstreamstate.Placed{{Engine: 1, Part: 2}}})
 		for _, n := range all {
-			if n.self.Zone != speaker.self.Zone && !n.relay.Knows(upstreamstate.Placed{Engine: 1, Part: 2}) {
+			if n.self.Zone != speaker.self.Zone && !n.relay.HasPlacement(upstreamstate.Placed{Engine: 1, Part: 2}) {
 				return false
 			}
 		}
@@ -221,16 +221,16 @@
 	case <-s.release:
 	case <-ctx.Done():
 	}
-	return nil, relay.ErrLost
+	return nil, relay.ErrNoValidAnswer
 }
 
 func (s *heldSender) Prefill(context.Context, *relay.Request, relay.Send) (relay.KV, upstreamstate.Load, error) {
-	return relay.KV{}, upstreamstate.Load{}, relay.ErrLost
+	return relay.KV{}, upstreamstate.Load{}, relay.ErrNoValidAnswer
 }
 
-func (*heldSender) Listen(func(upstreamstate.Upstream, upstreamstate.Statement)) {}
+func (*heldSender) SetStatementHandler(func(upstreamstate.Upstream, upstreamstate.UpstreamStatus)) {}
 
-func (*heldSender) Ended(context.Context, upstreamstate.Upstream, string) (bool, error) {
+func (*heldSender) Crashed(context.Context, upstreamstate.Upstream, string) (bool, error) {
 	return false, nil
 }
 
@@ -244,7 +244,7 @@
 	}}, []routes.Service{{Name: "s"}}, routes.Limits{})
 	for _, n := range all {
 		n.relay.SetRoutes(table)
-		n.relay.Learn(upstreamstate.Upstream{ID: "e", Service: "s", Role: "decode"})
+		n.relay.UpdateUpstream(upstreamstate.Upstream{ID: "e", Service: "s", Role: "decode"})
 	}
 }
 
@@ -359,7 +359,7 @@
 // it has anything to serve by.
 func TestLimitsComeWithTheRows(t *testing.T) {
 	first := newNode(t, "n0", "a")
-	first.relay.HearLimits([]quota.Word{{Upstream: 7, Rate: 2, Age: time.Second}}, true)
+	first.relay.ApplyLimits([]quota.Word{{Upstream: 7, Rate: 2, Age: time.Second}}, true)
 	first.Take(news(1), 0)
 	second := newNode(t, "n1", "b", first.self.Address)
 	if err := second.Pull(context.Background()); err != nil {
--- a/internal/peers/reports.go
+++ b/internal/peers/reports.go
@@ -37,29 +37,29 @@
 	// BeyondReport what all other zones have.
 	OwnReport() upstreamstate.Report
 	ZoneReport() upstreamstate.Report
-	BeyondReport() upstreamstate.Report
+	OtherZonesReport() upstreamstate.Report
 	// Learned is what this instance has learned of the engines.
 	Learned() map[uint32]estimate.Learned
-	// TakeReport takes the report of a source.
-	TakeReport(source string, report upstreamstate.Report)
-	// Behind takes whether others are known to have rows that this instance lacks.
-	Behind(behind bool)
+	// ApplyReport takes the report of a source.
+	ApplyReport(source string, report upstreamstate.Report)
+	// SetBehind takes whether others are known to have rows that this instance lacks.
+	SetBehind(behind bool)
 	Limits
-	// Coordinate takes the part of upstreams' limits that this instance gives out; 0 for
+	// SetGrantShare takes the part of upstreams' limits that this instance gives out; 0 for
 	// none. GrantLimited decides on one send to such an upstream.
-	Coordinate(share float64)
-	GrantLimited(ask quota.Ask) quota.Verdict
-	// Grant gives a further send to a service away, from the pool that this instance
+	SetGrantShare(share float64)
+	DecideGrant(ask quota.Ask) quota.Verdict
+	// GrantRetry gives a further send to a service away, from the pool that this instance
 	// keeps for its zone; false when there is none.
-	Grant(service uint32) bool
+	GrantRetry(service uint32) bool
 }
 
 // Limits are those of upstreams that an instance knows. One that has just started takes them
 // from the peer that gives it the platform's rows, before it serves.
 type Limits interface {
 	Limits() []quota.Word
-	// HearLimits takes those of an instance of this zone, or of another one.
-	HearLimits(words []quota.Word, beside bool)
+	// ApplyLimits takes those of an instance of this zone, or of another one.
+	ApplyLimits(words []quota.Word, beside bool)
 }
 
 // Reports sends and takes the reports.
@@ -145,8 +145,8 @@
 
 // tell sends what is due, and returns the time until something may be due again.
 func (r *Reports) tell(urgent bool) time.Duration {
-	r.loads.Behind(r.exchange.lacksRows())
-	r.loads.Coordinate(r.exchange.grantShare())
+	r.loads.SetBehind(r.exchange.lacksRows())
+	r.loads.SetGrantShare(r.exchange.grantShare())
 	passes, hears := r.exchange.state()
 	due, wait := r.pace.Next(r.exchange.now(), passes, hears, urgent)
 	if due.Own {
--- a/internal/placement/assign.go
+++ b/internal/placement/assign.go
@@ -11,33 +11,33 @@
 // be split, the prompt on a prefill engine, if the weaker engine of the best
 // pair of prefill and decode scores higher than the best mixed one. Where the
 // configuration has neither, any engine takes the whole.
-func (s *Scheduler) Assign(req *Request, candidates []Candidate, rng *rand.Rand) (first Candidate, work Work, ok bool) {
-	if req.Work != WorkWhole {
+func (s *Scheduler) Assign(req *Request, candidates []Candidate, rng *rand.Rand) (first Candidate, work Phase, ok bool) {
+	if req.Phase != PhaseFull {
 		first, ok = s.Schedule(req, candidates, rng)
-		return first, req.Work, ok
+		return first, req.Phase, ok
 	}
 	whole, hasWhole := s.Schedule(req, candidates, rng)
 	if req.Split {
 		prefill, score, hasPair := s.pair(req, candidates, rng)
 		if hasPair && (!hasWhole || score > s.score(req, whole)) {
-			return prefill, WorkPrefill, true
+			return prefill, PhasePrefill, true
 		}
 	}
 	if hasWhole {
-		return whole, WorkWhole, true
+		return whole, PhaseFull, true
 	}
 	any := *req
-	any.Work = WorkAny
+	any.Phase = PhaseAnyRole
 	first, ok = s.Schedule(&any, candidates, rng)
-	return first, WorkAny, ok
+	return first, PhaseAnyRole, ok
 }
 
 // pair returns the best prefill engine, if a decode engine can go on after it,
 // and the lower of the two scores.
 func (s *Scheduler) pair(req *Request, candidates []Candidate, rng *rand.Rand) (prefill Candidate, score float64, ok bool) {
 	first, next := *req, *req
-	first.Work = WorkPrefill
-	next.Work, next.Prompt.Tokens, next.Prefix = WorkDecode, 0, nil
+	first.Phase = PhasePrefill
+	next.Phase, next.Prompt.Tokens, next.Prefix = PhaseDecode, 0, nil
 	prefill, ok = s.Schedule(&first, ofRole(candidates, config.RolePrefill), rng)
 	if !ok {
 		return prefill, 0, false
--- a/internal/relay/apart_test.go
+++ b/internal/relay/apart_test.go
@@ -20,7 +20,7 @@
 			return nil, ErrNotSent
 		}
 		f.ended[s.To.ID] = true
-		return nil, Lost(io.EOF)
+		return nil, WrapReadError(io.EOF)
 	}
 	return f
 }
@@ -61,7 +61,7 @@
 		sends := f.count()
 		_, err := serve(r, call(path))
 		var refusal *Refusal
-		if !errors.As(err, &refusal) || refusal.Word != NotRun || refusal.RetryIn != 0 || f.count() != sends {
+		if !errors.As(err, &refusal) || refusal.Outcome != NotRun || refusal.RetryIn != 0 || f.count() != sends {
 			t.Errorf("%s: %v after %d more sends; want a refusal that tells no time to come back", path, err, f.count()-sends)
 		}
 		f.run = nil
@@ -75,7 +75,7 @@
 // upstream lives on do not count against the request.
 func TestWhoeverIsCutOffByAnUpstreamThatLivesIsServed(t *testing.T) {
 	f := ender()
-	f.run = func(int, Send) (*Reply, error) { return nil, Lost(io.EOF) } // none has ended
+	f.run = func(int, Send) (*Reply, error) { return nil, WrapReadError(io.EOF) } // none has ended
 	r := newFake(t, f)
 	plentiful(r)
 	for range 3 {
@@ -122,7 +122,7 @@
 	content := call("/once/1").Content()
 	for n, r := range []*Relay{first, second} {
 		end := quarantine.End{Content: content, Upstream: upstreamstate.Upstream{ID: string(rune('a' + n))}.Incarnation()}
-		r.NoteEnd(end)
+		r.RecordCrash(end)
 	}
 	for _, from := range []*Relay{first, second} {
 		ends := from.OwnReport().Ends
@@ -130,14 +130,14 @@
 			t.Fatalf("%d ends are told of", len(ends))
 		}
 		for _, to := range []*Relay{first, second, third} {
-			to.TakeReport(upstreamstate.BesidePrefix+"x", upstreamstate.Report{Ends: ends})
+			to.ApplyReport(upstreamstate.BesidePrefix+"x", upstreamstate.Report{Ends: ends})
 		}
 	}
 	for n, r := range []*Relay{first, second, third} {
 		if _, err := serve(r, call("/once/1")); wordOf(t, err) != NotRun {
 			t.Errorf("instance %d: %v", n, err)
 		}
-		if kept := len(r.Unkept()); (kept == 1) != (r != third) {
+		if kept := len(r.Unpersisted()); (kept == 1) != (r != third) {
 			t.Errorf("instance %d keeps %d for all", n, kept)
 		}
 	}
@@ -148,7 +148,7 @@
 func TestAnInstanceTakesAnothersWord(t *testing.T) {
 	r := newFake(t, &fakeSender{})
 	req := call("/unsafe/1")
-	r.SetApart(req.Content(), 1)
+	r.Quarantine(req.Content(), 1)
 	if _, err := serve(r, req); wordOf(t, err) != NotRun {
 		t.Errorf("%v", err)
 	}
@@ -168,20 +168,20 @@
 	if _, err := serve(r, req); err != nil {
 		t.Fatalf("refused after its term: %v", err)
 	}
-	unkept := r.Unkept()
+	unkept := r.Unpersisted()
 	if times, ok := unkept[req.Content()]; !ok || times != 0 {
 		t.Errorf("%v is to be kept; want its release", unkept)
 	}
-	r.Kept(unkept)
-	r.SetApart(req.Content(), 1) // another instance's word, and wrong
-	if unkept := r.Unkept(); len(unkept) != 1 {
+	r.MarkPersisted(unkept)
+	r.Quarantine(req.Content(), 1) // another instance's word, and wrong
+	if unkept := r.Unpersisted(); len(unkept) != 1 {
 		t.Error("the wrong word stays")
 	}
 	if _, err := serve(r, req); err != nil {
 		t.Errorf("refused by a wrong word: %v", err)
 	}
-	r.Kept(r.Unkept())
-	if left := r.Unkept(); len(left) != 0 {
+	r.MarkPersisted(r.Unpersisted())
+	if left := r.Unpersisted(); len(left) != 0 {
 		t.Errorf("%v is to be kept again", left)
 	}
 }
@@ -192,7 +192,7 @@
 	r := newFake(t, f)
 	req := longPrompt("/once/1")
 	f.prefill = func(_ int, s Send) (KV, error) {
-		r.SetApart(req.Content(), 1)
+		r.Quarantine(req.Content(), 1)
 		return KV{Engine: s.To, Handle: "h"}, nil
 	}
 	_, err := serve(r, req)
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -37,20 +37,20 @@
 	// counted: it was counted as one that began to run.
 	counted bool
 	// turn is when that prompt was to be processed there.
-	turn placement.Turn
+	turn placement.QueueOrder
 	// content returns the name of what is asked for, which is computed once.
 	content func() quarantine.Content
 }
 
 // ask is what the choice of an upstream depends on.
-func (x *exchange) ask(now time.Duration) upstreamstate.Ask {
-	ask := upstreamstate.Ask{
+func (x *exchange) ask(now time.Duration) upstreamstate.PlacementRequest {
+	ask := upstreamstate.PlacementRequest{
 		ID: x.req.ID, Service: x.service, Excluded: x.tries.Excluded(),
-		Objective: x.route.Objective - (now - x.arrived), Left: x.left(now),
+		Objective: x.route.Objective - (now - x.arrived), TimeLeft: x.left(now),
 		Priority: x.identity.Priority(x.route),
 	}
 	if patience := x.route.Patience; patience > 0 {
-		ask.Left = min(ask.Left, patience-(now-x.arrived))
+		ask.TimeLeft = min(ask.TimeLeft, patience-(now-x.arrived))
 	}
 	if x.req.Prompt != nil {
 		ask.Prompt = *x.req.Prompt
@@ -60,7 +60,7 @@
 
 // send is a way to send it to an upstream, with what each way has.
 func (x *exchange) send(to upstreamstate.Upstream, now time.Duration) Send {
-	return Send{To: to, Within: x.left(now), Priority: x.identity.Priority(x.route), Identity: x.identity}
+	return Send{To: to, Timeout: x.left(now), Priority: x.identity.Priority(x.route), Identity: x.identity}
 }
 
 func (x *exchange) left(now time.Duration) time.Duration { return x.ends - now }
@@ -80,17 +80,17 @@
 }
 
 // verdictOf is what an error tells of the upstream.
-func verdictOf(ctx context.Context, err error) load.Verdict {
+func verdictOf(ctx context.Context, err error) load.CallResult {
 	switch {
 	case errors.Is(err, ErrNotSent):
-		return load.VerdictGone
-	case errors.Is(err, ErrMoved):
-		return load.VerdictMoved
+		return load.CallUnreachable
+	case errors.Is(err, ErrAddressReassigned):
+		return load.CallAddressReassigned
 	case errors.Is(err, ErrRefused):
-		return load.VerdictRefused
+		return load.CallRefused
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		return load.VerdictGone
+		return load.CallUnreachable
 	default:
-		return load.VerdictFailed
+		return load.CallFailed
 	}
 }
--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -32,7 +32,7 @@
 	run     func(n int, s Send) (*Reply, error)
 	prefill func(n int, s Send) (KV, error)
 
-	hear func(upstreamstate.Upstream, upstreamstate.Statement)
+	hear func(upstreamstate.Upstream, upstreamstate.UpstreamStatus)
 
 	mu       sync.Mutex // protects all below
 	calls    []sent
@@ -47,7 +47,7 @@
 	healthPath string
 }
 
-func (f *fakeSender) Listen(hear func(upstreamstate.Upstream, upstreamstate.Statement)) {
+func (f *fakeSender) SetStatementHandler(hear func(upstreamstate.Upstream, upstreamstate.UpstreamStatus)) {
 	f.hear = hear
 }
 
@@ -81,8 +81,8 @@
 	return nil
 }
 
-// Ended implements Sender: the upstreams that the script names have.
-func (f *fakeSender) Ended(_ context.Context, to upstreamstate.Upstream, healthPath string) (bool, error) {
+// Crashed implements Sender: the upstreams that the script names have.
+func (f *fakeSender) Crashed(_ context.Context, to upstreamstate.Upstream, healthPath string) (bool, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.healthPath = healthPath
@@ -131,7 +131,7 @@
 	t.Helper()
 	s := DefaultSettings()
 	s.Zone = "a"
-	s.PrefillSilence = 50 * time.Millisecond
+	s.PrefillIdleTimeout = 50 * time.Millisecond
 	r := New(s, sender, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	r.SetRoutes(routes.NewTable(1, []routes.Route{
 		{Name: "safe", Host: "h", Prefix: "/safe/", Kind: routes.Idempotent, MaxAttempts: 2, Timeout: time.Second, Shares: []routes.Share{{Service: "app", Weight: 1}}},
@@ -140,13 +140,13 @@
 		{Name: "resumable", Host: "h", Prefix: "/resumable/", Kind: routes.Generation, Resumable: true, MaxAttempts: 2, Timeout: 2 * time.Second, Shares: []routes.Share{{Service: "llm", Weight: 1}}},
 	}, []routes.Service{{Name: "app", HealthPath: "/health"}}, routes.Limits{}))
 	for _, id := range []string{"app-1", "app-2", "app-3"} {
-		r.Learn(upstreamstate.Upstream{ID: id, Service: "app", Address: id, Zone: "a"})
+		r.UpdateUpstream(upstreamstate.Upstream{ID: id, Service: "app", Address: id, Zone: "a"})
 	}
 	for _, id := range []string{"pre-1", "pre-2"} {
-		r.Learn(upstreamstate.Upstream{ID: id, Service: "llm", Address: id, Zone: "a", Role: config.RolePrefill})
+		r.UpdateUpstream(upstreamstate.Upstream{ID: id, Service: "llm", Address: id, Zone: "a", Role: config.RolePrefill})
 	}
 	for _, id := range []string{"dec-1", "dec-2", "dec-3"} {
-		r.Learn(upstreamstate.Upstream{ID: id, Service: "llm", Address: id, Zone: "a", Role: config.RoleDecode})
+		r.UpdateUpstream(upstreamstate.Upstream{ID: id, Service: "llm", Address: id, Zone: "a", Role: config.RoleDecode})
 	}
 	return r
 }
@@ -154,16 +154,16 @@
 // plentiful makes the relay's budget large.
 func plentiful(r *Relay) {
 	r.SetBudget(BudgetSettings{Share: 10, Slack: 100, Window: time.Second})
-	r.AskWith(func(context.Context, uint32) bool { return true })
+	r.SetPoolRequester(func(context.Context, uint32) bool { return true })
 }
 
 func call(path string) *Request {
-	return &Request{ID: "r1", Method: "POST", Host: "h", Path: path, Target: path, Header: http.Header{}, Patience: time.Second}
+	return &Request{ID: "r1", Method: "POST", Host: "h", Path: path, Target: path, Header: http.Header{}, WaitBudget: time.Second}
 }
 
 func longPrompt(path string) *Request {
 	req := call(path)
-	req.Prompt = &placement.Prompt{Tokens: 8000, Output: 10, Parts: []placement.Part{{ID: "s", Tokens: 5000}, {ID: "o", Tokens: 3000}}}
+	req.Prompt = &placement.Prompt{Tokens: 8000, MaxOutput: 10, Parts: []placement.Part{{ID: "s", Tokens: 5000}, {ID: "o", Tokens: 3000}}}
 	return req
 }
 
@@ -173,11 +173,11 @@
 	return w, err
 }
 
-func wordOf(t *testing.T, err error) Word {
+func wordOf(t *testing.T, err error) Outcome {
 	t.Helper()
 	var refusal *Refusal
 	if !errors.As(err, &refusal) {
 		t.Fatalf("no refusal: %v", err)
 	}
-	return refusal.Word
+	return refusal.Outcome
 }
--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -27,7 +27,7 @@
 	// direct: the engine that generates processes the prompt too; start says
 	// which one, unless it is to be chosen anew.
 	direct bool
-	start  placement.Start
+	start  placement.Prefill
 	// kv is the processed prompt that no engine has fetched yet.
 	kv KV
 	// begun: the caller has the answer's header.
@@ -60,7 +60,7 @@
 func (g *generation) ended(err error) error {
 	var refusal *Refusal
 	if g.begun && errors.As(err, &refusal) {
-		return errors.WithMessagef(ErrBroken, "%s: %s", refusal.Reason, causeOf(g.exchange))
+		return errors.WithMessagef(ErrAnswerAborted, "%s: %s", refusal.Reason, causeOf(g.exchange))
 	}
 	return err
 }
@@ -92,7 +92,7 @@
 	if !ok {
 		return attempt.Result{Status: attempt.NoUpstream, Err: errors.WithMessage(ErrNotSent, "no engine to generate")}
 	}
-	return g.relay.run(ctx, g, placement.Start{Engine: engine})
+	return g.relay.run(ctx, g, placement.Prefill{Engine: engine})
 }
 
 // pickDecode chooses the engine that generates from the processed prompt, and charges the
@@ -117,7 +117,7 @@
 	r.meters.copied.Inc(1)
 	g.kv, g.backup = KV{Engine: engine, Handle: g.req.ID}, upstreamstate.Upstream{}
 	defer func() { g.kv = KV{} }() // the engine drops a copy that was not used
-	return r.run(ctx, g, placement.Start{Engine: placement.Candidate{ID: id}})
+	return r.run(ctx, g, placement.Prefill{Engine: placement.Candidate{ID: id}})
 }
 
 // prepare chooses where the generation begins. Unless one engine is to do all
@@ -128,14 +128,14 @@
 	if !ok {
 		return attempt.Result{Status: attempt.NoUpstream, Err: errors.WithMessage(ErrNotSent, "no engine for the prompt")}
 	}
-	g.ahead, g.own, g.turn = start.Engine.Told.Ahead, start.Work, turn
+	g.ahead, g.own, g.turn = start.Engine.Aggregate.Backlog, start.BusyTime, turn
 	if g.direct = start.Direct(); g.direct {
 		r.meters.direct.Inc(1)
 		g.start = start
 		return attempt.Result{Status: attempt.Done}
 	}
 	if !r.reserve(ctx, g) {
-		r.picture.PromptDone(start.Engine.ID, start.Work, turn)
+		r.picture.PromptDone(start.Engine.ID, start.BusyTime, turn)
 		r.picture.End(start.Engine.ID, g.req.ID, r.now())
 		return attempt.Result{Status: attempt.NoUpstream, Err: errors.WithMessage(ErrLimited, "no room for the answer")}
 	}
@@ -148,38 +148,38 @@
 	return attempt.Result{Status: attempt.Done}
 }
 
-func (r *Relay) prefillOn(ctx context.Context, g *generation, start placement.Start) (KV, error) {
-	engine, work := r.picture.Upstream(start.Engine.ID), start.Work
+func (r *Relay) prefillOn(ctx context.Context, g *generation, start placement.Prefill) (KV, error) {
+	engine, work := r.picture.Upstream(start.Engine.ID), start.BusyTime
 	defer r.picture.PromptDone(engine.ID, work, g.turn)
 	defer func() { r.picture.End(engine.ID, g.req.ID, r.now()) }()
 	g.exchange.prefill = engine.ID
 	g.tries.Prepared()
 	started := r.now()
-	ahead := start.Engine.Told.Ahead
+	ahead := start.Engine.Aggregate.Backlog
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	go r.whenSilent(ctx, engine.ID, ahead+work+r.settings.PrefillSilence, cancel)
+	go r.whenSilent(ctx, engine.ID, ahead+work+r.settings.PrefillIdleTimeout, cancel)
 	send := g.send(engine, started)
-	send.Yields, send.FetchFrom = g.turn == placement.TurnYield, r.picture.Upstream(start.Source.ID).Address
+	send.Deferred, send.FetchFrom = g.turn == placement.QueueDeferred, r.picture.Upstream(start.Source.ID).Address
 	kv, said, err := r.sender.Prefill(ctx, g.req, send)
 	if err != nil {
 		return KV{}, err
 	}
 	r.noteAnswer(engine.ID, said)
-	r.picture.Judge(engine.ID, load.VerdictGood, r.now())
+	r.picture.Judge(engine.ID, load.CallSucceeded, r.now())
 	r.meters.prefills.Inc(1)
 	took := r.now() - started
 	observe("prefill", took)
 	observe("prefill_predicted", ahead+work)
-	if start.Source.ID == "" && start.Fresh <= g.prompt.Tokens-g.prompt.SharedTokens() {
+	if start.Source.ID == "" && start.UncachedTokens <= g.prompt.Tokens-g.prompt.SharedTokens() {
 		// what is not believed cached may be there all the same
 		r.picture.Prefilled(g.service, estimate.Prefill{
-			Fresh: start.Fresh, Cached: g.prompt.Tokens - start.Fresh, Ahead: ahead, Took: took,
+			Fresh: start.UncachedTokens, Cached: g.prompt.Tokens - start.UncachedTokens, Ahead: ahead, Took: took,
 		})
 	}
 	r.log.Info("relay: prefilled", "request", g.req.ID, "engine", engine.ID, "tokens", g.prompt.Tokens,
-		"shared", g.prompt.SharedTokens(), "cached", start.Engine.Told.Cached, "source", start.Source.ID, "ahead", ahead,
-		"turn", g.turn, "yielding", start.Engine.Told.Yielding, "use", start.Engine.Told.Use, "predicted", work, "took", took,
+		"shared", g.prompt.SharedTokens(), "cached", start.Engine.Aggregate.CachedTokens, "source", start.Source.ID, "ahead", ahead,
+		"turn", g.turn, "yielding", start.Engine.Aggregate.DeferredBacklog, "use", start.Engine.Aggregate.Utilization, "predicted", work, "took", took,
 		"running", said.Running, "waiting", said.Waiting)
 	return kv, nil
 }
@@ -203,15 +203,15 @@
 			return
 		}
 		since = r.now()
-		timer.Reset(r.settings.PrefillSilence)
+		timer.Reset(r.settings.PrefillIdleTimeout)
 	}
 }
 
 // run has an engine generate, and passes its events on.
-func (r *Relay) run(ctx context.Context, g *generation, start placement.Start) attempt.Result {
+func (r *Relay) run(ctx context.Context, g *generation, start placement.Prefill) attempt.Result {
 	engine := r.picture.Upstream(start.Engine.ID)
 	defer func() { r.picture.End(start.Engine.ID, g.req.ID, r.now()) }()
-	prompted := sync.OnceFunc(func() { r.picture.PromptDone(start.Engine.ID, start.Work, placement.TurnNext) })
+	prompted := sync.OnceFunc(func() { r.picture.PromptDone(start.Engine.ID, start.BusyTime, placement.QueueNormal) })
 	defer prompted()
 	if err := r.bar(g.exchange); err != nil { // its prompt may have taken a while
 		return attempt.Result{Status: attempt.NoUpstream, Err: err}
@@ -243,11 +243,11 @@
 		return r.passFailure(ctx, g, engine, reply)
 	}
 	if !g.direct && !g.begun {
-		r.picture.Began(g.service, g.prompt.Tokens-start.Engine.Told.Cached, r.now()-started)
+		r.picture.Began(g.service, g.prompt.Tokens-start.Engine.Aggregate.CachedTokens, r.now()-started)
 	}
 	r.log.Info("relay: generates", "request", g.req.ID, "engine", engine.ID, "direct", g.direct, "tokens", g.prompt.Tokens,
 		"running", reply.Load.Running, "waiting", reply.Load.Waiting, "after", r.now()-started,
-		"cached", start.Engine.Told.Cached, "ahead", start.Engine.Told.Ahead, "requests", start.Engine.Told.Requests, "last_event", g.lastEvent)
+		"cached", start.Engine.Aggregate.CachedTokens, "ahead", start.Engine.Aggregate.Backlog, "requests", start.Engine.Aggregate.Requests, "last_event", g.lastEvent)
 	return r.passOn(ctx, stop, g, engine, reply, started)
 }
 
@@ -256,13 +256,13 @@
 func (r *Relay) passFailure(ctx context.Context, g *generation, engine upstreamstate.Upstream, reply *Reply) attempt.Result {
 	again := g.tries.MayRunElsewhere() && ctx.Err() == nil
 	if g.begun || again {
-		err := errors.WithMessagef(ErrLost, "the engine answered %d", reply.Status)
+		err := errors.WithMessagef(ErrNoValidAnswer, "the engine answered %d", reply.Status)
 		r.blame(ctx, g.exchange, engine.ID, err)
 		return failure(engine.ID, err)
 	}
 	first, err := io.ReadAll(io.LimitReader(reply.Body, wholeBytes))
 	if err != nil {
-		return failure(engine.ID, errors.WithMessage(ErrLost, err.Error()))
+		return failure(engine.ID, errors.WithMessage(ErrNoValidAnswer, err.Error()))
 	}
 	return attempt.Result{Status: attempt.Done, Err: deliver(g.w, g.exchange, answer{reply: reply, first: first, whole: true})}
 }
@@ -287,14 +287,14 @@
 	}
 	p := passing{w: g.w, flush: http.NewResponseController(g.w).Flush, lastEvent: g.lastEvent}
 	if g.tries.MayRunElsewhere() {
-		p.silence, p.stop = r.settings.StreamSilence, stop
+		p.silence, p.stop = r.settings.StreamIdleTimeout, stop
 	}
 	began, whole := r.now(), g.lastEvent == ""
 	err := p.pass(reply.Body)
 	g.lastEvent = p.lastEvent
 	switch {
 	case err == nil:
-		r.picture.Judge(engine.ID, load.VerdictGood, r.now())
+		r.picture.Judge(engine.ID, load.CallSucceeded, r.now())
 		observe("stream", r.now()-started)
 		if whole {
 			r.picture.Streamed(g.service, engine.ID, p.events.Count(), estimate.Stream{
@@ -302,13 +302,13 @@
 			}, r.now())
 		}
 		return attempt.Result{Status: attempt.Done}
-	case errors.Is(err, ErrCallerGone) || errors.Is(ctx.Err(), context.Canceled):
-		return attempt.Result{Status: attempt.Done, Err: ErrCallerGone}
+	case errors.Is(err, ErrCallerDisconnected) || errors.Is(ctx.Err(), context.Canceled):
+		return attempt.Result{Status: attempt.Done, Err: ErrCallerDisconnected}
 	}
 	if g.backup.ID != "" && g.lastEvent != "" {
 		g.tries.SetBackup(g.backup.ID)
 	}
-	err = Lost(err)
+	err = WrapReadError(err)
 	r.blame(ctx, g.exchange, engine.ID, err)
 	return failure(engine.ID, err)
 }
@@ -322,7 +322,7 @@
 		return
 	}
 	kv := g.kv
-	if r.Resting(kv.Engine) {
+	if r.BackingOff(kv.Engine) {
 		r.log.Info("relay: a KV cache is left to lapse, its engine rests", "request", g.req.ID, "engine", kv.Engine.ID)
 		return
 	}
--- a/internal/relay/leaving_test.go
+++ b/internal/relay/leaving_test.go
@@ -14,8 +14,8 @@
 )
 
 // leavingWord is an upstream's word that it leaves.
-func leavingWord() upstreamstate.Statement {
-	return upstreamstate.Statement{Announcement: &quota.Announcement{Leaving: true}}
+func leavingWord() upstreamstate.UpstreamStatus {
+	return upstreamstate.UpstreamStatus{Announcement: &quota.Announcement{Leaving: true}}
 }
 
 // sendKind is a kind of request whose sends must heed what upstreams say.
@@ -39,7 +39,7 @@
 // sendKinds are all ways to upstreams.
 var sendKinds = map[string]sendKind{
 	"a call":                    {good, requestTo(call, "/unsafe/1")},
-	"a call that is repeated":   {answering(failFirst(ErrLost, plainReply)), requestTo(call, "/safe/1")},
+	"a call that is repeated":   {answering(failFirst(ErrNoValidAnswer, plainReply)), requestTo(call, "/safe/1")},
 	"a call that is refused":    {answering(failFirst(ErrRefused, plainReply)), requestTo(call, "/unsafe/1")},
 	"a prompt and its answer":   {good, requestTo(longPrompt, "/once/1")},
 	"a prompt processed anew":   {answering(failFirst(ErrRefused, wholeEvents)), requestTo(longPrompt, "/once/1")},
@@ -51,7 +51,7 @@
 }
 
 // saidBy has upstreams say a word in answers of before.
-func saidBy(r *Relay, word upstreamstate.Statement, ids ...string) {
+func saidBy(r *Relay, word upstreamstate.UpstreamStatus, ids ...string) {
 	for _, id := range ids {
 		r.hear(r.picture.Upstream(id), word)
 	}
@@ -165,10 +165,10 @@
 		began := time.Now()
 		_, err := serve(r, req)
 		var refusal *Refusal
-		if !errors.As(err, &refusal) || refusal.Word != NotRun || refusal.RetryIn <= 0 || refusal.Reason != "all upstreams leave" {
+		if !errors.As(err, &refusal) || refusal.Outcome != NotRun || refusal.RetryIn <= 0 || refusal.Reason != "all upstreams leave" {
 			t.Errorf("%s: %+v", req.Path, err)
 		}
-		if took := time.Since(began); sender.count() > 0 || took > req.Patience/2 {
+		if took := time.Since(began); sender.count() > 0 || took > req.WaitBudget/2 {
 			t.Errorf("%s: %d sends, refused after %s", req.Path, sender.count(), took)
 		}
 	}
--- a/internal/relay/limits_test.go
+++ b/internal/relay/limits_test.go
@@ -45,7 +45,7 @@
 	t.Helper()
 	r := newFake(t, sender)
 	plentiful(r)
-	r.AskLimitWith(c.ask)
+	r.SetGrantRequester(c.ask)
 	for _, id := range limited {
 		r.hear(r.picture.Upstream(id), limitOf(2))
 	}
@@ -53,8 +53,8 @@
 }
 
 // limitOf is an upstream's word on the requests a second that it takes.
-func limitOf(rate float64) upstreamstate.Statement {
-	return upstreamstate.Statement{Announcement: &quota.Announcement{Limited: true, Rate: rate}}
+func limitOf(rate float64) upstreamstate.UpstreamStatus {
+	return upstreamstate.UpstreamStatus{Announcement: &quota.Announcement{Limited: true, Rate: rate}}
 }
 
 var (
@@ -73,7 +73,7 @@
 		sends  int
 	}{
 		"a call":                    {&fakeSender{}, call("/unsafe/1"), 1},
-		"a call that is repeated":   {&fakeSender{run: failFirst(ErrLost, func() *Reply { return reply(200, strings.NewReader("a")) })}, call("/safe/1"), 2},
+		"a call that is repeated":   {&fakeSender{run: failFirst(ErrNoValidAnswer, func() *Reply { return reply(200, strings.NewReader("a")) })}, call("/safe/1"), 2},
 		"a call that is refused":    {&fakeSender{run: failFirst(ErrRefused, func() *Reply { return reply(200, strings.NewReader("a")) })}, call("/unsafe/1"), 2},
 		"a prompt and its answer":   {&fakeSender{}, longPrompt("/once/1"), 2},
 		"a prompt processed anew":   {&fakeSender{run: failFirst(ErrRefused, wholeEvents)}, longPrompt("/once/1"), 4},
@@ -116,7 +116,7 @@
 
 func failFirstPrompt(n int, s Send) (KV, error) {
 	if n == 1 {
-		return KV{}, ErrLost
+		return KV{}, ErrNoValidAnswer
 	}
 	return KV{Engine: s.To, Handle: "h"}, nil
 }
@@ -143,7 +143,7 @@
 		}}
 		r := limitedRelay(t, sender, asked, "app-1", "app-2", "pre-1", "dec-1", "dec-2")
 		r.SetBudget(BudgetSettings{Window: time.Second})
-		r.AskWith(func(context.Context, uint32) bool { return false })
+		r.SetPoolRequester(func(context.Context, uint32) bool { return false })
 		for n := range 20 {
 			req := longPrompt(path)
 			req.ID = fmt.Sprint("r", n)
@@ -191,7 +191,7 @@
 			began := time.Now()
 			_, err := serve(r, req)
 			var refusal *Refusal
-			if !errors.As(err, &refusal) || refusal.Word != NotRun || refusal.Reason != "the upstreams' limits leave no room" {
+			if !errors.As(err, &refusal) || refusal.Outcome != NotRun || refusal.Reason != "the upstreams' limits leave no room" {
 				t.Fatalf("%s: %v", name, err)
 			}
 			if refusal.RetryIn < room/2 || refusal.RetryIn > 2*room {
@@ -259,7 +259,7 @@
 	if _, err := serve(r, call("/safe/1")); wordOf(t, err) != NotRun || sender.count() > 0 {
 		t.Errorf("%v, %d sends", err, sender.count())
 	}
-	if verdict := r.GrantLimited(quota.Ask{Word: quota.Word{Upstream: 1, Rate: 2}}); verdict.Granted {
+	if verdict := r.DecideGrant(quota.Ask{Word: quota.Word{Upstream: 1, Rate: 2}}); verdict.Granted {
 		t.Error("an instance that does not coordinate granted")
 	}
 }
@@ -270,8 +270,8 @@
 	r := limitedRelay(t, &fakeSender{}, asked, "app-1")
 	before := r.picture.Upstream("app-1")
 	again := before
-	again.Born = 7
-	r.Learn(again)
+	again.StartedAt = 7
+	r.UpdateUpstream(again)
 	r.hear(before, limitOf(1))
 	w, _, known := r.picture.Limit(again.Incarnation(), r.now())
 	if w.Limits() || known {
@@ -283,7 +283,7 @@
 func TestAWordThatCannotBeReadChangesNothing(t *testing.T) {
 	r := limitedRelay(t, &fakeSender{}, &coordinator{}, "app-1")
 	for _, id := range []string{"app-1", "app-2"} {
-		r.hear(r.picture.Upstream(id), upstreamstate.Statement{Unread: []error{errors.New("no rate")}})
+		r.hear(r.picture.Upstream(id), upstreamstate.UpstreamStatus{ParseErrors: []error{errors.New("no rate")}})
 	}
 	for id, limits := range map[string]bool{"app-1": true, "app-2": false} {
 		if w, _, _ := r.picture.Limit(hashOfUpstream(id), r.now()); w.Limits() != limits {
--- a/internal/relay/link.go
+++ b/internal/relay/link.go
@@ -30,9 +30,9 @@
 	l.note(func(s *ownlink.Link) { s.Heard(now) })
 }
 
-// Behind takes whether other instances are known to have rows of the platform that this one
+// SetBehind takes whether other instances are known to have rows of the platform that this one
 // lacks.
-func (r *Relay) Behind(behind bool) {
+func (r *Relay) SetBehind(behind bool) {
 	now := r.now()
 	r.link.note(func(s *ownlink.Link) { s.Lacks(behind, now) })
 }
@@ -41,9 +41,9 @@
 func (r *Relay) noteLink(upstream string, err error) {
 	now := r.now()
 	r.link.note(func(s *ownlink.Link) {
-		if errors.Is(err, ErrSilent) {
+		if errors.Is(err, ErrConnectTimeout) {
 			s.Silent(upstream, now)
-		} else if errors.Is(err, ErrRefused) || errors.Is(err, ErrMoved) {
+		} else if errors.Is(err, ErrRefused) || errors.Is(err, ErrAddressReassigned) {
 			s.Answered(upstream, now)
 		}
 	})
@@ -65,12 +65,12 @@
 
 // refuseTroubled is the refusal of a request at an instance in trouble.
 func refuseTroubled(why ownlink.Trouble, retryIn time.Duration) *Refusal {
-	return &Refusal{Word: NotRun, Reason: string(why), RetryIn: retryIn}
+	return &Refusal{Outcome: NotRun, Reason: string(why), RetryIn: retryIn}
 }
 
-// Choked tells whether this instance's own link is to blame that its requests reach no
+// Impaired tells whether this instance's own link is to blame that its requests reach no
 // upstream, or that it cannot know which ones leave.
-func (r *Relay) Choked() bool { return r.Trouble() != "" }
+func (r *Relay) Impaired() bool { return r.Trouble() != "" }
 
 // comeBackIn is when a caller should come back, to another instance.
 func (r *Relay) comeBackIn(patience time.Duration) time.Duration {
--- a/internal/upstreamstate/bench_test.go
+++ b/internal/upstreamstate/bench_test.go
@@ -21,7 +21,7 @@
 )
 
 // largePicture knows engines of which 13 in 18 process prompts, in six zones.
-func largePicture(engines int) *Picture {
+func largePicture(engines int) *State {
 	p := New(Settings{
 		Zone: "z0", Placement: placement.DefaultSettings(), Prior: estimate.DefaultPrior(), Outliers: load.DefaultOutlierRules(), Seed: 1,
 	})
@@ -55,7 +55,7 @@
 func sourceName(i int) string { return BesidePrefix + strconv.Itoa(i) }
 
 func benchPrompt(i int) placement.Prompt {
-	return placement.Prompt{Tokens: 17000, Output: 600, Parts: []placement.Part{
+	return placement.Prompt{Tokens: 17000, MaxOutput: 600, Parts: []placement.Part{
 		{ID: "part-" + strconv.Itoa(i%500), Tokens: 13300}, {ID: "own", Tokens: 3700},
 	}}
 }
@@ -72,12 +72,12 @@
 		if reports {
 			p.TakeReport(sourceName(i%sources), sourceReport(i%sources, engines), 0)
 		}
-		ask := Ask{ID: "r", Service: "llm", Prompt: benchPrompt(i), Objective: time.Second, Left: 6 * time.Second}
+		ask := PlacementRequest{ID: "r", Service: "llm", Prompt: benchPrompt(i), Objective: time.Second, TimeLeft: 6 * time.Second}
 		start, turn, ok := p.PickStart(ask, 0)
 		if !ok {
 			b.Fatal("no engine")
 		}
-		p.PromptDone(start.Engine.ID, start.Work, turn)
+		p.PromptDone(start.Engine.ID, start.BusyTime, turn)
 		p.End(start.Engine.ID, "r", 0)
 	}
 }
@@ -118,7 +118,7 @@
 	for _, engines := range benchEngines {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
 			p := largePicture(engines)
-			p.PickStart(Ask{ID: "r", Service: "llm", Prompt: benchPrompt(1), Objective: time.Second, Left: time.Second}, 0)
+			p.PickStart(PlacementRequest{ID: "r", Service: "llm", Prompt: benchPrompt(1), Objective: time.Second, TimeLeft: time.Second}, 0)
 			b.ReportAllocs()
 			for b.Loop() {
 				p.OwnReport(0)
--- a/internal/upstreamstate/upstreamstate_test.go
+++ b/internal/upstreamstate/upstreamstate_test.go
@@ -13,7 +13,7 @@
 
 // newPicture knows two prefill and three decode engines and three upstreams of a
 // plain service.
-func newPicture() *Picture {
+func newPicture() *State {
 	p := New(Settings{
 		Zone: "a", Placement: placement.DefaultSettings(), Prior: estimate.DefaultPrior(), Outliers: load.DefaultOutlierRules(), Seed: 1,
 	})
@@ -36,24 +36,24 @@
 }
 
 // toldOf is what placement is told of an upstream.
-func toldOf(t *testing.T, p *Picture, id string, a Ask, now time.Duration) placement.Told {
+func toldOf(t *testing.T, p *State, id string, a PlacementRequest, now time.Duration) placement.AggregateLoad {
 	t.Helper()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.candidates(a, p.request(a, now)) {
 		if c.ID == id {
-			return c.Told
+			return c.Aggregate
 		}
 	}
 	t.Fatalf("no upstream %s", id)
-	return placement.Told{}
+	return placement.AggregateLoad{}
 }
 
 // TestAnUpstreamThatStartedAgainIsANewOne, under the id that it had: it has nothing under
 // way, no parts, and no word on it from before counts.
 func TestAnUpstreamThatStartedAgainIsANewOne(t *testing.T) {
 	p := New(Settings{Zone: "a"})
-	engine := Upstream{ID: "e", Service: "llm", Zone: "a", Role: config.RoleDecode, Born: 1000}
+	engine := Upstream{ID: "e", Service: "llm", Zone: "a", Role: config.RoleDecode, StartedAt: 1000}
 	p.Learn(engine)
 	before := engine.Incarnation()
 	p.TakeReport("zone b", Report{
@@ -65,7 +65,7 @@
 	if n := p.nodes["e"]; n.toldTo(time.Second).Requests != 10 || !p.takesNone(n, time.Second) {
 		t.Fatalf("forgotten without a new start: %+v", n.toldTo(time.Second))
 	}
-	engine.Born = 5000
+	engine.StartedAt = 5000
 	p.Learn(engine)
 	n := p.nodes["e"]
 	if engine.Incarnation() == before || n.own(time.Second).Requests != 0 || n.toldTo(time.Second).Requests != 0 || p.takesNone(n, time.Second) {
@@ -85,12 +85,12 @@
 
 func TestAnUpstreamThatOthersCannotReachIsAvoided(t *testing.T) {
 	p := newPicture()
-	call := Ask{ID: "r", Service: "app"}
+	call := PlacementRequest{ID: "r", Service: "app"}
 	first, ok := p.PickCall(call, 0)
 	if !ok {
 		t.Fatal("no upstream")
 	}
-	p.Judge(first.ID, load.VerdictGood, 0)
+	p.Judge(first.ID, load.CallSucceeded, 0)
 	p.End(first.ID, "r", 0)
 	const later = time.Minute // it answered long ago
 	p.TakeReport("zone b", Report{Gone: []uint32{hashOf(first.ID)}}, later)
@@ -106,10 +106,10 @@
 func TestTheLoadOfASourceThatFallsSilentIsForgotten(t *testing.T) {
 	p := newPicture()
 	p.TakeReport("zone b", Report{Loads: []EngineLoad{{Engine: hashOf("dec-1"), Requests: 9}}}, 0)
-	if n := toldOf(t, p, "dec-1", Ask{Service: "llm"}, 0).Requests; n != 9 {
+	if n := toldOf(t, p, "dec-1", PlacementRequest{Service: "llm"}, 0).Requests; n != 9 {
 		t.Errorf("%d requests counted, nine were told of", n)
 	}
-	if n := toldOf(t, p, "dec-1", Ask{Service: "llm"}, time.Minute).Requests; n != 0 {
+	if n := toldOf(t, p, "dec-1", PlacementRequest{Service: "llm"}, time.Minute).Requests; n != 0 {
 		t.Errorf("%d requests counted", n)
 	}
 	p.OwnReport(time.Minute)
@@ -118,19 +118,19 @@
 	}
 }
 
-var long = placement.Prompt{Tokens: 9000, Output: 600, Parts: []placement.Part{{ID: "shared", Tokens: 6000}, {ID: "own", Tokens: 3000}}}
+var long = placement.Prompt{Tokens: 9000, MaxOutput: 600, Parts: []placement.Part{{ID: "shared", Tokens: 6000}, {ID: "own", Tokens: 3000}}}
 
 // TestPlainCallsAreToldOf: behind many instances, each sees few of the calls that an
 // upstream of a plain service has.
 func TestPlainCallsAreToldOf(t *testing.T) {
 	p, other := newPicture(), newPicture()
-	chosen, _ := p.PickCall(Ask{ID: "r", Service: "app"}, 0)
+	chosen, _ := p.PickCall(PlacementRequest{ID: "r", Service: "app"}, 0)
 	other.TakeReport(BesidePrefix+"one", p.OwnReport(0), 0)
-	if n := toldOf(t, other, chosen.ID, Ask{Service: "app"}, 0).Requests; n != 1 {
+	if n := toldOf(t, other, chosen.ID, PlacementRequest{Service: "app"}, 0).Requests; n != 1 {
 		t.Errorf("%d calls told of, want one", n)
 	}
 	for range 10 {
-		next, _ := other.PickCall(Ask{ID: "q", Service: "app"}, 0)
+		next, _ := other.PickCall(PlacementRequest{ID: "q", Service: "app"}, 0)
 		if next.ID == chosen.ID {
 			t.Fatal("the busy upstream was chosen while others idle")
 		}
@@ -149,8 +149,8 @@
 		p := newPicture()
 		p.TakeReport("zone b", Report{Placed: []Placed{{Engine: hashOf("pre-1"), Part: hashOf("shared")}}}, 0)
 		p.TakeReport("zone b", Report{Loads: []EngineLoad{{Engine: hashOf("pre-1"), Inflow: c.inflow}}}, c.after)
-		ask := Ask{Service: "llm", Prompt: long}
-		if got := toldOf(t, p, "pre-1", ask, c.after).Cached; got != c.cached {
+		ask := PlacementRequest{Service: "llm", Prompt: long}
+		if got := toldOf(t, p, "pre-1", ask, c.after).CachedTokens; got != c.cached {
 			t.Errorf("%g tokens a second, after %s: %d believed cached, want %d", c.inflow, c.after, got, c.cached)
 		}
 	}
@@ -159,27 +159,27 @@
 // TestAPromptIsChargedUntilItIsDone has two instances; one hears of the other's.
 func TestAPromptIsChargedUntilItIsDone(t *testing.T) {
 	p, other := newPicture(), newPicture()
-	start, turn, ok := p.PickStart(Ask{ID: "r", Service: "llm", Prompt: long, Objective: time.Second, Left: 2 * time.Second}, 0)
-	if !ok || start.Direct() || start.Work <= 0 || turn != placement.TurnNext {
+	start, turn, ok := p.PickStart(PlacementRequest{ID: "r", Service: "llm", Prompt: long, Objective: time.Second, TimeLeft: 2 * time.Second}, 0)
+	if !ok || start.Direct() || start.BusyTime <= 0 || turn != placement.QueueNormal {
 		t.Fatalf("%+v, %s, %t", start, turn, ok)
 	}
 	other.TakeReport(BesidePrefix+"one", p.OwnReport(0), 0)
-	if got := toldOf(t, other, start.Engine.ID, Ask{Service: "llm"}, 0).Ahead; got != start.Work {
-		t.Errorf("%s ahead, want %s", got, start.Work)
+	if got := toldOf(t, other, start.Engine.ID, PlacementRequest{Service: "llm"}, 0).Backlog; got != start.BusyTime {
+		t.Errorf("%s ahead, want %s", got, start.BusyTime)
 	}
-	p.PromptDone(start.Engine.ID, start.Work, turn)
+	p.PromptDone(start.Engine.ID, start.BusyTime, turn)
 	p.End(start.Engine.ID, "r", 0)
 	other.TakeReport(BesidePrefix+"one", p.OwnReport(0), 0)
-	if got := toldOf(t, other, start.Engine.ID, Ask{Service: "llm"}, 0).Ahead; got != 0 {
+	if got := toldOf(t, other, start.Engine.ID, PlacementRequest{Service: "llm"}, 0).Backlog; got != 0 {
 		t.Errorf("%s ahead of nothing", got)
 	}
 }
 
 // callsWithout places calls and fails when one goes to an upstream.
-func callsWithout(t *testing.T, p *Picture, id string, now time.Duration) {
+func callsWithout(t *testing.T, p *State, id string, now time.Duration) {
 	t.Helper()
 	for range 10 {
-		next, ok := p.PickCall(Ask{ID: "q", Service: "app"}, now)
+		next, ok := p.PickCall(PlacementRequest{ID: "q", Service: "app"}, now)
 		if !ok || next.ID == id {
 			t.Fatalf("%q was chosen at %s", next.ID, now)
 		}
@@ -193,10 +193,10 @@
 // as each of 195 instances had to meet each of 20 such upstreams twice by itself.
 func TestAnUpstreamWhoseAddressAnotherHasIsLeftOutByAll(t *testing.T) {
 	p, other, beyond := newPicture(), newPicture(), newPicture()
-	chosen, _ := p.PickCall(Ask{ID: "r", Service: "app"}, 0)
-	other.Judge(chosen.ID, load.VerdictGood, 0) // it answered there just now
-	beyond.Judge(chosen.ID, load.VerdictGood, 0)
-	p.Judge(chosen.ID, load.VerdictMoved, 0)
+	chosen, _ := p.PickCall(PlacementRequest{ID: "r", Service: "app"}, 0)
+	other.Judge(chosen.ID, load.CallSucceeded, 0) // it answered there just now
+	beyond.Judge(chosen.ID, load.CallSucceeded, 0)
+	p.Judge(chosen.ID, load.CallAddressReassigned, 0)
 	p.End(chosen.ID, "r", 0)
 	callsWithout(t, p, chosen.ID, time.Second)
 	other.TakeReport(BesidePrefix+"one", p.OwnReport(0), 0)
@@ -211,7 +211,7 @@
 func TestAnEngineIsAwayUntilItsRoleHasChanged(t *testing.T) {
 	p, other := newPicture(), newPicture()
 	p.SendAway("dec-1", time.Minute)
-	other.Judge("dec-1", load.VerdictGood, 0)
+	other.Judge("dec-1", load.CallSucceeded, 0)
 	other.TakeReport(BesidePrefix+"one", p.OwnReport(0), 0)
 	silent := func() bool {
 		other.mu.Lock()
