--- a/internal/model/run.go
+++ b/internal/model/run.go
@@ -149,7 +149,7 @@
 	waited := now - req.arrived
 	return upstreamstate.PlacementRequest{
 		ID: req.id, Service: service, Prompt: req.prompt,
-		Objective: req.class.Objective - waited, TimeLeft: req.class.Patience - waited,
+		Objective: req.class.Objective - waited, RemainingWait: req.class.Patience - waited,
 	}
 }
 
--- a/internal/peers/link_test.go
+++ b/internal/peers/link_test.go
@@ -81,7 +81,7 @@
 // another one generates.
 func (b *busyFleet) place(n *virtualNode) {
 	b.requests++
-	ask := upstreamstate.PlacementRequest{ID: fmt.Sprint("r", b.requests), Service: "llm", Objective: time.Second, TimeLeft: 2 * time.Second}
+	ask := upstreamstate.PlacementRequest{ID: fmt.Sprint("r", b.requests), Service: "llm", Objective: time.Second, RemainingWait: 2 * time.Second}
 	ask.Prompt = placement.Prompt{Tokens: 9200, MaxOutput: 2, Parts: []placement.Part{
 		{ID: fmt.Sprint("part-", b.rng.IntN(2000)), Tokens: 6300}, {ID: "own", Tokens: 2900},
 	}}
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -46,11 +46,11 @@
 func (x *exchange) ask(now time.Duration) upstreamstate.PlacementRequest {
 	ask := upstreamstate.PlacementRequest{
 		ID: x.req.ID, Service: x.service, Excluded: x.tries.Excluded(),
-		Objective: x.route.Objective - (now - x.arrived), TimeLeft: x.left(now),
+		Objective: x.route.Objective - (now - x.arrived), RemainingWait: x.left(now),
 		Priority: x.identity.Priority(x.route),
 	}
 	if patience := x.route.Patience; patience > 0 {
-		ask.TimeLeft = min(ask.TimeLeft, patience-(now-x.arrived))
+		ask.RemainingWait = min(ask.RemainingWait, patience-(now-x.arrived))
 	}
 	if x.req.Prompt != nil {
 		ask.Prompt = *x.req.Prompt
--- a/internal/upstreamstate/limits_test.go
+++ b/internal/upstreamstate/limits_test.go
@@ -67,7 +67,7 @@
 // it.
 func TestCachedPartsOfASpentEngineAreFetched(t *testing.T) {
 	p := newPicture()
-	ask := PlacementRequest{ID: "r", Service: "llm", Prompt: long, Objective: time.Second, TimeLeft: 2 * time.Second}
+	ask := PlacementRequest{ID: "r", Service: "llm", Prompt: long, Objective: time.Second, RemainingWait: 2 * time.Second}
 	first, turn, _ := p.PickStart(ask, 0)
 	p.PromptDone(first.Engine.ID, first.BusyTime, turn)
 	p.End(first.Engine.ID, "r", 0)
--- a/internal/upstreamstate/place.go
+++ b/internal/upstreamstate/place.go
@@ -15,9 +15,9 @@
 	Prompt placement.Prompt
 	// Excluded upstreams failed the request already.
 	Excluded map[string]bool
-	// Objective is what is left of the time in which the answer is on time, TimeLeft
+	// Objective is what is left of the time in which the answer is on time, RemainingWait
 	// of the time that the caller waits.
-	Objective, TimeLeft time.Duration
+	Objective, RemainingWait time.Duration
 	// Priority; 0 is the most urgent.
 	Priority int
 }
@@ -26,7 +26,7 @@
 func (p *State) request(a PlacementRequest, now time.Duration) *placement.Request {
 	return &placement.Request{
 		Zone: p.settings.Zone, Prompt: a.Prompt, Excluded: a.Excluded, Now: now,
-		Objective: a.Objective, RemainingWait: a.TimeLeft, Costs: p.costs(a.Service),
+		Objective: a.Objective, RemainingWait: a.RemainingWait, Costs: p.costs(a.Service),
 		CheckLimits: p.limits.any(),
 	}
 }
