--- a/internal/peers/messages.go
+++ b/internal/peers/messages.go
@@ -90,7 +90,7 @@
 		report.Spilled[spilled.GetService()] = float64(spilled.GetSends())
 	}
 	for _, a := range m.GetAway() {
-		report.Away = append(report.Away, upstreamstate.Away{Upstream: a.GetUpstream(), For: time.Duration(a.GetForMs()) * time.Millisecond})
+		report.Away = append(report.Away, upstreamstate.UnavailableUpstream{Upstream: a.GetUpstream(), For: time.Duration(a.GetForMs()) * time.Millisecond})
 	}
 	for _, e := range m.GetEnds() {
 		report.Ends = append(report.Ends, quarantine.End{Content: quarantine.Content(e.GetContent()), Upstream: e.GetUpstream()})
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -314,9 +314,9 @@
 func TestALongReportArrives(t *testing.T) {
 	from, to := newNode(t, "from", "a"), newNode(t, "to", "a")
 	message := from.reports.message(sfv1.Datagram_KIND_OWN)
-	var away []upstreamstate.Away
+	var away []upstreamstate.UnavailableUpstream
 	for i := range 1000 {
-		away = append(away, upstreamstate.Away{Upstream: uint32(i), For: 15 * time.Second})
+		away = append(away, upstreamstate.UnavailableUpstream{Upstream: uint32(i), For: 15 * time.Second})
 	}
 	message.Beyond = reportToMessage(upstreamstate.Report{Away: away})
 	waitFor(func() bool { return from.reports.conn.Load() != nil && to.reports.conn.Load() != nil })
--- a/internal/upstreamstate/gone.go
+++ b/internal/upstreamstate/gone.go
@@ -69,19 +69,19 @@
 	}
 }
 
-// Away is an upstream that takes no requests for a time, whatever was heard from it:
+// UnavailableUpstream is an upstream that takes no requests for a time, whatever was heard from it:
 // it carries an order out, or another one has its address.
-type Away struct {
+type UnavailableUpstream struct {
 	// Upstream is a hash of its incarnation.
 	Upstream uint32
 	For      time.Duration
 }
 
 // awayList is what a table of upstreams that take no requests has to tell.
-func awayList(t untilTable, now time.Duration) []Away {
-	var list []Away
+func awayList(t untilTable, now time.Duration) []UnavailableUpstream {
+	var list []UnavailableUpstream
 	for _, hash := range t.list(now) {
-		list = append(list, Away{Upstream: hash, For: t[hash] - now})
+		list = append(list, UnavailableUpstream{Upstream: hash, For: t[hash] - now})
 	}
 	return list
 }
--- a/internal/upstreamstate/reports.go
+++ b/internal/upstreamstate/reports.go
@@ -67,7 +67,7 @@
 	// Gone are hashes of the upstreams that could not be reached lately.
 	Gone []uint32
 	// Away are the upstreams that take no requests for a time.
-	Away []Away
+	Away []UnavailableUpstream
 	// Times are what the sender learned of the engines, by a hash of the service;
 	// nil while they are not due.
 	Times map[uint32]estimate.Learned
