--- a/internal/peers/messages.go
+++ b/internal/peers/messages.go
@@ -81,7 +81,7 @@
 	}
 	placed := m.GetPlaced()
 	for i := 0; i+1 < len(placed); i += 2 {
-		report.Placed = append(report.Placed, upstreamstate.Placed{Engine: placed[i], Part: placed[i+1]})
+		report.Placed = append(report.Placed, upstreamstate.PlacedPart{Engine: placed[i], Part: placed[i+1]})
 	}
 	for _, spilled := range m.GetSpilled() {
 		if report.Spilled == nil {
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -201,9 +201,9 @@
 	speaker := hubOf(all, "b")
 	waitFor(func() bool {
 		// A part is told once, and a datagram may be lost: it is placed again.
-		speaker.relay.ApplyReport("instance x", upstreamstate.Report{Placed: []upstreamstate.Placed{{Engine: 1, Part: 2}}})
+		speaker.relay.ApplyReport("instance x", upstreamstate.Report{Placed: []upstreamstate.PlacedPart{{Engine: 1, Part: 2}}})
 		for _, n := range all {
-			if n.self.Zone != speaker.self.Zone && !n.relay.HasPlacement(upstreamstate.Placed{Engine: 1, Part: 2}) {
+			if n.self.Zone != speaker.self.Zone && !n.relay.HasPlacement(upstreamstate.PlacedPart{Engine: 1, Part: 2}) {
 				return false
 			}
 		}
--- a/internal/upstreamstate/bench_test.go
+++ b/internal/upstreamstate/bench_test.go
@@ -47,7 +47,7 @@
 	for i := range 4 {
 		engine := hashOf("engine-" + strconv.Itoa((source*7+i*13)%engines))
 		r.Loads = append(r.Loads, EngineLoad{Engine: engine, Requests: 1, Ahead: 30 * time.Millisecond, Use: 0.1})
-		r.Placed = append(r.Placed, Placed{Engine: engine, Part: hashOf("part-" + strconv.Itoa((source+i)%500))})
+		r.Placed = append(r.Placed, PlacedPart{Engine: engine, Part: hashOf("part-" + strconv.Itoa((source+i)%500))})
 	}
 	return r
 }
--- a/internal/upstreamstate/parts.go
+++ b/internal/upstreamstate/parts.go
@@ -32,7 +32,7 @@
 
 func newPartTable() partTable { return partTable{holders: map[uint32][]holder{}} }
 
-func (t *partTable) note(p Placed, now time.Duration) {
+func (t *partTable) note(p PlacedPart, now time.Duration) {
 	t.sweepOld(now)
 	list := t.holders[p.Part]
 	for i := range list {
@@ -103,7 +103,7 @@
 // next reports. The lock is held.
 func (p *State) notePrompt(engine string, prompt placement.Prompt, now time.Duration) {
 	for i := 0; i < len(prompt.Parts)-1; i++ {
-		placed := Placed{Engine: p.hash(engine), Part: hashOf(prompt.Parts[i].ID)}
+		placed := PlacedPart{Engine: p.hash(engine), Part: hashOf(prompt.Parts[i].ID)}
 		p.parts.note(placed, now)
 		p.placed = newest(append(p.placed, placed))
 		p.zonePlaced = newest(append(p.zonePlaced, placed))
@@ -111,7 +111,7 @@
 }
 
 // Knows tells whether a part was placed on an engine, as far as is known here.
-func (p *State) Knows(placed Placed) bool {
+func (p *State) Knows(placed PlacedPart) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.ContainsFunc(p.parts.holders[placed.Part], func(h holder) bool { return h.engine == placed.Engine })
--- a/internal/upstreamstate/reports.go
+++ b/internal/upstreamstate/reports.go
@@ -40,9 +40,9 @@
 	l.Inflow += other.Inflow
 }
 
-// Placed tells that a shared prompt part went to an engine, which has it cached
+// PlacedPart tells that a shared prompt part went to an engine, which has it cached
 // from then on. Both are hashes.
-type Placed struct {
+type PlacedPart struct {
 	Engine, Part uint32
 }
 
@@ -63,7 +63,7 @@
 	Whole bool
 	Loads []EngineLoad
 	// Placed since the last report.
-	Placed []Placed
+	Placed []PlacedPart
 	// Gone are hashes of the upstreams that could not be reached lately.
 	Gone []uint32
 	// Away are the upstreams that take no requests for a time.
@@ -204,7 +204,7 @@
 }
 
 // newest keeps the newest of the parts that wait to be told of.
-func newest(placed []Placed) []Placed { return placed[max(0, len(placed)-placedAtMost):] }
+func newest(placed []PlacedPart) []PlacedPart { return placed[max(0, len(placed)-placedAtMost):] }
 
 // DropSource forgets what a source told.
 func (p *State) DropSource(source string, now time.Duration) {
--- a/internal/upstreamstate/upstreamstate.go
+++ b/internal/upstreamstate/upstreamstate.go
@@ -102,7 +102,7 @@
 	// placed are the parts that were placed here since this instance's last report,
 	// zonePlaced here and beside since the zone's last one, beyondPlaced in other
 	// zones since these were last passed on.
-	placed, zonePlaced, beyondPlaced []Placed
+	placed, zonePlaced, beyondPlaced []PlacedPart
 	// zone and beyond are what the last reports of the zone, and of the other zones
 	// together, told.
 	zone, beyond ledger
--- a/internal/upstreamstate/upstreamstate_test.go
+++ b/internal/upstreamstate/upstreamstate_test.go
@@ -57,7 +57,7 @@
 	p.Learn(engine)
 	before := engine.Incarnation()
 	p.TakeReport("zone b", Report{
-		Loads: []EngineLoad{{Engine: before, Requests: 9}}, Placed: []Placed{{Engine: before, Part: 7}}, Gone: []uint32{before},
+		Loads: []EngineLoad{{Engine: before, Requests: 9}}, Placed: []PlacedPart{{Engine: before, Part: 7}}, Gone: []uint32{before},
 	}, time.Second)
 	p.PlaceOn("e", "r1", time.Second)
 	p.SendAway("e", time.Minute)
@@ -71,7 +71,7 @@
 	if engine.Incarnation() == before || n.own(time.Second).Requests != 0 || n.toldTo(time.Second).Requests != 0 || p.takesNone(n, time.Second) {
 		t.Errorf("has %+v of before, left out: %t", n.toldTo(time.Second), p.takesNone(n, time.Second))
 	}
-	if p.Knows(Placed{Engine: n.hash, Part: 7}) {
+	if p.Knows(PlacedPart{Engine: n.hash, Part: 7}) {
 		t.Error("is believed to have a part of before")
 	}
 	p.End("e", "r1", time.Second) // of before
@@ -147,7 +147,7 @@
 		cached int
 	}{{0, 30 * time.Second, 6000}, {100000, 2 * time.Second, 6000}, {100000, 3 * time.Second, 0}} {
 		p := newPicture()
-		p.TakeReport("zone b", Report{Placed: []Placed{{Engine: hashOf("pre-1"), Part: hashOf("shared")}}}, 0)
+		p.TakeReport("zone b", Report{Placed: []PlacedPart{{Engine: hashOf("pre-1"), Part: hashOf("shared")}}}, 0)
 		p.TakeReport("zone b", Report{Loads: []EngineLoad{{Engine: hashOf("pre-1"), Inflow: c.inflow}}}, c.after)
 		ask := PlacementRequest{Service: "llm", Prompt: long}
 		if got := toldOf(t, p, "pre-1", ask, c.after).CachedTokens; got != c.cached {
