--- a/internal/fanout/inbox_test.go
+++ b/internal/fanout/inbox_test.go
@@ -12,7 +12,7 @@
 
 func own(source ID, boot, sequence uint32, part uint32) Own {
 	return Own{Source: source, Boot: boot, Sequence: sequence, Report: upstreamstate.Report{
-		Whole: true, Placed: []upstreamstate.PlacedPart{{Engine: 1, Part: part}},
+		Complete: true, Placed: []upstreamstate.PlacedPart{{Engine: 1, Part: part}},
 	}}
 }
 
--- a/internal/upstreamstate/reports.go
+++ b/internal/upstreamstate/reports.go
@@ -58,9 +58,9 @@
 
 // Report is what one instance, or all of some zones, tell others.
 type Report struct {
-	// Whole: the source has nothing under way on the engines that Loads does not
+	// Complete: the source has nothing under way on the engines that Loads does not
 	// name. Else their loads are as they were told before.
-	Whole bool
+	Complete bool
 	Loads []EngineLoad
 	// Placed since the last report.
 	Placed []PlacedPart
@@ -109,7 +109,7 @@
 func (p *State) OwnReport(now time.Duration) Report {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	report := Report{Whole: true, Placed: p.placed, Gone: p.goneList(p.gone.here, now), Away: awayList(p.away.here, now)}
+	report := Report{Complete: true, Placed: p.placed, Gone: p.goneList(p.gone.here, now), Away: awayList(p.away.here, now)}
 	p.placed = nil
 	p.lapseLimits(now)
 	report.Limits = p.limits.book.OwnWords(now)
--- a/internal/upstreamstate/told.go
+++ b/internal/upstreamstate/told.go
@@ -78,7 +78,7 @@
 	for _, l := range report.Loads {
 		t.put(s, l, now)
 	}
-	if !report.Whole {
+	if !report.Complete {
 		return
 	}
 	for hash, h := range s.loads {
