--- a/internal/relay/generate_test.go
+++ b/internal/relay/generate_test.go
@@ -196,7 +196,7 @@
 	r := newFake(t, &fakeSender{})
 	for i, want := range []int{1, 2, 0} { // of eight upstreams
 		r.picture.Judge([]string{"app-1", "app-2", "dec-1"}[i], load.CallUnreachable, r.now())
-		if n := len(r.OwnReport().Gone); n != want {
+		if n := len(r.OwnReport().Unreachable); n != want {
 			t.Errorf("%d told with %d out of reach, want %d", n, i+1, want)
 		}
 	}
--- a/internal/upstreamstate/gone.go
+++ b/internal/upstreamstate/gone.go
@@ -112,7 +112,7 @@
 // hearWords takes what another instance, or other zones, told of upstreams that do not
 // answer or take no requests. The lock is held.
 func (p *State) hearWords(report Report, beside bool, now time.Duration) {
-	for _, hash := range report.Gone {
+	for _, hash := range report.Unreachable {
 		p.gone.hear(hash, now+goneFor, beside)
 	}
 	for _, a := range report.Away {
--- a/internal/upstreamstate/upstreamstate_test.go
+++ b/internal/upstreamstate/upstreamstate_test.go
@@ -57,7 +57,7 @@
 	p.Learn(engine)
 	before := engine.Incarnation()
 	p.TakeReport("zone b", Report{
-		Loads: []EngineLoad{{Engine: before, Requests: 9}}, Placed: []PlacedPart{{Engine: before, Part: 7}}, Gone: []uint32{before},
+		Loads: []EngineLoad{{Engine: before, Requests: 9}}, Placed: []PlacedPart{{Engine: before, Part: 7}}, Unreachable: []uint32{before},
 	}, time.Second)
 	p.PlaceOn("e", "r1", time.Second)
 	p.SendAway("e", time.Minute)
@@ -93,7 +93,7 @@
 	p.Judge(first.ID, load.CallSucceeded, 0)
 	p.End(first.ID, "r", 0)
 	const later = time.Minute // it answered long ago
-	p.TakeReport("zone b", Report{Gone: []uint32{hashOf(first.ID)}}, later)
+	p.TakeReport("zone b", Report{Unreachable: []uint32{hashOf(first.ID)}}, later)
 	for range 10 {
 		next, _ := p.PickCall(call, later)
 		if next.ID == first.ID {
