--- a/internal/peers/messages.go
+++ b/internal/peers/messages.go
@@ -48,7 +48,7 @@
 	for _, p := range report.Placed {
 		m.Placed = append(m.Placed, p.Engine, p.Part)
 	}
-	for _, a := range report.Away {
+	for _, a := range report.Unavailable {
 		m.Away = append(m.Away, &sfv1.AwayUpstream{Upstream: a.Upstream, ForMs: uint32(a.For.Milliseconds())})
 	}
 	for service, sends := range report.Spilled {
@@ -90,7 +90,7 @@
 		report.Spilled[spilled.GetService()] = float64(spilled.GetSends())
 	}
 	for _, a := range m.GetAway() {
-		report.Away = append(report.Away, upstreamstate.UnavailableUpstream{Upstream: a.GetUpstream(), For: time.Duration(a.GetForMs()) * time.Millisecond})
+		report.Unavailable = append(report.Unavailable, upstreamstate.UnavailableUpstream{Upstream: a.GetUpstream(), For: time.Duration(a.GetForMs()) * time.Millisecond})
 	}
 	for _, e := range m.GetEnds() {
 		report.Ends = append(report.Ends, quarantine.End{Content: quarantine.Content(e.GetContent()), Upstream: e.GetUpstream()})
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -318,7 +318,7 @@
 	for i := range 1000 {
 		away = append(away, upstreamstate.UnavailableUpstream{Upstream: uint32(i), For: 15 * time.Second})
 	}
-	message.Beyond = reportToMessage(upstreamstate.Report{Away: away})
+	message.Beyond = reportToMessage(upstreamstate.Report{Unavailable: away})
 	waitFor(func() bool { return from.reports.conn.Load() != nil && to.reports.conn.Load() != nil })
 	if !holdsWithin(10*time.Second, func() bool {
 		from.reports.send(message, []string{to.self.Address})
--- a/internal/upstreamstate/gone.go
+++ b/internal/upstreamstate/gone.go
@@ -115,7 +115,7 @@
 	for _, hash := range report.Unreachable {
 		p.gone.hear(hash, now+goneFor, beside)
 	}
-	for _, a := range report.Away {
+	for _, a := range report.Unavailable {
 		p.away.hear(a.Upstream, now+a.For, beside)
 	}
 }
--- a/internal/upstreamstate/reports.go
+++ b/internal/upstreamstate/reports.go
@@ -66,8 +66,8 @@
 	Placed []PlacedPart
 	// Unreachable are hashes of the upstreams that could not be reached lately.
 	Unreachable []uint32
-	// Away are the upstreams that take no requests for a time.
-	Away []UnavailableUpstream
+	// Unavailable are the upstreams that take no requests for a time.
+	Unavailable []UnavailableUpstream
 	// Times are what the sender learned of the engines, by a hash of the service;
 	// nil while they are not due.
 	Times map[uint32]estimate.Learned
@@ -97,7 +97,7 @@
 	for loads := range slices.Chunk(r.Loads, partLoads) {
 		parts = append(parts, Report{Loads: loads})
 	}
-	parts[0].Placed, parts[0].Unreachable, parts[0].Away, parts[0].Times = r.Placed, r.Unreachable, r.Away, r.Times
+	parts[0].Placed, parts[0].Unreachable, parts[0].Unavailable, parts[0].Times = r.Placed, r.Unreachable, r.Unavailable, r.Times
 	parts[0].Spilled, parts[0].Ends, parts[0].Usage, parts[0].Limits = r.Spilled, r.Ends, r.Usage, r.Limits
 	return parts
 }
@@ -109,7 +109,7 @@
 func (p *State) OwnReport(now time.Duration) Report {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	report := Report{Complete: true, Placed: p.placed, Unreachable: p.goneList(p.gone.here, now), Away: awayList(p.away.here, now)}
+	report := Report{Complete: true, Placed: p.placed, Unreachable: p.goneList(p.gone.here, now), Unavailable: awayList(p.away.here, now)}
 	p.placed = nil
 	p.lapseLimits(now)
 	report.Limits = p.limits.book.OwnWords(now)
@@ -141,7 +141,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.told.lapse(now)
-	report := Report{Placed: p.zonePlaced, Unreachable: p.goneList(p.gone.beside, now), Away: awayList(p.away.beside, now)}
+	report := Report{Placed: p.zonePlaced, Unreachable: p.goneList(p.gone.beside, now), Unavailable: awayList(p.away.beside, now)}
 	p.zonePlaced = nil
 	report.Limits = p.limits.book.ZoneWords(now)
 	report.Loads = p.due(&p.zone, now, func(n *node) EngineLoad { return n.here(now) })
@@ -154,7 +154,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.told.lapse(now)
-	report := Report{Placed: p.beyondPlaced, Unreachable: p.goneList(p.gone.beyond, now), Away: awayList(p.away.beyond, now)}
+	report := Report{Placed: p.beyondPlaced, Unreachable: p.goneList(p.gone.beyond, now), Unavailable: awayList(p.away.beyond, now)}
 	p.beyondPlaced = nil
 	report.Limits = p.limits.book.BeyondWords(now)
 	report.Loads = p.due(&p.beyond, now, func(n *node) EngineLoad {
