--- a/internal/fanout/inbox.go
+++ b/internal/fanout/inbox.go
@@ -67,8 +67,8 @@
 	if o.Report.Times == nil {
 		o.Report.Times = b.waiting[o.Source].own.Report.Times
 	}
-	ends := append(b.waiting[o.Source].own.Report.Ends, o.Report.Ends...)
-	o.Report.Ends = ends[max(0, len(ends)-endsAtMost):]
+	ends := append(b.waiting[o.Source].own.Report.Crashes, o.Report.Crashes...)
+	o.Report.Crashes = ends[max(0, len(ends)-endsAtMost):]
 	if w, waits := b.waiting[o.Source]; waits {
 		o.Report.Limits = quota.Merged(quota.Aged(w.own.Report.Limits, now-w.at), o.Report.Limits)
 	}
--- a/internal/fanout/inbox_test.go
+++ b/internal/fanout/inbox_test.go
@@ -79,18 +79,18 @@
 func TestEndsAreNotLostWithTheReportThatHadThem(t *testing.T) {
 	b := NewInbox()
 	first := own(7, 1, 1, 10)
-	first.Report.Ends = []quarantine.End{{Content: 1, Upstream: 2}}
+	first.Report.Crashes = []quarantine.End{{Content: 1, Upstream: 2}}
 	b.Keep(first, 0)
 	b.Keep(own(7, 1, 2, 11), 0)
 	reports := b.Batch(0, all)
-	if len(reports) != 1 || len(reports[0].Report.Ends) != 1 {
+	if len(reports) != 1 || len(reports[0].Report.Crashes) != 1 {
 		t.Errorf("%+v", reports)
 	}
 	for n := range 100 {
-		first.Report.Ends[0].Content = quarantine.Content(n)
+		first.Report.Crashes[0].Content = quarantine.Content(n)
 		b.Keep(first, 0)
 	}
-	if n := len(b.Batch(0, all)[0].Report.Ends); n > endsAtMost {
+	if n := len(b.Batch(0, all)[0].Report.Crashes); n > endsAtMost {
 		t.Errorf("%d ends wait", n)
 	}
 }
--- a/internal/peers/messages.go
+++ b/internal/peers/messages.go
@@ -54,7 +54,7 @@
 	for service, sends := range report.Spilled {
 		m.Spilled = append(m.Spilled, &sfv1.Spilled{Service: service, Sends: float32(sends)})
 	}
-	for _, e := range report.Ends {
+	for _, e := range report.Crashes {
 		m.Ends = append(m.Ends, &sfv1.UpstreamEnd{Content: uint64(e.Content), Upstream: e.Upstream})
 	}
 	for _, c := range report.Usage {
@@ -93,7 +93,7 @@
 		report.Unavailable = append(report.Unavailable, upstreamstate.UnavailableUpstream{Upstream: a.GetUpstream(), For: time.Duration(a.GetForMs()) * time.Millisecond})
 	}
 	for _, e := range m.GetEnds() {
-		report.Ends = append(report.Ends, quarantine.End{Content: quarantine.Content(e.GetContent()), Upstream: e.GetUpstream()})
+		report.Crashes = append(report.Crashes, quarantine.End{Content: quarantine.Content(e.GetContent()), Upstream: e.GetUpstream()})
 	}
 	for _, c := range m.GetUsage() {
 		report.Usage = append(report.Usage, usage.Count{
--- a/internal/relay/apart_test.go
+++ b/internal/relay/apart_test.go
@@ -125,12 +125,12 @@
 		r.RecordCrash(end)
 	}
 	for _, from := range []*Relay{first, second} {
-		ends := from.OwnReport().Ends
+		ends := from.OwnReport().Crashes
 		if len(ends) != 1 {
 			t.Fatalf("%d ends are told of", len(ends))
 		}
 		for _, to := range []*Relay{first, second, third} {
-			to.ApplyReport(upstreamstate.BesidePrefix+"x", upstreamstate.Report{Ends: ends})
+			to.ApplyReport(upstreamstate.BesidePrefix+"x", upstreamstate.Report{Crashes: ends})
 		}
 	}
 	for n, r := range []*Relay{first, second, third} {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -160,7 +160,7 @@
 func (r *Relay) OwnReport() upstreamstate.Report {
 	r.showRests()
 	report := r.picture.OwnReport(r.now())
-	report.Spilled, report.Ends = r.budgets.spilled(), r.contents.told((*quarantine.Table).OwnEnds)
+	report.Spilled, report.Crashes = r.budgets.spilled(), r.contents.told((*quarantine.Table).OwnEnds)
 	report.Usage = r.usage.tell((*usage.Tally).TellOwn)
 	return report
 }
@@ -169,7 +169,7 @@
 func (r *Relay) ZoneReport() upstreamstate.Report {
 	r.depositOwn()
 	report := r.picture.ZoneReport(r.now())
-	report.Ends = r.contents.told((*quarantine.Table).ZoneEnds)
+	report.Crashes = r.contents.told((*quarantine.Table).ZoneEnds)
 	report.Usage = r.usage.tell((*usage.Tally).TellZone)
 	return report
 }
@@ -177,7 +177,7 @@
 // OtherZonesReport returns what this instance tells its zone of the other zones.
 func (r *Relay) OtherZonesReport() upstreamstate.Report {
 	report := r.picture.BeyondReport(r.now())
-	report.Ends = r.contents.told((*quarantine.Table).BeyondEnds)
+	report.Crashes = r.contents.told((*quarantine.Table).BeyondEnds)
 	return report
 }
 
@@ -192,7 +192,7 @@
 	r.pool.deposit(source, report.Spilled, now)
 	r.link.heard(now)
 	r.usage.hear(source, report)
-	r.hearEnds(report.Ends, strings.HasPrefix(source, upstreamstate.BesidePrefix))
+	r.hearEnds(report.Crashes, strings.HasPrefix(source, upstreamstate.BesidePrefix))
 }
 
 // ownSource names this instance in its own pool.
--- a/internal/upstreamstate/reports.go
+++ b/internal/upstreamstate/reports.go
@@ -78,8 +78,8 @@
 	Boot uint32
 	// Usage are totals of requests that began to run.
 	Usage []usage.Count
-	// Ends are those of upstreams under a request's content that are to be known to all.
-	Ends []quarantine.End
+	// Crashes are those of upstreams under a request's content that are to be known to all.
+	Crashes []quarantine.End
 	// Limits of upstreams, as far as they are due.
 	Limits []quota.Word
 }
@@ -98,7 +98,7 @@
 		parts = append(parts, Report{Loads: loads})
 	}
 	parts[0].Placed, parts[0].Unreachable, parts[0].Unavailable, parts[0].Times = r.Placed, r.Unreachable, r.Unavailable, r.Times
-	parts[0].Spilled, parts[0].Ends, parts[0].Usage, parts[0].Limits = r.Spilled, r.Ends, r.Usage, r.Limits
+	parts[0].Spilled, parts[0].Crashes, parts[0].Usage, parts[0].Limits = r.Spilled, r.Crashes, r.Usage, r.Limits
 	return parts
 }
 
