--- a/internal/peers/reports.go
+++ b/internal/peers/reports.go
@@ -171,7 +171,7 @@
 		report.Times = r.loads.Learned()
 	}
 	var messages []*sfv1.InstanceReport
-	for _, part := range report.Parts() {
+	for _, part := range report.Split() {
 		r.sequence++
 		messages = append(messages, ownToMessage(fanout.Own{
 			Source: r.exchange.id, Boot: r.boot, Sequence: r.sequence, Reading: r.exchange.rows.Reading(), Report: part,
--- a/internal/upstreamstate/reports.go
+++ b/internal/upstreamstate/reports.go
@@ -87,9 +87,9 @@
 // partLoads is how many loads one part of a report has: about half a datagram.
 const partLoads = 128
 
-// Parts splits a report that names many engines. The parts are told one by one, so
+// Split splits a report that names many engines. The parts are told one by one, so
 // none of them is whole: what is named no more counts for a while still.
-func (r Report) Parts() []Report {
+func (r Report) Split() []Report {
 	if len(r.Loads) <= partLoads {
 		return []Report{r}
 	}
