--- a/internal/fanout/inbox.go
+++ b/internal/fanout/inbox.go
@@ -72,7 +72,7 @@
 	if w, waits := b.waiting[o.Source]; waits {
 		o.Report.Limits = quota.Merged(quota.Aged(w.own.Report.Limits, now-w.at), o.Report.Limits)
 	}
-	o.Report.Spilled, o.Report.Usage = nil, nil // these are for those that pass reports on
+	o.Report.RetryOverflow, o.Report.Usage = nil, nil // these are for those that pass reports on
 	since := now
 	if w, waits := b.waiting[o.Source]; waits {
 		since = w.since
--- a/internal/peers/messages.go
+++ b/internal/peers/messages.go
@@ -51,7 +51,7 @@
 	for _, a := range report.Unavailable {
 		m.Away = append(m.Away, &sfv1.AwayUpstream{Upstream: a.Upstream, ForMs: uint32(a.For.Milliseconds())})
 	}
-	for service, sends := range report.Spilled {
+	for service, sends := range report.RetryOverflow {
 		m.Spilled = append(m.Spilled, &sfv1.Spilled{Service: service, Sends: float32(sends)})
 	}
 	for _, e := range report.Crashes {
@@ -84,10 +84,10 @@
 		report.Placed = append(report.Placed, upstreamstate.PlacedPart{Engine: placed[i], Part: placed[i+1]})
 	}
 	for _, spilled := range m.GetSpilled() {
-		if report.Spilled == nil {
-			report.Spilled = map[uint32]float64{}
+		if report.RetryOverflow == nil {
+			report.RetryOverflow = map[uint32]float64{}
 		}
-		report.Spilled[spilled.GetService()] = float64(spilled.GetSends())
+		report.RetryOverflow[spilled.GetService()] = float64(spilled.GetSends())
 	}
 	for _, a := range m.GetAway() {
 		report.Unavailable = append(report.Unavailable, upstreamstate.UnavailableUpstream{Upstream: a.GetUpstream(), For: time.Duration(a.GetForMs()) * time.Millisecond})
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -160,7 +160,7 @@
 func (r *Relay) OwnReport() upstreamstate.Report {
 	r.showRests()
 	report := r.picture.OwnReport(r.now())
-	report.Spilled, report.Crashes = r.budgets.spilled(), r.contents.told((*quarantine.Table).OwnEnds)
+	report.RetryOverflow, report.Crashes = r.budgets.spilled(), r.contents.told((*quarantine.Table).OwnEnds)
 	report.Usage = r.usage.tell((*usage.Tally).TellOwn)
 	return report
 }
@@ -189,7 +189,7 @@
 	now := r.now()
 	r.picture.TakeReport(source, report, now)
 	r.showLimits()
-	r.pool.deposit(source, report.Spilled, now)
+	r.pool.deposit(source, report.RetryOverflow, now)
 	r.link.heard(now)
 	r.usage.hear(source, report)
 	r.hearEnds(report.Crashes, strings.HasPrefix(source, upstreamstate.BesidePrefix))
--- a/internal/upstreamstate/reports.go
+++ b/internal/upstreamstate/reports.go
@@ -71,9 +71,9 @@
 	// Times are what the sender learned of the engines, by a hash of the service;
 	// nil while they are not due.
 	Times map[uint32]estimate.Learned
-	// Spilled is what an instance's requests paid for of its zone's pool of further
+	// RetryOverflow is what an instance's requests paid for of its zone's pool of further
 	// sends, in sends since its start, by a hash of the service.
-	Spilled map[uint32]float64
+	RetryOverflow map[uint32]float64
 	// Boot is another number with each start of the source's process; 0 for a zone.
 	Boot uint32
 	// Usage are totals of requests that began to run.
@@ -98,7 +98,7 @@
 		parts = append(parts, Report{Loads: loads})
 	}
 	parts[0].Placed, parts[0].Unreachable, parts[0].Unavailable, parts[0].Times = r.Placed, r.Unreachable, r.Unavailable, r.Times
-	parts[0].Spilled, parts[0].Crashes, parts[0].Usage, parts[0].Limits = r.Spilled, r.Crashes, r.Usage, r.Limits
+	parts[0].RetryOverflow, parts[0].Crashes, parts[0].Usage, parts[0].Limits = r.RetryOverflow, r.Crashes, r.Usage, r.Limits
 	return parts
 }
 
