--- a/internal/peers/messages.go
+++ b/internal/peers/messages.go
@@ -40,7 +40,7 @@
 	m := &sfv1.EngineReport{Whole: report.Complete, Gone: report.Unreachable}
 	for _, load := range report.Loads {
 		m.Loads = append(m.Loads, &sfv1.EngineLoad{
-			Engine: load.Engine, PrefillMs: uint32(load.Ahead.Milliseconds()), Requests: uint32(load.Requests),
+			Engine: load.Engine, PrefillMs: uint32(load.Backlog.Milliseconds()), Requests: uint32(load.Requests),
 			Use: uint32(load.Use * thousandths), YieldingMs: uint32(load.Yielding.Milliseconds()),
 			Inflow: uint32(load.Inflow),
 		})
@@ -74,7 +74,7 @@
 	report := upstreamstate.Report{Complete: m.GetWhole(), Unreachable: m.GetGone()}
 	for _, l := range m.GetLoads() {
 		report.Loads = append(report.Loads, upstreamstate.EngineLoad{
-			Engine: l.GetEngine(), Ahead: time.Duration(l.GetPrefillMs()) * time.Millisecond, Requests: int(l.GetRequests()),
+			Engine: l.GetEngine(), Backlog: time.Duration(l.GetPrefillMs()) * time.Millisecond, Requests: int(l.GetRequests()),
 			Use: float64(l.GetUse()) / thousandths, Yielding: time.Duration(l.GetYieldingMs()) * time.Millisecond,
 			Inflow: float64(l.GetInflow()),
 		})
--- a/internal/upstreamstate/reports.go
+++ b/internal/upstreamstate/reports.go
@@ -18,8 +18,8 @@
 type EngineLoad struct {
 	// Engine is a hash of the upstream's incarnation.
 	Engine uint32
-	// Ahead is the predicted time of the prompts that wait there.
-	Ahead time.Duration
+	// Backlog is the predicted time of the prompts that wait there.
+	Backlog time.Duration
 	// Yielding is the part of Ahead that yields to other prompts.
 	Yielding time.Duration
 	// Requests that generate there.
@@ -33,7 +33,7 @@
 
 // add adds another instance's part.
 func (l *EngineLoad) add(other EngineLoad) {
-	l.Ahead += other.Ahead
+	l.Backlog += other.Backlog
 	l.Yielding += other.Yielding
 	l.Requests += other.Requests
 	l.Use += other.Use
@@ -47,7 +47,7 @@
 }
 
 // idle tells that there is nothing worth telling of.
-func (l EngineLoad) idle() bool { return l.Ahead <= 0 && l.Requests <= 0 && l.Use <= leastUse }
+func (l EngineLoad) idle() bool { return l.Backlog <= 0 && l.Requests <= 0 && l.Use <= leastUse }
 
 // none is no load at all on an upstream.
 func none(hash uint32) EngineLoad { return EngineLoad{Engine: hash} }
--- a/internal/upstreamstate/told.go
+++ b/internal/upstreamstate/told.go
@@ -152,7 +152,7 @@
 }
 
 func (t *total) add(l EngineLoad, now time.Duration) {
-	t.ahead += l.Ahead
+	t.ahead += l.Backlog
 	t.yielding += l.Yielding
 	t.requests += l.Requests
 	t.use.put(t.use.now(now)+l.Use, now)
@@ -161,7 +161,7 @@
 
 // take takes a load off that was added when it was told.
 func (t *total) take(h heard, now time.Duration) {
-	t.ahead -= h.Ahead
+	t.ahead -= h.Backlog
 	t.yielding -= h.Yielding
 	t.requests -= h.Requests
 	t.use.put(max(0, t.use.now(now)-faded(h.Use, now-h.at)), now)
@@ -171,6 +171,6 @@
 // at is the sum at a time.
 func (t *total) at(now time.Duration) EngineLoad {
 	return EngineLoad{
-		Ahead: t.ahead, Yielding: t.yielding, Requests: t.requests, Use: t.use.now(now), Inflow: t.inflow.now(now),
+		Backlog: t.ahead, Yielding: t.yielding, Requests: t.requests, Use: t.use.now(now), Inflow: t.inflow.now(now),
 	}
 }
