--- a/internal/upstreamstate/ledger.go
+++ b/internal/upstreamstate/ledger.go
@@ -64,7 +64,7 @@
 // differs tells whether a load is another one than was told, but for the rates'
 // fading, which the receivers know of.
 func (e toldEntry) differs(load EngineLoad, now time.Duration) bool {
-	if e.Backlog != load.Backlog || e.Yielding != load.Yielding || e.Requests != load.Requests {
+	if e.Backlog != load.Backlog || e.DeferredBacklog != load.DeferredBacklog || e.Requests != load.Requests {
 		return true
 	}
 	since := now - e.at
--- a/internal/upstreamstate/node.go
+++ b/internal/upstreamstate/node.go
@@ -36,7 +36,7 @@
 // own is what this instance has on the upstream.
 func (n *node) own(now time.Duration) EngineLoad {
 	return EngineLoad{
-		Engine: n.hash, Requests: n.load.Streams, Backlog: n.work.own, Yielding: n.work.yielding,
+		Engine: n.hash, Requests: n.load.Streams, Backlog: n.work.own, DeferredBacklog: n.work.yielding,
 		Use: n.work.use.now(now), Inflow: n.work.inflow.now(now),
 	}
 }
--- a/internal/upstreamstate/reports.go
+++ b/internal/upstreamstate/reports.go
@@ -20,8 +20,8 @@
 	Engine uint32
 	// Backlog is the predicted time of the prompts that wait there.
 	Backlog time.Duration
-	// Yielding is the part of Ahead that yields to other prompts.
-	Yielding time.Duration
+	// DeferredBacklog is the part of Ahead that yields to other prompts.
+	DeferredBacklog time.Duration
 	// Requests that generate there.
 	Requests int
 	// Use is the part of the engine's time that the prompts take which were
@@ -34,7 +34,7 @@
 // add adds another instance's part.
 func (l *EngineLoad) add(other EngineLoad) {
 	l.Backlog += other.Backlog
-	l.Yielding += other.Yielding
+	l.DeferredBacklog += other.DeferredBacklog
 	l.Requests += other.Requests
 	l.Use += other.Use
 	l.Inflow += other.Inflow
--- a/internal/upstreamstate/told.go
+++ b/internal/upstreamstate/told.go
@@ -153,7 +153,7 @@
 
 func (t *total) add(l EngineLoad, now time.Duration) {
 	t.ahead += l.Backlog
-	t.yielding += l.Yielding
+	t.yielding += l.DeferredBacklog
 	t.requests += l.Requests
 	t.use.put(t.use.now(now)+l.Use, now)
 	t.inflow.put(t.inflow.now(now)+l.Inflow, now)
@@ -162,7 +162,7 @@
 // take takes a load off that was added when it was told.
 func (t *total) take(h heard, now time.Duration) {
 	t.ahead -= h.Backlog
-	t.yielding -= h.Yielding
+	t.yielding -= h.DeferredBacklog
 	t.requests -= h.Requests
 	t.use.put(max(0, t.use.now(now)-faded(h.Use, now-h.at)), now)
 	t.inflow.put(max(0, t.inflow.now(now)-faded(h.Inflow, now-h.at)), now)
@@ -171,6 +171,6 @@
 // at is the sum at a time.
 func (t *total) at(now time.Duration) EngineLoad {
 	return EngineLoad{
-		Backlog: t.ahead, Yielding: t.yielding, Requests: t.requests, Use: t.use.now(now), Inflow: t.inflow.now(now),
+		Backlog: t.ahead, DeferredBacklog: t.yielding, Requests: t.requests, Use: t.use.now(now), Inflow: t.inflow.now(now),
 	}
 }
