--- a/internal/model/keeper.go
+++ b/internal/model/keeper.go
@@ -76,7 +76,7 @@
 		if at := r.byID[e.ID]; at.wanted != at.role {
 			role = at.wanted
 		}
-		list = append(list, roles.Engine{ID: e.ID, Zone: e.Zone, Role: role, Running: e.Load.Requests, PrefillUtilization: e.Load.Use})
+		list = append(list, roles.Engine{ID: e.ID, Zone: e.Zone, Role: role, Running: e.Load.Requests, PrefillUtilization: e.Load.Utilization})
 	}
 	slices.SortFunc(list, func(a, b roles.Engine) int { return strings.Compare(a.ID, b.ID) })
 	return list
--- a/internal/peers/messages.go
+++ b/internal/peers/messages.go
@@ -41,7 +41,7 @@
 	for _, load := range report.Loads {
 		m.Loads = append(m.Loads, &sfv1.EngineLoad{
 			Engine: load.Engine, PrefillMs: uint32(load.Backlog.Milliseconds()), Requests: uint32(load.Requests),
-			Use: uint32(load.Use * thousandths), YieldingMs: uint32(load.DeferredBacklog.Milliseconds()),
+			Use: uint32(load.Utilization * thousandths), YieldingMs: uint32(load.DeferredBacklog.Milliseconds()),
 			Inflow: uint32(load.Inflow),
 		})
 	}
@@ -75,7 +75,7 @@
 	for _, l := range m.GetLoads() {
 		report.Loads = append(report.Loads, upstreamstate.EngineLoad{
 			Engine: l.GetEngine(), Backlog: time.Duration(l.GetPrefillMs()) * time.Millisecond, Requests: int(l.GetRequests()),
-			Use: float64(l.GetUse()) / thousandths, DeferredBacklog: time.Duration(l.GetYieldingMs()) * time.Millisecond,
+			Utilization: float64(l.GetUse()) / thousandths, DeferredBacklog: time.Duration(l.GetYieldingMs()) * time.Millisecond,
 			Inflow: float64(l.GetInflow()),
 		})
 	}
--- a/internal/rolekeeper/rolekeeper_test.go
+++ b/internal/rolekeeper/rolekeeper_test.go
@@ -265,7 +265,7 @@
 func TestTheSplitFollowsTheUse(t *testing.T) {
 	f, table := newFakeFleet(9), newTable()
 	f.serving = true
-	f.load(upstreamstate.EngineLoad{Requests: 60, Use: 0.05})
+	f.load(upstreamstate.EngineLoad{Requests: 60, Utilization: 0.05})
 	stop := run(t, "one", table, f)
 	waitFor(func() bool { return f.prefill() == 6 })
 	waitFor(func() bool { return wantedOf(t, table) < 6 })
--- a/internal/rolekeeper/use.go
+++ b/internal/rolekeeper/use.go
@@ -40,7 +40,7 @@
 func seen(engines []upstreamstate.Engine) []roles.Engine {
 	list := make([]roles.Engine, len(engines))
 	for i, e := range engines {
-		list[i] = roles.Engine{ID: e.ID, Zone: e.Zone, Role: e.Role, Running: e.Load.Requests, PrefillUtilization: e.Load.Use}
+		list[i] = roles.Engine{ID: e.ID, Zone: e.Zone, Role: e.Role, Running: e.Load.Requests, PrefillUtilization: e.Load.Utilization}
 	}
 	return list
 }
--- a/internal/upstreamstate/bench_test.go
+++ b/internal/upstreamstate/bench_test.go
@@ -46,7 +46,7 @@
 	var r Report
 	for i := range 4 {
 		engine := hashOf("engine-" + strconv.Itoa((source*7+i*13)%engines))
-		r.Loads = append(r.Loads, EngineLoad{Engine: engine, Requests: 1, Backlog: 30 * time.Millisecond, Use: 0.1})
+		r.Loads = append(r.Loads, EngineLoad{Engine: engine, Requests: 1, Backlog: 30 * time.Millisecond, Utilization: 0.1})
 		r.Placed = append(r.Placed, PlacedPart{Engine: engine, Part: hashOf("part-" + strconv.Itoa((source+i)%500))})
 	}
 	return r
--- a/internal/upstreamstate/ledger.go
+++ b/internal/upstreamstate/ledger.go
@@ -68,6 +68,6 @@
 		return true
 	}
 	since := now - e.at
-	return math.Abs(faded(e.Use, since)-load.Use) > leastUseChange ||
+	return math.Abs(faded(e.Utilization, since)-load.Utilization) > leastUseChange ||
 		math.Abs(faded(e.Inflow, since)-load.Inflow) > leastInflowChange
 }
--- a/internal/upstreamstate/node.go
+++ b/internal/upstreamstate/node.go
@@ -37,7 +37,7 @@
 func (n *node) own(now time.Duration) EngineLoad {
 	return EngineLoad{
 		Engine: n.hash, Requests: n.load.Streams, Backlog: n.work.own, DeferredBacklog: n.work.yielding,
-		Use: n.work.use.now(now), Inflow: n.work.inflow.now(now),
+		Utilization: n.work.use.now(now), Inflow: n.work.inflow.now(now),
 	}
 }
 
--- a/internal/upstreamstate/place.go
+++ b/internal/upstreamstate/place.go
@@ -62,7 +62,7 @@
 // itself lately, as placement sees it.
 func (n *node) toldTo(now time.Duration) placement.AggregateLoad {
 	all := n.all(now)
-	told := placement.AggregateLoad{Backlog: all.Backlog, DeferredBacklog: all.DeferredBacklog, Utilization: all.Use, Requests: all.Requests}
+	told := placement.AggregateLoad{Backlog: all.Backlog, DeferredBacklog: all.DeferredBacklog, Utilization: all.Utilization, Requests: all.Requests}
 	if n.work.reported.Known && now-n.work.reportedAt < reportFades {
 		told.Requests = max(told.Requests, n.work.reported.Running+n.work.reported.Waiting)
 	}
--- a/internal/upstreamstate/reports.go
+++ b/internal/upstreamstate/reports.go
@@ -24,9 +24,9 @@
 	DeferredBacklog time.Duration
 	// Requests that generate there.
 	Requests int
-	// Use is the part of the engine's time that the prompts take which were
+	// Utilization is the part of the engine's time that the prompts take which were
 	// placed there lately.
-	Use float64
+	Utilization float64
 	// Inflow are the tokens a second that lately came into the engine's cache.
 	Inflow float64
 }
@@ -36,7 +36,7 @@
 	l.Backlog += other.Backlog
 	l.DeferredBacklog += other.DeferredBacklog
 	l.Requests += other.Requests
-	l.Use += other.Use
+	l.Utilization += other.Utilization
 	l.Inflow += other.Inflow
 }
 
@@ -47,7 +47,7 @@
 }
 
 // idle tells that there is nothing worth telling of.
-func (l EngineLoad) idle() bool { return l.Backlog <= 0 && l.Requests <= 0 && l.Use <= leastUse }
+func (l EngineLoad) idle() bool { return l.Backlog <= 0 && l.Requests <= 0 && l.Utilization <= leastUse }
 
 // none is no load at all on an upstream.
 func none(hash uint32) EngineLoad { return EngineLoad{Engine: hash} }
--- a/internal/upstreamstate/told.go
+++ b/internal/upstreamstate/told.go
@@ -155,7 +155,7 @@
 	t.ahead += l.Backlog
 	t.yielding += l.DeferredBacklog
 	t.requests += l.Requests
-	t.use.put(t.use.now(now)+l.Use, now)
+	t.use.put(t.use.now(now)+l.Utilization, now)
 	t.inflow.put(t.inflow.now(now)+l.Inflow, now)
 }
 
@@ -164,13 +164,13 @@
 	t.ahead -= h.Backlog
 	t.yielding -= h.DeferredBacklog
 	t.requests -= h.Requests
-	t.use.put(max(0, t.use.now(now)-faded(h.Use, now-h.at)), now)
+	t.use.put(max(0, t.use.now(now)-faded(h.Utilization, now-h.at)), now)
 	t.inflow.put(max(0, t.inflow.now(now)-faded(h.Inflow, now-h.at)), now)
 }
 
 // at is the sum at a time.
 func (t *total) at(now time.Duration) EngineLoad {
 	return EngineLoad{
-		Backlog: t.ahead, DeferredBacklog: t.yielding, Requests: t.requests, Use: t.use.now(now), Inflow: t.inflow.now(now),
+		Backlog: t.ahead, DeferredBacklog: t.yielding, Requests: t.requests, Utilization: t.use.now(now), Inflow: t.inflow.now(now),
 	}
 }
