--- a/internal/model/reports.go
+++ b/internal/model/reports.go
@@ -71,7 +71,7 @@
 	report := from.picture.OwnReport(r.now)
 	for _, to := range r.instances {
 		if to != from && to.zone == from.zone {
-			r.send(to, upstreamstate.BesidePrefix+from.name, report)
+			r.send(to, upstreamstate.InstanceSourcePrefix+from.name, report)
 		}
 	}
 }
--- a/internal/peers/messages.go
+++ b/internal/peers/messages.go
@@ -19,7 +19,7 @@
 
 // sourceOf names the source of an instance's reports.
 func sourceOf(id fanout.ID) string {
-	return upstreamstate.BesidePrefix + strconv.FormatUint(uint64(id), 16)
+	return upstreamstate.InstanceSourcePrefix + strconv.FormatUint(uint64(id), 16)
 }
 
 func ownToMessage(o fanout.Own) *sfv1.InstanceReport {
--- a/internal/relay/apart_test.go
+++ b/internal/relay/apart_test.go
@@ -130,7 +130,7 @@
 			t.Fatalf("%d ends are told of", len(ends))
 		}
 		for _, to := range []*Relay{first, second, third} {
-			to.ApplyReport(upstreamstate.BesidePrefix+"x", upstreamstate.Report{Crashes: ends})
+			to.ApplyReport(upstreamstate.InstanceSourcePrefix+"x", upstreamstate.Report{Crashes: ends})
 		}
 	}
 	for n, r := range []*Relay{first, second, third} {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -192,7 +192,7 @@
 	r.pool.deposit(source, report.RetryOverflow, now)
 	r.link.heard(now)
 	r.usage.hear(source, report)
-	r.hearEnds(report.Crashes, strings.HasPrefix(source, upstreamstate.BesidePrefix))
+	r.hearEnds(report.Crashes, strings.HasPrefix(source, upstreamstate.InstanceSourcePrefix))
 }
 
 // ownSource names this instance in its own pool.
--- a/internal/relay/usage.go
+++ b/internal/relay/usage.go
@@ -70,7 +70,7 @@
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if strings.HasPrefix(source, upstreamstate.BesidePrefix) {
+	if strings.HasPrefix(source, upstreamstate.InstanceSourcePrefix) {
 		u.tally.Hear(usage.Source{Name: source, Boot: report.Boot}, report.Usage)
 		return
 	}
--- a/internal/relay/usage_test.go
+++ b/internal/relay/usage_test.go
@@ -110,7 +110,7 @@
 	}
 	own := one.OwnReport()
 	for range 2 {
-		hub.ApplyReport(upstreamstate.BesidePrefix+"one", own)
+		hub.ApplyReport(upstreamstate.InstanceSourcePrefix+"one", own)
 	}
 	zone := hub.ZoneReport()
 	for range 2 {
--- a/internal/upstreamstate/bench_test.go
+++ b/internal/upstreamstate/bench_test.go
@@ -52,7 +52,7 @@
 	return r
 }
 
-func sourceName(i int) string { return BesidePrefix + strconv.Itoa(i) }
+func sourceName(i int) string { return InstanceSourcePrefix + strconv.Itoa(i) }
 
 func benchPrompt(i int) placement.Prompt {
 	return placement.Prompt{Tokens: 17000, MaxOutput: 600, Parts: []placement.Part{
--- a/internal/upstreamstate/leaving_test.go
+++ b/internal/upstreamstate/leaving_test.go
@@ -48,7 +48,7 @@
 	told, hub, farHub, far, newcomer := newPicture(), newPicture(), newPicture(), newPicture(), newPicture()
 	u := told.Members("app")[0]
 	told.Announced(u, quota.Announcement{Leaving: true}, 0)
-	hub.TakeReport(BesidePrefix+"one", told.OwnReport(0), 0)
+	hub.TakeReport(InstanceSourcePrefix+"one", told.OwnReport(0), 0)
 	farHub.TakeReport("zone a", hub.ZoneReport(0), 0)
 	far.TakeReport("zones", farHub.BeyondReport(0), 0)
 	newcomer.HearLimits(far.Limits(0), true, 0)
--- a/internal/upstreamstate/limits_test.go
+++ b/internal/upstreamstate/limits_test.go
@@ -49,7 +49,7 @@
 	for step, rate := range []float64{2, 1} {
 		now := time.Duration(step) * time.Second
 		told.Announced(u, quota.Announcement{Limited: true, Rate: rate}, now)
-		hub.TakeReport(BesidePrefix+"one", told.OwnReport(now), now)
+		hub.TakeReport(InstanceSourcePrefix+"one", told.OwnReport(now), now)
 		farHub.TakeReport("zone a", hub.ZoneReport(now), now)
 		far.TakeReport("zones", farHub.BeyondReport(now), now)
 		for name, p := range map[string]*State{"told": told, "hub": hub, "far hub": farHub, "far": far} {
--- a/internal/upstreamstate/reports.go
+++ b/internal/upstreamstate/reports.go
@@ -193,7 +193,7 @@
 		p.parts.note(placed, now)
 	}
 	p.hear(report.Times)
-	beside := strings.HasPrefix(source, BesidePrefix)
+	beside := strings.HasPrefix(source, InstanceSourcePrefix)
 	p.hearWords(report, beside, now)
 	p.hearLimits(report.Limits, beside, now)
 	if beside {
--- a/internal/upstreamstate/told.go
+++ b/internal/upstreamstate/told.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// BesidePrefix begins the names of report sources that are instances of the
+// InstanceSourcePrefix begins the names of report sources that are instances of the
 // same zone. Other sources are zones.
-const BesidePrefix = "instance "
+const InstanceSourcePrefix = "instance "
 
 // Times for which what others told counts.
 const (
@@ -70,7 +70,7 @@
 func (t *toldLoads) take(from string, report Report, now time.Duration) {
 	s, ok := t.sources[from]
 	if !ok {
-		s = &source{beside: strings.HasPrefix(from, BesidePrefix), loads: map[uint32]heard{}}
+		s = &source{beside: strings.HasPrefix(from, InstanceSourcePrefix), loads: map[uint32]heard{}}
 		t.sources[from] = s
 	}
 	s.at = now
--- a/internal/upstreamstate/upstreamstate_test.go
+++ b/internal/upstreamstate/upstreamstate_test.go
@@ -125,7 +125,7 @@
 func TestPlainCallsAreToldOf(t *testing.T) {
 	p, other := newPicture(), newPicture()
 	chosen, _ := p.PickCall(PlacementRequest{ID: "r", Service: "app"}, 0)
-	other.TakeReport(BesidePrefix+"one", p.OwnReport(0), 0)
+	other.TakeReport(InstanceSourcePrefix+"one", p.OwnReport(0), 0)
 	if n := toldOf(t, other, chosen.ID, PlacementRequest{Service: "app"}, 0).Requests; n != 1 {
 		t.Errorf("%d calls told of, want one", n)
 	}
@@ -163,13 +163,13 @@
 	if !ok || start.Direct() || start.BusyTime <= 0 || turn != placement.QueueNormal {
 		t.Fatalf("%+v, %s, %t", start, turn, ok)
 	}
-	other.TakeReport(BesidePrefix+"one", p.OwnReport(0), 0)
+	other.TakeReport(InstanceSourcePrefix+"one", p.OwnReport(0), 0)
 	if got := toldOf(t, other, start.Engine.ID, PlacementRequest{Service: "llm"}, 0).Backlog; got != start.BusyTime {
 		t.Errorf("%s ahead, want %s", got, start.BusyTime)
 	}
 	p.PromptDone(start.Engine.ID, start.BusyTime, turn)
 	p.End(start.Engine.ID, "r", 0)
-	other.TakeReport(BesidePrefix+"one", p.OwnReport(0), 0)
+	other.TakeReport(InstanceSourcePrefix+"one", p.OwnReport(0), 0)
 	if got := toldOf(t, other, start.Engine.ID, PlacementRequest{Service: "llm"}, 0).Backlog; got != 0 {
 		t.Errorf("%s ahead of nothing", got)
 	}
@@ -199,7 +199,7 @@
 	p.Judge(chosen.ID, load.CallAddressReassigned, 0)
 	p.End(chosen.ID, "r", 0)
 	callsWithout(t, p, chosen.ID, time.Second)
-	other.TakeReport(BesidePrefix+"one", p.OwnReport(0), 0)
+	other.TakeReport(InstanceSourcePrefix+"one", p.OwnReport(0), 0)
 	callsWithout(t, other, chosen.ID, time.Second)
 	beyond.TakeReport("zone a", other.ZoneReport(0), 0)
 	callsWithout(t, beyond, chosen.ID, time.Second)
@@ -212,7 +212,7 @@
 	p, other := newPicture(), newPicture()
 	p.SendAway("dec-1", time.Minute)
 	other.Judge("dec-1", load.CallSucceeded, 0)
-	other.TakeReport(BesidePrefix+"one", p.OwnReport(0), 0)
+	other.TakeReport(InstanceSourcePrefix+"one", p.OwnReport(0), 0)
 	silent := func() bool {
 		other.mu.Lock()
 		defer other.mu.Unlock()
