--- a/internal/upstreamstate/reports.go
+++ b/internal/upstreamstate/reports.go
@@ -47,7 +47,9 @@
 }
 
 // idle tells that there is nothing worth telling of.
-func (l EngineLoad) idle() bool { return l.Backlog <= 0 && l.Requests <= 0 && l.Utilization <= leastUse }
+func (l EngineLoad) idle() bool {
+	return l.Backlog <= 0 && l.Requests <= 0 && l.Utilization <= leastUse
+}
 
 // none is no load at all on an upstream.
 func none(hash uint32) EngineLoad { return EngineLoad{Engine: hash} }
@@ -61,7 +63,7 @@
 	// Complete: the source has nothing under way on the engines that Loads does not
 	// name. Else their loads are as they were told before.
 	Complete bool
-	Loads []EngineLoad
+	Loads    []EngineLoad
 	// Placed since the last report.
 	Placed []PlacedPart
 	// Unreachable are hashes of the upstreams that could not be reached lately.
