--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -42,7 +42,7 @@
 	declined int
 	runs     int
 	lastErr  error
-	// prepaid: the next send needs nothing from the budget.
+	// prepaid: the next send takes nothing from the budget.
 	prepaid bool
 	// skipBackoff: the next attempt is made without a delay.
 	skipBackoff bool
@@ -52,11 +52,11 @@
 
 // New returns the Attempts of a request that was validated and may be sent.
 func New(rules Rules) *Attempts {
-	progress, _ := outcome.Request{Repeatable: rules.Repeatable}.Apply(outcome.Admit) // Admit is always valid first
+	progress, _ := outcome.Request{Repeatable: rules.Repeatable}.Apply(outcome.Admit) // cannot fail first
 	return &Attempts{rules: rules, progress: progress, excluded: map[string]bool{}}
 }
 
-// Sends returns the number of all sends.
+// Sends returns the number of sends, including those that reached no upstream.
 func (a *Attempts) Sends() int { return a.sends }
 
 // Runs returns the number of attempts that may have run, but returned no complete
--- a/internal/attempt/budget.go
+++ b/internal/attempt/budget.go
@@ -53,7 +53,7 @@
 	b.budget.SetRules(rules)
 }
 
-// Succeeded records a success, which pays for a share of a retry.
+// Succeeded adds the share of a retry that one success pays for to the balance.
 func (b *Budget) Succeeded(now time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -114,7 +114,8 @@
 )
 
 // Next decides whether one more send may be made. Before a retry it takes one from
-// the budget and waits for the backoff. The first send needs no budget.
+// the budget, unless it is prepaid, and waits for the backoff. The first send needs
+// no budget.
 func (a *Attempts) Next(ctx context.Context, b *Budget, responseStarted bool, now time.Duration) Verdict {
 	if ctx.Err() != nil || !a.MaySend() {
 		return Exhausted
@@ -138,8 +139,8 @@
 	return Proceed
 }
 
-// Prepay takes the next send from the budget in advance. False means that no
-// further send is allowed.
+// Prepay takes the next send from the budget in advance. False means that the budget
+// allows none.
 func (a *Attempts) Prepay(ctx context.Context, b *Budget, now time.Duration) bool {
 	a.prepaid = b.Spend(ctx, false, now)
 	return a.prepaid
--- a/internal/attempt/run.go
+++ b/internal/attempt/run.go
@@ -50,8 +50,8 @@
 // Run makes attempts until one completes the request, no upstream is left to try,
 // or no further attempt is allowed. It returns the last result and the verdict of
 // the last Next, which is Proceed when the result ended the loop. Unless the status
-// is Done, the caller still has to be sent an error; Outcome is what that may say
-// about the request.
+// is Done, the caller still has to be sent an error; Outcome returns what that may
+// state about the request.
 func (a *Attempts) Run(ctx context.Context, b *Budget, now func() time.Duration, call Call) (Result, Verdict) {
 	var last Result
 	for {
