--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -52,7 +52,7 @@
 
 // New returns the Attempts of a request that was validated and may be sent.
 func New(rules Rules) *Attempts {
-	progress, _ := outcome.Request{Repeatable: rules.Repeatable}.Apply(outcome.Admit) // cannot fail first
+	progress, _ := outcome.Request{Repeatable: rules.Repeatable}.Apply(outcome.Admit) // never fails on a new request
 	return &Attempts{rules: rules, progress: progress, excluded: map[string]bool{}}
 }
 
