--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -201,9 +201,9 @@
 	speaker := hubOf(all, "b")
 	waitFor(func() bool {
 		// A part is told once, and a datagram may be lost: it is placed again.
-		speaker.relay.ApplyReport("instance x", upstreamstate.Report{Placed: []upstreamstate.Placed{{Engine: 1, Part: 2}}})
+		speaker.relay.ApplyReport("instance x", upstreamstate.Report{Placed: []upstreamstate.PlacedPart{{Engine: 1, Part: 2}}})
 		for _, n := range all {
-			if n.self.Zone != speaker.self.Zone && !n.relay.HasPlacement(upstreamstate.Placed{Engine: 1, Part: 2}) {
+			if n.self.Zone != speaker.self.Zone && !n.relay.HasPlacement(upstreamstate.PlacedPart{Engine: 1, Part: 2}) {
 				return false
 			}
 		}
@@ -314,11 +314,11 @@
 func TestALongReportArrives(t *testing.T) {
 	from, to := newNode(t, "from", "a"), newNode(t, "to", "a")
 	message := from.reports.message(sfv1.Datagram_KIND_OWN)
-	var away []upstreamstate.Away
+	var away []upstreamstate.UnavailableUpstream
 	for i := range 1000 {
-		away = append(away, upstreamstate.Away{Upstream: uint32(i), For: 15 * time.Second})
+		away = append(away, upstreamstate.UnavailableUpstream{Upstream: uint32(i), For: 15 * time.Second})
 	}
-	message.Beyond = reportToMessage(upstreamstate.Report{Away: away})
+	message.Beyond = reportToMessage(upstreamstate.Report{Unavailable: away})
 	waitFor(func() bool { return from.reports.conn.Load() != nil && to.reports.conn.Load() != nil })
 	if !holdsWithin(10*time.Second, func() bool {
 		from.reports.send(message, []string{to.self.Address})
--- a/internal/upstreamstate/bench_test.go
+++ b/internal/upstreamstate/bench_test.go
@@ -46,13 +46,13 @@
 	var r Report
 	for i := range 4 {
 		engine := hashOf("engine-" + strconv.Itoa((source*7+i*13)%engines))
-		r.Loads = append(r.Loads, EngineLoad{Engine: engine, Requests: 1, Ahead: 30 * time.Millisecond, Use: 0.1})
-		r.Placed = append(r.Placed, Placed{Engine: engine, Part: hashOf("part-" + strconv.Itoa((source+i)%500))})
+		r.Loads = append(r.Loads, EngineLoad{Engine: engine, Requests: 1, Backlog: 30 * time.Millisecond, Utilization: 0.1})
+		r.Placed = append(r.Placed, PlacedPart{Engine: engine, Part: hashOf("part-" + strconv.Itoa((source+i)%500))})
 	}
 	return r
 }
 
-func sourceName(i int) string { return BesidePrefix + strconv.Itoa(i) }
+func sourceName(i int) string { return InstanceSourcePrefix + strconv.Itoa(i) }
 
 func benchPrompt(i int) placement.Prompt {
 	return placement.Prompt{Tokens: 17000, MaxOutput: 600, Parts: []placement.Part{
@@ -72,7 +72,7 @@
 		if reports {
 			p.TakeReport(sourceName(i%sources), sourceReport(i%sources, engines), 0)
 		}
-		ask := PlacementRequest{ID: "r", Service: "llm", Prompt: benchPrompt(i), Objective: time.Second, TimeLeft: 6 * time.Second}
+		ask := PlacementRequest{ID: "r", Service: "llm", Prompt: benchPrompt(i), Objective: time.Second, RemainingWait: 6 * time.Second}
 		start, turn, ok := p.PickStart(ask, 0)
 		if !ok {
 			b.Fatal("no engine")
@@ -118,7 +118,7 @@
 	for _, engines := range benchEngines {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
 			p := largePicture(engines)
-			p.PickStart(PlacementRequest{ID: "r", Service: "llm", Prompt: benchPrompt(1), Objective: time.Second, TimeLeft: time.Second}, 0)
+			p.PickStart(PlacementRequest{ID: "r", Service: "llm", Prompt: benchPrompt(1), Objective: time.Second, RemainingWait: time.Second}, 0)
 			b.ReportAllocs()
 			for b.Loop() {
 				p.OwnReport(0)
--- a/internal/upstreamstate/limits_test.go
+++ b/internal/upstreamstate/limits_test.go
@@ -49,7 +49,7 @@
 	for step, rate := range []float64{2, 1} {
 		now := time.Duration(step) * time.Second
 		told.Announced(u, quota.Announcement{Limited: true, Rate: rate}, now)
-		hub.TakeReport(BesidePrefix+"one", told.OwnReport(now), now)
+		hub.TakeReport(InstanceSourcePrefix+"one", told.OwnReport(now), now)
 		farHub.TakeReport("zone a", hub.ZoneReport(now), now)
 		far.TakeReport("zones", farHub.BeyondReport(now), now)
 		for name, p := range map[string]*State{"told": told, "hub": hub, "far hub": farHub, "far": far} {
@@ -67,7 +67,7 @@
 // it.
 func TestCachedPartsOfASpentEngineAreFetched(t *testing.T) {
 	p := newPicture()
-	ask := PlacementRequest{ID: "r", Service: "llm", Prompt: long, Objective: time.Second, TimeLeft: 2 * time.Second}
+	ask := PlacementRequest{ID: "r", Service: "llm", Prompt: long, Objective: time.Second, RemainingWait: 2 * time.Second}
 	first, turn, _ := p.PickStart(ask, 0)
 	p.PromptDone(first.Engine.ID, first.BusyTime, turn)
 	p.End(first.Engine.ID, "r", 0)
--- a/internal/upstreamstate/place.go
+++ b/internal/upstreamstate/place.go
@@ -15,9 +15,9 @@
 	Prompt placement.Prompt
 	// Excluded upstreams failed the request already.
 	Excluded map[string]bool
-	// Objective is what is left of the time in which the answer is on time, TimeLeft
+	// Objective is what is left of the time in which the answer is on time, RemainingWait
 	// of the time that the caller waits.
-	Objective, TimeLeft time.Duration
+	Objective, RemainingWait time.Duration
 	// Priority; 0 is the most urgent.
 	Priority int
 }
@@ -26,7 +26,7 @@
 func (p *State) request(a PlacementRequest, now time.Duration) *placement.Request {
 	return &placement.Request{
 		Zone: p.settings.Zone, Prompt: a.Prompt, Excluded: a.Excluded, Now: now,
-		Objective: a.Objective, RemainingWait: a.TimeLeft, Costs: p.costs(a.Service),
+		Objective: a.Objective, RemainingWait: a.RemainingWait, Costs: p.costs(a.Service),
 		CheckLimits: p.limits.any(),
 	}
 }
@@ -62,7 +62,7 @@
 // itself lately, as placement sees it.
 func (n *node) toldTo(now time.Duration) placement.AggregateLoad {
 	all := n.all(now)
-	told := placement.AggregateLoad{Backlog: all.Ahead, DeferredBacklog: all.Yielding, Utilization: all.Use, Requests: all.Requests}
+	told := placement.AggregateLoad{Backlog: all.Backlog, DeferredBacklog: all.DeferredBacklog, Utilization: all.Utilization, Requests: all.Requests}
 	if n.work.reported.Known && now-n.work.reportedAt < reportFades {
 		told.Requests = max(told.Requests, n.work.reported.Running+n.work.reported.Waiting)
 	}
--- a/internal/upstreamstate/upstreamstate_test.go
+++ b/internal/upstreamstate/upstreamstate_test.go
@@ -57,7 +57,7 @@
 	p.Learn(engine)
 	before := engine.Incarnation()
 	p.TakeReport("zone b", Report{
-		Loads: []EngineLoad{{Engine: before, Requests: 9}}, Placed: []Placed{{Engine: before, Part: 7}}, Gone: []uint32{before},
+		Loads: []EngineLoad{{Engine: before, Requests: 9}}, Placed: []PlacedPart{{Engine: before, Part: 7}}, Unreachable: []uint32{before},
 	}, time.Second)
 	p.PlaceOn("e", "r1", time.Second)
 	p.SendAway("e", time.Minute)
@@ -71,7 +71,7 @@
 	if engine.Incarnation() == before || n.own(time.Second).Requests != 0 || n.toldTo(time.Second).Requests != 0 || p.takesNone(n, time.Second) {
 		t.Errorf("has %+v of before, left out: %t", n.toldTo(time.Second), p.takesNone(n, time.Second))
 	}
-	if p.Knows(Placed{Engine: n.hash, Part: 7}) {
+	if p.Knows(PlacedPart{Engine: n.hash, Part: 7}) {
 		t.Error("is believed to have a part of before")
 	}
 	p.End("e", "r1", time.Second) // of before
@@ -93,7 +93,7 @@
 	p.Judge(first.ID, load.CallSucceeded, 0)
 	p.End(first.ID, "r", 0)
 	const later = time.Minute // it answered long ago
-	p.TakeReport("zone b", Report{Gone: []uint32{hashOf(first.ID)}}, later)
+	p.TakeReport("zone b", Report{Unreachable: []uint32{hashOf(first.ID)}}, later)
 	for range 10 {
 		next, _ := p.PickCall(call, later)
 		if next.ID == first.ID {
@@ -125,7 +125,7 @@
 func TestPlainCallsAreToldOf(t *testing.T) {
 	p, other := newPicture(), newPicture()
 	chosen, _ := p.PickCall(PlacementRequest{ID: "r", Service: "app"}, 0)
-	other.TakeReport(BesidePrefix+"one", p.OwnReport(0), 0)
+	other.TakeReport(InstanceSourcePrefix+"one", p.OwnReport(0), 0)
 	if n := toldOf(t, other, chosen.ID, PlacementRequest{Service: "app"}, 0).Requests; n != 1 {
 		t.Errorf("%d calls told of, want one", n)
 	}
@@ -147,7 +147,7 @@
 		cached int
 	}{{0, 30 * time.Second, 6000}, {100000, 2 * time.Second, 6000}, {100000, 3 * time.Second, 0}} {
 		p := newPicture()
-		p.TakeReport("zone b", Report{Placed: []Placed{{Engine: hashOf("pre-1"), Part: hashOf("shared")}}}, 0)
+		p.TakeReport("zone b", Report{Placed: []PlacedPart{{Engine: hashOf("pre-1"), Part: hashOf("shared")}}}, 0)
 		p.TakeReport("zone b", Report{Loads: []EngineLoad{{Engine: hashOf("pre-1"), Inflow: c.inflow}}}, c.after)
 		ask := PlacementRequest{Service: "llm", Prompt: long}
 		if got := toldOf(t, p, "pre-1", ask, c.after).CachedTokens; got != c.cached {
@@ -159,17 +159,17 @@
 // TestAPromptIsChargedUntilItIsDone has two instances; one hears of the other's.
 func TestAPromptIsChargedUntilItIsDone(t *testing.T) {
 	p, other := newPicture(), newPicture()
-	start, turn, ok := p.PickStart(PlacementRequest{ID: "r", Service: "llm", Prompt: long, Objective: time.Second, TimeLeft: 2 * time.Second}, 0)
+	start, turn, ok := p.PickStart(PlacementRequest{ID: "r", Service: "llm", Prompt: long, Objective: time.Second, RemainingWait: 2 * time.Second}, 0)
 	if !ok || start.Direct() || start.BusyTime <= 0 || turn != placement.QueueNormal {
 		t.Fatalf("%+v, %s, %t", start, turn, ok)
 	}
-	other.TakeReport(BesidePrefix+"one", p.OwnReport(0), 0)
+	other.TakeReport(InstanceSourcePrefix+"one", p.OwnReport(0), 0)
 	if got := toldOf(t, other, start.Engine.ID, PlacementRequest{Service: "llm"}, 0).Backlog; got != start.BusyTime {
 		t.Errorf("%s ahead, want %s", got, start.BusyTime)
 	}
 	p.PromptDone(start.Engine.ID, start.BusyTime, turn)
 	p.End(start.Engine.ID, "r", 0)
-	other.TakeReport(BesidePrefix+"one", p.OwnReport(0), 0)
+	other.TakeReport(InstanceSourcePrefix+"one", p.OwnReport(0), 0)
 	if got := toldOf(t, other, start.Engine.ID, PlacementRequest{Service: "llm"}, 0).Backlog; got != 0 {
 		t.Errorf("%s ahead of nothing", got)
 	}
@@ -199,7 +199,7 @@
 	p.Judge(chosen.ID, load.CallAddressReassigned, 0)
 	p.End(chosen.ID, "r", 0)
 	callsWithout(t, p, chosen.ID, time.Second)
-	other.TakeReport(BesidePrefix+"one", p.OwnReport(0), 0)
+	other.TakeReport(InstanceSourcePrefix+"one", p.OwnReport(0), 0)
 	callsWithout(t, other, chosen.ID, time.Second)
 	beyond.TakeReport("zone a", other.ZoneReport(0), 0)
 	callsWithout(t, beyond, chosen.ID, time.Second)
@@ -212,7 +212,7 @@
 	p, other := newPicture(), newPicture()
 	p.SendAway("dec-1", time.Minute)
 	other.Judge("dec-1", load.CallSucceeded, 0)
-	other.TakeReport(BesidePrefix+"one", p.OwnReport(0), 0)
+	other.TakeReport(InstanceSourcePrefix+"one", p.OwnReport(0), 0)
 	silent := func() bool {
 		other.mu.Lock()
 		defer other.mu.Unlock()
