--- a/internal/fanout/inbox.go
+++ b/internal/fanout/inbox.go
@@ -67,12 +67,12 @@
 	if o.Report.Times == nil {
 		o.Report.Times = b.waiting[o.Source].own.Report.Times
 	}
-	ends := append(b.waiting[o.Source].own.Report.Ends, o.Report.Ends...)
-	o.Report.Ends = ends[max(0, len(ends)-endsAtMost):]
+	ends := append(b.waiting[o.Source].own.Report.Crashes, o.Report.Crashes...)
+	o.Report.Crashes = ends[max(0, len(ends)-endsAtMost):]
 	if w, waits := b.waiting[o.Source]; waits {
 		o.Report.Limits = quota.Merge(quota.AddAge(w.own.Report.Limits, now-w.at), o.Report.Limits)
 	}
-	o.Report.Spilled, o.Report.Usage = nil, nil // these are for those that pass reports on
+	o.Report.RetryOverflow, o.Report.Usage = nil, nil // these are for those that pass reports on
 	since := now
 	if w, waits := b.waiting[o.Source]; waits {
 		since = w.since
--- a/internal/model/run.go
+++ b/internal/model/run.go
@@ -40,7 +40,7 @@
 // instance is one instance with its picture.
 type instance struct {
 	name, zone string
-	picture    *upstreamstate.Picture
+	picture    *upstreamstate.State
 }
 
 // run is a pattern under a policy on its way.
@@ -145,11 +145,11 @@
 	}
 }
 
-func (req *request) ask(now time.Duration) upstreamstate.Ask {
+func (req *request) ask(now time.Duration) upstreamstate.PlacementRequest {
 	waited := now - req.arrived
-	return upstreamstate.Ask{
+	return upstreamstate.PlacementRequest{
 		ID: req.id, Service: service, Prompt: req.prompt,
-		Objective: req.class.Objective - waited, Left: req.class.Patience - waited,
+		Objective: req.class.Objective - waited, RemainingWait: req.class.Patience - waited,
 	}
 }
 
--- a/internal/peers/messages.go
+++ b/internal/peers/messages.go
@@ -19,7 +19,7 @@
 
 // sourceOf names the source of an instance's reports.
 func sourceOf(id fanout.ID) string {
-	return upstreamstate.BesidePrefix + strconv.FormatUint(uint64(id), 16)
+	return upstreamstate.InstanceSourcePrefix + strconv.FormatUint(uint64(id), 16)
 }
 
 func ownToMessage(o fanout.Own) *sfv1.InstanceReport {
@@ -37,24 +37,24 @@
 }
 
 func reportToMessage(report upstreamstate.Report) *sfv1.EngineReport {
-	m := &sfv1.EngineReport{Whole: report.Whole, Gone: report.Gone}
+	m := &sfv1.EngineReport{Whole: report.Complete, Gone: report.Unreachable}
 	for _, load := range report.Loads {
 		m.Loads = append(m.Loads, &sfv1.EngineLoad{
-			Engine: load.Engine, PrefillMs: uint32(load.Ahead.Milliseconds()), Requests: uint32(load.Requests),
-			Use: uint32(load.Use * thousandths), YieldingMs: uint32(load.Yielding.Milliseconds()),
+			Engine: load.Engine, PrefillMs: uint32(load.Backlog.Milliseconds()), Requests: uint32(load.Requests),
+			Use: uint32(load.Utilization * thousandths), YieldingMs: uint32(load.DeferredBacklog.Milliseconds()),
 			Inflow: uint32(load.Inflow),
 		})
 	}
 	for _, p := range report.Placed {
 		m.Placed = append(m.Placed, p.Engine, p.Part)
 	}
-	for _, a := range report.Away {
+	for _, a := range report.Unavailable {
 		m.Away = append(m.Away, &sfv1.AwayUpstream{Upstream: a.Upstream, ForMs: uint32(a.For.Milliseconds())})
 	}
-	for service, sends := range report.Spilled {
+	for service, sends := range report.RetryOverflow {
 		m.Spilled = append(m.Spilled, &sfv1.Spilled{Service: service, Sends: float32(sends)})
 	}
-	for _, e := range report.Ends {
+	for _, e := range report.Crashes {
 		m.Ends = append(m.Ends, &sfv1.UpstreamEnd{Content: uint64(e.Content), Upstream: e.Upstream})
 	}
 	for _, c := range report.Usage {
@@ -71,29 +71,29 @@
 }
 
 func reportFromMessage(m *sfv1.EngineReport) upstreamstate.Report {
-	report := upstreamstate.Report{Whole: m.GetWhole(), Gone: m.GetGone()}
+	report := upstreamstate.Report{Complete: m.GetWhole(), Unreachable: m.GetGone()}
 	for _, l := range m.GetLoads() {
 		report.Loads = append(report.Loads, upstreamstate.EngineLoad{
-			Engine: l.GetEngine(), Ahead: time.Duration(l.GetPrefillMs()) * time.Millisecond, Requests: int(l.GetRequests()),
-			Use: float64(l.GetUse()) / thousandths, Yielding: time.Duration(l.GetYieldingMs()) * time.Millisecond,
+			Engine: l.GetEngine(), Backlog: time.Duration(l.GetPrefillMs()) * time.Millisecond, Requests: int(l.GetRequests()),
+			Utilization: float64(l.GetUse()) / thousandths, DeferredBacklog: time.Duration(l.GetYieldingMs()) * time.Millisecond,
 			Inflow: float64(l.GetInflow()),
 		})
 	}
 	placed := m.GetPlaced()
 	for i := 0; i+1 < len(placed); i += 2 {
-		report.Placed = append(report.Placed, upstreamstate.Placed{Engine: placed[i], Part: placed[i+1]})
+		report.Placed = append(report.Placed, upstreamstate.PlacedPart{Engine: placed[i], Part: placed[i+1]})
 	}
 	for _, spilled := range m.GetSpilled() {
-		if report.Spilled == nil {
-			report.Spilled = map[uint32]float64{}
+		if report.RetryOverflow == nil {
+			report.RetryOverflow = map[uint32]float64{}
 		}
-		report.Spilled[spilled.GetService()] = float64(spilled.GetSends())
+		report.RetryOverflow[spilled.GetService()] = float64(spilled.GetSends())
 	}
 	for _, a := range m.GetAway() {
-		report.Away = append(report.Away, upstreamstate.Away{Upstream: a.GetUpstream(), For: time.Duration(a.GetForMs()) * time.Millisecond})
+		report.Unavailable = append(report.Unavailable, upstreamstate.UnavailableUpstream{Upstream: a.GetUpstream(), For: time.Duration(a.GetForMs()) * time.Millisecond})
 	}
 	for _, e := range m.GetEnds() {
-		report.Ends = append(report.Ends, quarantine.End{Content: quarantine.Content(e.GetContent()), Upstream: e.GetUpstream()})
+		report.Crashes = append(report.Crashes, quarantine.End{Content: quarantine.Content(e.GetContent()), Upstream: e.GetUpstream()})
 	}
 	for _, c := range m.GetUsage() {
 		report.Usage = append(report.Usage, usage.Count{
--- a/internal/quota/book.go
+++ b/internal/quota/book.go
@@ -68,11 +68,11 @@
 
 // Change of what is known of an upstream's announcements.
 type Change struct {
-	Upstream     uint32
+	Upstream      uint32
 	OldRate, Rate float64
 	// StartsDraining: it was not known before that the upstream leaves.
 	StartsDraining bool
-	Source  Source
+	Source         Source
 	// Age of the answer that said so.
 	Age time.Duration
 }
--- a/internal/quota/grants_test.go
+++ b/internal/quota/grants_test.go
@@ -7,7 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-func asks(rate float64) GrantRequest { return GrantRequest{Limit: UpstreamLimit{Upstream: upstream, Rate: rate}} }
+func asks(rate float64) GrantRequest {
+	return GrantRequest{Limit: UpstreamLimit{Upstream: upstream, Rate: rate}}
+}
 
 // coordinating returns grants of an instance that has coordinated for long, and the time.
 func coordinating(rate float64) (*Coordinator, time.Duration) {
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -211,8 +211,8 @@
 }
 
 // hear takes what an upstream says of itself with an answer.
-func (r *Relay) hear(from upstreamstate.Upstream, s upstreamstate.Statement) {
-	for _, err := range s.Unread {
+func (r *Relay) hear(from upstreamstate.Upstream, s upstreamstate.UpstreamStatus) {
+	for _, err := range s.ParseErrors {
 		r.meters.limits.unread.Inc(1)
 		r.log.Info("relay: upstream's word cannot be read", "upstream", from.ID, "error", err)
 	}
@@ -220,9 +220,9 @@
 		r.picture.Announced(from, *s.Announcement, r.now())
 		r.showLimits()
 	}
-	if s.Rest > 0 && r.picture.RestFor(from, s.Rest, r.now()) {
+	if s.Backoff > 0 && r.picture.RestFor(from, s.Backoff, r.now()) {
 		r.meters.limits.rests.Inc(1)
-		r.log.Info("relay: upstream asks for rest", "upstream", from.ID, "for", s.Rest)
+		r.log.Info("relay: upstream asks for rest", "upstream", from.ID, "for", s.Backoff)
 	}
 }
 
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -75,7 +75,7 @@
 	sender   Sender
 	log      *slog.Logger
 	start    time.Time
-	picture  *upstreamstate.Picture
+	picture  *upstreamstate.State
 	budgets  *budgets
 	pool     *pool
 	contents *contents
@@ -106,7 +106,7 @@
 	sender.SetStatementHandler(r.hear)
 	r.budgets = newBudgets(s.Budget, newRetryMeters(), r.askPool)
 	r.picture = upstreamstate.New(upstreamstate.Settings{
-		Zone: s.Zone, Placement: s.Placement, Prior: s.Prior, Outliers: s.Outliers, Changed: r.noteChanged,
+		Zone: s.Zone, Placement: s.Placement, Prior: s.Prior, Outliers: s.Outliers, OnChange: r.noteChanged,
 	})
 	return r
 }
@@ -160,7 +160,7 @@
 func (r *Relay) OwnReport() upstreamstate.Report {
 	r.showRests()
 	report := r.picture.OwnReport(r.now())
-	report.Spilled, report.Ends = r.budgets.spilled(), r.contents.told((*quarantine.Table).OwnEnds)
+	report.RetryOverflow, report.Crashes = r.budgets.spilled(), r.contents.told((*quarantine.Table).OwnEnds)
 	report.Usage = r.usage.tell((*usage.Tally).TellOwn)
 	return report
 }
@@ -169,7 +169,7 @@
 func (r *Relay) ZoneReport() upstreamstate.Report {
 	r.depositOwn()
 	report := r.picture.ZoneReport(r.now())
-	report.Ends = r.contents.told((*quarantine.Table).ZoneEnds)
+	report.Crashes = r.contents.told((*quarantine.Table).ZoneEnds)
 	report.Usage = r.usage.tell((*usage.Tally).TellZone)
 	return report
 }
@@ -177,7 +177,7 @@
 // OtherZonesReport returns what this instance tells its zone of the other zones.
 func (r *Relay) OtherZonesReport() upstreamstate.Report {
 	report := r.picture.BeyondReport(r.now())
-	report.Ends = r.contents.told((*quarantine.Table).BeyondEnds)
+	report.Crashes = r.contents.told((*quarantine.Table).BeyondEnds)
 	return report
 }
 
@@ -189,10 +189,10 @@
 	now := r.now()
 	r.picture.TakeReport(source, report, now)
 	r.showLimits()
-	r.pool.deposit(source, report.Spilled, now)
+	r.pool.deposit(source, report.RetryOverflow, now)
 	r.link.heard(now)
 	r.usage.hear(source, report)
-	r.hearEnds(report.Ends, strings.HasPrefix(source, upstreamstate.BesidePrefix))
+	r.hearEnds(report.Crashes, strings.HasPrefix(source, upstreamstate.InstanceSourcePrefix))
 }
 
 // ownSource names this instance in its own pool.
@@ -202,7 +202,7 @@
 func (r *Relay) depositOwn() { r.pool.deposit(ownSource, r.budgets.spilled(), r.now()) }
 
 // HasPlacement tells whether a part was placed on an engine, as far as is known here.
-func (r *Relay) HasPlacement(placed upstreamstate.Placed) bool { return r.picture.Knows(placed) }
+func (r *Relay) HasPlacement(placed upstreamstate.PlacedPart) bool { return r.picture.Knows(placed) }
 
 // servingFor is for how long after a request the instance counts as serving.
 const servingFor = 2 * time.Second
--- a/internal/upstreamstate/gone.go
+++ b/internal/upstreamstate/gone.go
@@ -69,26 +69,26 @@
 	}
 }
 
-// Away is an upstream that takes no requests for a time, whatever was heard from it:
+// UnavailableUpstream is an upstream that takes no requests for a time, whatever was heard from it:
 // it carries an order out, or another one has its address.
-type Away struct {
+type UnavailableUpstream struct {
 	// Upstream is a hash of its incarnation.
 	Upstream uint32
 	For      time.Duration
 }
 
 // awayList is what a table of upstreams that take no requests has to tell.
-func awayList(t untilTable, now time.Duration) []Away {
-	var list []Away
+func awayList(t untilTable, now time.Duration) []UnavailableUpstream {
+	var list []UnavailableUpstream
 	for _, hash := range t.list(now) {
-		list = append(list, Away{Upstream: hash, For: t[hash] - now})
+		list = append(list, UnavailableUpstream{Upstream: hash, For: t[hash] - now})
 	}
 	return list
 }
 
 // goneList is what a table of upstreams that could not be reached has to tell;
 // nothing when they are too many to be believed. The lock is held.
-func (p *Picture) goneList(t untilTable, now time.Duration) []uint32 {
+func (p *State) goneList(t untilTable, now time.Duration) []uint32 {
 	list := t.list(now)
 	if len(list) > len(p.nodes)/suspectShare {
 		return nil
@@ -98,24 +98,24 @@
 
 // noteGone records that an upstream could not be reached from here. The lock is
 // held.
-func (p *Picture) noteGone(id string, now time.Duration) {
+func (p *State) noteGone(id string, now time.Duration) {
 	p.gone.tell(p.hash(id), now+goneFor)
-	p.settings.Changed()
+	p.settings.OnChange()
 }
 
 // sendAway records that an upstream takes no requests for a time. The lock is held.
-func (p *Picture) sendAway(id string, until time.Duration) {
+func (p *State) sendAway(id string, until time.Duration) {
 	p.away.tell(p.hash(id), until)
-	p.settings.Changed()
+	p.settings.OnChange()
 }
 
 // hearWords takes what another instance, or other zones, told of upstreams that do not
 // answer or take no requests. The lock is held.
-func (p *Picture) hearWords(report Report, beside bool, now time.Duration) {
-	for _, hash := range report.Gone {
+func (p *State) hearWords(report Report, beside bool, now time.Duration) {
+	for _, hash := range report.Unreachable {
 		p.gone.hear(hash, now+goneFor, beside)
 	}
-	for _, a := range report.Away {
+	for _, a := range report.Unavailable {
 		p.away.hear(a.Upstream, now+a.For, beside)
 	}
 }
@@ -123,7 +123,7 @@
 // takesNone tells whether an upstream should be left out: it takes no requests for a
 // time, or another instance could not reach it lately and this one has not heard from
 // it since about then. The lock is held.
-func (p *Picture) takesNone(n *node, now time.Duration) bool {
+func (p *State) takesNone(n *node, now time.Duration) bool {
 	if p.away.here.names(n.hash, now) || p.away.heard.names(n.hash, now) {
 		return true
 	}
--- a/internal/upstreamstate/leaving_test.go
+++ b/internal/upstreamstate/leaving_test.go
@@ -13,7 +13,7 @@
 func TestThatAnUpstreamLeavesHoldsForItsStart(t *testing.T) {
 	p := newPicture()
 	u := p.Members("app")[0]
-	u.Born = 1
+	u.StartedAt = 1
 	p.Learn(u)
 	p.Announced(u, quota.Announcement{Draining: true}, 0)
 	leaves := func(when string, want bool) {
@@ -35,7 +35,7 @@
 	p.Learn(u)
 	leaves("once it has come back late", true)
 	again := u
-	again.Born = 2
+	again.StartedAt = 2
 	p.Learn(again)
 	leaves("at its new start", false)
 	p.Announced(u, quota.Announcement{Draining: true}, time.Minute)
@@ -48,11 +48,11 @@
 	told, hub, farHub, far, newcomer := newPicture(), newPicture(), newPicture(), newPicture(), newPicture()
 	u := told.Members("app")[0]
 	told.Announced(u, quota.Announcement{Draining: true}, 0)
-	hub.TakeReport(BesidePrefix+"one", told.OwnReport(0), 0)
+	hub.TakeReport(InstanceSourcePrefix+"one", told.OwnReport(0), 0)
 	farHub.TakeReport("zone a", hub.ZoneReport(0), 0)
 	far.TakeReport("zones", farHub.BeyondReport(0), 0)
 	newcomer.HearLimits(far.Limits(0), true, 0)
-	for name, p := range map[string]*Picture{"told": told, "hub": hub, "far hub": farHub, "far": far, "newcomer": newcomer} {
+	for name, p := range map[string]*State{"told": told, "hub": hub, "far hub": farHub, "far": far, "newcomer": newcomer} {
 		if !p.Leaves(u) {
 			t.Errorf("%s does not know", name)
 		}
--- a/internal/upstreamstate/limits_test.go
+++ b/internal/upstreamstate/limits_test.go
@@ -26,7 +26,7 @@
 		{0, 0, true, 0}, {1, 0, len(all) > 1, time.Second}, {3, 0, false, 2 * time.Second}, {4, time.Second, false, time.Second},
 		{1, time.Second, true, 0}, {4, 2 * time.Second, true, 0},
 	} {
-		ask := Ask{ID: "r", Service: "app", Priority: c.priority}
+		ask := PlacementRequest{ID: "r", Service: "app", Priority: c.priority}
 		chosen, ok := p.PickCall(ask, c.at)
 		if ok != c.chosen {
 			t.Errorf("priority %d at %s: %q chosen, %t", c.priority, c.at, chosen.ID, ok)
@@ -49,10 +49,10 @@
 	for step, rate := range []float64{2, 1} {
 		now := time.Duration(step) * time.Second
 		told.Announced(u, quota.Announcement{Limited: true, Rate: rate}, now)
-		hub.TakeReport(BesidePrefix+"one", told.OwnReport(now), now)
+		hub.TakeReport(InstanceSourcePrefix+"one", told.OwnReport(now), now)
 		farHub.TakeReport("zone a", hub.ZoneReport(now), now)
 		far.TakeReport("zones", farHub.BeyondReport(now), now)
-		for name, p := range map[string]*Picture{"told": told, "hub": hub, "far hub": farHub, "far": far} {
+		for name, p := range map[string]*State{"told": told, "hub": hub, "far hub": farHub, "far": far} {
 			if w, firstHand, _ := p.Limit(u.Incarnation(), now); w.Rate != rate || firstHand != (p == told) {
 				t.Errorf("%s keeps to %+v, first-hand %t", name, w, firstHand)
 			}
@@ -67,7 +67,7 @@
 // it.
 func TestCachedPartsOfASpentEngineAreFetched(t *testing.T) {
 	p := newPicture()
-	ask := Ask{ID: "r", Service: "llm", Prompt: long, Objective: time.Second, Left: 2 * time.Second}
+	ask := PlacementRequest{ID: "r", Service: "llm", Prompt: long, Objective: time.Second, RemainingWait: 2 * time.Second}
 	first, turn, _ := p.PickStart(ask, 0)
 	p.PromptDone(first.Engine.ID, first.BusyTime, turn)
 	p.End(first.Engine.ID, "r", 0)
--- a/internal/upstreamstate/reports.go
+++ b/internal/upstreamstate/reports.go
@@ -18,36 +18,38 @@
 type EngineLoad struct {
 	// Engine is a hash of the upstream's incarnation.
 	Engine uint32
-	// Ahead is the predicted time of the prompts that wait there.
-	Ahead time.Duration
-	// Yielding is the part of Ahead that yields to other prompts.
-	Yielding time.Duration
+	// Backlog is the predicted time of the prompts that wait there.
+	Backlog time.Duration
+	// DeferredBacklog is the part of Ahead that yields to other prompts.
+	DeferredBacklog time.Duration
 	// Requests that generate there.
 	Requests int
-	// Use is the part of the engine's time that the prompts take which were
+	// Utilization is the part of the engine's time that the prompts take which were
 	// placed there lately.
-	Use float64
+	Utilization float64
 	// Inflow are the tokens a second that lately came into the engine's cache.
 	Inflow float64
 }
 
 // add adds another instance's part.
 func (l *EngineLoad) add(other EngineLoad) {
-	l.Ahead += other.Ahead
-	l.Yielding += other.Yielding
+	l.Backlog += other.Backlog
+	l.DeferredBacklog += other.DeferredBacklog
 	l.Requests += other.Requests
-	l.Use += other.Use
+	l.Utilization += other.Utilization
 	l.Inflow += other.Inflow
 }
 
-// Placed tells that a shared prompt part went to an engine, which has it cached
+// PlacedPart tells that a shared prompt part went to an engine, which has it cached
 // from then on. Both are hashes.
-type Placed struct {
+type PlacedPart struct {
 	Engine, Part uint32
 }
 
 // idle tells that there is nothing worth telling of.
-func (l EngineLoad) idle() bool { return l.Ahead <= 0 && l.Requests <= 0 && l.Use <= leastUse }
+func (l EngineLoad) idle() bool {
+	return l.Backlog <= 0 && l.Requests <= 0 && l.Utilization <= leastUse
+}
 
 // none is no load at all on an upstream.
 func none(hash uint32) EngineLoad { return EngineLoad{Engine: hash} }
@@ -58,28 +60,28 @@
 
 // Report is what one instance, or all of some zones, tell others.
 type Report struct {
-	// Whole: the source has nothing under way on the engines that Loads does not
+	// Complete: the source has nothing under way on the engines that Loads does not
 	// name. Else their loads are as they were told before.
-	Whole bool
-	Loads []EngineLoad
+	Complete bool
+	Loads    []EngineLoad
 	// Placed since the last report.
-	Placed []Placed
-	// Gone are hashes of the upstreams that could not be reached lately.
-	Gone []uint32
-	// Away are the upstreams that take no requests for a time.
-	Away []Away
+	Placed []PlacedPart
+	// Unreachable are hashes of the upstreams that could not be reached lately.
+	Unreachable []uint32
+	// Unavailable are the upstreams that take no requests for a time.
+	Unavailable []UnavailableUpstream
 	// Times are what the sender learned of the engines, by a hash of the service;
 	// nil while they are not due.
 	Times map[uint32]estimate.Learned
-	// Spilled is what an instance's requests paid for of its zone's pool of further
+	// RetryOverflow is what an instance's requests paid for of its zone's pool of further
 	// sends, in sends since its start, by a hash of the service.
-	Spilled map[uint32]float64
+	RetryOverflow map[uint32]float64
 	// Boot is another number with each start of the source's process; 0 for a zone.
 	Boot uint32
 	// Usage are totals of requests that began to run.
 	Usage []usage.Count
-	// Ends are those of upstreams under a request's content that are to be known to all.
-	Ends []quarantine.End
+	// Crashes are those of upstreams under a request's content that are to be known to all.
+	Crashes []quarantine.End
 	// Limits of upstreams, as far as they are due.
 	Limits []quota.UpstreamLimit
 }
@@ -87,9 +89,9 @@
 // partLoads is how many loads one part of a report has: about half a datagram.
 const partLoads = 128
 
-// Parts splits a report that names many engines. The parts are told one by one, so
+// Split splits a report that names many engines. The parts are told one by one, so
 // none of them is whole: what is named no more counts for a while still.
-func (r Report) Parts() []Report {
+func (r Report) Split() []Report {
 	if len(r.Loads) <= partLoads {
 		return []Report{r}
 	}
@@ -97,8 +99,8 @@
 	for loads := range slices.Chunk(r.Loads, partLoads) {
 		parts = append(parts, Report{Loads: loads})
 	}
-	parts[0].Placed, parts[0].Gone, parts[0].Away, parts[0].Times = r.Placed, r.Gone, r.Away, r.Times
-	parts[0].Spilled, parts[0].Ends, parts[0].Usage, parts[0].Limits = r.Spilled, r.Ends, r.Usage, r.Limits
+	parts[0].Placed, parts[0].Unreachable, parts[0].Unavailable, parts[0].Times = r.Placed, r.Unreachable, r.Unavailable, r.Times
+	parts[0].RetryOverflow, parts[0].Crashes, parts[0].Usage, parts[0].Limits = r.RetryOverflow, r.Crashes, r.Usage, r.Limits
 	return parts
 }
 
@@ -106,10 +108,10 @@
 
 // OwnReport returns what this instance has under way on the upstreams, and what
 // it has placed there since the last report.
-func (p *Picture) OwnReport(now time.Duration) Report {
+func (p *State) OwnReport(now time.Duration) Report {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	report := Report{Whole: true, Placed: p.placed, Gone: p.goneList(p.gone.here, now), Away: awayList(p.away.here, now)}
+	report := Report{Complete: true, Placed: p.placed, Unreachable: p.goneList(p.gone.here, now), Unavailable: awayList(p.away.here, now)}
 	p.placed = nil
 	p.lapseLimits(now)
 	report.Limits = p.limits.book.DueOwn(now)
@@ -126,7 +128,7 @@
 
 // Learned returns what this instance has learned of the engines, by a hash of the
 // service, for the others.
-func (p *Picture) Learned() map[uint32]estimate.Learned {
+func (p *State) Learned() map[uint32]estimate.Learned {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.learned()
@@ -137,11 +139,11 @@
 
 // ZoneReport tells other zones what this instance and those beside it have under
 // way, as far as that changed, and what they placed since the last one.
-func (p *Picture) ZoneReport(now time.Duration) Report {
+func (p *State) ZoneReport(now time.Duration) Report {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.told.lapse(now)
-	report := Report{Placed: p.zonePlaced, Gone: p.goneList(p.gone.beside, now), Away: awayList(p.away.beside, now)}
+	report := Report{Placed: p.zonePlaced, Unreachable: p.goneList(p.gone.beside, now), Unavailable: awayList(p.away.beside, now)}
 	p.zonePlaced = nil
 	report.Limits = p.limits.book.DueZone(now)
 	report.Loads = p.due(&p.zone, now, func(n *node) EngineLoad { return n.here(now) })
@@ -150,11 +152,11 @@
 
 // BeyondReport tells the instances beside this one what those of all other zones
 // have under way, as far as that changed, and what they placed since the last one.
-func (p *Picture) BeyondReport(now time.Duration) Report {
+func (p *State) BeyondReport(now time.Duration) Report {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.told.lapse(now)
-	report := Report{Placed: p.beyondPlaced, Gone: p.goneList(p.gone.beyond, now), Away: awayList(p.away.beyond, now)}
+	report := Report{Placed: p.beyondPlaced, Unreachable: p.goneList(p.gone.beyond, now), Unavailable: awayList(p.away.beyond, now)}
 	p.beyondPlaced = nil
 	report.Limits = p.limits.book.DueOtherZones(now)
 	report.Loads = p.due(&p.beyond, now, func(n *node) EngineLoad {
@@ -166,7 +168,7 @@
 }
 
 // due lists the loads that a ledger's receivers are to be told of. The lock is held.
-func (p *Picture) due(l *ledger, now time.Duration, of func(*node) EngineLoad) []EngineLoad {
+func (p *State) due(l *ledger, now time.Duration, of func(*node) EngineLoad) []EngineLoad {
 	var loads []EngineLoad
 	for _, n := range p.nodes {
 		load := of(n)
@@ -184,7 +186,7 @@
 }
 
 // TakeReport takes the report of another instance, or of other zones.
-func (p *Picture) TakeReport(source string, report Report, now time.Duration) {
+func (p *State) TakeReport(source string, report Report, now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.told.lapse(now)
@@ -193,7 +195,7 @@
 		p.parts.note(placed, now)
 	}
 	p.hear(report.Times)
-	beside := strings.HasPrefix(source, BesidePrefix)
+	beside := strings.HasPrefix(source, InstanceSourcePrefix)
 	p.hearWords(report, beside, now)
 	p.hearLimits(report.Limits, beside, now)
 	if beside {
@@ -204,10 +206,10 @@
 }
 
 // newest keeps the newest of the parts that wait to be told of.
-func newest(placed []Placed) []Placed { return placed[max(0, len(placed)-placedAtMost):] }
+func newest(placed []PlacedPart) []PlacedPart { return placed[max(0, len(placed)-placedAtMost):] }
 
 // DropSource forgets what a source told.
-func (p *Picture) DropSource(source string, now time.Duration) {
+func (p *State) DropSource(source string, now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.told.drop(source, now)
--- a/internal/upstreamstate/told.go
+++ b/internal/upstreamstate/told.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// BesidePrefix begins the names of report sources that are instances of the
+// InstanceSourcePrefix begins the names of report sources that are instances of the
 // same zone. Other sources are zones.
-const BesidePrefix = "instance "
+const InstanceSourcePrefix = "instance "
 
 // Times for which what others told counts.
 const (
@@ -70,7 +70,7 @@
 func (t *toldLoads) take(from string, report Report, now time.Duration) {
 	s, ok := t.sources[from]
 	if !ok {
-		s = &source{beside: strings.HasPrefix(from, BesidePrefix), loads: map[uint32]heard{}}
+		s = &source{beside: strings.HasPrefix(from, InstanceSourcePrefix), loads: map[uint32]heard{}}
 		t.sources[from] = s
 	}
 	s.at = now
@@ -78,7 +78,7 @@
 	for _, l := range report.Loads {
 		t.put(s, l, now)
 	}
-	if !report.Whole {
+	if !report.Complete {
 		return
 	}
 	for hash, h := range s.loads {
@@ -152,25 +152,25 @@
 }
 
 func (t *total) add(l EngineLoad, now time.Duration) {
-	t.ahead += l.Ahead
-	t.yielding += l.Yielding
+	t.ahead += l.Backlog
+	t.yielding += l.DeferredBacklog
 	t.requests += l.Requests
-	t.use.put(t.use.now(now)+l.Use, now)
+	t.use.put(t.use.now(now)+l.Utilization, now)
 	t.inflow.put(t.inflow.now(now)+l.Inflow, now)
 }
 
 // take takes a load off that was added when it was told.
 func (t *total) take(h heard, now time.Duration) {
-	t.ahead -= h.Ahead
-	t.yielding -= h.Yielding
+	t.ahead -= h.Backlog
+	t.yielding -= h.DeferredBacklog
 	t.requests -= h.Requests
-	t.use.put(max(0, t.use.now(now)-faded(h.Use, now-h.at)), now)
+	t.use.put(max(0, t.use.now(now)-faded(h.Utilization, now-h.at)), now)
 	t.inflow.put(max(0, t.inflow.now(now)-faded(h.Inflow, now-h.at)), now)
 }
 
 // at is the sum at a time.
 func (t *total) at(now time.Duration) EngineLoad {
 	return EngineLoad{
-		Ahead: t.ahead, Yielding: t.yielding, Requests: t.requests, Use: t.use.now(now), Inflow: t.inflow.now(now),
+		Backlog: t.ahead, DeferredBacklog: t.yielding, Requests: t.requests, Utilization: t.use.now(now), Inflow: t.inflow.now(now),
 	}
 }
