--- a/internal/model/keeper.go
+++ b/internal/model/keeper.go
@@ -51,7 +51,7 @@
 	for _, e := range r.engines { // the engines' entries tell of their roles
 		for _, in := range r.instances {
 			if !e.gone && in.picture.Upstream(e.id).Role != e.role {
-				in.picture.Learn(e.upstream())
+				in.picture.UpdateUpstream(e.upstream())
 			}
 		}
 	}
--- a/internal/model/run.go
+++ b/internal/model/run.go
@@ -119,7 +119,7 @@
 		RoleSwitch: spec.RoleChange,
 	}}}, routes.Limits{}), 0)
 	for _, e := range r.engines {
-		in.picture.Learn(e.upstream())
+		in.picture.UpdateUpstream(e.upstream())
 	}
 	return in
 }
@@ -296,6 +296,6 @@
 func (r *run) comeBack(e *engine) {
 	e.gone = false
 	for _, in := range r.instances {
-		in.picture.Learn(e.upstream())
+		in.picture.UpdateUpstream(e.upstream())
 	}
 }
--- a/internal/peers/fleet_test.go
+++ b/internal/peers/fleet_test.go
@@ -69,7 +69,7 @@
 		default: // it is told already
 		}
 	}})
-	l.Learn(upstreamstate.Upstream{ID: "e", Service: "s", Role: "decode"})
+	l.UpdateUpstream(upstreamstate.Upstream{ID: "e", Service: "s", Role: "decode"})
 	return l
 }
 
--- a/internal/peers/limit_test.go
+++ b/internal/peers/limit_test.go
@@ -81,7 +81,7 @@
 func (f *limitedFleet) list() {
 	for _, n := range f.nodes {
 		for _, u := range f.upstreams {
-			n.loads.Learn(u.Upstream)
+			n.loads.UpdateUpstream(u.Upstream)
 		}
 	}
 }
--- a/internal/peers/link_test.go
+++ b/internal/peers/link_test.go
@@ -48,7 +48,7 @@
 			if i%18 < prefillOf18 {
 				role = config.RolePrefill
 			}
-			n.loads.Learn(upstreamstate.Upstream{
+			n.loads.UpdateUpstream(upstreamstate.Upstream{
 				ID: fmt.Sprintf("engine-%d", i), Service: "llm", Address: "a", Zone: fmt.Sprintf("z%d", i%zones), Role: role,
 			})
 		}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -132,7 +132,7 @@
 func (r *Relay) SetBudget(s BudgetSettings) { r.budgets.set(s) }
 
 // UpdateUpstream takes an upstream's newest entry.
-func (r *Relay) UpdateUpstream(u upstreamstate.Upstream) { r.picture.Learn(u) }
+func (r *Relay) UpdateUpstream(u upstreamstate.Upstream) { r.picture.UpdateUpstream(u) }
 
 // RemoveUpstream drops an upstream that is gone.
 func (r *Relay) RemoveUpstream(id string) { r.picture.Forget(id) }
--- a/internal/upstreamstate/bench_test.go
+++ b/internal/upstreamstate/bench_test.go
@@ -33,7 +33,7 @@
 		if i%18 < 13 {
 			role = config.RolePrefill
 		}
-		p.Learn(Upstream{ID: "engine-" + strconv.Itoa(i), Service: "llm", Address: "a", Zone: zoneOf(i), Role: role})
+		p.UpdateUpstream(Upstream{ID: "engine-" + strconv.Itoa(i), Service: "llm", Address: "a", Zone: zoneOf(i), Role: role})
 	}
 	return p
 }
--- a/internal/upstreamstate/leaving_test.go
+++ b/internal/upstreamstate/leaving_test.go
@@ -14,7 +14,7 @@
 	p := newPicture()
 	u := p.Members("app")[0]
 	u.StartedAt = 1
-	p.Learn(u)
+	p.UpdateUpstream(u)
 	p.Announced(u, quota.Announcement{Leaving: true}, 0)
 	leaves := func(when string, want bool) {
 		t.Helper()
@@ -25,18 +25,18 @@
 	leaves("once it has said so", true)
 	p.Announced(u, quota.Announcement{}, time.Second)
 	leaves("after an answer of before", true)
-	p.Learn(u)
+	p.UpdateUpstream(u)
 	leaves("once its entry is written again", true)
 	p.Forget(u.ID)
-	p.Learn(u)
+	p.UpdateUpstream(u)
 	leaves("once its entry has come back", true)
 	p.Forget(u.ID)
 	p.OwnReport(30 * time.Second)
-	p.Learn(u)
+	p.UpdateUpstream(u)
 	leaves("once it has come back late", true)
 	again := u
 	again.StartedAt = 2
-	p.Learn(again)
+	p.UpdateUpstream(again)
 	leaves("at its new start", false)
 	p.Announced(u, quota.Announcement{Leaving: true}, time.Minute)
 	leaves("after a late answer of the start before", false)
--- a/internal/upstreamstate/rest_test.go
+++ b/internal/upstreamstate/rest_test.go
@@ -31,7 +31,7 @@
 	}
 	again := u
 	again.StartedAt = 7
-	p.Learn(again)
+	p.UpdateUpstream(again)
 	p.RestFor(u, time.Hour, 6*time.Second)
 	if left := p.Resting(again.Incarnation(), 6*time.Second); left > 0 {
 		t.Errorf("its new start rests for %s", left)
--- a/internal/upstreamstate/upstreamstate.go
+++ b/internal/upstreamstate/upstreamstate.go
@@ -150,9 +150,9 @@
 	return p.table, now - p.tableAt
 }
 
-// Learn takes an upstream's newest entry. One that has started again under its id has
+// UpdateUpstream takes an upstream's newest entry. One that has started again under its id has
 // nothing and knows nothing of before, so that all that is known of it is dropped.
-func (p *State) Learn(u Upstream) {
+func (p *State) UpdateUpstream(u Upstream) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n, ok := p.nodes[u.ID]
--- a/internal/upstreamstate/upstreamstate_test.go
+++ b/internal/upstreamstate/upstreamstate_test.go
@@ -27,10 +27,10 @@
 		"pre-1": config.RolePrefill, "pre-2": config.RolePrefill,
 		"dec-1": config.RoleDecode, "dec-2": config.RoleDecode, "dec-3": config.RoleDecode,
 	} {
-		p.Learn(Upstream{ID: id, Service: "llm", Address: id, Zone: "a", Role: role})
+		p.UpdateUpstream(Upstream{ID: id, Service: "llm", Address: id, Zone: "a", Role: role})
 	}
 	for _, id := range []string{"app-1", "app-2", "app-3"} {
-		p.Learn(Upstream{ID: id, Service: "app", Address: id, Zone: "a"})
+		p.UpdateUpstream(Upstream{ID: id, Service: "app", Address: id, Zone: "a"})
 	}
 	return p
 }
@@ -54,19 +54,19 @@
 func TestAnUpstreamThatStartedAgainIsANewOne(t *testing.T) {
 	p := New(Settings{Zone: "a"})
 	engine := Upstream{ID: "e", Service: "llm", Zone: "a", Role: config.RoleDecode, StartedAt: 1000}
-	p.Learn(engine)
+	p.UpdateUpstream(engine)
 	before := engine.Incarnation()
 	p.TakeReport("zone b", Report{
 		Loads: []EngineLoad{{Engine: before, Requests: 9}}, Placed: []PlacedPart{{Engine: before, Part: 7}}, Unreachable: []uint32{before},
 	}, time.Second)
 	p.PlaceOn("e", "r1", time.Second)
 	p.SendAway("e", time.Minute)
-	p.Learn(engine) // told again: nothing is forgotten
+	p.UpdateUpstream(engine) // told again: nothing is forgotten
 	if n := p.nodes["e"]; n.toldTo(time.Second).Requests != 10 || !p.takesNone(n, time.Second) {
 		t.Fatalf("forgotten without a new start: %+v", n.toldTo(time.Second))
 	}
 	engine.StartedAt = 5000
-	p.Learn(engine)
+	p.UpdateUpstream(engine)
 	n := p.nodes["e"]
 	if engine.Incarnation() == before || n.own(time.Second).Requests != 0 || n.toldTo(time.Second).Requests != 0 || p.takesNone(n, time.Second) {
 		t.Errorf("has %+v of before, left out: %t", n.toldTo(time.Second), p.takesNone(n, time.Second))
@@ -221,7 +221,7 @@
 	if !silent() {
 		t.Error("it takes requests while it changes")
 	}
-	other.Learn(Upstream{ID: "dec-1", Service: "llm", Address: "dec-1", Zone: "a", Role: config.RolePrefill})
+	other.UpdateUpstream(Upstream{ID: "dec-1", Service: "llm", Address: "dec-1", Zone: "a", Role: config.RolePrefill})
 	if silent() {
 		t.Error("it takes none though its role has changed")
 	}
