--- a/internal/model/run.go
+++ b/internal/model/run.go
@@ -286,7 +286,7 @@
 // crash ends an engine with all that is on it; its callers leave in time.
 func (r *run) crash(e *engine) {
 	for _, in := range r.instances {
-		in.picture.Forget(e.id)
+		in.picture.RemoveUpstream(e.id)
 	}
 	fresh := newEngine(e.id, e.zone, config.RoleDecode, e.spec)
 	fresh.gone = true
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -135,7 +135,7 @@
 func (r *Relay) UpdateUpstream(u upstreamstate.Upstream) { r.picture.UpdateUpstream(u) }
 
 // RemoveUpstream drops an upstream that is gone.
-func (r *Relay) RemoveUpstream(id string) { r.picture.Forget(id) }
+func (r *Relay) RemoveUpstream(id string) { r.picture.RemoveUpstream(id) }
 
 // Engines returns the model engines that take requests, by service.
 func (r *Relay) Engines() map[string][]upstreamstate.Engine { return r.picture.Engines(r.now()) }
--- a/internal/upstreamstate/upstreamstate.go
+++ b/internal/upstreamstate/upstreamstate.go
@@ -188,8 +188,8 @@
 	}
 }
 
-// Forget drops an upstream that is gone.
-func (p *State) Forget(id string) {
+// RemoveUpstream drops an upstream that is gone.
+func (p *State) RemoveUpstream(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n, ok := p.nodes[id]
