--- a/internal/model/keeper.go
+++ b/internal/model/keeper.go
@@ -45,7 +45,7 @@
 		e.order(change.To)
 		r.result.Orders++
 		for _, in := range r.instances {
-			in.picture.SendAway(e.id, r.now+e.spec.RoleChange)
+			in.picture.MarkUnavailable(e.id, r.now+e.spec.RoleChange)
 		}
 	}
 	for _, e := range r.engines { // the engines' entries tell of their roles
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -154,7 +154,7 @@
 
 // MarkUnavailable has all instances leave an upstream out for a time in which it takes no
 // requests, or until its role has changed.
-func (r *Relay) MarkUnavailable(id string, d time.Duration) { r.picture.SendAway(id, r.now()+d) }
+func (r *Relay) MarkUnavailable(id string, d time.Duration) { r.picture.MarkUnavailable(id, r.now()+d) }
 
 // OwnReport returns what this instance tells the others.
 func (r *Relay) OwnReport() upstreamstate.Report {
--- a/internal/upstreamstate/upstreamstate.go
+++ b/internal/upstreamstate/upstreamstate.go
@@ -272,9 +272,9 @@
 	return lists
 }
 
-// SendAway has all instances leave an upstream out for a time in which it takes no
+// MarkUnavailable has all instances leave an upstream out for a time in which it takes no
 // requests, or until its role has changed.
-func (p *State) SendAway(id string, until time.Duration) {
+func (p *State) MarkUnavailable(id string, until time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.sendAway(id, until)
--- a/internal/upstreamstate/upstreamstate_test.go
+++ b/internal/upstreamstate/upstreamstate_test.go
@@ -60,7 +60,7 @@
 		Loads: []EngineLoad{{Engine: before, Requests: 9}}, Placed: []PlacedPart{{Engine: before, Part: 7}}, Unreachable: []uint32{before},
 	}, time.Second)
 	p.PlaceOn("e", "r1", time.Second)
-	p.SendAway("e", time.Minute)
+	p.MarkUnavailable("e", time.Minute)
 	p.UpdateUpstream(engine) // told again: nothing is forgotten
 	if n := p.nodes["e"]; n.toldTo(time.Second).Requests != 10 || !p.takesNone(n, time.Second) {
 		t.Fatalf("forgotten without a new start: %+v", n.toldTo(time.Second))
@@ -210,7 +210,7 @@
 // and ends with the change.
 func TestAnEngineIsAwayUntilItsRoleHasChanged(t *testing.T) {
 	p, other := newPicture(), newPicture()
-	p.SendAway("dec-1", time.Minute)
+	p.MarkUnavailable("dec-1", time.Minute)
 	other.Judge("dec-1", load.CallSucceeded, 0)
 	other.TakeReport(InstanceSourcePrefix+"one", p.OwnReport(0), 0)
 	silent := func() bool {
