--- a/internal/model/run.go
+++ b/internal/model/run.go
@@ -171,7 +171,7 @@
 // refused tries another engine, as this one does not take the request.
 func (r *run) refused(req *request) {
 	r.free(req)
-	req.at.picture.Judge(req.engine.id, load.CallUnreachable, r.now)
+	req.at.picture.RecordCall(req.engine.id, load.CallUnreachable, r.now)
 	req.engine = nil
 	r.result.Refused++
 	r.place(req)
@@ -215,7 +215,7 @@
 // handOver has a decode engine go on after the prompt.
 func (r *run) handOver(e *engine, w *work) {
 	req := w.req
-	req.at.picture.Judge(e.id, load.CallSucceeded, r.now)
+	req.at.picture.RecordCall(e.id, load.CallSucceeded, r.now)
 	if req.start.Source.ID == "" && req.start.UncachedTokens <= req.prompt.Tokens-req.prompt.SharedTokens() {
 		req.at.picture.Prefilled(service, estimate.Prefill{
 			Fresh: req.start.UncachedTokens, Cached: req.prompt.Tokens - req.start.UncachedTokens,
@@ -242,7 +242,7 @@
 // end takes note of a request that is answered.
 func (r *run) end(e *engine, w *work) {
 	req := w.req
-	req.at.picture.Judge(e.id, load.CallSucceeded, r.now)
+	req.at.picture.RecordCall(e.id, load.CallSucceeded, r.now)
 	events := 1 + int(req.answer)/e.spec.EventTokens
 	req.at.picture.Streamed(service, e.id, events, estimate.Stream{Took: r.now - req.first, Slot: r.now - req.sent}, r.now)
 	req.at.picture.End(e.id, req.id, r.now)
--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -116,7 +116,7 @@
 		return answer{}, WrapReadError(err)
 	}
 	if reply.Status < http.StatusInternalServerError {
-		r.picture.Judge(to.ID, load.CallSucceeded, r.now())
+		r.picture.RecordCall(to.ID, load.CallSucceeded, r.now())
 	}
 	return answer{reply: reply, first: first, whole: len(first) < wholeBytes}, nil
 }
--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -166,7 +166,7 @@
 		return KV{}, err
 	}
 	r.noteAnswer(engine.ID, said)
-	r.picture.Judge(engine.ID, load.CallSucceeded, r.now())
+	r.picture.RecordCall(engine.ID, load.CallSucceeded, r.now())
 	r.meters.prefills.Inc(1)
 	took := r.now() - started
 	observe("prefill", took)
@@ -294,7 +294,7 @@
 	g.lastEvent = p.lastEvent
 	switch {
 	case err == nil:
-		r.picture.Judge(engine.ID, load.CallSucceeded, r.now())
+		r.picture.RecordCall(engine.ID, load.CallSucceeded, r.now())
 		observe("stream", r.now()-started)
 		if whole {
 			r.picture.Streamed(g.service, engine.ID, p.events.Count(), estimate.Stream{
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -315,7 +315,7 @@
 		return
 	}
 	v := verdictOf(ctx, err)
-	ejected := r.picture.Judge(id, v, r.now())
+	ejected := r.picture.RecordCall(id, v, r.now())
 	r.log.Info("relay: send failed", "request", x.req.ID, "upstream", id, "try", x.tries.Sends(),
 		"ejected", ejected, "error", err, "after", r.now()-x.arrived, "content", x.content())
 }
--- a/internal/upstreamstate/upstreamstate_test.go
+++ b/internal/upstreamstate/upstreamstate_test.go
@@ -90,7 +90,7 @@
 	if !ok {
 		t.Fatal("no upstream")
 	}
-	p.Judge(first.ID, load.CallSucceeded, 0)
+	p.RecordCall(first.ID, load.CallSucceeded, 0)
 	p.End(first.ID, "r", 0)
 	const later = time.Minute // it answered long ago
 	p.TakeReport("zone b", Report{Unreachable: []uint32{hashOf(first.ID)}}, later)
@@ -194,9 +194,9 @@
 func TestAnUpstreamWhoseAddressAnotherHasIsLeftOutByAll(t *testing.T) {
 	p, other, beyond := newPicture(), newPicture(), newPicture()
 	chosen, _ := p.PickCall(PlacementRequest{ID: "r", Service: "app"}, 0)
-	other.Judge(chosen.ID, load.CallSucceeded, 0) // it answered there just now
-	beyond.Judge(chosen.ID, load.CallSucceeded, 0)
-	p.Judge(chosen.ID, load.CallAddressReassigned, 0)
+	other.RecordCall(chosen.ID, load.CallSucceeded, 0) // it answered there just now
+	beyond.RecordCall(chosen.ID, load.CallSucceeded, 0)
+	p.RecordCall(chosen.ID, load.CallAddressReassigned, 0)
 	p.End(chosen.ID, "r", 0)
 	callsWithout(t, p, chosen.ID, time.Second)
 	other.TakeReport(InstanceSourcePrefix+"one", p.OwnReport(0), 0)
@@ -211,7 +211,7 @@
 func TestAnEngineIsAwayUntilItsRoleHasChanged(t *testing.T) {
 	p, other := newPicture(), newPicture()
 	p.MarkUnavailable("dec-1", time.Minute)
-	other.Judge("dec-1", load.CallSucceeded, 0)
+	other.RecordCall("dec-1", load.CallSucceeded, 0)
 	other.TakeReport(InstanceSourcePrefix+"one", p.OwnReport(0), 0)
 	silent := func() bool {
 		other.mu.Lock()
--- a/internal/upstreamstate/work.go
+++ b/internal/upstreamstate/work.go
@@ -70,9 +70,9 @@
 	}
 }
 
-// Judge records what a send told of an upstream, and reports whether it is
+// RecordCall records what a send told of an upstream, and reports whether it is
 // ejected by it. One that cannot be reached is ejected at once.
-func (p *State) Judge(id string, v load.CallResult, now time.Duration) bool {
+func (p *State) RecordCall(id string, v load.CallResult, now time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch v {
