--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -198,7 +198,7 @@
 			return
 		case <-timer.C:
 		}
-		if !r.picture.HeardSince(id, since) {
+		if !r.picture.AnsweredSince(id, since) {
 			stop()
 			return
 		}
--- a/internal/upstreamstate/work.go
+++ b/internal/upstreamstate/work.go
@@ -93,8 +93,8 @@
 	return p.loads.RecordCall(id, v, now) || first
 }
 
-// HeardSince tells whether an upstream has answered anything since a time.
-func (p *State) HeardSince(id string, since time.Duration) bool {
+// AnsweredSince tells whether an upstream has answered anything since a time.
+func (p *State) AnsweredSince(id string, since time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n, ok := p.nodes[id]
