--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -202,7 +202,7 @@
 func (r *Relay) depositOwn() { r.pool.deposit(ownSource, r.budgets.spilled(), r.now()) }
 
 // HasPlacement tells whether a part was placed on an engine, as far as is known here.
-func (r *Relay) HasPlacement(placed upstreamstate.PlacedPart) bool { return r.picture.Knows(placed) }
+func (r *Relay) HasPlacement(placed upstreamstate.PlacedPart) bool { return r.picture.HasPlacement(placed) }
 
 // servingFor is for how long after a request the instance counts as serving.
 const servingFor = 2 * time.Second
--- a/internal/upstreamstate/parts.go
+++ b/internal/upstreamstate/parts.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// Knows tells whether a part was placed on an engine, as far as is known here.
-func (p *State) Knows(placed PlacedPart) bool {
+// HasPlacement tells whether a part was placed on an engine, as far as is known here.
+func (p *State) HasPlacement(placed PlacedPart) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.ContainsFunc(p.parts.holders[placed.Part], func(h holder) bool { return h.engine == placed.Engine })
--- a/internal/upstreamstate/upstreamstate_test.go
+++ b/internal/upstreamstate/upstreamstate_test.go
@@ -71,7 +71,7 @@
 	if engine.Incarnation() == before || n.own(time.Second).Requests != 0 || n.toldTo(time.Second).Requests != 0 || p.takesNone(n, time.Second) {
 		t.Errorf("has %+v of before, left out: %t", n.toldTo(time.Second), p.takesNone(n, time.Second))
 	}
-	if p.Knows(PlacedPart{Engine: n.hash, Part: 7}) {
+	if p.HasPlacement(PlacedPart{Engine: n.hash, Part: 7}) {
 		t.Error("is believed to have a part of before")
 	}
 	p.End("e", "r1", time.Second) // of before
