--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -173,7 +173,7 @@
 	observe("prefill_predicted", ahead+work)
 	if start.Source.ID == "" && start.UncachedTokens <= g.prompt.Tokens-g.prompt.SharedTokens() {
 		// what is not believed cached may be there all the same
-		r.picture.Prefilled(g.service, estimate.Prefill{
+		r.picture.RecordPrefill(g.service, estimate.Prefill{
 			Fresh: start.UncachedTokens, Cached: g.prompt.Tokens - start.UncachedTokens, Ahead: ahead, Took: took,
 		})
 	}
--- a/internal/upstreamstate/learn.go
+++ b/internal/upstreamstate/learn.go
@@ -58,8 +58,8 @@
 	return placement.Costs{EngineTimes: p.times(service).EngineTimes, Settings: p.settings.Placement}
 }
 
-// Prefilled takes note of a prompt that an engine has processed, without a fetch.
-func (p *State) Prefilled(service string, done estimate.Prefill) {
+// RecordPrefill takes note of a prompt that an engine has processed, without a fetch.
+func (p *State) RecordPrefill(service string, done estimate.Prefill) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.model(service).Prefilled(done)
