--- a/internal/model/run.go
+++ b/internal/model/run.go
@@ -203,7 +203,7 @@
 		if w.req.first == 0 {
 			w.req.first = r.now
 			if w.req.start.Engine.ID != e.id {
-				w.req.at.picture.Began(service, w.req.prompt.Tokens-w.req.cachedHere, r.now-w.req.sent)
+				w.req.at.picture.RecordHandOver(service, w.req.prompt.Tokens-w.req.cachedHere, r.now-w.req.sent)
 			}
 		}
 	}
--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -243,7 +243,7 @@
 		return r.passFailure(ctx, g, engine, reply)
 	}
 	if !g.direct && !g.begun {
-		r.picture.Began(g.service, g.prompt.Tokens-start.Engine.Aggregate.CachedTokens, r.now()-started)
+		r.picture.RecordHandOver(g.service, g.prompt.Tokens-start.Engine.Aggregate.CachedTokens, r.now()-started)
 	}
 	r.log.Info("relay: generates", "request", g.req.ID, "engine", engine.ID, "direct", g.direct, "tokens", g.prompt.Tokens,
 		"running", reply.Load.Running, "waiting", reply.Load.Waiting, "after", r.now()-started,
--- a/internal/upstreamstate/learn.go
+++ b/internal/upstreamstate/learn.go
@@ -65,9 +65,9 @@
 	p.model(service).Prefilled(done)
 }
 
-// Began takes note of how long a decode engine took to begin with a processed
+// RecordHandOver takes note of how long a decode engine took to begin with a processed
 // prompt of so many tokens.
-func (p *State) Began(service string, tokens int, took time.Duration) {
+func (p *State) RecordHandOver(service string, tokens int, took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	fetch := time.Duration(float64(tokens) * p.times(service).FetchTime)
