--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -297,7 +297,7 @@
 		r.picture.RecordCall(engine.ID, load.CallSucceeded, r.now())
 		observe("stream", r.now()-started)
 		if whole {
-			r.picture.Streamed(g.service, engine.ID, p.events.Count(), estimate.Stream{
+			r.picture.RecordStream(g.service, engine.ID, p.events.Count(), estimate.Stream{
 				Took: r.now() - began, Slot: r.now() - started,
 			}, r.now())
 		}
--- a/internal/upstreamstate/learn.go
+++ b/internal/upstreamstate/learn.go
@@ -74,9 +74,9 @@
 	p.model(service).Began(max(0, took-fetch))
 }
 
-// Streamed takes note of an answer that an engine has generated whole, in so many
+// RecordStream takes note of an answer that an engine has generated whole, in so many
 // events.
-func (p *State) Streamed(service, engine string, events int, done estimate.Stream, now time.Duration) {
+func (p *State) RecordStream(service, engine string, events int, done estimate.Stream, now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	eventTokens := 1
