--- a/internal/model/run.go
+++ b/internal/model/run.go
@@ -185,7 +185,7 @@
 	if req.start.Engine.ID == req.engine.id {
 		req.at.picture.PromptDone(req.engine.id, req.start.BusyTime, req.turn)
 	}
-	req.at.picture.End(req.engine.id, req.id, r.now)
+	req.at.picture.RequestDone(req.engine.id, req.id, r.now)
 }
 
 // settle lets an engine work for a tick and takes note of what came of it.
@@ -232,7 +232,7 @@
 	r.result.Moved += fetched
 	req.engine, req.cachedHere, req.sent = to, chosen.Aggregate.CachedTokens, r.now+e.spec.Overhead
 	if to.role != config.RoleDecode || to.gone {
-		req.at.picture.End(to.id, req.id, r.now)
+		req.at.picture.RequestDone(to.id, req.id, r.now)
 		return
 	}
 	transfer := time.Duration(float64(fetched) * e.spec.TransferTime)
@@ -245,7 +245,7 @@
 	req.at.picture.RecordCall(e.id, load.CallSucceeded, r.now)
 	events := 1 + int(req.answer)/e.spec.EventTokens
 	req.at.picture.RecordStream(service, e.id, events, estimate.Stream{Took: r.now - req.first, Slot: r.now - req.sent}, r.now)
-	req.at.picture.End(e.id, req.id, r.now)
+	req.at.picture.RequestDone(e.id, req.id, r.now)
 	req.over = true
 	r.result.answered(req)
 }
--- a/internal/peers/limit_test.go
+++ b/internal/peers/limit_test.go
@@ -126,7 +126,7 @@
 			f.refused++
 			return
 		}
-		n.loads.End(chosen.ID, c.id, now)
+		n.loads.RequestDone(chosen.ID, c.id, now)
 		u := f.upstreams[slices.IndexFunc(f.upstreams, func(u *limitedUpstream) bool { return u.ID == chosen.ID })]
 		word, firstHand, _ := n.loads.Limit(chosen.Incarnation(), now)
 		if !word.Limits() {
--- a/internal/peers/link_test.go
+++ b/internal/peers/link_test.go
@@ -91,12 +91,12 @@
 	}
 	b.at(promptFor, func() {
 		n.loads.PromptDone(start.Engine.ID, start.BusyTime, turn)
-		n.loads.End(start.Engine.ID, ask.ID, n.loads.now())
+		n.loads.RequestDone(start.Engine.ID, ask.ID, n.loads.now())
 		chosen, ok := n.loads.PickDecode(ask, "z0", n.loads.now())
 		if !ok {
 			return
 		}
-		b.at(answerFor, func() { n.loads.End(chosen.ID, ask.ID, n.loads.now()) })
+		b.at(answerFor, func() { n.loads.RequestDone(chosen.ID, ask.ID, n.loads.now()) })
 	})
 }
 
--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -59,7 +59,7 @@
 	if !ok {
 		return attempt.Result{Status: attempt.NoUpstream}
 	}
-	defer func() { r.picture.End(upstream.ID, c.req.ID, r.now()) }()
+	defer func() { r.picture.RequestDone(upstream.ID, c.req.ID, r.now()) }()
 	got, err := r.callOnce(ctx, c.exchange, upstream)
 	if err != nil {
 		r.blame(ctx, c.exchange, upstream.ID, err)
--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -136,7 +136,7 @@
 	}
 	if !r.reserve(ctx, g) {
 		r.picture.PromptDone(start.Engine.ID, start.BusyTime, turn)
-		r.picture.End(start.Engine.ID, g.req.ID, r.now())
+		r.picture.RequestDone(start.Engine.ID, g.req.ID, r.now())
 		return attempt.Result{Status: attempt.NoUpstream, Err: errors.WithMessage(ErrLimited, "no room for the answer")}
 	}
 	kv, err := r.prefillOn(ctx, g, start)
@@ -151,7 +151,7 @@
 func (r *Relay) prefillOn(ctx context.Context, g *generation, start placement.Prefill) (KV, error) {
 	engine, work := r.picture.Upstream(start.Engine.ID), start.BusyTime
 	defer r.picture.PromptDone(engine.ID, work, g.turn)
-	defer func() { r.picture.End(engine.ID, g.req.ID, r.now()) }()
+	defer func() { r.picture.RequestDone(engine.ID, g.req.ID, r.now()) }()
 	g.exchange.prefill = engine.ID
 	g.tries.Prepared()
 	started := r.now()
@@ -210,7 +210,7 @@
 // run has an engine generate, and passes its events on.
 func (r *Relay) run(ctx context.Context, g *generation, start placement.Prefill) attempt.Result {
 	engine := r.picture.Upstream(start.Engine.ID)
-	defer func() { r.picture.End(start.Engine.ID, g.req.ID, r.now()) }()
+	defer func() { r.picture.RequestDone(start.Engine.ID, g.req.ID, r.now()) }()
 	prompted := sync.OnceFunc(func() { r.picture.PromptDone(start.Engine.ID, start.BusyTime, placement.QueueNormal) })
 	defer prompted()
 	if err := r.bar(g.exchange); err != nil { // its prompt may have taken a while
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -139,7 +139,7 @@
 			return false
 		}
 		granted := r.allowed(ctx, g.req, g.send(r.picture.Upstream(engine.ID), r.now()))
-		r.picture.End(engine.ID, g.req.ID, r.now())
+		r.picture.RequestDone(engine.ID, g.req.ID, r.now())
 		if granted {
 			g.reserved = engine.ID
 			return true
--- a/internal/upstreamstate/bench_test.go
+++ b/internal/upstreamstate/bench_test.go
@@ -78,7 +78,7 @@
 			b.Fatal("no engine")
 		}
 		p.PromptDone(start.Engine.ID, start.BusyTime, turn)
-		p.End(start.Engine.ID, "r", 0)
+		p.RequestDone(start.Engine.ID, "r", 0)
 	}
 }
 
--- a/internal/upstreamstate/limits_test.go
+++ b/internal/upstreamstate/limits_test.go
@@ -31,7 +31,7 @@
 		if ok != c.chosen {
 			t.Errorf("priority %d at %s: %q chosen, %t", c.priority, c.at, chosen.ID, ok)
 		}
-		p.End(chosen.ID, "r", c.at)
+		p.RequestDone(chosen.ID, "r", c.at)
 		if room, _, limited := p.AllowanceIn(ask, c.at); limited != (c.room > 0) || limited && room != c.room {
 			t.Errorf("priority %d at %s: room in %s, %t", c.priority, c.at, room, limited)
 		}
@@ -70,7 +70,7 @@
 	ask := PlacementRequest{ID: "r", Service: "llm", Prompt: long, Objective: time.Second, RemainingWait: 2 * time.Second}
 	first, turn, _ := p.PickStart(ask, 0)
 	p.PromptDone(first.Engine.ID, first.BusyTime, turn)
-	p.End(first.Engine.ID, "r", 0)
+	p.RequestDone(first.Engine.ID, "r", 0)
 	p.Announced(p.Upstream(first.Engine.ID), quota.Announcement{Limited: true, Rate: 2}, 0)
 	p.Spent(p.Upstream(first.Engine.ID).Incarnation(), 0, time.Minute)
 	next, _, ok := p.PickStart(ask, 0)
--- a/internal/upstreamstate/upstreamstate_test.go
+++ b/internal/upstreamstate/upstreamstate_test.go
@@ -74,7 +74,7 @@
 	if p.HasPlacement(PlacedPart{Engine: n.hash, Part: 7}) {
 		t.Error("is believed to have a part of before")
 	}
-	p.End("e", "r1", time.Second) // of before
+	p.RequestDone("e", "r1", time.Second) // of before
 	if p.nodes["e"].own(time.Second).Requests != 0 {
 		t.Error("a request of before is taken off the new start")
 	}
@@ -91,7 +91,7 @@
 		t.Fatal("no upstream")
 	}
 	p.RecordCall(first.ID, load.CallSucceeded, 0)
-	p.End(first.ID, "r", 0)
+	p.RequestDone(first.ID, "r", 0)
 	const later = time.Minute // it answered long ago
 	p.TakeReport("zone b", Report{Unreachable: []uint32{hashOf(first.ID)}}, later)
 	for range 10 {
@@ -99,7 +99,7 @@
 		if next.ID == first.ID {
 			t.Fatalf("%s was chosen again", next.ID)
 		}
-		p.End(next.ID, "r", later)
+		p.RequestDone(next.ID, "r", later)
 	}
 }
 
@@ -134,7 +134,7 @@
 		if next.ID == chosen.ID {
 			t.Fatal("the busy upstream was chosen while others idle")
 		}
-		other.End(next.ID, "q", 0)
+		other.RequestDone(next.ID, "q", 0)
 	}
 }
 
@@ -168,7 +168,7 @@
 		t.Errorf("%s ahead, want %s", got, start.BusyTime)
 	}
 	p.PromptDone(start.Engine.ID, start.BusyTime, turn)
-	p.End(start.Engine.ID, "r", 0)
+	p.RequestDone(start.Engine.ID, "r", 0)
 	other.TakeReport(InstanceSourcePrefix+"one", p.OwnReport(0), 0)
 	if got := toldOf(t, other, start.Engine.ID, PlacementRequest{Service: "llm"}, 0).Backlog; got != 0 {
 		t.Errorf("%s ahead of nothing", got)
@@ -183,7 +183,7 @@
 		if !ok || next.ID == id {
 			t.Fatalf("%q was chosen at %s", next.ID, now)
 		}
-		p.End(next.ID, "q", now)
+		p.RequestDone(next.ID, "q", now)
 	}
 }
 
@@ -197,7 +197,7 @@
 	other.RecordCall(chosen.ID, load.CallSucceeded, 0) // it answered there just now
 	beyond.RecordCall(chosen.ID, load.CallSucceeded, 0)
 	p.RecordCall(chosen.ID, load.CallAddressReassigned, 0)
-	p.End(chosen.ID, "r", 0)
+	p.RequestDone(chosen.ID, "r", 0)
 	callsWithout(t, p, chosen.ID, time.Second)
 	other.TakeReport(InstanceSourcePrefix+"one", p.OwnReport(0), 0)
 	callsWithout(t, other, chosen.ID, time.Second)
--- a/internal/upstreamstate/work.go
+++ b/internal/upstreamstate/work.go
@@ -45,8 +45,8 @@
 	p.changed(n)
 }
 
-// End takes a request off an upstream.
-func (p *State) End(id, request string, now time.Duration) {
+// RequestDone takes a request off an upstream.
+func (p *State) RequestDone(id, request string, now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.loads.End(id, request, now)
