--- a/internal/relay/link.go
+++ b/internal/relay/link.go
@@ -52,7 +52,7 @@
 // noteAnswer takes the beginning of an upstream's answer, and what it says of its load.
 func (r *Relay) noteAnswer(upstream string, said upstreamstate.Load) {
 	now := r.now()
-	r.picture.Reported(upstream, said, now)
+	r.picture.SetReportedLoad(upstream, said, now)
 	r.link.note(func(s *ownlink.Link) { s.Answered(upstream, now) })
 }
 
--- a/internal/upstreamstate/work.go
+++ b/internal/upstreamstate/work.go
@@ -58,8 +58,8 @@
 	p.changed(n)
 }
 
-// Reported takes an upstream's word on its load.
-func (p *State) Reported(id string, l Load, now time.Duration) {
+// SetReportedLoad takes an upstream's word on its load.
+func (p *State) SetReportedLoad(id string, l Load, now time.Duration) {
 	if !l.Known {
 		return
 	}
