--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -147,7 +147,7 @@
 }
 
 // Upstreams returns the upstreams of a service, those that are leaving too.
-func (r *Relay) Upstreams(service string) []upstreamstate.Upstream { return r.picture.Members(service) }
+func (r *Relay) Upstreams(service string) []upstreamstate.Upstream { return r.picture.Upstreams(service) }
 
 // EngineTimes returns what the engines of a service take.
 func (r *Relay) EngineTimes(service string) upstreamstate.Times { return r.picture.Times(service) }
--- a/internal/upstreamstate/leaving_test.go
+++ b/internal/upstreamstate/leaving_test.go
@@ -12,7 +12,7 @@
 // gets none.
 func TestThatAnUpstreamLeavesHoldsForItsStart(t *testing.T) {
 	p := newPicture()
-	u := p.Members("app")[0]
+	u := p.Upstreams("app")[0]
 	u.StartedAt = 1
 	p.UpdateUpstream(u)
 	p.Announced(u, quota.Announcement{Leaving: true}, 0)
@@ -46,7 +46,7 @@
 // another one was told.
 func TestThatAnUpstreamLeavesReachesAllZones(t *testing.T) {
 	told, hub, farHub, far, newcomer := newPicture(), newPicture(), newPicture(), newPicture(), newPicture()
-	u := told.Members("app")[0]
+	u := told.Upstreams("app")[0]
 	told.Announced(u, quota.Announcement{Leaving: true}, 0)
 	hub.TakeReport(InstanceSourcePrefix+"one", told.OwnReport(0), 0)
 	farHub.TakeReport("zone a", hub.ZoneReport(0), 0)
--- a/internal/upstreamstate/limits_test.go
+++ b/internal/upstreamstate/limits_test.go
@@ -11,7 +11,7 @@
 // so that what a less urgent one was told says nothing to them.
 func TestWhatIsSpentBindsTheLessUrgent(t *testing.T) {
 	p := newPicture()
-	all := p.Members("app")
+	all := p.Upstreams("app")
 	p.Announced(all[0], quota.Announcement{Limited: true, Rate: 2}, 0)
 	for _, u := range all {
 		p.Spent(u.Incarnation(), 3, 2*time.Second)
@@ -45,7 +45,7 @@
 // TestLimitsReachAllZones: an instance, its zone's hub, another zone's hub and an instance there.
 func TestLimitsReachAllZones(t *testing.T) {
 	told, hub, farHub, far := newPicture(), newPicture(), newPicture(), newPicture()
-	u := told.Members("app")[0]
+	u := told.Upstreams("app")[0]
 	for step, rate := range []float64{2, 1} {
 		now := time.Duration(step) * time.Second
 		told.Announced(u, quota.Announcement{Limited: true, Rate: rate}, now)
--- a/internal/upstreamstate/rest_test.go
+++ b/internal/upstreamstate/rest_test.go
@@ -10,7 +10,7 @@
 // ends a longer one, and against a rest that is kept for a new start.
 func TestRestsThatOverlapLastUntilTheLastEnds(t *testing.T) {
 	p := newPicture()
-	u := p.Members("app")[0]
+	u := p.Upstreams("app")[0]
 	for _, c := range []struct {
 		at, rest, left time.Duration
 		longer         bool
@@ -42,7 +42,7 @@
 // against an upstream without work though its rest was shorter than what a refusal costs.
 func TestAnUpstreamComesBackFromRestGradually(t *testing.T) {
 	p := newPicture()
-	u := p.Members("app")[0]
+	u := p.Upstreams("app")[0]
 	const rest = 300 * time.Millisecond
 	p.RestFor(u, rest, 0)
 	for i := range 20 {
--- a/internal/upstreamstate/upstreamstate.go
+++ b/internal/upstreamstate/upstreamstate.go
@@ -233,8 +233,8 @@
 	return Upstream{}
 }
 
-// Members returns the upstreams of a service, those that are leaving too.
-func (p *State) Members(service string) []Upstream {
+// Upstreams returns the upstreams of a service, those that are leaving too.
+func (p *State) Upstreams(service string) []Upstream {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := make([]Upstream, 0, len(p.byService[service]))
