--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -147,7 +147,9 @@
 }
 
 // Upstreams returns the upstreams of a service, those that are leaving too.
-func (r *Relay) Upstreams(service string) []upstreamstate.Upstream { return r.picture.Upstreams(service) }
+func (r *Relay) Upstreams(service string) []upstreamstate.Upstream {
+	return r.picture.Upstreams(service)
+}
 
 // EngineTimes returns what the engines of a service take.
 func (r *Relay) EngineTimes(service string) upstreamstate.Times { return r.picture.Times(service) }
@@ -202,7 +204,9 @@
 func (r *Relay) depositOwn() { r.pool.deposit(ownSource, r.budgets.spilled(), r.now()) }
 
 // HasPlacement tells whether a part was placed on an engine, as far as is known here.
-func (r *Relay) HasPlacement(placed upstreamstate.PlacedPart) bool { return r.picture.HasPlacement(placed) }
+func (r *Relay) HasPlacement(placed upstreamstate.PlacedPart) bool {
+	return r.picture.HasPlacement(placed)
+}
 
 // servingFor is for how long after a request the instance counts as serving.
 const servingFor = 2 * time.Second
