--- a/internal/model/run.go
+++ b/internal/model/run.go
@@ -119,7 +119,7 @@
 		RoleSwitch: spec.RoleChange,
 	}}}, routes.Limits{}), 0)
 	for _, e := range r.engines {
-		in.picture.Learn(e.upstream())
+		in.picture.UpdateUpstream(e.upstream())
 	}
 	return in
 }
@@ -171,7 +171,7 @@
 // refused tries another engine, as this one does not take the request.
 func (r *run) refused(req *request) {
 	r.free(req)
-	req.at.picture.Judge(req.engine.id, load.CallUnreachable, r.now)
+	req.at.picture.RecordCall(req.engine.id, load.CallUnreachable, r.now)
 	req.engine = nil
 	r.result.Refused++
 	r.place(req)
@@ -185,7 +185,7 @@
 	if req.start.Engine.ID == req.engine.id {
 		req.at.picture.PromptDone(req.engine.id, req.start.BusyTime, req.turn)
 	}
-	req.at.picture.End(req.engine.id, req.id, r.now)
+	req.at.picture.RequestDone(req.engine.id, req.id, r.now)
 }
 
 // settle lets an engine work for a tick and takes note of what came of it.
@@ -203,7 +203,7 @@
 		if w.req.first == 0 {
 			w.req.first = r.now
 			if w.req.start.Engine.ID != e.id {
-				w.req.at.picture.Began(service, w.req.prompt.Tokens-w.req.cachedHere, r.now-w.req.sent)
+				w.req.at.picture.RecordHandOver(service, w.req.prompt.Tokens-w.req.cachedHere, r.now-w.req.sent)
 			}
 		}
 	}
@@ -215,9 +215,9 @@
 // handOver has a decode engine go on after the prompt.
 func (r *run) handOver(e *engine, w *work) {
 	req := w.req
-	req.at.picture.Judge(e.id, load.CallSucceeded, r.now)
+	req.at.picture.RecordCall(e.id, load.CallSucceeded, r.now)
 	if req.start.Source.ID == "" && req.start.UncachedTokens <= req.prompt.Tokens-req.prompt.SharedTokens() {
-		req.at.picture.Prefilled(service, estimate.Prefill{
+		req.at.picture.RecordPrefill(service, estimate.Prefill{
 			Fresh: req.start.UncachedTokens, Cached: req.prompt.Tokens - req.start.UncachedTokens,
 			Ahead: req.start.Engine.Aggregate.Backlog, Took: r.now - req.sent + e.spec.Overhead,
 		})
@@ -232,7 +232,7 @@
 	r.result.Moved += fetched
 	req.engine, req.cachedHere, req.sent = to, chosen.Aggregate.CachedTokens, r.now+e.spec.Overhead
 	if to.role != config.RoleDecode || to.gone {
-		req.at.picture.End(to.id, req.id, r.now)
+		req.at.picture.RequestDone(to.id, req.id, r.now)
 		return
 	}
 	transfer := time.Duration(float64(fetched) * e.spec.TransferTime)
@@ -242,10 +242,10 @@
 // end takes note of a request that is answered.
 func (r *run) end(e *engine, w *work) {
 	req := w.req
-	req.at.picture.Judge(e.id, load.CallSucceeded, r.now)
+	req.at.picture.RecordCall(e.id, load.CallSucceeded, r.now)
 	events := 1 + int(req.answer)/e.spec.EventTokens
-	req.at.picture.Streamed(service, e.id, events, estimate.Stream{Took: r.now - req.first, Slot: r.now - req.sent}, r.now)
-	req.at.picture.End(e.id, req.id, r.now)
+	req.at.picture.RecordStream(service, e.id, events, estimate.Stream{Took: r.now - req.first, Slot: r.now - req.sent}, r.now)
+	req.at.picture.RequestDone(e.id, req.id, r.now)
 	req.over = true
 	r.result.answered(req)
 }
@@ -286,7 +286,7 @@
 // crash ends an engine with all that is on it; its callers leave in time.
 func (r *run) crash(e *engine) {
 	for _, in := range r.instances {
-		in.picture.Forget(e.id)
+		in.picture.RemoveUpstream(e.id)
 	}
 	fresh := newEngine(e.id, e.zone, config.RoleDecode, e.spec)
 	fresh.gone = true
@@ -296,6 +296,6 @@
 func (r *run) comeBack(e *engine) {
 	e.gone = false
 	for _, in := range r.instances {
-		in.picture.Learn(e.upstream())
+		in.picture.UpdateUpstream(e.upstream())
 	}
 }
--- a/internal/peers/limit_test.go
+++ b/internal/peers/limit_test.go
@@ -81,7 +81,7 @@
 func (f *limitedFleet) list() {
 	for _, n := range f.nodes {
 		for _, u := range f.upstreams {
-			n.loads.Learn(u.Upstream)
+			n.loads.UpdateUpstream(u.Upstream)
 		}
 	}
 }
@@ -126,7 +126,7 @@
 			f.refused++
 			return
 		}
-		n.loads.End(chosen.ID, c.id, now)
+		n.loads.RequestDone(chosen.ID, c.id, now)
 		u := f.upstreams[slices.IndexFunc(f.upstreams, func(u *limitedUpstream) bool { return u.ID == chosen.ID })]
 		word, firstHand, _ := n.loads.Limit(chosen.Incarnation(), now)
 		if !word.Limited() {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -132,10 +132,10 @@
 func (r *Relay) SetBudget(s BudgetSettings) { r.budgets.set(s) }
 
 // UpdateUpstream takes an upstream's newest entry.
-func (r *Relay) UpdateUpstream(u upstreamstate.Upstream) { r.picture.Learn(u) }
+func (r *Relay) UpdateUpstream(u upstreamstate.Upstream) { r.picture.UpdateUpstream(u) }
 
 // RemoveUpstream drops an upstream that is gone.
-func (r *Relay) RemoveUpstream(id string) { r.picture.Forget(id) }
+func (r *Relay) RemoveUpstream(id string) { r.picture.RemoveUpstream(id) }
 
 // Engines returns the model engines that take requests, by service.
 func (r *Relay) Engines() map[string][]upstreamstate.Engine { return r.picture.Engines(r.now()) }
@@ -147,14 +147,16 @@
 }
 
 // Upstreams returns the upstreams of a service, those that are leaving too.
-func (r *Relay) Upstreams(service string) []upstreamstate.Upstream { return r.picture.Members(service) }
+func (r *Relay) Upstreams(service string) []upstreamstate.Upstream {
+	return r.picture.Upstreams(service)
+}
 
 // EngineTimes returns what the engines of a service take.
 func (r *Relay) EngineTimes(service string) upstreamstate.Times { return r.picture.Times(service) }
 
 // MarkUnavailable has all instances leave an upstream out for a time in which it takes no
 // requests, or until its role has changed.
-func (r *Relay) MarkUnavailable(id string, d time.Duration) { r.picture.SendAway(id, r.now()+d) }
+func (r *Relay) MarkUnavailable(id string, d time.Duration) { r.picture.MarkUnavailable(id, r.now()+d) }
 
 // OwnReport returns what this instance tells the others.
 func (r *Relay) OwnReport() upstreamstate.Report {
@@ -202,7 +204,9 @@
 func (r *Relay) depositOwn() { r.pool.deposit(ownSource, r.budgets.spilled(), r.now()) }
 
 // HasPlacement tells whether a part was placed on an engine, as far as is known here.
-func (r *Relay) HasPlacement(placed upstreamstate.PlacedPart) bool { return r.picture.Knows(placed) }
+func (r *Relay) HasPlacement(placed upstreamstate.PlacedPart) bool {
+	return r.picture.HasPlacement(placed)
+}
 
 // servingFor is for how long after a request the instance counts as serving.
 const servingFor = 2 * time.Second
@@ -315,7 +319,7 @@
 		return
 	}
 	v := verdictOf(ctx, err)
-	ejected := r.picture.Judge(id, v, r.now())
+	ejected := r.picture.RecordCall(id, v, r.now())
 	r.log.Info("relay: send failed", "request", x.req.ID, "upstream", id, "try", x.tries.Sends(),
 		"ejected", ejected, "error", err, "after", r.now()-x.arrived, "content", x.content())
 }
--- a/internal/upstreamstate/bench_test.go
+++ b/internal/upstreamstate/bench_test.go
@@ -33,7 +33,7 @@
 		if i%18 < 13 {
 			role = config.RolePrefill
 		}
-		p.Learn(Upstream{ID: "engine-" + strconv.Itoa(i), Service: "llm", Address: "a", Zone: zoneOf(i), Role: role})
+		p.UpdateUpstream(Upstream{ID: "engine-" + strconv.Itoa(i), Service: "llm", Address: "a", Zone: zoneOf(i), Role: role})
 	}
 	return p
 }
@@ -78,7 +78,7 @@
 			b.Fatal("no engine")
 		}
 		p.PromptDone(start.Engine.ID, start.BusyTime, turn)
-		p.End(start.Engine.ID, "r", 0)
+		p.RequestDone(start.Engine.ID, "r", 0)
 	}
 }
 
--- a/internal/upstreamstate/upstreamstate_test.go
+++ b/internal/upstreamstate/upstreamstate_test.go
@@ -27,10 +27,10 @@
 		"pre-1": config.RolePrefill, "pre-2": config.RolePrefill,
 		"dec-1": config.RoleDecode, "dec-2": config.RoleDecode, "dec-3": config.RoleDecode,
 	} {
-		p.Learn(Upstream{ID: id, Service: "llm", Address: id, Zone: "a", Role: role})
+		p.UpdateUpstream(Upstream{ID: id, Service: "llm", Address: id, Zone: "a", Role: role})
 	}
 	for _, id := range []string{"app-1", "app-2", "app-3"} {
-		p.Learn(Upstream{ID: id, Service: "app", Address: id, Zone: "a"})
+		p.UpdateUpstream(Upstream{ID: id, Service: "app", Address: id, Zone: "a"})
 	}
 	return p
 }
@@ -54,27 +54,27 @@
 func TestAnUpstreamThatStartedAgainIsANewOne(t *testing.T) {
 	p := New(Settings{Zone: "a"})
 	engine := Upstream{ID: "e", Service: "llm", Zone: "a", Role: config.RoleDecode, StartedAt: 1000}
-	p.Learn(engine)
+	p.UpdateUpstream(engine)
 	before := engine.Incarnation()
 	p.TakeReport("zone b", Report{
 		Loads: []EngineLoad{{Engine: before, Requests: 9}}, Placed: []PlacedPart{{Engine: before, Part: 7}}, Unreachable: []uint32{before},
 	}, time.Second)
 	p.PlaceOn("e", "r1", time.Second)
-	p.SendAway("e", time.Minute)
-	p.Learn(engine) // told again: nothing is forgotten
+	p.MarkUnavailable("e", time.Minute)
+	p.UpdateUpstream(engine) // told again: nothing is forgotten
 	if n := p.nodes["e"]; n.toldTo(time.Second).Requests != 10 || !p.takesNone(n, time.Second) {
 		t.Fatalf("forgotten without a new start: %+v", n.toldTo(time.Second))
 	}
 	engine.StartedAt = 5000
-	p.Learn(engine)
+	p.UpdateUpstream(engine)
 	n := p.nodes["e"]
 	if engine.Incarnation() == before || n.own(time.Second).Requests != 0 || n.toldTo(time.Second).Requests != 0 || p.takesNone(n, time.Second) {
 		t.Errorf("has %+v of before, left out: %t", n.toldTo(time.Second), p.takesNone(n, time.Second))
 	}
-	if p.Knows(PlacedPart{Engine: n.hash, Part: 7}) {
+	if p.HasPlacement(PlacedPart{Engine: n.hash, Part: 7}) {
 		t.Error("is believed to have a part of before")
 	}
-	p.End("e", "r1", time.Second) // of before
+	p.RequestDone("e", "r1", time.Second) // of before
 	if p.nodes["e"].own(time.Second).Requests != 0 {
 		t.Error("a request of before is taken off the new start")
 	}
@@ -90,8 +90,8 @@
 	if !ok {
 		t.Fatal("no upstream")
 	}
-	p.Judge(first.ID, load.CallSucceeded, 0)
-	p.End(first.ID, "r", 0)
+	p.RecordCall(first.ID, load.CallSucceeded, 0)
+	p.RequestDone(first.ID, "r", 0)
 	const later = time.Minute // it answered long ago
 	p.TakeReport("zone b", Report{Unreachable: []uint32{hashOf(first.ID)}}, later)
 	for range 10 {
@@ -99,7 +99,7 @@
 		if next.ID == first.ID {
 			t.Fatalf("%s was chosen again", next.ID)
 		}
-		p.End(next.ID, "r", later)
+		p.RequestDone(next.ID, "r", later)
 	}
 }
 
@@ -134,7 +134,7 @@
 		if next.ID == chosen.ID {
 			t.Fatal("the busy upstream was chosen while others idle")
 		}
-		other.End(next.ID, "q", 0)
+		other.RequestDone(next.ID, "q", 0)
 	}
 }
 
@@ -168,7 +168,7 @@
 		t.Errorf("%s ahead, want %s", got, start.BusyTime)
 	}
 	p.PromptDone(start.Engine.ID, start.BusyTime, turn)
-	p.End(start.Engine.ID, "r", 0)
+	p.RequestDone(start.Engine.ID, "r", 0)
 	other.TakeReport(InstanceSourcePrefix+"one", p.OwnReport(0), 0)
 	if got := toldOf(t, other, start.Engine.ID, PlacementRequest{Service: "llm"}, 0).Backlog; got != 0 {
 		t.Errorf("%s ahead of nothing", got)
@@ -183,7 +183,7 @@
 		if !ok || next.ID == id {
 			t.Fatalf("%q was chosen at %s", next.ID, now)
 		}
-		p.End(next.ID, "q", now)
+		p.RequestDone(next.ID, "q", now)
 	}
 }
 
@@ -194,10 +194,10 @@
 func TestAnUpstreamWhoseAddressAnotherHasIsLeftOutByAll(t *testing.T) {
 	p, other, beyond := newPicture(), newPicture(), newPicture()
 	chosen, _ := p.PickCall(PlacementRequest{ID: "r", Service: "app"}, 0)
-	other.Judge(chosen.ID, load.CallSucceeded, 0) // it answered there just now
-	beyond.Judge(chosen.ID, load.CallSucceeded, 0)
-	p.Judge(chosen.ID, load.CallAddressReassigned, 0)
-	p.End(chosen.ID, "r", 0)
+	other.RecordCall(chosen.ID, load.CallSucceeded, 0) // it answered there just now
+	beyond.RecordCall(chosen.ID, load.CallSucceeded, 0)
+	p.RecordCall(chosen.ID, load.CallAddressReassigned, 0)
+	p.RequestDone(chosen.ID, "r", 0)
 	callsWithout(t, p, chosen.ID, time.Second)
 	other.TakeReport(InstanceSourcePrefix+"one", p.OwnReport(0), 0)
 	callsWithout(t, other, chosen.ID, time.Second)
@@ -210,8 +210,8 @@
 // and ends with the change.
 func TestAnEngineIsAwayUntilItsRoleHasChanged(t *testing.T) {
 	p, other := newPicture(), newPicture()
-	p.SendAway("dec-1", time.Minute)
-	other.Judge("dec-1", load.CallSucceeded, 0)
+	p.MarkUnavailable("dec-1", time.Minute)
+	other.RecordCall("dec-1", load.CallSucceeded, 0)
 	other.TakeReport(InstanceSourcePrefix+"one", p.OwnReport(0), 0)
 	silent := func() bool {
 		other.mu.Lock()
@@ -221,7 +221,7 @@
 	if !silent() {
 		t.Error("it takes requests while it changes")
 	}
-	other.Learn(Upstream{ID: "dec-1", Service: "llm", Address: "dec-1", Zone: "a", Role: config.RolePrefill})
+	other.UpdateUpstream(Upstream{ID: "dec-1", Service: "llm", Address: "dec-1", Zone: "a", Role: config.RolePrefill})
 	if silent() {
 		t.Error("it takes none though its role has changed")
 	}
