--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -174,5 +174,5 @@
 	}
 }
 
-// ErrNobody: no peer could be asked.
-var ErrNobody = errors.New("peers: nobody to ask")
+// ErrNoPeer: no peer could be asked.
+var ErrNoPeer = errors.New("peers: nobody to ask")
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -347,10 +347,10 @@
 
 func TestAPeerThatDoesNotAnswerIsLeftAloneForAWhile(t *testing.T) {
 	n := newNode(t, "n", "a", "127.0.0.1:1")
-	if err := n.Pull(context.Background()); err == nil || errors.Is(err, ErrNobody) {
+	if err := n.Pull(context.Background()); err == nil || errors.Is(err, ErrNoPeer) {
 		t.Fatalf("%v", err)
 	}
-	if err := n.Pull(context.Background()); !errors.Is(err, ErrNobody) {
+	if err := n.Pull(context.Background()); !errors.Is(err, ErrNoPeer) {
 		t.Errorf("%v; want ErrNobody", err)
 	}
 }
--- a/internal/peers/pull.go
+++ b/internal/peers/pull.go
@@ -35,7 +35,7 @@
 	}
 	e.mu.Unlock()
 	if len(list) == 0 {
-		return ErrNobody
+		return ErrNoPeer
 	}
 	return e.pullFrom(ctx, list[rand.IntN(len(list))])
 }
