--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -142,7 +142,7 @@
 	for _, address := range seeds {
 		list = append(list, peers.Peer{Address: address})
 	}
-	in.peers.Meet(list)
+	in.peers.AddPeers(list)
 	in.budget.Store(&budget)
 }
 
--- a/internal/instance/register.go
+++ b/internal/instance/register.go
@@ -81,5 +81,5 @@
 		}
 		list = append(list, p)
 	}
-	in.peers.Meet(list)
+	in.peers.AddPeers(list)
 }
--- a/internal/peers/members.go
+++ b/internal/peers/members.go
@@ -39,8 +39,8 @@
 	return k
 }
 
-// Meet takes note of peers that are listed elsewhere.
-func (e *Exchange) Meet(list []Peer) {
+// AddPeers takes note of peers that are listed elsewhere.
+func (e *Exchange) AddPeers(list []Peer) {
 	for _, p := range list {
 		e.meet(p)
 	}
