--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -172,7 +172,7 @@
 		if in.peers.PassesFor() >= poolFrom {
 			members = in.peers.Members()
 		}
-		in.relay.SetPool(settings, members, in.peers.Count())
+		in.relay.SetPool(settings, members, in.peers.InstanceCount())
 	}
 }
 
--- a/internal/peers/fleet_test.go
+++ b/internal/peers/fleet_test.go
@@ -284,8 +284,8 @@
 			t.Errorf("%d instances: %v pass reports on", c.instances, hubs)
 		}
 		for _, n := range f.nodes {
-			if n.exchange.Count() < c.instances {
-				t.Fatalf("%d instances: %d counted", c.instances, n.exchange.Count())
+			if n.exchange.InstanceCount() < c.instances {
+				t.Fatalf("%d instances: %d counted", c.instances, n.exchange.InstanceCount())
 			}
 		}
 		f.sent, f.bytes, f.crossed = 0, 0, 0
--- a/internal/peers/members.go
+++ b/internal/peers/members.go
@@ -46,9 +46,9 @@
 	}
 }
 
-// Count returns the number of instances there were lately, this one included, as far
+// InstanceCount returns the number of instances there were lately, this one included, as far
 // as it is known here.
-func (e *Exchange) Count() int {
+func (e *Exchange) InstanceCount() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return max(e.count.value, len(e.peers)+1)
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -129,7 +129,7 @@
 	for _, n := range all {
 		waitFor(func() bool {
 			_ = n.Pull(context.Background()) // tried again
-			return n.Count() == len(all)
+			return n.InstanceCount() == len(all)
 		})
 	}
 	return all
@@ -322,7 +322,7 @@
 	waitFor(func() bool { return from.reports.conn.Load() != nil && to.reports.conn.Load() != nil })
 	if !holdsWithin(10*time.Second, func() bool {
 		from.reports.send(message, []string{to.self.Address})
-		return to.Count() == 2
+		return to.InstanceCount() == 2
 	}) {
 		t.Error("it did not arrive")
 	}
