--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -170,7 +170,7 @@
 		in.relay.SetBudget(settings)
 		members := 0
 		if in.peers.PassesFor() >= poolFrom {
-			members = in.peers.Members()
+			members = in.peers.ZoneInstanceCount()
 		}
 		in.relay.SetPool(settings, members, in.peers.InstanceCount())
 	}
--- a/internal/peers/members.go
+++ b/internal/peers/members.go
@@ -111,8 +111,8 @@
 	return now - e.passingAt
 }
 
-// Members counts the live instances of this zone, this one included.
-func (e *Exchange) Members() int {
+// ZoneInstanceCount counts the live instances of this zone, this one included.
+func (e *Exchange) ZoneInstanceCount() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.roster.AliveCount(e.now())
