--- a/internal/instance/apart.go
+++ b/internal/instance/apart.go
@@ -87,7 +87,7 @@
 // keepLost has the row of a content written again that the store came back without. The content
 // stays apart. All instances know it, so that those who pass reports on write it.
 func (in *Instance) keepLost(content quarantine.Content, revision int64) {
-	writes := in.peers.Passes()
+	writes := in.peers.IsHub()
 	if writes {
 		in.relay.PersistAgain(content)
 	}
@@ -106,7 +106,7 @@
 			return
 		case <-in.relay.PersistNeeded():
 		case <-timer.C:
-			in.relay.ExpireQuarantines(in.peers.Passes())
+			in.relay.ExpireQuarantines(in.peers.IsHub())
 		}
 		timer.Stop()
 		wait = sweepApartEvery
--- a/internal/peers/ask.go
+++ b/internal/peers/ask.go
@@ -77,7 +77,7 @@
 func (r *Reports) takeAsk(message *sfv1.Datagram, k *known) {
 	reply := r.message(sfv1.Datagram_KIND_GRANT)
 	ask := message.GetAsk()
-	reply.Ask = &sfv1.PoolAsk{Id: ask.GetId(), Service: ask.GetService(), Granted: r.exchange.Passes() && r.loads.GrantRetry(ask.GetService())}
+	reply.Ask = &sfv1.PoolAsk{Id: ask.GetId(), Service: ask.GetService(), Granted: r.exchange.IsHub() && r.loads.GrantRetry(ask.GetService())}
 	r.send(reply, []string{k.Address})
 }
 
--- a/internal/peers/fleet_test.go
+++ b/internal/peers/fleet_test.go
@@ -234,7 +234,7 @@
 func (f *virtualFleet) hubs() map[string]int {
 	hubs := map[string]int{}
 	for _, n := range f.nodes {
-		if n.up && n.exchange.Passes() {
+		if n.up && n.exchange.IsHub() {
 			hubs[n.exchange.self.Zone]++
 		}
 	}
@@ -319,7 +319,7 @@
 			t.Errorf("%v pass reports on", hubs)
 		}
 		for _, n := range f.nodes {
-			if !n.up || !n.exchange.Passes() {
+			if !n.up || !n.exchange.IsHub() {
 				continue
 			}
 			if self := n.exchange.self; (self.LinkMbps == 10) != narrow {
@@ -327,7 +327,7 @@
 			}
 		}
 		for _, n := range f.nodes {
-			if n.up && n.exchange.Passes() {
+			if n.up && n.exchange.IsHub() {
 				n.up = false
 			}
 		}
@@ -344,7 +344,7 @@
 	for range 2 {
 		f.loss = 0.025
 		for _, n := range f.nodes {
-			if n.up && n.exchange.Passes() {
+			if n.up && n.exchange.IsHub() {
 				n.up = false
 			}
 		}
--- a/internal/peers/limit_test.go
+++ b/internal/peers/limit_test.go
@@ -362,7 +362,7 @@
 		},
 		allHubs: func(_ *testing.T, f *limitedFleet) {
 			for _, n := range f.nodes {
-				n.up = !n.exchange.Passes()
+				n.up = !n.exchange.IsHub()
 			}
 		},
 		standsStill: func(t *testing.T, f *limitedFleet) {
--- a/internal/peers/members.go
+++ b/internal/peers/members.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// Passes tells whether this instance passes the reports of its zone on.
-func (e *Exchange) Passes() bool {
+// IsHub tells whether this instance passes the reports of its zone on.
+func (e *Exchange) IsHub() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.passes(e.now())
