--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -169,7 +169,7 @@
 		settings := *in.budget.Load()
 		in.relay.SetBudget(settings)
 		members := 0
-		if in.peers.PassesFor() >= poolFrom {
+		if in.peers.HubDuration() >= poolFrom {
 			members = in.peers.ZoneInstanceCount()
 		}
 		in.relay.SetPool(settings, members, in.peers.InstanceCount())
--- a/internal/instance/register.go
+++ b/internal/instance/register.go
@@ -38,7 +38,7 @@
 	}
 	registered := false
 	for pause.For(ctx, lookEvery) {
-		if in.peers.PassesFor() < registerAfter {
+		if in.peers.HubDuration() < registerAfter {
 			continue
 		}
 		if !registered {
--- a/internal/peers/members.go
+++ b/internal/peers/members.go
@@ -99,9 +99,9 @@
 	return passes
 }
 
-// PassesFor is for how long this instance has passed the reports of its zone on; 0
+// HubDuration is for how long this instance has passed the reports of its zone on; 0
 // when it does not.
-func (e *Exchange) PassesFor() time.Duration {
+func (e *Exchange) HubDuration() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.now()
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -185,7 +185,7 @@
 func hubOf(all []*node, zone string) *node {
 	for {
 		for _, n := range all {
-			if n.self.Zone == zone && n.PassesFor() > 2*hubFor {
+			if n.self.Zone == zone && n.HubDuration() > 2*hubFor {
 				return n
 			}
 		}
