--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -81,7 +81,7 @@
 	relay    *relay.Relay
 	follower *rowsync.Follower
 	peers    *peers.Exchange
-	reports  *peers.Reports
+	reports  *peers.Reporter
 	limits   atomic.Pointer[routes.Limits]
 	budget   atomic.Pointer[relay.BudgetSettings]
 	started  time.Time
--- a/internal/peers/ask.go
+++ b/internal/peers/ask.go
@@ -47,7 +47,7 @@
 }
 
 // Ask asks the zone's hub for a further send to a service, which is named by its hash.
-func (r *Reports) Ask(ctx context.Context, service uint32) bool {
+func (r *Reporter) Ask(ctx context.Context, service uint32) bool {
 	hub, self := r.exchange.hub()
 	if self {
 		return r.loads.GrantRetry(service)
@@ -74,7 +74,7 @@
 }
 
 // takeAsk answers a question for a further send.
-func (r *Reports) takeAsk(message *sfv1.Datagram, k *known) {
+func (r *Reporter) takeAsk(message *sfv1.Datagram, k *known) {
 	reply := r.message(sfv1.Datagram_KIND_GRANT)
 	ask := message.GetAsk()
 	reply.Ask = &sfv1.PoolAsk{Id: ask.GetId(), Service: ask.GetService(), Granted: r.exchange.IsHub() && r.loads.GrantRetry(ask.GetService())}
--- a/internal/peers/batch.go
+++ b/internal/peers/batch.go
@@ -10,7 +10,7 @@
 // batch is what an instance that passes reports on sends to its zone next. It grows as long
 // as the link bears it.
 type batch struct {
-	reports *Reports
+	reports *Reporter
 	message *sfv1.Datagram
 	to      []string
 	bytes   int // of the message
@@ -19,7 +19,7 @@
 // tellZone sends a batch to the instances of the zone: the platform's rows and who there is
 // each time, and as much of the loads as the link bears. The reports of single instances and
 // what the other zones have come first by turns, so that neither waits for good.
-func (r *Reports) tellZone(times bool) {
+func (r *Reporter) tellZone(times bool) {
 	word := r.exchange.zonesWord()
 	message := r.message(sfv1.Datagram_KIND_BATCH)
 	message.Peers, message.Instances, message.Readers = peersToMessages(word.peers), uint32(word.instances), uint32(word.readers)
@@ -77,7 +77,7 @@
 const rowsBytes = 2048
 
 // addRows has a batch bring the rows that changed since the last one.
-func (r *Reports) addRows(message *sfv1.Datagram) {
+func (r *Reporter) addRows(message *sfv1.Datagram) {
 	since := r.told
 	r.told = message.GetRevisions()
 	if since == nil || !behind(since, message.GetRevisions()) {
--- a/internal/peers/fleet_test.go
+++ b/internal/peers/fleet_test.go
@@ -42,7 +42,7 @@
 }
 
 type virtualNode struct {
-	*Reports
+	*Reporter
 	loads *virtualLoads
 	up    bool
 	// frozen: it stands still, and reads what comes once it goes on.
@@ -157,7 +157,7 @@
 	e, loads := newExchange(self, seeds, noRows{&f.reading}, quiet(), clock), newVirtualLoads(clock)
 	r := NewReports(e, loads)
 	n := f.nodes[i]
-	*n = virtualNode{Reports: r, loads: loads, up: true, next: f.now + time.Duration(f.rng.Int64N(int64(300*time.Millisecond)))}
+	*n = virtualNode{Reporter: r, loads: loads, up: true, next: f.now + time.Duration(f.rng.Int64N(int64(300*time.Millisecond)))}
 	addr := netip.MustParseAddrPort(self.Address)
 	f.byAddr[addr] = n
 	r.write = func(data []byte, to netip.AddrPort) error {
--- a/internal/peers/grants.go
+++ b/internal/peers/grants.go
@@ -102,7 +102,7 @@
 
 // AskLimit asks the coordinator for one send to an upstream with a limit. Without a word in
 // time there is none.
-func (r *Reports) AskLimit(ctx context.Context, ask quota.GrantRequest) quota.Verdict {
+func (r *Reporter) AskLimit(ctx context.Context, ask quota.GrantRequest) quota.Verdict {
 	ask.From = uint64(r.exchange.id)
 	coordinator := r.exchange.coordinator()
 	if coordinator == r.exchange.self.Address {
@@ -132,7 +132,7 @@
 	}
 }
 
-func (r *Reports) sendLimitAsk(id uint64, ask quota.GrantRequest, to string) {
+func (r *Reporter) sendLimitAsk(id uint64, ask quota.GrantRequest, to string) {
 	message := r.message(sfv1.Datagram_KIND_LIMIT_ASK)
 	message.LimitAsk = &sfv1.LimitAsk{
 		Id: id, Limit: limitToMessage(ask.Limit), FirstHand: ask.FirstHand, Priority: uint32(max(0, ask.Priority)), Continues: ask.Continues,
@@ -141,7 +141,7 @@
 }
 
 // takeLimitAsk answers a question for a send to an upstream with a limit.
-func (r *Reports) takeLimitAsk(m *sfv1.LimitAsk, k *known) {
+func (r *Reporter) takeLimitAsk(m *sfv1.LimitAsk, k *known) {
 	ask := quota.GrantRequest{
 		From: uint64(k.ID()), Limit: limitFromMessage(m.GetLimit()), FirstHand: m.GetFirstHand(), Priority: int(m.GetPriority()), Continues: m.GetContinues(),
 	}
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -24,7 +24,7 @@
 type node struct {
 	*Exchange
 	relay   *relay.Relay
-	reports *Reports
+	reports *Reporter
 	sender  *heldSender
 	stop    func()
 
--- a/internal/peers/reports.go
+++ b/internal/peers/reports.go
@@ -62,8 +62,8 @@
 	ApplyLimits(words []quota.UpstreamLimit, beside bool)
 }
 
-// Reports sends and takes the reports.
-type Reports struct {
+// Reporter sends and takes the reports.
+type Reporter struct {
 	exchange *Exchange
 	loads    Loads
 	conn     atomic.Pointer[net.UDPConn]
@@ -87,8 +87,8 @@
 }
 
 // NewReports returns the reports of an exchange.
-func NewReports(e *Exchange, l Loads) *Reports {
-	r := &Reports{
+func NewReports(e *Exchange, l Loads) *Reporter {
+	r := &Reporter{
 		exchange: e, loads: l, asks: newAsks[bool](), limitAsks: newAsks[quota.Verdict](), verdicts: newVerdicts(), pace: fanout.NewPace(e.now()),
 		allowance: fanout.NewAllowance(e.self.LinkMbps, e.now()), boot: rand.Uint32(),
 	}
@@ -100,7 +100,7 @@
 // errNotListening: the reports have not begun.
 var errNotListening = errors.New("peers: not listening yet")
 
-func (r *Reports) writeTo(data []byte, to netip.AddrPort) error {
+func (r *Reporter) writeTo(data []byte, to netip.AddrPort) error {
 	conn := r.conn.Load()
 	if conn == nil {
 		return errNotListening
@@ -110,7 +110,7 @@
 }
 
 // Run tells and listens until the context ends.
-func (r *Reports) Run(ctx context.Context) error {
+func (r *Reporter) Run(ctx context.Context) error {
 	address, err := net.ResolveUDPAddr("udp", r.exchange.self.Address)
 	if err != nil {
 		return errors.Wrap(err, "peers: reports")
@@ -144,7 +144,7 @@
 }
 
 // tell sends what is due, and returns the time until something may be due again.
-func (r *Reports) tell(urgent bool) time.Duration {
+func (r *Reporter) tell(urgent bool) time.Duration {
 	r.loads.SetBehind(r.exchange.lacksRows())
 	r.loads.SetGrantShare(r.exchange.grantShare())
 	passes, hears := r.exchange.state()
@@ -165,7 +165,7 @@
 }
 
 // own returns this instance's next report, in parts where it is long.
-func (r *Reports) own(times bool) []*sfv1.InstanceReport {
+func (r *Reporter) own(times bool) []*sfv1.InstanceReport {
 	report := r.loads.OwnReport()
 	if times {
 		report.Times = r.loads.Learned()
@@ -181,14 +181,14 @@
 }
 
 // tellOwn sends this instance's report to those that pass it on.
-func (r *Reports) tellOwn(times bool) {
+func (r *Reporter) tellOwn(times bool) {
 	message := r.message(sfv1.Datagram_KIND_OWN)
 	message.Reports = r.own(times)
 	r.send(message, r.exchange.receivers())
 }
 
 // tellZones sends what the zone has to the other zones.
-func (r *Reports) tellZones(times bool) {
+func (r *Reporter) tellZones(times bool) {
 	to := r.exchange.beyond()
 	if len(to) == 0 {
 		return
@@ -204,12 +204,12 @@
 	r.allowance.Spend(r.send(message, to))
 }
 
-func (r *Reports) message(kind sfv1.Datagram_Kind) *sfv1.Datagram {
+func (r *Reporter) message(kind sfv1.Datagram_Kind) *sfv1.Datagram {
 	return &sfv1.Datagram{Kind: kind, From: toMessage(r.exchange.self), Revisions: r.exchange.rows.Revisions()}
 }
 
 // send sends a message in as many datagrams as it takes, and returns their bytes.
-func (r *Reports) send(message *sfv1.Datagram, to []string) int {
+func (r *Reporter) send(message *sfv1.Datagram, to []string) int {
 	if len(to) == 0 {
 		return 0
 	}
@@ -270,7 +270,7 @@
 	}
 }
 
-func (r *Reports) sendRaw(data []byte, to []string) {
+func (r *Reporter) sendRaw(data []byte, to []string) {
 	for _, address := range to {
 		to, err := netip.ParseAddrPort(address)
 		if err != nil {
--- a/internal/peers/take.go
+++ b/internal/peers/take.go
@@ -18,7 +18,7 @@
 // readAgainAfter is the pause after the datagrams could not be read.
 const readAgainAfter = 100 * time.Millisecond
 
-func (r *Reports) listen(ctx context.Context, conn *net.UDPConn) {
+func (r *Reporter) listen(ctx context.Context, conn *net.UDPConn) {
 	buffer := make([]byte, longestDatagram)
 	for {
 		n, _, err := conn.ReadFromUDPAddrPort(buffer)
@@ -40,7 +40,7 @@
 }
 
 // take takes a datagram.
-func (r *Reports) take(ctx context.Context, message *sfv1.Datagram) {
+func (r *Reporter) take(ctx context.Context, message *sfv1.Datagram) {
 	k := r.exchange.meet(fromMessage(message.GetFrom()))
 	if k == nil {
 		return
@@ -75,7 +75,7 @@
 
 // takeRows takes the rows that a datagram brings, and pulls those that it only tells
 // of.
-func (r *Reports) takeRows(ctx context.Context, message *sfv1.Datagram, k *known) {
+func (r *Reporter) takeRows(ctx context.Context, message *sfv1.Datagram, k *known) {
 	rows := r.exchange.rows
 	r.exchange.heardRevisions(message.GetRevisions())
 	if !behind(rows.Revisions(), message.GetRevisions()) {
@@ -90,7 +90,7 @@
 
 // takeOwn takes an instance's report on itself. One that tells the wrong instance
 // is told of better ones.
-func (r *Reports) takeOwn(message *sfv1.Datagram, k *known, inZone bool) {
+func (r *Reporter) takeOwn(message *sfv1.Datagram, k *known, inZone bool) {
 	if inZone {
 		r.takeReports(message.GetReports(), true)
 	}
@@ -103,7 +103,7 @@
 
 // takeReports takes the reports of instances of this zone; keep has the next batch
 // pass them on.
-func (r *Reports) takeReports(messages []*sfv1.InstanceReport, keep bool) {
+func (r *Reporter) takeReports(messages []*sfv1.InstanceReport, keep bool) {
 	for _, m := range messages {
 		own := ownFromMessage(m)
 		if own.Source != r.exchange.id && r.exchange.takeOwn(own, keep) {
@@ -114,7 +114,7 @@
 
 // takeBatch takes what the zone's hub passes on. Of several hubs the one that ranks
 // first has the word on the other zones.
-func (r *Reports) takeBatch(message *sfv1.Datagram, k *known) {
+func (r *Reporter) takeBatch(message *sfv1.Datagram, k *known) {
 	r.takeReports(message.GetReports(), false)
 	word := batchWord{instances: int(message.GetInstances()), readers: int(message.GetReaders()), coordinator: message.GetCoordinator()}
 	if !r.exchange.batched(k, word) {
@@ -127,7 +127,7 @@
 
 // takeZone takes the report of another zone, or gives it to those that pass reports
 // on, and tells whether it is taken here.
-func (r *Reports) takeZone(message *sfv1.Datagram, k *known) bool {
+func (r *Reporter) takeZone(message *sfv1.Datagram, k *known) bool {
 	zone := message.GetFrom().GetZone()
 	word := zoneWord{
 		hub: k, instances: int(message.GetInstances()), reading: message.GetReaders() > 0, mayCoordinate: message.GetMayCoordinate(),
