--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -94,7 +94,7 @@
 	in.follower = rowsync.New(s.Follow, a.Feed, in.changed, logging.Part(log, "follow"))
 	in.peers = peers.New(s.Self, s.Seeds, in.follower, logging.Part(log, "peers"))
 	in.follower.Join(in.peers)
-	in.reports = peers.NewReports(in.peers, in.relay)
+	in.reports = peers.NewReporter(in.peers, in.relay)
 	in.relay.SetPoolRequester(in.reports.Ask)
 	in.relay.SetGrantRequester(in.reports.AskLimit)
 	in.budget.Store(&s.Relay.Budget)
--- a/internal/peers/fleet_test.go
+++ b/internal/peers/fleet_test.go
@@ -155,7 +155,7 @@
 	began := f.now
 	clock := func() time.Duration { return f.now - began }
 	e, loads := newExchange(self, seeds, noRows{&f.reading}, quiet(), clock), newVirtualLoads(clock)
-	r := NewReports(e, loads)
+	r := NewReporter(e, loads)
 	n := f.nodes[i]
 	*n = virtualNode{Reporter: r, loads: loads, up: true, next: f.now + time.Duration(f.rng.Int64N(int64(300*time.Millisecond)))}
 	addr := netip.MustParseAddrPort(self.Address)
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -83,7 +83,7 @@
 	n.Exchange = New(self, seeds, n, quiet())
 	_, server.Config.Handler = n.Handler()
 	server.Start()
-	n.reports = NewReports(n.Exchange, n.relay)
+	n.reports = NewReporter(n.Exchange, n.relay)
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
--- a/internal/peers/reports.go
+++ b/internal/peers/reports.go
@@ -86,8 +86,8 @@
 	boot, sequence uint32
 }
 
-// NewReports returns the reports of an exchange.
-func NewReports(e *Exchange, l Loads) *Reporter {
+// NewReporter returns the reports of an exchange.
+func NewReporter(e *Exchange, l Loads) *Reporter {
 	r := &Reporter{
 		exchange: e, loads: l, asks: newAsks[bool](), limitAsks: newAsks[quota.Verdict](), verdicts: newVerdicts(), pace: fanout.NewPace(e.now()),
 		allowance: fanout.NewAllowance(e.self.LinkMbps, e.now()), boot: rand.Uint32(),
