--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -95,7 +95,7 @@
 	in.peers = peers.New(s.Self, s.Seeds, in.follower, logging.Part(log, "peers"))
 	in.follower.Join(in.peers)
 	in.reports = peers.NewReporter(in.peers, in.relay)
-	in.relay.SetPoolRequester(in.reports.Ask)
+	in.relay.SetPoolRequester(in.reports.RequestRetry)
 	in.relay.SetGrantRequester(in.reports.AskLimit)
 	in.budget.Store(&s.Relay.Budget)
 	in.limits.Store(&routes.Limits{})
--- a/internal/peers/ask.go
+++ b/internal/peers/ask.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// Ask asks the zone's hub for a further send to a service, which is named by its hash.
-func (r *Reporter) Ask(ctx context.Context, service uint32) bool {
+// RequestRetry asks the zone's hub for a further send to a service, which is named by its hash.
+func (r *Reporter) RequestRetry(ctx context.Context, service uint32) bool {
 	hub, self := r.exchange.hub()
 	if self {
 		return r.loads.GrantRetry(service)
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -336,9 +336,9 @@
 	for _, n := range all {
 		switch n.self.Zone {
 		case "a":
-			waitFor(func() bool { return n.reports.Ask(context.Background(), service) })
+			waitFor(func() bool { return n.reports.RequestRetry(context.Background(), service) })
 		case other.self.Zone:
-			if n.reports.Ask(context.Background(), service) {
+			if n.reports.RequestRetry(context.Background(), service) {
 				t.Errorf("%s got a send that nobody has", n.self.Name)
 			}
 		}
