--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -96,7 +96,7 @@
 	in.follower.Join(in.peers)
 	in.reports = peers.NewReporter(in.peers, in.relay)
 	in.relay.SetPoolRequester(in.reports.RequestRetry)
-	in.relay.SetGrantRequester(in.reports.AskLimit)
+	in.relay.SetGrantRequester(in.reports.RequestGrant)
 	in.budget.Store(&s.Relay.Budget)
 	in.limits.Store(&routes.Limits{})
 	in.settings.Front.Limits = in.limitsInForce
--- a/internal/peers/grants.go
+++ b/internal/peers/grants.go
@@ -100,9 +100,9 @@
 	return cutOffShare * float64(reached) / float64(all)
 }
 
-// AskLimit asks the coordinator for one send to an upstream with a limit. Without a word in
+// RequestGrant asks the coordinator for one send to an upstream with a limit. Without a word in
 // time there is none.
-func (r *Reporter) AskLimit(ctx context.Context, ask quota.GrantRequest) quota.Verdict {
+func (r *Reporter) RequestGrant(ctx context.Context, ask quota.GrantRequest) quota.Verdict {
 	ask.From = uint64(r.exchange.id)
 	coordinator := r.exchange.coordinator()
 	if coordinator == r.exchange.self.Address {
