--- a/internal/peers/reports.go
+++ b/internal/peers/reports.go
@@ -29,8 +29,8 @@
 	sweepEvery = time.Second
 )
 
-// Loads is what the instances have under way; relay.Relay implements it.
-type Loads interface {
+// LoadState is what the instances have under way; relay.Relay implements it.
+type LoadState interface {
 	// Changed has a value when the others should be told of news.
 	Changed() <-chan struct{}
 	// OwnReport is what this instance has, ZoneReport what its zone has, and
@@ -65,7 +65,7 @@
 // Reporter sends and takes the reports.
 type Reporter struct {
 	exchange *Exchange
-	loads    Loads
+	loads    LoadState
 	conn     atomic.Pointer[net.UDPConn]
 	// write sends a datagram.
 	write func(data []byte, to netip.AddrPort) error
@@ -87,7 +87,7 @@
 }
 
 // NewReporter returns the reports of an exchange.
-func NewReporter(e *Exchange, l Loads) *Reporter {
+func NewReporter(e *Exchange, l LoadState) *Reporter {
 	r := &Reporter{
 		exchange: e, loads: l, asks: newAsks[bool](), limitAsks: newAsks[quota.Verdict](), verdicts: newVerdicts(), pace: fanout.NewPace(e.now()),
 		allowance: fanout.NewAllowance(e.self.LinkMbps, e.now()), boot: rand.Uint32(),
