--- a/internal/peers/reading.go
+++ b/internal/peers/reading.go
@@ -25,9 +25,9 @@
 	readersTries = 2
 )
 
-// NoticedIn is how long the others take to hear that an instance has no answers
+// ReaderExpiry is how long the others take to hear that an instance has no answers
 // from the store any more: until its last word that it has counts no longer.
-const NoticedIn = aliveFor + 100*time.Millisecond
+const ReaderExpiry = aliveFor + 100*time.Millisecond
 
 // ShouldRead tells whether this instance should follow the store itself: the
 // instances that rank first do. While too few others are heard to do so, the next ones
