--- a/internal/peers/fleet_test.go
+++ b/internal/peers/fleet_test.go
@@ -120,7 +120,7 @@
 func (noRows) Inform([]string) {}
 
 func (noRows) Since(map[string]int64) ([]replica.Row, time.Duration) { return nil, 0 }
-func (noRows) Take([]replica.Row, time.Duration)                     {}
+func (noRows) ApplyRows([]replica.Row, time.Duration)                {}
 func (r noRows) Reading() bool                                       { return *r.reading }
 
 func newVirtualFleet(instances, zones int, loss float64, seed uint64) *virtualFleet {
--- a/internal/peers/link_test.go
+++ b/internal/peers/link_test.go
@@ -163,7 +163,7 @@
 	if !holdsWithin(10*time.Second, refuses) {
 		t.Error("it goes on sending")
 	}
-	n.Take(news(9), 0)
+	n.ApplyRows(news(9), 0)
 	if !holdsWithin(10*time.Second, func() bool { return !refuses() }) {
 		t.Error("it does not serve though it has all rows")
 	}
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -45,8 +45,8 @@
 	// Since returns the rows above revisions, and for how much longer
 	// deletions are not believed.
 	Since(revisions map[string]int64) ([]replica.Row, time.Duration)
-	// Take gets rows that came from a peer.
-	Take(rows []replica.Row, hold time.Duration)
+	// ApplyRows gets rows that came from a peer.
+	ApplyRows(rows []replica.Row, hold time.Duration)
 	// Informed lists the tables that are known, Inform takes those that a peer knows
 	// which gave all its rows.
 	Informed() []string
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -51,7 +51,7 @@
 
 func (n *node) Inform([]string) {}
 
-func (n *node) Take(rows []replica.Row, _ time.Duration) {
+func (n *node) ApplyRows(rows []replica.Row, _ time.Duration) {
 	n.mu.Lock()
 	news := n.rows.Apply(rows, 0)
 	n.mu.Unlock()
@@ -138,7 +138,7 @@
 func TestNewsReachesAll(t *testing.T) {
 	all := fleet(t)
 	for i, n := range all {
-		n.Take(news(int64(7+i)), 0)
+		n.ApplyRows(news(int64(7+i)), 0)
 		for _, other := range all {
 			waitFor(func() bool { return other.has(int64(7 + i)) })
 		}
@@ -360,7 +360,7 @@
 func TestLimitsComeWithTheRows(t *testing.T) {
 	first := newNode(t, "n0", "a")
 	first.relay.ApplyLimits([]quota.UpstreamLimit{{Upstream: 7, Rate: 2, Age: time.Second}}, true)
-	first.Take(news(1), 0)
+	first.ApplyRows(news(1), 0)
 	second := newNode(t, "n1", "b", first.self.Address)
 	if err := second.Pull(context.Background()); err != nil {
 		t.Fatal(err)
--- a/internal/peers/pull.go
+++ b/internal/peers/pull.go
@@ -56,7 +56,7 @@
 		limits.ApplyLimits(limitsFromMessages(reply.Msg.GetLimits()), k.Zone == e.self.Zone)
 	}
 	hold := time.Duration(reply.Msg.GetHoldMs()) * time.Millisecond
-	e.rows.Take(rowsFromMessages(reply.Msg.GetRows()), hold)
+	e.rows.ApplyRows(rowsFromMessages(reply.Msg.GetRows()), hold)
 	e.rows.Inform(reply.Msg.GetInformed())
 	return nil
 }
--- a/internal/peers/take.go
+++ b/internal/peers/take.go
@@ -82,7 +82,7 @@
 		return
 	}
 	if len(message.GetRows()) > 0 && !behind(rows.Revisions(), message.GetSince()) {
-		rows.Take(rowsFromMessages(message.GetRows()), time.Duration(message.GetHoldMs())*time.Millisecond)
+		rows.ApplyRows(rowsFromMessages(message.GetRows()), time.Duration(message.GetHoldMs())*time.Millisecond)
 		return
 	}
 	r.exchange.pullOnce(ctx, k)
--- a/internal/rowsync/rowsync_test.go
+++ b/internal/rowsync/rowsync_test.go
@@ -285,7 +285,7 @@
 	feed := newFakeFeed()
 	feed.down = true
 	f := start(t, feed, 0)
-	f.Take([]replica.Row{{Key: replica.Key{Table: "t", Key: "a"}, Revision: 9}}, 0)
+	f.ApplyRows([]replica.Row{{Key: replica.Key{Table: "t", Key: "a"}, Revision: 9}}, 0)
 	if !f.knows("a") {
 		t.Error("not taken")
 	}
@@ -339,7 +339,7 @@
 		t.Error("it says that it reads")
 	}
 	feed.put("b", false)
-	f.Take([]replica.Row{{Key: replica.Key{Table: "t", Key: "b"}, Revision: 2}}, 0)
+	f.ApplyRows([]replica.Row{{Key: replica.Key{Table: "t", Key: "b"}, Revision: 2}}, 0)
 	others.mu.Lock()
 	others.read = true
 	others.mu.Unlock()
@@ -395,7 +395,7 @@
 	feed.put("a", false)
 	f := start(t, feed, 0)
 	waitFor(func() bool { return f.knows("a") })
-	f.Take([]replica.Row{{Key: replica.Key{Table: "t", Key: "a"}, Revision: 9, Deleted: true}}, 100*time.Millisecond)
+	f.ApplyRows([]replica.Row{{Key: replica.Key{Table: "t", Key: "a"}, Revision: 9, Deleted: true}}, 100*time.Millisecond)
 	if !f.knows("a") {
 		t.Error("believed at once")
 	}
--- a/internal/rowsync/share.go
+++ b/internal/rowsync/share.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// Take gets rows from a peer, which does not believe deletions for a while.
-func (f *Follower) Take(rows []replica.Row, hold time.Duration) {
+// ApplyRows gets rows from a peer, which does not believe deletions for a while.
+func (f *Follower) ApplyRows(rows []replica.Row, hold time.Duration) {
 	f.mu.Lock()
 	if hold > 0 {
 		f.copy.Hold(f.now() + hold)
