--- a/internal/instance/apart.go
+++ b/internal/instance/apart.go
@@ -46,7 +46,7 @@
 	if !in.relay.Ready() || in.relay.Impaired() {
 		return false
 	}
-	return time.Since(in.started) > informedWithin || slices.Contains(in.follower.Informed(), in.adapter.ApartTable)
+	return time.Since(in.started) > informedWithin || slices.Contains(in.follower.LoadedTables(), in.adapter.ApartTable)
 }
 
 // setApart takes changes of the rows of contents.
--- a/internal/peers/fleet_test.go
+++ b/internal/peers/fleet_test.go
@@ -115,7 +115,7 @@
 }
 
 func (noRows) Revisions() map[string]int64 { return nil }
-func (noRows) Informed() []string          { return nil }
+func (noRows) LoadedTables() []string      { return nil }
 
 func (noRows) Inform([]string) {}
 
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -47,9 +47,9 @@
 	Since(revisions map[string]int64) ([]replica.Row, time.Duration)
 	// ApplyRows gets rows that came from a peer.
 	ApplyRows(rows []replica.Row, hold time.Duration)
-	// Informed lists the tables that are known, Inform takes those that a peer knows
+	// LoadedTables lists the tables that are known, Inform takes those that a peer knows
 	// which gave all its rows.
-	Informed() []string
+	LoadedTables() []string
 	Inform(tables []string)
 	// Reading tells whether this instance follows the store, and it answers.
 	Reading() bool
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -47,7 +47,7 @@
 	return n.rows.Since(revisions), 0
 }
 
-func (n *node) Informed() []string { return nil }
+func (n *node) LoadedTables() []string { return nil }
 
 func (n *node) Inform([]string) {}
 
--- a/internal/peers/service.go
+++ b/internal/peers/service.go
@@ -18,7 +18,7 @@
 	from := fromMessage(req.Msg.GetFrom())
 	s.exchange.meet(from)
 	rows, hold := s.exchange.rows.Since(req.Msg.GetSince())
-	reply := &sfv1.PullResponse{Rows: rowsToMessages(rows), HoldMs: uint32(hold.Milliseconds()), Informed: s.exchange.rows.Informed()}
+	reply := &sfv1.PullResponse{Rows: rowsToMessages(rows), HoldMs: uint32(hold.Milliseconds()), Informed: s.exchange.rows.LoadedTables()}
 	if limits := s.exchange.limitsKnown(); limits != nil {
 		reply.Limits = limitsToMessages(limits.Limits())
 	}
--- a/internal/rowsync/share.go
+++ b/internal/rowsync/share.go
@@ -8,8 +8,8 @@
 	"sassafrasfield/internal/replica"
 )
 
-// Informed lists the tables of which all rows are known, as of some time.
-func (f *Follower) Informed() []string {
+// LoadedTables lists the tables of which all rows are known, as of some time.
+func (f *Follower) LoadedTables() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var tables []string
