--- a/internal/peers/fleet_test.go
+++ b/internal/peers/fleet_test.go
@@ -117,7 +117,7 @@
 func (noRows) Revisions() map[string]int64 { return nil }
 func (noRows) LoadedTables() []string      { return nil }
 
-func (noRows) Inform([]string) {}
+func (noRows) MarkTablesLoaded([]string) {}
 
 func (noRows) Since(map[string]int64) ([]replica.Row, time.Duration) { return nil, 0 }
 func (noRows) ApplyRows([]replica.Row, time.Duration)                {}
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -50,7 +50,7 @@
 	// LoadedTables lists the tables that are known, Inform takes those that a peer knows
 	// which gave all its rows.
 	LoadedTables() []string
-	Inform(tables []string)
+	MarkTablesLoaded(tables []string)
 	// Reading tells whether this instance follows the store, and it answers.
 	Reading() bool
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -49,7 +49,7 @@
 
 func (n *node) LoadedTables() []string { return nil }
 
-func (n *node) Inform([]string) {}
+func (n *node) MarkTablesLoaded([]string) {}
 
 func (n *node) ApplyRows(rows []replica.Row, _ time.Duration) {
 	n.mu.Lock()
--- a/internal/peers/pull.go
+++ b/internal/peers/pull.go
@@ -57,7 +57,7 @@
 	}
 	hold := time.Duration(reply.Msg.GetHoldMs()) * time.Millisecond
 	e.rows.ApplyRows(rowsFromMessages(reply.Msg.GetRows()), hold)
-	e.rows.Inform(reply.Msg.GetInformed())
+	e.rows.MarkTablesLoaded(reply.Msg.GetInformed())
 	return nil
 }
 
--- a/internal/rowsync/share.go
+++ b/internal/rowsync/share.go
@@ -21,8 +21,8 @@
 	return tables
 }
 
-// Inform takes the tables that a peer knows which gave all its rows: one may have none.
-func (f *Follower) Inform(tables []string) {
+// MarkTablesLoaded takes the tables that a peer knows which gave all its rows: one may have none.
+func (f *Follower) MarkTablesLoaded(tables []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, table := range tables {
