--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -166,8 +166,8 @@
 // now is the time on the exchange's clock.
 func (e *Exchange) now() time.Duration { return e.clock() }
 
-// News has the reports tell of new rows at once.
-func (e *Exchange) News() {
+// NotifyRows has the reports tell of new rows at once.
+func (e *Exchange) NotifyRows() {
 	select {
 	case e.news <- struct{}{}:
 	default: // it is woken already
