--- a/internal/peers/fleet_test.go
+++ b/internal/peers/fleet_test.go
@@ -403,7 +403,7 @@
 		f.run(100 * time.Millisecond)
 		asking := 0
 		for _, n := range f.nodes {
-			if n.exchange.ShouldRead() {
+			if n.exchange.ShouldReadStore() {
 				had[n] = true
 				asking++
 			}
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -149,7 +149,7 @@
 	all := fleet(t)
 	should := func() (n int) {
 		for _, node := range all {
-			if node.ShouldRead() {
+			if node.ShouldReadStore() {
 				n++
 			}
 		}
@@ -159,7 +159,7 @@
 		had := map[*node]bool{}
 		waitFor(func() bool {
 			for _, node := range all {
-				if node.ShouldRead() {
+				if node.ShouldReadStore() {
 					had[node] = true
 				}
 			}
--- a/internal/peers/reading.go
+++ b/internal/peers/reading.go
@@ -29,10 +29,10 @@
 // from the store any more: until its last word that it has counts no longer.
 const ReaderExpiry = aliveFor + 100*time.Millisecond
 
-// ShouldRead tells whether this instance should follow the store itself: the
+// ShouldReadStore tells whether this instance should follow the store itself: the
 // instances that rank first do. While too few others are heard to do so, the next ones
 // try by turns, and who succeeds goes on.
-func (e *Exchange) ShouldRead() bool {
+func (e *Exchange) ShouldReadStore() bool {
 	reads := e.rows.Reading()
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/rowsync/rowsync.go
+++ b/internal/rowsync/rowsync.go
@@ -38,8 +38,8 @@
 type Peers interface {
 	// NotifyRows has them told of new rows.
 	NotifyRows()
-	// ShouldRead tells whether this instance should follow the store itself.
-	ShouldRead() bool
+	// ShouldReadStore tells whether this instance should follow the store itself.
+	ShouldReadStore() bool
 	// OthersRead tells whether another one follows the store now, and it answers.
 	OthersRead() bool
 	// Pull asks one of them for the rows that this instance lacks.
@@ -192,7 +192,7 @@
 // rests tells whether the other instances follow the store for this one. A table
 // of which nothing is known yet is read at once.
 func (f *Follower) rests(table string) bool {
-	should := f.peers == nil || f.peers.ShouldRead()
+	should := f.peers == nil || f.peers.ShouldReadStore()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	rests := !should && f.informed(table)
--- a/internal/rowsync/rowsync_test.go
+++ b/internal/rowsync/rowsync_test.go
@@ -306,7 +306,7 @@
 	p.news++
 }
 
-func (p *fakePeers) ShouldRead() bool {
+func (p *fakePeers) ShouldReadStore() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.read
