--- a/internal/peers/reading.go
+++ b/internal/peers/reading.go
@@ -98,9 +98,9 @@
 	return heard + beyond
 }
 
-// OthersRead tells whether another instance follows the store now, and it
+// HasOtherReaders tells whether another instance follows the store now, and it
 // answers.
-func (e *Exchange) OthersRead() bool {
+func (e *Exchange) HasOtherReaders() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.readersHeard(e.now()) > 0
--- a/internal/rowsync/rowsync.go
+++ b/internal/rowsync/rowsync.go
@@ -40,8 +40,8 @@
 	NotifyRows()
 	// ShouldReadStore tells whether this instance should follow the store itself.
 	ShouldReadStore() bool
-	// OthersRead tells whether another one follows the store now, and it answers.
-	OthersRead() bool
+	// HasOtherReaders tells whether another one follows the store now, and it answers.
+	HasOtherReaders() bool
 	// Pull asks one of them for the rows that this instance lacks.
 	Pull(ctx context.Context) error
 }
@@ -310,7 +310,7 @@
 		lost.since = f.now()
 		f.log.Warn("follow: the store is lost", "table", table, "error", err)
 	}
-	lost.alone = f.now()-lost.since >= f.settings.NoticedIn && f.peers != nil && f.peers.OthersRead()
+	lost.alone = f.now()-lost.since >= f.settings.NoticedIn && f.peers != nil && f.peers.HasOtherReaders()
 	f.lost[table] = lost
 }
 
--- a/internal/rowsync/rowsync_test.go
+++ b/internal/rowsync/rowsync_test.go
@@ -312,7 +312,7 @@
 	return p.read
 }
 
-func (p *fakePeers) OthersRead() bool {
+func (p *fakePeers) HasOtherReaders() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.others
