--- a/internal/fanout/inbox_test.go
+++ b/internal/fanout/inbox_test.go
@@ -79,7 +79,7 @@
 func TestEndsAreNotLostWithTheReportThatHadThem(t *testing.T) {
 	b := NewInbox()
 	first := own(7, 1, 1, 10)
-	first.Report.Crashes = []quarantine.End{{Content: 1, Upstream: 2}}
+	first.Report.Crashes = []quarantine.Crash{{Content: 1, Upstream: 2}}
 	b.Keep(first, 0)
 	b.Keep(own(7, 1, 2, 11), 0)
 	reports := b.Batch(0, all)
--- a/internal/instance/apart_test.go
+++ b/internal/instance/apart_test.go
@@ -80,7 +80,7 @@
 	in.adapter.Table = table
 	ctx := context.Background()
 	for upstream := range uint32(2) {
-		in.relay.RecordCrash(quarantine.End{Content: 7, Upstream: upstream})
+		in.relay.RecordCrash(quarantine.Crash{Content: 7, Upstream: upstream})
 	}
 	if in.writeApart(ctx) || len(in.relay.Unpersisted()) != 1 {
 		t.Fatal("kept, though the store did not take it")
--- a/internal/peers/messages.go
+++ b/internal/peers/messages.go
@@ -93,7 +93,7 @@
 		report.Unavailable = append(report.Unavailable, upstreamstate.UnavailableUpstream{Upstream: a.GetUpstream(), For: time.Duration(a.GetForMs()) * time.Millisecond})
 	}
 	for _, e := range m.GetEnds() {
-		report.Crashes = append(report.Crashes, quarantine.End{Content: quarantine.Content(e.GetContent()), Upstream: e.GetUpstream()})
+		report.Crashes = append(report.Crashes, quarantine.Crash{Content: quarantine.Content(e.GetContent()), Upstream: e.GetUpstream()})
 	}
 	for _, c := range m.GetUsage() {
 		report.Usage = append(report.Usage, usage.Count{
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// End tells that an upstream ended while it had a request.
-type End struct {
+// Crash tells that an upstream ended while it had a request.
+type Crash struct {
 	Content Content
 	// Upstream is a hash of the upstream's incarnation: one that starts again is another.
 	Upstream uint32
@@ -130,7 +130,7 @@
 
 // Note takes an end that this instance saw, and tells whether the content is set apart
 // by it.
-func (t *Table) Note(e End, now time.Duration) bool {
+func (t *Table) Note(e Crash, now time.Duration) bool {
 	news := t.add(e, now)
 	if news {
 		t.tell.own(e, now)
@@ -141,7 +141,7 @@
 
 // Hear takes an end that another instance told of, of the same zone or not, and tells
 // whether the content is set apart by it.
-func (t *Table) Hear(e End, beside bool, now time.Duration) bool {
+func (t *Table) Hear(e Crash, beside bool, now time.Duration) bool {
 	news := t.add(e, now)
 	if news {
 		t.tell.heard(e, beside, now)
@@ -150,7 +150,7 @@
 }
 
 // add takes an end, and tells whether it is news.
-func (t *Table) add(e End, now time.Duration) bool {
+func (t *Table) add(e Crash, now time.Duration) bool {
 	r, ok := t.records[e.Content]
 	if !ok {
 		t.makeRoom(now)
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -14,12 +14,12 @@
 // TestASecondEndSetsAContentApart: also when it is another instance that saw it.
 func TestASecondEndSetsAContentApart(t *testing.T) {
 	for name, second := range map[string]func(*Table) bool{
-		"own":    func(q *Table) bool { return q.Note(End{Content: 7, Upstream: 2}, now) },
-		"beside": func(q *Table) bool { return q.Hear(End{Content: 7, Upstream: 2}, true, now) },
-		"beyond": func(q *Table) bool { return q.Hear(End{Content: 7, Upstream: 2}, false, now) },
+		"own":    func(q *Table) bool { return q.Note(Crash{Content: 7, Upstream: 2}, now) },
+		"beside": func(q *Table) bool { return q.Hear(Crash{Content: 7, Upstream: 2}, true, now) },
+		"beyond": func(q *Table) bool { return q.Hear(Crash{Content: 7, Upstream: 2}, false, now) },
 	} {
 		q := newTable()
-		if !q.Empty() || q.Note(End{Content: 7, Upstream: 1}, now) || q.Apart(7, now) {
+		if !q.Empty() || q.Note(Crash{Content: 7, Upstream: 1}, now) || q.Apart(7, now) {
 			t.Errorf("%s: set apart after one end", name)
 		}
 		if !second(q) || !q.Apart(7, now) || q.Apart(8, now) {
@@ -33,8 +33,8 @@
 func TestOneEndIsCountedOnce(t *testing.T) {
 	q := newTable()
 	for range 3 {
-		q.Note(End{Content: 7, Upstream: 1}, now)
-		q.Hear(End{Content: 7, Upstream: 1}, true, now)
+		q.Note(Crash{Content: 7, Upstream: 1}, now)
+		q.Hear(Crash{Content: 7, Upstream: 1}, true, now)
 	}
 	if q.Apart(7, now) || q.Ends(7) != 1 {
 		t.Errorf("apart %t after %d ends", q.Apart(7, now), q.Ends(7))
@@ -46,9 +46,9 @@
 func TestWhatWasServedIsNotToBlame(t *testing.T) {
 	q := newTable()
 	for upstream := range uint32(50) {
-		q.Note(End{Content: 7, Upstream: upstream}, now)
+		q.Note(Crash{Content: 7, Upstream: upstream}, now)
 		q.Served(7, now)
-		q.Hear(End{Content: 7, Upstream: upstream}, true, now) // told of once more
+		q.Hear(Crash{Content: 7, Upstream: upstream}, true, now) // told of once more
 	}
 	if q.Apart(7, now) {
 		t.Error("set apart, though it was served after each end")
@@ -57,10 +57,10 @@
 
 func TestEndsAreForgotten(t *testing.T) {
 	q := newTable()
-	q.Note(End{Content: 7, Upstream: 1}, now)
+	q.Note(Crash{Content: 7, Upstream: 1}, now)
 	later := now + DefaultSettings().Remember + time.Second
 	q.Lapse(later)
-	if !q.Empty() || q.Note(End{Content: 7, Upstream: 2}, later) {
+	if !q.Empty() || q.Note(Crash{Content: 7, Upstream: 2}, later) {
 		t.Error("an end counts for ever")
 	}
 }
@@ -69,13 +69,13 @@
 // One that was there by chance is served then, and nothing is left of it.
 func TestAContentIsLetThroughAndSetApartForLonger(t *testing.T) {
 	q, at := newTable(), time.Duration(now)
-	q.Note(End{Content: 7, Upstream: 0}, at)
+	q.Note(Crash{Content: 7, Upstream: 0}, at)
 	for n, term := range []time.Duration{10 * time.Second, time.Hour, 24 * time.Hour, 24 * time.Hour} {
 		upstream := uint32(n + 1)
-		if !q.Note(End{Content: 7, Upstream: upstream}, at) || q.Times(7) != n+1 {
+		if !q.Note(Crash{Content: 7, Upstream: upstream}, at) || q.Times(7) != n+1 {
 			t.Fatalf("not set apart for the %d. time", n+1)
 		}
-		if q.Note(End{Content: 7, Upstream: upstream + 100}, at+time.Second) {
+		if q.Note(Crash{Content: 7, Upstream: upstream + 100}, at+time.Second) {
 			t.Errorf("an end that was heard late counts for the %d. time", n+2)
 		}
 		q.Lapse(at + term - time.Second)
@@ -84,7 +84,7 @@
 		}
 		at += term + time.Second
 	}
-	if !q.Served(7, at) || q.Times(7) != 0 || q.Note(End{Content: 7, Upstream: 50}, at+time.Hour) {
+	if !q.Served(7, at) || q.Times(7) != 0 || q.Note(Crash{Content: 7, Upstream: 50}, at+time.Hour) {
 		t.Error("it was served, and is held to be what it was before")
 	}
 }
@@ -97,7 +97,7 @@
 	q.Served(7, now)
 	for upstream := range uint32(5) {
 		at := now + time.Duration(upstream)*time.Second
-		if q.Note(End{Content: 7, Upstream: upstream}, at) || q.Apart(7, at) {
+		if q.Note(Crash{Content: 7, Upstream: upstream}, at) || q.Apart(7, at) {
 			t.Fatalf("set apart after %d ends, though it was served a moment ago", upstream+1)
 		}
 	}
@@ -105,8 +105,8 @@
 		t.Error("another instance's decision was taken, though it was served here a moment ago")
 	}
 	long := now + 3*DefaultSettings().Served
-	q.Note(End{Content: 7, Upstream: 10}, long)
-	if !q.Note(End{Content: 7, Upstream: 11}, long) {
+	q.Note(Crash{Content: 7, Upstream: 10}, long)
+	if !q.Note(Crash{Content: 7, Upstream: 11}, long) {
 		t.Error("what was served long ago is never set apart")
 	}
 }
@@ -137,7 +137,7 @@
 	if !q.Apart(7, now+59*time.Minute) || q.Apart(7, now+time.Hour) {
 		t.Error("not apart for an hour from when it was first told")
 	}
-	if !q.Note(End{Content: 7, Upstream: 1}, now+2*time.Hour) || !q.Apart(7, now+25*time.Hour) {
+	if !q.Note(Crash{Content: 7, Upstream: 1}, now+2*time.Hour) || !q.Apart(7, now+25*time.Hour) {
 		t.Error("one more end does not set it apart for longer")
 	}
 	q.Release(7)
@@ -153,7 +153,7 @@
 	q := NewTable(s)
 	for c := range Content(100) {
 		at := now + time.Duration(c)*time.Second
-		q.Note(End{Content: c, Upstream: 1}, at)
+		q.Note(Crash{Content: c, Upstream: 1}, at)
 		q.SetApart(c, 1, at)
 	}
 	if len(q.records) > 10 {
@@ -171,8 +171,8 @@
 // in any order and more than once: whoever heard all sets the same contents apart.
 func TestAllInstancesDecideAlike(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		ends := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) End {
-			return End{Content: Content(rapid.IntRange(1, 4).Draw(t, "content")), Upstream: uint32(rapid.IntRange(1, 4).Draw(t, "upstream"))}
+		ends := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Crash {
+			return Crash{Content: Content(rapid.IntRange(1, 4).Draw(t, "content")), Upstream: uint32(rapid.IntRange(1, 4).Draw(t, "upstream"))}
 		}), 1, 20).Draw(t, "ends")
 		first, second := newTable(), newTable()
 		want := map[Content]map[uint32]bool{}
@@ -197,7 +197,7 @@
 
 // TestAnEndIsToldOfForAWhile: on the way of who saw it, and of who heard it.
 func TestAnEndIsToldOfForAWhile(t *testing.T) {
-	q, e := newTable(), End{Content: 7, Upstream: 1}
+	q, e := newTable(), Crash{Content: 7, Upstream: 1}
 	q.Note(e, now)
 	if len(q.OwnEnds(now)) != 1 || len(q.ZoneEnds(now)) != 1 || len(q.BeyondEnds(now)) != 0 {
 		t.Error("an own end is not told of on the zone's ways")
@@ -214,15 +214,15 @@
 		t.Error("an end of another zone is not told on to the own one")
 	}
 	for upstream := range uint32(1000) {
-		q.Note(End{Content: 7, Upstream: upstream}, now)
+		q.Note(Crash{Content: 7, Upstream: upstream}, now)
 	}
 	if n := len(q.OwnEnds(now)); n > toldAtMost {
 		t.Errorf("%d ends in one report", n)
 	}
-	q, told := newTable(), map[End]bool{}
+	q, told := newTable(), map[Crash]bool{}
 	const ends = 48 // the requests of one upstream
 	for content := range Content(ends) {
-		q.Note(End{Content: content, Upstream: 1}, now)
+		q.Note(Crash{Content: content, Upstream: 1}, now)
 	}
 	for range 20 { // the reports of two seconds
 		for _, e := range q.OwnEnds(now) {
--- a/internal/quarantine/tell.go
+++ b/internal/quarantine/tell.go
@@ -18,18 +18,18 @@
 type telling struct {
 	// here are this instance's own, beside those of its zone with this one's, and beyond
 	// those of other zones.
-	here, beside, beyond map[End]time.Duration
+	here, beside, beyond map[Crash]time.Duration
 }
 
 func newTelling() telling {
-	return telling{here: map[End]time.Duration{}, beside: map[End]time.Duration{}, beyond: map[End]time.Duration{}}
+	return telling{here: map[Crash]time.Duration{}, beside: map[Crash]time.Duration{}, beyond: map[Crash]time.Duration{}}
 }
 
-func (t *telling) own(e End, now time.Duration) {
+func (t *telling) own(e Crash, now time.Duration) {
 	t.here[e], t.beside[e] = now+tellFor, now+tellFor
 }
 
-func (t *telling) heard(e End, beside bool, now time.Duration) {
+func (t *telling) heard(e Crash, beside bool, now time.Duration) {
 	if beside {
 		t.beside[e] = now + tellFor
 	} else {
@@ -38,15 +38,15 @@
 }
 
 func (t *telling) lapse(now time.Duration) {
-	for _, ends := range []map[End]time.Duration{t.here, t.beside, t.beyond} {
-		maps.DeleteFunc(ends, func(_ End, until time.Duration) bool { return now >= until })
+	for _, ends := range []map[Crash]time.Duration{t.here, t.beside, t.beyond} {
+		maps.DeleteFunc(ends, func(_ Crash, until time.Duration) bool { return now >= until })
 	}
 }
 
 // due lists ends that are still to be told of. Where they are too many for a report, it is
 // left to chance which it has, so that a few reports have all.
-func due(ends map[End]time.Duration, now time.Duration) []End {
-	var list []End
+func due(ends map[Crash]time.Duration, now time.Duration) []Crash {
+	var list []Crash
 	for e, until := range ends { // a map's order is drawn anew each time
 		if now < until {
 			list = append(list, e)
@@ -59,10 +59,10 @@
 }
 
 // OwnEnds are what this instance tells of the ends that it saw.
-func (t *Table) OwnEnds(now time.Duration) []End { return due(t.tell.here, now) }
+func (t *Table) OwnEnds(now time.Duration) []Crash { return due(t.tell.here, now) }
 
 // ZoneEnds are what its zone tells the others.
-func (t *Table) ZoneEnds(now time.Duration) []End { return due(t.tell.beside, now) }
+func (t *Table) ZoneEnds(now time.Duration) []Crash { return due(t.tell.beside, now) }
 
 // BeyondEnds are what its zone is told of the others.
-func (t *Table) BeyondEnds(now time.Duration) []End { return due(t.tell.beyond, now) }
+func (t *Table) BeyondEnds(now time.Duration) []Crash { return due(t.tell.beyond, now) }
--- a/internal/relay/apart.go
+++ b/internal/relay/apart.go
@@ -68,7 +68,7 @@
 }
 
 // told returns the ends that are due in one of the reports.
-func (c *contents) told(due func(*quarantine.Table, time.Duration) []quarantine.End) []quarantine.End {
+func (c *contents) told(due func(*quarantine.Table, time.Duration) []quarantine.Crash) []quarantine.Crash {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.table.Empty() {
@@ -177,7 +177,7 @@
 		return
 	}
 	for _, one := range requests {
-		apart, ends := r.RecordCrash(quarantine.End{Content: one.content, Upstream: to.Incarnation()})
+		apart, ends := r.RecordCrash(quarantine.Crash{Content: one.content, Upstream: to.Incarnation()})
 		r.contents.ends.Inc(1)
 		r.log.Info("relay: upstream ended", "upstream", to.ID, "request", one.request, "content", one.content, "ends", ends, "apart", apart)
 	}
@@ -209,12 +209,12 @@
 
 // RecordCrash takes an end that this instance saw, and returns whether the content is set apart
 // by it and how many ends count against it.
-func (r *Relay) RecordCrash(end quarantine.End) (apart bool, ends int) {
+func (r *Relay) RecordCrash(end quarantine.Crash) (apart bool, ends int) {
 	return r.contents.decide(end.Content, func(t *quarantine.Table) bool { return t.Note(end, bootclock.Now()) })
 }
 
 // hearEnds takes the ends that others told of.
-func (r *Relay) hearEnds(ends []quarantine.End, beside bool) {
+func (r *Relay) hearEnds(ends []quarantine.Crash, beside bool) {
 	for _, e := range ends {
 		apart, count := r.contents.decide(e.Content, func(t *quarantine.Table) bool { return t.Hear(e, beside, bootclock.Now()) })
 		if apart {
--- a/internal/relay/apart_test.go
+++ b/internal/relay/apart_test.go
@@ -121,7 +121,7 @@
 	first, second, third := newFake(t, ender()), newFake(t, ender()), newFake(t, ender())
 	content := call("/once/1").Content()
 	for n, r := range []*Relay{first, second} {
-		end := quarantine.End{Content: content, Upstream: upstreamstate.Upstream{ID: string(rune('a' + n))}.Incarnation()}
+		end := quarantine.Crash{Content: content, Upstream: upstreamstate.Upstream{ID: string(rune('a' + n))}.Incarnation()}
 		r.RecordCrash(end)
 	}
 	for _, from := range []*Relay{first, second} {
--- a/internal/upstreamstate/reports.go
+++ b/internal/upstreamstate/reports.go
@@ -81,7 +81,7 @@
 	// Usage are totals of requests that began to run.
 	Usage []usage.Count
 	// Crashes are those of upstreams under a request's content that are to be known to all.
-	Crashes []quarantine.End
+	Crashes []quarantine.Crash
 	// Limits of upstreams, as far as they are due.
 	Limits []quota.UpstreamLimit
 }
