--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -16,11 +16,11 @@
 
 // Settings of a Table.
 type Settings struct {
-	// Ends of upstreams under a content have it set apart. One is chance: an engine that
+	// Crashes of upstreams under a content have it set apart. One is chance: an engine that
 	// ended had up to 48 requests. Two may be where many upstreams crash at once: 4 and 36
 	// of some 12,220 requests in two plays of a day on which 0.3 to 0.4 of the engines
 	// crashed four times met two.
-	Ends int
+	Crashes int
 	// Terms are for how long a content is set apart: the first time, and each time again
 	// that one more upstream ends under it once it is let through. The first is short, for
 	// those that were there by chance: where all callers ask for the same, it is on each
@@ -43,7 +43,7 @@
 // DefaultSettings returns the defaults.
 func DefaultSettings() Settings {
 	return Settings{
-		Ends:     2,
+		Crashes:     2,
 		Terms:    []time.Duration{10 * time.Second, time.Hour, 24 * time.Hour},
 		Remember: 10 * time.Minute, // callers that come back do so within seconds
 		Forget:   24 * time.Hour,
@@ -172,7 +172,7 @@
 		t.clear(c)
 		return false
 	}
-	if t.Apart(c, now) || t.Times(c) == 0 && t.Ends(c) < t.settings.Ends {
+	if t.Apart(c, now) || t.Times(c) == 0 && t.Ends(c) < t.settings.Crashes {
 		return false
 	}
 	t.apart[c] = apart{times: t.Times(c) + 1, since: now}
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -187,7 +187,7 @@
 			second.Hear(e, rapid.Bool().Draw(t, "beside"), now)
 		}
 		for c, upstreams := range want {
-			apart := len(upstreams) >= DefaultSettings().Ends
+			apart := len(upstreams) >= DefaultSettings().Crashes
 			if first.Apart(c, now) != apart || second.Apart(c, now) != apart {
 				t.Fatalf("content %s after the ends of %d: %t and %t", c, len(upstreams), first.Apart(c, now), second.Apart(c, now))
 			}
