--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -21,12 +21,12 @@
 	// of some 12,220 requests in two plays of a day on which 0.3 to 0.4 of the engines
 	// crashed four times met two.
 	Crashes int
-	// Terms are for how long a content is set apart: the first time, and each time again
+	// Durations are for how long a content is set apart: the first time, and each time again
 	// that one more upstream ends under it once it is let through. The first is short, for
 	// those that were there by chance: where all callers ask for the same, it is on each
 	// upstream that another content ends. The second holds off whoever comes again and
 	// again, the last is about as long as upstreams keep their software.
-	Terms []time.Duration
+	Durations []time.Duration
 	// Remember is for how long an end counts, and Forget for how long after its term it
 	// is known that a content was set apart.
 	Remember, Forget time.Duration
@@ -44,7 +44,7 @@
 func DefaultSettings() Settings {
 	return Settings{
 		Crashes:     2,
-		Terms:    []time.Duration{10 * time.Second, time.Hour, 24 * time.Hour},
+		Durations:    []time.Duration{10 * time.Second, time.Hour, 24 * time.Hour},
 		Remember: 10 * time.Minute, // callers that come back do so within seconds
 		Forget:   24 * time.Hour,
 		Served:   time.Minute, // what is asked for less often is hardly on two that end
@@ -90,7 +90,7 @@
 
 // term is for how long a content is set apart that is so for the nth time.
 func (t *Table) term(times int) time.Duration {
-	return t.settings.Terms[min(times, len(t.settings.Terms))-1]
+	return t.settings.Durations[min(times, len(t.settings.Durations))-1]
 }
 
 // Apart tells whether no upstream may get a content.
