--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -27,9 +27,9 @@
 	// upstream that another content ends. The second holds off whoever comes again and
 	// again, the last is about as long as upstreams keep their software.
 	Durations []time.Duration
-	// Remember is for how long an end counts, and Forget for how long after its term it
+	// CrashTTL is for how long an end counts, and Forget for how long after its term it
 	// is known that a content was set apart.
-	Remember, Forget time.Duration
+	CrashTTL, Forget time.Duration
 	// Served is for how long it counts that a content was served: until then no end counts
 	// against it. Where many ask for the same, it is on any upstream that ends.
 	Served time.Duration
@@ -45,7 +45,7 @@
 	return Settings{
 		Crashes:     2,
 		Durations:    []time.Duration{10 * time.Second, time.Hour, 24 * time.Hour},
-		Remember: 10 * time.Minute, // callers that come back do so within seconds
+		CrashTTL: 10 * time.Minute, // callers that come back do so within seconds
 		Forget:   24 * time.Hour,
 		Served:   time.Minute, // what is asked for less often is hardly on two that end
 		// 130 requests a second, ten times what an instance gets; 16 bytes each
@@ -248,7 +248,7 @@
 
 // forgetOld forgets the records whose ends count no longer.
 func (t *Table) forgetOld(now time.Duration) {
-	maps.DeleteFunc(t.records, func(_ Content, r *record) bool { return now-r.newest > t.settings.Remember })
+	maps.DeleteFunc(t.records, func(_ Content, r *record) bool { return now-r.newest > t.settings.CrashTTL })
 }
 
 // Lapse forgets the ends that count no longer.
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -58,7 +58,7 @@
 func TestEndsAreForgotten(t *testing.T) {
 	q := newTable()
 	q.Note(Crash{Content: 7, Upstream: 1}, now)
-	later := now + DefaultSettings().Remember + time.Second
+	later := now + DefaultSettings().CrashTTL + time.Second
 	q.Lapse(later)
 	if !q.Empty() || q.Note(Crash{Content: 7, Upstream: 2}, later) {
 		t.Error("an end counts for ever")
