--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -27,9 +27,9 @@
 	// upstream that another content ends. The second holds off whoever comes again and
 	// again, the last is about as long as upstreams keep their software.
 	Durations []time.Duration
-	// CrashTTL is for how long an end counts, and Forget for how long after its term it
+	// CrashTTL is for how long an end counts, and ForgetAfter for how long after its term it
 	// is known that a content was set apart.
-	CrashTTL, Forget time.Duration
+	CrashTTL, ForgetAfter time.Duration
 	// Served is for how long it counts that a content was served: until then no end counts
 	// against it. Where many ask for the same, it is on any upstream that ends.
 	Served time.Duration
@@ -46,7 +46,7 @@
 		Crashes:     2,
 		Durations:    []time.Duration{10 * time.Second, time.Hour, 24 * time.Hour},
 		CrashTTL: 10 * time.Minute, // callers that come back do so within seconds
-		Forget:   24 * time.Hour,
+		ForgetAfter:   24 * time.Hour,
 		Served:   time.Minute, // what is asked for less often is hardly on two that end
 		// 130 requests a second, ten times what an instance gets; 16 bytes each
 		ServedKept: 8192,
@@ -224,7 +224,7 @@
 	tooMany := max(0, len(list)-t.settings.Apart)
 	lapsed := list[:tooMany:tooMany]
 	for _, c := range list[tooMany:] {
-		if a := t.apart[c]; now-a.since > t.term(a.times)+t.settings.Forget {
+		if a := t.apart[c]; now-a.since > t.term(a.times)+t.settings.ForgetAfter {
 			lapsed = append(lapsed, c)
 		}
 	}
