--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -30,9 +30,9 @@
 	// CrashTTL is for how long an end counts, and ForgetAfter for how long after its term it
 	// is known that a content was set apart.
 	CrashTTL, ForgetAfter time.Duration
-	// Served is for how long it counts that a content was served: until then no end counts
+	// ServedTTL is for how long it counts that a content was served: until then no end counts
 	// against it. Where many ask for the same, it is on any upstream that ends.
-	Served time.Duration
+	ServedTTL time.Duration
 	// ServedKept bounds the contents of which that is remembered, in each Served.
 	ServedKept int
 	// Contents bounds those with ends that are remembered, Apart those that were set
@@ -47,7 +47,7 @@
 		Durations:    []time.Duration{10 * time.Second, time.Hour, 24 * time.Hour},
 		CrashTTL: 10 * time.Minute, // callers that come back do so within seconds
 		ForgetAfter:   24 * time.Hour,
-		Served:   time.Minute, // what is asked for less often is hardly on two that end
+		ServedTTL:   time.Minute, // what is asked for less often is hardly on two that end
 		// 130 requests a second, ten times what an instance gets; 16 bytes each
 		ServedKept: 8192,
 		Contents:   4096, // 80 engines that end at once with 48 requests each
@@ -81,7 +81,7 @@
 
 // NewTable returns an empty table.
 func NewTable(s Settings) *Table {
-	return &Table{settings: s, records: map[Content]*record{}, apart: map[Content]apart{}, served: newRecent(s.Served, s.ServedKept), tell: newTelling()}
+	return &Table{settings: s, records: map[Content]*record{}, apart: map[Content]apart{}, served: newRecent(s.ServedTTL, s.ServedKept), tell: newTelling()}
 }
 
 // Empty tells that no content is known to have ended an upstream, so that none needs to be
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -104,7 +104,7 @@
 	if q.SetApart(7, 1, now+5*time.Second) || q.Apart(7, now+5*time.Second) {
 		t.Error("another instance's decision was taken, though it was served here a moment ago")
 	}
-	long := now + 3*DefaultSettings().Served
+	long := now + 3*DefaultSettings().ServedTTL
 	q.Note(Crash{Content: 7, Upstream: 10}, long)
 	if !q.Note(Crash{Content: 7, Upstream: 11}, long) {
 		t.Error("what was served long ago is never set apart")
