--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -33,8 +33,8 @@
 	// ServedTTL is for how long it counts that a content was served: until then no end counts
 	// against it. Where many ask for the same, it is on any upstream that ends.
 	ServedTTL time.Duration
-	// ServedKept bounds the contents of which that is remembered, in each Served.
-	ServedKept int
+	// MaxServed bounds the contents of which that is remembered, in each Served.
+	MaxServed int
 	// Contents bounds those with ends that are remembered, Apart those that were set
 	// apart. The oldest yield.
 	Contents, Apart int
@@ -49,7 +49,7 @@
 		ForgetAfter:   24 * time.Hour,
 		ServedTTL:   time.Minute, // what is asked for less often is hardly on two that end
 		// 130 requests a second, ten times what an instance gets; 16 bytes each
-		ServedKept: 8192,
+		MaxServed: 8192,
 		Contents:   4096, // 80 engines that end at once with 48 requests each
 		Apart:      1000, // rows of some 100 bytes; a start reads two pages of them
 	}
@@ -81,7 +81,7 @@
 
 // NewTable returns an empty table.
 func NewTable(s Settings) *Table {
-	return &Table{settings: s, records: map[Content]*record{}, apart: map[Content]apart{}, served: newRecent(s.ServedTTL, s.ServedKept), tell: newTelling()}
+	return &Table{settings: s, records: map[Content]*record{}, apart: map[Content]apart{}, served: newRecent(s.ServedTTL, s.MaxServed), tell: newTelling()}
 }
 
 // Empty tells that no content is known to have ended an upstream, so that none needs to be
