--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -35,9 +35,9 @@
 	ServedTTL time.Duration
 	// MaxServed bounds the contents of which that is remembered, in each Served.
 	MaxServed int
-	// Contents bounds those with ends that are remembered, Apart those that were set
+	// MaxContents bounds those with ends that are remembered, Apart those that were set
 	// apart. The oldest yield.
-	Contents, Apart int
+	MaxContents, Apart int
 }
 
 // DefaultSettings returns the defaults.
@@ -50,7 +50,7 @@
 		ServedTTL:   time.Minute, // what is asked for less often is hardly on two that end
 		// 130 requests a second, ten times what an instance gets; 16 bytes each
 		MaxServed: 8192,
-		Contents:   4096, // 80 engines that end at once with 48 requests each
+		MaxContents:   4096, // 80 engines that end at once with 48 requests each
 		Apart:      1000, // rows of some 100 bytes; a start reads two pages of them
 	}
 }
@@ -233,11 +233,11 @@
 
 // makeRoom forgets what lapsed, and the oldest record where there are too many.
 func (t *Table) makeRoom(now time.Duration) {
-	if len(t.records) < t.settings.Contents {
+	if len(t.records) < t.settings.MaxContents {
 		return
 	}
 	t.forgetOld(now)
-	if len(t.records) < t.settings.Contents {
+	if len(t.records) < t.settings.MaxContents {
 		return
 	}
 	oldest := slices.MinFunc(slices.Collect(maps.Keys(t.records)), func(a, b Content) int {
