--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -35,9 +35,9 @@
 	ServedTTL time.Duration
 	// MaxServed bounds the contents of which that is remembered, in each Served.
 	MaxServed int
-	// MaxContents bounds those with ends that are remembered, Apart those that were set
+	// MaxContents bounds those with ends that are remembered, MaxQuarantined those that were set
 	// apart. The oldest yield.
-	MaxContents, Apart int
+	MaxContents, MaxQuarantined int
 }
 
 // DefaultSettings returns the defaults.
@@ -51,7 +51,7 @@
 		// 130 requests a second, ten times what an instance gets; 16 bytes each
 		MaxServed: 8192,
 		MaxContents:   4096, // 80 engines that end at once with 48 requests each
-		Apart:      1000, // rows of some 100 bytes; a start reads two pages of them
+		MaxQuarantined:      1000, // rows of some 100 bytes; a start reads two pages of them
 	}
 }
 
@@ -221,7 +221,7 @@
 	list := slices.SortedFunc(maps.Keys(t.apart), func(a, b Content) int {
 		return cmp.Or(cmp.Compare(t.apart[a].since, t.apart[b].since), cmp.Compare(a, b))
 	})
-	tooMany := max(0, len(list)-t.settings.Apart)
+	tooMany := max(0, len(list)-t.settings.MaxQuarantined)
 	lapsed := list[:tooMany:tooMany]
 	for _, c := range list[tooMany:] {
 		if a := t.apart[c]; now-a.since > t.term(a.times)+t.settings.ForgetAfter {
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -149,7 +149,7 @@
 // TestWhatIsKeptIsBounded plays more contents than there is room for.
 func TestWhatIsKeptIsBounded(t *testing.T) {
 	s := DefaultSettings()
-	s.MaxContents, s.Apart = 10, 5
+	s.MaxContents, s.MaxQuarantined = 10, 5
 	q := NewTable(s)
 	for c := range Content(100) {
 		at := now + time.Duration(c)*time.Second
