--- a/internal/entry/contents.go
+++ b/internal/entry/contents.go
@@ -51,7 +51,7 @@
 func (c *contents) apart(content quarantine.Content) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.table.Apart(content, bootclock.Now())
+	return c.table.Quarantined(content, bootclock.Now())
 }
 
 // ended counts the end of an engine's boot against a content.
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -93,8 +93,8 @@
 	return t.settings.Durations[min(times, len(t.settings.Durations))-1]
 }
 
-// Apart tells whether no upstream may get a content.
-func (t *Table) Apart(c Content, now time.Duration) bool {
+// Quarantined tells whether no upstream may get a content.
+func (t *Table) Quarantined(c Content, now time.Duration) bool {
 	a, ok := t.apart[c]
 	return ok && now-a.since < t.term(a.times)
 }
@@ -106,7 +106,7 @@
 func (t *Table) Count(now time.Duration) int {
 	n := 0
 	for c := range t.apart {
-		if t.Apart(c, now) {
+		if t.Quarantined(c, now) {
 			n++
 		}
 	}
@@ -172,7 +172,7 @@
 		t.clear(c)
 		return false
 	}
-	if t.Apart(c, now) || t.Times(c) == 0 && t.Ends(c) < t.settings.Crashes {
+	if t.Quarantined(c, now) || t.Times(c) == 0 && t.Ends(c) < t.settings.Crashes {
 		return false
 	}
 	t.apart[c] = apart{times: t.Times(c) + 1, since: now}
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -19,11 +19,11 @@
 		"beyond": func(q *Table) bool { return q.Hear(Crash{Content: 7, Upstream: 2}, false, now) },
 	} {
 		q := newTable()
-		if !q.Empty() || q.Note(Crash{Content: 7, Upstream: 1}, now) || q.Apart(7, now) {
+		if !q.Empty() || q.Note(Crash{Content: 7, Upstream: 1}, now) || q.Quarantined(7, now) {
 			t.Errorf("%s: set apart after one end", name)
 		}
-		if !second(q) || !q.Apart(7, now) || q.Apart(8, now) {
-			t.Errorf("%s: apart %t, another content %t", name, q.Apart(7, now), q.Apart(8, now))
+		if !second(q) || !q.Quarantined(7, now) || q.Quarantined(8, now) {
+			t.Errorf("%s: apart %t, another content %t", name, q.Quarantined(7, now), q.Quarantined(8, now))
 		}
 	}
 }
@@ -36,8 +36,8 @@
 		q.Note(Crash{Content: 7, Upstream: 1}, now)
 		q.Hear(Crash{Content: 7, Upstream: 1}, true, now)
 	}
-	if q.Apart(7, now) || q.Ends(7) != 1 {
-		t.Errorf("apart %t after %d ends", q.Apart(7, now), q.Ends(7))
+	if q.Quarantined(7, now) || q.Ends(7) != 1 {
+		t.Errorf("apart %t after %d ends", q.Quarantined(7, now), q.Ends(7))
 	}
 }
 
@@ -50,7 +50,7 @@
 		q.Served(7, now)
 		q.Hear(Crash{Content: 7, Upstream: upstream}, true, now) // told of once more
 	}
-	if q.Apart(7, now) {
+	if q.Quarantined(7, now) {
 		t.Error("set apart, though it was served after each end")
 	}
 }
@@ -79,7 +79,7 @@
 			t.Errorf("an end that was heard late counts for the %d. time", n+2)
 		}
 		q.Lapse(at + term - time.Second)
-		if !q.Apart(7, at+term-time.Second) || q.Apart(7, at+term) {
+		if !q.Quarantined(7, at+term-time.Second) || q.Quarantined(7, at+term) {
 			t.Errorf("not apart for %s", term)
 		}
 		at += term + time.Second
@@ -97,11 +97,11 @@
 	q.Served(7, now)
 	for upstream := range uint32(5) {
 		at := now + time.Duration(upstream)*time.Second
-		if q.Note(Crash{Content: 7, Upstream: upstream}, at) || q.Apart(7, at) {
+		if q.Note(Crash{Content: 7, Upstream: upstream}, at) || q.Quarantined(7, at) {
 			t.Fatalf("set apart after %d ends, though it was served a moment ago", upstream+1)
 		}
 	}
-	if q.SetApart(7, 1, now+5*time.Second) || q.Apart(7, now+5*time.Second) {
+	if q.SetApart(7, 1, now+5*time.Second) || q.Quarantined(7, now+5*time.Second) {
 		t.Error("another instance's decision was taken, though it was served here a moment ago")
 	}
 	long := now + 3*DefaultSettings().ServedTTL
@@ -134,14 +134,14 @@
 	q.SetApart(7, 2, now)
 	q.SetApart(7, 2, now+30*time.Minute) // told again
 	q.SetApart(7, 1, now+30*time.Minute) // told late
-	if !q.Apart(7, now+59*time.Minute) || q.Apart(7, now+time.Hour) {
+	if !q.Quarantined(7, now+59*time.Minute) || q.Quarantined(7, now+time.Hour) {
 		t.Error("not apart for an hour from when it was first told")
 	}
-	if !q.Note(Crash{Content: 7, Upstream: 1}, now+2*time.Hour) || !q.Apart(7, now+25*time.Hour) {
+	if !q.Note(Crash{Content: 7, Upstream: 1}, now+2*time.Hour) || !q.Quarantined(7, now+25*time.Hour) {
 		t.Error("one more end does not set it apart for longer")
 	}
 	q.Release(7)
-	if q.Apart(7, now+25*time.Hour) || !q.Empty() {
+	if q.Quarantined(7, now+25*time.Hour) || !q.Empty() {
 		t.Error("not released")
 	}
 }
@@ -188,8 +188,8 @@
 		}
 		for c, upstreams := range want {
 			apart := len(upstreams) >= DefaultSettings().Crashes
-			if first.Apart(c, now) != apart || second.Apart(c, now) != apart {
-				t.Fatalf("content %s after the ends of %d: %t and %t", c, len(upstreams), first.Apart(c, now), second.Apart(c, now))
+			if first.Quarantined(c, now) != apart || second.Quarantined(c, now) != apart {
+				t.Fatalf("content %s after the ends of %d: %t and %t", c, len(upstreams), first.Quarantined(c, now), second.Quarantined(c, now))
 			}
 		}
 	})
--- a/internal/relay/apart.go
+++ b/internal/relay/apart.go
@@ -129,7 +129,7 @@
 	content := x.content()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.table.Apart(content, bootclock.Now())
+	return c.table.Quarantined(content, bootclock.Now())
 }
 
 // refuseApart returns the refusal of a request that no upstream may get, and nil for
