--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -99,8 +99,8 @@
 	return ok && now-a.since < t.term(a.times)
 }
 
-// Times is how often a content was set apart.
-func (t *Table) Times(c Content) int { return t.apart[c].times }
+// TimesQuarantined is how often a content was set apart.
+func (t *Table) TimesQuarantined(c Content) int { return t.apart[c].times }
 
 // Count is how many contents are set apart.
 func (t *Table) Count(now time.Duration) int {
@@ -172,10 +172,10 @@
 		t.clear(c)
 		return false
 	}
-	if t.Quarantined(c, now) || t.Times(c) == 0 && t.Ends(c) < t.settings.Crashes {
+	if t.Quarantined(c, now) || t.TimesQuarantined(c) == 0 && t.Ends(c) < t.settings.Crashes {
 		return false
 	}
-	t.apart[c] = apart{times: t.Times(c) + 1, since: now}
+	t.apart[c] = apart{times: t.TimesQuarantined(c) + 1, since: now}
 	return true
 }
 
@@ -203,7 +203,7 @@
 	if t.served.has(c, now) {
 		return false
 	}
-	if times > t.Times(c) {
+	if times > t.TimesQuarantined(c) {
 		t.apart[c] = apart{times: times, since: now}
 	}
 	return true
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -72,7 +72,7 @@
 	q.Note(Crash{Content: 7, Upstream: 0}, at)
 	for n, term := range []time.Duration{10 * time.Second, time.Hour, 24 * time.Hour, 24 * time.Hour} {
 		upstream := uint32(n + 1)
-		if !q.Note(Crash{Content: 7, Upstream: upstream}, at) || q.Times(7) != n+1 {
+		if !q.Note(Crash{Content: 7, Upstream: upstream}, at) || q.TimesQuarantined(7) != n+1 {
 			t.Fatalf("not set apart for the %d. time", n+1)
 		}
 		if q.Note(Crash{Content: 7, Upstream: upstream + 100}, at+time.Second) {
@@ -84,7 +84,7 @@
 		}
 		at += term + time.Second
 	}
-	if !q.Served(7, at) || q.Times(7) != 0 || q.Note(Crash{Content: 7, Upstream: 50}, at+time.Hour) {
+	if !q.Served(7, at) || q.TimesQuarantined(7) != 0 || q.Note(Crash{Content: 7, Upstream: 50}, at+time.Hour) {
 		t.Error("it was served, and is held to be what it was before")
 	}
 }
--- a/internal/relay/apart.go
+++ b/internal/relay/apart.go
@@ -102,7 +102,7 @@
 	defer c.mu.Unlock()
 	apart = note(c.table)
 	if apart && c.table.Seen(content) { // else those that saw an end keep it
-		c.keep(content, c.table.Times(content))
+		c.keep(content, c.table.TimesQuarantined(content))
 	}
 	c.apart.Update(int64(c.table.Count(bootclock.Now())))
 	return apart, c.table.Ends(content)
@@ -251,7 +251,7 @@
 	c := r.contents
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if times := c.table.Times(content); times > 0 {
+	if times := c.table.TimesQuarantined(content); times > 0 {
 		c.keep(content, times)
 	}
 }
