--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -102,8 +102,8 @@
 // TimesQuarantined is how often a content was set apart.
 func (t *Table) TimesQuarantined(c Content) int { return t.apart[c].times }
 
-// Count is how many contents are set apart.
-func (t *Table) Count(now time.Duration) int {
+// CountQuarantined is how many contents are set apart.
+func (t *Table) CountQuarantined(now time.Duration) int {
 	n := 0
 	for c := range t.apart {
 		if t.Quarantined(c, now) {
--- a/internal/relay/apart.go
+++ b/internal/relay/apart.go
@@ -104,7 +104,7 @@
 	if apart && c.table.Seen(content) { // else those that saw an end keep it
 		c.keep(content, c.table.TimesQuarantined(content))
 	}
-	c.apart.Update(int64(c.table.Count(bootclock.Now())))
+	c.apart.Update(int64(c.table.CountQuarantined(bootclock.Now())))
 	return apart, c.table.Ends(content)
 }
 
@@ -234,7 +234,7 @@
 		c.keep(content, 0)
 		r.log.Info("relay: content was served, and is not to blame", "content", content)
 	}
-	c.apart.Update(int64(c.table.Count(now)))
+	c.apart.Update(int64(c.table.CountQuarantined(now)))
 }
 
 // Release has upstreams get a content again, as it is not kept any more.
@@ -243,7 +243,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.table.Release(content)
-	c.apart.Update(int64(c.table.Count(bootclock.Now())))
+	c.apart.Update(int64(c.table.CountQuarantined(bootclock.Now())))
 }
 
 // PersistAgain has this instance keep for all, once more, how often a content was set apart.
@@ -288,7 +288,7 @@
 	defer c.mu.Unlock()
 	now := bootclock.Now()
 	c.table.Lapse(now)
-	c.apart.Update(int64(c.table.Count(now)))
+	c.apart.Update(int64(c.table.CountQuarantined(now)))
 	if !release {
 		return
 	}
