--- a/internal/entry/contents.go
+++ b/internal/entry/contents.go
@@ -64,7 +64,7 @@
 		c.table.Release(lapsed)
 	}
 	apart = c.table.Note(quarantine.Crash{Content: content, Upstream: uint32(xxhash.Sum64String(boot))}, now)
-	return apart, c.table.Ends(content)
+	return apart, c.table.Crashes(content)
 }
 
 // served notes that a content was answered whole.
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -113,8 +113,8 @@
 	return n
 }
 
-// Ends counts the ends that count against a content.
-func (t *Table) Ends(c Content) int {
+// Crashes counts the ends that count against a content.
+func (t *Table) Crashes(c Content) int {
 	r, ok := t.records[c]
 	if !ok {
 		return 0
@@ -172,7 +172,7 @@
 		t.clear(c)
 		return false
 	}
-	if t.Quarantined(c, now) || t.TimesQuarantined(c) == 0 && t.Ends(c) < t.settings.Crashes {
+	if t.Quarantined(c, now) || t.TimesQuarantined(c) == 0 && t.Crashes(c) < t.settings.Crashes {
 		return false
 	}
 	t.apart[c] = apart{times: t.TimesQuarantined(c) + 1, since: now}
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -36,8 +36,8 @@
 		q.Note(Crash{Content: 7, Upstream: 1}, now)
 		q.Hear(Crash{Content: 7, Upstream: 1}, true, now)
 	}
-	if q.Quarantined(7, now) || q.Ends(7) != 1 {
-		t.Errorf("apart %t after %d ends", q.Quarantined(7, now), q.Ends(7))
+	if q.Quarantined(7, now) || q.Crashes(7) != 1 {
+		t.Errorf("apart %t after %d ends", q.Quarantined(7, now), q.Crashes(7))
 	}
 }
 
--- a/internal/relay/apart.go
+++ b/internal/relay/apart.go
@@ -105,7 +105,7 @@
 		c.keep(content, c.table.TimesQuarantined(content))
 	}
 	c.apart.Update(int64(c.table.CountQuarantined(bootclock.Now())))
-	return apart, c.table.Ends(content)
+	return apart, c.table.Crashes(content)
 }
 
 // keep has it kept for all how often a content was set apart. The lock is held.
--- a/internal/relay/apart_test.go
+++ b/internal/relay/apart_test.go
@@ -37,7 +37,7 @@
 func endsSoon(r *Relay, content quarantine.Content, ends int) {
 	for {
 		r.contents.mu.Lock()
-		n := r.contents.table.Ends(content)
+		n := r.contents.table.Crashes(content)
 		r.contents.mu.Unlock()
 		if n >= ends {
 			return
