--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -122,8 +122,8 @@
 	return len(r.ends)
 }
 
-// Seen tells whether this instance saw an end under a content itself.
-func (t *Table) Seen(c Content) bool {
+// SawCrash tells whether this instance saw an end under a content itself.
+func (t *Table) SawCrash(c Content) bool {
 	r, ok := t.records[c]
 	return ok && r.seen
 }
--- a/internal/relay/apart.go
+++ b/internal/relay/apart.go
@@ -101,7 +101,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	apart = note(c.table)
-	if apart && c.table.Seen(content) { // else those that saw an end keep it
+	if apart && c.table.SawCrash(content) { // else those that saw an end keep it
 		c.keep(content, c.table.TimesQuarantined(content))
 	}
 	c.apart.Update(int64(c.table.CountQuarantined(bootclock.Now())))
