--- a/internal/entry/contents.go
+++ b/internal/entry/contents.go
@@ -63,7 +63,7 @@
 	for _, lapsed := range c.table.Lapsed(now) {
 		c.table.Release(lapsed)
 	}
-	apart = c.table.Note(quarantine.Crash{Content: content, Upstream: uint32(xxhash.Sum64String(boot))}, now)
+	apart = c.table.RecordCrash(quarantine.Crash{Content: content, Upstream: uint32(xxhash.Sum64String(boot))}, now)
 	return apart, c.table.Crashes(content)
 }
 
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -128,9 +128,9 @@
 	return ok && r.seen
 }
 
-// Note takes an end that this instance saw, and tells whether the content is set apart
+// RecordCrash takes an end that this instance saw, and tells whether the content is set apart
 // by it.
-func (t *Table) Note(e Crash, now time.Duration) bool {
+func (t *Table) RecordCrash(e Crash, now time.Duration) bool {
 	news := t.add(e, now)
 	if news {
 		t.tell.own(e, now)
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -14,12 +14,12 @@
 // TestASecondEndSetsAContentApart: also when it is another instance that saw it.
 func TestASecondEndSetsAContentApart(t *testing.T) {
 	for name, second := range map[string]func(*Table) bool{
-		"own":    func(q *Table) bool { return q.Note(Crash{Content: 7, Upstream: 2}, now) },
+		"own":    func(q *Table) bool { return q.RecordCrash(Crash{Content: 7, Upstream: 2}, now) },
 		"beside": func(q *Table) bool { return q.Hear(Crash{Content: 7, Upstream: 2}, true, now) },
 		"beyond": func(q *Table) bool { return q.Hear(Crash{Content: 7, Upstream: 2}, false, now) },
 	} {
 		q := newTable()
-		if !q.Empty() || q.Note(Crash{Content: 7, Upstream: 1}, now) || q.Quarantined(7, now) {
+		if !q.Empty() || q.RecordCrash(Crash{Content: 7, Upstream: 1}, now) || q.Quarantined(7, now) {
 			t.Errorf("%s: set apart after one end", name)
 		}
 		if !second(q) || !q.Quarantined(7, now) || q.Quarantined(8, now) {
@@ -33,7 +33,7 @@
 func TestOneEndIsCountedOnce(t *testing.T) {
 	q := newTable()
 	for range 3 {
-		q.Note(Crash{Content: 7, Upstream: 1}, now)
+		q.RecordCrash(Crash{Content: 7, Upstream: 1}, now)
 		q.Hear(Crash{Content: 7, Upstream: 1}, true, now)
 	}
 	if q.Quarantined(7, now) || q.Crashes(7) != 1 {
@@ -46,7 +46,7 @@
 func TestWhatWasServedIsNotToBlame(t *testing.T) {
 	q := newTable()
 	for upstream := range uint32(50) {
-		q.Note(Crash{Content: 7, Upstream: upstream}, now)
+		q.RecordCrash(Crash{Content: 7, Upstream: upstream}, now)
 		q.Served(7, now)
 		q.Hear(Crash{Content: 7, Upstream: upstream}, true, now) // told of once more
 	}
@@ -57,10 +57,10 @@
 
 func TestEndsAreForgotten(t *testing.T) {
 	q := newTable()
-	q.Note(Crash{Content: 7, Upstream: 1}, now)
+	q.RecordCrash(Crash{Content: 7, Upstream: 1}, now)
 	later := now + DefaultSettings().CrashTTL + time.Second
 	q.Lapse(later)
-	if !q.Empty() || q.Note(Crash{Content: 7, Upstream: 2}, later) {
+	if !q.Empty() || q.RecordCrash(Crash{Content: 7, Upstream: 2}, later) {
 		t.Error("an end counts for ever")
 	}
 }
@@ -69,13 +69,13 @@
 // One that was there by chance is served then, and nothing is left of it.
 func TestAContentIsLetThroughAndSetApartForLonger(t *testing.T) {
 	q, at := newTable(), time.Duration(now)
-	q.Note(Crash{Content: 7, Upstream: 0}, at)
+	q.RecordCrash(Crash{Content: 7, Upstream: 0}, at)
 	for n, term := range []time.Duration{10 * time.Second, time.Hour, 24 * time.Hour, 24 * time.Hour} {
 		upstream := uint32(n + 1)
-		if !q.Note(Crash{Content: 7, Upstream: upstream}, at) || q.TimesQuarantined(7) != n+1 {
+		if !q.RecordCrash(Crash{Content: 7, Upstream: upstream}, at) || q.TimesQuarantined(7) != n+1 {
 			t.Fatalf("not set apart for the %d. time", n+1)
 		}
-		if q.Note(Crash{Content: 7, Upstream: upstream + 100}, at+time.Second) {
+		if q.RecordCrash(Crash{Content: 7, Upstream: upstream + 100}, at+time.Second) {
 			t.Errorf("an end that was heard late counts for the %d. time", n+2)
 		}
 		q.Lapse(at + term - time.Second)
@@ -84,7 +84,7 @@
 		}
 		at += term + time.Second
 	}
-	if !q.Served(7, at) || q.TimesQuarantined(7) != 0 || q.Note(Crash{Content: 7, Upstream: 50}, at+time.Hour) {
+	if !q.Served(7, at) || q.TimesQuarantined(7) != 0 || q.RecordCrash(Crash{Content: 7, Upstream: 50}, at+time.Hour) {
 		t.Error("it was served, and is held to be what it was before")
 	}
 }
@@ -97,7 +97,7 @@
 	q.Served(7, now)
 	for upstream := range uint32(5) {
 		at := now + time.Duration(upstream)*time.Second
-		if q.Note(Crash{Content: 7, Upstream: upstream}, at) || q.Quarantined(7, at) {
+		if q.RecordCrash(Crash{Content: 7, Upstream: upstream}, at) || q.Quarantined(7, at) {
 			t.Fatalf("set apart after %d ends, though it was served a moment ago", upstream+1)
 		}
 	}
@@ -105,8 +105,8 @@
 		t.Error("another instance's decision was taken, though it was served here a moment ago")
 	}
 	long := now + 3*DefaultSettings().ServedTTL
-	q.Note(Crash{Content: 7, Upstream: 10}, long)
-	if !q.Note(Crash{Content: 7, Upstream: 11}, long) {
+	q.RecordCrash(Crash{Content: 7, Upstream: 10}, long)
+	if !q.RecordCrash(Crash{Content: 7, Upstream: 11}, long) {
 		t.Error("what was served long ago is never set apart")
 	}
 }
@@ -137,7 +137,7 @@
 	if !q.Quarantined(7, now+59*time.Minute) || q.Quarantined(7, now+time.Hour) {
 		t.Error("not apart for an hour from when it was first told")
 	}
-	if !q.Note(Crash{Content: 7, Upstream: 1}, now+2*time.Hour) || !q.Quarantined(7, now+25*time.Hour) {
+	if !q.RecordCrash(Crash{Content: 7, Upstream: 1}, now+2*time.Hour) || !q.Quarantined(7, now+25*time.Hour) {
 		t.Error("one more end does not set it apart for longer")
 	}
 	q.Release(7)
@@ -153,7 +153,7 @@
 	q := NewTable(s)
 	for c := range Content(100) {
 		at := now + time.Duration(c)*time.Second
-		q.Note(Crash{Content: c, Upstream: 1}, at)
+		q.RecordCrash(Crash{Content: c, Upstream: 1}, at)
 		q.SetApart(c, 1, at)
 	}
 	if len(q.records) > 10 {
@@ -181,7 +181,7 @@
 				want[e.Content] = map[uint32]bool{}
 			}
 			want[e.Content][e.Upstream] = true
-			first.Note(e, now)
+			first.RecordCrash(e, now)
 		}
 		for _, e := range rapid.Permutation(append(ends, ends...)).Draw(t, "told") {
 			second.Hear(e, rapid.Bool().Draw(t, "beside"), now)
@@ -198,7 +198,7 @@
 // TestAnEndIsToldOfForAWhile: on the way of who saw it, and of who heard it.
 func TestAnEndIsToldOfForAWhile(t *testing.T) {
 	q, e := newTable(), Crash{Content: 7, Upstream: 1}
-	q.Note(e, now)
+	q.RecordCrash(e, now)
 	if len(q.OwnEnds(now)) != 1 || len(q.ZoneEnds(now)) != 1 || len(q.BeyondEnds(now)) != 0 {
 		t.Error("an own end is not told of on the zone's ways")
 	}
@@ -214,7 +214,7 @@
 		t.Error("an end of another zone is not told on to the own one")
 	}
 	for upstream := range uint32(1000) {
-		q.Note(Crash{Content: 7, Upstream: upstream}, now)
+		q.RecordCrash(Crash{Content: 7, Upstream: upstream}, now)
 	}
 	if n := len(q.OwnEnds(now)); n > toldAtMost {
 		t.Errorf("%d ends in one report", n)
@@ -222,7 +222,7 @@
 	q, told := newTable(), map[Crash]bool{}
 	const ends = 48 // the requests of one upstream
 	for content := range Content(ends) {
-		q.Note(Crash{Content: content, Upstream: 1}, now)
+		q.RecordCrash(Crash{Content: content, Upstream: 1}, now)
 	}
 	for range 20 { // the reports of two seconds
 		for _, e := range q.OwnEnds(now) {
--- a/internal/relay/apart.go
+++ b/internal/relay/apart.go
@@ -210,7 +210,7 @@
 // RecordCrash takes an end that this instance saw, and returns whether the content is set apart
 // by it and how many ends count against it.
 func (r *Relay) RecordCrash(end quarantine.Crash) (apart bool, ends int) {
-	return r.contents.decide(end.Content, func(t *quarantine.Table) bool { return t.Note(end, bootclock.Now()) })
+	return r.contents.decide(end.Content, func(t *quarantine.Table) bool { return t.RecordCrash(end, bootclock.Now()) })
 }
 
 // hearEnds takes the ends that others told of.
