--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -139,9 +139,9 @@
 	return news && t.decide(e.Content, now)
 }
 
-// Hear takes an end that another instance told of, of the same zone or not, and tells
+// ReceiveCrash takes an end that another instance told of, of the same zone or not, and tells
 // whether the content is set apart by it.
-func (t *Table) Hear(e Crash, beside bool, now time.Duration) bool {
+func (t *Table) ReceiveCrash(e Crash, beside bool, now time.Duration) bool {
 	news := t.add(e, now)
 	if news {
 		t.tell.heard(e, beside, now)
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -15,8 +15,8 @@
 func TestASecondEndSetsAContentApart(t *testing.T) {
 	for name, second := range map[string]func(*Table) bool{
 		"own":    func(q *Table) bool { return q.RecordCrash(Crash{Content: 7, Upstream: 2}, now) },
-		"beside": func(q *Table) bool { return q.Hear(Crash{Content: 7, Upstream: 2}, true, now) },
-		"beyond": func(q *Table) bool { return q.Hear(Crash{Content: 7, Upstream: 2}, false, now) },
+		"beside": func(q *Table) bool { return q.ReceiveCrash(Crash{Content: 7, Upstream: 2}, true, now) },
+		"beyond": func(q *Table) bool { return q.ReceiveCrash(Crash{Content: 7, Upstream: 2}, false, now) },
 	} {
 		q := newTable()
 		if !q.Empty() || q.RecordCrash(Crash{Content: 7, Upstream: 1}, now) || q.Quarantined(7, now) {
@@ -34,7 +34,7 @@
 	q := newTable()
 	for range 3 {
 		q.RecordCrash(Crash{Content: 7, Upstream: 1}, now)
-		q.Hear(Crash{Content: 7, Upstream: 1}, true, now)
+		q.ReceiveCrash(Crash{Content: 7, Upstream: 1}, true, now)
 	}
 	if q.Quarantined(7, now) || q.Crashes(7) != 1 {
 		t.Errorf("apart %t after %d ends", q.Quarantined(7, now), q.Crashes(7))
@@ -48,7 +48,7 @@
 	for upstream := range uint32(50) {
 		q.RecordCrash(Crash{Content: 7, Upstream: upstream}, now)
 		q.Served(7, now)
-		q.Hear(Crash{Content: 7, Upstream: upstream}, true, now) // told of once more
+		q.ReceiveCrash(Crash{Content: 7, Upstream: upstream}, true, now) // told of once more
 	}
 	if q.Quarantined(7, now) {
 		t.Error("set apart, though it was served after each end")
@@ -184,7 +184,7 @@
 			first.RecordCrash(e, now)
 		}
 		for _, e := range rapid.Permutation(append(ends, ends...)).Draw(t, "told") {
-			second.Hear(e, rapid.Bool().Draw(t, "beside"), now)
+			second.ReceiveCrash(e, rapid.Bool().Draw(t, "beside"), now)
 		}
 		for c, upstreams := range want {
 			apart := len(upstreams) >= DefaultSettings().Crashes
@@ -203,13 +203,13 @@
 		t.Error("an own end is not told of on the zone's ways")
 	}
 	heard := newTable()
-	heard.Hear(e, true, now)
-	heard.Hear(e, true, now+time.Second) // told again: not told on for longer
+	heard.ReceiveCrash(e, true, now)
+	heard.ReceiveCrash(e, true, now+time.Second) // told again: not told on for longer
 	if len(heard.OwnEnds(now)) != 0 || len(heard.ZoneEnds(now)) != 1 || len(heard.ZoneEnds(now+tellFor)) != 0 {
 		t.Error("an end that was heard beside is not told on to other zones, or for too long")
 	}
 	heard = newTable()
-	heard.Hear(e, false, now)
+	heard.ReceiveCrash(e, false, now)
 	if len(heard.ZoneEnds(now)) != 0 || len(heard.BeyondEnds(now)) != 1 {
 		t.Error("an end of another zone is not told on to the own one")
 	}
--- a/internal/relay/apart.go
+++ b/internal/relay/apart.go
@@ -216,7 +216,7 @@
 // hearEnds takes the ends that others told of.
 func (r *Relay) hearEnds(ends []quarantine.Crash, beside bool) {
 	for _, e := range ends {
-		apart, count := r.contents.decide(e.Content, func(t *quarantine.Table) bool { return t.Hear(e, beside, bootclock.Now()) })
+		apart, count := r.contents.decide(e.Content, func(t *quarantine.Table) bool { return t.ReceiveCrash(e, beside, bootclock.Now()) })
 		if apart {
 			r.log.Info("relay: content set apart by what was heard", "content", e.Content, "ends", count)
 		}
