--- a/internal/entry/contents.go
+++ b/internal/entry/contents.go
@@ -71,7 +71,7 @@
 func (c *contents) served(content quarantine.Content) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.table.Served(content, bootclock.Now())
+	c.table.RecordServed(content, bootclock.Now())
 }
 
 // setApart is the refusal of a request that no engine may get. Its caller is not told to
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -179,9 +179,9 @@
 	return true
 }
 
-// Served notes that a content was answered whole: the ends before it were others' fault.
+// RecordServed notes that a content was answered whole: the ends before it were others' fault.
 // It tells whether the content was set apart for them, which is over.
-func (t *Table) Served(c Content, now time.Duration) bool {
+func (t *Table) RecordServed(c Content, now time.Duration) bool {
 	t.served.add(c, now)
 	t.clear(c)
 	_, was := t.apart[c]
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -47,7 +47,7 @@
 	q := newTable()
 	for upstream := range uint32(50) {
 		q.RecordCrash(Crash{Content: 7, Upstream: upstream}, now)
-		q.Served(7, now)
+		q.RecordServed(7, now)
 		q.ReceiveCrash(Crash{Content: 7, Upstream: upstream}, true, now) // told of once more
 	}
 	if q.Quarantined(7, now) {
@@ -84,7 +84,7 @@
 		}
 		at += term + time.Second
 	}
-	if !q.Served(7, at) || q.TimesQuarantined(7) != 0 || q.RecordCrash(Crash{Content: 7, Upstream: 50}, at+time.Hour) {
+	if !q.RecordServed(7, at) || q.TimesQuarantined(7) != 0 || q.RecordCrash(Crash{Content: 7, Upstream: 50}, at+time.Hour) {
 		t.Error("it was served, and is held to be what it was before")
 	}
 }
@@ -94,7 +94,7 @@
 // as long as the run went on.
 func TestWhatIsServedAllTheTimeIsNotSetApart(t *testing.T) {
 	q := newTable()
-	q.Served(7, now)
+	q.RecordServed(7, now)
 	for upstream := range uint32(5) {
 		at := now + time.Duration(upstream)*time.Second
 		if q.RecordCrash(Crash{Content: 7, Upstream: upstream}, at) || q.Quarantined(7, at) {
--- a/internal/relay/apart.go
+++ b/internal/relay/apart.go
@@ -148,7 +148,7 @@
 	c, content := r.contents, x.content()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.table.Served(content, bootclock.Now()) {
+	if c.table.RecordServed(content, bootclock.Now()) {
 		c.keep(content, 0)
 		r.log.Info("relay: content served, and not to blame", "request", x.req.ID, "content", content)
 	}
