--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -197,9 +197,9 @@
 	}
 }
 
-// SetApart takes the decision of other instances, that a content is set apart for the nth
+// Quarantine takes the decision of other instances, that a content is set apart for the nth
 // time. It returns false when that is wrong: the content was served here lately.
-func (t *Table) SetApart(c Content, times int, now time.Duration) bool {
+func (t *Table) Quarantine(c Content, times int, now time.Duration) bool {
 	if t.served.has(c, now) {
 		return false
 	}
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -101,7 +101,7 @@
 			t.Fatalf("set apart after %d ends, though it was served a moment ago", upstream+1)
 		}
 	}
-	if q.SetApart(7, 1, now+5*time.Second) || q.Quarantined(7, now+5*time.Second) {
+	if q.Quarantine(7, 1, now+5*time.Second) || q.Quarantined(7, now+5*time.Second) {
 		t.Error("another instance's decision was taken, though it was served here a moment ago")
 	}
 	long := now + 3*DefaultSettings().ServedTTL
@@ -131,9 +131,9 @@
 // that lags.
 func TestAnothersDecisionCounts(t *testing.T) {
 	q := newTable()
-	q.SetApart(7, 2, now)
-	q.SetApart(7, 2, now+30*time.Minute) // told again
-	q.SetApart(7, 1, now+30*time.Minute) // told late
+	q.Quarantine(7, 2, now)
+	q.Quarantine(7, 2, now+30*time.Minute) // told again
+	q.Quarantine(7, 1, now+30*time.Minute) // told late
 	if !q.Quarantined(7, now+59*time.Minute) || q.Quarantined(7, now+time.Hour) {
 		t.Error("not apart for an hour from when it was first told")
 	}
@@ -154,7 +154,7 @@
 	for c := range Content(100) {
 		at := now + time.Duration(c)*time.Second
 		q.RecordCrash(Crash{Content: c, Upstream: 1}, at)
-		q.SetApart(c, 1, at)
+		q.Quarantine(c, 1, at)
 	}
 	if len(q.records) > 10 {
 		t.Errorf("%d contents are remembered", len(q.records))
--- a/internal/relay/apart.go
+++ b/internal/relay/apart.go
@@ -230,7 +230,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := bootclock.Now()
-	if !c.table.SetApart(content, times, now) {
+	if !c.table.Quarantine(content, times, now) {
 		c.keep(content, 0)
 		r.log.Info("relay: content was served, and is not to blame", "content", content)
 	}
--- a/internal/relay/apart_test.go
+++ b/internal/relay/apart_test.go
@@ -164,7 +164,7 @@
 	r := newFake(t, &fakeSender{})
 	req := call("/unsafe/1")
 	long := bootclock.Now() - time.Minute // its first term is over
-	r.contents.table.SetApart(req.Content(), 1, long)
+	r.contents.table.Quarantine(req.Content(), 1, long)
 	if _, err := serve(r, req); err != nil {
 		t.Fatalf("refused after its term: %v", err)
 	}
