--- a/internal/entry/contents.go
+++ b/internal/entry/contents.go
@@ -60,7 +60,7 @@
 	defer c.mu.Unlock()
 	now := bootclock.Now()
 	c.table.Lapse(now)
-	for _, lapsed := range c.table.Lapsed(now) {
+	for _, lapsed := range c.table.Expired(now) {
 		c.table.Release(lapsed)
 	}
 	apart = c.table.RecordCrash(quarantine.Crash{Content: content, Upstream: uint32(xxhash.Sum64String(boot))}, now)
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -215,9 +215,9 @@
 	delete(t.records, c)
 }
 
-// Lapsed lists the contents of which it need not be known any more that they were set
+// Expired lists the contents of which it need not be known any more that they were set
 // apart, and the oldest of those that are too many.
-func (t *Table) Lapsed(now time.Duration) []Content {
+func (t *Table) Expired(now time.Duration) []Content {
 	list := slices.SortedFunc(maps.Keys(t.apart), func(a, b Content) int {
 		return cmp.Or(cmp.Compare(t.apart[a].since, t.apart[b].since), cmp.Compare(a, b))
 	})
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -159,10 +159,10 @@
 	if len(q.records) > 10 {
 		t.Errorf("%d contents are remembered", len(q.records))
 	}
-	if lapsed := q.Lapsed(now + 100*time.Second); len(lapsed) != 95 || lapsed[0] != 0 {
+	if lapsed := q.Expired(now + 100*time.Second); len(lapsed) != 95 || lapsed[0] != 0 {
 		t.Errorf("%d lapse", len(lapsed))
 	}
-	if lapsed := q.Lapsed(now + 25*time.Hour); len(lapsed) != 100 {
+	if lapsed := q.Expired(now + 25*time.Hour); len(lapsed) != 100 {
 		t.Errorf("%d lapse after a day", len(lapsed))
 	}
 }
--- a/internal/relay/apart.go
+++ b/internal/relay/apart.go
@@ -292,7 +292,7 @@
 	if !release {
 		return
 	}
-	for _, content := range c.table.Lapsed(now) {
+	for _, content := range c.table.Expired(now) {
 		c.keep(content, 0)
 	}
 }
