--- a/internal/entry/contents.go
+++ b/internal/entry/contents.go
@@ -59,7 +59,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := bootclock.Now()
-	c.table.Lapse(now)
+	c.table.Expire(now)
 	for _, lapsed := range c.table.Expired(now) {
 		c.table.Release(lapsed)
 	}
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -251,8 +251,8 @@
 	maps.DeleteFunc(t.records, func(_ Content, r *record) bool { return now-r.newest > t.settings.CrashTTL })
 }
 
-// Lapse forgets the ends that count no longer.
-func (t *Table) Lapse(now time.Duration) {
+// Expire forgets the ends that count no longer.
+func (t *Table) Expire(now time.Duration) {
 	t.forgetOld(now)
 	t.tell.lapse(now)
 }
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -59,7 +59,7 @@
 	q := newTable()
 	q.RecordCrash(Crash{Content: 7, Upstream: 1}, now)
 	later := now + DefaultSettings().CrashTTL + time.Second
-	q.Lapse(later)
+	q.Expire(later)
 	if !q.Empty() || q.RecordCrash(Crash{Content: 7, Upstream: 2}, later) {
 		t.Error("an end counts for ever")
 	}
@@ -78,7 +78,7 @@
 		if q.RecordCrash(Crash{Content: 7, Upstream: upstream + 100}, at+time.Second) {
 			t.Errorf("an end that was heard late counts for the %d. time", n+2)
 		}
-		q.Lapse(at + term - time.Second)
+		q.Expire(at + term - time.Second)
 		if !q.Quarantined(7, at+term-time.Second) || q.Quarantined(7, at+term) {
 			t.Errorf("not apart for %s", term)
 		}
--- a/internal/relay/apart.go
+++ b/internal/relay/apart.go
@@ -287,7 +287,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := bootclock.Now()
-	c.table.Lapse(now)
+	c.table.Expire(now)
 	c.apart.Update(int64(c.table.CountQuarantined(now)))
 	if !release {
 		return
