--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -199,13 +199,13 @@
 func TestAnEndIsToldOfForAWhile(t *testing.T) {
 	q, e := newTable(), Crash{Content: 7, Upstream: 1}
 	q.RecordCrash(e, now)
-	if len(q.OwnEnds(now)) != 1 || len(q.ZoneEnds(now)) != 1 || len(q.BeyondEnds(now)) != 0 {
+	if len(q.DueOwn(now)) != 1 || len(q.ZoneEnds(now)) != 1 || len(q.BeyondEnds(now)) != 0 {
 		t.Error("an own end is not told of on the zone's ways")
 	}
 	heard := newTable()
 	heard.ReceiveCrash(e, true, now)
 	heard.ReceiveCrash(e, true, now+time.Second) // told again: not told on for longer
-	if len(heard.OwnEnds(now)) != 0 || len(heard.ZoneEnds(now)) != 1 || len(heard.ZoneEnds(now+tellFor)) != 0 {
+	if len(heard.DueOwn(now)) != 0 || len(heard.ZoneEnds(now)) != 1 || len(heard.ZoneEnds(now+tellFor)) != 0 {
 		t.Error("an end that was heard beside is not told on to other zones, or for too long")
 	}
 	heard = newTable()
@@ -216,7 +216,7 @@
 	for upstream := range uint32(1000) {
 		q.RecordCrash(Crash{Content: 7, Upstream: upstream}, now)
 	}
-	if n := len(q.OwnEnds(now)); n > toldAtMost {
+	if n := len(q.DueOwn(now)); n > toldAtMost {
 		t.Errorf("%d ends in one report", n)
 	}
 	q, told := newTable(), map[Crash]bool{}
@@ -225,7 +225,7 @@
 		q.RecordCrash(Crash{Content: content, Upstream: 1}, now)
 	}
 	for range 20 { // the reports of two seconds
-		for _, e := range q.OwnEnds(now) {
+		for _, e := range q.DueOwn(now) {
 			told[e] = true
 		}
 	}
--- a/internal/quarantine/tell.go
+++ b/internal/quarantine/tell.go
@@ -58,8 +58,8 @@
 	return list
 }
 
-// OwnEnds are what this instance tells of the ends that it saw.
-func (t *Table) OwnEnds(now time.Duration) []Crash { return due(t.tell.here, now) }
+// DueOwn are what this instance tells of the ends that it saw.
+func (t *Table) DueOwn(now time.Duration) []Crash { return due(t.tell.here, now) }
 
 // ZoneEnds are what its zone tells the others.
 func (t *Table) ZoneEnds(now time.Duration) []Crash { return due(t.tell.beside, now) }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -162,7 +162,7 @@
 func (r *Relay) OwnReport() upstreamstate.Report {
 	r.showRests()
 	report := r.picture.OwnReport(r.now())
-	report.RetryOverflow, report.Crashes = r.budgets.spilled(), r.contents.told((*quarantine.Table).OwnEnds)
+	report.RetryOverflow, report.Crashes = r.budgets.spilled(), r.contents.told((*quarantine.Table).DueOwn)
 	report.Usage = r.usage.tell((*usage.Tally).TellOwn)
 	return report
 }
