--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -199,18 +199,18 @@
 func TestAnEndIsToldOfForAWhile(t *testing.T) {
 	q, e := newTable(), Crash{Content: 7, Upstream: 1}
 	q.RecordCrash(e, now)
-	if len(q.DueOwn(now)) != 1 || len(q.ZoneEnds(now)) != 1 || len(q.BeyondEnds(now)) != 0 {
+	if len(q.DueOwn(now)) != 1 || len(q.DueZone(now)) != 1 || len(q.BeyondEnds(now)) != 0 {
 		t.Error("an own end is not told of on the zone's ways")
 	}
 	heard := newTable()
 	heard.ReceiveCrash(e, true, now)
 	heard.ReceiveCrash(e, true, now+time.Second) // told again: not told on for longer
-	if len(heard.DueOwn(now)) != 0 || len(heard.ZoneEnds(now)) != 1 || len(heard.ZoneEnds(now+tellFor)) != 0 {
+	if len(heard.DueOwn(now)) != 0 || len(heard.DueZone(now)) != 1 || len(heard.DueZone(now+tellFor)) != 0 {
 		t.Error("an end that was heard beside is not told on to other zones, or for too long")
 	}
 	heard = newTable()
 	heard.ReceiveCrash(e, false, now)
-	if len(heard.ZoneEnds(now)) != 0 || len(heard.BeyondEnds(now)) != 1 {
+	if len(heard.DueZone(now)) != 0 || len(heard.BeyondEnds(now)) != 1 {
 		t.Error("an end of another zone is not told on to the own one")
 	}
 	for upstream := range uint32(1000) {
--- a/internal/quarantine/tell.go
+++ b/internal/quarantine/tell.go
@@ -61,8 +61,8 @@
 // DueOwn are what this instance tells of the ends that it saw.
 func (t *Table) DueOwn(now time.Duration) []Crash { return due(t.tell.here, now) }
 
-// ZoneEnds are what its zone tells the others.
-func (t *Table) ZoneEnds(now time.Duration) []Crash { return due(t.tell.beside, now) }
+// DueZone are what its zone tells the others.
+func (t *Table) DueZone(now time.Duration) []Crash { return due(t.tell.beside, now) }
 
 // BeyondEnds are what its zone is told of the others.
 func (t *Table) BeyondEnds(now time.Duration) []Crash { return due(t.tell.beyond, now) }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -171,7 +171,7 @@
 func (r *Relay) ZoneReport() upstreamstate.Report {
 	r.depositOwn()
 	report := r.picture.ZoneReport(r.now())
-	report.Crashes = r.contents.told((*quarantine.Table).ZoneEnds)
+	report.Crashes = r.contents.told((*quarantine.Table).DueZone)
 	report.Usage = r.usage.tell((*usage.Tally).TellZone)
 	return report
 }
