--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -199,7 +199,7 @@
 func TestAnEndIsToldOfForAWhile(t *testing.T) {
 	q, e := newTable(), Crash{Content: 7, Upstream: 1}
 	q.RecordCrash(e, now)
-	if len(q.DueOwn(now)) != 1 || len(q.DueZone(now)) != 1 || len(q.BeyondEnds(now)) != 0 {
+	if len(q.DueOwn(now)) != 1 || len(q.DueZone(now)) != 1 || len(q.DueOtherZones(now)) != 0 {
 		t.Error("an own end is not told of on the zone's ways")
 	}
 	heard := newTable()
@@ -210,7 +210,7 @@
 	}
 	heard = newTable()
 	heard.ReceiveCrash(e, false, now)
-	if len(heard.DueZone(now)) != 0 || len(heard.BeyondEnds(now)) != 1 {
+	if len(heard.DueZone(now)) != 0 || len(heard.DueOtherZones(now)) != 1 {
 		t.Error("an end of another zone is not told on to the own one")
 	}
 	for upstream := range uint32(1000) {
--- a/internal/quarantine/tell.go
+++ b/internal/quarantine/tell.go
@@ -64,5 +64,5 @@
 // DueZone are what its zone tells the others.
 func (t *Table) DueZone(now time.Duration) []Crash { return due(t.tell.beside, now) }
 
-// BeyondEnds are what its zone is told of the others.
-func (t *Table) BeyondEnds(now time.Duration) []Crash { return due(t.tell.beyond, now) }
+// DueOtherZones are what its zone is told of the others.
+func (t *Table) DueOtherZones(now time.Duration) []Crash { return due(t.tell.beyond, now) }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -179,7 +179,7 @@
 // OtherZonesReport returns what this instance tells its zone of the other zones.
 func (r *Relay) OtherZonesReport() upstreamstate.Report {
 	report := r.picture.BeyondReport(r.now())
-	report.Crashes = r.contents.told((*quarantine.Table).BeyondEnds)
+	report.Crashes = r.contents.told((*quarantine.Table).DueOtherZones)
 	return report
 }
 
