--- a/internal/limit/bucket.go
+++ b/internal/limit/bucket.go
@@ -30,15 +30,15 @@
 }
 
 // take spends one token; false means that there is none.
-func (b *Bucket) take(now time.Duration) bool { return b.TakeLeaving(0, now) }
+func (b *Bucket) take(now time.Duration) bool { return b.TakeReserving(0, now) }
 
 // force spends one token and may leave a debt, as large as the bucket; false
 // means that the debt is that large already.
-func (b *Bucket) force(now time.Duration) bool { return b.TakeLeaving(-b.burst, now) }
+func (b *Bucket) force(now time.Duration) bool { return b.TakeReserving(-b.burst, now) }
 
-// TakeLeaving spends one token if so many are left after it; a negative number allows a
+// TakeReserving spends one token if so many are left after it; a negative number allows a
 // debt. False means that none is spent.
-func (b *Bucket) TakeLeaving(least float64, now time.Duration) bool {
+func (b *Bucket) TakeReserving(least float64, now time.Duration) bool {
 	b.refill(now)
 	if b.tokens-1 < least {
 		return false
--- a/internal/quota/grants.go
+++ b/internal/quota/grants.go
@@ -142,7 +142,7 @@
 	a.usedAt = now
 	a.bucket.Set(rate*g.share, burstOf(rate*g.share), now)
 	left := a.leaves(ask, now)
-	if a.bucket.TakeLeaving(left, now) {
+	if a.bucket.TakeReserving(left, now) {
 		return Verdict{Granted: true}
 	}
 	return Verdict{RetryIn: a.askAgainIn(asker{ask.From, ask.Priority}, left, rate*g.share, now)}
--- a/internal/quota/ways_test.go
+++ b/internal/quota/ways_test.go
@@ -82,7 +82,7 @@
 
 func (o *one) exchange(time.Duration) {}
 func (o *one) take(i int, now time.Duration) bool {
-	return i == o.sender && o.bucket.TakeLeaving(0, now)
+	return i == o.sender && o.bucket.TakeReserving(0, now)
 }
 
 // grant asks the one that coordinates, unless it was told to wait.
