--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -65,7 +65,7 @@
 func newFleet(n int, w way, rng *rand.Rand) *fleet {
 	f := &fleet{totals: NewTotals(3 * time.Second), way: w}
 	for range n {
-		l := New(Options{Floor: w.floor, SmallestBurst: w.smallest, Window: max(w.window, time.Second), KeepTotals: 5 * time.Second})
+		l := New(Options{Floor: w.floor, MinBurst: w.smallest, Window: max(w.window, time.Second), KeepTotals: 5 * time.Second})
 		l.SetEntries(n, 0)
 		f.limiters = append(f.limiters, l)
 		f.due = append(f.due, time.Duration(rng.Int64N(int64(max(w.every, 1)))))
--- a/internal/limit/limiter.go
+++ b/internal/limit/limiter.go
@@ -39,10 +39,10 @@
 	Floor float64
 	// Window is the time constant of the demand's moving average.
 	Window time.Duration
-	// SmallestBurst is the size that a bucket has at least, in requests, as far
+	// MinBurst is the size that a bucket has at least, in requests, as far
 	// as the organisation's burst allows; with many entries an equal part of
 	// the burst would refuse what comes unevenly. Below 1 it is 1.
-	SmallestBurst float64
+	MinBurst float64
 	// KeepTotals is how long totals count after they came.
 	KeepTotals time.Duration
 }
@@ -196,7 +196,7 @@
 // size of a bucket: the entry's share of the burst, but no less than
 // SmallestBurst, or the whole burst when that is smaller.
 func (l *Limiter) size(rule Rule, share float64) float64 {
-	smallest := min(rule.burst(), max(1, l.options.SmallestBurst))
+	smallest := min(rule.burst(), max(1, l.options.MinBurst))
 	return max(smallest, rule.burst()*share)
 }
 
