--- a/internal/entry/rates.go
+++ b/internal/entry/rates.go
@@ -49,7 +49,7 @@
 
 func newRates(s RateSettings) *rates {
 	return &rates{limiter: limit.New(limit.Options{
-		Floor: s.Floor, Window: s.Window, MinBurst: float64(s.SmallestBurst), KeepTotals: s.KeepTotals,
+		Floor: s.Floor, Window: s.Window, MinBurst: float64(s.SmallestBurst), TotalsTTL: s.KeepTotals,
 	})}
 }
 
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -65,7 +65,7 @@
 func newFleet(n int, w way, rng *rand.Rand) *fleet {
 	f := &fleet{totals: NewTotals(3 * time.Second), way: w}
 	for range n {
-		l := New(Options{Floor: w.floor, MinBurst: w.smallest, Window: max(w.window, time.Second), KeepTotals: 5 * time.Second})
+		l := New(Options{Floor: w.floor, MinBurst: w.smallest, Window: max(w.window, time.Second), TotalsTTL: 5 * time.Second})
 		l.SetEntries(n, 0)
 		f.limiters = append(f.limiters, l)
 		f.due = append(f.due, time.Duration(rng.Int64N(int64(max(w.every, 1)))))
@@ -241,7 +241,7 @@
 // Totals that are old count no more: the entry is back at an equal share.
 func TestOldTotalsFallBack(t *testing.T) {
 	rule := Rule{Rate: 90, Burst: 90}
-	l := New(Options{Floor: 0.25, Window: time.Second, KeepTotals: 5 * time.Second})
+	l := New(Options{Floor: 0.25, Window: time.Second, TotalsTTL: 5 * time.Second})
 	l.SetEntries(9, 0)
 	for i := range 200 {
 		l.Take("o", rule, time.Duration(i)*10*time.Millisecond)
@@ -281,7 +281,7 @@
 
 // Requests that say they were accepted before gain one burst, and no rate.
 func TestChargeIsBounded(t *testing.T) {
-	l := New(Options{Floor: 0.1, Window: time.Second, KeepTotals: time.Second})
+	l := New(Options{Floor: 0.1, Window: time.Second, TotalsTTL: time.Second})
 	rule := Rule{Rate: 10, Burst: 20}
 	charged := 0
 	for i := range 10000 {
--- a/internal/limit/limiter.go
+++ b/internal/limit/limiter.go
@@ -43,8 +43,8 @@
 	// as the organisation's burst allows; with many entries an equal part of
 	// the burst would refuse what comes unevenly. Below 1 it is 1.
 	MinBurst float64
-	// KeepTotals is how long totals count after they came.
-	KeepTotals time.Duration
+	// TotalsTTL is how long totals count after they came.
+	TotalsTTL time.Duration
 }
 
 // Verdict is the answer for one request.
@@ -178,7 +178,7 @@
 }
 
 func (l *Limiter) fresh(o *organisation, now time.Duration) bool {
-	return o.known && now-o.totalAt <= l.options.KeepTotals
+	return o.known && now-o.totalAt <= l.options.TotalsTTL
 }
 
 // reshare sets the bucket by the entry's share of the organisation's demand.
--- a/internal/quota/ways_test.go
+++ b/internal/quota/ways_test.go
@@ -36,7 +36,7 @@
 func newShares(instances int, rate float64, byUse bool) *shares {
 	s := &shares{totals: limit.NewTotals(3 * time.Second), rule: limit.Rule{Rate: rate, Burst: 1}, byUse: byUse}
 	for range instances {
-		l := limit.New(limit.Options{Floor: 0.1, Window: time.Second, KeepTotals: 5 * time.Second})
+		l := limit.New(limit.Options{Floor: 0.1, Window: time.Second, TotalsTTL: 5 * time.Second})
 		l.SetEntries(instances, 0)
 		s.limiters = append(s.limiters, l)
 	}
