--- a/internal/entry/rates.go
+++ b/internal/entry/rates.go
@@ -62,7 +62,7 @@
 func (r *rates) charge(o *config.Organisation, now time.Duration) limit.Verdict {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.limiter.Charge(o.Name, ruleOf(o), now)
+	return r.limiter.TakeWithDebt(o.Name, ruleOf(o), now)
 }
 
 func ruleOf(o *config.Organisation) limit.Rule {
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -285,7 +285,7 @@
 	rule := Rule{Rate: 10, Burst: 20}
 	charged := 0
 	for i := range 10000 {
-		if l.Charge("o", rule, time.Duration(i)*time.Millisecond).Allowed {
+		if l.TakeWithDebt("o", rule, time.Duration(i)*time.Millisecond).Allowed {
 			charged++
 		}
 	}
--- a/internal/limit/limiter.go
+++ b/internal/limit/limiter.go
@@ -108,10 +108,10 @@
 	return o.verdict(allowed)
 }
 
-// Charge decides on a request that goes before others, such as the rest of an
+// TakeWithDebt decides on a request that goes before others, such as the rest of an
 // answer that was accepted before. It may leave a debt as large as the bucket,
 // so that one who only says so gains a burst and no rate.
-func (l *Limiter) Charge(name string, rule Rule, now time.Duration) Verdict {
+func (l *Limiter) TakeWithDebt(name string, rule Rule, now time.Duration) Verdict {
 	if rule.Rate <= 0 {
 		return Verdict{Allowed: true}
 	}
