--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -44,14 +44,14 @@
 func DefaultSettings() Settings {
 	return Settings{
 		Crashes:     2,
-		Durations:    []time.Duration{10 * time.Second, time.Hour, 24 * time.Hour},
-		CrashTTL: 10 * time.Minute, // callers that come back do so within seconds
-		ForgetAfter:   24 * time.Hour,
+		Durations:   []time.Duration{10 * time.Second, time.Hour, 24 * time.Hour},
+		CrashTTL:    10 * time.Minute, // callers that come back do so within seconds
+		ForgetAfter: 24 * time.Hour,
 		ServedTTL:   time.Minute, // what is asked for less often is hardly on two that end
 		// 130 requests a second, ten times what an instance gets; 16 bytes each
-		MaxServed: 8192,
-		MaxContents:   4096, // 80 engines that end at once with 48 requests each
-		MaxQuarantined:      1000, // rows of some 100 bytes; a start reads two pages of them
+		MaxServed:      8192,
+		MaxContents:    4096, // 80 engines that end at once with 48 requests each
+		MaxQuarantined: 1000, // rows of some 100 bytes; a start reads two pages of them
 	}
 }
 
