--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -220,7 +220,7 @@
 		r.picture.Announced(from, *s.Announcement, r.now())
 		r.showLimits()
 	}
-	if s.Backoff > 0 && r.picture.RestFor(from, s.Backoff, r.now()) {
+	if s.Backoff > 0 && r.picture.BackOff(from, s.Backoff, r.now()) {
 		r.meters.limits.rests.Inc(1)
 		r.log.Info("relay: upstream asks for rest", "upstream", from.ID, "for", s.Backoff)
 	}
--- a/internal/upstreamstate/rest_test.go
+++ b/internal/upstreamstate/rest_test.go
@@ -22,7 +22,7 @@
 		{5 * time.Second, 0, 0, false},
 		{6 * time.Second, time.Hour, time.Hour, true},
 	} {
-		if longer := p.RestFor(u, c.rest, c.at); longer != c.longer {
+		if longer := p.BackOff(u, c.rest, c.at); longer != c.longer {
 			t.Errorf("at %s, asked for %s: longer %t", c.at, c.rest, longer)
 		}
 		if left := p.Resting(u.Incarnation(), c.at); left != c.left {
@@ -32,7 +32,7 @@
 	again := u
 	again.StartedAt = 7
 	p.UpdateUpstream(again)
-	p.RestFor(u, time.Hour, 6*time.Second)
+	p.BackOff(u, time.Hour, 6*time.Second)
 	if left := p.Resting(again.Incarnation(), 6*time.Second); left > 0 {
 		t.Errorf("its new start rests for %s", left)
 	}
@@ -44,7 +44,7 @@
 	p := newPicture()
 	u := p.Upstreams("app")[0]
 	const rest = 300 * time.Millisecond
-	p.RestFor(u, rest, 0)
+	p.BackOff(u, rest, 0)
 	for i := range 20 {
 		if to, _ := p.PickCall(PlacementRequest{ID: fmt.Sprint("a", i), Service: "app"}, rest-1); to.ID == u.ID {
 			t.Fatal("chosen while it rests")
--- a/internal/upstreamstate/statement.go
+++ b/internal/upstreamstate/statement.go
@@ -32,11 +32,11 @@
 	return true
 }
 
-// RestFor takes it that an upstream wants nothing from this instance for a time, and tells
+// BackOff takes it that an upstream wants nothing from this instance for a time, and tells
 // whether it is left alone for longer by that. Afterwards it gets one request at first, and ever
 // more as they go well. An answer of a start of it that is over says nothing of the one that is
 // there now.
-func (p *State) RestFor(from Upstream, d, now time.Duration) bool {
+func (p *State) BackOff(from Upstream, d, now time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	hash := from.Incarnation()
