--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -228,7 +228,7 @@
 
 // showRests writes a line on each rest that is over.
 func (r *Relay) showRests() {
-	for _, id := range r.picture.RestsOver(r.now()) {
+	for _, id := range r.picture.EndedBackoffs(r.now()) {
 		r.log.Info("relay: upstream's rest is over", "upstream", id)
 	}
 }
--- a/internal/upstreamstate/rest_test.go
+++ b/internal/upstreamstate/rest_test.go
@@ -59,7 +59,7 @@
 	if chosen != 1 {
 		t.Errorf("%d of 20 requests went to it at the end of its rest, want one", chosen)
 	}
-	if over := p.RestsOver(rest); len(over) != 1 || over[0] != u.ID {
+	if over := p.EndedBackoffs(rest); len(over) != 1 || over[0] != u.ID {
 		t.Errorf("its end is not told: %v", over)
 	}
 }
--- a/internal/upstreamstate/statement.go
+++ b/internal/upstreamstate/statement.go
@@ -50,8 +50,8 @@
 	return true
 }
 
-// RestsOver returns the ids of the listed upstreams whose rest has ended since the last call.
-func (p *State) RestsOver(now time.Duration) []string {
+// EndedBackoffs returns the ids of the listed upstreams whose rest has ended since the last call.
+func (p *State) EndedBackoffs(now time.Duration) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var over []string
