--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -79,7 +79,7 @@
 
 // BackingOff tells whether an upstream wants nothing from this instance now.
 func (r *Relay) BackingOff(u upstreamstate.Upstream) bool {
-	return r.picture.Resting(u.Incarnation(), r.now()) > 0
+	return r.picture.BackoffLeft(u.Incarnation(), r.now()) > 0
 }
 
 // withhold notes that a request is not sent to the upstream that was chosen for it.
--- a/internal/upstreamstate/rest_test.go
+++ b/internal/upstreamstate/rest_test.go
@@ -25,7 +25,7 @@
 		if longer := p.BackOff(u, c.rest, c.at); longer != c.longer {
 			t.Errorf("at %s, asked for %s: longer %t", c.at, c.rest, longer)
 		}
-		if left := p.Resting(u.Incarnation(), c.at); left != c.left {
+		if left := p.BackoffLeft(u.Incarnation(), c.at); left != c.left {
 			t.Errorf("at %s, asked for %s: %s left, want %s", c.at, c.rest, left, c.left)
 		}
 	}
@@ -33,7 +33,7 @@
 	again.StartedAt = 7
 	p.UpdateUpstream(again)
 	p.BackOff(u, time.Hour, 6*time.Second)
-	if left := p.Resting(again.Incarnation(), 6*time.Second); left > 0 {
+	if left := p.BackoffLeft(again.Incarnation(), 6*time.Second); left > 0 {
 		t.Errorf("its new start rests for %s", left)
 	}
 }
--- a/internal/upstreamstate/statement.go
+++ b/internal/upstreamstate/statement.go
@@ -67,9 +67,9 @@
 	return over
 }
 
-// Resting is for how much longer an upstream wants nothing from this instance; 0 for one that
+// BackoffLeft is for how much longer an upstream wants nothing from this instance; 0 for one that
 // takes requests.
-func (p *State) Resting(hash uint32, now time.Duration) time.Duration {
+func (p *State) BackoffLeft(hash uint32, now time.Duration) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return max(0, p.limits.rests[hash]-now)
