--- a/internal/peers/limit_test.go
+++ b/internal/peers/limit_test.go
@@ -161,7 +161,7 @@
 		return true
 	}
 	c.excluded[u.ID] = true
-	c.node.loads.Spent(u.Incarnation(), 0, c.node.loads.now()+max(v.RetryIn, time.Millisecond))
+	c.node.loads.MarkExhausted(u.Incarnation(), 0, c.node.loads.now()+max(v.RetryIn, time.Millisecond))
 	return false
 }
 
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -123,7 +123,7 @@
 		return true
 	}
 	r.meters.limits.declined.Inc(1)
-	r.picture.Spent(upstream, send.Priority, r.now()+max(verdict.RetryIn, leastWait))
+	r.picture.MarkExhausted(upstream, send.Priority, r.now()+max(verdict.RetryIn, leastWait))
 	return false
 }
 
--- a/internal/relay/limits_test.go
+++ b/internal/relay/limits_test.go
@@ -216,7 +216,7 @@
 	asked.decide = func(a quota.GrantRequest) quota.Verdict {
 		if len(asked.asks) == 2 { // the answer began; all others find nothing from now on
 			for _, id := range allEngines {
-				r.picture.Spent(hashOfUpstream(id), 0, time.Minute)
+				r.picture.MarkExhausted(hashOfUpstream(id), 0, time.Minute)
 			}
 		}
 		return quota.Verdict{Granted: len(asked.asks) <= 2 || a.Continues}
--- a/internal/upstreamstate/limits.go
+++ b/internal/upstreamstate/limits.go
@@ -146,9 +146,9 @@
 	return p.limits.book.Lookup(hash, now)
 }
 
-// Spent takes it that an upstream with a limit has nothing left for a time, for requests of a
+// MarkExhausted takes it that an upstream with a limit has nothing left for a time, for requests of a
 // priority and for less urgent ones.
-func (p *State) Spent(hash uint32, priority int, until time.Duration) {
+func (p *State) MarkExhausted(hash uint32, priority int, until time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.limits.spent.note(hash, priority, until)
--- a/internal/upstreamstate/limits_test.go
+++ b/internal/upstreamstate/limits_test.go
@@ -14,9 +14,9 @@
 	all := p.Upstreams("app")
 	p.Announced(all[0], quota.Announcement{Limited: true, Rate: 2}, 0)
 	for _, u := range all {
-		p.Spent(u.Incarnation(), 3, 2*time.Second)
+		p.MarkExhausted(u.Incarnation(), 3, 2*time.Second)
 	}
-	p.Spent(all[0].Incarnation(), 1, time.Second)
+	p.MarkExhausted(all[0].Incarnation(), 1, time.Second)
 	for _, c := range []struct {
 		priority int
 		at       time.Duration
@@ -72,7 +72,7 @@
 	p.PromptDone(first.Engine.ID, first.BusyTime, turn)
 	p.RequestDone(first.Engine.ID, "r", 0)
 	p.Announced(p.Upstream(first.Engine.ID), quota.Announcement{Limited: true, Rate: 2}, 0)
-	p.Spent(p.Upstream(first.Engine.ID).Incarnation(), 0, time.Minute)
+	p.MarkExhausted(p.Upstream(first.Engine.ID).Incarnation(), 0, time.Minute)
 	next, _, ok := p.PickStart(ask, 0)
 	if !ok || next.Engine.ID == first.Engine.ID {
 		t.Fatalf("%+v", next)
