--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -108,7 +108,7 @@
 	if !limit.Limited() {
 		return true
 	}
-	if r.picture.IsSpent(upstream, send.Priority, now) && !send.Continues {
+	if r.picture.IsExhausted(upstream, send.Priority, now) && !send.Continues {
 		r.meters.limits.declined.Inc(1)
 		return false
 	}
--- a/internal/upstreamstate/limits.go
+++ b/internal/upstreamstate/limits.go
@@ -154,8 +154,8 @@
 	p.limits.spent.note(hash, priority, until)
 }
 
-// IsSpent tells whether an upstream has nothing left for a request of a priority.
-func (p *State) IsSpent(hash uint32, priority int, now time.Duration) bool {
+// IsExhausted tells whether an upstream has nothing left for a request of a priority.
+func (p *State) IsExhausted(hash uint32, priority int, now time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return now < p.limits.spent.until(hash, priority)
