--- a/internal/peers/fleet_test.go
+++ b/internal/peers/fleet_test.go
@@ -436,7 +436,7 @@
 		f.run(within)
 		unaware := 0
 		for _, n := range f.nodes {
-			if !n.loads.Leaves(u) {
+			if !n.loads.IsDraining(u) {
 				unaware++
 			}
 		}
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -66,7 +66,7 @@
 	if !r.allowed(ctx, req, send) {
 		return ErrLimited
 	}
-	if r.picture.Leaves(send.To) && !send.goesOnAtCopy() {
+	if r.picture.IsDraining(send.To) && !send.goesOnAtCopy() {
 		r.withhold(req, send, ErrDraining)
 		return ErrDraining
 	}
--- a/internal/upstreamstate/leaving_test.go
+++ b/internal/upstreamstate/leaving_test.go
@@ -18,7 +18,7 @@
 	p.Announced(u, quota.Announcement{Draining: true}, 0)
 	leaves := func(when string, want bool) {
 		t.Helper()
-		if now := p.Upstream(u.ID); now.Draining != want || p.Leaves(now) != want {
+		if now := p.Upstream(u.ID); now.Draining != want || p.IsDraining(now) != want {
 			t.Errorf("%s: draining %t, want %t", when, now.Draining, want)
 		}
 	}
@@ -53,7 +53,7 @@
 	far.TakeReport("zones", farHub.BeyondReport(0), 0)
 	newcomer.HearLimits(far.Limits(0), true, 0)
 	for name, p := range map[string]*State{"told": told, "hub": hub, "far hub": farHub, "far": far, "newcomer": newcomer} {
-		if !p.Leaves(u) {
+		if !p.IsDraining(u) {
 			t.Errorf("%s does not know", name)
 		}
 		if n := len(p.LimitChanges()); n != 1 {
--- a/internal/upstreamstate/limits.go
+++ b/internal/upstreamstate/limits.go
@@ -161,8 +161,8 @@
 	return now < p.limits.spent.until(hash, priority)
 }
 
-// Leaves tells whether a start of an upstream leaves, as far as is known now.
-func (p *State) Leaves(u Upstream) bool {
+// IsDraining tells whether a start of an upstream leaves, as far as is known now.
+func (p *State) IsDraining(u Upstream) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n, ok := p.byHash[u.Incarnation()]
