--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -151,7 +151,7 @@
 // refuseAnnounced is the refusal of a request that no upstream of its service takes, by what
 // they have announced; nil where that is not to blame.
 func (r *Relay) refuseAnnounced(x *exchange) error {
-	if r.picture.AllLeave(x.service) {
+	if r.picture.AllDraining(x.service) {
 		r.meters.limits.refusedLeaving.Inc(1)
 		return &Refusal{Outcome: NotRun, Reason: "all upstreams leave", RetryIn: r.retryIn(x)}
 	}
--- a/internal/upstreamstate/limits.go
+++ b/internal/upstreamstate/limits.go
@@ -169,8 +169,8 @@
 	return ok && n.Draining
 }
 
-// AllLeave tells whether a service has upstreams, and all of them leave.
-func (p *State) AllLeave(service string) bool {
+// AllDraining tells whether a service has upstreams, and all of them leave.
+func (p *State) AllDraining(service string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.byService[service]
