--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -155,7 +155,7 @@
 		r.meters.limits.refusedLeaving.Inc(1)
 		return &Refusal{Outcome: NotRun, Reason: "all upstreams leave", RetryIn: r.retryIn(x)}
 	}
-	in, resting, found := r.picture.AllowanceIn(x.ask(r.now()), r.now())
+	in, resting, found := r.picture.AvailableIn(x.ask(r.now()), r.now())
 	switch {
 	case !found:
 		return nil
--- a/internal/upstreamstate/limits.go
+++ b/internal/upstreamstate/limits.go
@@ -177,9 +177,9 @@
 	return len(list) > 0 && !slices.ContainsFunc(list, func(n *node) bool { return !n.Draining })
 }
 
-// AllowanceIn returns when the first of the upstreams that take no request now, by their limit
+// AvailableIn returns when the first of the upstreams that take no request now, by their limit
 // or as they rest, takes one again; false when there are none. Resting tells that it rests.
-func (p *State) AllowanceIn(a PlacementRequest, now time.Duration) (in time.Duration, resting, found bool) {
+func (p *State) AvailableIn(a PlacementRequest, now time.Duration) (in time.Duration, resting, found bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	in = time.Duration(math.MaxInt64)
--- a/internal/upstreamstate/limits_test.go
+++ b/internal/upstreamstate/limits_test.go
@@ -32,7 +32,7 @@
 			t.Errorf("priority %d at %s: %q chosen, %t", c.priority, c.at, chosen.ID, ok)
 		}
 		p.RequestDone(chosen.ID, "r", c.at)
-		if room, _, limited := p.AllowanceIn(ask, c.at); limited != (c.room > 0) || limited && room != c.room {
+		if room, _, limited := p.AvailableIn(ask, c.at); limited != (c.room > 0) || limited && room != c.room {
 			t.Errorf("priority %d at %s: room in %s, %t", c.priority, c.at, room, limited)
 		}
 	}
