--- a/internal/relay/leaving_test.go
+++ b/internal/relay/leaving_test.go
@@ -104,7 +104,7 @@
 		left := ""
 		asked := &coordinator{decide: func(a quota.GrantRequest) quota.Verdict {
 			if left == "" { // the first one leaves while its grant is asked for
-				left = r.picture.NameOf(a.Limit.Upstream)
+				left = r.picture.UpstreamID(a.Limit.Upstream)
 				r.hear(r.picture.Upstream(left), leavingWord())
 			}
 			return quota.Verdict{Granted: true}
@@ -183,7 +183,7 @@
 	left := ""
 	sender.prefill = func(_ int, s Send) (KV, error) {
 		for _, a := range asked.asks {
-			if id := r.picture.NameOf(a.Limit.Upstream); strings.HasPrefix(id, "dec") {
+			if id := r.picture.UpstreamID(a.Limit.Upstream); strings.HasPrefix(id, "dec") {
 				left = id
 			}
 		}
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -238,7 +238,7 @@
 func (r *Relay) showLimits() {
 	for _, c := range r.picture.LimitChanges() {
 		inputs := []any{
-			"upstream", r.picture.NameOf(c.Upstream), "per_second", c.Rate, "before", c.OldRate,
+			"upstream", r.picture.UpstreamID(c.Upstream), "per_second", c.Rate, "before", c.OldRate,
 			"source", c.Source.String(), "age", c.Age,
 		}
 		if c.StartsDraining {
--- a/internal/relay/rest_test.go
+++ b/internal/relay/rest_test.go
@@ -50,7 +50,7 @@
 		rests := ""
 		asked := &coordinator{decide: func(a quota.GrantRequest) quota.Verdict {
 			if rests == "" {
-				rests = r.picture.NameOf(a.Limit.Upstream)
+				rests = r.picture.UpstreamID(a.Limit.Upstream)
 				r.hear(r.picture.Upstream(rests), restOf(time.Minute))
 			}
 			return quota.Verdict{Granted: true}
--- a/internal/upstreamstate/limits.go
+++ b/internal/upstreamstate/limits.go
@@ -199,8 +199,8 @@
 	p.limits.book.Expire(func(hash uint32) bool { return p.byHash[hash] != nil }, now)
 }
 
-// NameOf returns the id of the upstream with a hash; empty when it is not listed.
-func (p *State) NameOf(hash uint32) string {
+// UpstreamID returns the id of the upstream with a hash; empty when it is not listed.
+func (p *State) UpstreamID(hash uint32) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if n, ok := p.byHash[hash]; ok {
