--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -130,7 +130,7 @@
 // reserve asks for room at an engine that generates, where all of them limit their requests.
 // Otherwise the prompts of those would be processed for nothing that find none afterwards.
 func (r *Relay) reserve(ctx context.Context, g *generation) bool {
-	if g.reserved != "" || !r.picture.GeneratorsLimited(g.ask(r.now()), r.now()) {
+	if g.reserved != "" || !r.picture.DecodeEnginesLimited(g.ask(r.now()), r.now()) {
 		return true
 	}
 	for range r.picture.Count(g.service) {
--- a/internal/upstreamstate/place.go
+++ b/internal/upstreamstate/place.go
@@ -120,9 +120,9 @@
 	return chosen, true
 }
 
-// GeneratorsLimited tells whether all engines that may generate for a request limit what they
+// DecodeEnginesLimited tells whether all engines that may generate for a request limit what they
 // take, so that one of them has to have room before the prompt is processed.
-func (p *State) GeneratorsLimited(a PlacementRequest, now time.Duration) bool {
+func (p *State) DecodeEnginesLimited(a PlacementRequest, now time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.limits.book.Any() {
