--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -206,7 +206,7 @@
 
 // ApplyLimits takes what an instance of this zone, or of another one, knows of them.
 func (r *Relay) ApplyLimits(words []quota.UpstreamLimit, beside bool) {
-	r.picture.HearLimits(words, beside, r.now())
+	r.picture.ApplyLimits(words, beside, r.now())
 	r.showLimits()
 }
 
--- a/internal/upstreamstate/leaving_test.go
+++ b/internal/upstreamstate/leaving_test.go
@@ -51,7 +51,7 @@
 	hub.TakeReport(InstanceSourcePrefix+"one", told.OwnReport(0), 0)
 	farHub.TakeReport("zone a", hub.ZoneReport(0), 0)
 	far.TakeReport("zones", farHub.BeyondReport(0), 0)
-	newcomer.HearLimits(far.Limits(0), true, 0)
+	newcomer.ApplyLimits(far.Limits(0), true, 0)
 	for name, p := range map[string]*State{"told": told, "hub": hub, "far hub": farHub, "far": far, "newcomer": newcomer} {
 		if !p.IsDraining(u) {
 			t.Errorf("%s does not know", name)
--- a/internal/upstreamstate/limits.go
+++ b/internal/upstreamstate/limits.go
@@ -100,8 +100,8 @@
 	return p.limits.book.All(now)
 }
 
-// HearLimits takes what an instance of this zone, or of another one, knows of all upstreams.
-func (p *State) HearLimits(words []quota.UpstreamLimit, beside bool, now time.Duration) {
+// ApplyLimits takes what an instance of this zone, or of another one, knows of all upstreams.
+func (p *State) ApplyLimits(words []quota.UpstreamLimit, beside bool, now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.hearLimits(words, beside, now)
