--- a/internal/model/reports.go
+++ b/internal/model/reports.go
@@ -78,7 +78,7 @@
 
 // tellBeyond has a hub tell its zone of the other zones.
 func (r *run) tellBeyond(hub *instance) {
-	report := hub.picture.BeyondReport(r.now)
+	report := hub.picture.OtherZonesReport(r.now)
 	for _, to := range r.instances {
 		if to != hub && to.zone == hub.zone {
 			r.send(to, "zones", report)
--- a/internal/peers/fleet_test.go
+++ b/internal/peers/fleet_test.go
@@ -77,7 +77,7 @@
 func (l *virtualLoads) OwnReport() upstreamstate.Report  { return l.State.OwnReport(l.now()) }
 func (l *virtualLoads) ZoneReport() upstreamstate.Report { return l.State.ZoneReport(l.now()) }
 func (l *virtualLoads) OtherZonesReport() upstreamstate.Report {
-	return l.State.BeyondReport(l.now())
+	return l.State.OtherZonesReport(l.now())
 }
 func (l *virtualLoads) ApplyReport(source string, report upstreamstate.Report) {
 	l.State.TakeReport(source, report, l.now())
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -178,7 +178,7 @@
 
 // OtherZonesReport returns what this instance tells its zone of the other zones.
 func (r *Relay) OtherZonesReport() upstreamstate.Report {
-	report := r.picture.BeyondReport(r.now())
+	report := r.picture.OtherZonesReport(r.now())
 	report.Crashes = r.contents.told((*quarantine.Table).BeyondEnds)
 	return report
 }
--- a/internal/upstreamstate/reports.go
+++ b/internal/upstreamstate/reports.go
@@ -150,9 +150,9 @@
 	return report
 }
 
-// BeyondReport tells the instances beside this one what those of all other zones
+// OtherZonesReport tells the instances beside this one what those of all other zones
 // have under way, as far as that changed, and what they placed since the last one.
-func (p *State) BeyondReport(now time.Duration) Report {
+func (p *State) OtherZonesReport(now time.Duration) Report {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.told.lapse(now)
