--- a/internal/model/reports.go
+++ b/internal/model/reports.go
@@ -102,7 +102,7 @@
 			left = append(left, d)
 			continue
 		}
-		d.to.picture.TakeReport(d.source, d.report, r.now)
+		d.to.picture.ApplyReport(d.source, d.report, r.now)
 	}
 	r.underway = left
 }
--- a/internal/peers/fleet_test.go
+++ b/internal/peers/fleet_test.go
@@ -80,7 +80,7 @@
 	return l.State.OtherZonesReport(l.now())
 }
 func (l *virtualLoads) ApplyReport(source string, report upstreamstate.Report) {
-	l.State.TakeReport(source, report, l.now())
+	l.State.ApplyReport(source, report, l.now())
 }
 
 // SetBehind is not played.
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -189,7 +189,7 @@
 // ApplyReport takes the report of another instance, or of a whole zone.
 func (r *Relay) ApplyReport(source string, report upstreamstate.Report) {
 	now := r.now()
-	r.picture.TakeReport(source, report, now)
+	r.picture.ApplyReport(source, report, now)
 	r.showLimits()
 	r.pool.deposit(source, report.RetryOverflow, now)
 	r.link.heard(now)
--- a/internal/upstreamstate/bench_test.go
+++ b/internal/upstreamstate/bench_test.go
@@ -65,12 +65,12 @@
 func benchPlacement(b *testing.B, engines, sources int, reports bool) {
 	p := largePicture(engines)
 	for i := range sources {
-		p.TakeReport(sourceName(i), sourceReport(i, engines), 0)
+		p.ApplyReport(sourceName(i), sourceReport(i, engines), 0)
 	}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		if reports {
-			p.TakeReport(sourceName(i%sources), sourceReport(i%sources, engines), 0)
+			p.ApplyReport(sourceName(i%sources), sourceReport(i%sources, engines), 0)
 		}
 		ask := PlacementRequest{ID: "r", Service: "llm", Prompt: benchPrompt(i), Objective: time.Second, RemainingWait: 6 * time.Second}
 		start, turn, ok := p.PickStart(ask, 0)
@@ -108,7 +108,7 @@
 			p := largePicture(78)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				p.TakeReport(sourceName(i%sources), sourceReport(i%sources, 78), 0)
+				p.ApplyReport(sourceName(i%sources), sourceReport(i%sources, 78), 0)
 			}
 		})
 	}
--- a/internal/upstreamstate/leaving_test.go
+++ b/internal/upstreamstate/leaving_test.go
@@ -48,9 +48,9 @@
 	told, hub, farHub, far, newcomer := newPicture(), newPicture(), newPicture(), newPicture(), newPicture()
 	u := told.Upstreams("app")[0]
 	told.Announced(u, quota.Announcement{Draining: true}, 0)
-	hub.TakeReport(InstanceSourcePrefix+"one", told.OwnReport(0), 0)
-	farHub.TakeReport("zone a", hub.ZoneReport(0), 0)
-	far.TakeReport("zones", farHub.OtherZonesReport(0), 0)
+	hub.ApplyReport(InstanceSourcePrefix+"one", told.OwnReport(0), 0)
+	farHub.ApplyReport("zone a", hub.ZoneReport(0), 0)
+	far.ApplyReport("zones", farHub.OtherZonesReport(0), 0)
 	newcomer.ApplyLimits(far.Limits(0), true, 0)
 	for name, p := range map[string]*State{"told": told, "hub": hub, "far hub": farHub, "far": far, "newcomer": newcomer} {
 		if !p.IsDraining(u) {
--- a/internal/upstreamstate/limits_test.go
+++ b/internal/upstreamstate/limits_test.go
@@ -49,9 +49,9 @@
 	for step, rate := range []float64{2, 1} {
 		now := time.Duration(step) * time.Second
 		told.Announced(u, quota.Announcement{Limited: true, Rate: rate}, now)
-		hub.TakeReport(InstanceSourcePrefix+"one", told.OwnReport(now), now)
-		farHub.TakeReport("zone a", hub.ZoneReport(now), now)
-		far.TakeReport("zones", farHub.OtherZonesReport(now), now)
+		hub.ApplyReport(InstanceSourcePrefix+"one", told.OwnReport(now), now)
+		farHub.ApplyReport("zone a", hub.ZoneReport(now), now)
+		far.ApplyReport("zones", farHub.OtherZonesReport(now), now)
 		for name, p := range map[string]*State{"told": told, "hub": hub, "far hub": farHub, "far": far} {
 			if w, firstHand, _ := p.Limit(u.Incarnation(), now); w.Rate != rate || firstHand != (p == told) {
 				t.Errorf("%s keeps to %+v, first-hand %t", name, w, firstHand)
--- a/internal/upstreamstate/reports.go
+++ b/internal/upstreamstate/reports.go
@@ -185,8 +185,8 @@
 	return loads
 }
 
-// TakeReport takes the report of another instance, or of other zones.
-func (p *State) TakeReport(source string, report Report, now time.Duration) {
+// ApplyReport takes the report of another instance, or of other zones.
+func (p *State) ApplyReport(source string, report Report, now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.told.lapse(now)
--- a/internal/upstreamstate/upstreamstate_test.go
+++ b/internal/upstreamstate/upstreamstate_test.go
@@ -56,7 +56,7 @@
 	engine := Upstream{ID: "e", Service: "llm", Zone: "a", Role: config.RoleDecode, StartedAt: 1000}
 	p.UpdateUpstream(engine)
 	before := engine.Incarnation()
-	p.TakeReport("zone b", Report{
+	p.ApplyReport("zone b", Report{
 		Loads: []EngineLoad{{Engine: before, Requests: 9}}, Placed: []PlacedPart{{Engine: before, Part: 7}}, Unreachable: []uint32{before},
 	}, time.Second)
 	p.PlaceOn("e", "r1", time.Second)
@@ -93,7 +93,7 @@
 	p.RecordCall(first.ID, load.CallSucceeded, 0)
 	p.RequestDone(first.ID, "r", 0)
 	const later = time.Minute // it answered long ago
-	p.TakeReport("zone b", Report{Unreachable: []uint32{hashOf(first.ID)}}, later)
+	p.ApplyReport("zone b", Report{Unreachable: []uint32{hashOf(first.ID)}}, later)
 	for range 10 {
 		next, _ := p.PickCall(call, later)
 		if next.ID == first.ID {
@@ -105,7 +105,7 @@
 
 func TestTheLoadOfASourceThatFallsSilentIsForgotten(t *testing.T) {
 	p := newPicture()
-	p.TakeReport("zone b", Report{Loads: []EngineLoad{{Engine: hashOf("dec-1"), Requests: 9}}}, 0)
+	p.ApplyReport("zone b", Report{Loads: []EngineLoad{{Engine: hashOf("dec-1"), Requests: 9}}}, 0)
 	if n := toldOf(t, p, "dec-1", PlacementRequest{Service: "llm"}, 0).Requests; n != 9 {
 		t.Errorf("%d requests counted, nine were told of", n)
 	}
@@ -125,7 +125,7 @@
 func TestPlainCallsAreToldOf(t *testing.T) {
 	p, other := newPicture(), newPicture()
 	chosen, _ := p.PickCall(PlacementRequest{ID: "r", Service: "app"}, 0)
-	other.TakeReport(InstanceSourcePrefix+"one", p.OwnReport(0), 0)
+	other.ApplyReport(InstanceSourcePrefix+"one", p.OwnReport(0), 0)
 	if n := toldOf(t, other, chosen.ID, PlacementRequest{Service: "app"}, 0).Requests; n != 1 {
 		t.Errorf("%d calls told of, want one", n)
 	}
@@ -147,8 +147,8 @@
 		cached int
 	}{{0, 30 * time.Second, 6000}, {100000, 2 * time.Second, 6000}, {100000, 3 * time.Second, 0}} {
 		p := newPicture()
-		p.TakeReport("zone b", Report{Placed: []PlacedPart{{Engine: hashOf("pre-1"), Part: hashOf("shared")}}}, 0)
-		p.TakeReport("zone b", Report{Loads: []EngineLoad{{Engine: hashOf("pre-1"), Inflow: c.inflow}}}, c.after)
+		p.ApplyReport("zone b", Report{Placed: []PlacedPart{{Engine: hashOf("pre-1"), Part: hashOf("shared")}}}, 0)
+		p.ApplyReport("zone b", Report{Loads: []EngineLoad{{Engine: hashOf("pre-1"), Inflow: c.inflow}}}, c.after)
 		ask := PlacementRequest{Service: "llm", Prompt: long}
 		if got := toldOf(t, p, "pre-1", ask, c.after).CachedTokens; got != c.cached {
 			t.Errorf("%g tokens a second, after %s: %d believed cached, want %d", c.inflow, c.after, got, c.cached)
@@ -163,13 +163,13 @@
 	if !ok || start.Direct() || start.BusyTime <= 0 || turn != placement.QueueNormal {
 		t.Fatalf("%+v, %s, %t", start, turn, ok)
 	}
-	other.TakeReport(InstanceSourcePrefix+"one", p.OwnReport(0), 0)
+	other.ApplyReport(InstanceSourcePrefix+"one", p.OwnReport(0), 0)
 	if got := toldOf(t, other, start.Engine.ID, PlacementRequest{Service: "llm"}, 0).Backlog; got != start.BusyTime {
 		t.Errorf("%s ahead, want %s", got, start.BusyTime)
 	}
 	p.PromptDone(start.Engine.ID, start.BusyTime, turn)
 	p.RequestDone(start.Engine.ID, "r", 0)
-	other.TakeReport(InstanceSourcePrefix+"one", p.OwnReport(0), 0)
+	other.ApplyReport(InstanceSourcePrefix+"one", p.OwnReport(0), 0)
 	if got := toldOf(t, other, start.Engine.ID, PlacementRequest{Service: "llm"}, 0).Backlog; got != 0 {
 		t.Errorf("%s ahead of nothing", got)
 	}
@@ -199,9 +199,9 @@
 	p.RecordCall(chosen.ID, load.CallAddressReassigned, 0)
 	p.RequestDone(chosen.ID, "r", 0)
 	callsWithout(t, p, chosen.ID, time.Second)
-	other.TakeReport(InstanceSourcePrefix+"one", p.OwnReport(0), 0)
+	other.ApplyReport(InstanceSourcePrefix+"one", p.OwnReport(0), 0)
 	callsWithout(t, other, chosen.ID, time.Second)
-	beyond.TakeReport("zone a", other.ZoneReport(0), 0)
+	beyond.ApplyReport("zone a", other.ZoneReport(0), 0)
 	callsWithout(t, beyond, chosen.ID, time.Second)
 	callsWithout(t, beyond, chosen.ID, movedFor-time.Millisecond)
 }
@@ -212,7 +212,7 @@
 	p, other := newPicture(), newPicture()
 	p.MarkUnavailable("dec-1", time.Minute)
 	other.RecordCall("dec-1", load.CallSucceeded, 0)
-	other.TakeReport(InstanceSourcePrefix+"one", p.OwnReport(0), 0)
+	other.ApplyReport(InstanceSourcePrefix+"one", p.OwnReport(0), 0)
 	silent := func() bool {
 		other.mu.Lock()
 		defer other.mu.Unlock()
