--- a/internal/model/run.go
+++ b/internal/model/run.go
@@ -155,7 +155,7 @@
 
 // place sends a request to the engine that is to process its prompt.
 func (r *run) place(req *request) {
-	start, turn, ok := req.at.picture.PickStart(req.ask(r.now), r.now)
+	start, turn, ok := req.at.picture.PickPrefill(req.ask(r.now), r.now)
 	if !ok {
 		return // it waits until its caller leaves
 	}
--- a/internal/peers/link_test.go
+++ b/internal/peers/link_test.go
@@ -85,7 +85,7 @@
 	ask.Prompt = placement.Prompt{Tokens: 9200, MaxOutput: 2, Parts: []placement.Part{
 		{ID: fmt.Sprint("part-", b.rng.IntN(2000)), Tokens: 6300}, {ID: "own", Tokens: 2900},
 	}}
-	start, turn, ok := n.loads.PickStart(ask, n.loads.now())
+	start, turn, ok := n.loads.PickPrefill(ask, n.loads.now())
 	if !ok {
 		return
 	}
--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -124,7 +124,7 @@
 // of it, it has the prompt processed. Over means that this is done.
 func (g *generation) prepare(ctx context.Context) attempt.Result {
 	r := g.relay
-	start, turn, ok := r.picture.PickStart(g.ask(r.now()), r.now())
+	start, turn, ok := r.picture.PickPrefill(g.ask(r.now()), r.now())
 	if !ok {
 		return attempt.Result{Status: attempt.NoUpstream, Err: errors.WithMessage(ErrNotSent, "no engine for the prompt")}
 	}
--- a/internal/upstreamstate/bench_test.go
+++ b/internal/upstreamstate/bench_test.go
@@ -73,7 +73,7 @@
 			p.ApplyReport(sourceName(i%sources), sourceReport(i%sources, engines), 0)
 		}
 		ask := PlacementRequest{ID: "r", Service: "llm", Prompt: benchPrompt(i), Objective: time.Second, RemainingWait: 6 * time.Second}
-		start, turn, ok := p.PickStart(ask, 0)
+		start, turn, ok := p.PickPrefill(ask, 0)
 		if !ok {
 			b.Fatal("no engine")
 		}
@@ -118,7 +118,7 @@
 	for _, engines := range benchEngines {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
 			p := largePicture(engines)
-			p.PickStart(PlacementRequest{ID: "r", Service: "llm", Prompt: benchPrompt(1), Objective: time.Second, RemainingWait: time.Second}, 0)
+			p.PickPrefill(PlacementRequest{ID: "r", Service: "llm", Prompt: benchPrompt(1), Objective: time.Second, RemainingWait: time.Second}, 0)
 			b.ReportAllocs()
 			for b.Loop() {
 				p.OwnReport(0)
--- a/internal/upstreamstate/limits_test.go
+++ b/internal/upstreamstate/limits_test.go
@@ -68,12 +68,12 @@
 func TestCachedPartsOfASpentEngineAreFetched(t *testing.T) {
 	p := newPicture()
 	ask := PlacementRequest{ID: "r", Service: "llm", Prompt: long, Objective: time.Second, RemainingWait: 2 * time.Second}
-	first, turn, _ := p.PickStart(ask, 0)
+	first, turn, _ := p.PickPrefill(ask, 0)
 	p.PromptDone(first.Engine.ID, first.BusyTime, turn)
 	p.RequestDone(first.Engine.ID, "r", 0)
 	p.Announced(p.Upstream(first.Engine.ID), quota.Announcement{Limited: true, Rate: 2}, 0)
 	p.MarkExhausted(p.Upstream(first.Engine.ID).Incarnation(), 0, time.Minute)
-	next, _, ok := p.PickStart(ask, 0)
+	next, _, ok := p.PickPrefill(ask, 0)
 	if !ok || next.Engine.ID == first.Engine.ID {
 		t.Fatalf("%+v", next)
 	}
--- a/internal/upstreamstate/place.go
+++ b/internal/upstreamstate/place.go
@@ -82,9 +82,9 @@
 	return p.upstream(chosen.ID), true
 }
 
-// PickStart chooses where a generation begins and when its prompt is processed
+// PickPrefill chooses where a generation begins and when its prompt is processed
 // there, and charges the request to that engine.
-func (p *State) PickStart(a PlacementRequest, now time.Duration) (placement.Prefill, placement.QueueOrder, bool) {
+func (p *State) PickPrefill(a PlacementRequest, now time.Duration) (placement.Prefill, placement.QueueOrder, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	req := p.request(a, now)
--- a/internal/upstreamstate/upstreamstate_test.go
+++ b/internal/upstreamstate/upstreamstate_test.go
@@ -159,7 +159,7 @@
 // TestAPromptIsChargedUntilItIsDone has two instances; one hears of the other's.
 func TestAPromptIsChargedUntilItIsDone(t *testing.T) {
 	p, other := newPicture(), newPicture()
-	start, turn, ok := p.PickStart(PlacementRequest{ID: "r", Service: "llm", Prompt: long, Objective: time.Second, RemainingWait: 2 * time.Second}, 0)
+	start, turn, ok := p.PickPrefill(PlacementRequest{ID: "r", Service: "llm", Prompt: long, Objective: time.Second, RemainingWait: 2 * time.Second}, 0)
 	if !ok || start.Direct() || start.BusyTime <= 0 || turn != placement.QueueNormal {
 		t.Fatalf("%+v, %s, %t", start, turn, ok)
 	}
