--- a/internal/peers/limit_test.go
+++ b/internal/peers/limit_test.go
@@ -121,7 +121,7 @@
 	n := c.node
 	for {
 		now := n.loads.now()
-		chosen, ok := n.loads.PickCall(upstreamstate.PlacementRequest{ID: c.id, Service: "app", Excluded: c.excluded}, now)
+		chosen, ok := n.loads.PickServiceUpstream(upstreamstate.PlacementRequest{ID: c.id, Service: "app", Excluded: c.excluded}, now)
 		if !ok {
 			f.refused++
 			return
--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -55,7 +55,7 @@
 	if err := r.bar(c.exchange); err != nil {
 		return attempt.Result{Status: attempt.NoUpstream, Err: err}
 	}
-	upstream, ok := r.picture.PickCall(c.ask(r.now()), r.now())
+	upstream, ok := r.picture.PickServiceUpstream(c.ask(r.now()), r.now())
 	if !ok {
 		return attempt.Result{Status: attempt.NoUpstream}
 	}
--- a/internal/upstreamstate/limits_test.go
+++ b/internal/upstreamstate/limits_test.go
@@ -27,7 +27,7 @@
 		{1, time.Second, true, 0}, {4, 2 * time.Second, true, 0},
 	} {
 		ask := PlacementRequest{ID: "r", Service: "app", Priority: c.priority}
-		chosen, ok := p.PickCall(ask, c.at)
+		chosen, ok := p.PickServiceUpstream(ask, c.at)
 		if ok != c.chosen {
 			t.Errorf("priority %d at %s: %q chosen, %t", c.priority, c.at, chosen.ID, ok)
 		}
--- a/internal/upstreamstate/place.go
+++ b/internal/upstreamstate/place.go
@@ -69,8 +69,8 @@
 	return told
 }
 
-// PickCall chooses an upstream of a plain service and charges the request to it.
-func (p *State) PickCall(a PlacementRequest, now time.Duration) (Upstream, bool) {
+// PickServiceUpstream chooses an upstream of a plain service and charges the request to it.
+func (p *State) PickServiceUpstream(a PlacementRequest, now time.Duration) (Upstream, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	req := p.request(a, now)
--- a/internal/upstreamstate/rest_test.go
+++ b/internal/upstreamstate/rest_test.go
@@ -46,13 +46,13 @@
 	const rest = 300 * time.Millisecond
 	p.BackOff(u, rest, 0)
 	for i := range 20 {
-		if to, _ := p.PickCall(PlacementRequest{ID: fmt.Sprint("a", i), Service: "app"}, rest-1); to.ID == u.ID {
+		if to, _ := p.PickServiceUpstream(PlacementRequest{ID: fmt.Sprint("a", i), Service: "app"}, rest-1); to.ID == u.ID {
 			t.Fatal("chosen while it rests")
 		}
 	}
 	chosen := 0
 	for i := range 20 {
-		if to, _ := p.PickCall(PlacementRequest{ID: fmt.Sprint("b", i), Service: "app"}, rest); to.ID == u.ID {
+		if to, _ := p.PickServiceUpstream(PlacementRequest{ID: fmt.Sprint("b", i), Service: "app"}, rest); to.ID == u.ID {
 			chosen++
 		}
 	}
--- a/internal/upstreamstate/upstreamstate_test.go
+++ b/internal/upstreamstate/upstreamstate_test.go
@@ -86,7 +86,7 @@
 func TestAnUpstreamThatOthersCannotReachIsAvoided(t *testing.T) {
 	p := newPicture()
 	call := PlacementRequest{ID: "r", Service: "app"}
-	first, ok := p.PickCall(call, 0)
+	first, ok := p.PickServiceUpstream(call, 0)
 	if !ok {
 		t.Fatal("no upstream")
 	}
@@ -95,7 +95,7 @@
 	const later = time.Minute // it answered long ago
 	p.ApplyReport("zone b", Report{Unreachable: []uint32{hashOf(first.ID)}}, later)
 	for range 10 {
-		next, _ := p.PickCall(call, later)
+		next, _ := p.PickServiceUpstream(call, later)
 		if next.ID == first.ID {
 			t.Fatalf("%s was chosen again", next.ID)
 		}
@@ -124,13 +124,13 @@
 // upstream of a plain service has.
 func TestPlainCallsAreToldOf(t *testing.T) {
 	p, other := newPicture(), newPicture()
-	chosen, _ := p.PickCall(PlacementRequest{ID: "r", Service: "app"}, 0)
+	chosen, _ := p.PickServiceUpstream(PlacementRequest{ID: "r", Service: "app"}, 0)
 	other.ApplyReport(InstanceSourcePrefix+"one", p.OwnReport(0), 0)
 	if n := toldOf(t, other, chosen.ID, PlacementRequest{Service: "app"}, 0).Requests; n != 1 {
 		t.Errorf("%d calls told of, want one", n)
 	}
 	for range 10 {
-		next, _ := other.PickCall(PlacementRequest{ID: "q", Service: "app"}, 0)
+		next, _ := other.PickServiceUpstream(PlacementRequest{ID: "q", Service: "app"}, 0)
 		if next.ID == chosen.ID {
 			t.Fatal("the busy upstream was chosen while others idle")
 		}
@@ -179,7 +179,7 @@
 func callsWithout(t *testing.T, p *State, id string, now time.Duration) {
 	t.Helper()
 	for range 10 {
-		next, ok := p.PickCall(PlacementRequest{ID: "q", Service: "app"}, now)
+		next, ok := p.PickServiceUpstream(PlacementRequest{ID: "q", Service: "app"}, now)
 		if !ok || next.ID == id {
 			t.Fatalf("%q was chosen at %s", next.ID, now)
 		}
@@ -193,7 +193,7 @@
 // as each of 195 instances had to meet each of 20 such upstreams twice by itself.
 func TestAnUpstreamWhoseAddressAnotherHasIsLeftOutByAll(t *testing.T) {
 	p, other, beyond := newPicture(), newPicture(), newPicture()
-	chosen, _ := p.PickCall(PlacementRequest{ID: "r", Service: "app"}, 0)
+	chosen, _ := p.PickServiceUpstream(PlacementRequest{ID: "r", Service: "app"}, 0)
 	other.RecordCall(chosen.ID, load.CallSucceeded, 0) // it answered there just now
 	beyond.RecordCall(chosen.ID, load.CallSucceeded, 0)
 	p.RecordCall(chosen.ID, load.CallAddressReassigned, 0)
