--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -66,7 +66,7 @@
 	if !r.allowed(ctx, req, send) {
 		return ErrLimited
 	}
-	if r.picture.Leaves(send.To) && !send.goesOnAtCopy() {
+	if r.picture.IsDraining(send.To) && !send.goesOnAtCopy() {
 		r.withhold(req, send, ErrDraining)
 		return ErrDraining
 	}
@@ -79,7 +79,7 @@
 
 // BackingOff tells whether an upstream wants nothing from this instance now.
 func (r *Relay) BackingOff(u upstreamstate.Upstream) bool {
-	return r.picture.Resting(u.Incarnation(), r.now()) > 0
+	return r.picture.BackoffLeft(u.Incarnation(), r.now()) > 0
 }
 
 // withhold notes that a request is not sent to the upstream that was chosen for it.
@@ -108,7 +108,7 @@
 	if !limit.Limited() {
 		return true
 	}
-	if r.picture.IsSpent(upstream, send.Priority, now) && !send.Continues {
+	if r.picture.IsExhausted(upstream, send.Priority, now) && !send.Continues {
 		r.meters.limits.declined.Inc(1)
 		return false
 	}
@@ -123,14 +123,14 @@
 		return true
 	}
 	r.meters.limits.declined.Inc(1)
-	r.picture.Spent(upstream, send.Priority, r.now()+max(verdict.RetryIn, leastWait))
+	r.picture.MarkExhausted(upstream, send.Priority, r.now()+max(verdict.RetryIn, leastWait))
 	return false
 }
 
 // reserve asks for room at an engine that generates, where all of them limit their requests.
 // Otherwise the prompts of those would be processed for nothing that find none afterwards.
 func (r *Relay) reserve(ctx context.Context, g *generation) bool {
-	if g.reserved != "" || !r.picture.GeneratorsLimited(g.ask(r.now()), r.now()) {
+	if g.reserved != "" || !r.picture.DecodeEnginesLimited(g.ask(r.now()), r.now()) {
 		return true
 	}
 	for range r.picture.Count(g.service) {
@@ -151,11 +151,11 @@
 // refuseAnnounced is the refusal of a request that no upstream of its service takes, by what
 // they have announced; nil where that is not to blame.
 func (r *Relay) refuseAnnounced(x *exchange) error {
-	if r.picture.AllLeave(x.service) {
+	if r.picture.AllDraining(x.service) {
 		r.meters.limits.refusedLeaving.Inc(1)
 		return &Refusal{Outcome: NotRun, Reason: "all upstreams leave", RetryIn: r.retryIn(x)}
 	}
-	in, resting, found := r.picture.AllowanceIn(x.ask(r.now()), r.now())
+	in, resting, found := r.picture.AvailableIn(x.ask(r.now()), r.now())
 	switch {
 	case !found:
 		return nil
@@ -206,7 +206,7 @@
 
 // ApplyLimits takes what an instance of this zone, or of another one, knows of them.
 func (r *Relay) ApplyLimits(words []quota.UpstreamLimit, beside bool) {
-	r.picture.HearLimits(words, beside, r.now())
+	r.picture.ApplyLimits(words, beside, r.now())
 	r.showLimits()
 }
 
@@ -220,7 +220,7 @@
 		r.picture.Announced(from, *s.Announcement, r.now())
 		r.showLimits()
 	}
-	if s.Backoff > 0 && r.picture.RestFor(from, s.Backoff, r.now()) {
+	if s.Backoff > 0 && r.picture.BackOff(from, s.Backoff, r.now()) {
 		r.meters.limits.rests.Inc(1)
 		r.log.Info("relay: upstream asks for rest", "upstream", from.ID, "for", s.Backoff)
 	}
@@ -228,7 +228,7 @@
 
 // showRests writes a line on each rest that is over.
 func (r *Relay) showRests() {
-	for _, id := range r.picture.RestsOver(r.now()) {
+	for _, id := range r.picture.EndedBackoffs(r.now()) {
 		r.log.Info("relay: upstream's rest is over", "upstream", id)
 	}
 }
@@ -238,7 +238,7 @@
 func (r *Relay) showLimits() {
 	for _, c := range r.picture.LimitChanges() {
 		inputs := []any{
-			"upstream", r.picture.NameOf(c.Upstream), "per_second", c.Rate, "before", c.OldRate,
+			"upstream", r.picture.UpstreamID(c.Upstream), "per_second", c.Rate, "before", c.OldRate,
 			"source", c.Source.String(), "age", c.Age,
 		}
 		if c.StartsDraining {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -178,7 +178,7 @@
 
 // OtherZonesReport returns what this instance tells its zone of the other zones.
 func (r *Relay) OtherZonesReport() upstreamstate.Report {
-	report := r.picture.BeyondReport(r.now())
+	report := r.picture.OtherZonesReport(r.now())
 	report.Crashes = r.contents.told((*quarantine.Table).DueOtherZones)
 	return report
 }
@@ -189,7 +189,7 @@
 // ApplyReport takes the report of another instance, or of a whole zone.
 func (r *Relay) ApplyReport(source string, report upstreamstate.Report) {
 	now := r.now()
-	r.picture.TakeReport(source, report, now)
+	r.picture.ApplyReport(source, report, now)
 	r.showLimits()
 	r.pool.deposit(source, report.RetryOverflow, now)
 	r.link.heard(now)
--- a/internal/upstreamstate/bench_test.go
+++ b/internal/upstreamstate/bench_test.go
@@ -65,15 +65,15 @@
 func benchPlacement(b *testing.B, engines, sources int, reports bool) {
 	p := largePicture(engines)
 	for i := range sources {
-		p.TakeReport(sourceName(i), sourceReport(i, engines), 0)
+		p.ApplyReport(sourceName(i), sourceReport(i, engines), 0)
 	}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		if reports {
-			p.TakeReport(sourceName(i%sources), sourceReport(i%sources, engines), 0)
+			p.ApplyReport(sourceName(i%sources), sourceReport(i%sources, engines), 0)
 		}
 		ask := PlacementRequest{ID: "r", Service: "llm", Prompt: benchPrompt(i), Objective: time.Second, RemainingWait: 6 * time.Second}
-		start, turn, ok := p.PickStart(ask, 0)
+		start, turn, ok := p.PickPrefill(ask, 0)
 		if !ok {
 			b.Fatal("no engine")
 		}
@@ -108,7 +108,7 @@
 			p := largePicture(78)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				p.TakeReport(sourceName(i%sources), sourceReport(i%sources, 78), 0)
+				p.ApplyReport(sourceName(i%sources), sourceReport(i%sources, 78), 0)
 			}
 		})
 	}
@@ -118,7 +118,7 @@
 	for _, engines := range benchEngines {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
 			p := largePicture(engines)
-			p.PickStart(PlacementRequest{ID: "r", Service: "llm", Prompt: benchPrompt(1), Objective: time.Second, RemainingWait: time.Second}, 0)
+			p.PickPrefill(PlacementRequest{ID: "r", Service: "llm", Prompt: benchPrompt(1), Objective: time.Second, RemainingWait: time.Second}, 0)
 			b.ReportAllocs()
 			for b.Loop() {
 				p.OwnReport(0)
--- a/internal/upstreamstate/place.go
+++ b/internal/upstreamstate/place.go
@@ -69,8 +69,8 @@
 	return told
 }
 
-// PickCall chooses an upstream of a plain service and charges the request to it.
-func (p *State) PickCall(a PlacementRequest, now time.Duration) (Upstream, bool) {
+// PickServiceUpstream chooses an upstream of a plain service and charges the request to it.
+func (p *State) PickServiceUpstream(a PlacementRequest, now time.Duration) (Upstream, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	req := p.request(a, now)
@@ -82,9 +82,9 @@
 	return p.upstream(chosen.ID), true
 }
 
-// PickStart chooses where a generation begins and when its prompt is processed
+// PickPrefill chooses where a generation begins and when its prompt is processed
 // there, and charges the request to that engine.
-func (p *State) PickStart(a PlacementRequest, now time.Duration) (placement.Prefill, placement.QueueOrder, bool) {
+func (p *State) PickPrefill(a PlacementRequest, now time.Duration) (placement.Prefill, placement.QueueOrder, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	req := p.request(a, now)
@@ -120,9 +120,9 @@
 	return chosen, true
 }
 
-// GeneratorsLimited tells whether all engines that may generate for a request limit what they
+// DecodeEnginesLimited tells whether all engines that may generate for a request limit what they
 // take, so that one of them has to have room before the prompt is processed.
-func (p *State) GeneratorsLimited(a PlacementRequest, now time.Duration) bool {
+func (p *State) DecodeEnginesLimited(a PlacementRequest, now time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.limits.book.Any() {
--- a/internal/upstreamstate/rest_test.go
+++ b/internal/upstreamstate/rest_test.go
@@ -22,18 +22,18 @@
 		{5 * time.Second, 0, 0, false},
 		{6 * time.Second, time.Hour, time.Hour, true},
 	} {
-		if longer := p.RestFor(u, c.rest, c.at); longer != c.longer {
+		if longer := p.BackOff(u, c.rest, c.at); longer != c.longer {
 			t.Errorf("at %s, asked for %s: longer %t", c.at, c.rest, longer)
 		}
-		if left := p.Resting(u.Incarnation(), c.at); left != c.left {
+		if left := p.BackoffLeft(u.Incarnation(), c.at); left != c.left {
 			t.Errorf("at %s, asked for %s: %s left, want %s", c.at, c.rest, left, c.left)
 		}
 	}
 	again := u
 	again.StartedAt = 7
 	p.UpdateUpstream(again)
-	p.RestFor(u, time.Hour, 6*time.Second)
-	if left := p.Resting(again.Incarnation(), 6*time.Second); left > 0 {
+	p.BackOff(u, time.Hour, 6*time.Second)
+	if left := p.BackoffLeft(again.Incarnation(), 6*time.Second); left > 0 {
 		t.Errorf("its new start rests for %s", left)
 	}
 }
@@ -44,22 +44,22 @@
 	p := newPicture()
 	u := p.Upstreams("app")[0]
 	const rest = 300 * time.Millisecond
-	p.RestFor(u, rest, 0)
+	p.BackOff(u, rest, 0)
 	for i := range 20 {
-		if to, _ := p.PickCall(PlacementRequest{ID: fmt.Sprint("a", i), Service: "app"}, rest-1); to.ID == u.ID {
+		if to, _ := p.PickServiceUpstream(PlacementRequest{ID: fmt.Sprint("a", i), Service: "app"}, rest-1); to.ID == u.ID {
 			t.Fatal("chosen while it rests")
 		}
 	}
 	chosen := 0
 	for i := range 20 {
-		if to, _ := p.PickCall(PlacementRequest{ID: fmt.Sprint("b", i), Service: "app"}, rest); to.ID == u.ID {
+		if to, _ := p.PickServiceUpstream(PlacementRequest{ID: fmt.Sprint("b", i), Service: "app"}, rest); to.ID == u.ID {
 			chosen++
 		}
 	}
 	if chosen != 1 {
 		t.Errorf("%d of 20 requests went to it at the end of its rest, want one", chosen)
 	}
-	if over := p.RestsOver(rest); len(over) != 1 || over[0] != u.ID {
+	if over := p.EndedBackoffs(rest); len(over) != 1 || over[0] != u.ID {
 		t.Errorf("its end is not told: %v", over)
 	}
 }
