--- a/internal/limit/limiter.go
+++ b/internal/limit/limiter.go
@@ -39,12 +39,12 @@
 	Floor float64
 	// Window is the time constant of the demand's moving average.
 	Window time.Duration
-	// SmallestBurst is the size that a bucket has at least, in requests, as far
+	// MinBurst is the size that a bucket has at least, in requests, as far
 	// as the organisation's burst allows; with many entries an equal part of
 	// the burst would refuse what comes unevenly. Below 1 it is 1.
-	SmallestBurst float64
-	// KeepTotals is how long totals count after they came.
-	KeepTotals time.Duration
+	MinBurst float64
+	// TotalsTTL is how long totals count after they came.
+	TotalsTTL time.Duration
 }
 
 // Verdict is the answer for one request.
@@ -108,10 +108,10 @@
 	return o.verdict(allowed)
 }
 
-// Charge decides on a request that goes before others, such as the rest of an
+// TakeWithDebt decides on a request that goes before others, such as the rest of an
 // answer that was accepted before. It may leave a debt as large as the bucket,
 // so that one who only says so gains a burst and no rate.
-func (l *Limiter) Charge(name string, rule Rule, now time.Duration) Verdict {
+func (l *Limiter) TakeWithDebt(name string, rule Rule, now time.Duration) Verdict {
 	if rule.Rate <= 0 {
 		return Verdict{Allowed: true}
 	}
@@ -178,7 +178,7 @@
 }
 
 func (l *Limiter) fresh(o *organisation, now time.Duration) bool {
-	return o.known && now-o.totalAt <= l.options.KeepTotals
+	return o.known && now-o.totalAt <= l.options.TotalsTTL
 }
 
 // reshare sets the bucket by the entry's share of the organisation's demand.
@@ -196,7 +196,7 @@
 // size of a bucket: the entry's share of the burst, but no less than
 // SmallestBurst, or the whole burst when that is smaller.
 func (l *Limiter) size(rule Rule, share float64) float64 {
-	smallest := min(rule.burst(), max(1, l.options.SmallestBurst))
+	smallest := min(rule.burst(), max(1, l.options.MinBurst))
 	return max(smallest, rule.burst()*share)
 }
 
--- a/internal/peers/fleet_test.go
+++ b/internal/peers/fleet_test.go
@@ -77,10 +77,10 @@
 func (l *virtualLoads) OwnReport() upstreamstate.Report  { return l.State.OwnReport(l.now()) }
 func (l *virtualLoads) ZoneReport() upstreamstate.Report { return l.State.ZoneReport(l.now()) }
 func (l *virtualLoads) OtherZonesReport() upstreamstate.Report {
-	return l.State.BeyondReport(l.now())
+	return l.State.OtherZonesReport(l.now())
 }
 func (l *virtualLoads) ApplyReport(source string, report upstreamstate.Report) {
-	l.State.TakeReport(source, report, l.now())
+	l.State.ApplyReport(source, report, l.now())
 }
 
 // SetBehind is not played.
@@ -436,7 +436,7 @@
 		f.run(within)
 		unaware := 0
 		for _, n := range f.nodes {
-			if !n.loads.Leaves(u) {
+			if !n.loads.IsDraining(u) {
 				unaware++
 			}
 		}
--- a/internal/relay/apart.go
+++ b/internal/relay/apart.go
@@ -68,7 +68,7 @@
 }
 
 // told returns the ends that are due in one of the reports.
-func (c *contents) told(due func(*quarantine.Table, time.Duration) []quarantine.End) []quarantine.End {
+func (c *contents) told(due func(*quarantine.Table, time.Duration) []quarantine.Crash) []quarantine.Crash {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.table.Empty() {
@@ -101,11 +101,11 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	apart = note(c.table)
-	if apart && c.table.Seen(content) { // else those that saw an end keep it
-		c.keep(content, c.table.Times(content))
+	if apart && c.table.SawCrash(content) { // else those that saw an end keep it
+		c.keep(content, c.table.TimesQuarantined(content))
 	}
-	c.apart.Update(int64(c.table.Count(bootclock.Now())))
-	return apart, c.table.Ends(content)
+	c.apart.Update(int64(c.table.CountQuarantined(bootclock.Now())))
+	return apart, c.table.Crashes(content)
 }
 
 // keep has it kept for all how often a content was set apart. The lock is held.
@@ -129,7 +129,7 @@
 	content := x.content()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.table.Apart(content, bootclock.Now())
+	return c.table.Quarantined(content, bootclock.Now())
 }
 
 // refuseApart returns the refusal of a request that no upstream may get, and nil for
@@ -148,7 +148,7 @@
 	c, content := r.contents, x.content()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.table.Served(content, bootclock.Now()) {
+	if c.table.RecordServed(content, bootclock.Now()) {
 		c.keep(content, 0)
 		r.log.Info("relay: content served, and not to blame", "request", x.req.ID, "content", content)
 	}
@@ -177,7 +177,7 @@
 		return
 	}
 	for _, one := range requests {
-		apart, ends := r.RecordCrash(quarantine.End{Content: one.content, Upstream: to.Incarnation()})
+		apart, ends := r.RecordCrash(quarantine.Crash{Content: one.content, Upstream: to.Incarnation()})
 		r.contents.ends.Inc(1)
 		r.log.Info("relay: upstream ended", "upstream", to.ID, "request", one.request, "content", one.content, "ends", ends, "apart", apart)
 	}
@@ -209,14 +209,14 @@
 
 // RecordCrash takes an end that this instance saw, and returns whether the content is set apart
 // by it and how many ends count against it.
-func (r *Relay) RecordCrash(end quarantine.End) (apart bool, ends int) {
-	return r.contents.decide(end.Content, func(t *quarantine.Table) bool { return t.Note(end, bootclock.Now()) })
+func (r *Relay) RecordCrash(end quarantine.Crash) (apart bool, ends int) {
+	return r.contents.decide(end.Content, func(t *quarantine.Table) bool { return t.RecordCrash(end, bootclock.Now()) })
 }
 
 // hearEnds takes the ends that others told of.
-func (r *Relay) hearEnds(ends []quarantine.End, beside bool) {
+func (r *Relay) hearEnds(ends []quarantine.Crash, beside bool) {
 	for _, e := range ends {
-		apart, count := r.contents.decide(e.Content, func(t *quarantine.Table) bool { return t.Hear(e, beside, bootclock.Now()) })
+		apart, count := r.contents.decide(e.Content, func(t *quarantine.Table) bool { return t.ReceiveCrash(e, beside, bootclock.Now()) })
 		if apart {
 			r.log.Info("relay: content set apart by what was heard", "content", e.Content, "ends", count)
 		}
@@ -230,11 +230,11 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := bootclock.Now()
-	if !c.table.SetApart(content, times, now) {
+	if !c.table.Quarantine(content, times, now) {
 		c.keep(content, 0)
 		r.log.Info("relay: content was served, and is not to blame", "content", content)
 	}
-	c.apart.Update(int64(c.table.Count(now)))
+	c.apart.Update(int64(c.table.CountQuarantined(now)))
 }
 
 // Release has upstreams get a content again, as it is not kept any more.
@@ -243,7 +243,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.table.Release(content)
-	c.apart.Update(int64(c.table.Count(bootclock.Now())))
+	c.apart.Update(int64(c.table.CountQuarantined(bootclock.Now())))
 }
 
 // PersistAgain has this instance keep for all, once more, how often a content was set apart.
@@ -251,7 +251,7 @@
 	c := r.contents
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if times := c.table.Times(content); times > 0 {
+	if times := c.table.TimesQuarantined(content); times > 0 {
 		c.keep(content, times)
 	}
 }
@@ -287,12 +287,12 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := bootclock.Now()
-	c.table.Lapse(now)
-	c.apart.Update(int64(c.table.Count(now)))
+	c.table.Expire(now)
+	c.apart.Update(int64(c.table.CountQuarantined(now)))
 	if !release {
 		return
 	}
-	for _, content := range c.table.Lapsed(now) {
+	for _, content := range c.table.Expired(now) {
 		c.keep(content, 0)
 	}
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -162,7 +162,7 @@
 func (r *Relay) OwnReport() upstreamstate.Report {
 	r.showRests()
 	report := r.picture.OwnReport(r.now())
-	report.RetryOverflow, report.Crashes = r.budgets.spilled(), r.contents.told((*quarantine.Table).OwnEnds)
+	report.RetryOverflow, report.Crashes = r.budgets.spilled(), r.contents.told((*quarantine.Table).DueOwn)
 	report.Usage = r.usage.tell((*usage.Tally).TellOwn)
 	return report
 }
@@ -171,15 +171,15 @@
 func (r *Relay) ZoneReport() upstreamstate.Report {
 	r.depositOwn()
 	report := r.picture.ZoneReport(r.now())
-	report.Crashes = r.contents.told((*quarantine.Table).ZoneEnds)
+	report.Crashes = r.contents.told((*quarantine.Table).DueZone)
 	report.Usage = r.usage.tell((*usage.Tally).TellZone)
 	return report
 }
 
 // OtherZonesReport returns what this instance tells its zone of the other zones.
 func (r *Relay) OtherZonesReport() upstreamstate.Report {
-	report := r.picture.BeyondReport(r.now())
-	report.Crashes = r.contents.told((*quarantine.Table).BeyondEnds)
+	report := r.picture.OtherZonesReport(r.now())
+	report.Crashes = r.contents.told((*quarantine.Table).DueOtherZones)
 	return report
 }
 
@@ -189,7 +189,7 @@
 // ApplyReport takes the report of another instance, or of a whole zone.
 func (r *Relay) ApplyReport(source string, report upstreamstate.Report) {
 	now := r.now()
-	r.picture.TakeReport(source, report, now)
+	r.picture.ApplyReport(source, report, now)
 	r.showLimits()
 	r.pool.deposit(source, report.RetryOverflow, now)
 	r.link.heard(now)
--- a/internal/upstreamstate/leaving_test.go
+++ b/internal/upstreamstate/leaving_test.go
@@ -18,7 +18,7 @@
 	p.Announced(u, quota.Announcement{Draining: true}, 0)
 	leaves := func(when string, want bool) {
 		t.Helper()
-		if now := p.Upstream(u.ID); now.Draining != want || p.Leaves(now) != want {
+		if now := p.Upstream(u.ID); now.Draining != want || p.IsDraining(now) != want {
 			t.Errorf("%s: draining %t, want %t", when, now.Draining, want)
 		}
 	}
@@ -48,12 +48,12 @@
 	told, hub, farHub, far, newcomer := newPicture(), newPicture(), newPicture(), newPicture(), newPicture()
 	u := told.Upstreams("app")[0]
 	told.Announced(u, quota.Announcement{Draining: true}, 0)
-	hub.TakeReport(InstanceSourcePrefix+"one", told.OwnReport(0), 0)
-	farHub.TakeReport("zone a", hub.ZoneReport(0), 0)
-	far.TakeReport("zones", farHub.BeyondReport(0), 0)
-	newcomer.HearLimits(far.Limits(0), true, 0)
+	hub.ApplyReport(InstanceSourcePrefix+"one", told.OwnReport(0), 0)
+	farHub.ApplyReport("zone a", hub.ZoneReport(0), 0)
+	far.ApplyReport("zones", farHub.OtherZonesReport(0), 0)
+	newcomer.ApplyLimits(far.Limits(0), true, 0)
 	for name, p := range map[string]*State{"told": told, "hub": hub, "far hub": farHub, "far": far, "newcomer": newcomer} {
-		if !p.Leaves(u) {
+		if !p.IsDraining(u) {
 			t.Errorf("%s does not know", name)
 		}
 		if n := len(p.LimitChanges()); n != 1 {
--- a/internal/upstreamstate/limits.go
+++ b/internal/upstreamstate/limits.go
@@ -100,8 +100,8 @@
 	return p.limits.book.All(now)
 }
 
-// HearLimits takes what an instance of this zone, or of another one, knows of all upstreams.
-func (p *State) HearLimits(words []quota.UpstreamLimit, beside bool, now time.Duration) {
+// ApplyLimits takes what an instance of this zone, or of another one, knows of all upstreams.
+func (p *State) ApplyLimits(words []quota.UpstreamLimit, beside bool, now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.hearLimits(words, beside, now)
@@ -146,40 +146,40 @@
 	return p.limits.book.Lookup(hash, now)
 }
 
-// Spent takes it that an upstream with a limit has nothing left for a time, for requests of a
+// MarkExhausted takes it that an upstream with a limit has nothing left for a time, for requests of a
 // priority and for less urgent ones.
-func (p *State) Spent(hash uint32, priority int, until time.Duration) {
+func (p *State) MarkExhausted(hash uint32, priority int, until time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.limits.spent.note(hash, priority, until)
 }
 
-// IsSpent tells whether an upstream has nothing left for a request of a priority.
-func (p *State) IsSpent(hash uint32, priority int, now time.Duration) bool {
+// IsExhausted tells whether an upstream has nothing left for a request of a priority.
+func (p *State) IsExhausted(hash uint32, priority int, now time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return now < p.limits.spent.until(hash, priority)
 }
 
-// Leaves tells whether a start of an upstream leaves, as far as is known now.
-func (p *State) Leaves(u Upstream) bool {
+// IsDraining tells whether a start of an upstream leaves, as far as is known now.
+func (p *State) IsDraining(u Upstream) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n, ok := p.byHash[u.Incarnation()]
 	return ok && n.Draining
 }
 
-// AllLeave tells whether a service has upstreams, and all of them leave.
-func (p *State) AllLeave(service string) bool {
+// AllDraining tells whether a service has upstreams, and all of them leave.
+func (p *State) AllDraining(service string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.byService[service]
 	return len(list) > 0 && !slices.ContainsFunc(list, func(n *node) bool { return !n.Draining })
 }
 
-// AllowanceIn returns when the first of the upstreams that take no request now, by their limit
+// AvailableIn returns when the first of the upstreams that take no request now, by their limit
 // or as they rest, takes one again; false when there are none. Resting tells that it rests.
-func (p *State) AllowanceIn(a PlacementRequest, now time.Duration) (in time.Duration, resting, found bool) {
+func (p *State) AvailableIn(a PlacementRequest, now time.Duration) (in time.Duration, resting, found bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	in = time.Duration(math.MaxInt64)
@@ -199,8 +199,8 @@
 	p.limits.book.Expire(func(hash uint32) bool { return p.byHash[hash] != nil }, now)
 }
 
-// NameOf returns the id of the upstream with a hash; empty when it is not listed.
-func (p *State) NameOf(hash uint32) string {
+// UpstreamID returns the id of the upstream with a hash; empty when it is not listed.
+func (p *State) UpstreamID(hash uint32) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if n, ok := p.byHash[hash]; ok {
--- a/internal/upstreamstate/reports.go
+++ b/internal/upstreamstate/reports.go
@@ -81,7 +81,7 @@
 	// Usage are totals of requests that began to run.
 	Usage []usage.Count
 	// Crashes are those of upstreams under a request's content that are to be known to all.
-	Crashes []quarantine.End
+	Crashes []quarantine.Crash
 	// Limits of upstreams, as far as they are due.
 	Limits []quota.UpstreamLimit
 }
@@ -150,9 +150,9 @@
 	return report
 }
 
-// BeyondReport tells the instances beside this one what those of all other zones
+// OtherZonesReport tells the instances beside this one what those of all other zones
 // have under way, as far as that changed, and what they placed since the last one.
-func (p *State) BeyondReport(now time.Duration) Report {
+func (p *State) OtherZonesReport(now time.Duration) Report {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.told.lapse(now)
@@ -185,8 +185,8 @@
 	return loads
 }
 
-// TakeReport takes the report of another instance, or of other zones.
-func (p *State) TakeReport(source string, report Report, now time.Duration) {
+// ApplyReport takes the report of another instance, or of other zones.
+func (p *State) ApplyReport(source string, report Report, now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.told.lapse(now)
--- a/internal/upstreamstate/statement.go
+++ b/internal/upstreamstate/statement.go
@@ -32,11 +32,11 @@
 	return true
 }
 
-// RestFor takes it that an upstream wants nothing from this instance for a time, and tells
+// BackOff takes it that an upstream wants nothing from this instance for a time, and tells
 // whether it is left alone for longer by that. Afterwards it gets one request at first, and ever
 // more as they go well. An answer of a start of it that is over says nothing of the one that is
 // there now.
-func (p *State) RestFor(from Upstream, d, now time.Duration) bool {
+func (p *State) BackOff(from Upstream, d, now time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	hash := from.Incarnation()
@@ -50,8 +50,8 @@
 	return true
 }
 
-// RestsOver returns the ids of the listed upstreams whose rest has ended since the last call.
-func (p *State) RestsOver(now time.Duration) []string {
+// EndedBackoffs returns the ids of the listed upstreams whose rest has ended since the last call.
+func (p *State) EndedBackoffs(now time.Duration) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var over []string
@@ -67,9 +67,9 @@
 	return over
 }
 
-// Resting is for how much longer an upstream wants nothing from this instance; 0 for one that
+// BackoffLeft is for how much longer an upstream wants nothing from this instance; 0 for one that
 // takes requests.
-func (p *State) Resting(hash uint32, now time.Duration) time.Duration {
+func (p *State) BackoffLeft(hash uint32, now time.Duration) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return max(0, p.limits.rests[hash]-now)
