--- a/internal/peers/ask.go
+++ b/internal/peers/ask.go
@@ -8,20 +8,22 @@
 	sfv1 "sassafrasfield/internal/gen/sf/v1"
 )
 
-// askTimeout bounds a question to the zone's hub: a round trip in a zone takes 0.3 ms,
+// retryRequestTimeout bounds a question to the zone's hub: a round trip in a zone takes 0.3 ms,
 // and a busy instance with a fifth of a core answers within some 20 ms.
-const askTimeout = 50 * time.Millisecond
+const retryRequestTimeout = 50 * time.Millisecond
 
-// asks are the questions of one kind that wait for an answer.
-type asks[Answer any] struct {
+// pendingRequests are the questions of one kind that wait for an answer.
+type pendingRequests[Answer any] struct {
 	mu      sync.Mutex // protects all below
 	next    uint64
 	waiting map[uint64]chan Answer
 }
 
-func newAsks[Answer any]() *asks[Answer] { return &asks[Answer]{waiting: map[uint64]chan Answer{}} }
+func newPendingRequests[Answer any]() *pendingRequests[Answer] {
+	return &pendingRequests[Answer]{waiting: map[uint64]chan Answer{}}
+}
 
-func (a *asks[Answer]) begin() (uint64, <-chan Answer) {
+func (a *pendingRequests[Answer]) register() (uint64, <-chan Answer) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.next++
@@ -30,14 +32,14 @@
 	return a.next, answer
 }
 
-func (a *asks[Answer]) end(id uint64) {
+func (a *pendingRequests[Answer]) cancel(id uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	delete(a.waiting, id)
 }
 
-// answered takes an answer. One that comes late, or twice, counts for nothing.
-func (a *asks[Answer]) answered(id uint64, with Answer) {
+// resolve takes an answer. One that comes late, or twice, counts for nothing.
+func (a *pendingRequests[Answer]) resolve(id uint64, with Answer) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if answer, ok := a.waiting[id]; ok {
@@ -48,19 +50,19 @@
 
 // RequestRetry asks the zone's hub for a further send to a service, which is named by its hash.
 func (r *Reporter) RequestRetry(ctx context.Context, service uint32) bool {
-	hub, self := r.exchange.hub()
+	hub, self := r.exchange.hubAddress()
 	if self {
 		return r.loads.GrantRetry(service)
 	}
 	if hub == "" {
 		return false
 	}
-	id, answer := r.asks.begin()
-	defer r.asks.end(id)
-	message := r.message(sfv1.Datagram_KIND_ASK)
+	id, answer := r.retryRequests.register()
+	defer r.retryRequests.cancel(id)
+	message := r.newDatagram(sfv1.Datagram_KIND_ASK)
 	message.Ask = &sfv1.PoolAsk{Id: id, Service: service}
 	r.send(message, []string{hub})
-	timer := time.NewTimer(askTimeout)
+	timer := time.NewTimer(retryRequestTimeout)
 	defer timer.Stop()
 	select {
 	case granted := <-answer:
@@ -73,21 +75,21 @@
 	}
 }
 
-// takeAsk answers a question for a further send.
-func (r *Reporter) takeAsk(message *sfv1.Datagram, k *known) {
-	reply := r.message(sfv1.Datagram_KIND_GRANT)
+// handleRetryRequest answers a question for a further send.
+func (r *Reporter) handleRetryRequest(message *sfv1.Datagram, k *peerState) {
+	reply := r.newDatagram(sfv1.Datagram_KIND_GRANT)
 	ask := message.GetAsk()
 	reply.Ask = &sfv1.PoolAsk{Id: ask.GetId(), Service: ask.GetService(), Granted: r.exchange.IsHub() && r.loads.GrantRetry(ask.GetService())}
 	r.send(reply, []string{k.Address})
 }
 
-// hub is the address of the instance that passes this zone's reports on; self tells
+// hubAddress is the address of the instance that passes this zone's reports on; self tells
 // that it is this one.
-func (e *Exchange) hub() (address string, self bool) {
+func (e *Exchange) hubAddress() (address string, self bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.now()
-	if e.passes(now) {
+	if e.isHub(now) {
 		return "", true
 	}
 	if k, ok := e.byID[e.roster.Hub(now)]; ok {
--- a/internal/peers/fleet_test.go
+++ b/internal/peers/fleet_test.go
@@ -193,10 +193,10 @@
 				n.pace.Changed()
 			default:
 			}
-			n.tell(false)
+			n.sendDue(false)
 			n.next = f.now + virtualTick
 		}
-		if f.now%sweepEvery < virtualTick {
+		if f.now%sweepInterval < virtualTick {
 			for _, n := range f.nodes {
 				if !n.frozen {
 					n.exchange.sweep()
@@ -226,7 +226,7 @@
 		if err := proto.Unmarshal(d.data, message); err != nil {
 			panic(err)
 		}
-		to.take(context.Background(), message)
+		to.handleDatagram(context.Background(), message)
 	}
 }
 
@@ -410,7 +410,7 @@
 		}
 		most = max(most, asking)
 	}
-	if most > readers+zones*(readersTries+1) {
+	if most > readers+zones*(readerTurnIntervals+1) {
 		t.Errorf("%d ask at a time", most)
 	}
 	if len(had) != instances {
--- a/internal/peers/limit_test.go
+++ b/internal/peers/limit_test.go
@@ -26,7 +26,7 @@
 	// limitUsed is the part of its limit that an upstream gets where more is asked for.
 	limitUsed = 0.9
 	// coordinatedIn is how long a fleet that started takes until somebody grants.
-	coordinatedIn = mayCoordinateFrom + 2*time.Second
+	coordinatedIn = coordinateAfter + 2*time.Second
 )
 
 // limitedUpstream is an upstream that may announce a limit.
@@ -143,10 +143,10 @@
 		case "":
 			f.decided(c, u, quota.Verdict{RetryIn: quota.NoCoordinatorRetry})
 		default:
-			c.asks, c.until = u, f.now+limitAskTimeout
-			c.ask, c.answer = n.limitAsks.begin()
-			c.resend = func() { n.sendLimitAsk(c.ask, ask, coordinator) }
-			c.again = f.now + askLimitAgain
+			c.asks, c.until = u, f.now+grantRequestTimeout
+			c.ask, c.answer = n.grantRequests.register()
+			c.resend = func() { n.sendGrantRequest(c.ask, ask, coordinator) }
+			c.again = f.now + grantResendDelay
 			c.resend()
 			f.open = append(f.open, c)
 			return
@@ -196,7 +196,7 @@
 			}
 		}
 		if !came {
-			c.node.limitAsks.end(c.ask)
+			c.node.grantRequests.cancel(c.ask)
 		}
 		if !f.decided(c, c.asks, verdict) {
 			f.attempt(c)
@@ -494,24 +494,24 @@
 // TestAQuestionThatComesTwiceIsDecidedOnce guards against a grant that is lost with the datagram that
 // brings it, and against two grants for one send.
 func TestAQuestionThatComesTwiceIsDecidedOnce(t *testing.T) {
-	v, decided := newVerdicts(), 0
+	v, decided := newVerdictCache(), 0
 	decide := func() quota.Verdict {
 		decided++
 		return quota.Verdict{Granted: decided == 1}
 	}
-	one := question{from: 1, id: 7}
+	one := grantRequestKey{from: 1, id: 7}
 	for range 3 {
-		if !v.of(one, askLimitAgain, decide).Granted {
+		if !v.verdict(one, grantResendDelay, decide).Granted {
 			t.Error("another verdict on the same question")
 		}
 	}
-	for _, other := range []question{{from: 2, id: 7}, {from: 1, id: 8}} {
-		if v.of(other, askLimitAgain, decide).Granted {
+	for _, other := range []grantRequestKey{{from: 2, id: 7}, {from: 1, id: 8}} {
+		if v.verdict(other, grantResendDelay, decide).Granted {
 			t.Errorf("%+v has the verdict of another question", other)
 		}
 	}
-	v.of(question{from: 3}, 5*limitAskTimeout, decide)
-	if len(v.given) != 1 {
-		t.Errorf("%d verdicts are kept", len(v.given))
+	v.verdict(grantRequestKey{from: 3}, 5*grantRequestTimeout, decide)
+	if len(v.entries) != 1 {
+		t.Errorf("%d verdicts are kept", len(v.entries))
 	}
 }
--- a/internal/peers/link_test.go
+++ b/internal/peers/link_test.go
@@ -154,7 +154,7 @@
 		From: &sfv1.ReplicaPeer{Name: "other", Address: "127.0.0.1:1", Zone: "a"},
 	}
 	refuses := func() bool {
-		n.reports.take(context.Background(), newer)
+		n.reports.handleDatagram(context.Background(), newer)
 		return n.relay.Impaired()
 	}
 	if refuses() {
--- a/internal/peers/members.go
+++ b/internal/peers/members.go
@@ -9,12 +9,12 @@
 	"sassafrasfield/internal/gen/sf/v1/sfv1connect"
 )
 
-// hubFor is for how long a zone's hub counts after its last word: three of its
+// hubTimeout is for how long a zone's hub counts after its last word: three of its
 // reports may be lost.
-const hubFor = 700 * time.Millisecond
+const hubTimeout = 700 * time.Millisecond
 
-// meet takes note of a peer, which it returns; nil for this instance itself.
-func (e *Exchange) meet(p Peer) *known {
+// addPeer takes note of a peer, which it returns; nil for this instance itself.
+func (e *Exchange) addPeer(p Peer) *peerState {
 	if p.Address == "" || p.Address == e.self.Address {
 		return nil
 	}
@@ -22,7 +22,7 @@
 	defer e.mu.Unlock()
 	k, ok := e.peers[p.Address]
 	if !ok {
-		k = &known{client: sfv1connect.NewReplicaServiceClient(e.client, "http://"+p.Address), metAt: e.now()}
+		k = &peerState{client: sfv1connect.NewReplicaServiceClient(e.client, "http://"+p.Address), addedAt: e.now()}
 		k.Address = p.Address
 		e.peers[p.Address] = k
 		e.log.Info("peers: new peer", "peer", p.Name, "address", p.Address, "known", len(e.peers))
@@ -42,7 +42,7 @@
 // AddPeers takes note of peers that are listed elsewhere.
 func (e *Exchange) AddPeers(list []Peer) {
 	for _, p := range list {
-		e.meet(p)
+		e.addPeer(p)
 	}
 }
 
@@ -51,33 +51,33 @@
 func (e *Exchange) InstanceCount() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return max(e.count.value, len(e.peers)+1)
+	return max(e.recentCount.value, len(e.peers)+1)
 }
 
-// counted is how many instances there are now. The lock is held.
-func (e *Exchange) counted(now time.Duration) int {
+// currentCount is how many instances there are now. The lock is held.
+func (e *Exchange) currentCount(now time.Duration) int {
 	total := e.roster.Known()
 	for _, z := range e.zones {
 		total += z.instances
 	}
-	if now-e.batch.at <= hubFor {
-		total = max(total, e.batch.instances)
+	if now-e.lastBatch.at <= hubTimeout {
+		total = max(total, e.lastBatch.instances)
 	}
 	return total
 }
 
-// countFor is for how long a count holds that fell since: instances that are cut off
+// countRetention is for how long a count holds that fell since: instances that are cut off
 // have their part of what all share still.
-const countFor = forgetAfter
+const countRetention = forgetAfter
 
-// peak is the highest of the values of a time.
-type peak struct {
+// recentPeak is the highest of the values of a time.
+type recentPeak struct {
 	value int
 	at    time.Duration
 }
 
-func (p *peak) note(value int, now time.Duration) {
-	if value >= p.value || now-p.at > countFor {
+func (p *recentPeak) note(value int, now time.Duration) {
+	if value >= p.value || now-p.at > countRetention {
 		p.value, p.at = value, now
 	}
 }
@@ -86,14 +86,14 @@
 func (e *Exchange) IsHub() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.passes(e.now())
+	return e.isHub(e.now())
 }
 
-// passes is Passes. The lock is held.
-func (e *Exchange) passes(now time.Duration) bool {
+// isHub is Passes. The lock is held.
+func (e *Exchange) isHub(now time.Duration) bool {
 	passes := e.roster.Passes(now)
-	if passes != e.passing {
-		e.passing, e.passingAt = passes, now
+	if passes != e.wasHub {
+		e.wasHub, e.hubSince = passes, now
 		e.log.Info("peers: passing reports on", "passes", passes, "rank", e.roster.Rank(now), "known", e.roster.Known())
 	}
 	return passes
@@ -105,10 +105,10 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.now()
-	if !e.passes(now) {
+	if !e.isHub(now) {
 		return 0
 	}
-	return now - e.passingAt
+	return now - e.hubSince
 }
 
 // ZoneInstanceCount counts the live instances of this zone, this one included.
@@ -126,11 +126,11 @@
 	defer e.mu.Unlock()
 	now := e.now()
 	var names []string
-	if now >= settleFor && e.passes(now) {
+	if now >= settleTime && e.isHub(now) {
 		names = append(names, e.self.Name)
 	}
 	for _, z := range e.zones {
-		if now-z.at <= aliveFor {
+		if now-z.at <= statusTimeout {
 			names = append(names, z.hub.Name)
 		}
 	}
@@ -144,7 +144,7 @@
 	defer e.mu.Unlock()
 	now := e.now()
 	for address, k := range e.peers {
-		silent := now - max(k.heardAt, k.metAt)
+		silent := now - max(k.lastSeen, k.addedAt)
 		if silent <= forgetAfter || slices.Contains(e.seeds, address) {
 			continue
 		}
@@ -156,18 +156,18 @@
 			delete(e.zones, zone)
 		}
 	}
-	e.count.note(e.counted(now), now)
+	e.recentCount.note(e.currentCount(now), now)
 }
 
 // forget drops a peer. The lock is held.
-func (e *Exchange) forget(k *known) {
+func (e *Exchange) forget(k *peerState) {
 	delete(e.peers, k.Address)
 	e.forgetID(k)
 }
 
 // forgetID drops what is known of a peer by its id, which its name and link make. The lock
 // is held.
-func (e *Exchange) forgetID(k *known) {
+func (e *Exchange) forgetID(k *peerState) {
 	id := k.ID()
 	if e.byID[id] == k {
 		delete(e.byID, id)
@@ -176,15 +176,15 @@
 	}
 }
 
-// contactsAtMost bounds the peers that are named at once.
-const contactsAtMost = 64
+// maxContacts bounds the peers that are named at once.
+const maxContacts = 64
 
 // contacts lists the instances of a zone, and one or two of each other zone, for
 // whoever asks; this one included. The lock is held.
 func (e *Exchange) contacts(zone string) []Peer {
 	list, now := []Peer{e.self}, e.now()
 	for _, k := range e.peers {
-		if k.Zone == zone && k.Name != "" && e.lives(k, now) && len(list) < contactsAtMost {
+		if k.Zone == zone && k.Name != "" && e.isAlive(k, now) && len(list) < maxContacts {
 			list = append(list, k.Peer)
 		}
 	}
@@ -199,20 +199,20 @@
 	return list
 }
 
-// lives tells whether a peer gave a sign lately, or is new. The lock is held.
-func (e *Exchange) lives(k *known, now time.Duration) bool {
+// isAlive tells whether a peer gave a sign lately, or is new. The lock is held.
+func (e *Exchange) isAlive(k *peerState, now time.Duration) bool {
 	if k.Zone == e.self.Zone {
 		return e.roster.Alive(k.ID(), now)
 	}
-	return k.failures == 0 && now-max(k.heardAt, k.metAt) <= livesFor
+	return k.failures == 0 && now-max(k.lastSeen, k.addedAt) <= otherZoneAliveTimeout
 }
 
-// livesFor is for how long a peer of another zone counts as alive, of which only its
+// otherZoneAliveTimeout is for how long a peer of another zone counts as alive, of which only its
 // own zone hears often.
-const livesFor = 5 * time.Second
+const otherZoneAliveTimeout = 5 * time.Second
 
-// greeted are the addresses of the seeds. The lock is held.
-func (e *Exchange) greeted() []string {
+// otherSeeds are the addresses of the seeds. The lock is held.
+func (e *Exchange) otherSeeds() []string {
 	var list []string
 	for _, address := range e.seeds {
 		if address != e.self.Address {
@@ -224,8 +224,8 @@
 
 // otherZones are the zones of the known peers, but for this instance's. The lock is
 // held.
-func (e *Exchange) otherZones() map[string][]*known {
-	zones := map[string][]*known{}
+func (e *Exchange) otherZones() map[string][]*peerState {
+	zones := map[string][]*peerState{}
 	for _, k := range e.peers {
 		if k.Zone != "" && k.Zone != e.self.Zone {
 			zones[k.Zone] = append(zones[k.Zone], k)
@@ -236,12 +236,12 @@
 
 // contactsOf are whom to tell what concerns another zone: its hub, or any two
 // instances while no hub is heard. The lock is held.
-func (e *Exchange) contactsOf(zone string, now time.Duration) []*known {
+func (e *Exchange) contactsOf(zone string, now time.Duration) []*peerState {
 	word, heard := e.zones[zone]
-	if heard && now-word.at <= hubFor {
-		return []*known{word.hub}
+	if heard && now-word.at <= hubTimeout {
+		return []*peerState{word.hub}
 	}
-	var list []*known
+	var list []*peerState
 	if heard {
 		list = append(list, word.hub)
 	}
@@ -255,12 +255,12 @@
 	return list[:min(asked, len(list))]
 }
 
-// introducedAtOnce is how many peers a batch names.
-const introducedAtOnce = 2
+// introductionsPerBatch is how many peers a batch names.
+const introductionsPerBatch = 2
 
-// introduce lists some peers by turns, so that each instance of the zone knows all
+// nextIntroductions lists some peers by turns, so that each instance of the zone knows all
 // others of it, and the other zones' hubs, after a while. The lock is held.
-func (e *Exchange) introduce(now time.Duration) []Peer {
+func (e *Exchange) nextIntroductions(now time.Duration) []Peer {
 	var list []Peer
 	for _, k := range e.peers {
 		if k.Zone == e.self.Zone && e.roster.Alive(k.ID(), now) {
@@ -268,15 +268,15 @@
 		}
 	}
 	for _, z := range e.zones {
-		if now-z.at <= aliveFor {
+		if now-z.at <= statusTimeout {
 			list = append(list, z.hub.Peer)
 		}
 	}
 	slices.SortFunc(list, func(a, b Peer) int { return cmp.Compare(a.Name, b.Name) })
 	var chosen []Peer
-	for range min(introducedAtOnce, len(list)) {
-		e.introduced = (e.introduced + 1) % len(list)
-		chosen = append(chosen, list[e.introduced])
+	for range min(introductionsPerBatch, len(list)) {
+		e.introduceIndex = (e.introduceIndex + 1) % len(list)
+		chosen = append(chosen, list[e.introduceIndex])
 	}
 	return chosen
 }
--- a/internal/peers/messages.go
+++ b/internal/peers/messages.go
@@ -14,8 +14,8 @@
 	"sassafrasfield/internal/usage"
 )
 
-// thousandths is the unit of parts of an engine's time in a report.
-const thousandths = 1000
+// utilizationScale is the unit of parts of an engine's time in a report.
+const utilizationScale = 1000
 
 // sourceOf names the source of an instance's reports.
 func sourceOf(id fanout.ID) string {
@@ -41,7 +41,7 @@
 	for _, load := range report.Loads {
 		m.Loads = append(m.Loads, &sfv1.EngineLoad{
 			Engine: load.Engine, PrefillMs: uint32(load.Backlog.Milliseconds()), Requests: uint32(load.Requests),
-			Use: uint32(load.Utilization * thousandths), YieldingMs: uint32(load.DeferredBacklog.Milliseconds()),
+			Use: uint32(load.Utilization * utilizationScale), YieldingMs: uint32(load.DeferredBacklog.Milliseconds()),
 			Inflow: uint32(load.Inflow),
 		})
 	}
@@ -75,7 +75,7 @@
 	for _, l := range m.GetLoads() {
 		report.Loads = append(report.Loads, upstreamstate.EngineLoad{
 			Engine: l.GetEngine(), Backlog: time.Duration(l.GetPrefillMs()) * time.Millisecond, Requests: int(l.GetRequests()),
-			Utilization: float64(l.GetUse()) / thousandths, DeferredBacklog: time.Duration(l.GetYieldingMs()) * time.Millisecond,
+			Utilization: float64(l.GetUse()) / utilizationScale, DeferredBacklog: time.Duration(l.GetYieldingMs()) * time.Millisecond,
 			Inflow: float64(l.GetInflow()),
 		})
 	}
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -62,30 +62,30 @@
 	// forgetAfter is for how long a peer may give no sign before it is
 	// forgotten.
 	forgetAfter = 30 * time.Second
-	// aliveFor is for how long a word on who follows the store counts.
-	aliveFor = 1700 * time.Millisecond
-	// shunAtMost bounds the pause after failures, which doubles from shunFirst.
-	shunFirst  = 500 * time.Millisecond
-	shunAtMost = 4 * time.Second
+	// statusTimeout is for how long a word on who follows the store counts.
+	statusTimeout = 1700 * time.Millisecond
+	// shunAtMost bounds the pause after failures, which doubles from excludeFirst.
+	excludeFirst = 500 * time.Millisecond
+	excludeMax   = 4 * time.Second
 )
 
-// known is a peer with what is known of it.
-type known struct {
+// peerState is a peer with what is peerState of it.
+type peerState struct {
 	Peer
-	client    sfv1connect.ReplicaServiceClient
-	failures  int
-	shunUntil time.Duration
-	// metAt is when it became known, heardAt when it last gave a sign.
-	metAt, heardAt time.Duration
+	client        sfv1connect.ReplicaServiceClient
+	failures      int
+	excludedUntil time.Duration
+	// addedAt is when it became known, lastSeen when it last gave a sign.
+	addedAt, lastSeen time.Duration
 	// reading is its word, as of readAt, that it follows the store.
-	reading bool
-	readAt  time.Duration
-	source  string // of its reports
+	reading   bool
+	readingAt time.Duration
+	source    string // of its reports
 }
 
-// zoneWord is what another zone's hub last told.
-type zoneWord struct {
-	hub       *known
+// zoneStatus is what another zone's hub last told.
+type zoneStatus struct {
+	hub       *peerState
 	at        time.Duration
 	instances int
 	reading   bool
@@ -104,39 +104,39 @@
 	log    *slog.Logger
 	// clock is the exchange's, from its start on.
 	clock func() time.Duration
-	// news wakes the reports.
-	news chan struct{}
+	// rowsChanged wakes the reports.
+	rowsChanged chan struct{}
 
 	mu     sync.Mutex // protects all below
 	limits Limits     // nil until there are reports
-	peers  map[string]*known
-	byID   map[fanout.ID]*known
+	peers  map[string]*peerState
+	byID   map[fanout.ID]*peerState
 	roster *fanout.Roster
 	inbox  *fanout.Inbox
 	// zones are the words of the other zones' hubs.
-	zones map[string]zoneWord
-	// batch is what the newest batch told besides reports.
-	batch batchWord
-	// count is how many instances there were lately.
-	count peak
+	zones map[string]zoneStatus
+	// lastBatch is what the newest lastBatch told besides reports.
+	lastBatch batchStatus
+	// recentCount is how many instances there were lately.
+	recentCount recentPeak
 	// pulling are the peers that rows are being pulled from.
 	pulling map[string]bool
-	// few is since when too few instances were heard to follow the store.
-	few time.Duration
-	// introduced is the peer that the next batch begins to name.
-	introduced int
-	// revisions are what others told of the platform's tables; lacking: some of it was
+	// tooFewReadersSince is since when too tooFewReadersSince instances were heard to follow the store.
+	tooFewReadersSince time.Duration
+	// introduceIndex is the peer that the next batch begins to name.
+	introduceIndex int
+	// peerRevisions are what others told of the platform's tables; lacking: some of it was
 	// not here when it was last looked at, since lackingAt.
-	revisions map[string]revisionWord
-	lacking   bool
-	lackingAt time.Duration
-	// passing: this instance passed reports on when it was last looked at.
-	passing   bool
-	passingAt time.Duration
+	peerRevisions map[string]peerRevision
+	wasBehind     bool
+	behindSince   time.Duration
+	// wasHub: this instance passed reports on when it was last looked at.
+	wasHub   bool
+	hubSince time.Duration
 }
 
-// batchWord is what a hub told of all zones.
-type batchWord struct {
+// batchStatus is what a hub told of all zones.
+type batchStatus struct {
 	at                 time.Duration
 	instances, readers int
 	// coordinator is the address of the instance that coordinates the grants; empty for none.
@@ -153,12 +153,12 @@
 	id := self.ID()
 	e := &Exchange{
 		self: self, id: id, seeds: seeds, rows: rows, log: log, clock: clock,
-		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: 5 * time.Second}},
-		news:   make(chan struct{}, 1), peers: map[string]*known{}, byID: map[fanout.ID]*known{},
-		roster: fanout.NewRoster(id, 0), inbox: fanout.NewInbox(), zones: map[string]zoneWord{}, pulling: map[string]bool{}, revisions: map[string]revisionWord{},
+		client:      &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: 5 * time.Second}},
+		rowsChanged: make(chan struct{}, 1), peers: map[string]*peerState{}, byID: map[fanout.ID]*peerState{},
+		roster: fanout.NewRoster(id, 0), inbox: fanout.NewInbox(), zones: map[string]zoneStatus{}, pulling: map[string]bool{}, peerRevisions: map[string]peerRevision{},
 	}
 	for _, address := range seeds {
-		e.meet(Peer{Address: address})
+		e.addPeer(Peer{Address: address})
 	}
 	return e
 }
@@ -169,7 +169,7 @@
 // NotifyRows has the reports tell of new rows at once.
 func (e *Exchange) NotifyRows() {
 	select {
-	case e.news <- struct{}{}:
+	case e.rowsChanged <- struct{}{}:
 	default: // it is woken already
 	}
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -185,7 +185,7 @@
 func hubOf(all []*node, zone string) *node {
 	for {
 		for _, n := range all {
-			if n.self.Zone == zone && n.HubDuration() > 2*hubFor {
+			if n.self.Zone == zone && n.HubDuration() > 2*hubTimeout {
 				return n
 			}
 		}
@@ -313,7 +313,7 @@
 // ordered at the start, as they were cut off at 4 kB.
 func TestALongReportArrives(t *testing.T) {
 	from, to := newNode(t, "from", "a"), newNode(t, "to", "a")
-	message := from.reports.message(sfv1.Datagram_KIND_OWN)
+	message := from.reports.newDatagram(sfv1.Datagram_KIND_OWN)
 	var away []upstreamstate.UnavailableUpstream
 	for i := range 1000 {
 		away = append(away, upstreamstate.UnavailableUpstream{Upstream: uint32(i), For: 15 * time.Second})
--- a/internal/peers/pull.go
+++ b/internal/peers/pull.go
@@ -13,23 +13,23 @@
 	"sassafrasfield/internal/gen/sf/v1/sfv1connect"
 )
 
-// compressFrom is the size of an answer from which it is compressed: what changed in
+// compressMinBytes is the size of an answer from which it is compressed: what changed in
 // a moment is not, all rows are, as the links of small instances bound how fast many
 // others start.
-const compressFrom = 8 << 10
+const compressMinBytes = 8 << 10
 
 // Handler serves the peers' calls.
 func (e *Exchange) Handler() (string, http.Handler) {
-	return sfv1connect.NewReplicaServiceHandler(&service{exchange: e}, connect.WithCompressMinBytes(compressFrom))
+	return sfv1connect.NewReplicaServiceHandler(&service{exchange: e}, connect.WithCompressMinBytes(compressMinBytes))
 }
 
 // Pull asks any peer for the rows that this instance lacks.
 func (e *Exchange) Pull(ctx context.Context) error {
 	e.mu.Lock()
 	now := e.now()
-	var list []*known
+	var list []*peerState
 	for _, k := range e.peers {
-		if now >= k.shunUntil {
+		if now >= k.excludedUntil {
 			list = append(list, k)
 		}
 	}
@@ -40,19 +40,19 @@
 	return e.pullFrom(ctx, list[rand.IntN(len(list))])
 }
 
-func (e *Exchange) pullFrom(ctx context.Context, k *known) error {
+func (e *Exchange) pullFrom(ctx context.Context, k *peerState) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	request := &sfv1.PullRequest{From: toMessage(e.self), Since: e.rows.Revisions(), WantsPeers: e.lonely()}
+	request := &sfv1.PullRequest{From: toMessage(e.self), Since: e.rows.Revisions(), WantsPeers: e.needsPeers()}
 	reply, err := k.client.Pull(ctx, connect.NewRequest(request))
-	e.called(k, err)
+	e.recordCall(k, err)
 	if err != nil {
 		return errors.Wrap(err, "peers: pull")
 	}
 	for _, p := range reply.Msg.GetPeers() {
-		e.meet(fromMessage(p))
+		e.addPeer(fromMessage(p))
 	}
-	if limits := e.limitsKnown(); limits != nil {
+	if limits := e.currentLimits(); limits != nil {
 		limits.ApplyLimits(limitsFromMessages(reply.Msg.GetLimits()), k.Zone == e.self.Zone)
 	}
 	hold := time.Duration(reply.Msg.GetHoldMs()) * time.Millisecond
@@ -61,32 +61,32 @@
 	return nil
 }
 
-// learnLimitsFor has upstreams' limits come with the rows, and be given with them.
-func (e *Exchange) learnLimitsFor(l Limits) {
+// setLimits has upstreams' limits come with the rows, and be given with them.
+func (e *Exchange) setLimits(l Limits) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.limits = l
 }
 
-func (e *Exchange) limitsKnown() Limits {
+func (e *Exchange) currentLimits() Limits {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.limits
 }
 
-// lonely tells whether this instance needs to know more of the others: no batches
+// needsPeers tells whether this instance needs to know more of the others: no batches
 // come, and none are sent to more than a few.
-func (e *Exchange) lonely() bool {
+func (e *Exchange) needsPeers() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	const few = 2
 	return !e.roster.HearsBatches(e.now()) && e.roster.Known() <= few
 }
 
-// pullOnce pulls from a peer unless that is under way.
-func (e *Exchange) pullOnce(ctx context.Context, k *known) {
+// startPull pulls from a peer unless that is under way.
+func (e *Exchange) startPull(ctx context.Context, k *peerState) {
 	e.mu.Lock()
-	if e.pulling[k.Address] || e.now() < k.shunUntil {
+	if e.pulling[k.Address] || e.now() < k.excludedUntil {
 		e.mu.Unlock()
 		return
 	}
@@ -102,8 +102,8 @@
 	}()
 }
 
-// called notes how a call to a peer went.
-func (e *Exchange) called(k *known, err error) {
+// recordCall notes how a call to a peer went.
+func (e *Exchange) recordCall(k *peerState, err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.now()
@@ -111,12 +111,12 @@
 		if k.failures > 0 {
 			e.log.Info("peers: answers again", "peer", k.Name, "address", k.Address, "failures", k.failures)
 		}
-		k.failures, k.shunUntil, k.heardAt = 0, 0, now
+		k.failures, k.excludedUntil, k.lastSeen = 0, 0, now
 		return
 	}
 	if k.failures == 0 {
 		e.log.Info("peers: does not answer", "peer", k.Name, "address", k.Address, "error", err)
 	}
 	k.failures++
-	k.shunUntil = now + min(shunAtMost, shunFirst<<min(k.failures-1, 8))
+	k.excludedUntil = now + min(excludeMax, excludeFirst<<min(k.failures-1, 8))
 }
--- a/internal/peers/reports.go
+++ b/internal/peers/reports.go
@@ -21,12 +21,12 @@
 )
 
 const (
-	// datagramBytes bounds a datagram; what is more goes into further ones, as far as it
+	// maxDatagramBytes bounds a datagram; what is more goes into further ones, as far as it
 	// can be split. longestDatagram is what UDP takes.
-	datagramBytes   = 4096
-	longestDatagram = 64 << 10
-	// sweepEvery is the time between looks for peers that are gone.
-	sweepEvery = time.Second
+	maxDatagramBytes = 4096
+	maxUDPDatagram   = 64 << 10
+	// sweepInterval is the time between looks for peers that are gone.
+	sweepInterval = time.Second
 )
 
 // LoadState is what the instances have under way; relay.Relay implements it.
@@ -69,19 +69,19 @@
 	conn     atomic.Pointer[net.UDPConn]
 	// write sends a datagram.
 	write func(data []byte, to netip.AddrPort) error
-	// asks wait for the zone's pool, limitAsks for the coordinator of the grants.
-	asks      *asks[bool]
-	limitAsks *asks[quota.Verdict]
+	// retryRequests wait for the zone's pool, limitAsks for the coordinator of the grants.
+	retryRequests *pendingRequests[bool]
+	grantRequests *pendingRequests[quota.Verdict]
 	// verdicts are those that this instance gave as the coordinator.
-	verdicts *verdicts
+	verdicts *verdictCache
 	pace     *fanout.Pace
 	// allowance bounds the bytes of what an instance that passes reports on tells; Run
 	// alone uses it.
 	allowance *fanout.Allowance
-	// told are the revisions that the last batch had; zonesLast: it began with the reports
+	// lastRevisions are the revisions that the last batch had; zonesLast: it began with the reports
 	// of this zone's instances, and ended with what the other zones have.
-	told      map[string]int64
-	zonesLast bool
+	lastRevisions  map[string]int64
+	otherZonesLast bool
 	// boot and sequence tell this process's reports from one another.
 	boot, sequence uint32
 }
@@ -89,11 +89,11 @@
 // NewReporter returns the reports of an exchange.
 func NewReporter(e *Exchange, l LoadState) *Reporter {
 	r := &Reporter{
-		exchange: e, loads: l, asks: newAsks[bool](), limitAsks: newAsks[quota.Verdict](), verdicts: newVerdicts(), pace: fanout.NewPace(e.now()),
+		exchange: e, loads: l, retryRequests: newPendingRequests[bool](), grantRequests: newPendingRequests[quota.Verdict](), verdicts: newVerdictCache(), pace: fanout.NewPace(e.now()),
 		allowance: fanout.NewAllowance(e.self.LinkMbps, e.now()), boot: rand.Uint32(),
 	}
 	r.write = r.writeTo
-	e.learnLimitsFor(l)
+	e.setLimits(l)
 	return r
 }
 
@@ -122,7 +122,7 @@
 	defer conn.Close()
 	r.conn.Store(conn)
 	go r.listen(ctx, conn)
-	sweep := time.NewTicker(sweepEvery)
+	sweep := time.NewTicker(sweepInterval)
 	defer sweep.Stop()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -133,39 +133,39 @@
 			return nil
 		case <-sweep.C:
 			r.exchange.sweep()
-		case <-r.exchange.news:
+		case <-r.exchange.rowsChanged:
 			urgent = true
 		case <-r.loads.Changed():
 			r.pace.Changed()
 		case <-timer.C:
 		}
-		timer.Reset(r.tell(urgent))
+		timer.Reset(r.sendDue(urgent))
 	}
 }
 
-// tell sends what is due, and returns the time until something may be due again.
-func (r *Reporter) tell(urgent bool) time.Duration {
-	r.loads.SetBehind(r.exchange.lacksRows())
+// sendDue sends what is due, and returns the time until something may be due again.
+func (r *Reporter) sendDue(urgent bool) time.Duration {
+	r.loads.SetBehind(r.exchange.isBehind())
 	r.loads.SetGrantShare(r.exchange.grantShare())
-	passes, hears := r.exchange.state()
+	passes, hears := r.exchange.hubState()
 	due, wait := r.pace.Next(r.exchange.now(), passes, hears, urgent)
 	if due.Own {
-		r.tellOwn(due.Times)
+		r.sendOwnReport(due.Times)
 	}
 	if due.Batch {
-		r.tellZone(due.Times)
+		r.sendBatch(due.Times)
 	}
 	if due.Zone {
-		r.tellZones(due.Times)
+		r.sendZoneReport(due.Times)
 	}
 	if due.Greet {
-		r.send(r.message(sfv1.Datagram_KIND_OWN), r.exchange.seedAddresses())
+		r.send(r.newDatagram(sfv1.Datagram_KIND_OWN), r.exchange.seedAddresses())
 	}
 	return wait
 }
 
-// own returns this instance's next report, in parts where it is long.
-func (r *Reporter) own(times bool) []*sfv1.InstanceReport {
+// ownReports returns this instance's next report, in parts where it is long.
+func (r *Reporter) ownReports(times bool) []*sfv1.InstanceReport {
 	report := r.loads.OwnReport()
 	if times {
 		report.Times = r.loads.Learned()
@@ -180,16 +180,16 @@
 	return messages
 }
 
-// tellOwn sends this instance's report to those that pass it on.
-func (r *Reporter) tellOwn(times bool) {
-	message := r.message(sfv1.Datagram_KIND_OWN)
-	message.Reports = r.own(times)
+// sendOwnReport sends this instance's report to those that pass it on.
+func (r *Reporter) sendOwnReport(times bool) {
+	message := r.newDatagram(sfv1.Datagram_KIND_OWN)
+	message.Reports = r.ownReports(times)
 	r.send(message, r.exchange.receivers())
 }
 
-// tellZones sends what the zone has to the other zones.
-func (r *Reporter) tellZones(times bool) {
-	to := r.exchange.beyond()
+// sendZoneReport sends what the zone has to the other zones.
+func (r *Reporter) sendZoneReport(times bool) {
+	to := r.exchange.otherZoneAddresses()
 	if len(to) == 0 {
 		return
 	}
@@ -197,14 +197,14 @@
 	if times {
 		report.Times = r.loads.Learned()
 	}
-	message := r.message(sfv1.Datagram_KIND_ZONE)
+	message := r.newDatagram(sfv1.Datagram_KIND_ZONE)
 	message.Beyond = reportToMessage(report)
-	message.Instances, message.Readers = r.exchange.zoneWord()
+	message.Instances, message.Readers = r.exchange.zoneCounts()
 	message.MayCoordinate = r.exchange.mayCoordinate()
 	r.allowance.Spend(r.send(message, to))
 }
 
-func (r *Reporter) message(kind sfv1.Datagram_Kind) *sfv1.Datagram {
+func (r *Reporter) newDatagram(kind sfv1.Datagram_Kind) *sfv1.Datagram {
 	return &sfv1.Datagram{Kind: kind, From: toMessage(r.exchange.self), Revisions: r.exchange.rows.Revisions()}
 }
 
@@ -214,7 +214,7 @@
 		return 0
 	}
 	bytes := 0
-	for _, part := range split(message) {
+	for _, part := range splitDatagram(message) {
 		data, err := proto.Marshal(part)
 		if err != nil {
 			r.exchange.log.Error("peers: report not sent", "error", err)
@@ -233,37 +233,37 @@
 	return metrics.GetOrRegisterCounter("peers.sent_bytes."+word, metrics.DefaultRegistry)
 }
 
-// split returns messages that each fit into a datagram. The first one has what is
+// splitDatagram returns messages that each fit into a datagram. The first one has what is
 // told besides reports and loads.
-func split(message *sfv1.Datagram) []*sfv1.Datagram {
-	if proto.Size(message) <= datagramBytes {
+func splitDatagram(message *sfv1.Datagram) []*sfv1.Datagram {
+	if proto.Size(message) <= maxDatagramBytes {
 		return []*sfv1.Datagram{message}
 	}
 	if n := len(message.GetReports()); n > 1 {
-		head, tail := cloneHead(message), cloneHead(message)
+		head, tail := cloneHeader(message), cloneHeader(message)
 		head.Reports, tail.Reports = message.Reports[:n/2], message.Reports[n/2:]
 		head.Beyond, head.Peers = message.Beyond, message.Peers
 		head.Rows, head.Since, head.HoldMs = message.Rows, message.Since, message.HoldMs
-		return append(split(head), split(tail)...)
+		return append(splitDatagram(head), splitDatagram(tail)...)
 	}
 	if loads := message.GetBeyond().GetLoads(); len(loads) > 1 {
-		head, tail := cloneHead(message), cloneHead(message)
+		head, tail := cloneHeader(message), cloneHeader(message)
 		head.Reports, head.Peers = message.Reports, message.Peers
 		head.Rows, head.Since, head.HoldMs = message.Rows, message.Since, message.HoldMs
 		head.Beyond = &sfv1.EngineReport{Loads: loads[:len(loads)/2], Gone: message.Beyond.Gone, Away: message.Beyond.Away, Times: message.Beyond.Times, Ends: message.Beyond.Ends, Usage: message.Beyond.Usage, Limits: message.Beyond.Limits}
 		tail.Beyond = &sfv1.EngineReport{Loads: loads[len(loads)/2:], Placed: message.Beyond.Placed}
-		return append(split(head), split(tail)...)
+		return append(splitDatagram(head), splitDatagram(tail)...)
 	}
 	if placed := message.GetBeyond().GetPlaced(); len(placed) > 2 {
 		// What is cut off here is told when it is placed again.
 		message.Beyond.Placed = placed[len(placed)/4*2:]
-		return split(message)
+		return splitDatagram(message)
 	}
 	return []*sfv1.Datagram{message}
 }
 
-// cloneHead copies what each datagram of a message has.
-func cloneHead(m *sfv1.Datagram) *sfv1.Datagram {
+// cloneHeader copies what each datagram of a message has.
+func cloneHeader(m *sfv1.Datagram) *sfv1.Datagram {
 	return &sfv1.Datagram{
 		Kind: m.Kind, From: m.From, Revisions: m.Revisions, Instances: m.Instances, Readers: m.Readers, Forwarded: m.Forwarded,
 		MayCoordinate: m.MayCoordinate, Coordinator: m.Coordinator,
--- a/internal/peers/service.go
+++ b/internal/peers/service.go
@@ -16,10 +16,10 @@
 // Pull implements sfv1connect.ReplicaServiceHandler.
 func (s *service) Pull(_ context.Context, req *connect.Request[sfv1.PullRequest]) (*connect.Response[sfv1.PullResponse], error) {
 	from := fromMessage(req.Msg.GetFrom())
-	s.exchange.meet(from)
+	s.exchange.addPeer(from)
 	rows, hold := s.exchange.rows.Since(req.Msg.GetSince())
 	reply := &sfv1.PullResponse{Rows: rowsToMessages(rows), HoldMs: uint32(hold.Milliseconds()), Informed: s.exchange.rows.LoadedTables()}
-	if limits := s.exchange.limitsKnown(); limits != nil {
+	if limits := s.exchange.currentLimits(); limits != nil {
 		reply.Limits = limitsToMessages(limits.Limits())
 	}
 	if req.Msg.GetWantsPeers() {
--- a/internal/peers/take.go
+++ b/internal/peers/take.go
@@ -12,14 +12,14 @@
 	sfv1 "sassafrasfield/internal/gen/sf/v1"
 )
 
-// beyondSource names the source of what all other zones have together.
-const beyondSource = "zones"
+// otherZonesSource names the source of what all other zones have together.
+const otherZonesSource = "zones"
 
-// readAgainAfter is the pause after the datagrams could not be read.
-const readAgainAfter = 100 * time.Millisecond
+// readRetryPause is the pause after the datagrams could not be read.
+const readRetryPause = 100 * time.Millisecond
 
 func (r *Reporter) listen(ctx context.Context, conn *net.UDPConn) {
-	buffer := make([]byte, longestDatagram)
+	buffer := make([]byte, maxUDPDatagram)
 	for {
 		n, _, err := conn.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -27,7 +27,7 @@
 		}
 		if err != nil {
 			r.exchange.log.Info("peers: reports cannot be read", "error", err)
-			time.Sleep(readAgainAfter)
+			time.Sleep(readRetryPause)
 			continue
 		}
 		message := &sfv1.Datagram{}
@@ -35,104 +35,104 @@
 			r.exchange.log.Info("peers: a report cannot be read", "error", err)
 			continue
 		}
-		r.take(ctx, message)
+		r.handleDatagram(ctx, message)
 	}
 }
 
-// take takes a datagram.
-func (r *Reporter) take(ctx context.Context, message *sfv1.Datagram) {
-	k := r.exchange.meet(fromMessage(message.GetFrom()))
+// handleDatagram takes a datagram.
+func (r *Reporter) handleDatagram(ctx context.Context, message *sfv1.Datagram) {
+	k := r.exchange.addPeer(fromMessage(message.GetFrom()))
 	if k == nil {
 		return
 	}
 	for _, p := range message.GetPeers() {
-		r.exchange.meet(fromMessage(p))
+		r.exchange.addPeer(fromMessage(p))
 	}
 	inZone := message.GetFrom().GetZone() == r.exchange.self.Zone
 	switch message.GetKind() {
 	case sfv1.Datagram_KIND_OWN:
-		r.takeOwn(message, k, inZone)
+		r.handleOwnReport(message, k, inZone)
 	case sfv1.Datagram_KIND_ASK:
-		r.takeAsk(message, k)
+		r.handleRetryRequest(message, k)
 	case sfv1.Datagram_KIND_GRANT:
-		r.asks.answered(message.GetAsk().GetId(), message.GetAsk().GetGranted())
+		r.retryRequests.resolve(message.GetAsk().GetId(), message.GetAsk().GetGranted())
 	case sfv1.Datagram_KIND_LIMIT_ASK:
-		r.takeLimitAsk(message.GetLimitAsk(), k)
+		r.handleGrantRequest(message.GetLimitAsk(), k)
 	case sfv1.Datagram_KIND_LIMIT_VERDICT:
-		r.limitAsks.answered(message.GetLimitVerdict().GetId(), verdictFromMessage(message.GetLimitVerdict()))
+		r.grantRequests.resolve(message.GetLimitVerdict().GetId(), verdictFromMessage(message.GetLimitVerdict()))
 	case sfv1.Datagram_KIND_BATCH:
 		if !inZone {
 			return
 		}
-		r.takeBatch(message, k)
+		r.handleBatch(message, k)
 	case sfv1.Datagram_KIND_ZONE:
-		if inZone || !r.takeZone(message, k) {
+		if inZone || !r.handleZoneReport(message, k) {
 			return
 		}
 	}
-	r.takeRows(ctx, message, k)
+	r.handleRows(ctx, message, k)
 }
 
-// takeRows takes the rows that a datagram brings, and pulls those that it only tells
+// handleRows takes the rows that a datagram brings, and pulls those that it only tells
 // of.
-func (r *Reporter) takeRows(ctx context.Context, message *sfv1.Datagram, k *known) {
+func (r *Reporter) handleRows(ctx context.Context, message *sfv1.Datagram, k *peerState) {
 	rows := r.exchange.rows
-	r.exchange.heardRevisions(message.GetRevisions())
-	if !behind(rows.Revisions(), message.GetRevisions()) {
+	r.exchange.applyRevisions(message.GetRevisions())
+	if !isBehind(rows.Revisions(), message.GetRevisions()) {
 		return
 	}
-	if len(message.GetRows()) > 0 && !behind(rows.Revisions(), message.GetSince()) {
+	if len(message.GetRows()) > 0 && !isBehind(rows.Revisions(), message.GetSince()) {
 		rows.ApplyRows(rowsFromMessages(message.GetRows()), time.Duration(message.GetHoldMs())*time.Millisecond)
 		return
 	}
-	r.exchange.pullOnce(ctx, k)
+	r.exchange.startPull(ctx, k)
 }
 
-// takeOwn takes an instance's report on itself. One that tells the wrong instance
+// handleOwnReport takes an instance's report on itself. One that tells the wrong instance
 // is told of better ones.
-func (r *Reporter) takeOwn(message *sfv1.Datagram, k *known, inZone bool) {
+func (r *Reporter) handleOwnReport(message *sfv1.Datagram, k *peerState, inZone bool) {
 	if inZone {
-		r.takeReports(message.GetReports(), true)
+		r.applyReports(message.GetReports(), true)
 	}
-	if contacts := r.exchange.betterFor(k); len(contacts) > 0 {
-		reply := r.message(sfv1.Datagram_KIND_CONTACTS)
+	if contacts := r.exchange.betterContacts(k); len(contacts) > 0 {
+		reply := r.newDatagram(sfv1.Datagram_KIND_CONTACTS)
 		reply.Peers = peersToMessages(contacts)
 		r.send(reply, []string{k.Address})
 	}
 }
 
-// takeReports takes the reports of instances of this zone; keep has the next batch
+// applyReports takes the reports of instances of this zone; keep has the next batch
 // pass them on.
-func (r *Reporter) takeReports(messages []*sfv1.InstanceReport, keep bool) {
+func (r *Reporter) applyReports(messages []*sfv1.InstanceReport, keep bool) {
 	for _, m := range messages {
 		own := ownFromMessage(m)
-		if own.Source != r.exchange.id && r.exchange.takeOwn(own, keep) {
+		if own.Source != r.exchange.id && r.exchange.acceptReport(own, keep) {
 			r.loads.ApplyReport(sourceOf(own.Source), own.Report)
 		}
 	}
 }
 
-// takeBatch takes what the zone's hub passes on. Of several hubs the one that ranks
+// handleBatch takes what the zone's hub passes on. Of several hubs the one that ranks
 // first has the word on the other zones.
-func (r *Reporter) takeBatch(message *sfv1.Datagram, k *known) {
-	r.takeReports(message.GetReports(), false)
-	word := batchWord{instances: int(message.GetInstances()), readers: int(message.GetReaders()), coordinator: message.GetCoordinator()}
-	if !r.exchange.batched(k, word) {
+func (r *Reporter) handleBatch(message *sfv1.Datagram, k *peerState) {
+	r.applyReports(message.GetReports(), false)
+	word := batchStatus{instances: int(message.GetInstances()), readers: int(message.GetReaders()), coordinator: message.GetCoordinator()}
+	if !r.exchange.acceptBatchStatus(k, word) {
 		return
 	}
 	if message.GetBeyond() != nil {
-		r.loads.ApplyReport(beyondSource, reportFromMessage(message.GetBeyond()))
+		r.loads.ApplyReport(otherZonesSource, reportFromMessage(message.GetBeyond()))
 	}
 }
 
-// takeZone takes the report of another zone, or gives it to those that pass reports
+// handleZoneReport takes the report of another zone, or gives it to those that pass reports
 // on, and tells whether it is taken here.
-func (r *Reporter) takeZone(message *sfv1.Datagram, k *known) bool {
+func (r *Reporter) handleZoneReport(message *sfv1.Datagram, k *peerState) bool {
 	zone := message.GetFrom().GetZone()
-	word := zoneWord{
+	word := zoneStatus{
 		hub: k, instances: int(message.GetInstances()), reading: message.GetReaders() > 0, mayCoordinate: message.GetMayCoordinate(),
 	}
-	if !r.exchange.heardZone(zone, word) {
+	if !r.exchange.acceptZoneStatus(zone, word) {
 		if !message.GetForwarded() {
 			message.Forwarded = true
 			r.send(message, r.exchange.receivers())
@@ -145,8 +145,8 @@
 
 func zoneSource(zone string) string { return "zone " + zone }
 
-// behind tells whether any of the other's revisions is above the own.
-func behind(own, other map[string]int64) bool {
+// isBehind tells whether any of the other's revisions is above the own.
+func isBehind(own, other map[string]int64) bool {
 	for table, revision := range other {
 		if revision > own[table] {
 			return true
@@ -155,68 +155,68 @@
 	return false
 }
 
-// takeOwn notes an instance's report, and tells whether it is news.
-func (e *Exchange) takeOwn(o fanout.Own, keep bool) bool {
+// acceptReport notes an instance's report, and tells whether it is news.
+func (e *Exchange) acceptReport(o fanout.Own, keep bool) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !e.inbox.Take(o) {
 		return false
 	}
 	now := e.now()
-	e.heardOwn(o, now)
+	e.recordReport(o, now)
 	if keep {
 		e.inbox.Keep(o, now)
 	}
 	return true
 }
 
-// batched notes a batch, and tells whether its sender has the word on other zones.
-func (e *Exchange) batched(k *known, word batchWord) bool {
+// acceptBatchStatus notes a batch, and tells whether its sender has the word on other zones.
+func (e *Exchange) acceptBatchStatus(k *peerState, word batchStatus) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now, id := e.now(), k.ID()
-	k.heardAt = now
+	k.lastSeen = now
 	e.roster.Batched(id, now)
-	if e.passes(now) {
+	if e.isHub(now) {
 		return false // this instance hears of them itself
 	}
 	word.at = now
-	e.batch = word
+	e.lastBatch = word
 	return true
 }
 
-// heardZone notes the report of another zone's hub, and tells whether this instance
+// acceptZoneStatus notes the report of another zone's hub, and tells whether this instance
 // is to take it.
-func (e *Exchange) heardZone(zone string, word zoneWord) bool {
+func (e *Exchange) acceptZoneStatus(zone string, word zoneStatus) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.now()
-	if !e.passes(now) {
+	if !e.isHub(now) {
 		return false
 	}
-	word.hub.heardAt, word.at = now, now
+	word.hub.lastSeen, word.at = now, now
 	e.zones[zone] = word
 	return true
 }
 
-// state tells whether this instance passes reports on, and whether batches reach it.
-func (e *Exchange) state() (passes, hears bool) {
+// hubState tells whether this instance passes reports on, and whether batches reach it.
+func (e *Exchange) hubState() (passes, hears bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.now()
-	return e.passes(now), e.roster.HearsBatches(now)
+	return e.isHub(now), e.roster.HearsBatches(now)
 }
 
-// betterFor lists whom a peer should tell its reports instead of this instance; none
+// betterContacts lists whom a peer should tell its reports instead of this instance; none
 // when it is one of them.
-func (e *Exchange) betterFor(k *known) []Peer {
+func (e *Exchange) betterContacts(k *peerState) []Peer {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if k.Zone != e.self.Zone {
 		return e.contacts(k.Zone)
 	}
 	now := e.now()
-	if e.passes(now) || e.roster.Rank(now) <= 1 {
+	if e.isHub(now) || e.roster.Rank(now) <= 1 {
 		return nil
 	}
 	var list []Peer
@@ -250,18 +250,18 @@
 	if e.roster.HearsBatches(now) {
 		return list
 	}
-	return append(list, e.greeted()...)
+	return append(list, e.otherSeeds()...)
 }
 
 // seedAddresses are the addresses of the seeds, but for this instance's own.
 func (e *Exchange) seedAddresses() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.greeted()
+	return e.otherSeeds()
 }
 
-// beside are the addresses of the instances of this zone.
-func (e *Exchange) beside() []string {
+// zoneAddresses are the addresses of the instances of this zone.
+func (e *Exchange) zoneAddresses() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var list []string
@@ -273,8 +273,8 @@
 	return list
 }
 
-// beyond are the addresses of those who are told this zone's reports.
-func (e *Exchange) beyond() []string {
+// otherZoneAddresses are the addresses of those who are told this zone's reports.
+func (e *Exchange) otherZoneAddresses() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.now()
@@ -287,39 +287,39 @@
 	return list
 }
 
-// zoneWord is how many instances this zone has, and readers of the store.
-func (e *Exchange) zoneWord() (instances, readers uint32) {
+// zoneCounts is how many instances this zone has, and readers of the store.
+func (e *Exchange) zoneCounts() (instances, readers uint32) {
 	self := e.rows.Reading()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.zoneReads(e.now(), self) {
+	if e.zoneHasReader(e.now(), self) {
 		readers = 1
 	}
 	return uint32(e.roster.Known()), readers
 }
 
-// zonesWord is what a batch tells besides reports.
-type zonesWord struct {
+// batchHeader is what a batch tells besides reports.
+type batchHeader struct {
 	peers              []Peer
 	instances, readers int
 }
 
-// zonesWord returns what the next batch tells besides reports.
-func (e *Exchange) zonesWord() zonesWord {
+// nextBatchHeader returns what the next batch tells besides reports.
+func (e *Exchange) nextBatchHeader() batchHeader {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.now()
-	word := zonesWord{peers: e.introduce(now), instances: e.counted(now)}
+	word := batchHeader{peers: e.nextIntroductions(now), instances: e.currentCount(now)}
 	for _, z := range e.zones {
-		if z.reading && now-z.at <= aliveFor {
+		if z.reading && now-z.at <= statusTimeout {
 			word.readers++
 		}
 	}
 	return word
 }
 
-// nextReports returns the reports that are passed on now.
-func (e *Exchange) nextReports(fits func(fanout.Own) bool) []fanout.Own {
+// pendingReports returns the reports that are passed on now.
+func (e *Exchange) pendingReports(fits func(fanout.Own) bool) []fanout.Own {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.inbox.Batch(e.now(), fits)
