--- a/internal/instance/apart.go
+++ b/internal/instance/apart.go
@@ -66,7 +66,7 @@
 	if err != nil {
 		return err
 	}
-	if row.Lost {
+	if row.MissingAfterRestore {
 		in.keepLost(content, row.Revision)
 		return nil
 	}
--- a/internal/instance/apart_test.go
+++ b/internal/instance/apart_test.go
@@ -106,7 +106,7 @@
 	req := &relay.Request{ID: "r", Method: "POST", Host: "h", Path: "/a", Target: "/a", WaitBudget: time.Second}
 	in.changed([]replica.Row{apartRowOf(req.Content(), `{"times":2}`, 3)})
 	lost := apartRowOf(req.Content(), "", platform.RevisionOf(1, 0))
-	lost.Lost = true
+	lost.MissingAfterRestore = true
 	in.changed([]replica.Row{lost})
 	if !refused(in, req) {
 		t.Error("it is let through")
@@ -118,7 +118,7 @@
 		t.Errorf("written again: %+v", writes)
 	}
 	other := apartRowOf(5, "", platform.RevisionOf(1, 0))
-	other.Lost = true
+	other.MissingAfterRestore = true
 	in.changed([]replica.Row{other})
 	if len(in.relay.Unpersisted()) > 0 {
 		t.Error("a content that is not apart here is written")
--- a/internal/peers/messages.go
+++ b/internal/peers/messages.go
@@ -157,7 +157,7 @@
 	messages := make([]*sfv1.ReplicaRow, len(rows))
 	for i, row := range rows {
 		messages[i] = &sfv1.ReplicaRow{
-			Table: row.Table, Key: row.Key.Key, Value: row.Value, Revision: row.Revision, Deleted: row.Deleted, Lost: row.Lost,
+			Table: row.Table, Key: row.Key.Key, Value: row.Value, Revision: row.Revision, Deleted: row.Deleted, Lost: row.MissingAfterRestore,
 		}
 	}
 	return messages
@@ -168,7 +168,7 @@
 	for i, m := range messages {
 		rows[i] = replica.Row{
 			Key:   replica.Key{Table: m.GetTable(), Key: m.GetKey()},
-			Value: m.GetValue(), Revision: m.GetRevision(), Deleted: m.GetDeleted(), Lost: m.GetLost(),
+			Value: m.GetValue(), Revision: m.GetRevision(), Deleted: m.GetDeleted(), MissingAfterRestore: m.GetLost(),
 		}
 	}
 	return rows
--- a/internal/replica/era_test.go
+++ b/internal/replica/era_test.go
@@ -148,7 +148,7 @@
 		if _, there := r.Get(keyOf(4)); len(news) > 0 || !there {
 			t.Errorf("from a peer %t: news %v, the lost row is there: %t", fromPeer, news, there)
 		}
-		if told := r.Since(map[string]int64{table: old(9)}); len(told) != 4 || !told[len(told)-1].Lost && !told[0].Lost {
+		if told := r.Since(map[string]int64{table: old(9)}); len(told) != 4 || !told[len(told)-1].MissingAfterRestore && !told[0].MissingAfterRestore {
 			t.Errorf("from a peer %t: others are told %v", fromPeer, told)
 		}
 		again := New(Settings{})
@@ -164,7 +164,7 @@
 	r.Apply([]Row{row(4, old(9))}, 0)
 	r.Hold(time.Second)
 	r.Replace(table, nil, fresh(5), 0)
-	if news := r.Release(time.Second); len(news) != 1 || !news[0].Lost {
+	if news := r.Release(time.Second); len(news) != 1 || !news[0].MissingAfterRestore {
 		t.Errorf("not written again: %v", news)
 	}
 }
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -32,9 +32,9 @@
 	// Deleted rows keep their revision, so that an older one is not taken for
 	// news.
 	Deleted bool
-	// Lost tells of a deleted row that nobody removed: the store came back from a
+	// MissingAfterRestore tells of a deleted row that nobody removed: the store came back from a
 	// copy without it. Whoever wrote it may write it again.
-	Lost bool
+	MissingAfterRestore bool
 }
 
 // Settings of a Replica. The zero value is for a store that loses nothing.
@@ -126,7 +126,7 @@
 // holdsUntil is until when a row is not believed; 0 for one that is.
 func (r *Replica) holdsUntil(before, row Row, doubted bool, now time.Duration) time.Duration {
 	switch {
-	case row.Deleted && !before.Deleted && (doubted || row.Lost && r.doubts(now)):
+	case row.Deleted && !before.Deleted && (doubted || row.MissingAfterRestore && r.doubts(now)):
 		return r.holdUntil
 	case r.broughtBack(before, row):
 		return now + r.settings.HoldReturned
@@ -138,7 +138,7 @@
 // broughtBack tells whether a row that was removed is there again by a return alone. One that was
 // brought back before, and is written since, has an owner.
 func (r *Replica) broughtBack(held, read Row) bool {
-	if r.settings.HoldReturned == 0 || !held.Deleted || held.Lost || read.Deleted {
+	if r.settings.HoldReturned == 0 || !held.Deleted || held.MissingAfterRestore || read.Deleted {
 		return false
 	}
 	before, known := r.held[read.Key]
@@ -173,7 +173,7 @@
 	var lost []Row
 	for key, row := range r.rows {
 		if era := eras[key.Table]; era > 0 && !row.Deleted && !given[key] {
-			lost = append(lost, Row{Key: key, Revision: platform.RevisionOf(era, 0), Deleted: true, Lost: true})
+			lost = append(lost, Row{Key: key, Revision: platform.RevisionOf(era, 0), Deleted: true, MissingAfterRestore: true})
 		}
 	}
 	return lost
@@ -214,7 +214,7 @@
 	for key, row := range r.rows {
 		if key.Table == table && !row.Deleted && !present[key] && row.Revision < revision {
 			lost := platform.EraOf(row.Revision) < platform.EraOf(revision)
-			all = append(all, Row{Key: key, Revision: revision, Deleted: true, Lost: lost})
+			all = append(all, Row{Key: key, Revision: revision, Deleted: true, MissingAfterRestore: lost})
 		}
 	}
 	for key, held := range r.held {
