--- a/internal/replica/era_test.go
+++ b/internal/replica/era_test.go
@@ -84,7 +84,7 @@
 		s := &returningStore{copied: copied{rows: map[Key]Row{}}}
 		s.keepCopy()
 		const hold = 30 * time.Millisecond
-		settings := Settings{HoldReturned: time.Duration(rapid.IntRange(0, 1).Draw(t, "held")) * hold}
+		settings := Settings{HoldRestored: time.Duration(rapid.IntRange(0, 1).Draw(t, "held")) * hold}
 		replicas := []*Replica{New(settings), New(settings), New(settings)}
 		now := time.Duration(0)
 		for i := range rapid.IntRange(10, 80).Draw(t, "steps") {
@@ -212,13 +212,13 @@
 	const hold = time.Second
 	row := func(revision int64) []Row { return []Row{{Key: keyOf(1), Value: []byte("v"), Revision: revision}} }
 	gone := func() *Replica {
-		r := New(Settings{HoldReturned: hold})
+		r := New(Settings{HoldRestored: hold})
 		r.Apply(row(platform.RevisionOf(1, 80)), 0)
 		r.Apply([]Row{{Key: keyOf(1), Revision: platform.RevisionOf(1, 100), Deleted: true}}, 0)
 		r.Replace(table, row(platform.RevisionOf(2, 80)), platform.RevisionOf(2, 85), 0)
 		return r
 	}
-	r, newcomer := gone(), New(Settings{HoldReturned: hold})
+	r, newcomer := gone(), New(Settings{HoldRestored: hold})
 	newcomer.Apply(r.Since(nil), 0)
 	newcomer.Apply(row(platform.RevisionOf(2, 80)), 0) // once more, from another one
 	for name, one := range map[string]*Replica{"who knew that it left": r, "who heard of both": newcomer} {
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -44,10 +44,10 @@
 	// era does not take the place of a later document: its revision counts, and the document
 	// that is held stays, for those too who get the rows from this copy.
 	Older func(held, read Row) bool
-	// HoldReturned is for how long a row is not believed that was removed, and is back in a
+	// HoldRestored is for how long a row is not believed that was removed, and is back in a
 	// store that came back from a copy: its owner may be gone, and write no more. What is written
 	// since counts.
-	HoldReturned time.Duration
+	HoldRestored time.Duration
 }
 
 // Replica is the copy. It is not safe for concurrent use.
@@ -129,7 +129,7 @@
 	case row.Deleted && !before.Deleted && (doubted || row.MissingAfterRestore && r.doubts(now)):
 		return r.holdUntil
 	case r.broughtBack(before, row):
-		return now + r.settings.HoldReturned
+		return now + r.settings.HoldRestored
 	default:
 		return 0
 	}
@@ -138,7 +138,7 @@
 // broughtBack tells whether a row that was removed is there again by a return alone. One that was
 // brought back before, and is written since, has an owner.
 func (r *Replica) broughtBack(held, read Row) bool {
-	if r.settings.HoldReturned == 0 || !held.Deleted || held.MissingAfterRestore || read.Deleted {
+	if r.settings.HoldRestored == 0 || !held.Deleted || held.MissingAfterRestore || read.Deleted {
 		return false
 	}
 	before, known := r.held[read.Key]
