--- a/internal/replica/era_test.go
+++ b/internal/replica/era_test.go
@@ -98,7 +98,7 @@
 			case 4:
 				s.comeBack(rapid.SampledFrom(s.copies).Draw(t, "copy"))
 				if rapid.Bool().Draw(t, "doubted") {
-					replicas[n].Hold(now + 50*time.Millisecond)
+					replicas[n].HoldDeletions(now + 50*time.Millisecond)
 				}
 			case 5, 6:
 				s.read(replicas[n], now)
@@ -137,7 +137,7 @@
 	for _, fromPeer := range []bool{false, true} {
 		r := New(Settings{})
 		r.Apply([]Row{row(1, old(1)), row(2, old(2)), row(3, old(3)), row(4, old(9))}, 0)
-		r.Hold(time.Second)
+		r.HoldDeletions(time.Second)
 		copied := []Row{row(1, fresh(1)), row(2, fresh(2)), row(3, fresh(3))}
 		var news []Row
 		if fromPeer {
@@ -162,7 +162,7 @@
 	}
 	r := New(Settings{})
 	r.Apply([]Row{row(4, old(9))}, 0)
-	r.Hold(time.Second)
+	r.HoldDeletions(time.Second)
 	r.Replace(table, nil, fresh(5), 0)
 	if news := r.Release(time.Second); len(news) != 1 || !news[0].MissingAfterRestore {
 		t.Errorf("not written again: %v", news)
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -76,9 +76,9 @@
 	return &Replica{settings: s, rows: map[Key]Row{}, read: map[string]int64{}, newest: map[string]int64{}, held: map[Key]heldRow{}, lapses: lapses{}}
 }
 
-// Hold has deletions of many rows doubted that come before a time: after an outage the
+// HoldDeletions has deletions of many rows doubted that come before a time: after an outage the
 // store drops entries whose owners live on and write them again.
-func (r *Replica) Hold(until time.Duration) {
+func (r *Replica) HoldDeletions(until time.Duration) {
 	r.holdUntil = max(r.holdUntil, until)
 }
 
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -46,7 +46,7 @@
 func TestDeletionsAfterAnOutageWait(t *testing.T) {
 	r := New(Settings{})
 	r.Apply([]Row{row("a", 1), row("b", 2)}, 0)
-	r.Hold(2 * time.Second)
+	r.HoldDeletions(2 * time.Second)
 	r.Apply([]Row{gone("a", 5), gone("b", 6)}, time.Second)
 	if got := keys(r.Table("t")); got != "ab" {
 		t.Errorf("table %q before the hold ended", got)
@@ -87,7 +87,7 @@
 	} {
 		r := New(Settings{})
 		r.Apply(many(0, there, 1, false), 0)
-		r.Hold(2 * time.Second)
+		r.HoldDeletions(2 * time.Second)
 		page := append(many(0, c.deleted, 100, true), many(there, c.added, 200, false)...)
 		if c.each {
 			for _, row := range page {
@@ -114,7 +114,7 @@
 	for outage := range 3 {
 		now := time.Duration(outage+1) * time.Minute
 		r.Release(now)
-		r.Hold(now + time.Second)
+		r.HoldDeletions(now + time.Second)
 		r.Apply(many(12*outage, 12, 100*int64(outage+1), true), now)
 	}
 	if left := len(r.Table("t")); left != 24 {
--- a/internal/rowsync/rowsync.go
+++ b/internal/rowsync/rowsync.go
@@ -264,7 +264,7 @@
 	f.recovered(table)
 	f.mu.Lock()
 	if before := f.copy.ReadFrom(table); before > 0 && platform.EraOf(revision) > platform.EraOf(before) {
-		f.copy.Hold(f.now() + f.settings.HoldDeletions)
+		f.copy.HoldDeletions(f.now() + f.settings.HoldDeletions)
 		f.log.Warn("follow: the store came back from an older copy", "table", table, "revision", platform.CounterOf(revision),
 			"before", platform.CounterOf(before), "era", platform.EraOf(revision))
 	}
@@ -323,7 +323,7 @@
 	f.failures[table] = 0
 	lost, failed := f.lost[table]
 	if (failed || f.rested[table]) && !lost.alone {
-		f.copy.Hold(f.now() + f.settings.HoldDeletions)
+		f.copy.HoldDeletions(f.now() + f.settings.HoldDeletions)
 	}
 	delete(f.lost, table)
 	delete(f.rested, table)
--- a/internal/rowsync/share.go
+++ b/internal/rowsync/share.go
@@ -34,7 +34,7 @@
 func (f *Follower) Take(rows []replica.Row, hold time.Duration) {
 	f.mu.Lock()
 	if hold > 0 {
-		f.copy.Hold(f.now() + hold)
+		f.copy.HoldDeletions(f.now() + hold)
 	}
 	news := f.copy.Apply(rows, f.now())
 	f.publish(news)
