--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -276,5 +276,5 @@
 // known, as long as each source gave all of its rows.
 func (r *Replica) Newest() map[string]int64 { return maps.Clone(r.newest) }
 
-// Held is for how much longer deletions are held back.
-func (r *Replica) Held(now time.Duration) time.Duration { return max(0, r.holdUntil-now) }
+// HoldRemaining is for how much longer deletions are held back.
+func (r *Replica) HoldRemaining(now time.Duration) time.Duration { return max(0, r.holdUntil-now) }
--- a/internal/rowsync/share.go
+++ b/internal/rowsync/share.go
@@ -50,7 +50,7 @@
 func (f *Follower) Since(revisions map[string]int64) ([]replica.Row, time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.copy.Since(revisions), f.copy.Held(f.now())
+	return f.copy.Since(revisions), f.copy.HoldRemaining(f.now())
 }
 
 // Revisions are the highest ones that are held, by table.
