--- a/internal/replica/era_test.go
+++ b/internal/replica/era_test.go
@@ -62,7 +62,7 @@
 			}
 		}
 		r.Apply(rows, now)
-		r.ReadTo(table, s.revision())
+		r.SetReadRevision(table, s.revision())
 		return
 	}
 	var rows []Row
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -222,12 +222,12 @@
 			delete(r.held, key)
 		}
 	}
-	r.ReadTo(table, revision)
+	r.SetReadRevision(table, revision)
 	return r.Apply(all, now)
 }
 
-// ReadTo records that the store's feed of a table was read up to a revision.
-func (r *Replica) ReadTo(table string, revision int64) {
+// SetReadRevision records that the store's feed of a table was read up to a revision.
+func (r *Replica) SetReadRevision(table string, revision int64) {
 	r.read[table] = max(r.read[table], revision)
 }
 
--- a/internal/rowsync/rowsync.go
+++ b/internal/rowsync/rowsync.go
@@ -240,7 +240,7 @@
 	f.recovered(table)
 	f.mu.Lock()
 	news := f.copy.Apply(rows, f.now())
-	f.copy.ReadTo(table, revision)
+	f.copy.SetReadRevision(table, revision)
 	f.publish(news)
 	f.mu.Unlock()
 	f.tellNews(news)
