--- a/internal/replica/era_test.go
+++ b/internal/replica/era_test.go
@@ -53,7 +53,7 @@
 
 // read has a replica follow the store: by the feed where it goes on, else by a full read.
 func (s *returningStore) read(r *Replica, now time.Duration) {
-	after := r.ReadFrom(table)
+	after := r.ReadRevision(table)
 	if platform.EraOf(after) == s.era && after > 0 && platform.CounterOf(after) >= s.from {
 		var rows []Row
 		for _, row := range s.changes {
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -231,8 +231,8 @@
 	r.read[table] = max(r.read[table], revision)
 }
 
-// ReadFrom is the revision after which the feed of a table goes on.
-func (r *Replica) ReadFrom(table string) int64 {
+// ReadRevision is the revision after which the feed of a table goes on.
+func (r *Replica) ReadRevision(table string) int64 {
 	return r.read[table]
 }
 
--- a/internal/rowsync/rowsync.go
+++ b/internal/rowsync/rowsync.go
@@ -226,7 +226,7 @@
 // step makes one call to the feed, and tells that it did, or reads a table whole.
 func (f *Follower) step(ctx context.Context, table string) (waited bool, err error) {
 	f.mu.Lock()
-	synced, after := f.synced[table], f.copy.ReadFrom(table)
+	synced, after := f.synced[table], f.copy.ReadRevision(table)
 	f.mu.Unlock()
 	if !synced {
 		return false, f.readAll(ctx, table)
@@ -263,7 +263,7 @@
 	}
 	f.recovered(table)
 	f.mu.Lock()
-	if before := f.copy.ReadFrom(table); before > 0 && platform.EraOf(revision) > platform.EraOf(before) {
+	if before := f.copy.ReadRevision(table); before > 0 && platform.EraOf(revision) > platform.EraOf(before) {
 		f.copy.HoldDeletions(f.now() + f.settings.HoldDeletions)
 		f.log.Warn("follow: the store came back from an older copy", "table", table, "revision", platform.CounterOf(revision),
 			"before", platform.CounterOf(before), "era", platform.EraOf(revision))
--- a/internal/rowsync/rowsync_test.go
+++ b/internal/rowsync/rowsync_test.go
@@ -207,7 +207,7 @@
 	waitFor(func() bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		return len(f.lost) == 0 && f.copy.ReadFrom("t") == 4
+		return len(f.lost) == 0 && f.copy.ReadRevision("t") == 4
 	})
 	if !f.knows("ab") {
 		t.Error("the deletions were believed at once")
@@ -247,7 +247,7 @@
 	waitFor(func() bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		return f.copy.ReadFrom("t") == 8
+		return f.copy.ReadRevision("t") == 8
 	})
 	if !f.knows("abcd") {
 		t.Error("all upstreams are believed to be gone")
