--- a/internal/rowsync/rowsync.go
+++ b/internal/rowsync/rowsync.go
@@ -36,8 +36,8 @@
 
 // Peers are the other instances.
 type Peers interface {
-	// News has them told of new rows.
-	News()
+	// NotifyNewRows has them told of new rows.
+	NotifyNewRows()
 	// ShouldRead tells whether this instance should follow the store itself.
 	ShouldRead() bool
 	// OthersRead tells whether another one follows the store now, and it answers.
@@ -293,7 +293,7 @@
 // tellNews has the other instances told of news.
 func (f *Follower) tellNews(news []replica.Row) {
 	if f.peers != nil && len(news) > 0 {
-		f.peers.News()
+		f.peers.NotifyNewRows()
 	}
 }
 
--- a/internal/rowsync/rowsync_test.go
+++ b/internal/rowsync/rowsync_test.go
@@ -300,7 +300,7 @@
 	news   int
 }
 
-func (p *fakePeers) News() {
+func (p *fakePeers) NotifyNewRows() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.news++
