--- a/internal/rowsync/rowsync.go
+++ b/internal/rowsync/rowsync.go
@@ -62,9 +62,9 @@
 	// believed: owners of rows that lapsed meanwhile write them again. When the store
 	// is known to have answered other instances meanwhile, nothing lapsed.
 	HoldDeletions time.Duration
-	// NoticedIn is how long the other instances take to tell that they have no
+	// PeerReportDelay is how long the other instances take to tell that they have no
 	// answers from the store either.
-	NoticedIn time.Duration
+	PeerReportDelay time.Duration
 	// Copy is how rows are taken that a store has after its return from an older copy.
 	Copy replica.Settings
 	// PullEvery is the time between questions to peers while the store gives
@@ -310,7 +310,7 @@
 		lost.since = f.now()
 		f.log.Warn("follow: the store is lost", "table", table, "error", err)
 	}
-	lost.alone = f.now()-lost.since >= f.settings.NoticedIn && f.peers != nil && f.peers.OthersRead()
+	lost.alone = f.now()-lost.since >= f.settings.PeerReportDelay && f.peers != nil && f.peers.OthersRead()
 	f.lost[table] = lost
 }
 
--- a/internal/rowsync/rowsync_test.go
+++ b/internal/rowsync/rowsync_test.go
@@ -109,7 +109,7 @@
 	t.Helper()
 	f := New(Settings{
 		Tables: []string{"t"}, Wait: 50 * time.Millisecond, ReadTimeout: time.Second,
-		HoldDeletions: hold, PullEvery: 5 * time.Millisecond, NoticedIn: 5 * time.Millisecond,
+		HoldDeletions: hold, PullEvery: 5 * time.Millisecond, PeerReportDelay: 5 * time.Millisecond,
 	}, feed, func([]replica.Row) {}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if others != nil {
 		f.Join(others)
