--- a/internal/rowsync/rowsync.go
+++ b/internal/rowsync/rowsync.go
@@ -65,8 +65,8 @@
 	// PeerReportDelay is how long the other instances take to tell that they have no
 	// answers from the store either.
 	PeerReportDelay time.Duration
-	// Copy is how rows are taken that a store has after its return from an older copy.
-	Copy replica.Settings
+	// Replica is how rows are taken that a store has after its return from an older copy.
+	Replica replica.Settings
 	// PullEvery is the time between questions to peers while the store gives
 	// nothing.
 	PullEvery time.Duration
@@ -118,7 +118,7 @@
 func New(s Settings, feed Feed, changed func([]replica.Row), log *slog.Logger) *Follower {
 	return &Follower{
 		settings: s, feed: feed, log: log, start: time.Now(), changed: changed,
-		copy: replica.New(s.Copy), lost: map[string]outage{}, synced: map[string]bool{}, told: map[string]bool{}, failures: map[string]int{}, rested: map[string]bool{},
+		copy: replica.New(s.Replica), lost: map[string]outage{}, synced: map[string]bool{}, told: map[string]bool{}, failures: map[string]int{}, rested: map[string]bool{},
 	}
 }
 
