--- a/internal/fanout/inbox.go
+++ b/internal/fanout/inbox.go
@@ -9,8 +9,8 @@
 	"sassafrasfield/internal/upstreamstate"
 )
 
-// Own is an instance's report on itself.
-type Own struct {
+// InstanceReport is an instance's report on itself.
+type InstanceReport struct {
 	Source ID
 	// Boot is another number with each start of the instance's process; Sequence
 	// counts its reports since.
@@ -40,7 +40,7 @@
 
 // waiting is a report that is to be passed on.
 type waiting struct {
-	own Own
+	own InstanceReport
 	// at is when it came, since when a report of its source has waited.
 	at, since time.Duration
 }
@@ -50,7 +50,7 @@
 
 // Take takes a report, and tells whether it is newer than those before. The same one
 // may come from several instances that pass it on.
-func (b *Inbox) Take(o Own) bool {
+func (b *Inbox) Take(o InstanceReport) bool {
 	last, known := b.newest[o.Source]
 	if known && last.boot == o.Boot && int32(o.Sequence-last.sequence) <= 0 {
 		return false
@@ -61,7 +61,7 @@
 
 // Keep has the next batch pass a report on. One that waits already gives way to it,
 // but for the parts, the ends and the limits that it told of.
-func (b *Inbox) Keep(o Own, now time.Duration) {
+func (b *Inbox) Keep(o InstanceReport, now time.Duration) {
 	placed := append(b.waiting[o.Source].own.Report.Placed, o.Report.Placed...)
 	o.Report.Placed = placed[max(0, len(placed)-placedAtMost):]
 	if o.Report.Times == nil {
@@ -83,7 +83,7 @@
 // Batch returns the reports that wait, those of the sources that have waited longest
 // first, as long as they fit. The others wait on, but for those that are so old that their
 // source may be gone.
-func (b *Inbox) Batch(now time.Duration, fits func(Own) bool) []Own {
+func (b *Inbox) Batch(now time.Duration, fits func(InstanceReport) bool) []InstanceReport {
 	var list []waiting
 	for id, w := range b.waiting {
 		if now-w.at > aliveFor {
@@ -93,7 +93,7 @@
 		list = append(list, w)
 	}
 	slices.SortFunc(list, func(x, y waiting) int { return cmp.Compare(x.since, y.since) })
-	var batch []Own
+	var batch []InstanceReport
 	for _, w := range list {
 		if !fits(w.own) {
 			break
--- a/internal/fanout/inbox_test.go
+++ b/internal/fanout/inbox_test.go
@@ -10,14 +10,14 @@
 	"sassafrasfield/internal/upstreamstate"
 )
 
-func own(source ID, boot, sequence uint32, part uint32) Own {
-	return Own{Source: source, Boot: boot, Sequence: sequence, Report: upstreamstate.Report{
+func own(source ID, boot, sequence uint32, part uint32) InstanceReport {
+	return InstanceReport{Source: source, Boot: boot, Sequence: sequence, Report: upstreamstate.Report{
 		Complete: true, Placed: []upstreamstate.PlacedPart{{Engine: 1, Part: part}},
 	}}
 }
 
 // all fit.
-func all(Own) bool { return true }
+func all(InstanceReport) bool { return true }
 
 // TestWhoWaitedLongestIsPassedOnFirst: three instances report again and again, and a batch
 // has room for one of them.
@@ -30,7 +30,7 @@
 			b.Keep(own(id, 1, uint32(n), 1), now)
 		}
 		room := 1
-		for _, o := range b.Batch(now, func(Own) bool { room--; return room >= 0 }) {
+		for _, o := range b.Batch(now, func(InstanceReport) bool { room--; return room >= 0 }) {
 			passed[o.Source]++
 		}
 	}
--- a/internal/peers/batch.go
+++ b/internal/peers/batch.go
@@ -58,7 +58,7 @@
 	for _, own := range b.reports.own(times) {
 		b.addInstance(own)
 	}
-	b.reports.exchange.nextReports(func(o fanout.Own) bool {
+	b.reports.exchange.nextReports(func(o fanout.InstanceReport) bool {
 		if !b.room() {
 			return false
 		}
--- a/internal/peers/messages.go
+++ b/internal/peers/messages.go
@@ -22,16 +22,16 @@
 	return upstreamstate.InstanceSourcePrefix + strconv.FormatUint(uint64(id), 16)
 }
 
-func ownToMessage(o fanout.Own) *sfv1.InstanceReport {
+func ownToMessage(o fanout.InstanceReport) *sfv1.InstanceReport {
 	return &sfv1.InstanceReport{
 		Source: uint64(o.Source), Boot: o.Boot, Sequence: o.Sequence, Reading: o.Reading, Report: reportToMessage(o.Report),
 	}
 }
 
-func ownFromMessage(m *sfv1.InstanceReport) fanout.Own {
+func ownFromMessage(m *sfv1.InstanceReport) fanout.InstanceReport {
 	report := reportFromMessage(m.GetReport())
 	report.Boot = m.GetBoot()
-	return fanout.Own{
+	return fanout.InstanceReport{
 		Source: fanout.ID(m.GetSource()), Boot: m.GetBoot(), Sequence: m.GetSequence(), Reading: m.GetReading(), Report: report,
 	}
 }
--- a/internal/peers/reports.go
+++ b/internal/peers/reports.go
@@ -173,7 +173,7 @@
 	var messages []*sfv1.InstanceReport
 	for _, part := range report.Split() {
 		r.sequence++
-		messages = append(messages, ownToMessage(fanout.Own{
+		messages = append(messages, ownToMessage(fanout.InstanceReport{
 			Source: r.exchange.id, Boot: r.boot, Sequence: r.sequence, Reading: r.exchange.rows.Reading(), Report: part,
 		}))
 	}
--- a/internal/peers/take.go
+++ b/internal/peers/take.go
@@ -156,7 +156,7 @@
 }
 
 // takeOwn notes an instance's report, and tells whether it is news.
-func (e *Exchange) takeOwn(o fanout.Own, keep bool) bool {
+func (e *Exchange) takeOwn(o fanout.InstanceReport, keep bool) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !e.inbox.Take(o) {
@@ -319,7 +319,7 @@
 }
 
 // nextReports returns the reports that are passed on now.
-func (e *Exchange) nextReports(fits func(fanout.Own) bool) []fanout.Own {
+func (e *Exchange) nextReports(fits func(fanout.InstanceReport) bool) []fanout.InstanceReport {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.inbox.Batch(e.now(), fits)
