--- a/internal/fanout/pace.go
+++ b/internal/fanout/pace.go
@@ -37,8 +37,8 @@
 	Own, Batch, Zone, Greet, Times bool
 }
 
-// Pace decides when an instance reports. It is not safe for concurrent use.
-type Pace struct {
+// Pacer decides when an instance reports. It is not safe for concurrent use.
+type Pacer struct {
 	start time.Duration
 	// ownAt, batchAt, zoneAt, greetAt and timesAt are when each was last sent.
 	ownAt, batchAt, zoneAt, greetAt, timesAt time.Duration
@@ -47,17 +47,17 @@
 }
 
 // NewPace returns the pace of an instance that starts now.
-func NewPace(now time.Duration) *Pace {
-	return &Pace{start: now, ownAt: now - ownAtMost, batchAt: now - batchEvery, zoneAt: now - zoneEvery, greetAt: now - greetEvery, timesAt: now}
+func NewPace(now time.Duration) *Pacer {
+	return &Pacer{start: now, ownAt: now - ownAtMost, batchAt: now - batchEvery, zoneAt: now - zoneEvery, greetAt: now - greetEvery, timesAt: now}
 }
 
 // Changed notes that the instance has something new under way.
-func (p *Pace) Changed() { p.changed = true }
+func (p *Pacer) Changed() { p.changed = true }
 
 // Next returns what is to be sent now, for an instance that passes reports on or not
 // and to which batches come or not, and the time until the next call. Urgent news
 // hardly waits.
-func (p *Pace) Next(now time.Duration, passes, hears, urgent bool) (Due, time.Duration) {
+func (p *Pacer) Next(now time.Duration, passes, hears, urgent bool) (Due, time.Duration) {
 	p.urgent = p.urgent || urgent
 	var due Due
 	if passes {
@@ -75,7 +75,7 @@
 }
 
 // every is the time between two sends, which urgent news shortens.
-func (p *Pace) every(usual time.Duration) time.Duration {
+func (p *Pacer) every(usual time.Duration) time.Duration {
 	if p.urgent {
 		return min(usual, urgentGap)
 	}
@@ -83,7 +83,7 @@
 }
 
 // greetEvery is the time between greetings of the seeds.
-func (p *Pace) greetEvery(now time.Duration) time.Duration {
+func (p *Pacer) greetEvery(now time.Duration) time.Duration {
 	if now-p.start < greetFor {
 		return greetEvery
 	}
@@ -91,7 +91,7 @@
 }
 
 // ownEvery is the time between this instance's reports.
-func (p *Pace) ownEvery(now time.Duration, hears bool) time.Duration {
+func (p *Pacer) ownEvery(now time.Duration, hears bool) time.Duration {
 	switch {
 	case p.changed:
 		return ownGap
@@ -102,7 +102,7 @@
 	}
 }
 
-func (p *Pace) sent(due Due, now time.Duration) {
+func (p *Pacer) sent(due Due, now time.Duration) {
 	if due.Own || due.Batch {
 		p.changed, p.urgent, p.ownAt = false, false, now
 	}
@@ -121,7 +121,7 @@
 }
 
 // wait is the time until something may be due.
-func (p *Pace) wait(now time.Duration, passes, hears bool) time.Duration {
+func (p *Pacer) wait(now time.Duration, passes, hears bool) time.Duration {
 	if passes {
 		return max(0, min(p.batchAt+p.every(batchEvery), p.zoneAt+p.every(zoneEvery))-now)
 	}
--- a/internal/peers/reports.go
+++ b/internal/peers/reports.go
@@ -74,7 +74,7 @@
 	limitAsks *asks[quota.Verdict]
 	// verdicts are those that this instance gave as the coordinator.
 	verdicts *verdicts
-	pace     *fanout.Pace
+	pace     *fanout.Pacer
 	// allowance bounds the bytes of what an instance that passes reports on tells; Run
 	// alone uses it.
 	allowance *fanout.Allowance
