--- a/internal/fanout/pace.go
+++ b/internal/fanout/pace.go
@@ -46,8 +46,8 @@
 	changed, urgent bool
 }
 
-// NewPace returns the pace of an instance that starts now.
-func NewPace(now time.Duration) *Pacer {
+// NewPacer returns the pace of an instance that starts now.
+func NewPacer(now time.Duration) *Pacer {
 	return &Pacer{start: now, ownAt: now - ownAtMost, batchAt: now - batchEvery, zoneAt: now - zoneEvery, greetAt: now - greetEvery, timesAt: now}
 }
 
--- a/internal/fanout/pace_test.go
+++ b/internal/fanout/pace_test.go
@@ -9,7 +9,7 @@
 // often; 0 for none.
 func sends(passes, hears bool, changes, length time.Duration) (own, batch, zone int) {
 	const start = time.Hour
-	p := NewPace(start - greetFor)
+	p := NewPacer(start - greetFor)
 	for now := start; now < start+length; now += time.Millisecond {
 		if changes > 0 && (now-start)%changes == 0 {
 			p.Changed()
@@ -45,7 +45,7 @@
 }
 
 func TestAChangeIsToldAtOnceAfterAPause(t *testing.T) {
-	p := NewPace(0)
+	p := NewPacer(0)
 	p.Next(time.Second, false, true, false)
 	p.Changed()
 	if due, _ := p.Next(time.Second+ownGap, false, true, false); !due.Own {
@@ -54,7 +54,7 @@
 }
 
 func TestUrgentNewsHardlyWaits(t *testing.T) {
-	p := NewPace(0)
+	p := NewPacer(0)
 	p.Next(time.Second, true, false, false)
 	if due, wait := p.Next(time.Second+time.Millisecond, true, false, true); due.Batch || wait != urgentGap-time.Millisecond {
 		t.Errorf("%+v, %s", due, wait)
@@ -70,7 +70,7 @@
 // TestTheWaitEndsWhenSomethingIsDue: a caller that waits as it is told sends all in time.
 func TestTheWaitEndsWhenSomethingIsDue(t *testing.T) {
 	for _, passes := range []bool{false, true} {
-		p, now, sent := NewPace(0), time.Duration(0), 0
+		p, now, sent := NewPacer(0), time.Duration(0), 0
 		for now < 10*time.Second {
 			due, wait := p.Next(now, passes, true, false)
 			if due.Own || due.Batch {
--- a/internal/peers/reports.go
+++ b/internal/peers/reports.go
@@ -89,7 +89,7 @@
 // NewReports returns the reports of an exchange.
 func NewReports(e *Exchange, l Loads) *Reports {
 	r := &Reports{
-		exchange: e, loads: l, asks: newAsks[bool](), limitAsks: newAsks[quota.Verdict](), verdicts: newVerdicts(), pace: fanout.NewPace(e.now()),
+		exchange: e, loads: l, asks: newAsks[bool](), limitAsks: newAsks[quota.Verdict](), verdicts: newVerdicts(), pace: fanout.NewPacer(e.now()),
 		allowance: fanout.NewAllowance(e.self.LinkMbps, e.now()), boot: rand.Uint32(),
 	}
 	r.write = r.writeTo
