--- a/internal/fanout/pace.go
+++ b/internal/fanout/pace.go
@@ -31,10 +31,10 @@
 
 // Due is what an instance is to send.
 type Due struct {
-	// Own: its report to its receivers. Batch: a batch to its zone. Zone: its
+	// OwnReport: its report to its receivers. Batch: a batch to its zone. Zone: its
 	// zone's report to the other zones. Greet: a report to the seeds. Times: with
 	// what the engines take.
-	Own, Batch, Zone, Greet, Times bool
+	OwnReport, Batch, Zone, Greet, Times bool
 }
 
 // Pacer decides when an instance reports. It is not safe for concurrent use.
@@ -65,9 +65,9 @@
 		due.Zone = now-p.zoneAt >= p.every(zoneEvery)
 		due.Greet = now-p.greetAt >= p.greetEvery(now)
 	} else {
-		due.Own = now-p.ownAt >= p.every(p.ownEvery(now, hears))
+		due.OwnReport = now-p.ownAt >= p.every(p.ownEvery(now, hears))
 	}
-	if due.Own || due.Batch {
+	if due.OwnReport || due.Batch {
 		due.Times = now-p.timesAt >= timesEvery
 	}
 	p.sent(due, now)
@@ -103,7 +103,7 @@
 }
 
 func (p *Pacer) sent(due Due, now time.Duration) {
-	if due.Own || due.Batch {
+	if due.OwnReport || due.Batch {
 		p.changed, p.urgent, p.ownAt = false, false, now
 	}
 	if due.Batch {
--- a/internal/fanout/pace_test.go
+++ b/internal/fanout/pace_test.go
@@ -15,7 +15,7 @@
 			p.Changed()
 		}
 		due, _ := p.Next(now, passes, hears, false)
-		if due.Own {
+		if due.OwnReport {
 			own++
 		}
 		if due.Batch {
@@ -48,7 +48,7 @@
 	p := NewPacer(0)
 	p.Next(time.Second, false, true, false)
 	p.Changed()
-	if due, _ := p.Next(time.Second+ownGap, false, true, false); !due.Own {
+	if due, _ := p.Next(time.Second+ownGap, false, true, false); !due.OwnReport {
 		t.Error("a change waits")
 	}
 }
@@ -73,7 +73,7 @@
 		p, now, sent := NewPacer(0), time.Duration(0), 0
 		for now < 10*time.Second {
 			due, wait := p.Next(now, passes, true, false)
-			if due.Own || due.Batch {
+			if due.OwnReport || due.Batch {
 				sent++
 			}
 			now += max(wait, time.Millisecond)
--- a/internal/peers/reports.go
+++ b/internal/peers/reports.go
@@ -149,7 +149,7 @@
 	r.loads.SetGrantShare(r.exchange.grantShare())
 	passes, hears := r.exchange.state()
 	due, wait := r.pace.Next(r.exchange.now(), passes, hears, urgent)
-	if due.Own {
+	if due.OwnReport {
 		r.tellOwn(due.Times)
 	}
 	if due.Batch {
