--- a/internal/fanout/pace.go
+++ b/internal/fanout/pace.go
@@ -31,10 +31,10 @@
 
 // Due is what an instance is to send.
 type Due struct {
-	// OwnReport: its report to its receivers. Batch: a batch to its zone. Zone: its
+	// OwnReport: its report to its receivers. Batch: a batch to its zone. ZoneReport: its
 	// zone's report to the other zones. Greet: a report to the seeds. Times: with
 	// what the engines take.
-	OwnReport, Batch, Zone, Greet, Times bool
+	OwnReport, Batch, ZoneReport, Greet, Times bool
 }
 
 // Pacer decides when an instance reports. It is not safe for concurrent use.
@@ -62,7 +62,7 @@
 	var due Due
 	if passes {
 		due.Batch = now-p.batchAt >= p.every(batchEvery)
-		due.Zone = now-p.zoneAt >= p.every(zoneEvery)
+		due.ZoneReport = now-p.zoneAt >= p.every(zoneEvery)
 		due.Greet = now-p.greetAt >= p.greetEvery(now)
 	} else {
 		due.OwnReport = now-p.ownAt >= p.every(p.ownEvery(now, hears))
@@ -109,7 +109,7 @@
 	if due.Batch {
 		p.batchAt = now
 	}
-	if due.Zone {
+	if due.ZoneReport {
 		p.zoneAt = now
 	}
 	if due.Greet {
--- a/internal/fanout/pace_test.go
+++ b/internal/fanout/pace_test.go
@@ -21,7 +21,7 @@
 		if due.Batch {
 			batch++
 		}
-		if due.Zone {
+		if due.ZoneReport {
 			zone++
 		}
 	}
@@ -59,7 +59,7 @@
 	if due, wait := p.Next(time.Second+time.Millisecond, true, false, true); due.Batch || wait != urgentGap-time.Millisecond {
 		t.Errorf("%+v, %s", due, wait)
 	}
-	if due, _ := p.Next(time.Second+urgentGap, true, false, false); !due.Batch || !due.Zone {
+	if due, _ := p.Next(time.Second+urgentGap, true, false, false); !due.Batch || !due.ZoneReport {
 		t.Errorf("%+v", due)
 	}
 	if due, _ := p.Next(time.Second+2*urgentGap, true, false, false); due.Batch {
--- a/internal/peers/reports.go
+++ b/internal/peers/reports.go
@@ -155,7 +155,7 @@
 	if due.Batch {
 		r.tellZone(due.Times)
 	}
-	if due.Zone {
+	if due.ZoneReport {
 		r.tellZones(due.Times)
 	}
 	if due.Greet {
