--- a/internal/fanout/pace.go
+++ b/internal/fanout/pace.go
@@ -32,9 +32,9 @@
 // Due is what an instance is to send.
 type Due struct {
 	// OwnReport: its report to its receivers. Batch: a batch to its zone. ZoneReport: its
-	// zone's report to the other zones. Greet: a report to the seeds. Times: with
+	// zone's report to the other zones. SeedReport: a report to the seeds. Times: with
 	// what the engines take.
-	OwnReport, Batch, ZoneReport, Greet, Times bool
+	OwnReport, Batch, ZoneReport, SeedReport, Times bool
 }
 
 // Pacer decides when an instance reports. It is not safe for concurrent use.
@@ -63,7 +63,7 @@
 	if passes {
 		due.Batch = now-p.batchAt >= p.every(batchEvery)
 		due.ZoneReport = now-p.zoneAt >= p.every(zoneEvery)
-		due.Greet = now-p.greetAt >= p.greetEvery(now)
+		due.SeedReport = now-p.greetAt >= p.greetEvery(now)
 	} else {
 		due.OwnReport = now-p.ownAt >= p.every(p.ownEvery(now, hears))
 	}
@@ -112,7 +112,7 @@
 	if due.ZoneReport {
 		p.zoneAt = now
 	}
-	if due.Greet {
+	if due.SeedReport {
 		p.greetAt = now
 	}
 	if due.Times {
--- a/internal/peers/reports.go
+++ b/internal/peers/reports.go
@@ -158,7 +158,7 @@
 	if due.ZoneReport {
 		r.tellZones(due.Times)
 	}
-	if due.Greet {
+	if due.SeedReport {
 		r.send(r.message(sfv1.Datagram_KIND_OWN), r.exchange.seedAddresses())
 	}
 	return wait
