--- a/internal/fanout/pace.go
+++ b/internal/fanout/pace.go
@@ -32,9 +32,9 @@
 // Due is what an instance is to send.
 type Due struct {
 	// OwnReport: its report to its receivers. Batch: a batch to its zone. ZoneReport: its
-	// zone's report to the other zones. SeedReport: a report to the seeds. Times: with
+	// zone's report to the other zones. SeedReport: a report to the seeds. EngineTimes: with
 	// what the engines take.
-	OwnReport, Batch, ZoneReport, SeedReport, Times bool
+	OwnReport, Batch, ZoneReport, SeedReport, EngineTimes bool
 }
 
 // Pacer decides when an instance reports. It is not safe for concurrent use.
@@ -68,7 +68,7 @@
 		due.OwnReport = now-p.ownAt >= p.every(p.ownEvery(now, hears))
 	}
 	if due.OwnReport || due.Batch {
-		due.Times = now-p.timesAt >= timesEvery
+		due.EngineTimes = now-p.timesAt >= timesEvery
 	}
 	p.sent(due, now)
 	return due, p.wait(now, passes, hears)
@@ -115,7 +115,7 @@
 	if due.SeedReport {
 		p.greetAt = now
 	}
-	if due.Times {
+	if due.EngineTimes {
 		p.timesAt = now
 	}
 }
--- a/internal/peers/reports.go
+++ b/internal/peers/reports.go
@@ -150,13 +150,13 @@
 	passes, hears := r.exchange.state()
 	due, wait := r.pace.Next(r.exchange.now(), passes, hears, urgent)
 	if due.OwnReport {
-		r.tellOwn(due.Times)
+		r.tellOwn(due.EngineTimes)
 	}
 	if due.Batch {
-		r.tellZone(due.Times)
+		r.tellZone(due.EngineTimes)
 	}
 	if due.ZoneReport {
-		r.tellZones(due.Times)
+		r.tellZones(due.EngineTimes)
 	}
 	if due.SeedReport {
 		r.send(r.message(sfv1.Datagram_KIND_OWN), r.exchange.seedAddresses())
