--- a/internal/control/spread.go
+++ b/internal/control/spread.go
@@ -243,7 +243,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fresh.Listed(ids)
+	s.fresh.SetMembers(ids)
 	s.machine.ListChanged(peers)
 }
 
--- a/internal/freshness/freshness.go
+++ b/internal/freshness/freshness.go
@@ -75,8 +75,8 @@
 	return &State{settings: settings, self: self, started: now, contacts: map[string]contact{}}
 }
 
-// Listed takes the ids of the own instances that the platform lists.
-func (s *State) Listed(ids []string) {
+// SetMembers takes the ids of the own instances that the platform lists.
+func (s *State) SetMembers(ids []string) {
 	s.members = slices.Clone(ids)
 	slices.Sort(s.members)
 	for id := range s.contacts {
--- a/internal/freshness/freshness_test.go
+++ b/internal/freshness/freshness_test.go
@@ -15,7 +15,7 @@
 // voter returns a daemon of three that holds version 1 and read the head.
 func voter(read time.Duration) *State {
 	s := New("a", settings, 0)
-	s.Listed([]string{"c", "a", "b"})
+	s.SetMembers([]string{"c", "a", "b"})
 	s.Holds(1)
 	s.HeadRead(read, 1)
 	return s
--- a/internal/gossip/model_test.go
+++ b/internal/gossip/model_test.go
@@ -85,7 +85,7 @@
 			peers = append(peers, other.id)
 		}
 	}
-	d.fresh.Listed(ids)
+	d.fresh.SetMembers(ids)
 	d.machine.ListChanged(peers)
 }
 
