--- a/internal/control/spread.go
+++ b/internal/control/spread.go
@@ -223,7 +223,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.meters.version.Update(version)
-	s.fresh.Holds(version)
+	s.fresh.SetHeld(version)
 	s.enqueue(s.machine.Learned(version))
 }
 
--- a/internal/freshness/freshness.go
+++ b/internal/freshness/freshness.go
@@ -89,8 +89,8 @@
 // Members returns the listed own instances in order. Treat it as read-only.
 func (s *State) Members() []string { return s.members }
 
-// Holds tells the version that the daemon holds now. It never falls.
-func (s *State) Holds(version int64) {
+// SetHeld tells the version that the daemon holds now. It never falls.
+func (s *State) SetHeld(version int64) {
 	s.held = max(s.held, version)
 	s.Heard(version)
 	if s.ahead > 0 && s.held >= s.ahead {
--- a/internal/freshness/freshness_test.go
+++ b/internal/freshness/freshness_test.go
@@ -16,7 +16,7 @@
 func voter(read time.Duration) *State {
 	s := New("a", settings, 0)
 	s.SetMembers([]string{"c", "a", "b"})
-	s.Holds(1)
+	s.SetHeld(1)
 	s.HeadRead(read, 1)
 	return s
 }
@@ -38,7 +38,7 @@
 
 func TestStaleHeadIsNoEvidence(t *testing.T) {
 	s := voter(10 * second)
-	s.Holds(2)
+	s.SetHeld(2)
 	s.HeadRead(20*second, 1)
 	if s.Status(21 * second).Fresh {
 		t.Error("a head below the version held counted")
@@ -55,7 +55,7 @@
 	if s.Status(21 * second).Fresh {
 		t.Error("version 1 is fresh, and 2 was read")
 	}
-	s.Holds(2)
+	s.SetHeld(2)
 	if !s.Status(21 * second).Fresh {
 		t.Error("version 2 is not fresh")
 	}
@@ -94,7 +94,7 @@
 
 func TestRestartedPeerIsNoVoter(t *testing.T) {
 	restarted := New("b", settings, 8*second)
-	restarted.Holds(1)
+	restarted.SetHeld(1)
 	restarted.HeadRead(10*second, 1)
 	if restarted.Digest(10*second, false).Voter {
 		t.Error("it may have forgotten a Prepare whose write can still come")
--- a/internal/gossip/model_test.go
+++ b/internal/gossip/model_test.go
@@ -141,7 +141,7 @@
 	if _, ok := w.known[version]; !ok {
 		w.known[version] = w.now
 	}
-	d.fresh.Holds(version)
+	d.fresh.SetHeld(version)
 	w.carryOut(d, d.machine.Learned(version))
 }
 
