--- a/internal/control/exchange.go
+++ b/internal/control/exchange.go
@@ -53,7 +53,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := bootclock.Now()
-	s.fresh.Heard(question.Version)
+	s.fresh.NoteVersion(question.Version)
 	s.takeLeaving(now, question.Leaving)
 	digest := s.fresh.Digest(now, question.WantContacts)
 	response := &sfv1.ExchangeResponse{
--- a/internal/control/spread.go
+++ b/internal/control/spread.go
@@ -231,7 +231,7 @@
 func (s *spreader) offered(version int64) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fresh.Heard(version)
+	s.fresh.NoteVersion(version)
 	return s.machine.PeerOffered(bootclock.Now(), version)
 }
 
--- a/internal/freshness/freshness.go
+++ b/internal/freshness/freshness.go
@@ -92,22 +92,22 @@
 // SetHeld tells the version that the daemon holds now. It never falls.
 func (s *State) SetHeld(version int64) {
 	s.held = max(s.held, version)
-	s.Heard(version)
+	s.NoteVersion(version)
 	if s.ahead > 0 && s.held >= s.ahead {
 		s.see(s.aheadAt)
 		s.ahead = 0
 	}
 }
 
-// Heard tells of a version that exists, from whichever source.
-func (s *State) Heard(version int64) {
+// NoteVersion tells of a version that exists, from whichever source.
+func (s *State) NoteVersion(version int64) {
 	s.heard = max(s.heard, version)
 }
 
 // HeadRead takes a read of the head that was sent at a time. A read of a
 // version above the one held counts once that is held; one below it is stale.
 func (s *State) HeadRead(sent time.Duration, head int64) {
-	s.Heard(head)
+	s.NoteVersion(head)
 	if head >= s.held {
 		s.headWas(head, sent-s.settings.ReadLag)
 	}
--- a/internal/gossip/model_test.go
+++ b/internal/gossip/model_test.go
@@ -168,7 +168,7 @@
 		to := w.byID(a.Peer)
 		version := d.held
 		w.ask(d, to, func() func() {
-			to.fresh.Heard(version)
+			to.fresh.NoteVersion(version)
 			digest := to.fresh.Digest(w.clock(to), true)
 			return func() {
 				d.fresh.Answered(sent, w.clock(d), to.id, digest)
@@ -178,7 +178,7 @@
 	case gossip.Offer:
 		to, version := w.byID(a.Peer), d.held
 		w.ask(d, to, func() func() {
-			to.fresh.Heard(version)
+			to.fresh.NoteVersion(version)
 			answer := to.machine.PeerOffered(w.clock(to), version)
 			return func() { w.carryOut(d, d.machine.PeerAnswered(w.clock(d), to.id, answer)) }
 		})
