--- a/internal/control/exchange.go
+++ b/internal/control/exchange.go
@@ -87,7 +87,7 @@
 	if len(members) == 0 {
 		members = s.fresh.Members()
 	}
-	s.fresh.Answered(sent, now, id, freshness.Digest{
+	s.fresh.MergeAnswer(sent, now, id, freshness.Digest{
 		Version: msg.Version, Seen: msg.TableSeen, SeenAge: millis(msg.TableAgeMs),
 		Promised: msg.Promised, PromisedAge: millis(msg.PromisedAgeMs), Voter: msg.Voter,
 		Contacts: decodeContacts(members, msg.Contacts),
--- a/internal/freshness/digest.go
+++ b/internal/freshness/digest.go
@@ -41,9 +41,9 @@
 	return d
 }
 
-// Answered takes a peer's answer to a question that was sent at a time. A peer
+// MergeAnswer takes a peer's answer to a question that was sent at a time. A peer
 // that holds a newer version proves nothing until that is held here too.
-func (s *State) Answered(sent, now time.Duration, peer string, d Digest) {
+func (s *State) MergeAnswer(sent, now time.Duration, peer string, d Digest) {
 	s.NoteVersion(d.Version)
 	if d.Promised > 0 {
 		s.promise(d.Promised, now-d.PromisedAge)
--- a/internal/freshness/freshness_test.go
+++ b/internal/freshness/freshness_test.go
@@ -63,15 +63,15 @@
 
 func TestMajorityServesUntilOneHeardOfAVersion(t *testing.T) {
 	s := voter(10 * second)
-	s.Answered(20*second, 20*second, "b", answers(0))
+	s.MergeAnswer(20*second, 20*second, "b", answers(0))
 	if status := s.Status(24 * second); !status.Fresh || status.By != "majority" {
 		t.Errorf("two of three: %+v", status)
 	}
-	s.Answered(21*second, 21*second, "b", answers(2))
+	s.MergeAnswer(21*second, 21*second, "b", answers(2))
 	if s.Status(22 * second).Fresh {
 		t.Error("version 2 may have been accepted")
 	}
-	s.Answered(21*second, 21*second, "c", answers(0))
+	s.MergeAnswer(21*second, 21*second, "c", answers(0))
 	if status := s.Status(22 * second); !status.Fresh || status.By != "all" {
 		t.Errorf("all three answer, and none holds version 2: %+v", status)
 	}
@@ -81,12 +81,12 @@
 	s := voter(10 * second)
 	s.Prepare(20*second, 2)
 	s.HeadRead(21*second, 1) // the write may still come
-	s.Answered(30*second, 30*second, "b", answers(0))
+	s.MergeAnswer(30*second, 30*second, "b", answers(0))
 	if s.Status(31 * second).Fresh {
 		t.Error("a read right after the Prepare settled it")
 	}
 	s.HeadRead(25*second, 1)
-	s.Answered(35*second, 35*second, "b", answers(0))
+	s.MergeAnswer(35*second, 35*second, "b", answers(0))
 	if !s.Status(36 * second).Fresh {
 		t.Error("a read after accept_within did not settle it")
 	}
--- a/internal/gossip/model_test.go
+++ b/internal/gossip/model_test.go
@@ -171,7 +171,7 @@
 			to.fresh.NoteVersion(version)
 			digest := to.fresh.Digest(w.clock(to), true)
 			return func() {
-				d.fresh.Answered(sent, w.clock(d), to.id, digest)
+				d.fresh.MergeAnswer(sent, w.clock(d), to.id, digest)
 				w.carryOut(d, d.machine.PeerAnswered(w.clock(d), to.id, digest.Version))
 			}
 		})
