--- a/internal/control/accept.go
+++ b/internal/control/accept.go
@@ -25,7 +25,7 @@
 	d.members.refresh(ctx)
 	members := d.members.own()
 	answered := d.prepareAll(ctx, members, version)
-	needed := freshness.Needed(len(members))
+	needed := freshness.Majority(len(members))
 	if len(members) == 0 || answered < needed {
 		d.log.Warn("spread: not accepted, no majority", "version", version, "answered", answered, "listed", len(members))
 		return ctx, func() {}, errors.WithMessagef(ErrNoMajority, "%d of %d listed answer, %d are needed", answered, len(members), needed)
@@ -47,7 +47,7 @@
 		if <-answers {
 			answered++
 		}
-		if answered >= freshness.Needed(len(members)) {
+		if answered >= freshness.Majority(len(members)) {
 			break
 		}
 	}
--- a/internal/freshness/freshness.go
+++ b/internal/freshness/freshness.go
@@ -193,15 +193,15 @@
 	return best
 }
 
-// Needed is how many of a number of listed instances are a majority.
-func Needed(listed int) int { return listed/2 + 1 }
+// Majority is how many of a number of listed instances are a majority.
+func Majority(listed int) int { return listed/2 + 1 }
 
 // byMajority returns until when the answers of a majority are good.
 func (s *State) byMajority(now time.Duration) (time.Duration, bool) {
 	if len(s.members) == 0 || s.heard > s.held || s.open() {
 		return 0, false
 	}
-	return s.nthContact(now, Needed(len(s.members)))
+	return s.nthContact(now, Majority(len(s.members)))
 }
 
 // byAll returns until when the answers of all listed instances are good.
@@ -251,7 +251,7 @@
 		return fmt.Sprintf("%s; version %d may have been accepted, held is %d", table, s.promised, s.held)
 	}
 	return fmt.Sprintf("%s; %d of %d listed instances answer, a majority is %d",
-		table, s.answering(now), len(s.members), Needed(len(s.members)))
+		table, s.answering(now), len(s.members), Majority(len(s.members)))
 }
 
 func (s *State) answering(now time.Duration) int {
--- a/internal/gossip/model_test.go
+++ b/internal/gossip/model_test.go
@@ -212,7 +212,7 @@
 	d.fresh.Prepare(w.clock(d), version)
 	count := func() {
 		answered++
-		if answered == freshness.Needed(len(w.nodes)) {
+		if answered == freshness.Majority(len(w.nodes)) {
 			w.commit(d, version, started)
 		}
 	}
