--- a/internal/control/daemon.go
+++ b/internal/control/daemon.go
@@ -141,7 +141,7 @@
 		http.Error(w, status.Reason, http.StatusServiceUnavailable)
 		return
 	}
-	fmt.Fprintf(w, "ready, fresh by %s\n", status.By)
+	fmt.Fprintf(w, "ready, fresh by %s\n", status.Rule)
 }
 
 // engineAt returns the client for an engine's address.
--- a/internal/control/spread.go
+++ b/internal/control/spread.go
@@ -125,7 +125,7 @@
 	s.wasFresh = status.Fresh
 	if status.Fresh {
 		s.meters.fresh.Update(1)
-		s.log.Info("spread: the configuration is the newest", "by", status.By)
+		s.log.Info("spread: the configuration is the newest", "by", status.Rule)
 		return
 	}
 	s.meters.fresh.Update(0)
--- a/internal/freshness/freshness.go
+++ b/internal/freshness/freshness.go
@@ -165,8 +165,8 @@
 	Fresh bool
 	// Until is when the evidence ends.
 	Until time.Duration
-	// By names the rule that Until follows from: "table", "majority" or "all".
-	By string
+	// Rule names the rule that Until follows from: "table", "majority" or "all".
+	Rule string
 	// Reason says why it is not fresh.
 	Reason string
 }
@@ -176,15 +176,15 @@
 	if s.held == 0 {
 		return Status{Reason: "no configuration known yet"}
 	}
-	best := Status{Until: s.seenAt + s.settings.FreshFor, By: "table"}
+	best := Status{Until: s.seenAt + s.settings.FreshFor, Rule: "table"}
 	if !s.seen {
 		best.Until = -1
 	}
 	if until, ok := s.byMajority(now); ok && until > best.Until {
-		best = Status{Until: until, By: "majority"}
+		best = Status{Until: until, Rule: "majority"}
 	}
 	if until, ok := s.byAll(now); ok && until > best.Until {
-		best = Status{Until: until, By: "all"}
+		best = Status{Until: until, Rule: "all"}
 	}
 	best.Fresh = best.Until > now
 	if !best.Fresh {
--- a/internal/freshness/freshness_test.go
+++ b/internal/freshness/freshness_test.go
@@ -28,7 +28,7 @@
 
 func TestFreshByTableEnds(t *testing.T) {
 	s := voter(10 * second)
-	if status := s.Status(14 * second); !status.Fresh || status.By != "table" || status.Until != 14*second+second/2 {
+	if status := s.Status(14 * second); !status.Fresh || status.Rule != "table" || status.Until != 14*second+second/2 {
 		t.Errorf("within the time: %+v", status)
 	}
 	if status := s.Status(15 * second); status.Fresh || !strings.Contains(status.Reason, "0 of 3") && !strings.Contains(status.Reason, "1 of 3") {
@@ -64,7 +64,7 @@
 func TestMajorityServesUntilOneHeardOfAVersion(t *testing.T) {
 	s := voter(10 * second)
 	s.MergeAnswer(20*second, 20*second, "b", answers(0))
-	if status := s.Status(24 * second); !status.Fresh || status.By != "majority" {
+	if status := s.Status(24 * second); !status.Fresh || status.Rule != "majority" {
 		t.Errorf("two of three: %+v", status)
 	}
 	s.MergeAnswer(21*second, 21*second, "b", answers(2))
@@ -72,7 +72,7 @@
 		t.Error("version 2 may have been accepted")
 	}
 	s.MergeAnswer(21*second, 21*second, "c", answers(0))
-	if status := s.Status(22 * second); !status.Fresh || status.By != "all" {
+	if status := s.Status(22 * second); !status.Fresh || status.Rule != "all" {
 		t.Errorf("all three answer, and none holds version 2: %+v", status)
 	}
 }
--- a/internal/gossip/model_test.go
+++ b/internal/gossip/model_test.go
@@ -283,11 +283,11 @@
 	}
 	next := d.held + 1
 	since, exists := w.committed[next]
-	if status.By == "all" {
+	if status.Rule == "all" {
 		since, exists = w.known[next]
 	}
 	if exists && w.now > since+modelFresh.FreshFor {
-		w.t.Fatalf("%s serves version %d, by %s, %s after version %d was accepted", d.id, d.held, status.By, w.now-since, next)
+		w.t.Fatalf("%s serves version %d, by %s, %s after version %d was accepted", d.id, d.held, status.Rule, w.now-since, next)
 	}
 }
 
