--- a/internal/freshness/digest.go
+++ b/internal/freshness/digest.go
@@ -6,9 +6,9 @@
 type Digest struct {
 	// Version that the daemon holds.
 	Version int64
-	// Seen and SeenAge tell of the newest known read of the head: no version
+	// HeadSeen and SeenAge tell of the newest known read of the head: no version
 	// above Version had been accepted then.
-	Seen    bool
+	HeadSeen    bool
 	SeenAge time.Duration
 	// Promised and PromisedAge tell of the highest prepared version.
 	Promised    int64
@@ -28,7 +28,7 @@
 // Digest returns what to tell a peer now.
 func (s *State) Digest(now time.Duration, withContacts bool) Digest {
 	d := Digest{
-		Version: s.held, Seen: s.seen, SeenAge: now - s.seenAt,
+		Version: s.held, HeadSeen: s.seen, SeenAge: now - s.seenAt,
 		Promised: s.promised, PromisedAge: now - s.promisedAt, Voter: s.Voter(),
 	}
 	if !withContacts || s.heard > s.held {
@@ -48,7 +48,7 @@
 	if d.Promised > 0 {
 		s.promise(d.Promised, now-d.PromisedAge)
 	}
-	if d.Seen {
+	if d.HeadSeen {
 		s.headWas(d.Version, sent-d.SeenAge)
 	}
 	s.met(peer, contact{at: sent, voter: d.Voter})
