--- a/internal/control/exchange.go
+++ b/internal/control/exchange.go
@@ -58,7 +58,7 @@
 	digest := s.fresh.Digest(now, question.WantContacts)
 	response := &sfv1.ExchangeResponse{
 		Version: digest.Version, Voter: digest.Voter,
-		TableSeen: digest.HeadSeen, TableAgeMs: ceilMs(digest.SeenAge),
+		TableSeen: digest.HeadSeen, TableAgeMs: ceilMs(digest.HeadAge),
 		Promised: digest.Promised, PromisedAgeMs: digest.PromisedAge.Milliseconds(),
 		Leaving: leavingMessage(s.leaving.Ages(now)),
 	}
@@ -88,7 +88,7 @@
 		members = s.fresh.Members()
 	}
 	s.fresh.MergeAnswer(sent, now, id, freshness.Digest{
-		Version: msg.Version, HeadSeen: msg.TableSeen, SeenAge: millis(msg.TableAgeMs),
+		Version: msg.Version, HeadSeen: msg.TableSeen, HeadAge: millis(msg.TableAgeMs),
 		Promised: msg.Promised, PromisedAge: millis(msg.PromisedAgeMs), Voter: msg.Voter,
 		Contacts: decodeContacts(members, msg.Contacts),
 	})
--- a/internal/freshness/digest.go
+++ b/internal/freshness/digest.go
@@ -9,7 +9,7 @@
 	// HeadSeen and SeenAge tell of the newest known read of the head: no version
 	// above Version had been accepted then.
 	HeadSeen    bool
-	SeenAge time.Duration
+	HeadAge time.Duration
 	// Promised and PromisedAge tell of the highest prepared version.
 	Promised    int64
 	PromisedAge time.Duration
@@ -28,7 +28,7 @@
 // Digest returns what to tell a peer now.
 func (s *State) Digest(now time.Duration, withContacts bool) Digest {
 	d := Digest{
-		Version: s.held, HeadSeen: s.seen, SeenAge: now - s.seenAt,
+		Version: s.held, HeadSeen: s.seen, HeadAge: now - s.seenAt,
 		Promised: s.promised, PromisedAge: now - s.promisedAt, Voter: s.Voter(),
 	}
 	if !withContacts || s.heard > s.held {
@@ -49,7 +49,7 @@
 		s.promise(d.Promised, now-d.PromisedAge)
 	}
 	if d.HeadSeen {
-		s.headWas(d.Version, sent-d.SeenAge)
+		s.headWas(d.Version, sent-d.HeadAge)
 	}
 	s.met(peer, contact{at: sent, voter: d.Voter})
 	for id, c := range d.Contacts {
