--- a/internal/freshness/digest.go
+++ b/internal/freshness/digest.go
@@ -8,8 +8,8 @@
 	Version int64
 	// HeadSeen and SeenAge tell of the newest known read of the head: no version
 	// above Version had been accepted then.
-	HeadSeen    bool
-	HeadAge time.Duration
+	HeadSeen bool
+	HeadAge  time.Duration
 	// Promised and PromisedAge tell of the highest prepared version.
 	Promised    int64
 	PromisedAge time.Duration
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -166,8 +166,8 @@
 // now is the time on the exchange's clock.
 func (e *Exchange) now() time.Duration { return e.clock() }
 
-// News has the reports tell of new rows at once.
-func (e *Exchange) News() {
+// NotifyNewRows has the reports announce new rows at once.
+func (e *Exchange) NotifyNewRows() {
 	select {
 	case e.news <- struct{}{}:
 	default: // it is woken already
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -56,7 +56,7 @@
 	news := n.rows.Apply(rows, 0)
 	n.mu.Unlock()
 	if len(news) > 0 {
-		n.News()
+		n.NotifyNewRows()
 	}
 }
 
