--- a/internal/entry/contents.go
+++ b/internal/entry/contents.go
@@ -51,7 +51,7 @@
 func (c *contents) apart(content quarantine.Content) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.table.Apart(content, bootclock.Now())
+	return c.table.Quarantined(content, bootclock.Now())
 }
 
 // ended counts the end of an engine's boot against a content.
@@ -59,19 +59,19 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := bootclock.Now()
-	c.table.Lapse(now)
-	for _, lapsed := range c.table.Lapsed(now) {
+	c.table.Expire(now)
+	for _, lapsed := range c.table.Expired(now) {
 		c.table.Release(lapsed)
 	}
-	apart = c.table.Note(quarantine.End{Content: content, Upstream: uint32(xxhash.Sum64String(boot))}, now)
-	return apart, c.table.Ends(content)
+	apart = c.table.RecordCrash(quarantine.Crash{Content: content, Upstream: uint32(xxhash.Sum64String(boot))}, now)
+	return apart, c.table.Crashes(content)
 }
 
 // served notes that a content was answered whole.
 func (c *contents) served(content quarantine.Content) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.table.Served(content, bootclock.Now())
+	c.table.RecordServed(content, bootclock.Now())
 }
 
 // setApart is the refusal of a request that no engine may get. Its caller is not told to
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -81,7 +81,7 @@
 	relay    *relay.Relay
 	follower *rowsync.Follower
 	peers    *peers.Exchange
-	reports  *peers.Reports
+	reports  *peers.Reporter
 	limits   atomic.Pointer[routes.Limits]
 	budget   atomic.Pointer[relay.BudgetSettings]
 	started  time.Time
@@ -94,9 +94,9 @@
 	in.follower = rowsync.New(s.Follow, a.Feed, in.changed, logging.Part(log, "follow"))
 	in.peers = peers.New(s.Self, s.Seeds, in.follower, logging.Part(log, "peers"))
 	in.follower.Join(in.peers)
-	in.reports = peers.NewReports(in.peers, in.relay)
-	in.relay.SetPoolRequester(in.reports.Ask)
-	in.relay.SetGrantRequester(in.reports.AskLimit)
+	in.reports = peers.NewReporter(in.peers, in.relay)
+	in.relay.SetPoolRequester(in.reports.RequestRetry)
+	in.relay.SetGrantRequester(in.reports.RequestGrant)
 	in.budget.Store(&s.Relay.Budget)
 	in.limits.Store(&routes.Limits{})
 	in.settings.Front.Limits = in.limitsInForce
@@ -142,7 +142,7 @@
 	for _, address := range seeds {
 		list = append(list, peers.Peer{Address: address})
 	}
-	in.peers.Meet(list)
+	in.peers.AddPeers(list)
 	in.budget.Store(&budget)
 }
 
@@ -169,10 +169,10 @@
 		settings := *in.budget.Load()
 		in.relay.SetBudget(settings)
 		members := 0
-		if in.peers.PassesFor() >= poolFrom {
-			members = in.peers.Members()
+		if in.peers.HubDuration() >= poolFrom {
+			members = in.peers.ZoneInstanceCount()
 		}
-		in.relay.SetPool(settings, members, in.peers.Count())
+		in.relay.SetPool(settings, members, in.peers.InstanceCount())
 	}
 }
 
--- a/internal/peers/fleet_test.go
+++ b/internal/peers/fleet_test.go
@@ -42,7 +42,7 @@
 }
 
 type virtualNode struct {
-	*Reports
+	*Reporter
 	loads *virtualLoads
 	up    bool
 	// frozen: it stands still, and reads what comes once it goes on.
@@ -58,18 +58,18 @@
 	now     func() time.Duration
 	changed chan struct{}
 	granted int
-	grants  *quota.Grants
+	grants  *quota.Coordinator
 }
 
 func newVirtualLoads(now func() time.Duration) *virtualLoads {
-	l := &virtualLoads{now: now, changed: make(chan struct{}, 1), grants: quota.NewGrants()}
+	l := &virtualLoads{now: now, changed: make(chan struct{}, 1), grants: quota.NewCoordinator()}
 	l.State = upstreamstate.New(upstreamstate.Settings{Seed: 1, OnChange: func() {
 		select {
 		case l.changed <- struct{}{}:
 		default: // it is told already
 		}
 	}})
-	l.Learn(upstreamstate.Upstream{ID: "e", Service: "s", Role: "decode"})
+	l.UpdateUpstream(upstreamstate.Upstream{ID: "e", Service: "s", Role: "decode"})
 	return l
 }
 
@@ -77,10 +77,10 @@
 func (l *virtualLoads) OwnReport() upstreamstate.Report  { return l.State.OwnReport(l.now()) }
 func (l *virtualLoads) ZoneReport() upstreamstate.Report { return l.State.ZoneReport(l.now()) }
 func (l *virtualLoads) OtherZonesReport() upstreamstate.Report {
-	return l.State.BeyondReport(l.now())
+	return l.State.OtherZonesReport(l.now())
 }
 func (l *virtualLoads) ApplyReport(source string, report upstreamstate.Report) {
-	l.State.TakeReport(source, report, l.now())
+	l.State.ApplyReport(source, report, l.now())
 }
 
 // SetBehind is not played.
@@ -90,14 +90,14 @@
 func (l *virtualLoads) GrantRetry(uint32) bool { l.granted++; return true }
 
 // Limits and HearLimits are not played: these instances do not pull.
-func (l *virtualLoads) Limits() []quota.Word           { return nil }
-func (l *virtualLoads) ApplyLimits([]quota.Word, bool) {}
+func (l *virtualLoads) Limits() []quota.UpstreamLimit           { return nil }
+func (l *virtualLoads) ApplyLimits([]quota.UpstreamLimit, bool) {}
 
 // SetGrantShare takes what this instance gives out.
-func (l *virtualLoads) SetGrantShare(share float64) { l.grants.Keep(share, l.now()) }
+func (l *virtualLoads) SetGrantShare(share float64) { l.grants.SetShare(share, l.now()) }
 
 // DecideGrant decides as an instance does.
-func (l *virtualLoads) DecideGrant(ask quota.Ask) quota.Verdict {
+func (l *virtualLoads) DecideGrant(ask quota.GrantRequest) quota.Verdict {
 	return l.grants.Decide(l.State, ask, l.now())
 }
 
@@ -115,12 +115,12 @@
 }
 
 func (noRows) Revisions() map[string]int64 { return nil }
-func (noRows) Informed() []string          { return nil }
+func (noRows) LoadedTables() []string      { return nil }
 
-func (noRows) Inform([]string) {}
+func (noRows) MarkTablesLoaded([]string) {}
 
 func (noRows) Since(map[string]int64) ([]replica.Row, time.Duration) { return nil, 0 }
-func (noRows) Take([]replica.Row, time.Duration)                     {}
+func (noRows) ApplyRows([]replica.Row, time.Duration)                {}
 func (r noRows) Reading() bool                                       { return *r.reading }
 
 func newVirtualFleet(instances, zones int, loss float64, seed uint64) *virtualFleet {
@@ -155,9 +155,9 @@
 	began := f.now
 	clock := func() time.Duration { return f.now - began }
 	e, loads := newExchange(self, seeds, noRows{&f.reading}, quiet(), clock), newVirtualLoads(clock)
-	r := NewReports(e, loads)
+	r := NewReporter(e, loads)
 	n := f.nodes[i]
-	*n = virtualNode{Reports: r, loads: loads, up: true, next: f.now + time.Duration(f.rng.Int64N(int64(300*time.Millisecond)))}
+	*n = virtualNode{Reporter: r, loads: loads, up: true, next: f.now + time.Duration(f.rng.Int64N(int64(300*time.Millisecond)))}
 	addr := netip.MustParseAddrPort(self.Address)
 	f.byAddr[addr] = n
 	r.write = func(data []byte, to netip.AddrPort) error {
@@ -234,7 +234,7 @@
 func (f *virtualFleet) hubs() map[string]int {
 	hubs := map[string]int{}
 	for _, n := range f.nodes {
-		if n.up && n.exchange.Passes() {
+		if n.up && n.exchange.IsHub() {
 			hubs[n.exchange.self.Zone]++
 		}
 	}
@@ -284,8 +284,8 @@
 			t.Errorf("%d instances: %v pass reports on", c.instances, hubs)
 		}
 		for _, n := range f.nodes {
-			if n.exchange.Count() < c.instances {
-				t.Fatalf("%d instances: %d counted", c.instances, n.exchange.Count())
+			if n.exchange.InstanceCount() < c.instances {
+				t.Fatalf("%d instances: %d counted", c.instances, n.exchange.InstanceCount())
 			}
 		}
 		f.sent, f.bytes, f.crossed = 0, 0, 0
@@ -319,7 +319,7 @@
 			t.Errorf("%v pass reports on", hubs)
 		}
 		for _, n := range f.nodes {
-			if !n.up || !n.exchange.Passes() {
+			if !n.up || !n.exchange.IsHub() {
 				continue
 			}
 			if self := n.exchange.self; (self.LinkMbps == 10) != narrow {
@@ -327,7 +327,7 @@
 			}
 		}
 		for _, n := range f.nodes {
-			if n.up && n.exchange.Passes() {
+			if n.up && n.exchange.IsHub() {
 				n.up = false
 			}
 		}
@@ -344,7 +344,7 @@
 	for range 2 {
 		f.loss = 0.025
 		for _, n := range f.nodes {
-			if n.up && n.exchange.Passes() {
+			if n.up && n.exchange.IsHub() {
 				n.up = false
 			}
 		}
@@ -403,7 +403,7 @@
 		f.run(100 * time.Millisecond)
 		asking := 0
 		for _, n := range f.nodes {
-			if n.exchange.ShouldRead() {
+			if n.exchange.ShouldReadStore() {
 				had[n] = true
 				asking++
 			}
@@ -432,11 +432,11 @@
 		f.run(settleIn)
 		told := f.nodes[c.instances/2].loads
 		u := told.Upstream("e")
-		told.Announced(u, quota.Announcement{Leaving: true}, told.now())
+		told.Announced(u, quota.Announcement{Draining: true}, told.now())
 		f.run(within)
 		unaware := 0
 		for _, n := range f.nodes {
-			if !n.loads.Leaves(u) {
+			if !n.loads.IsDraining(u) {
 				unaware++
 			}
 		}
--- a/internal/peers/grants.go
+++ b/internal/peers/grants.go
@@ -100,16 +100,16 @@
 	return cutOffShare * float64(reached) / float64(all)
 }
 
-// AskLimit asks the coordinator for one send to an upstream with a limit. Without a word in
+// RequestGrant asks the coordinator for one send to an upstream with a limit. Without a word in
 // time there is none.
-func (r *Reports) AskLimit(ctx context.Context, ask quota.Ask) quota.Verdict {
+func (r *Reporter) RequestGrant(ctx context.Context, ask quota.GrantRequest) quota.Verdict {
 	ask.From = uint64(r.exchange.id)
 	coordinator := r.exchange.coordinator()
 	if coordinator == r.exchange.self.Address {
 		return r.loads.DecideGrant(ask)
 	}
 	if coordinator == "" {
-		return quota.Verdict{RetryIn: quota.NoWordRetry}
+		return quota.Verdict{RetryIn: quota.NoCoordinatorRetry}
 	}
 	id, answer := r.limitAsks.begin()
 	defer r.limitAsks.end(id)
@@ -125,25 +125,25 @@
 			r.sendLimitAsk(id, ask, coordinator)
 		case <-timer.C:
 			r.exchange.log.Info("peers: no word from the coordinator of the grants", "coordinator", coordinator)
-			return quota.Verdict{RetryIn: quota.NoWordRetry}
+			return quota.Verdict{RetryIn: quota.NoCoordinatorRetry}
 		case <-ctx.Done():
-			return quota.Verdict{RetryIn: quota.NoWordRetry}
+			return quota.Verdict{RetryIn: quota.NoCoordinatorRetry}
 		}
 	}
 }
 
-func (r *Reports) sendLimitAsk(id uint64, ask quota.Ask, to string) {
+func (r *Reporter) sendLimitAsk(id uint64, ask quota.GrantRequest, to string) {
 	message := r.message(sfv1.Datagram_KIND_LIMIT_ASK)
 	message.LimitAsk = &sfv1.LimitAsk{
-		Id: id, Limit: limitToMessage(ask.Word), FirstHand: ask.FirstHand, Priority: uint32(max(0, ask.Priority)), Continues: ask.Continues,
+		Id: id, Limit: limitToMessage(ask.Limit), FirstHand: ask.FirstHand, Priority: uint32(max(0, ask.Priority)), Continues: ask.Continues,
 	}
 	r.send(message, []string{to})
 }
 
 // takeLimitAsk answers a question for a send to an upstream with a limit.
-func (r *Reports) takeLimitAsk(m *sfv1.LimitAsk, k *known) {
-	ask := quota.Ask{
-		From: uint64(k.ID()), Word: limitFromMessage(m.GetLimit()), FirstHand: m.GetFirstHand(), Priority: int(m.GetPriority()), Continues: m.GetContinues(),
+func (r *Reporter) takeLimitAsk(m *sfv1.LimitAsk, k *known) {
+	ask := quota.GrantRequest{
+		From: uint64(k.ID()), Limit: limitFromMessage(m.GetLimit()), FirstHand: m.GetFirstHand(), Priority: int(m.GetPriority()), Continues: m.GetContinues(),
 	}
 	verdict := r.verdicts.of(question{k.ID(), m.GetId()}, r.exchange.now(), func() quota.Verdict { return r.loads.DecideGrant(ask) })
 	reply := r.message(sfv1.Datagram_KIND_LIMIT_VERDICT)
--- a/internal/peers/limit_test.go
+++ b/internal/peers/limit_test.go
@@ -81,7 +81,7 @@
 func (f *limitedFleet) list() {
 	for _, n := range f.nodes {
 		for _, u := range f.upstreams {
-			n.loads.Learn(u.Upstream)
+			n.loads.UpdateUpstream(u.Upstream)
 		}
 	}
 }
@@ -121,27 +121,27 @@
 	n := c.node
 	for {
 		now := n.loads.now()
-		chosen, ok := n.loads.PickCall(upstreamstate.PlacementRequest{ID: c.id, Service: "app", Excluded: c.excluded}, now)
+		chosen, ok := n.loads.PickServiceUpstream(upstreamstate.PlacementRequest{ID: c.id, Service: "app", Excluded: c.excluded}, now)
 		if !ok {
 			f.refused++
 			return
 		}
-		n.loads.End(chosen.ID, c.id, now)
+		n.loads.RequestDone(chosen.ID, c.id, now)
 		u := f.upstreams[slices.IndexFunc(f.upstreams, func(u *limitedUpstream) bool { return u.ID == chosen.ID })]
 		word, firstHand, _ := n.loads.Limit(chosen.Incarnation(), now)
-		if !word.Limits() {
+		if !word.Limited() {
 			f.arrives(c, u)
 			return
 		}
 		f.asked++
-		ask := quota.Ask{Word: word, FirstHand: firstHand, From: uint64(n.exchange.id)}
+		ask := quota.GrantRequest{Limit: word, FirstHand: firstHand, From: uint64(n.exchange.id)}
 		switch coordinator := n.exchange.coordinator(); coordinator {
 		case n.exchange.self.Address:
 			if f.decided(c, u, n.loads.DecideGrant(ask)) {
 				return
 			}
 		case "":
-			f.decided(c, u, quota.Verdict{RetryIn: quota.NoWordRetry})
+			f.decided(c, u, quota.Verdict{RetryIn: quota.NoCoordinatorRetry})
 		default:
 			c.asks, c.until = u, f.now+limitAskTimeout
 			c.ask, c.answer = n.limitAsks.begin()
@@ -161,7 +161,7 @@
 		return true
 	}
 	c.excluded[u.ID] = true
-	c.node.loads.Spent(u.Incarnation(), 0, c.node.loads.now()+max(v.RetryIn, time.Millisecond))
+	c.node.loads.MarkExhausted(u.Incarnation(), 0, c.node.loads.now()+max(v.RetryIn, time.Millisecond))
 	return false
 }
 
@@ -181,7 +181,7 @@
 			f.open = append(f.open, c)
 			continue
 		}
-		verdict, came := quota.Verdict{RetryIn: quota.NoWordRetry}, false
+		verdict, came := quota.Verdict{RetryIn: quota.NoCoordinatorRetry}, false
 		if f.now < c.until {
 			select {
 			case verdict = <-c.answer:
@@ -320,7 +320,7 @@
 func (f *limitedFleet) coordinatorOf(t *testing.T) int {
 	t.Helper()
 	for i, n := range f.nodes {
-		if n.up && n.loads.grants.Coordinates(n.loads.now()) {
+		if n.up && n.loads.grants.Active(n.loads.now()) {
 			return i
 		}
 	}
@@ -362,7 +362,7 @@
 		},
 		allHubs: func(_ *testing.T, f *limitedFleet) {
 			for _, n := range f.nodes {
-				n.up = !n.exchange.Passes()
+				n.up = !n.exchange.IsHub()
 			}
 		},
 		standsStill: func(t *testing.T, f *limitedFleet) {
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -45,12 +45,12 @@
 	// Since returns the rows above revisions, and for how much longer
 	// deletions are not believed.
 	Since(revisions map[string]int64) ([]replica.Row, time.Duration)
-	// Take gets rows that came from a peer.
-	Take(rows []replica.Row, hold time.Duration)
-	// Informed lists the tables that are known, Inform takes those that a peer knows
+	// ApplyRows gets rows that came from a peer.
+	ApplyRows(rows []replica.Row, hold time.Duration)
+	// LoadedTables lists the tables that are known, Inform takes those that a peer knows
 	// which gave all its rows.
-	Informed() []string
-	Inform(tables []string)
+	LoadedTables() []string
+	MarkTablesLoaded(tables []string)
 	// Reading tells whether this instance follows the store, and it answers.
 	Reading() bool
 }
@@ -166,13 +166,13 @@
 // now is the time on the exchange's clock.
 func (e *Exchange) now() time.Duration { return e.clock() }
 
-// NotifyNewRows has the reports announce new rows at once.
-func (e *Exchange) NotifyNewRows() {
+// NotifyRows has the reports tell of new rows at once.
+func (e *Exchange) NotifyRows() {
 	select {
 	case e.news <- struct{}{}:
 	default: // it is woken already
 	}
 }
 
-// ErrNobody: no peer could be asked.
-var ErrNobody = errors.New("peers: nobody to ask")
+// ErrNoPeer: no peer could be asked.
+var ErrNoPeer = errors.New("peers: nobody to ask")
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -24,7 +24,7 @@
 type node struct {
 	*Exchange
 	relay   *relay.Relay
-	reports *Reports
+	reports *Reporter
 	sender  *heldSender
 	stop    func()
 
@@ -47,16 +47,16 @@
 	return n.rows.Since(revisions), 0
 }
 
-func (n *node) Informed() []string { return nil }
+func (n *node) LoadedTables() []string { return nil }
 
-func (n *node) Inform([]string) {}
+func (n *node) MarkTablesLoaded([]string) {}
 
-func (n *node) Take(rows []replica.Row, _ time.Duration) {
+func (n *node) ApplyRows(rows []replica.Row, _ time.Duration) {
 	n.mu.Lock()
 	news := n.rows.Apply(rows, 0)
 	n.mu.Unlock()
 	if len(news) > 0 {
-		n.NotifyNewRows()
+		n.NotifyRows()
 	}
 }
 
@@ -83,7 +83,7 @@
 	n.Exchange = New(self, seeds, n, quiet())
 	_, server.Config.Handler = n.Handler()
 	server.Start()
-	n.reports = NewReports(n.Exchange, n.relay)
+	n.reports = NewReporter(n.Exchange, n.relay)
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -129,7 +129,7 @@
 	for _, n := range all {
 		waitFor(func() bool {
 			_ = n.Pull(context.Background()) // tried again
-			return n.Count() == len(all)
+			return n.InstanceCount() == len(all)
 		})
 	}
 	return all
@@ -138,7 +138,7 @@
 func TestNewsReachesAll(t *testing.T) {
 	all := fleet(t)
 	for i, n := range all {
-		n.Take(news(int64(7+i)), 0)
+		n.ApplyRows(news(int64(7+i)), 0)
 		for _, other := range all {
 			waitFor(func() bool { return other.has(int64(7 + i)) })
 		}
@@ -149,7 +149,7 @@
 	all := fleet(t)
 	should := func() (n int) {
 		for _, node := range all {
-			if node.ShouldRead() {
+			if node.ShouldReadStore() {
 				n++
 			}
 		}
@@ -159,7 +159,7 @@
 		had := map[*node]bool{}
 		waitFor(func() bool {
 			for _, node := range all {
-				if node.ShouldRead() {
+				if node.ShouldReadStore() {
 					had[node] = true
 				}
 			}
@@ -185,7 +185,7 @@
 func hubOf(all []*node, zone string) *node {
 	for {
 		for _, n := range all {
-			if n.self.Zone == zone && n.PassesFor() > 2*hubFor {
+			if n.self.Zone == zone && n.HubDuration() > 2*hubFor {
 				return n
 			}
 		}
@@ -322,7 +322,7 @@
 	waitFor(func() bool { return from.reports.conn.Load() != nil && to.reports.conn.Load() != nil })
 	if !holdsWithin(10*time.Second, func() bool {
 		from.reports.send(message, []string{to.self.Address})
-		return to.Count() == 2
+		return to.InstanceCount() == 2
 	}) {
 		t.Error("it did not arrive")
 	}
@@ -336,9 +336,9 @@
 	for _, n := range all {
 		switch n.self.Zone {
 		case "a":
-			waitFor(func() bool { return n.reports.Ask(context.Background(), service) })
+			waitFor(func() bool { return n.reports.RequestRetry(context.Background(), service) })
 		case other.self.Zone:
-			if n.reports.Ask(context.Background(), service) {
+			if n.reports.RequestRetry(context.Background(), service) {
 				t.Errorf("%s got a send that nobody has", n.self.Name)
 			}
 		}
@@ -347,10 +347,10 @@
 
 func TestAPeerThatDoesNotAnswerIsLeftAloneForAWhile(t *testing.T) {
 	n := newNode(t, "n", "a", "127.0.0.1:1")
-	if err := n.Pull(context.Background()); err == nil || errors.Is(err, ErrNobody) {
+	if err := n.Pull(context.Background()); err == nil || errors.Is(err, ErrNoPeer) {
 		t.Fatalf("%v", err)
 	}
-	if err := n.Pull(context.Background()); !errors.Is(err, ErrNobody) {
+	if err := n.Pull(context.Background()); !errors.Is(err, ErrNoPeer) {
 		t.Errorf("%v; want ErrNobody", err)
 	}
 }
@@ -359,8 +359,8 @@
 // it has anything to serve by.
 func TestLimitsComeWithTheRows(t *testing.T) {
 	first := newNode(t, "n0", "a")
-	first.relay.ApplyLimits([]quota.Word{{Upstream: 7, Rate: 2, Age: time.Second}}, true)
-	first.Take(news(1), 0)
+	first.relay.ApplyLimits([]quota.UpstreamLimit{{Upstream: 7, Rate: 2, Age: time.Second}}, true)
+	first.ApplyRows(news(1), 0)
 	second := newNode(t, "n1", "b", first.self.Address)
 	if err := second.Pull(context.Background()); err != nil {
 		t.Fatal(err)
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// End tells that an upstream ended while it had a request.
-type End struct {
+// Crash tells that an upstream ended while it had a request.
+type Crash struct {
 	Content Content
 	// Upstream is a hash of the upstream's incarnation: one that starts again is another.
 	Upstream uint32
@@ -16,42 +16,42 @@
 
 // Settings of a Table.
 type Settings struct {
-	// Ends of upstreams under a content have it set apart. One is chance: an engine that
+	// Crashes of upstreams under a content have it set apart. One is chance: an engine that
 	// ended had up to 48 requests. Two may be where many upstreams crash at once: 4 and 36
 	// of some 12,220 requests in two plays of a day on which 0.3 to 0.4 of the engines
 	// crashed four times met two.
-	Ends int
-	// Terms are for how long a content is set apart: the first time, and each time again
+	Crashes int
+	// Durations are for how long a content is set apart: the first time, and each time again
 	// that one more upstream ends under it once it is let through. The first is short, for
 	// those that were there by chance: where all callers ask for the same, it is on each
 	// upstream that another content ends. The second holds off whoever comes again and
 	// again, the last is about as long as upstreams keep their software.
-	Terms []time.Duration
-	// Remember is for how long an end counts, and Forget for how long after its term it
+	Durations []time.Duration
+	// CrashTTL is for how long an end counts, and ForgetAfter for how long after its term it
 	// is known that a content was set apart.
-	Remember, Forget time.Duration
-	// Served is for how long it counts that a content was served: until then no end counts
+	CrashTTL, ForgetAfter time.Duration
+	// ServedTTL is for how long it counts that a content was served: until then no end counts
 	// against it. Where many ask for the same, it is on any upstream that ends.
-	Served time.Duration
-	// ServedKept bounds the contents of which that is remembered, in each Served.
-	ServedKept int
-	// Contents bounds those with ends that are remembered, Apart those that were set
+	ServedTTL time.Duration
+	// MaxServed bounds the contents of which that is remembered, in each Served.
+	MaxServed int
+	// MaxContents bounds those with ends that are remembered, MaxQuarantined those that were set
 	// apart. The oldest yield.
-	Contents, Apart int
+	MaxContents, MaxQuarantined int
 }
 
 // DefaultSettings returns the defaults.
 func DefaultSettings() Settings {
 	return Settings{
-		Ends:     2,
-		Terms:    []time.Duration{10 * time.Second, time.Hour, 24 * time.Hour},
-		Remember: 10 * time.Minute, // callers that come back do so within seconds
-		Forget:   24 * time.Hour,
-		Served:   time.Minute, // what is asked for less often is hardly on two that end
+		Crashes:     2,
+		Durations:   []time.Duration{10 * time.Second, time.Hour, 24 * time.Hour},
+		CrashTTL:    10 * time.Minute, // callers that come back do so within seconds
+		ForgetAfter: 24 * time.Hour,
+		ServedTTL:   time.Minute, // what is asked for less often is hardly on two that end
 		// 130 requests a second, ten times what an instance gets; 16 bytes each
-		ServedKept: 8192,
-		Contents:   4096, // 80 engines that end at once with 48 requests each
-		Apart:      1000, // rows of some 100 bytes; a start reads two pages of them
+		MaxServed:      8192,
+		MaxContents:    4096, // 80 engines that end at once with 48 requests each
+		MaxQuarantined: 1000, // rows of some 100 bytes; a start reads two pages of them
 	}
 }
 
@@ -81,7 +81,7 @@
 
 // NewTable returns an empty table.
 func NewTable(s Settings) *Table {
-	return &Table{settings: s, records: map[Content]*record{}, apart: map[Content]apart{}, served: newRecent(s.Served, s.ServedKept), tell: newTelling()}
+	return &Table{settings: s, records: map[Content]*record{}, apart: map[Content]apart{}, served: newRecent(s.ServedTTL, s.MaxServed), tell: newTelling()}
 }
 
 // Empty tells that no content is known to have ended an upstream, so that none needs to be
@@ -90,31 +90,31 @@
 
 // term is for how long a content is set apart that is so for the nth time.
 func (t *Table) term(times int) time.Duration {
-	return t.settings.Terms[min(times, len(t.settings.Terms))-1]
+	return t.settings.Durations[min(times, len(t.settings.Durations))-1]
 }
 
-// Apart tells whether no upstream may get a content.
-func (t *Table) Apart(c Content, now time.Duration) bool {
+// Quarantined tells whether no upstream may get a content.
+func (t *Table) Quarantined(c Content, now time.Duration) bool {
 	a, ok := t.apart[c]
 	return ok && now-a.since < t.term(a.times)
 }
 
-// Times is how often a content was set apart.
-func (t *Table) Times(c Content) int { return t.apart[c].times }
+// TimesQuarantined is how often a content was set apart.
+func (t *Table) TimesQuarantined(c Content) int { return t.apart[c].times }
 
-// Count is how many contents are set apart.
-func (t *Table) Count(now time.Duration) int {
+// CountQuarantined is how many contents are set apart.
+func (t *Table) CountQuarantined(now time.Duration) int {
 	n := 0
 	for c := range t.apart {
-		if t.Apart(c, now) {
+		if t.Quarantined(c, now) {
 			n++
 		}
 	}
 	return n
 }
 
-// Ends counts the ends that count against a content.
-func (t *Table) Ends(c Content) int {
+// Crashes counts the ends that count against a content.
+func (t *Table) Crashes(c Content) int {
 	r, ok := t.records[c]
 	if !ok {
 		return 0
@@ -122,15 +122,15 @@
 	return len(r.ends)
 }
 
-// Seen tells whether this instance saw an end under a content itself.
-func (t *Table) Seen(c Content) bool {
+// SawCrash tells whether this instance saw an end under a content itself.
+func (t *Table) SawCrash(c Content) bool {
 	r, ok := t.records[c]
 	return ok && r.seen
 }
 
-// Note takes an end that this instance saw, and tells whether the content is set apart
+// RecordCrash takes an end that this instance saw, and tells whether the content is set apart
 // by it.
-func (t *Table) Note(e End, now time.Duration) bool {
+func (t *Table) RecordCrash(e Crash, now time.Duration) bool {
 	news := t.add(e, now)
 	if news {
 		t.tell.own(e, now)
@@ -139,9 +139,9 @@
 	return news && t.decide(e.Content, now)
 }
 
-// Hear takes an end that another instance told of, of the same zone or not, and tells
+// ReceiveCrash takes an end that another instance told of, of the same zone or not, and tells
 // whether the content is set apart by it.
-func (t *Table) Hear(e End, beside bool, now time.Duration) bool {
+func (t *Table) ReceiveCrash(e Crash, beside bool, now time.Duration) bool {
 	news := t.add(e, now)
 	if news {
 		t.tell.heard(e, beside, now)
@@ -150,7 +150,7 @@
 }
 
 // add takes an end, and tells whether it is news.
-func (t *Table) add(e End, now time.Duration) bool {
+func (t *Table) add(e Crash, now time.Duration) bool {
 	r, ok := t.records[e.Content]
 	if !ok {
 		t.makeRoom(now)
@@ -172,16 +172,16 @@
 		t.clear(c)
 		return false
 	}
-	if t.Apart(c, now) || t.Times(c) == 0 && t.Ends(c) < t.settings.Ends {
+	if t.Quarantined(c, now) || t.TimesQuarantined(c) == 0 && t.Crashes(c) < t.settings.Crashes {
 		return false
 	}
-	t.apart[c] = apart{times: t.Times(c) + 1, since: now}
+	t.apart[c] = apart{times: t.TimesQuarantined(c) + 1, since: now}
 	return true
 }
 
-// Served notes that a content was answered whole: the ends before it were others' fault.
+// RecordServed notes that a content was answered whole: the ends before it were others' fault.
 // It tells whether the content was set apart for them, which is over.
-func (t *Table) Served(c Content, now time.Duration) bool {
+func (t *Table) RecordServed(c Content, now time.Duration) bool {
 	t.served.add(c, now)
 	t.clear(c)
 	_, was := t.apart[c]
@@ -197,13 +197,13 @@
 	}
 }
 
-// SetApart takes the decision of other instances, that a content is set apart for the nth
+// Quarantine takes the decision of other instances, that a content is set apart for the nth
 // time. It returns false when that is wrong: the content was served here lately.
-func (t *Table) SetApart(c Content, times int, now time.Duration) bool {
+func (t *Table) Quarantine(c Content, times int, now time.Duration) bool {
 	if t.served.has(c, now) {
 		return false
 	}
-	if times > t.Times(c) {
+	if times > t.TimesQuarantined(c) {
 		t.apart[c] = apart{times: times, since: now}
 	}
 	return true
@@ -215,16 +215,16 @@
 	delete(t.records, c)
 }
 
-// Lapsed lists the contents of which it need not be known any more that they were set
+// Expired lists the contents of which it need not be known any more that they were set
 // apart, and the oldest of those that are too many.
-func (t *Table) Lapsed(now time.Duration) []Content {
+func (t *Table) Expired(now time.Duration) []Content {
 	list := slices.SortedFunc(maps.Keys(t.apart), func(a, b Content) int {
 		return cmp.Or(cmp.Compare(t.apart[a].since, t.apart[b].since), cmp.Compare(a, b))
 	})
-	tooMany := max(0, len(list)-t.settings.Apart)
+	tooMany := max(0, len(list)-t.settings.MaxQuarantined)
 	lapsed := list[:tooMany:tooMany]
 	for _, c := range list[tooMany:] {
-		if a := t.apart[c]; now-a.since > t.term(a.times)+t.settings.Forget {
+		if a := t.apart[c]; now-a.since > t.term(a.times)+t.settings.ForgetAfter {
 			lapsed = append(lapsed, c)
 		}
 	}
@@ -233,11 +233,11 @@
 
 // makeRoom forgets what lapsed, and the oldest record where there are too many.
 func (t *Table) makeRoom(now time.Duration) {
-	if len(t.records) < t.settings.Contents {
+	if len(t.records) < t.settings.MaxContents {
 		return
 	}
 	t.forgetOld(now)
-	if len(t.records) < t.settings.Contents {
+	if len(t.records) < t.settings.MaxContents {
 		return
 	}
 	oldest := slices.MinFunc(slices.Collect(maps.Keys(t.records)), func(a, b Content) int {
@@ -248,11 +248,11 @@
 
 // forgetOld forgets the records whose ends count no longer.
 func (t *Table) forgetOld(now time.Duration) {
-	maps.DeleteFunc(t.records, func(_ Content, r *record) bool { return now-r.newest > t.settings.Remember })
+	maps.DeleteFunc(t.records, func(_ Content, r *record) bool { return now-r.newest > t.settings.CrashTTL })
 }
 
-// Lapse forgets the ends that count no longer.
-func (t *Table) Lapse(now time.Duration) {
+// Expire forgets the ends that count no longer.
+func (t *Table) Expire(now time.Duration) {
 	t.forgetOld(now)
 	t.tell.lapse(now)
 }
--- a/internal/quota/book.go
+++ b/internal/quota/book.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// Scope is where a word comes from.
-type Scope int
+// Source is where a word comes from.
+type Source int
 
 const (
 	// Own: this instance got the answer.
-	Own Scope = iota
-	// Beside: an instance of the same zone did.
-	Beside
-	// Beyond: an instance of another zone did.
-	Beyond
+	Own Source = iota
+	// SameZone: an instance of the same zone did.
+	SameZone
+	// OtherZone: an instance of another zone did.
+	OtherZone
 )
 
 // String names the scope in logs.
-func (s Scope) String() string {
+func (s Source) String() string {
 	return [...]string{"own", "zone", "other zones"}[s]
 }
 
@@ -49,7 +49,7 @@
 type entry struct {
 	rate    float64
 	leaving bool
-	scope   Scope
+	scope   Source
 	// at is when the newest answer came that said so.
 	at time.Duration
 	// told is when it was last told, by whom it is told to.
@@ -68,61 +68,61 @@
 
 // Change of what is known of an upstream's announcements.
 type Change struct {
-	Upstream     uint32
-	Before, Rate float64
-	// Leaves: it was not known before that the upstream leaves.
-	Leaves bool
-	Scope  Scope
+	Upstream      uint32
+	OldRate, Rate float64
+	// StartsDraining: it was not known before that the upstream leaves.
+	StartsDraining bool
+	Source         Source
 	// Age of the answer that said so.
 	Age time.Duration
 }
 
-// Book has the announcements that are known. It is not safe for concurrent use.
-type Book struct {
+// Table has the announcements that are known. It is not safe for concurrent use.
+type Table struct {
 	entries map[uint32]*entry
 }
 
-// NewBook returns an empty book.
-func NewBook() *Book { return &Book{entries: map[uint32]*entry{}} }
+// NewTable returns an empty book.
+func NewTable() *Table { return &Table{entries: map[uint32]*entry{}} }
 
 // Rate returns the rate that an upstream is kept to; Unlimited for most.
-func (b *Book) Rate(upstream uint32) float64 {
+func (b *Table) Rate(upstream uint32) float64 {
 	if e, ok := b.entries[upstream]; ok {
 		return e.rate
 	}
 	return Unlimited
 }
 
-// Limits tells whether an upstream limits its requests.
-func (b *Book) Limits(upstream uint32) bool { return !math.IsInf(b.Rate(upstream), 1) }
+// Limited tells whether an upstream limits its requests.
+func (b *Table) Limited(upstream uint32) bool { return !math.IsInf(b.Rate(upstream), 1) }
 
-// Leaving tells whether an upstream has said that it leaves.
-func (b *Book) Leaving(upstream uint32) bool {
+// Draining tells whether an upstream has said that it leaves.
+func (b *Table) Draining(upstream uint32) bool {
 	e, known := b.entries[upstream]
 	return known && e.leaving
 }
 
 // Any tells whether any upstream announces anything, or did so lately.
-func (b *Book) Any() bool { return len(b.entries) > 0 }
+func (b *Table) Any() bool { return len(b.entries) > 0 }
 
-// Word returns what is known of an upstream's announcements, and whether the upstream told this
+// Lookup returns what is known of an upstream's announcements, and whether the upstream told this
 // instance itself; known is false for one that never announced anything.
-func (b *Book) Word(upstream uint32, now time.Duration) (w Word, firstHand, known bool) {
+func (b *Table) Lookup(upstream uint32, now time.Duration) (w UpstreamLimit, firstHand, known bool) {
 	e, known := b.entries[upstream]
 	if !known {
-		return Word{Upstream: upstream, Rate: Unlimited}, false, false
+		return UpstreamLimit{Upstream: upstream, Rate: Unlimited}, false, false
 	}
 	return e.word(upstream, now), e.scope == Own, true
 }
 
 // word is what is told of an entry.
-func (e *entry) word(upstream uint32, now time.Duration) Word {
-	return Word{Upstream: upstream, Rate: e.rate, Leaving: e.leaving, Age: now - e.at}
+func (e *entry) word(upstream uint32, now time.Duration) UpstreamLimit {
+	return UpstreamLimit{Upstream: upstream, Rate: e.rate, Draining: e.leaving, Age: now - e.at}
 }
 
-// Words returns what is known of all upstreams that announce anything, or did so lately.
-func (b *Book) Words(now time.Duration) []Word {
-	var words []Word
+// All returns what is known of all upstreams that announce anything, or did so lately.
+func (b *Table) All(now time.Duration) []UpstreamLimit {
+	var words []UpstreamLimit
 	for upstream, e := range b.entries {
 		words = append(words, e.word(upstream, now))
 	}
@@ -130,15 +130,15 @@
 }
 
 // Forget drops what is known of an upstream.
-func (b *Book) Forget(upstream uint32) { delete(b.entries, upstream) }
+func (b *Table) Forget(upstream uint32) { delete(b.entries, upstream) }
 
-// Announced takes what an answer to this instance says, and returns what it changes.
-func (b *Book) Announced(upstream uint32, a Announcement, now time.Duration) (Change, bool) {
-	return b.take(Word{Upstream: upstream, Rate: a.rate(), Leaving: a.Leaving}, Own, now)
+// ApplyAnnouncement takes what an answer to this instance says, and returns what it changes.
+func (b *Table) ApplyAnnouncement(upstream uint32, a Announcement, now time.Duration) (Change, bool) {
+	return b.take(UpstreamLimit{Upstream: upstream, Rate: a.rate(), Draining: a.Draining}, Own, now)
 }
 
-// Heard takes another instance's word, and returns what it changes.
-func (b *Book) Heard(w Word, scope Scope, now time.Duration) (Change, bool) {
+// ApplyReport takes another instance's word, and returns what it changes.
+func (b *Table) ApplyReport(w UpstreamLimit, scope Source, now time.Duration) (Change, bool) {
 	if math.IsNaN(w.Rate) || w.Rate <= 0 {
 		return Change{}, false
 	}
@@ -146,18 +146,18 @@
 }
 
 // take takes a word, and returns what it changes.
-func (b *Book) take(w Word, scope Scope, now time.Duration) (Change, bool) {
+func (b *Table) take(w UpstreamLimit, scope Source, now time.Duration) (Change, bool) {
 	e, known := b.entries[w.Upstream]
 	if !known {
-		if !w.Limits() && !w.Leaving {
+		if !w.Limited() && !w.Draining {
 			return Change{}, false
 		}
 		e = &entry{rate: Unlimited, at: never}
 		b.entries[w.Upstream] = e
 	}
-	change := Change{Upstream: w.Upstream, Before: e.rate, Rate: e.rate, Scope: scope, Age: w.Age}
-	if w.Leaving && !e.leaving {
-		e.leaving, e.scope, change.Leaves = true, scope, true
+	change := Change{Upstream: w.Upstream, OldRate: e.rate, Rate: e.rate, Source: scope, Age: w.Age}
+	if w.Draining && !e.leaving {
+		e.leaving, e.scope, change.StartsDraining = true, scope, true
 		e.at = max(e.at, now-w.Age)
 	}
 	if e.takeRate(w, scope, now) {
@@ -172,7 +172,7 @@
 
 // takeRate has a word's rate take the place of the one before if it is newer, and tells whether
 // it did. Of rates that may have crossed the lower one stands.
-func (e *entry) takeRate(w Word, scope Scope, now time.Duration) bool {
+func (e *entry) takeRate(w UpstreamLimit, scope Source, now time.Duration) bool {
 	at := now - w.Age
 	if at <= e.at-crossing || w.Rate > e.rate && at <= e.at+patience(w.Rate) {
 		return false
@@ -189,13 +189,13 @@
 
 // shown tells whether anything changed but the last digits of the rate.
 func (c Change) shown() bool {
-	if c.Leaves {
+	if c.StartsDraining {
 		return true
 	}
-	if math.IsInf(c.Before, 1) || math.IsInf(c.Rate, 1) {
-		return c.Before != c.Rate
+	if math.IsInf(c.OldRate, 1) || math.IsInf(c.Rate, 1) {
+		return c.OldRate != c.Rate
 	}
-	return math.Abs(c.Before-c.Rate) > leastChange*c.Before
+	return math.Abs(c.OldRate-c.Rate) > leastChange*c.OldRate
 }
 
 // patience is how much newer a word for a higher rate must be.
@@ -206,31 +206,31 @@
 	return crossing
 }
 
-// OwnWords are the words that are due to the zone of what this instance was told itself,
+// DueOwn are the words that are due to the zone of what this instance was told itself,
 // ZoneWords those due to other zones of what its zone was told, and BeyondWords those due
 // to the zone of what others were told.
-func (b *Book) OwnWords(now time.Duration) []Word {
-	return b.due(now, toZone, func(s Scope) bool { return s == Own })
+func (b *Table) DueOwn(now time.Duration) []UpstreamLimit {
+	return b.due(now, toZone, func(s Source) bool { return s == Own })
 }
 
-// ZoneWords: see OwnWords.
-func (b *Book) ZoneWords(now time.Duration) []Word {
-	return b.due(now, toOtherZones, func(s Scope) bool { return s != Beyond })
+// DueZone: see OwnWords.
+func (b *Table) DueZone(now time.Duration) []UpstreamLimit {
+	return b.due(now, toOtherZones, func(s Source) bool { return s != OtherZone })
 }
 
-// BeyondWords: see OwnWords.
-func (b *Book) BeyondWords(now time.Duration) []Word {
-	return b.due(now, toZone, func(s Scope) bool { return s == Beyond })
+// DueOtherZones: see OwnWords.
+func (b *Table) DueOtherZones(now time.Duration) []UpstreamLimit {
+	return b.due(now, toZone, func(s Source) bool { return s == OtherZone })
 }
 
-func (b *Book) due(now time.Duration, to int, tells func(Scope) bool) []Word {
-	var words []Word
+func (b *Table) due(now time.Duration, to int, tells func(Source) bool) []UpstreamLimit {
+	var words []UpstreamLimit
 	for upstream, e := range b.entries {
 		if tells(e.scope) && now-e.told[to] >= retellEvery {
 			words = append(words, e.word(upstream, now))
 		}
 	}
-	slices.SortFunc(words, func(a, c Word) int {
+	slices.SortFunc(words, func(a, c UpstreamLimit) int {
 		return cmp.Compare(b.entries[a.Upstream].told[to], b.entries[c.Upstream].told[to])
 	})
 	words = words[:min(len(words), tellAtMost)]
@@ -240,9 +240,9 @@
 	return words
 }
 
-// Lapse drops the ends of limits that were told for long enough, and the announcements of
+// Expire drops the ends of limits that were told for long enough, and the announcements of
 // upstreams that have not been listed for long.
-func (b *Book) Lapse(listed func(upstream uint32) bool, now time.Duration) {
+func (b *Table) Expire(listed func(upstream uint32) bool, now time.Duration) {
 	for upstream, e := range b.entries {
 		age := now - e.at
 		ended := math.IsInf(e.rate, 1) && !e.leaving
--- a/internal/quota/book_test.go
+++ b/internal/quota/book_test.go
@@ -32,11 +32,11 @@
 		"an answer from before comes late": {[]said{{time.Second, 4}, {0, 1}}, 4},
 		"never limited":                    {[]said{{0, Unlimited}}, Unlimited},
 	} {
-		b := NewBook()
+		b := NewTable()
 		now := time.Duration(0)
 		for _, s := range c.said {
 			now = max(now, s.at)
-			b.Heard(Word{Upstream: upstream, Rate: s.rate, Age: now - s.at}, Beside, now)
+			b.ApplyReport(UpstreamLimit{Upstream: upstream, Rate: s.rate, Age: now - s.at}, SameZone, now)
 		}
 		if got := b.Rate(upstream); got != c.want {
 			t.Errorf("%s: %g a second, want %g", name, got, c.want)
@@ -48,15 +48,15 @@
 // then, as only its answers show that this has ended.
 func TestWhatCannotBeKeptToIsBounded(t *testing.T) {
 	for rate, want := range map[float64]float64{0: leastRate, 1e-300: leastRate, 2: 2, mostRate: Unlimited, 1e300: Unlimited} {
-		b := NewBook()
-		b.Announced(upstream, limited(rate), 0)
+		b := NewTable()
+		b.ApplyAnnouncement(upstream, limited(rate), 0)
 		if got := b.Rate(upstream); got != want {
 			t.Errorf("%g: kept to %g, want %g", rate, got, want)
 		}
 	}
-	b := NewBook()
+	b := NewTable()
 	for _, rate := range []float64{math.NaN(), -1, 0} {
-		if _, changed := b.Heard(Word{Upstream: upstream, Rate: rate}, Beside, 0); changed || b.Any() {
+		if _, changed := b.ApplyReport(UpstreamLimit{Upstream: upstream, Rate: rate}, SameZone, 0); changed || b.Any() {
 			t.Errorf("%g was believed", rate)
 		}
 	}
@@ -65,20 +65,20 @@
 // TestALimitThatEndedIsBelievedByNobody: an instance that missed the end tells of the limit
 // as long as it has heard of nothing newer.
 func TestALimitThatEndedIsBelievedByNobody(t *testing.T) {
-	missed, saw, later := NewBook(), NewBook(), NewBook()
-	missed.Announced(upstream, limited(2), 0)
-	for _, w := range missed.OwnWords(0) {
-		saw.Heard(w, Beside, 0)
+	missed, saw, later := NewTable(), NewTable(), NewTable()
+	missed.ApplyAnnouncement(upstream, limited(2), 0)
+	for _, w := range missed.DueOwn(0) {
+		saw.ApplyReport(w, SameZone, 0)
 	}
 	end := 10 * time.Second
-	saw.Announced(upstream, Announcement{}, end)
-	for _, w := range saw.OwnWords(end) {
-		later.Heard(w, Beside, end)
-		missed.Heard(w, Beside, end)
+	saw.ApplyAnnouncement(upstream, Announcement{}, end)
+	for _, w := range saw.DueOwn(end) {
+		later.ApplyReport(w, SameZone, end)
+		missed.ApplyReport(w, SameZone, end)
 	}
-	for name, b := range map[string]*Book{"who missed it": missed, "who saw it": saw, "who heard of it alone": later} {
-		for _, w := range missed.OwnWords(end + retellEvery) {
-			b.Heard(w, Beside, end+retellEvery)
+	for name, b := range map[string]*Table{"who missed it": missed, "who saw it": saw, "who heard of it alone": later} {
+		for _, w := range missed.DueOwn(end + retellEvery) {
+			b.ApplyReport(w, SameZone, end+retellEvery)
 		}
 		if got := b.Rate(upstream); !math.IsInf(got, 1) {
 			t.Errorf("%s keeps to %g", name, got)
@@ -89,20 +89,20 @@
 // TestWordsAreToldAgainToTheirReceivers: what an instance was told itself goes to its zone,
 // what its zone was told to the other zones, and what these were told to the zone.
 func TestWordsAreToldAgainToTheirReceivers(t *testing.T) {
-	b := NewBook()
-	b.Announced(1, limited(1), 0)
-	b.Heard(Word{Upstream: 2, Rate: 2}, Beside, 0)
-	b.Heard(Word{Upstream: 3, Rate: 3}, Beyond, 0)
+	b := NewTable()
+	b.ApplyAnnouncement(1, limited(1), 0)
+	b.ApplyReport(UpstreamLimit{Upstream: 2, Rate: 2}, SameZone, 0)
+	b.ApplyReport(UpstreamLimit{Upstream: 3, Rate: 3}, OtherZone, 0)
 	for _, now := range []time.Duration{0, retellEvery, 2 * retellEvery} {
-		own, zone, beyond := b.OwnWords(now), b.ZoneWords(now), b.BeyondWords(now)
+		own, zone, beyond := b.DueOwn(now), b.DueZone(now), b.DueOtherZones(now)
 		if len(own) != 1 || len(zone) != 2 || len(beyond) != 1 || own[0].Age != now || beyond[0].Upstream != 3 {
 			t.Errorf("at %s: %v, %v, %v", now, own, zone, beyond)
 		}
-		if again := b.OwnWords(now + 1); len(again) > 0 {
+		if again := b.DueOwn(now + 1); len(again) > 0 {
 			t.Errorf("told twice within %s", retellEvery)
 		}
 	}
-	if change, shown := b.Announced(1, limited(0.5), 2*retellEvery); !shown || change.Before != 1 || len(b.OwnWords(2*retellEvery)) != 1 {
+	if change, shown := b.ApplyAnnouncement(1, limited(0.5), 2*retellEvery); !shown || change.OldRate != 1 || len(b.DueOwn(2*retellEvery)) != 1 {
 		t.Errorf("a change is not told at once: %+v", change)
 	}
 }
@@ -110,17 +110,17 @@
 // TestOnlyWhatIsListedIsKeptForLong: an entry that lapsed for a while comes back with its
 // limit; one that is gone is forgotten, and so is an end that all have heard.
 func TestOnlyWhatIsListedIsKeptForLong(t *testing.T) {
-	b := NewBook()
-	b.Announced(1, limited(1), 0)
-	b.Announced(2, limited(1), 0)
-	b.Announced(3, limited(1), 0)
-	b.Announced(3, Announcement{}, endsAfter+1)
+	b := NewTable()
+	b.ApplyAnnouncement(1, limited(1), 0)
+	b.ApplyAnnouncement(2, limited(1), 0)
+	b.ApplyAnnouncement(3, limited(1), 0)
+	b.ApplyAnnouncement(3, Announcement{}, endsAfter+1)
 	listed := func(upstream uint32) bool { return upstream != 2 }
-	b.Lapse(listed, unlistedFor)
+	b.Expire(listed, unlistedFor)
 	if b.Rate(1) != 1 || b.Rate(2) != 1 {
 		t.Error("a limit was forgotten early")
 	}
-	b.Lapse(listed, unlistedFor+endToldFor)
+	b.Expire(listed, unlistedFor+endToldFor)
 	if b.Rate(1) != 1 || len(b.entries) != 1 {
 		t.Errorf("%d entries are left, want the one that is listed", len(b.entries))
 	}
@@ -129,24 +129,24 @@
 // TestThatAnUpstreamLeavesIsNotTakenBack guards against words that cross, a limit that ends, and
 // an entry that lapses, each of which could hide that an upstream leaves.
 func TestThatAnUpstreamLeavesIsNotTakenBack(t *testing.T) {
-	b := NewBook()
-	change, shown := b.Announced(upstream, Announcement{Limited: true, Rate: 2, Leaving: true}, 0)
-	if !shown || !change.Leaves || change.Rate != 2 {
+	b := NewTable()
+	change, shown := b.ApplyAnnouncement(upstream, Announcement{Limited: true, Rate: 2, Draining: true}, 0)
+	if !shown || !change.StartsDraining || change.Rate != 2 {
 		t.Errorf("%+v", change)
 	}
-	if _, shown := b.Announced(upstream, Announcement{Limited: true, Rate: 2, Leaving: true}, 1); shown {
+	if _, shown := b.ApplyAnnouncement(upstream, Announcement{Limited: true, Rate: 2, Draining: true}, 1); shown {
 		t.Error("shown twice")
 	}
-	b.Announced(upstream, Announcement{}, time.Minute)
-	b.Heard(Word{Upstream: upstream, Rate: 3, Age: time.Second}, Beside, time.Minute)
+	b.ApplyAnnouncement(upstream, Announcement{}, time.Minute)
+	b.ApplyReport(UpstreamLimit{Upstream: upstream, Rate: 3, Age: time.Second}, SameZone, time.Minute)
 	listed := true
-	b.Lapse(func(uint32) bool { return listed }, time.Hour)
-	if !b.Leaving(upstream) || len(b.OwnWords(time.Hour)) != 1 {
+	b.Expire(func(uint32) bool { return listed }, time.Hour)
+	if !b.Draining(upstream) || len(b.DueOwn(time.Hour)) != 1 {
 		t.Error("forgotten while it is listed")
 	}
 	listed = false
-	b.Lapse(func(uint32) bool { return listed }, 2*time.Hour)
-	if b.Leaving(upstream) || b.Any() {
+	b.Expire(func(uint32) bool { return listed }, 2*time.Hour)
+	if b.Draining(upstream) || b.Any() {
 		t.Error("kept though it has gone for long")
 	}
 }
--- a/internal/quota/grants.go
+++ b/internal/quota/grants.go
@@ -6,10 +6,10 @@
 	"sassafrasfield/internal/limit"
 )
 
-// Ask is a question for one send to an upstream with a limit.
-type Ask struct {
-	// Word is what the asking instance knows of the upstream's limit.
-	Word Word
+// GrantRequest is a question for one send to an upstream with a limit.
+type GrantRequest struct {
+	// Limit is what the asking instance knows of the upstream's limit.
+	Limit UpstreamLimit
 	// FirstHand: the upstream itself told it so, and no other instance.
 	FirstHand bool
 	// From names the asking instance.
@@ -47,15 +47,15 @@
 	asksEach = 2
 	// waitAtMost bounds the time until an instance asks again.
 	waitAtMost = time.Second
-	// NoWordRetry is when to ask again where nobody grants.
-	NoWordRetry = 200 * time.Millisecond
+	// NoCoordinatorRetry is when to ask again where nobody grants.
+	NoCoordinatorRetry = 200 * time.Millisecond
 	// idleFor is for how long the bucket of an upstream is kept that nobody asks for.
 	idleFor = time.Minute
 )
 
-// Grants gives the sends to upstreams with limits out, where one instance does so for all.
+// Coordinator gives the sends to upstreams with limits out, where one instance does so for all.
 // It is not safe for concurrent use.
-type Grants struct {
+type Coordinator struct {
 	// share is the part of each limit that is given out here; 0 is none.
 	share float64
 	// since is when this instance began to coordinate, keptAt its last sign of life.
@@ -81,13 +81,13 @@
 	priority int
 }
 
-// NewGrants returns grants of an instance that does not coordinate.
-func NewGrants() *Grants { return &Grants{allowances: map[uint32]*allowance{}} }
+// NewCoordinator returns grants of an instance that does not coordinate.
+func NewCoordinator() *Coordinator { return &Coordinator{allowances: map[uint32]*allowance{}} }
 
-// Keep has this instance give out a part of each limit, or none when the share is 0. It is
+// SetShare has this instance give out a part of each limit, or none when the share is 0. It is
 // called several times a second. Who begins has nothing to give out yet, as the instance
 // before may have given out all.
-func (g *Grants) Keep(share float64, now time.Duration) {
+func (g *Coordinator) SetShare(share float64, now time.Duration) {
 	if g.share == 0 || share == 0 || now-g.keptAt > standstill {
 		g.since = now
 		clear(g.allowances)
@@ -101,48 +101,48 @@
 }
 
 // Share is the part of each limit that is given out here.
-func (g *Grants) Share() float64 { return g.share }
+func (g *Coordinator) Share() float64 { return g.share }
 
-// Coordinates tells whether this instance grants.
-func (g *Grants) Coordinates(now time.Duration) bool {
+// Active tells whether this instance grants.
+func (g *Coordinator) Active(now time.Duration) bool {
 	return g.share > 0 && now-g.keptAt <= standstill && now-g.since >= settleFor
 }
 
 // Limits is what is known of upstreams' limits.
 type Limits interface {
-	// HearLimit takes what an instance was told by the upstream itself.
-	HearLimit(w Word, now time.Duration)
+	// ApplyLimit takes what an instance was told by the upstream itself.
+	ApplyLimit(w UpstreamLimit, now time.Duration)
 	// Limit returns what is known of an upstream's limit; known is false for one that never
 	// had one.
-	Limit(upstream uint32, now time.Duration) (w Word, firstHand, known bool)
+	Limit(upstream uint32, now time.Duration) (w UpstreamLimit, firstHand, known bool)
 }
 
 // Decide takes what an instance that asks for a send was told, and decides on it by the
 // newest word. Without one here, the asker's counts.
-func (g *Grants) Decide(limits Limits, ask Ask, now time.Duration) Verdict {
+func (g *Coordinator) Decide(limits Limits, ask GrantRequest, now time.Duration) Verdict {
 	if ask.FirstHand {
-		limits.HearLimit(ask.Word, now)
+		limits.ApplyLimit(ask.Limit, now)
 	}
-	word, _, known := limits.Limit(ask.Word.Upstream, now)
+	word, _, known := limits.Limit(ask.Limit.Upstream, now)
 	if !known {
-		word = ask.Word
+		word = ask.Limit
 	}
-	if !word.Limits() {
+	if !word.Limited() {
 		return Verdict{Granted: true}
 	}
 	return g.Take(ask, word.Rate, now)
 }
 
 // Take decides on one send to an upstream that takes so many requests a second.
-func (g *Grants) Take(ask Ask, rate float64, now time.Duration) Verdict {
-	if !g.Coordinates(now) {
-		return Verdict{RetryIn: NoWordRetry}
+func (g *Coordinator) Take(ask GrantRequest, rate float64, now time.Duration) Verdict {
+	if !g.Active(now) {
+		return Verdict{RetryIn: NoCoordinatorRetry}
 	}
-	a := g.allowance(ask.Word.Upstream, now)
+	a := g.allowance(ask.Limit.Upstream, now)
 	a.usedAt = now
 	a.bucket.Set(rate*g.share, burstOf(rate*g.share), now)
 	left := a.leaves(ask, now)
-	if a.bucket.TakeLeaving(left, now) {
+	if a.bucket.TakeReserving(left, now) {
 		return Verdict{Granted: true}
 	}
 	return Verdict{RetryIn: a.askAgainIn(asker{ask.From, ask.Priority}, left, rate*g.share, now)}
@@ -150,7 +150,7 @@
 
 func burstOf(rate float64) float64 { return max(leastBurst, rate*burstTime.Seconds()) }
 
-func (g *Grants) allowance(upstream uint32, now time.Duration) *allowance {
+func (g *Coordinator) allowance(upstream uint32, now time.Duration) *allowance {
 	a, ok := g.allowances[upstream]
 	if !ok {
 		a = &allowance{bucket: limit.NewBucket(now), urgent: -1, turns: map[asker]time.Duration{}}
@@ -161,7 +161,7 @@
 
 // leaves is how many tokens must be left after a request: one for those that are more
 // urgent while these ask too.
-func (a *allowance) leaves(ask Ask, now time.Duration) float64 {
+func (a *allowance) leaves(ask GrantRequest, now time.Duration) float64 {
 	if ask.Continues {
 		return -debt
 	}
--- a/internal/quota/grants_test.go
+++ b/internal/quota/grants_test.go
@@ -7,29 +7,31 @@
 	"pgregory.net/rapid"
 )
 
-func asks(rate float64) Ask { return Ask{Word: Word{Upstream: upstream, Rate: rate}} }
+func asks(rate float64) GrantRequest {
+	return GrantRequest{Limit: UpstreamLimit{Upstream: upstream, Rate: rate}}
+}
 
 // coordinating returns grants of an instance that has coordinated for long, and the time.
-func coordinating(rate float64) (*Grants, time.Duration) {
-	g, now := NewGrants(), time.Duration(0)
+func coordinating(rate float64) (*Coordinator, time.Duration) {
+	g, now := NewCoordinator(), time.Duration(0)
 	for ; now < 10*time.Second; now += 100 * time.Millisecond {
-		g.Keep(1, now)
+		g.SetShare(1, now)
 	}
 	g.Take(asks(rate), rate, now)
 	return g, now
 }
 
 // later has time pass at an instance that coordinates.
-func later(g *Grants, now, d time.Duration) time.Duration {
+func later(g *Coordinator, now, d time.Duration) time.Duration {
 	for end := now + d; now < end; now += 100 * time.Millisecond {
-		g.Keep(1, now)
+		g.SetShare(1, now)
 	}
-	g.Keep(1, now)
+	g.SetShare(1, now)
 	return now
 }
 
 // granted counts what is granted of many questions at once.
-func granted(g *Grants, a Ask, rate float64, now time.Duration) int {
+func granted(g *Coordinator, a GrantRequest, rate float64, now time.Duration) int {
 	count := 0
 	for range 100 {
 		if g.Take(a, rate, now).Granted {
@@ -42,8 +44,8 @@
 // TestWhoBeginsHasNothingToGiveOut: the coordinator before may have given out all. One that
 // stood still begins anew.
 func TestWhoBeginsHasNothingToGiveOut(t *testing.T) {
-	g := NewGrants()
-	g.Keep(1, 0)
+	g := NewCoordinator()
+	g.SetShare(1, 0)
 	if n := granted(g, asks(10), 10, settleFor-1); n > 0 {
 		t.Errorf("%d grants before others could have heard of it", n)
 	}
@@ -59,11 +61,11 @@
 		if n := granted(g, asks(10), 10, wakes); n > 0 {
 			t.Errorf("%d grants %s after it stood still", n, wakes-now)
 		}
-		g.Keep(1, wakes)
+		g.SetShare(1, wakes)
 	}
 	now = later(g, now, 10*time.Second)
-	g.Keep(0, now)
-	g.Keep(1, now)
+	g.SetShare(0, now)
+	g.SetShare(1, now)
 	now = later(g, now, settleFor)
 	if n := granted(g, asks(10), 10, now); n > 0 {
 		t.Errorf("%d grants of what was saved up before another one coordinated", n)
@@ -79,7 +81,7 @@
 		start, count := now, 0
 		for range rapid.IntRange(1, 200).Draw(t, "questions") {
 			now += time.Duration(rapid.Int64Range(0, int64(300*time.Millisecond)).Draw(t, "pause"))
-			g.Keep(rapid.Float64Range(0.1, 1).Draw(t, "share"), now)
+			g.SetShare(rapid.Float64Range(0.1, 1).Draw(t, "share"), now)
 			rate := highest * rapid.Float64Range(0.2, 1).Draw(t, "part")
 			a := asks(rate)
 			a.Priority, a.Continues = rapid.IntRange(0, 3).Draw(t, "priority"), rapid.Bool().Draw(t, "continues")
@@ -107,7 +109,7 @@
 	won := map[int]int{}
 	for range 200 {
 		now = later(g, now, 100*time.Millisecond)
-		for _, a := range []Ask{other, urgent} { // the less urgent one is there first
+		for _, a := range []GrantRequest{other, urgent} { // the less urgent one is there first
 			if g.Take(a, rate, now).Granted {
 				won[a.Priority]++
 			}
@@ -155,20 +157,20 @@
 // TestAnUnknownLimitIsTheAskers: the word of the instance that asks may be ahead of the reports.
 func TestAnUnknownLimitIsTheAskers(t *testing.T) {
 	for name, c := range map[string]struct {
-		book      func(*Book)
-		ask       Ask
+		book      func(*Table)
+		ask       GrantRequest
 		unbounded bool
 	}{
-		"the coordinator knows none": {func(*Book) {}, asks(1), false},
-		"it knows that it has ended": {func(b *Book) {
-			b.Announced(upstream, limited(1), 0)
-			b.Announced(upstream, Announcement{}, 5*time.Second)
-		}, Ask{Word: Word{Upstream: upstream, Rate: 1, Age: 8 * time.Second}}, true},
-		"the asker's word is newer":   {func(b *Book) { b.Announced(upstream, limited(9), 0) }, Ask{Word: Word{Upstream: upstream, Rate: 1}, FirstHand: true}, false},
-		"the asker's word is hearsay": {func(b *Book) { b.Announced(upstream, limited(1), 0) }, Ask{Word: Word{Upstream: upstream, Rate: 1}}, false},
+		"the coordinator knows none": {func(*Table) {}, asks(1), false},
+		"it knows that it has ended": {func(b *Table) {
+			b.ApplyAnnouncement(upstream, limited(1), 0)
+			b.ApplyAnnouncement(upstream, Announcement{}, 5*time.Second)
+		}, GrantRequest{Limit: UpstreamLimit{Upstream: upstream, Rate: 1, Age: 8 * time.Second}}, true},
+		"the asker's word is newer":   {func(b *Table) { b.ApplyAnnouncement(upstream, limited(9), 0) }, GrantRequest{Limit: UpstreamLimit{Upstream: upstream, Rate: 1}, FirstHand: true}, false},
+		"the asker's word is hearsay": {func(b *Table) { b.ApplyAnnouncement(upstream, limited(1), 0) }, GrantRequest{Limit: UpstreamLimit{Upstream: upstream, Rate: 1}}, false},
 	} {
-		known := bookOf{NewBook()}
-		c.book(known.Book)
+		known := bookOf{NewTable()}
+		c.book(known.Table)
 		g, now := coordinating(1)
 		granted := 0
 		for range 100 {
@@ -183,10 +185,10 @@
 }
 
 // bookOf is what is known of limits.
-type bookOf struct{ *Book }
+type bookOf struct{ *Table }
 
-func (b bookOf) HearLimit(w Word, now time.Duration) { b.Heard(w, Beside, now) }
+func (b bookOf) ApplyLimit(w UpstreamLimit, now time.Duration) { b.ApplyReport(w, SameZone, now) }
 
-func (b bookOf) Limit(upstream uint32, now time.Duration) (Word, bool, bool) {
-	return b.Word(upstream, now)
+func (b bookOf) Limit(upstream uint32, now time.Duration) (UpstreamLimit, bool, bool) {
+	return b.Lookup(upstream, now)
 }
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -33,8 +33,8 @@
 	// Limited tells that it names a limit; Rate is in requests a second, 0 for none at all.
 	Limited bool
 	Rate    float64
-	// Leaving: it ends soon, and takes no new requests.
-	Leaving bool
+	// Draining: it ends soon, and takes no new requests.
+	Draining bool
 }
 
 // rate is the announced rate as it is kept to.
@@ -45,8 +45,8 @@
 	return max(a.Rate, leastRate)
 }
 
-// Aged returns words that have waited for a time since they were told.
-func Aged(words []Word, by time.Duration) []Word {
+// AddAge returns words that have waited for a time since they were told.
+func AddAge(words []UpstreamLimit, by time.Duration) []UpstreamLimit {
 	aged := slices.Clone(words)
 	for i := range aged {
 		aged[i].Age += by
@@ -54,28 +54,28 @@
 	return aged
 }
 
-// Merged returns newer words, with the older ones on other upstreams.
-func Merged(older, newer []Word) []Word {
+// Merge returns newer words, with the older ones on other upstreams.
+func Merge(older, newer []UpstreamLimit) []UpstreamLimit {
 	merged := slices.Clone(newer)
 	for _, w := range older {
-		if !slices.ContainsFunc(newer, func(n Word) bool { return n.Upstream == w.Upstream }) {
+		if !slices.ContainsFunc(newer, func(n UpstreamLimit) bool { return n.Upstream == w.Upstream }) {
 			merged = append(merged, w)
 		}
 	}
 	return merged[:min(len(merged), tellAtMost)]
 }
 
-// Limits tells whether the upstream limits its requests.
-func (w Word) Limits() bool { return !math.IsInf(w.Rate, 1) }
+// Limited tells whether the upstream limits its requests.
+func (w UpstreamLimit) Limited() bool { return !math.IsInf(w.Rate, 1) }
 
-// Word is what one instance tells others of an upstream's announcements.
-type Word struct {
+// UpstreamLimit is what one instance tells others of an upstream's announcements.
+type UpstreamLimit struct {
 	// Upstream is a hash of its incarnation.
 	Upstream uint32
 	// Rate in requests a second, Unlimited where there is no limit, or it ended.
 	Rate float64
-	// Leaving upstreams end soon. No incarnation takes this back.
-	Leaving bool
+	// Draining upstreams end soon. No incarnation takes this back.
+	Draining bool
 	// Age of the newest answer that said so.
 	Age time.Duration
 }
--- a/internal/quota/ways_test.go
+++ b/internal/quota/ways_test.go
@@ -36,7 +36,7 @@
 func newShares(instances int, rate float64, byUse bool) *shares {
 	s := &shares{totals: limit.NewTotals(3 * time.Second), rule: limit.Rule{Rate: rate, Burst: 1}, byUse: byUse}
 	for range instances {
-		l := limit.New(limit.Options{Floor: 0.1, Window: time.Second, KeepTotals: 5 * time.Second})
+		l := limit.New(limit.Options{Floor: 0.1, Window: time.Second, TotalsTTL: 5 * time.Second})
 		l.SetEntries(instances, 0)
 		s.limiters = append(s.limiters, l)
 	}
@@ -82,25 +82,25 @@
 
 func (o *one) exchange(time.Duration) {}
 func (o *one) take(i int, now time.Duration) bool {
-	return i == o.sender && o.bucket.TakeLeaving(0, now)
+	return i == o.sender && o.bucket.TakeReserving(0, now)
 }
 
 // grant asks the one that coordinates, unless it was told to wait.
 type grant struct {
-	grants *Grants
+	grants *Coordinator
 	rate   float64
 	waits  []time.Duration
 }
 
 func newGrant(instances int, rate float64) *grant {
-	g := &grant{grants: NewGrants(), rate: rate, waits: make([]time.Duration, instances)}
+	g := &grant{grants: NewCoordinator(), rate: rate, waits: make([]time.Duration, instances)}
 	for now := -2 * settleFor; now < 0; now += 100 * time.Millisecond {
-		g.grants.Keep(1, now)
+		g.grants.SetShare(1, now)
 	}
 	return g
 }
 
-func (g *grant) exchange(now time.Duration) { g.grants.Keep(1, now) }
+func (g *grant) exchange(now time.Duration) { g.grants.SetShare(1, now) }
 
 func (g *grant) take(i int, now time.Duration) bool {
 	if now < g.waits[i] {
--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -55,11 +55,11 @@
 	if err := r.bar(c.exchange); err != nil {
 		return attempt.Result{Status: attempt.NoUpstream, Err: err}
 	}
-	upstream, ok := r.picture.PickCall(c.ask(r.now()), r.now())
+	upstream, ok := r.picture.PickServiceUpstream(c.ask(r.now()), r.now())
 	if !ok {
 		return attempt.Result{Status: attempt.NoUpstream}
 	}
-	defer func() { r.picture.End(upstream.ID, c.req.ID, r.now()) }()
+	defer func() { r.picture.RequestDone(upstream.ID, c.req.ID, r.now()) }()
 	got, err := r.callOnce(ctx, c.exchange, upstream)
 	if err != nil {
 		r.blame(ctx, c.exchange, upstream.ID, err)
@@ -116,7 +116,7 @@
 		return answer{}, WrapReadError(err)
 	}
 	if reply.Status < http.StatusInternalServerError {
-		r.picture.Judge(to.ID, load.CallSucceeded, r.now())
+		r.picture.RecordCall(to.ID, load.CallSucceeded, r.now())
 	}
 	return answer{reply: reply, first: first, whole: len(first) < wholeBytes}, nil
 }
--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -124,7 +124,7 @@
 // of it, it has the prompt processed. Over means that this is done.
 func (g *generation) prepare(ctx context.Context) attempt.Result {
 	r := g.relay
-	start, turn, ok := r.picture.PickStart(g.ask(r.now()), r.now())
+	start, turn, ok := r.picture.PickPrefill(g.ask(r.now()), r.now())
 	if !ok {
 		return attempt.Result{Status: attempt.NoUpstream, Err: errors.WithMessage(ErrNotSent, "no engine for the prompt")}
 	}
@@ -136,7 +136,7 @@
 	}
 	if !r.reserve(ctx, g) {
 		r.picture.PromptDone(start.Engine.ID, start.BusyTime, turn)
-		r.picture.End(start.Engine.ID, g.req.ID, r.now())
+		r.picture.RequestDone(start.Engine.ID, g.req.ID, r.now())
 		return attempt.Result{Status: attempt.NoUpstream, Err: errors.WithMessage(ErrLimited, "no room for the answer")}
 	}
 	kv, err := r.prefillOn(ctx, g, start)
@@ -151,7 +151,7 @@
 func (r *Relay) prefillOn(ctx context.Context, g *generation, start placement.Prefill) (KV, error) {
 	engine, work := r.picture.Upstream(start.Engine.ID), start.BusyTime
 	defer r.picture.PromptDone(engine.ID, work, g.turn)
-	defer func() { r.picture.End(engine.ID, g.req.ID, r.now()) }()
+	defer func() { r.picture.RequestDone(engine.ID, g.req.ID, r.now()) }()
 	g.exchange.prefill = engine.ID
 	g.tries.Prepared()
 	started := r.now()
@@ -166,14 +166,14 @@
 		return KV{}, err
 	}
 	r.noteAnswer(engine.ID, said)
-	r.picture.Judge(engine.ID, load.CallSucceeded, r.now())
+	r.picture.RecordCall(engine.ID, load.CallSucceeded, r.now())
 	r.meters.prefills.Inc(1)
 	took := r.now() - started
 	observe("prefill", took)
 	observe("prefill_predicted", ahead+work)
 	if start.Source.ID == "" && start.UncachedTokens <= g.prompt.Tokens-g.prompt.SharedTokens() {
 		// what is not believed cached may be there all the same
-		r.picture.Prefilled(g.service, estimate.Prefill{
+		r.picture.RecordPrefill(g.service, estimate.Prefill{
 			Fresh: start.UncachedTokens, Cached: g.prompt.Tokens - start.UncachedTokens, Ahead: ahead, Took: took,
 		})
 	}
@@ -198,7 +198,7 @@
 			return
 		case <-timer.C:
 		}
-		if !r.picture.HeardSince(id, since) {
+		if !r.picture.AnsweredSince(id, since) {
 			stop()
 			return
 		}
@@ -210,7 +210,7 @@
 // run has an engine generate, and passes its events on.
 func (r *Relay) run(ctx context.Context, g *generation, start placement.Prefill) attempt.Result {
 	engine := r.picture.Upstream(start.Engine.ID)
-	defer func() { r.picture.End(start.Engine.ID, g.req.ID, r.now()) }()
+	defer func() { r.picture.RequestDone(start.Engine.ID, g.req.ID, r.now()) }()
 	prompted := sync.OnceFunc(func() { r.picture.PromptDone(start.Engine.ID, start.BusyTime, placement.QueueNormal) })
 	defer prompted()
 	if err := r.bar(g.exchange); err != nil { // its prompt may have taken a while
@@ -243,7 +243,7 @@
 		return r.passFailure(ctx, g, engine, reply)
 	}
 	if !g.direct && !g.begun {
-		r.picture.Began(g.service, g.prompt.Tokens-start.Engine.Aggregate.CachedTokens, r.now()-started)
+		r.picture.RecordHandOver(g.service, g.prompt.Tokens-start.Engine.Aggregate.CachedTokens, r.now()-started)
 	}
 	r.log.Info("relay: generates", "request", g.req.ID, "engine", engine.ID, "direct", g.direct, "tokens", g.prompt.Tokens,
 		"running", reply.Load.Running, "waiting", reply.Load.Waiting, "after", r.now()-started,
@@ -294,10 +294,10 @@
 	g.lastEvent = p.lastEvent
 	switch {
 	case err == nil:
-		r.picture.Judge(engine.ID, load.CallSucceeded, r.now())
+		r.picture.RecordCall(engine.ID, load.CallSucceeded, r.now())
 		observe("stream", r.now()-started)
 		if whole {
-			r.picture.Streamed(g.service, engine.ID, p.events.Count(), estimate.Stream{
+			r.picture.RecordStream(g.service, engine.ID, p.events.Count(), estimate.Stream{
 				Took: r.now() - began, Slot: r.now() - started,
 			}, r.now())
 		}
--- a/internal/relay/leaving_test.go
+++ b/internal/relay/leaving_test.go
@@ -15,7 +15,7 @@
 
 // leavingWord is an upstream's word that it leaves.
 func leavingWord() upstreamstate.UpstreamStatus {
-	return upstreamstate.UpstreamStatus{Announcement: &quota.Announcement{Leaving: true}}
+	return upstreamstate.UpstreamStatus{Announcement: &quota.Announcement{Draining: true}}
 }
 
 // sendKind is a kind of request whose sends must heed what upstreams say.
@@ -102,9 +102,9 @@
 		sender := &fakeSender{}
 		var r *Relay
 		left := ""
-		asked := &coordinator{decide: func(a quota.Ask) quota.Verdict {
+		asked := &coordinator{decide: func(a quota.GrantRequest) quota.Verdict {
 			if left == "" { // the first one leaves while its grant is asked for
-				left = r.picture.NameOf(a.Word.Upstream)
+				left = r.picture.UpstreamID(a.Limit.Upstream)
 				r.hear(r.picture.Upstream(left), leavingWord())
 			}
 			return quota.Verdict{Granted: true}
@@ -183,7 +183,7 @@
 	left := ""
 	sender.prefill = func(_ int, s Send) (KV, error) {
 		for _, a := range asked.asks {
-			if id := r.picture.NameOf(a.Word.Upstream); strings.HasPrefix(id, "dec") {
+			if id := r.picture.UpstreamID(a.Limit.Upstream); strings.HasPrefix(id, "dec") {
 				left = id
 			}
 		}
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -66,7 +66,7 @@
 	if !r.allowed(ctx, req, send) {
 		return ErrLimited
 	}
-	if r.picture.Leaves(send.To) && !send.goesOnAtCopy() {
+	if r.picture.IsDraining(send.To) && !send.goesOnAtCopy() {
 		r.withhold(req, send, ErrDraining)
 		return ErrDraining
 	}
@@ -79,7 +79,7 @@
 
 // BackingOff tells whether an upstream wants nothing from this instance now.
 func (r *Relay) BackingOff(u upstreamstate.Upstream) bool {
-	return r.picture.Resting(u.Incarnation(), r.now()) > 0
+	return r.picture.BackoffLeft(u.Incarnation(), r.now()) > 0
 }
 
 // withhold notes that a request is not sent to the upstream that was chosen for it.
@@ -90,7 +90,7 @@
 
 // SetGrantRequester sets how a send to an upstream with a limit is asked for at the instance that
 // coordinates the grants.
-func (r *Relay) SetGrantRequester(ask func(context.Context, quota.Ask) quota.Verdict) {
+func (r *Relay) SetGrantRequester(ask func(context.Context, quota.GrantRequest) quota.Verdict) {
 	r.askLimit.Store(&ask)
 }
 
@@ -105,16 +105,16 @@
 	}
 	upstream, now := send.To.Incarnation(), r.now()
 	limit, firstHand, _ := r.picture.Limit(upstream, now)
-	if !limit.Limits() {
+	if !limit.Limited() {
 		return true
 	}
-	if r.picture.IsSpent(upstream, send.Priority, now) && !send.Continues {
+	if r.picture.IsExhausted(upstream, send.Priority, now) && !send.Continues {
 		r.meters.limits.declined.Inc(1)
 		return false
 	}
-	verdict := quota.Verdict{RetryIn: quota.NoWordRetry}
+	verdict := quota.Verdict{RetryIn: quota.NoCoordinatorRetry}
 	if ask := r.askLimit.Load(); ask != nil {
-		verdict = (*ask)(ctx, quota.Ask{Word: limit, FirstHand: firstHand, Priority: send.Priority, Continues: send.Continues})
+		verdict = (*ask)(ctx, quota.GrantRequest{Limit: limit, FirstHand: firstHand, Priority: send.Priority, Continues: send.Continues})
 	}
 	r.log.Info("relay: send to a limited upstream", "request", req.ID, "upstream", send.To.ID, "per_second", limit.Rate,
 		"limit_age", limit.Age, "granted", verdict.Granted, "retry_in", verdict.RetryIn, "took", r.now()-now)
@@ -123,14 +123,14 @@
 		return true
 	}
 	r.meters.limits.declined.Inc(1)
-	r.picture.Spent(upstream, send.Priority, r.now()+max(verdict.RetryIn, leastWait))
+	r.picture.MarkExhausted(upstream, send.Priority, r.now()+max(verdict.RetryIn, leastWait))
 	return false
 }
 
 // reserve asks for room at an engine that generates, where all of them limit their requests.
 // Otherwise the prompts of those would be processed for nothing that find none afterwards.
 func (r *Relay) reserve(ctx context.Context, g *generation) bool {
-	if g.reserved != "" || !r.picture.GeneratorsLimited(g.ask(r.now()), r.now()) {
+	if g.reserved != "" || !r.picture.DecodeEnginesLimited(g.ask(r.now()), r.now()) {
 		return true
 	}
 	for range r.picture.Count(g.service) {
@@ -139,7 +139,7 @@
 			return false
 		}
 		granted := r.allowed(ctx, g.req, g.send(r.picture.Upstream(engine.ID), r.now()))
-		r.picture.End(engine.ID, g.req.ID, r.now())
+		r.picture.RequestDone(engine.ID, g.req.ID, r.now())
 		if granted {
 			g.reserved = engine.ID
 			return true
@@ -151,11 +151,11 @@
 // refuseAnnounced is the refusal of a request that no upstream of its service takes, by what
 // they have announced; nil where that is not to blame.
 func (r *Relay) refuseAnnounced(x *exchange) error {
-	if r.picture.AllLeave(x.service) {
+	if r.picture.AllDraining(x.service) {
 		r.meters.limits.refusedLeaving.Inc(1)
 		return &Refusal{Outcome: NotRun, Reason: "all upstreams leave", RetryIn: r.retryIn(x)}
 	}
-	in, resting, found := r.picture.AllowanceIn(x.ask(r.now()), r.now())
+	in, resting, found := r.picture.AvailableIn(x.ask(r.now()), r.now())
 	switch {
 	case !found:
 		return nil
@@ -170,16 +170,16 @@
 // grants are those that this instance gives out while it coordinates them for all.
 type grants struct {
 	mu    sync.Mutex // protects state
-	state *quota.Grants
+	state *quota.Coordinator
 }
 
-func newGrants() *grants { return &grants{state: quota.NewGrants()} }
+func newGrants() *grants { return &grants{state: quota.NewCoordinator()} }
 
 // SetGrantShare takes the part of upstreams' limits that this instance gives out; 0 for none.
 func (r *Relay) SetGrantShare(share float64) {
 	r.grants.mu.Lock()
 	before := r.grants.state.Share()
-	r.grants.state.Keep(share, r.now())
+	r.grants.state.SetShare(share, r.now())
 	r.grants.mu.Unlock()
 	if share != before {
 		r.log.Info("relay: coordinates upstreams' limits", "share", share, "before", before)
@@ -188,7 +188,7 @@
 
 // DecideGrant decides on one send to an upstream with a limit, of this instance or of
 // another one.
-func (r *Relay) DecideGrant(ask quota.Ask) quota.Verdict {
+func (r *Relay) DecideGrant(ask quota.GrantRequest) quota.Verdict {
 	r.grants.mu.Lock()
 	verdict := r.grants.state.Decide(r.picture, ask, r.now())
 	r.grants.mu.Unlock()
@@ -202,11 +202,11 @@
 }
 
 // Limits returns what is known of upstreams' limits.
-func (r *Relay) Limits() []quota.Word { return r.picture.Limits(r.now()) }
+func (r *Relay) Limits() []quota.UpstreamLimit { return r.picture.Limits(r.now()) }
 
 // ApplyLimits takes what an instance of this zone, or of another one, knows of them.
-func (r *Relay) ApplyLimits(words []quota.Word, beside bool) {
-	r.picture.HearLimits(words, beside, r.now())
+func (r *Relay) ApplyLimits(words []quota.UpstreamLimit, beside bool) {
+	r.picture.ApplyLimits(words, beside, r.now())
 	r.showLimits()
 }
 
@@ -220,7 +220,7 @@
 		r.picture.Announced(from, *s.Announcement, r.now())
 		r.showLimits()
 	}
-	if s.Backoff > 0 && r.picture.RestFor(from, s.Backoff, r.now()) {
+	if s.Backoff > 0 && r.picture.BackOff(from, s.Backoff, r.now()) {
 		r.meters.limits.rests.Inc(1)
 		r.log.Info("relay: upstream asks for rest", "upstream", from.ID, "for", s.Backoff)
 	}
@@ -228,7 +228,7 @@
 
 // showRests writes a line on each rest that is over.
 func (r *Relay) showRests() {
-	for _, id := range r.picture.RestsOver(r.now()) {
+	for _, id := range r.picture.EndedBackoffs(r.now()) {
 		r.log.Info("relay: upstream's rest is over", "upstream", id)
 	}
 }
@@ -238,16 +238,16 @@
 func (r *Relay) showLimits() {
 	for _, c := range r.picture.LimitChanges() {
 		inputs := []any{
-			"upstream", r.picture.NameOf(c.Upstream), "per_second", c.Rate, "before", c.Before,
-			"source", c.Scope.String(), "age", c.Age,
+			"upstream", r.picture.UpstreamID(c.Upstream), "per_second", c.Rate, "before", c.OldRate,
+			"source", c.Source.String(), "age", c.Age,
 		}
-		if c.Leaves {
+		if c.StartsDraining {
 			r.meters.limits.leaving.Inc(1)
 			r.log.Info("relay: upstream says that it leaves", inputs...)
 		}
 		switch {
-		case c.Rate == c.Before:
-		case math.IsInf(c.Before, 1):
+		case c.Rate == c.OldRate:
+		case math.IsInf(c.OldRate, 1):
 			r.meters.limits.learned.Inc(1)
 			r.log.Info("relay: upstream limits its requests", inputs...)
 		case math.IsInf(c.Rate, 1):
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -85,7 +85,7 @@
 	grants   *grants
 	// askLimit asks the instance that coordinates the grants of sends to upstreams with
 	// limits; nil for none.
-	askLimit atomic.Pointer[func(context.Context, quota.Ask) quota.Verdict]
+	askLimit atomic.Pointer[func(context.Context, quota.GrantRequest) quota.Verdict]
 	// ask asks the instance that keeps the zone's pool; nil for none.
 	ask atomic.Pointer[func(context.Context, uint32) bool]
 	// closed: new requests are refused.
@@ -132,10 +132,10 @@
 func (r *Relay) SetBudget(s BudgetSettings) { r.budgets.set(s) }
 
 // UpdateUpstream takes an upstream's newest entry.
-func (r *Relay) UpdateUpstream(u upstreamstate.Upstream) { r.picture.Learn(u) }
+func (r *Relay) UpdateUpstream(u upstreamstate.Upstream) { r.picture.UpdateUpstream(u) }
 
 // RemoveUpstream drops an upstream that is gone.
-func (r *Relay) RemoveUpstream(id string) { r.picture.Forget(id) }
+func (r *Relay) RemoveUpstream(id string) { r.picture.RemoveUpstream(id) }
 
 // Engines returns the model engines that take requests, by service.
 func (r *Relay) Engines() map[string][]upstreamstate.Engine { return r.picture.Engines(r.now()) }
@@ -147,20 +147,22 @@
 }
 
 // Upstreams returns the upstreams of a service, those that are leaving too.
-func (r *Relay) Upstreams(service string) []upstreamstate.Upstream { return r.picture.Members(service) }
+func (r *Relay) Upstreams(service string) []upstreamstate.Upstream {
+	return r.picture.Upstreams(service)
+}
 
 // EngineTimes returns what the engines of a service take.
 func (r *Relay) EngineTimes(service string) upstreamstate.Times { return r.picture.Times(service) }
 
 // MarkUnavailable has all instances leave an upstream out for a time in which it takes no
 // requests, or until its role has changed.
-func (r *Relay) MarkUnavailable(id string, d time.Duration) { r.picture.SendAway(id, r.now()+d) }
+func (r *Relay) MarkUnavailable(id string, d time.Duration) { r.picture.MarkUnavailable(id, r.now()+d) }
 
 // OwnReport returns what this instance tells the others.
 func (r *Relay) OwnReport() upstreamstate.Report {
 	r.showRests()
 	report := r.picture.OwnReport(r.now())
-	report.RetryOverflow, report.Crashes = r.budgets.spilled(), r.contents.told((*quarantine.Table).OwnEnds)
+	report.RetryOverflow, report.Crashes = r.budgets.spilled(), r.contents.told((*quarantine.Table).DueOwn)
 	report.Usage = r.usage.tell((*usage.Tally).TellOwn)
 	return report
 }
@@ -169,15 +171,15 @@
 func (r *Relay) ZoneReport() upstreamstate.Report {
 	r.depositOwn()
 	report := r.picture.ZoneReport(r.now())
-	report.Crashes = r.contents.told((*quarantine.Table).ZoneEnds)
+	report.Crashes = r.contents.told((*quarantine.Table).DueZone)
 	report.Usage = r.usage.tell((*usage.Tally).TellZone)
 	return report
 }
 
 // OtherZonesReport returns what this instance tells its zone of the other zones.
 func (r *Relay) OtherZonesReport() upstreamstate.Report {
-	report := r.picture.BeyondReport(r.now())
-	report.Crashes = r.contents.told((*quarantine.Table).BeyondEnds)
+	report := r.picture.OtherZonesReport(r.now())
+	report.Crashes = r.contents.told((*quarantine.Table).DueOtherZones)
 	return report
 }
 
@@ -187,7 +189,7 @@
 // ApplyReport takes the report of another instance, or of a whole zone.
 func (r *Relay) ApplyReport(source string, report upstreamstate.Report) {
 	now := r.now()
-	r.picture.TakeReport(source, report, now)
+	r.picture.ApplyReport(source, report, now)
 	r.showLimits()
 	r.pool.deposit(source, report.RetryOverflow, now)
 	r.link.heard(now)
@@ -202,7 +204,9 @@
 func (r *Relay) depositOwn() { r.pool.deposit(ownSource, r.budgets.spilled(), r.now()) }
 
 // HasPlacement tells whether a part was placed on an engine, as far as is known here.
-func (r *Relay) HasPlacement(placed upstreamstate.PlacedPart) bool { return r.picture.Knows(placed) }
+func (r *Relay) HasPlacement(placed upstreamstate.PlacedPart) bool {
+	return r.picture.HasPlacement(placed)
+}
 
 // servingFor is for how long after a request the instance counts as serving.
 const servingFor = 2 * time.Second
@@ -315,7 +319,7 @@
 		return
 	}
 	v := verdictOf(ctx, err)
-	ejected := r.picture.Judge(id, v, r.now())
+	ejected := r.picture.RecordCall(id, v, r.now())
 	r.log.Info("relay: send failed", "request", x.req.ID, "upstream", id, "try", x.tries.Sends(),
 		"ejected", ejected, "error", err, "after", r.now()-x.arrived, "content", x.content())
 }
--- a/internal/rowsync/rowsync.go
+++ b/internal/rowsync/rowsync.go
@@ -36,12 +36,12 @@
 
 // Peers are the other instances.
 type Peers interface {
-	// NotifyNewRows has them told of new rows.
-	NotifyNewRows()
-	// ShouldRead tells whether this instance should follow the store itself.
-	ShouldRead() bool
-	// OthersRead tells whether another one follows the store now, and it answers.
-	OthersRead() bool
+	// NotifyRows has them told of new rows.
+	NotifyRows()
+	// ShouldReadStore tells whether this instance should follow the store itself.
+	ShouldReadStore() bool
+	// HasOtherReaders tells whether another one follows the store now, and it answers.
+	HasOtherReaders() bool
 	// Pull asks one of them for the rows that this instance lacks.
 	Pull(ctx context.Context) error
 }
@@ -192,7 +192,7 @@
 // rests tells whether the other instances follow the store for this one. A table
 // of which nothing is known yet is read at once.
 func (f *Follower) rests(table string) bool {
-	should := f.peers == nil || f.peers.ShouldRead()
+	should := f.peers == nil || f.peers.ShouldReadStore()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	rests := !should && f.informed(table)
@@ -293,7 +293,7 @@
 // tellNews has the other instances told of news.
 func (f *Follower) tellNews(news []replica.Row) {
 	if f.peers != nil && len(news) > 0 {
-		f.peers.NotifyNewRows()
+		f.peers.NotifyRows()
 	}
 }
 
@@ -310,7 +310,7 @@
 		lost.since = f.now()
 		f.log.Warn("follow: the store is lost", "table", table, "error", err)
 	}
-	lost.alone = f.now()-lost.since >= f.settings.PeerReportDelay && f.peers != nil && f.peers.OthersRead()
+	lost.alone = f.now()-lost.since >= f.settings.PeerReportDelay && f.peers != nil && f.peers.HasOtherReaders()
 	f.lost[table] = lost
 }
 
--- a/internal/upstreamstate/learn.go
+++ b/internal/upstreamstate/learn.go
@@ -58,25 +58,25 @@
 	return placement.Costs{EngineTimes: p.times(service).EngineTimes, Settings: p.settings.Placement}
 }
 
-// Prefilled takes note of a prompt that an engine has processed, without a fetch.
-func (p *State) Prefilled(service string, done estimate.Prefill) {
+// RecordPrefill takes note of a prompt that an engine has processed, without a fetch.
+func (p *State) RecordPrefill(service string, done estimate.Prefill) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.model(service).Prefilled(done)
 }
 
-// Began takes note of how long a decode engine took to begin with a processed
+// RecordHandOver takes note of how long a decode engine took to begin with a processed
 // prompt of so many tokens.
-func (p *State) Began(service string, tokens int, took time.Duration) {
+func (p *State) RecordHandOver(service string, tokens int, took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	fetch := time.Duration(float64(tokens) * p.times(service).FetchTime)
 	p.model(service).Began(max(0, took-fetch))
 }
 
-// Streamed takes note of an answer that an engine has generated whole, in so many
+// RecordStream takes note of an answer that an engine has generated whole, in so many
 // events.
-func (p *State) Streamed(service, engine string, events int, done estimate.Stream, now time.Duration) {
+func (p *State) RecordStream(service, engine string, events int, done estimate.Stream, now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	eventTokens := 1
--- a/internal/upstreamstate/leaving_test.go
+++ b/internal/upstreamstate/leaving_test.go
@@ -12,33 +12,33 @@
 // gets none.
 func TestThatAnUpstreamLeavesHoldsForItsStart(t *testing.T) {
 	p := newPicture()
-	u := p.Members("app")[0]
+	u := p.Upstreams("app")[0]
 	u.StartedAt = 1
-	p.Learn(u)
-	p.Announced(u, quota.Announcement{Leaving: true}, 0)
+	p.UpdateUpstream(u)
+	p.Announced(u, quota.Announcement{Draining: true}, 0)
 	leaves := func(when string, want bool) {
 		t.Helper()
-		if now := p.Upstream(u.ID); now.Draining != want || p.Leaves(now) != want {
+		if now := p.Upstream(u.ID); now.Draining != want || p.IsDraining(now) != want {
 			t.Errorf("%s: draining %t, want %t", when, now.Draining, want)
 		}
 	}
 	leaves("once it has said so", true)
 	p.Announced(u, quota.Announcement{}, time.Second)
 	leaves("after an answer of before", true)
-	p.Learn(u)
+	p.UpdateUpstream(u)
 	leaves("once its entry is written again", true)
-	p.Forget(u.ID)
-	p.Learn(u)
+	p.RemoveUpstream(u.ID)
+	p.UpdateUpstream(u)
 	leaves("once its entry has come back", true)
-	p.Forget(u.ID)
+	p.RemoveUpstream(u.ID)
 	p.OwnReport(30 * time.Second)
-	p.Learn(u)
+	p.UpdateUpstream(u)
 	leaves("once it has come back late", true)
 	again := u
 	again.StartedAt = 2
-	p.Learn(again)
+	p.UpdateUpstream(again)
 	leaves("at its new start", false)
-	p.Announced(u, quota.Announcement{Leaving: true}, time.Minute)
+	p.Announced(u, quota.Announcement{Draining: true}, time.Minute)
 	leaves("after a late answer of the start before", false)
 }
 
@@ -46,21 +46,21 @@
 // another one was told.
 func TestThatAnUpstreamLeavesReachesAllZones(t *testing.T) {
 	told, hub, farHub, far, newcomer := newPicture(), newPicture(), newPicture(), newPicture(), newPicture()
-	u := told.Members("app")[0]
-	told.Announced(u, quota.Announcement{Leaving: true}, 0)
-	hub.TakeReport(InstanceSourcePrefix+"one", told.OwnReport(0), 0)
-	farHub.TakeReport("zone a", hub.ZoneReport(0), 0)
-	far.TakeReport("zones", farHub.BeyondReport(0), 0)
-	newcomer.HearLimits(far.Limits(0), true, 0)
+	u := told.Upstreams("app")[0]
+	told.Announced(u, quota.Announcement{Draining: true}, 0)
+	hub.ApplyReport(InstanceSourcePrefix+"one", told.OwnReport(0), 0)
+	farHub.ApplyReport("zone a", hub.ZoneReport(0), 0)
+	far.ApplyReport("zones", farHub.OtherZonesReport(0), 0)
+	newcomer.ApplyLimits(far.Limits(0), true, 0)
 	for name, p := range map[string]*State{"told": told, "hub": hub, "far hub": farHub, "far": far, "newcomer": newcomer} {
-		if !p.Leaves(u) {
+		if !p.IsDraining(u) {
 			t.Errorf("%s does not know", name)
 		}
 		if n := len(p.LimitChanges()); n != 1 {
 			t.Errorf("%s: %d lines, want 1", name, n)
 		}
 	}
-	if again := told.OwnReport(time.Minute).Limits; len(again) != 1 || !again[0].Leaving {
+	if again := told.OwnReport(time.Minute).Limits; len(again) != 1 || !again[0].Draining {
 		t.Errorf("not told again: %v", again)
 	}
 }
--- a/internal/upstreamstate/limits.go
+++ b/internal/upstreamstate/limits.go
@@ -11,7 +11,7 @@
 
 // limits are what upstreams announced, which of them have nothing left, and which want rest.
 type limits struct {
-	book  *quota.Book
+	book  *quota.Table
 	spent spentTable
 	rests restTable
 	// changes wait to be logged.
@@ -28,7 +28,7 @@
 func (l limits) any() bool { return l.book.Any() || len(l.rests) > 0 }
 
 func newLimits() limits {
-	return limits{book: quota.NewBook(), spent: spentTable{}, rests: restTable{}}
+	return limits{book: quota.NewTable(), spent: spentTable{}, rests: restTable{}}
 }
 
 // spentTable is until when upstreams have nothing left for requests of a priority and for less
@@ -74,7 +74,7 @@
 	if n, ok := p.nodes[from.ID]; ok && n.hash != hash {
 		return
 	}
-	change, changed := p.limits.book.Announced(hash, a, now)
+	change, changed := p.limits.book.ApplyAnnouncement(hash, a, now)
 	p.noteLimit(change, changed)
 	if changed {
 		p.settings.OnChange()
@@ -82,36 +82,36 @@
 }
 
 // hearLimits takes what others told of upstreams' announcements. The lock is held.
-func (p *State) hearLimits(words []quota.Word, beside bool, now time.Duration) {
-	scope := quota.Beyond
+func (p *State) hearLimits(words []quota.UpstreamLimit, beside bool, now time.Duration) {
+	scope := quota.OtherZone
 	if beside {
-		scope = quota.Beside
+		scope = quota.SameZone
 	}
 	for _, w := range words {
-		change, changed := p.limits.book.Heard(w, scope, now)
+		change, changed := p.limits.book.ApplyReport(w, scope, now)
 		p.noteLimit(change, changed)
 	}
 }
 
 // Limits returns what is known of the announcements of all upstreams.
-func (p *State) Limits(now time.Duration) []quota.Word {
+func (p *State) Limits(now time.Duration) []quota.UpstreamLimit {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.limits.book.Words(now)
+	return p.limits.book.All(now)
 }
 
-// HearLimits takes what an instance of this zone, or of another one, knows of all upstreams.
-func (p *State) HearLimits(words []quota.Word, beside bool, now time.Duration) {
+// ApplyLimits takes what an instance of this zone, or of another one, knows of all upstreams.
+func (p *State) ApplyLimits(words []quota.UpstreamLimit, beside bool, now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.hearLimits(words, beside, now)
 }
 
-// HearLimit takes what an instance that asks for a grant was told by the upstream.
-func (p *State) HearLimit(w quota.Word, now time.Duration) {
+// ApplyLimit takes what an instance that asks for a grant was told by the upstream.
+func (p *State) ApplyLimit(w quota.UpstreamLimit, now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.hearLimits([]quota.Word{w}, true, now)
+	p.hearLimits([]quota.UpstreamLimit{w}, true, now)
 }
 
 // noteLimit keeps a change to be logged. What was told to wait for by the limit before
@@ -120,10 +120,10 @@
 	if !changed {
 		return
 	}
-	if c.Rate != c.Before {
+	if c.Rate != c.OldRate {
 		delete(p.limits.spent, c.Upstream)
 	}
-	if n, ok := p.byHash[c.Upstream]; ok && c.Leaves {
+	if n, ok := p.byHash[c.Upstream]; ok && c.StartsDraining {
 		n.Draining = true
 	}
 	p.limits.changes = append(p.limits.changes, c)
@@ -140,46 +140,46 @@
 
 // Limit returns what is known of an upstream's limit, whether the upstream told this instance
 // itself, and whether anything is known of one.
-func (p *State) Limit(hash uint32, now time.Duration) (w quota.Word, firstHand, known bool) {
+func (p *State) Limit(hash uint32, now time.Duration) (w quota.UpstreamLimit, firstHand, known bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.limits.book.Word(hash, now)
+	return p.limits.book.Lookup(hash, now)
 }
 
-// Spent takes it that an upstream with a limit has nothing left for a time, for requests of a
+// MarkExhausted takes it that an upstream with a limit has nothing left for a time, for requests of a
 // priority and for less urgent ones.
-func (p *State) Spent(hash uint32, priority int, until time.Duration) {
+func (p *State) MarkExhausted(hash uint32, priority int, until time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.limits.spent.note(hash, priority, until)
 }
 
-// IsSpent tells whether an upstream has nothing left for a request of a priority.
-func (p *State) IsSpent(hash uint32, priority int, now time.Duration) bool {
+// IsExhausted tells whether an upstream has nothing left for a request of a priority.
+func (p *State) IsExhausted(hash uint32, priority int, now time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return now < p.limits.spent.until(hash, priority)
 }
 
-// Leaves tells whether a start of an upstream leaves, as far as is known now.
-func (p *State) Leaves(u Upstream) bool {
+// IsDraining tells whether a start of an upstream leaves, as far as is known now.
+func (p *State) IsDraining(u Upstream) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n, ok := p.byHash[u.Incarnation()]
 	return ok && n.Draining
 }
 
-// AllLeave tells whether a service has upstreams, and all of them leave.
-func (p *State) AllLeave(service string) bool {
+// AllDraining tells whether a service has upstreams, and all of them leave.
+func (p *State) AllDraining(service string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.byService[service]
 	return len(list) > 0 && !slices.ContainsFunc(list, func(n *node) bool { return !n.Draining })
 }
 
-// AllowanceIn returns when the first of the upstreams that take no request now, by their limit
+// AvailableIn returns when the first of the upstreams that take no request now, by their limit
 // or as they rest, takes one again; false when there are none. Resting tells that it rests.
-func (p *State) AllowanceIn(a PlacementRequest, now time.Duration) (in time.Duration, resting, found bool) {
+func (p *State) AvailableIn(a PlacementRequest, now time.Duration) (in time.Duration, resting, found bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	in = time.Duration(math.MaxInt64)
@@ -196,11 +196,11 @@
 // lapseLimits forgets what counts no longer. The lock is held.
 func (p *State) lapseLimits(now time.Duration) {
 	p.limits.spent.lapse(now)
-	p.limits.book.Lapse(func(hash uint32) bool { return p.byHash[hash] != nil }, now)
+	p.limits.book.Expire(func(hash uint32) bool { return p.byHash[hash] != nil }, now)
 }
 
-// NameOf returns the id of the upstream with a hash; empty when it is not listed.
-func (p *State) NameOf(hash uint32) string {
+// UpstreamID returns the id of the upstream with a hash; empty when it is not listed.
+func (p *State) UpstreamID(hash uint32) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if n, ok := p.byHash[hash]; ok {
--- a/internal/upstreamstate/reports.go
+++ b/internal/upstreamstate/reports.go
@@ -81,9 +81,9 @@
 	// Usage are totals of requests that began to run.
 	Usage []usage.Count
 	// Crashes are those of upstreams under a request's content that are to be known to all.
-	Crashes []quarantine.End
+	Crashes []quarantine.Crash
 	// Limits of upstreams, as far as they are due.
-	Limits []quota.Word
+	Limits []quota.UpstreamLimit
 }
 
 // partLoads is how many loads one part of a report has: about half a datagram.
@@ -114,7 +114,7 @@
 	report := Report{Complete: true, Placed: p.placed, Unreachable: p.goneList(p.gone.here, now), Unavailable: awayList(p.away.here, now)}
 	p.placed = nil
 	p.lapseLimits(now)
-	report.Limits = p.limits.book.OwnWords(now)
+	report.Limits = p.limits.book.DueOwn(now)
 	for n := range p.busy {
 		load := n.own(now)
 		if load.idle() {
@@ -145,20 +145,20 @@
 	p.told.lapse(now)
 	report := Report{Placed: p.zonePlaced, Unreachable: p.goneList(p.gone.beside, now), Unavailable: awayList(p.away.beside, now)}
 	p.zonePlaced = nil
-	report.Limits = p.limits.book.ZoneWords(now)
+	report.Limits = p.limits.book.DueZone(now)
 	report.Loads = p.due(&p.zone, now, func(n *node) EngineLoad { return n.here(now) })
 	return report
 }
 
-// BeyondReport tells the instances beside this one what those of all other zones
+// OtherZonesReport tells the instances beside this one what those of all other zones
 // have under way, as far as that changed, and what they placed since the last one.
-func (p *State) BeyondReport(now time.Duration) Report {
+func (p *State) OtherZonesReport(now time.Duration) Report {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.told.lapse(now)
 	report := Report{Placed: p.beyondPlaced, Unreachable: p.goneList(p.gone.beyond, now), Unavailable: awayList(p.away.beyond, now)}
 	p.beyondPlaced = nil
-	report.Limits = p.limits.book.BeyondWords(now)
+	report.Limits = p.limits.book.DueOtherZones(now)
 	report.Loads = p.due(&p.beyond, now, func(n *node) EngineLoad {
 		load := n.told.beyond.at(now)
 		load.Engine = n.hash
@@ -185,8 +185,8 @@
 	return loads
 }
 
-// TakeReport takes the report of another instance, or of other zones.
-func (p *State) TakeReport(source string, report Report, now time.Duration) {
+// ApplyReport takes the report of another instance, or of other zones.
+func (p *State) ApplyReport(source string, report Report, now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.told.lapse(now)
--- a/internal/upstreamstate/upstreamstate.go
+++ b/internal/upstreamstate/upstreamstate.go
@@ -150,9 +150,9 @@
 	return p.table, now - p.tableAt
 }
 
-// Learn takes an upstream's newest entry. One that has started again under its id has
+// UpdateUpstream takes an upstream's newest entry. One that has started again under its id has
 // nothing and knows nothing of before, so that all that is known of it is dropped.
-func (p *State) Learn(u Upstream) {
+func (p *State) UpdateUpstream(u Upstream) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n, ok := p.nodes[u.ID]
@@ -177,7 +177,7 @@
 		p.away.forget(n.hash) // the order is carried out
 	}
 	n.Upstream, n.engine = u, engineOf(u)
-	n.Draining = u.Draining || p.limits.book.Leaving(n.hash)
+	n.Draining = u.Draining || p.limits.book.Draining(n.hash)
 }
 
 // leave takes an upstream off its service's list. The lock is held.
@@ -188,8 +188,8 @@
 	}
 }
 
-// Forget drops an upstream that is gone.
-func (p *State) Forget(id string) {
+// RemoveUpstream drops an upstream that is gone.
+func (p *State) RemoveUpstream(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n, ok := p.nodes[id]
@@ -233,8 +233,8 @@
 	return Upstream{}
 }
 
-// Members returns the upstreams of a service, those that are leaving too.
-func (p *State) Members(service string) []Upstream {
+// Upstreams returns the upstreams of a service, those that are leaving too.
+func (p *State) Upstreams(service string) []Upstream {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := make([]Upstream, 0, len(p.byService[service]))
@@ -272,9 +272,9 @@
 	return lists
 }
 
-// SendAway has all instances leave an upstream out for a time in which it takes no
+// MarkUnavailable has all instances leave an upstream out for a time in which it takes no
 // requests, or until its role has changed.
-func (p *State) SendAway(id string, until time.Duration) {
+func (p *State) MarkUnavailable(id string, until time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.sendAway(id, until)
--- a/internal/upstreamstate/work.go
+++ b/internal/upstreamstate/work.go
@@ -45,8 +45,8 @@
 	p.changed(n)
 }
 
-// End takes a request off an upstream.
-func (p *State) End(id, request string, now time.Duration) {
+// RequestDone takes a request off an upstream.
+func (p *State) RequestDone(id, request string, now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.loads.End(id, request, now)
@@ -58,8 +58,8 @@
 	p.changed(n)
 }
 
-// Reported takes an upstream's word on its load.
-func (p *State) Reported(id string, l Load, now time.Duration) {
+// SetReportedLoad takes an upstream's word on its load.
+func (p *State) SetReportedLoad(id string, l Load, now time.Duration) {
 	if !l.Known {
 		return
 	}
@@ -70,9 +70,9 @@
 	}
 }
 
-// Judge records what a send told of an upstream, and reports whether it is
+// RecordCall records what a send told of an upstream, and reports whether it is
 // ejected by it. One that cannot be reached is ejected at once.
-func (p *State) Judge(id string, v load.CallResult, now time.Duration) bool {
+func (p *State) RecordCall(id string, v load.CallResult, now time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch v {
@@ -93,8 +93,8 @@
 	return p.loads.RecordCall(id, v, now) || first
 }
 
-// HeardSince tells whether an upstream has answered anything since a time.
-func (p *State) HeardSince(id string, since time.Duration) bool {
+// AnsweredSince tells whether an upstream has answered anything since a time.
+func (p *State) AnsweredSince(id string, since time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n, ok := p.nodes[id]
