--- a/internal/estimate/share.go
+++ b/internal/estimate/share.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Learned is what one instance has learned of a service's engines, for the others.
-type Learned struct {
+// Snapshot is what one instance has learned of a service's engines, for the others.
+type Snapshot struct {
 	// Speed is the time of a prompt's tokens, against the prior's, and Overhead the
 	// time besides; Prompts is how many prompts tell so.
 	Speed    float64
@@ -20,9 +20,9 @@
 const knownFrom = 16
 
 // Learned returns what this instance has learned by itself.
-func (m *Model) Learned() Learned {
+func (m *Model) Learned() Snapshot {
 	prompt, step := m.prompts.estimate(), m.steps.estimate()
-	return Learned{
+	return Snapshot{
 		Speed: prompt.slope, Overhead: time.Duration(prompt.base), Prompts: len(m.prompts.samples),
 		Step: time.Duration(step.base), PerRequest: time.Duration(step.slope), Streams: len(m.steps.samples),
 	}
@@ -30,7 +30,7 @@
 
 // Hear takes what another instance has learned: it takes the place of the prior,
 // for an instance that has just started or serves little.
-func (m *Model) Hear(l Learned) {
+func (m *Model) Hear(l Snapshot) {
 	if l.Prompts >= knownFrom && l.Speed > 0 && l.Overhead >= 0 {
 		m.prompts.hear(coefficients{slope: l.Speed, base: float64(l.Overhead)})
 	}
--- a/internal/peers/messages.go
+++ b/internal/peers/messages.go
@@ -103,9 +103,9 @@
 	report.Limits = limitsFromMessages(m.GetLimits())
 	for _, t := range m.GetTimes() {
 		if report.Times == nil {
-			report.Times = map[uint32]estimate.Learned{}
+			report.Times = map[uint32]estimate.Snapshot{}
 		}
-		report.Times[t.GetService()] = estimate.Learned{
+		report.Times[t.GetService()] = estimate.Snapshot{
 			Speed: float64(t.GetSpeed()), Overhead: time.Duration(t.GetOverhead()), Prompts: int(t.GetPrompts()),
 			Step: time.Duration(t.GetStep()), PerRequest: time.Duration(t.GetPerRequest()), Streams: int(t.GetStreams()),
 		}
--- a/internal/peers/reports.go
+++ b/internal/peers/reports.go
@@ -39,7 +39,7 @@
 	ZoneReport() upstreamstate.Report
 	OtherZonesReport() upstreamstate.Report
 	// Learned is what this instance has learned of the engines.
-	Learned() map[uint32]estimate.Learned
+	Learned() map[uint32]estimate.Snapshot
 	// ApplyReport takes the report of a source.
 	ApplyReport(source string, report upstreamstate.Report)
 	// SetBehind takes whether others are known to have rows that this instance lacks.
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -184,7 +184,7 @@
 }
 
 // Learned returns what this instance has learned of the engines.
-func (r *Relay) Learned() map[uint32]estimate.Learned { return r.picture.Learned() }
+func (r *Relay) Learned() map[uint32]estimate.Snapshot { return r.picture.Learned() }
 
 // ApplyReport takes the report of another instance, or of a whole zone.
 func (r *Relay) ApplyReport(source string, report upstreamstate.Report) {
--- a/internal/upstreamstate/learn.go
+++ b/internal/upstreamstate/learn.go
@@ -92,8 +92,8 @@
 
 // learned is what this instance has learned of the engines, by a hash of the
 // service. The lock is held.
-func (p *State) learned() map[uint32]estimate.Learned {
-	all := map[uint32]estimate.Learned{}
+func (p *State) learned() map[uint32]estimate.Snapshot {
+	all := map[uint32]estimate.Snapshot{}
 	for service, m := range p.models {
 		if l := m.Learned(); l.Prompts > 0 || l.Streams > 0 {
 			all[hashOf(service)] = l
@@ -103,7 +103,7 @@
 }
 
 // hear takes what another instance has learned. The lock is held.
-func (p *State) hear(times map[uint32]estimate.Learned) {
+func (p *State) hear(times map[uint32]estimate.Snapshot) {
 	if len(times) == 0 {
 		return
 	}
--- a/internal/upstreamstate/reports.go
+++ b/internal/upstreamstate/reports.go
@@ -72,7 +72,7 @@
 	Unavailable []UnavailableUpstream
 	// Times are what the sender learned of the engines, by a hash of the service;
 	// nil while they are not due.
-	Times map[uint32]estimate.Learned
+	Times map[uint32]estimate.Snapshot
 	// RetryOverflow is what an instance's requests paid for of its zone's pool of further
 	// sends, in sends since its start, by a hash of the service.
 	RetryOverflow map[uint32]float64
@@ -128,7 +128,7 @@
 
 // Learned returns what this instance has learned of the engines, by a hash of the
 // service, for the others.
-func (p *State) Learned() map[uint32]estimate.Learned {
+func (p *State) Learned() map[uint32]estimate.Snapshot {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.learned()
