--- a/internal/estimate/share.go
+++ b/internal/estimate/share.go
@@ -4,9 +4,9 @@
 
 // Snapshot is what one instance has learned of a service's engines, for the others.
 type Snapshot struct {
-	// Speed is the time of a prompt's tokens, against the prior's, and Overhead the
+	// PromptTimeRatio is the time of a prompt's tokens, against the prior's, and Overhead the
 	// time besides; Prompts is how many prompts tell so.
-	Speed    float64
+	PromptTimeRatio    float64
 	Overhead time.Duration
 	Prompts  int
 	// Step is the time of a step of generation and PerRequest what each request
@@ -23,7 +23,7 @@
 func (m *Model) Learned() Snapshot {
 	prompt, step := m.prompts.estimate(), m.steps.estimate()
 	return Snapshot{
-		Speed: prompt.slope, Overhead: time.Duration(prompt.base), Prompts: len(m.prompts.samples),
+		PromptTimeRatio: prompt.slope, Overhead: time.Duration(prompt.base), Prompts: len(m.prompts.samples),
 		Step: time.Duration(step.base), PerRequest: time.Duration(step.slope), Streams: len(m.steps.samples),
 	}
 }
@@ -31,8 +31,8 @@
 // Hear takes what another instance has learned: it takes the place of the prior,
 // for an instance that has just started or serves little.
 func (m *Model) Hear(l Snapshot) {
-	if l.Prompts >= knownFrom && l.Speed > 0 && l.Overhead >= 0 {
-		m.prompts.hear(coefficients{slope: l.Speed, base: float64(l.Overhead)})
+	if l.Prompts >= knownFrom && l.PromptTimeRatio > 0 && l.Overhead >= 0 {
+		m.prompts.hear(coefficients{slope: l.PromptTimeRatio, base: float64(l.Overhead)})
 	}
 	if l.Streams >= knownFrom && l.Step >= 0 && l.PerRequest > 0 {
 		m.steps.hear(coefficients{slope: float64(l.PerRequest), base: float64(l.Step)})
