--- a/internal/estimate/share.go
+++ b/internal/estimate/share.go
@@ -8,7 +8,7 @@
 	// time besides; Prompts is how many prompts tell so.
 	PromptTimeRatio    float64
 	Overhead time.Duration
-	Prompts  int
+	PromptCount  int
 	// Step is the time of a step of generation and PerRequest what each request
 	// adds; Streams is how many answers tell so.
 	Step, PerRequest time.Duration
@@ -23,7 +23,7 @@
 func (m *Model) Learned() Snapshot {
 	prompt, step := m.prompts.estimate(), m.steps.estimate()
 	return Snapshot{
-		PromptTimeRatio: prompt.slope, Overhead: time.Duration(prompt.base), Prompts: len(m.prompts.samples),
+		PromptTimeRatio: prompt.slope, Overhead: time.Duration(prompt.base), PromptCount: len(m.prompts.samples),
 		Step: time.Duration(step.base), PerRequest: time.Duration(step.slope), Streams: len(m.steps.samples),
 	}
 }
@@ -31,7 +31,7 @@
 // Hear takes what another instance has learned: it takes the place of the prior,
 // for an instance that has just started or serves little.
 func (m *Model) Hear(l Snapshot) {
-	if l.Prompts >= knownFrom && l.PromptTimeRatio > 0 && l.Overhead >= 0 {
+	if l.PromptCount >= knownFrom && l.PromptTimeRatio > 0 && l.Overhead >= 0 {
 		m.prompts.hear(coefficients{slope: l.PromptTimeRatio, base: float64(l.Overhead)})
 	}
 	if l.Streams >= knownFrom && l.Step >= 0 && l.PerRequest > 0 {
--- a/internal/peers/messages.go
+++ b/internal/peers/messages.go
@@ -63,7 +63,7 @@
 	m.Limits = limitsToMessages(report.Limits)
 	for service, l := range report.Times {
 		m.Times = append(m.Times, &sfv1.EngineTimes{
-			Service: service, Speed: float32(l.PromptTimeRatio), Overhead: float32(l.Overhead), Prompts: uint32(l.Prompts),
+			Service: service, Speed: float32(l.PromptTimeRatio), Overhead: float32(l.Overhead), Prompts: uint32(l.PromptCount),
 			Step: float32(l.Step), PerRequest: float32(l.PerRequest), Streams: uint32(l.Streams),
 		})
 	}
@@ -106,7 +106,7 @@
 			report.Times = map[uint32]estimate.Snapshot{}
 		}
 		report.Times[t.GetService()] = estimate.Snapshot{
-			PromptTimeRatio: float64(t.GetSpeed()), Overhead: time.Duration(t.GetOverhead()), Prompts: int(t.GetPrompts()),
+			PromptTimeRatio: float64(t.GetSpeed()), Overhead: time.Duration(t.GetOverhead()), PromptCount: int(t.GetPrompts()),
 			Step: time.Duration(t.GetStep()), PerRequest: time.Duration(t.GetPerRequest()), Streams: int(t.GetStreams()),
 		}
 	}
