--- a/internal/estimate/share.go
+++ b/internal/estimate/share.go
@@ -12,7 +12,7 @@
 	// Step is the time of a step of generation and PerRequest what each request
 	// adds; Streams is how many answers tell so.
 	Step, PerRequest time.Duration
-	Streams          int
+	StreamCount          int
 }
 
 // knownFrom is the number of observations from which an estimate is one of the
@@ -24,7 +24,7 @@
 	prompt, step := m.prompts.estimate(), m.steps.estimate()
 	return Snapshot{
 		PromptTimeRatio: prompt.slope, Overhead: time.Duration(prompt.base), PromptCount: len(m.prompts.samples),
-		Step: time.Duration(step.base), PerRequest: time.Duration(step.slope), Streams: len(m.steps.samples),
+		Step: time.Duration(step.base), PerRequest: time.Duration(step.slope), StreamCount: len(m.steps.samples),
 	}
 }
 
@@ -34,7 +34,7 @@
 	if l.PromptCount >= knownFrom && l.PromptTimeRatio > 0 && l.Overhead >= 0 {
 		m.prompts.hear(coefficients{slope: l.PromptTimeRatio, base: float64(l.Overhead)})
 	}
-	if l.Streams >= knownFrom && l.Step >= 0 && l.PerRequest > 0 {
+	if l.StreamCount >= knownFrom && l.Step >= 0 && l.PerRequest > 0 {
 		m.steps.hear(coefficients{slope: float64(l.PerRequest), base: float64(l.Step)})
 	}
 }
