--- a/internal/estimate/share.go
+++ b/internal/estimate/share.go
@@ -9,9 +9,9 @@
 	PromptTimeRatio    float64
 	Overhead time.Duration
 	PromptCount  int
-	// Step is the time of a step of generation and PerRequest what each request
+	// Step is the time of a step of generation and StepPerRequest what each request
 	// adds; Streams is how many answers tell so.
-	Step, PerRequest time.Duration
+	Step, StepPerRequest time.Duration
 	StreamCount          int
 }
 
@@ -24,7 +24,7 @@
 	prompt, step := m.prompts.estimate(), m.steps.estimate()
 	return Snapshot{
 		PromptTimeRatio: prompt.slope, Overhead: time.Duration(prompt.base), PromptCount: len(m.prompts.samples),
-		Step: time.Duration(step.base), PerRequest: time.Duration(step.slope), StreamCount: len(m.steps.samples),
+		Step: time.Duration(step.base), StepPerRequest: time.Duration(step.slope), StreamCount: len(m.steps.samples),
 	}
 }
 
@@ -34,8 +34,8 @@
 	if l.PromptCount >= knownFrom && l.PromptTimeRatio > 0 && l.Overhead >= 0 {
 		m.prompts.hear(coefficients{slope: l.PromptTimeRatio, base: float64(l.Overhead)})
 	}
-	if l.StreamCount >= knownFrom && l.Step >= 0 && l.PerRequest > 0 {
-		m.steps.hear(coefficients{slope: float64(l.PerRequest), base: float64(l.Step)})
+	if l.StreamCount >= knownFrom && l.Step >= 0 && l.StepPerRequest > 0 {
+		m.steps.hear(coefficients{slope: float64(l.StepPerRequest), base: float64(l.Step)})
 	}
 }
 
--- a/internal/peers/messages.go
+++ b/internal/peers/messages.go
@@ -64,7 +64,7 @@
 	for service, l := range report.Times {
 		m.Times = append(m.Times, &sfv1.EngineTimes{
 			Service: service, Speed: float32(l.PromptTimeRatio), Overhead: float32(l.Overhead), Prompts: uint32(l.PromptCount),
-			Step: float32(l.Step), PerRequest: float32(l.PerRequest), Streams: uint32(l.StreamCount),
+			Step: float32(l.Step), PerRequest: float32(l.StepPerRequest), Streams: uint32(l.StreamCount),
 		})
 	}
 	return m
@@ -107,7 +107,7 @@
 		}
 		report.Times[t.GetService()] = estimate.Snapshot{
 			PromptTimeRatio: float64(t.GetSpeed()), Overhead: time.Duration(t.GetOverhead()), PromptCount: int(t.GetPrompts()),
-			Step: time.Duration(t.GetStep()), PerRequest: time.Duration(t.GetPerRequest()), StreamCount: int(t.GetStreams()),
+			Step: time.Duration(t.GetStep()), StepPerRequest: time.Duration(t.GetPerRequest()), StreamCount: int(t.GetStreams()),
 		}
 	}
 	return report
