--- a/internal/estimate/share.go
+++ b/internal/estimate/share.go
@@ -19,8 +19,8 @@
 // engines and not of the prior (TestThePriorYields).
 const knownFrom = 16
 
-// Learned returns what this instance has learned by itself.
-func (m *Model) Learned() Snapshot {
+// Snapshot returns what this instance has learned by itself.
+func (m *Model) Snapshot() Snapshot {
 	prompt, step := m.prompts.estimate(), m.steps.estimate()
 	return Snapshot{
 		PromptTimeRatio: prompt.slope, Overhead: time.Duration(prompt.base), PromptCount: len(m.prompts.samples),
--- a/internal/upstreamstate/learn.go
+++ b/internal/upstreamstate/learn.go
@@ -95,7 +95,7 @@
 func (p *State) learned() map[uint32]estimate.Snapshot {
 	all := map[uint32]estimate.Snapshot{}
 	for service, m := range p.models {
-		if l := m.Learned(); l.PromptCount > 0 || l.StreamCount > 0 {
+		if l := m.Snapshot(); l.PromptCount > 0 || l.StreamCount > 0 {
 			all[hashOf(service)] = l
 		}
 	}
