--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -117,7 +117,7 @@
 		rng: rand.New(rand.NewPCG(1, 2)),
 	}
 	old, young := New(prior), New(prior)
-	young.Hear(old.Snapshot())
+	young.Merge(old.Snapshot())
 	if young.PromptsKnown() || young.StepsKnown() {
 		t.Error("known from an instance that has seen nothing")
 	}
@@ -125,7 +125,7 @@
 		old.Prefilled(e.prefill(0.2))
 		old.Streamed(e.stream(float64(i)))
 	}
-	young.Hear(old.Snapshot())
+	young.Merge(old.Snapshot())
 	token, _, _ := young.Prompt()
 	step, perRequest := young.Step()
 	if !young.PromptsKnown() || !young.StepsKnown() || !near(token, e.token, 0.2) {
--- a/internal/estimate/share.go
+++ b/internal/estimate/share.go
@@ -28,9 +28,9 @@
 	}
 }
 
-// Hear takes what another instance has learned: it takes the place of the prior,
+// Merge takes what another instance has learned: it takes the place of the prior,
 // for an instance that has just started or serves little.
-func (m *Model) Hear(l Snapshot) {
+func (m *Model) Merge(l Snapshot) {
 	if l.PromptCount >= knownFrom && l.PromptTimeRatio > 0 && l.Overhead >= 0 {
 		m.prompts.hear(coefficients{slope: l.PromptTimeRatio, base: float64(l.Overhead)})
 	}
--- a/internal/upstreamstate/learn.go
+++ b/internal/upstreamstate/learn.go
@@ -109,7 +109,7 @@
 	}
 	for service := range p.byService {
 		if l, ok := times[hashOf(service)]; ok {
-			p.model(service).Hear(l)
+			p.model(service).Merge(l)
 		}
 	}
 }
