--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -90,8 +90,8 @@
 	leastStepped = 16
 )
 
-// Prefilled takes note of a processed prompt.
-func (m *Model) Prefilled(p Prefill) {
+// RecordPrefill takes note of a processed prompt.
+func (m *Model) RecordPrefill(p Prefill) {
 	predicted := m.predict(p)
 	if p.Fresh <= 0 || p.Ahead > time.Duration(idlePart*float64(predicted)) {
 		return
--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -58,7 +58,7 @@
 		for n, part := range map[int]float64{16: 0.15, 64: 0.12} {
 			m := New(prior)
 			for range n {
-				m.Prefilled(e.prefill(0.2))
+				m.RecordPrefill(e.prefill(0.2))
 			}
 			const fresh, cached = 2900, 6300
 			want := fresh*e.token + pairs(fresh, cached)*e.pair + roundTrip + e.besides
@@ -73,7 +73,7 @@
 func TestPromptsThatWaitedTellNothing(t *testing.T) {
 	m := New(DefaultPrior())
 	for range 100 {
-		m.Prefilled(Prefill{Fresh: 1000, Ahead: time.Second, Took: time.Second})
+		m.RecordPrefill(Prefill{Fresh: 1000, Ahead: time.Second, Took: time.Second})
 	}
 	if token, _, _ := m.Prompt(); token != DefaultPrior().TokenTime {
 		t.Errorf("%g ns a token", token)
@@ -98,7 +98,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := New(DefaultPrior())
 		for range rapid.IntRange(0, 40).Draw(t, "prompts") {
-			m.Prefilled(Prefill{
+			m.RecordPrefill(Prefill{
 				Fresh: rapid.IntRange(0, 100000).Draw(t, "fresh"), Cached: rapid.IntRange(0, 100000).Draw(t, "cached"),
 				Took: time.Duration(rapid.Int64Range(0, int64(10*time.Second)).Draw(t, "took")),
 			})
@@ -122,7 +122,7 @@
 		t.Error("known from an instance that has seen nothing")
 	}
 	for i := range 64 {
-		old.Prefilled(e.prefill(0.2))
+		old.RecordPrefill(e.prefill(0.2))
 		old.Streamed(e.stream(float64(i)))
 	}
 	young.Merge(old.Snapshot())
--- a/internal/upstreamstate/learn.go
+++ b/internal/upstreamstate/learn.go
@@ -62,7 +62,7 @@
 func (p *State) RecordPrefill(service string, done estimate.Prefill) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.model(service).Prefilled(done)
+	p.model(service).RecordPrefill(done)
 }
 
 // RecordHandOver takes note of how long a decode engine took to begin with a processed
