--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -114,9 +114,9 @@
 	return float64(fresh) * (float64(cached) + float64(fresh)/2)
 }
 
-// Began takes note of the time from a send with a processed prompt to the first
+// RecordHandOver takes note of the time from a send with a processed prompt to the first
 // token, less the predicted transfer.
-func (m *Model) Began(took time.Duration) { m.handOver.add(took.Seconds()) }
+func (m *Model) RecordHandOver(took time.Duration) { m.handOver.add(took.Seconds()) }
 
 // Streamed takes note of an answer that was generated whole.
 func (m *Model) Streamed(s Stream) {
--- a/internal/upstreamstate/learn.go
+++ b/internal/upstreamstate/learn.go
@@ -71,7 +71,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	fetch := time.Duration(float64(tokens) * p.times(service).FetchTime)
-	p.model(service).Began(max(0, took-fetch))
+	p.model(service).RecordHandOver(max(0, took-fetch))
 }
 
 // RecordStream takes note of an answer that an engine has generated whole, in so many
