--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -118,8 +118,8 @@
 // token, less the predicted transfer.
 func (m *Model) RecordHandOver(took time.Duration) { m.handOver.add(took.Seconds()) }
 
-// Streamed takes note of an answer that was generated whole.
-func (m *Model) Streamed(s Stream) {
+// RecordStream takes note of an answer that was generated whole.
+func (m *Model) RecordStream(s Stream) {
 	m.slot.add(s.Slot.Seconds())
 	if s.Stepped < leastStepped || s.Took <= 0 {
 		return
--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -84,7 +84,7 @@
 	e := engine{step: 637 * time.Microsecond, perRequest: 8500 * time.Nanosecond, rng: rand.New(rand.NewPCG(1, 2))}
 	m := New(DefaultPrior())
 	for i := range 64 {
-		m.Streamed(e.stream(float64(5 + i%40)))
+		m.RecordStream(e.stream(float64(5 + i%40)))
 	}
 	alone, perRequest := m.Step()
 	full := alone + 64*perRequest
@@ -123,7 +123,7 @@
 	}
 	for i := range 64 {
 		old.RecordPrefill(e.prefill(0.2))
-		old.Streamed(e.stream(float64(i)))
+		old.RecordStream(e.stream(float64(i)))
 	}
 	young.Merge(old.Snapshot())
 	token, _, _ := young.Prompt()
--- a/internal/upstreamstate/learn.go
+++ b/internal/upstreamstate/learn.go
@@ -87,7 +87,7 @@
 	if n, ok := p.nodes[engine]; ok {
 		done.Batch = float64(n.toldTo(now).Requests)
 	}
-	p.model(service).Streamed(done)
+	p.model(service).RecordStream(done)
 }
 
 // learned is what this instance has learned of the engines, by a hash of the
