--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -127,9 +127,9 @@
 	m.steps.add(sample{x: max(1, s.Batch), y: float64(s.Took) / float64(s.Stepped)})
 }
 
-// Prompt returns the times of a prompt's tokens and pairs of tokens, in
+// PromptTimes returns the times of a prompt's tokens and pairs of tokens, in
 // nanoseconds, and what it takes besides.
-func (m *Model) Prompt() (token, pair float64, overhead time.Duration) {
+func (m *Model) PromptTimes() (token, pair float64, overhead time.Duration) {
 	c := m.prompts.estimate()
 	return c.slope * m.prior.TokenTime, c.slope * m.prior.PairTime, time.Duration(c.base)
 }
--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -75,7 +75,7 @@
 	for range 100 {
 		m.RecordPrefill(Prefill{Fresh: 1000, Ahead: time.Second, Took: time.Second})
 	}
-	if token, _, _ := m.Prompt(); token != DefaultPrior().TokenTime {
+	if token, _, _ := m.PromptTimes(); token != DefaultPrior().TokenTime {
 		t.Errorf("%g ns a token", token)
 	}
 }
@@ -103,7 +103,7 @@
 				Took: time.Duration(rapid.Int64Range(0, int64(10*time.Second)).Draw(t, "took")),
 			})
 		}
-		if token, pair, _ := m.Prompt(); !(token > 0) || !(pair > 0) {
+		if token, pair, _ := m.PromptTimes(); !(token > 0) || !(pair > 0) {
 			t.Fatalf("%g, %g", token, pair)
 		}
 	})
@@ -126,7 +126,7 @@
 		old.RecordStream(e.stream(float64(i)))
 	}
 	young.Merge(old.Snapshot())
-	token, _, _ := young.Prompt()
+	token, _, _ := young.PromptTimes()
 	step, perRequest := young.Step()
 	if !young.PromptsKnown() || !young.StepsKnown() || !near(token, e.token, 0.2) {
 		t.Errorf("%g ns a token, want %g", token, e.token)
--- a/internal/upstreamstate/learn.go
+++ b/internal/upstreamstate/learn.go
@@ -40,7 +40,7 @@
 func (p *State) times(service string) Times {
 	m := p.model(service)
 	t := Times{}
-	t.TokenTime, t.PairTime, t.Overhead = m.Prompt()
+	t.TokenTime, t.PairTime, t.Overhead = m.PromptTimes()
 	t.HandOver, t.SlotTime = m.HandOver(), m.Slot()
 	t.Step, t.StepPerRequest = m.Step()
 	t.Known = m.PromptsKnown() && m.StepsKnown()
