--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -134,9 +134,9 @@
 	return c.slope * m.prior.TokenTime, c.slope * m.prior.PairTime, time.Duration(c.base)
 }
 
-// Step returns the time of a step of generation with no request and what each
+// StepTimes returns the time of a step of generation with no request and what each
 // request adds.
-func (m *Model) Step() (alone, perRequest time.Duration) {
+func (m *Model) StepTimes() (alone, perRequest time.Duration) {
 	c := m.steps.estimate()
 	return time.Duration(c.base), time.Duration(c.slope)
 }
--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -86,7 +86,7 @@
 	for i := range 64 {
 		m.RecordStream(e.stream(float64(5 + i%40)))
 	}
-	alone, perRequest := m.Step()
+	alone, perRequest := m.StepTimes()
 	full := alone + 64*perRequest
 	if want := e.step + 64*e.perRequest; !near(float64(full), float64(want), 0.1) {
 		t.Errorf("a step of 64 requests takes %s, want %s (%s, %s)", full, want, alone, perRequest)
@@ -127,7 +127,7 @@
 	}
 	young.Merge(old.Snapshot())
 	token, _, _ := young.PromptTimes()
-	step, perRequest := young.Step()
+	step, perRequest := young.StepTimes()
 	if !young.PromptsKnown() || !young.StepsKnown() || !near(token, e.token, 0.2) {
 		t.Errorf("%g ns a token, want %g", token, e.token)
 	}
--- a/internal/upstreamstate/learn.go
+++ b/internal/upstreamstate/learn.go
@@ -42,7 +42,7 @@
 	t := Times{}
 	t.TokenTime, t.PairTime, t.Overhead = m.PromptTimes()
 	t.HandOver, t.SlotTime = m.HandOver(), m.Slot()
-	t.Step, t.StepPerRequest = m.Step()
+	t.Step, t.StepPerRequest = m.StepTimes()
 	t.Known = m.PromptsKnown() && m.StepsKnown()
 	limits := p.table.Services[service].Engine
 	if limits == nil {
