--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -147,7 +147,7 @@
 	return seconds(m.handOver.or(m.prior.HandOver.Seconds()))
 }
 
-// Slot returns the mean time that a generation keeps its slot; 0 until one ended.
-func (m *Model) Slot() time.Duration { return seconds(m.slot.or(0)) }
+// SlotTime returns the mean time that a generation keeps its slot; 0 until one ended.
+func (m *Model) SlotTime() time.Duration { return seconds(m.slot.or(0)) }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/upstreamstate/learn.go
+++ b/internal/upstreamstate/learn.go
@@ -41,7 +41,7 @@
 	m := p.model(service)
 	t := Times{}
 	t.TokenTime, t.PairTime, t.Overhead = m.PromptTimes()
-	t.HandOver, t.SlotTime = m.HandOver(), m.Slot()
+	t.HandOver, t.SlotTime = m.HandOver(), m.SlotTime()
 	t.Step, t.StepPerRequest = m.StepTimes()
 	t.Known = m.PromptsKnown() && m.StepsKnown()
 	limits := p.table.Services[service].Engine
