--- a/internal/estimate/share.go
+++ b/internal/estimate/share.go
@@ -6,9 +6,9 @@
 type Snapshot struct {
 	// PromptTimeRatio is the time of a prompt's tokens, against the prior's, and Overhead the
 	// time besides; Prompts is how many prompts tell so.
-	PromptTimeRatio    float64
-	Overhead time.Duration
-	PromptCount  int
+	PromptTimeRatio float64
+	Overhead        time.Duration
+	PromptCount     int
 	// Step is the time of a step of generation and StepPerRequest what each request
 	// adds; Streams is how many answers tell so.
 	Step, StepPerRequest time.Duration
