--- a/internal/entry/rates.go
+++ b/internal/entry/rates.go
@@ -49,7 +49,7 @@
 
 func newRates(s RateSettings) *rates {
 	return &rates{limiter: limit.New(limit.Options{
-		Floor: s.Floor, Window: s.Window, SmallestBurst: float64(s.SmallestBurst), KeepTotals: s.KeepTotals,
+		Floor: s.Floor, Window: s.Window, MinBurst: float64(s.SmallestBurst), TotalsTTL: s.KeepTotals,
 	})}
 }
 
@@ -62,7 +62,7 @@
 func (r *rates) charge(o *config.Organisation, now time.Duration) limit.Verdict {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.limiter.Charge(o.Name, ruleOf(o), now)
+	return r.limiter.TakeWithDebt(o.Name, ruleOf(o), now)
 }
 
 func ruleOf(o *config.Organisation) limit.Rule {
--- a/internal/relay/apart_test.go
+++ b/internal/relay/apart_test.go
@@ -37,7 +37,7 @@
 func endsSoon(r *Relay, content quarantine.Content, ends int) {
 	for {
 		r.contents.mu.Lock()
-		n := r.contents.table.Ends(content)
+		n := r.contents.table.Crashes(content)
 		r.contents.mu.Unlock()
 		if n >= ends {
 			return
@@ -121,7 +121,7 @@
 	first, second, third := newFake(t, ender()), newFake(t, ender()), newFake(t, ender())
 	content := call("/once/1").Content()
 	for n, r := range []*Relay{first, second} {
-		end := quarantine.End{Content: content, Upstream: upstreamstate.Upstream{ID: string(rune('a' + n))}.Incarnation()}
+		end := quarantine.Crash{Content: content, Upstream: upstreamstate.Upstream{ID: string(rune('a' + n))}.Incarnation()}
 		r.RecordCrash(end)
 	}
 	for _, from := range []*Relay{first, second} {
@@ -164,7 +164,7 @@
 	r := newFake(t, &fakeSender{})
 	req := call("/unsafe/1")
 	long := bootclock.Now() - time.Minute // its first term is over
-	r.contents.table.SetApart(req.Content(), 1, long)
+	r.contents.table.Quarantine(req.Content(), 1, long)
 	if _, err := serve(r, req); err != nil {
 		t.Fatalf("refused after its term: %v", err)
 	}
