--- a/internal/peers/members.go
+++ b/internal/peers/members.go
@@ -39,16 +39,16 @@
 	return k
 }
 
-// Meet takes note of peers that are listed elsewhere.
-func (e *Exchange) Meet(list []Peer) {
+// AddPeers takes note of peers that are listed elsewhere.
+func (e *Exchange) AddPeers(list []Peer) {
 	for _, p := range list {
 		e.meet(p)
 	}
 }
 
-// Count returns the number of instances there were lately, this one included, as far
+// InstanceCount returns the number of instances there were lately, this one included, as far
 // as it is known here.
-func (e *Exchange) Count() int {
+func (e *Exchange) InstanceCount() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return max(e.count.value, len(e.peers)+1)
@@ -82,8 +82,8 @@
 	}
 }
 
-// Passes tells whether this instance passes the reports of its zone on.
-func (e *Exchange) Passes() bool {
+// IsHub tells whether this instance passes the reports of its zone on.
+func (e *Exchange) IsHub() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.passes(e.now())
@@ -99,9 +99,9 @@
 	return passes
 }
 
-// PassesFor is for how long this instance has passed the reports of its zone on; 0
+// HubDuration is for how long this instance has passed the reports of its zone on; 0
 // when it does not.
-func (e *Exchange) PassesFor() time.Duration {
+func (e *Exchange) HubDuration() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.now()
@@ -111,8 +111,8 @@
 	return now - e.passingAt
 }
 
-// Members counts the live instances of this zone, this one included.
-func (e *Exchange) Members() int {
+// ZoneInstanceCount counts the live instances of this zone, this one included.
+func (e *Exchange) ZoneInstanceCount() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.roster.AliveCount(e.now())
--- a/internal/peers/reading.go
+++ b/internal/peers/reading.go
@@ -25,14 +25,14 @@
 	readersTries = 2
 )
 
-// NoticedIn is how long the others take to hear that an instance has no answers
+// ReaderExpiry is how long the others take to hear that an instance has no answers
 // from the store any more: until its last word that it has counts no longer.
-const NoticedIn = aliveFor + 100*time.Millisecond
+const ReaderExpiry = aliveFor + 100*time.Millisecond
 
-// ShouldRead tells whether this instance should follow the store itself: the
+// ShouldReadStore tells whether this instance should follow the store itself: the
 // instances that rank first do. While too few others are heard to do so, the next ones
 // try by turns, and who succeeds goes on.
-func (e *Exchange) ShouldRead() bool {
+func (e *Exchange) ShouldReadStore() bool {
 	reads := e.rows.Reading()
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -98,9 +98,9 @@
 	return heard + beyond
 }
 
-// OthersRead tells whether another instance follows the store now, and it
+// HasOtherReaders tells whether another instance follows the store now, and it
 // answers.
-func (e *Exchange) OthersRead() bool {
+func (e *Exchange) HasOtherReaders() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.readersHeard(e.now()) > 0
--- a/internal/rowsync/share.go
+++ b/internal/rowsync/share.go
@@ -8,8 +8,8 @@
 	"sassafrasfield/internal/replica"
 )
 
-// Informed lists the tables of which all rows are known, as of some time.
-func (f *Follower) Informed() []string {
+// LoadedTables lists the tables of which all rows are known, as of some time.
+func (f *Follower) LoadedTables() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var tables []string
@@ -21,8 +21,8 @@
 	return tables
 }
 
-// Inform takes the tables that a peer knows which gave all its rows: one may have none.
-func (f *Follower) Inform(tables []string) {
+// MarkTablesLoaded takes the tables that a peer knows which gave all its rows: one may have none.
+func (f *Follower) MarkTablesLoaded(tables []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, table := range tables {
@@ -30,8 +30,8 @@
 	}
 }
 
-// Take gets rows from a peer, which does not believe deletions for a while.
-func (f *Follower) Take(rows []replica.Row, hold time.Duration) {
+// ApplyRows gets rows from a peer, which does not believe deletions for a while.
+func (f *Follower) ApplyRows(rows []replica.Row, hold time.Duration) {
 	f.mu.Lock()
 	if hold > 0 {
 		f.copy.Hold(f.now() + hold)
