--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -90,8 +90,8 @@
 	leastStepped = 16
 )
 
-// Prefilled takes note of a processed prompt.
-func (m *Model) Prefilled(p Prefill) {
+// RecordPrefill takes note of a processed prompt.
+func (m *Model) RecordPrefill(p Prefill) {
 	predicted := m.predict(p)
 	if p.Fresh <= 0 || p.Ahead > time.Duration(idlePart*float64(predicted)) {
 		return
@@ -114,12 +114,12 @@
 	return float64(fresh) * (float64(cached) + float64(fresh)/2)
 }
 
-// Began takes note of the time from a send with a processed prompt to the first
+// RecordHandOver takes note of the time from a send with a processed prompt to the first
 // token, less the predicted transfer.
-func (m *Model) Began(took time.Duration) { m.handOver.add(took.Seconds()) }
+func (m *Model) RecordHandOver(took time.Duration) { m.handOver.add(took.Seconds()) }
 
-// Streamed takes note of an answer that was generated whole.
-func (m *Model) Streamed(s Stream) {
+// RecordStream takes note of an answer that was generated whole.
+func (m *Model) RecordStream(s Stream) {
 	m.slot.add(s.Slot.Seconds())
 	if s.Stepped < leastStepped || s.Took <= 0 {
 		return
@@ -127,16 +127,16 @@
 	m.steps.add(sample{x: max(1, s.Batch), y: float64(s.Took) / float64(s.Stepped)})
 }
 
-// Prompt returns the times of a prompt's tokens and pairs of tokens, in
+// PromptTimes returns the times of a prompt's tokens and pairs of tokens, in
 // nanoseconds, and what it takes besides.
-func (m *Model) Prompt() (token, pair float64, overhead time.Duration) {
+func (m *Model) PromptTimes() (token, pair float64, overhead time.Duration) {
 	c := m.prompts.estimate()
 	return c.slope * m.prior.TokenTime, c.slope * m.prior.PairTime, time.Duration(c.base)
 }
 
-// Step returns the time of a step of generation with no request and what each
+// StepTimes returns the time of a step of generation with no request and what each
 // request adds.
-func (m *Model) Step() (alone, perRequest time.Duration) {
+func (m *Model) StepTimes() (alone, perRequest time.Duration) {
 	c := m.steps.estimate()
 	return time.Duration(c.base), time.Duration(c.slope)
 }
@@ -147,7 +147,7 @@
 	return seconds(m.handOver.or(m.prior.HandOver.Seconds()))
 }
 
-// Slot returns the mean time that a generation keeps its slot; 0 until one ended.
-func (m *Model) Slot() time.Duration { return seconds(m.slot.or(0)) }
+// SlotTime returns the mean time that a generation keeps its slot; 0 until one ended.
+func (m *Model) SlotTime() time.Duration { return seconds(m.slot.or(0)) }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/upstreamstate/learn.go
+++ b/internal/upstreamstate/learn.go
@@ -40,9 +40,9 @@
 func (p *State) times(service string) Times {
 	m := p.model(service)
 	t := Times{}
-	t.TokenTime, t.PairTime, t.Overhead = m.Prompt()
-	t.HandOver, t.SlotTime = m.HandOver(), m.Slot()
-	t.Step, t.StepPerRequest = m.Step()
+	t.TokenTime, t.PairTime, t.Overhead = m.PromptTimes()
+	t.HandOver, t.SlotTime = m.HandOver(), m.SlotTime()
+	t.Step, t.StepPerRequest = m.StepTimes()
 	t.Known = m.PromptsKnown() && m.StepsKnown()
 	limits := p.table.Services[service].Engine
 	if limits == nil {
@@ -62,7 +62,7 @@
 func (p *State) RecordPrefill(service string, done estimate.Prefill) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.model(service).Prefilled(done)
+	p.model(service).RecordPrefill(done)
 }
 
 // RecordHandOver takes note of how long a decode engine took to begin with a processed
@@ -71,7 +71,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	fetch := time.Duration(float64(tokens) * p.times(service).FetchTime)
-	p.model(service).Began(max(0, took-fetch))
+	p.model(service).RecordHandOver(max(0, took-fetch))
 }
 
 // RecordStream takes note of an answer that an engine has generated whole, in so many
@@ -87,15 +87,15 @@
 	if n, ok := p.nodes[engine]; ok {
 		done.Batch = float64(n.toldTo(now).Requests)
 	}
-	p.model(service).Streamed(done)
+	p.model(service).RecordStream(done)
 }
 
 // learned is what this instance has learned of the engines, by a hash of the
 // service. The lock is held.
-func (p *State) learned() map[uint32]estimate.Learned {
-	all := map[uint32]estimate.Learned{}
+func (p *State) learned() map[uint32]estimate.Snapshot {
+	all := map[uint32]estimate.Snapshot{}
 	for service, m := range p.models {
-		if l := m.Learned(); l.Prompts > 0 || l.Streams > 0 {
+		if l := m.Snapshot(); l.PromptCount > 0 || l.StreamCount > 0 {
 			all[hashOf(service)] = l
 		}
 	}
@@ -103,13 +103,13 @@
 }
 
 // hear takes what another instance has learned. The lock is held.
-func (p *State) hear(times map[uint32]estimate.Learned) {
+func (p *State) hear(times map[uint32]estimate.Snapshot) {
 	if len(times) == 0 {
 		return
 	}
 	for service := range p.byService {
 		if l, ok := times[hashOf(service)]; ok {
-			p.model(service).Hear(l)
+			p.model(service).Merge(l)
 		}
 	}
 }
