--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -93,7 +93,7 @@
 	in.relay = relay.New(s.Relay, a.Sender, logging.Part(log, "relay"))
 	in.follower = rowsync.New(s.Follow, a.Feed, in.changed, logging.Part(log, "follow"))
 	in.peers = peers.New(s.Self, s.Seeds, in.follower, logging.Part(log, "peers"))
-	in.follower.Join(in.peers)
+	in.follower.SetPeers(in.peers)
 	in.reports = peers.NewReporter(in.peers, in.relay)
 	in.relay.SetPoolRequester(in.reports.RequestRetry)
 	in.relay.SetGrantRequester(in.reports.RequestGrant)
--- a/internal/rowsync/rowsync.go
+++ b/internal/rowsync/rowsync.go
@@ -122,8 +122,8 @@
 	}
 }
 
-// Join sets the other instances; call it before Run.
-func (f *Follower) Join(p Peers) { f.peers = p }
+// SetPeers sets the other instances; call it before Run.
+func (f *Follower) SetPeers(p Peers) { f.peers = p }
 
 func (f *Follower) now() time.Duration { return time.Since(f.start) }
 
--- a/internal/rowsync/rowsync_test.go
+++ b/internal/rowsync/rowsync_test.go
@@ -112,7 +112,7 @@
 		HoldDeletions: hold, PullEvery: 5 * time.Millisecond, PeerReportDelay: 5 * time.Millisecond,
 	}, feed, func([]replica.Row) {}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if others != nil {
-		f.Join(others)
+		f.SetPeers(others)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
