--- a/internal/fanout/inbox.go
+++ b/internal/fanout/inbox.go
@@ -48,9 +48,9 @@
 // NewInbox returns an empty inbox.
 func NewInbox() *Inbox { return &Inbox{newest: map[ID]stamp{}, waiting: map[ID]waiting{}} }
 
-// Take takes a report, and tells whether it is newer than those before. The same one
+// Accept takes a report, and tells whether it is newer than those before. The same one
 // may come from several instances that pass it on.
-func (b *Inbox) Take(o InstanceReport) bool {
+func (b *Inbox) Accept(o InstanceReport) bool {
 	last, known := b.newest[o.Source]
 	if known && last.boot == o.Boot && int32(o.Sequence-last.sequence) <= 0 {
 		return false
--- a/internal/fanout/inbox_test.go
+++ b/internal/fanout/inbox_test.go
@@ -47,7 +47,7 @@
 		boot, sequence uint32
 		news           bool
 	}{{1, 1, true}, {1, 1, false}, {1, 3, true}, {1, 2, false}, {2, 1, true}, {2, 2, true}} {
-		if got := b.Take(own(7, c.boot, c.sequence, 1)); got != c.news {
+		if got := b.Accept(own(7, c.boot, c.sequence, 1)); got != c.news {
 			t.Errorf("boot %d, sequence %d: news %t", c.boot, c.sequence, got)
 		}
 	}
--- a/internal/peers/take.go
+++ b/internal/peers/take.go
@@ -159,7 +159,7 @@
 func (e *Exchange) takeOwn(o fanout.InstanceReport, keep bool) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.inbox.Take(o) {
+	if !e.inbox.Accept(o) {
 		return false
 	}
 	now := e.now()
