--- a/internal/fanout/inbox.go
+++ b/internal/fanout/inbox.go
@@ -59,9 +59,9 @@
 	return true
 }
 
-// Keep has the next batch pass a report on. One that waits already gives way to it,
+// Enqueue has the next batch pass a report on. One that waits already gives way to it,
 // but for the parts, the ends and the limits that it told of.
-func (b *Inbox) Keep(o InstanceReport, now time.Duration) {
+func (b *Inbox) Enqueue(o InstanceReport, now time.Duration) {
 	placed := append(b.waiting[o.Source].own.Report.Placed, o.Report.Placed...)
 	o.Report.Placed = placed[max(0, len(placed)-placedAtMost):]
 	if o.Report.Times == nil {
--- a/internal/fanout/inbox_test.go
+++ b/internal/fanout/inbox_test.go
@@ -27,7 +27,7 @@
 	for n := range 30 {
 		now := time.Duration(n) * batchEvery
 		for id := range ID(3) {
-			b.Keep(own(id, 1, uint32(n), 1), now)
+			b.Enqueue(own(id, 1, uint32(n), 1), now)
 		}
 		room := 1
 		for _, o := range b.Batch(now, func(InstanceReport) bool { room--; return room >= 0 }) {
@@ -57,9 +57,9 @@
 // are told once.
 func TestTheNewestReportIsPassedOnWithAllParts(t *testing.T) {
 	b := NewInbox()
-	b.Keep(own(7, 1, 1, 10), 0)
-	b.Keep(own(7, 1, 2, 11), 0)
-	b.Keep(own(8, 1, 1, 12), 0)
+	b.Enqueue(own(7, 1, 1, 10), 0)
+	b.Enqueue(own(7, 1, 2, 11), 0)
+	b.Enqueue(own(8, 1, 1, 12), 0)
 	reports := b.Batch(0, all)
 	if len(reports) != 2 {
 		t.Fatalf("%d reports, want one of each instance", len(reports))
@@ -80,15 +80,15 @@
 	b := NewInbox()
 	first := own(7, 1, 1, 10)
 	first.Report.Crashes = []quarantine.Crash{{Content: 1, Upstream: 2}}
-	b.Keep(first, 0)
-	b.Keep(own(7, 1, 2, 11), 0)
+	b.Enqueue(first, 0)
+	b.Enqueue(own(7, 1, 2, 11), 0)
 	reports := b.Batch(0, all)
 	if len(reports) != 1 || len(reports[0].Report.Crashes) != 1 {
 		t.Errorf("%+v", reports)
 	}
 	for n := range 100 {
 		first.Report.Crashes[0].Content = quarantine.Content(n)
-		b.Keep(first, 0)
+		b.Enqueue(first, 0)
 	}
 	if n := len(b.Batch(0, all)[0].Report.Crashes); n > endsAtMost {
 		t.Errorf("%d ends wait", n)
@@ -99,7 +99,7 @@
 // sources may be gone.
 func TestOldReportsAreNotPassedOn(t *testing.T) {
 	b := NewInbox()
-	b.Keep(own(7, 1, 1, 10), 0)
+	b.Enqueue(own(7, 1, 1, 10), 0)
 	if len(b.Batch(aliveFor+time.Millisecond, all)) != 0 {
 		t.Error("an old report is passed on")
 	}
@@ -112,7 +112,7 @@
 	told := func(sequence uint32, now time.Duration, words ...quota.UpstreamLimit) {
 		o := own(7, 1, sequence, 1)
 		o.Report.Limits = words
-		b.Keep(o, now)
+		b.Enqueue(o, now)
 	}
 	told(1, 0, quota.UpstreamLimit{Upstream: 1, Rate: 2, Age: time.Second}, quota.UpstreamLimit{Upstream: 2, Rate: 5})
 	told(2, 100*time.Millisecond, quota.UpstreamLimit{Upstream: 2, Rate: 3})
--- a/internal/peers/take.go
+++ b/internal/peers/take.go
@@ -165,7 +165,7 @@
 	now := e.now()
 	e.heardOwn(o, now)
 	if keep {
-		e.inbox.Keep(o, now)
+		e.inbox.Enqueue(o, now)
 	}
 	return true
 }
