--- a/internal/fanout/allowance.go
+++ b/internal/fanout/allowance.go
@@ -35,9 +35,9 @@
 // Spend takes bytes off. What has to be sent is sent, and taken off what comes after it.
 func (a *Allowance) Spend(bytes int) { a.left -= float64(bytes) }
 
-// Bears tells whether anything is left beside bytes that are to be sent now. One report may
+// Allows tells whether anything is left beside bytes that are to be sent now. One report may
 // go beyond it, so that none is too long for a small link.
-func (a *Allowance) Bears(bytes int, now time.Duration) bool {
+func (a *Allowance) Allows(bytes int, now time.Duration) bool {
 	a.left = min(a.most(), a.left+a.rate*(now-a.at).Seconds())
 	a.at = now
 	return a.rate == 0 || float64(bytes) < a.left
--- a/internal/fanout/allowance_test.go
+++ b/internal/fanout/allowance_test.go
@@ -13,7 +13,7 @@
 	sent := 0
 	for now := time.Duration(0); now < 10*time.Second; now += time.Millisecond {
 		for range 3 {
-			if a.Bears(0, now) {
+			if a.Allows(0, now) {
 				a.Spend(datagram)
 				sent += datagram
 			}
@@ -27,7 +27,7 @@
 func TestWhatHasToBeSentIsTakenOffLaterReports(t *testing.T) {
 	a := NewAllowance(10, 0)
 	a.Spend(250_000) // of a second
-	if a.Bears(0, 1000*time.Millisecond) || !a.Bears(0, 1200*time.Millisecond) {
+	if a.Allows(0, 1000*time.Millisecond) || !a.Allows(0, 1200*time.Millisecond) {
 		t.Errorf("%g bytes are left", a.left)
 	}
 }
@@ -39,7 +39,7 @@
 	a := NewAllowance(10, 0)
 	sent := 0
 	for now := time.Duration(0); now < 10*time.Second; now += batchEvery {
-		if a.Bears(0, now) {
+		if a.Allows(0, now) {
 			a.Spend(report)
 			sent++
 		}
@@ -50,7 +50,7 @@
 }
 
 func TestALinkThatIsNotKnownBoundsNothing(t *testing.T) {
-	if a := NewAllowance(0, 0); !a.Bears(1<<30, 0) {
+	if a := NewAllowance(0, 0); !a.Allows(1<<30, 0) {
 		t.Error("it is bounded")
 	}
 }
--- a/internal/peers/batch.go
+++ b/internal/peers/batch.go
@@ -38,7 +38,7 @@
 
 // room tells whether the link bears more than the batch has.
 func (b *batch) room() bool {
-	return b.reports.allowance.Bears(b.bytes*len(b.to), b.reports.exchange.now())
+	return b.reports.allowance.Allows(b.bytes*len(b.to), b.reports.exchange.now())
 }
 
 // addZones adds what the other zones have.
