--- a/internal/fanout/pace.go
+++ b/internal/fanout/pace.go
@@ -51,8 +51,8 @@
 	return &Pacer{start: now, ownAt: now - ownAtMost, batchAt: now - batchEvery, zoneAt: now - zoneEvery, greetAt: now - greetEvery, timesAt: now}
 }
 
-// Changed notes that the instance has something new under way.
-func (p *Pacer) Changed() { p.changed = true }
+// MarkChanged notes that the instance has something new under way.
+func (p *Pacer) MarkChanged() { p.changed = true }
 
 // Next returns what is to be sent now, for an instance that passes reports on or not
 // and to which batches come or not, and the time until the next call. Urgent news
--- a/internal/fanout/pace_test.go
+++ b/internal/fanout/pace_test.go
@@ -12,7 +12,7 @@
 	p := NewPacer(start - greetFor)
 	for now := start; now < start+length; now += time.Millisecond {
 		if changes > 0 && (now-start)%changes == 0 {
-			p.Changed()
+			p.MarkChanged()
 		}
 		due, _ := p.Next(now, passes, hears, false)
 		if due.OwnReport {
@@ -47,7 +47,7 @@
 func TestAChangeIsToldAtOnceAfterAPause(t *testing.T) {
 	p := NewPacer(0)
 	p.Next(time.Second, false, true, false)
-	p.Changed()
+	p.MarkChanged()
 	if due, _ := p.Next(time.Second+ownGap, false, true, false); !due.OwnReport {
 		t.Error("a change waits")
 	}
--- a/internal/peers/fleet_test.go
+++ b/internal/peers/fleet_test.go
@@ -190,7 +190,7 @@
 			}
 			select {
 			case <-n.loads.Changed():
-				n.pace.Changed()
+				n.pace.MarkChanged()
 			default:
 			}
 			n.tell(false)
--- a/internal/peers/reports.go
+++ b/internal/peers/reports.go
@@ -136,7 +136,7 @@
 		case <-r.exchange.news:
 			urgent = true
 		case <-r.loads.Changed():
-			r.pace.Changed()
+			r.pace.MarkChanged()
 		case <-timer.C:
 		}
 		timer.Reset(r.tell(urgent))
