--- a/internal/fanout/roster.go
+++ b/internal/fanout/roster.go
@@ -80,8 +80,8 @@
 	return m
 }
 
-// Heard notes a sign of an instance of the zone.
-func (r *Roster) Heard(id ID, now time.Duration) {
+// MarkAlive notes a sign of an instance of the zone.
+func (r *Roster) MarkAlive(id ID, now time.Duration) {
 	if id != r.self {
 		r.member(id).heardAt = now
 	}
@@ -91,7 +91,7 @@
 // alive until it should have given a sign itself.
 func (r *Roster) Introduce(id ID, now time.Duration) {
 	if _, ok := r.members[id]; !ok {
-		r.Heard(id, now)
+		r.MarkAlive(id, now)
 	}
 }
 
--- a/internal/fanout/roster_test.go
+++ b/internal/fanout/roster_test.go
@@ -22,7 +22,7 @@
 func rosterOf(self ID, ids []ID, now time.Duration) *Roster {
 	r := NewRoster(self, now)
 	for _, id := range ids {
-		r.Heard(id, now)
+		r.MarkAlive(id, now)
 	}
 	return r
 }
@@ -62,7 +62,7 @@
 		r := rosterOf(ids[rank], ids, 0)
 		r.Batched(ids[0], time.Second)
 		for _, id := range ids[1:] {
-			r.Heard(id, 2*time.Second)
+			r.MarkAlive(id, 2*time.Second)
 		}
 		early := time.Second + time.Duration(rank)*silentFor
 		if r.Passes(early) || !r.Passes(early+time.Millisecond) {
@@ -78,7 +78,7 @@
 func TestAnInstanceThatFallsSilentRanksNoMore(t *testing.T) {
 	ids := ranked(3)
 	r := rosterOf(ids[2], ids, 0)
-	r.Heard(ids[1], aliveFor)
+	r.MarkAlive(ids[1], aliveFor)
 	if rank := r.Rank(aliveFor + time.Millisecond); rank != 1 {
 		t.Errorf("rank %d, one of those ahead is silent", rank)
 	}
--- a/internal/peers/reading.go
+++ b/internal/peers/reading.go
@@ -122,7 +122,7 @@
 
 // heardOwn notes an instance's word on itself. The lock is held.
 func (e *Exchange) heardOwn(o fanout.InstanceReport, now time.Duration) {
-	e.roster.Heard(o.Source, now)
+	e.roster.MarkAlive(o.Source, now)
 	if k, ok := e.byID[o.Source]; ok {
 		k.heardAt, k.reading, k.readAt = now, o.Reading, now
 	}
