--- a/internal/fanout/roster.go
+++ b/internal/fanout/roster.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// Batched notes a batch that an instance of the zone sent.
-func (r *Roster) Batched(id ID, now time.Duration) {
+// BatchReceived notes a batch that an instance of the zone sent.
+func (r *Roster) BatchReceived(id ID, now time.Duration) {
 	if id == r.self {
 		return
 	}
--- a/internal/fanout/roster_test.go
+++ b/internal/fanout/roster_test.go
@@ -60,7 +60,7 @@
 	ids := ranked(4)
 	for rank := 1; rank < len(ids); rank++ {
 		r := rosterOf(ids[rank], ids, 0)
-		r.Batched(ids[0], time.Second)
+		r.BatchReceived(ids[0], time.Second)
 		for _, id := range ids[1:] {
 			r.MarkAlive(id, 2*time.Second)
 		}
@@ -68,7 +68,7 @@
 		if r.Passes(early) || !r.Passes(early+time.Millisecond) {
 			t.Errorf("rank %d passes reports on %t at %s, then %t", rank, r.Passes(early), early, r.Passes(early+time.Millisecond))
 		}
-		r.Batched(ids[0], early+2*time.Millisecond)
+		r.BatchReceived(ids[0], early+2*time.Millisecond)
 		if r.Passes(early + 3*time.Millisecond) {
 			t.Errorf("rank %d still passes reports on though the first is back", rank)
 		}
@@ -90,7 +90,7 @@
 	if got := r.Receivers(0); !slices.Equal(got, ids[:2]) {
 		t.Errorf("%v, want the first two of %v", got, ids)
 	}
-	r.Batched(ids[3], 0) // it does not hear of those ahead
+	r.BatchReceived(ids[3], 0) // it does not hear of those ahead
 	if got := r.Receivers(0); !slices.Equal(got, []ID{ids[0], ids[1], ids[3]}) {
 		t.Errorf("%v", got)
 	}
--- a/internal/peers/take.go
+++ b/internal/peers/take.go
@@ -176,7 +176,7 @@
 	defer e.mu.Unlock()
 	now, id := e.now(), k.ID()
 	k.heardAt = now
-	e.roster.Batched(id, now)
+	e.roster.BatchReceived(id, now)
 	if e.passes(now) {
 		return false // this instance hears of them itself
 	}
