--- a/internal/fanout/roster.go
+++ b/internal/fanout/roster.go
@@ -130,9 +130,9 @@
 	return rank
 }
 
-// Passes tells whether this instance is to pass reports on: nobody ranks before it,
+// ShouldRelay tells whether this instance is to pass reports on: nobody ranks before it,
 // or those who do have been silent, longer for each of them.
-func (r *Roster) Passes(now time.Duration) bool {
+func (r *Roster) ShouldRelay(now time.Duration) bool {
 	rank := r.Rank(now)
 	if rank == 0 {
 		return true
--- a/internal/fanout/roster_test.go
+++ b/internal/fanout/roster_test.go
@@ -50,8 +50,8 @@
 	ids := ranked(5)
 	for i, id := range ids {
 		r := rosterOf(id, ids, 0)
-		if r.Rank(0) != i || r.Passes(0) != (i == 0) {
-			t.Errorf("rank %d: %d, passes %t", i, r.Rank(0), r.Passes(0))
+		if r.Rank(0) != i || r.ShouldRelay(0) != (i == 0) {
+			t.Errorf("rank %d: %d, passes %t", i, r.Rank(0), r.ShouldRelay(0))
 		}
 	}
 }
@@ -65,11 +65,11 @@
 			r.MarkAlive(id, 2*time.Second)
 		}
 		early := time.Second + time.Duration(rank)*silentFor
-		if r.Passes(early) || !r.Passes(early+time.Millisecond) {
-			t.Errorf("rank %d passes reports on %t at %s, then %t", rank, r.Passes(early), early, r.Passes(early+time.Millisecond))
+		if r.ShouldRelay(early) || !r.ShouldRelay(early+time.Millisecond) {
+			t.Errorf("rank %d passes reports on %t at %s, then %t", rank, r.ShouldRelay(early), early, r.ShouldRelay(early+time.Millisecond))
 		}
 		r.BatchReceived(ids[0], early+2*time.Millisecond)
-		if r.Passes(early + 3*time.Millisecond) {
+		if r.ShouldRelay(early + 3*time.Millisecond) {
 			t.Errorf("rank %d still passes reports on though the first is back", rank)
 		}
 	}
--- a/internal/peers/members.go
+++ b/internal/peers/members.go
@@ -91,7 +91,7 @@
 
 // passes is Passes. The lock is held.
 func (e *Exchange) passes(now time.Duration) bool {
-	passes := e.roster.Passes(now)
+	passes := e.roster.ShouldRelay(now)
 	if passes != e.passing {
 		e.passing, e.passingAt = passes, now
 		e.log.Info("peers: passing reports on", "passes", passes, "rank", e.roster.Rank(now), "known", e.roster.Known())
