--- a/internal/fanout/roster.go
+++ b/internal/fanout/roster.go
@@ -181,8 +181,8 @@
 	return count
 }
 
-// HearsBatches tells whether batches reach this instance.
-func (r *Roster) HearsBatches(now time.Duration) bool {
+// ReceivesBatches tells whether batches reach this instance.
+func (r *Roster) ReceivesBatches(now time.Duration) bool {
 	for _, m := range r.members {
 		if m.batched && now-m.batchAt <= listens {
 			return true
--- a/internal/peers/take.go
+++ b/internal/peers/take.go
@@ -204,7 +204,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.now()
-	return e.passes(now), e.roster.HearsBatches(now)
+	return e.passes(now), e.roster.ReceivesBatches(now)
 }
 
 // betterFor lists whom a peer should tell its reports instead of this instance; none
@@ -247,7 +247,7 @@
 			list = append(list, k.Address)
 		}
 	}
-	if e.roster.HearsBatches(now) {
+	if e.roster.ReceivesBatches(now) {
 		return list
 	}
 	return append(list, e.greeted()...)
