--- a/internal/fanout/roster.go
+++ b/internal/fanout/roster.go
@@ -110,8 +110,8 @@
 // Forget drops an instance.
 func (r *Roster) Forget(id ID) { delete(r.members, id) }
 
-// Known counts the instances of the zone that are not forgotten, this one included.
-func (r *Roster) Known() int { return len(r.members) + 1 }
+// KnownCount counts the instances of the zone that are not forgotten, this one included.
+func (r *Roster) KnownCount() int { return len(r.members) + 1 }
 
 // Alive tells whether an instance gave a sign lately.
 func (r *Roster) Alive(id ID, now time.Duration) bool {
--- a/internal/peers/members.go
+++ b/internal/peers/members.go
@@ -56,7 +56,7 @@
 
 // counted is how many instances there are now. The lock is held.
 func (e *Exchange) counted(now time.Duration) int {
-	total := e.roster.Known()
+	total := e.roster.KnownCount()
 	for _, z := range e.zones {
 		total += z.instances
 	}
@@ -94,7 +94,7 @@
 	passes := e.roster.ShouldRelay(now)
 	if passes != e.passing {
 		e.passing, e.passingAt = passes, now
-		e.log.Info("peers: passing reports on", "passes", passes, "rank", e.roster.Rank(now), "known", e.roster.Known())
+		e.log.Info("peers: passing reports on", "passes", passes, "rank", e.roster.Rank(now), "known", e.roster.KnownCount())
 	}
 	return passes
 }
--- a/internal/peers/pull.go
+++ b/internal/peers/pull.go
@@ -80,7 +80,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	const few = 2
-	return !e.roster.ReceivesBatches(e.now()) && e.roster.Known() <= few
+	return !e.roster.ReceivesBatches(e.now()) && e.roster.KnownCount() <= few
 }
 
 // pullOnce pulls from a peer unless that is under way.
--- a/internal/peers/reading.go
+++ b/internal/peers/reading.go
@@ -57,7 +57,7 @@
 // hasTurn tells whether it is the turn of an instance of a rank to try to follow the
 // store. The lock is held.
 func (e *Exchange) hasTurn(rank int, now time.Duration) bool {
-	steps := readers + e.roster.Known() + readersTries
+	steps := readers + e.roster.KnownCount() + readersTries
 	at := int((now-e.few)/readersStep) % steps
 	mine := rank - readers + 1
 	return at >= mine && at < mine+readersTries
--- a/internal/peers/take.go
+++ b/internal/peers/take.go
@@ -295,7 +295,7 @@
 	if e.zoneReads(e.now(), self) {
 		readers = 1
 	}
-	return uint32(e.roster.Known()), readers
+	return uint32(e.roster.KnownCount()), readers
 }
 
 // zonesWord is what a batch tells besides reports.
