--- a/internal/quota/coordinator.go
+++ b/internal/quota/coordinator.go
@@ -6,181 +6,182 @@
 	"sassafrasfield/internal/limit"
 )
 
-// GrantRequest is a question for one send to an upstream with a limit.
+// GrantRequest asks the coordinator for a grant to send one request to an upstream with a limit.
 type GrantRequest struct {
-	// Limit is what the asking instance knows of the upstream's limit.
+	// Limit is the upstream's limit as the requesting instance knows it.
 	Limit UpstreamLimit
-	// FirstHand: the upstream itself told it so, and no other instance.
+	// FirstHand is true if the instance received the limit from the upstream itself, not from another
+	// instance.
 	FirstHand bool
-	// From names the asking instance.
+	// From is the id of the requesting instance.
 	From uint64
 	// Priority of the request; 0 is the most urgent.
 	Priority int
-	// Continues: the caller has a part of the answer already.
+	// Continues is true if the caller has received a part of the answer already.
 	Continues bool
 }
 
-// Verdict on an Ask.
+// Verdict is the answer to a GrantRequest.
 type Verdict struct {
 	Granted bool
-	// RetryIn is when to ask again.
+	// RetryIn is the time after which to request a grant again.
 	RetryIn time.Duration
 }
 
 const (
-	// leastBurst is how many requests an upstream may get at once after a time without any,
-	// and burstTime the time of its limit in which it takes so many, where that is more.
-	leastBurst = 2
-	burstTime  = 250 * time.Millisecond
-	// debt is how many more go on with answers that have begun.
-	debt = 1
-	// settleFor is how long an instance has coordinated until it grants: another one that
-	// takes itself for the coordinator hears of it before.
-	settleFor = 500 * time.Millisecond
-	// standstill is the time without a sign of life after which an instance that
-	// coordinates begins anew: it stood still, and another one took over.
-	standstill = time.Second
-	// urgentFor is for how long a more urgent request that asked has a token kept for it.
-	urgentFor = time.Second
-	// asksEach is how many instances are told to ask again for each token, as some have no
-	// request by then.
-	asksEach = 2
-	// waitAtMost bounds the time until an instance asks again.
-	waitAtMost = time.Second
-	// NoCoordinatorRetry is when to ask again where nobody grants.
+	// minBurst is the least burst of an upstream, in requests: how many it may receive at once after a time
+	// without any. burstTime is the time whose share of the limit is the burst where that is more.
+	minBurst  = 2
+	burstTime = 250 * time.Millisecond
+	// continuationDebt is how many tokens requests that continue an answer may borrow.
+	continuationDebt = 1
+	// settleTime is how long an instance coordinates before its first grant, so that another instance that
+	// takes itself for the coordinator learns of it first.
+	settleTime = 500 * time.Millisecond
+	// stallTimeout is the time without SetShare after which a coordinator starts over: its process was
+	// stalled, and another instance took over.
+	stallTimeout = time.Second
+	// urgentTimeout is how long a token is reserved for a more urgent request after its last grant request.
+	urgentTimeout = time.Second
+	// retriesPerToken is how many instances are told to retry for each token, as some of them have no request
+	// left by then.
+	retriesPerToken = 2
+	// maxRetryIn bounds the time until an instance retries.
+	maxRetryIn = time.Second
+	// NoCoordinatorRetry is the time until an instance retries if no coordinator answers.
 	NoCoordinatorRetry = 200 * time.Millisecond
-	// idleFor is for how long the bucket of an upstream is kept that nobody asks for.
-	idleFor = time.Minute
+	// idleTimeout is how long the state of an upstream is kept without grant requests.
+	idleTimeout = time.Minute
 )
 
-// Coordinator gives the sends to upstreams with limits out, where one instance does so for all.
-// It is not safe for concurrent use.
+// Coordinator grants the requests of all instances to upstreams with limits. One instance coordinates; while
+// the network is partitioned, one on each side may, with a part of the limits. It is not safe for concurrent
+// use.
 type Coordinator struct {
-	// share is the part of each limit that is given out here; 0 is none.
+	// share is the part of each limit that this instance grants; 0 if it is not the coordinator.
 	share float64
-	// since is when this instance began to coordinate, keptAt its last sign of life.
-	since, keptAt time.Duration
-	allowances    map[uint32]*allowance
+	// activeSince is when this instance began to coordinate, refreshedAt the time of the last SetShare.
+	activeSince, refreshedAt time.Duration
+	allowances               map[uint32]*allowance
 }
 
-// allowance is what an upstream still takes.
+// allowance is what may still be granted for an upstream.
 type allowance struct {
 	bucket *limit.Bucket
-	// nextAsk is when the next instance is told to ask again, turns when each one is.
-	nextAsk time.Duration
-	turns   map[asker]time.Duration
-	// urgent is the most urgent priority that asked lately, at urgentAt.
+	// lastRetry is the latest retry time given out, retryAt the one of each requester.
+	lastRetry time.Duration
+	retryAt   map[requester]time.Duration
+	// urgent is the most urgent priority of recent grant requests, -1 if there are none, and urgentAt the time
+	// of its last one.
 	urgent   int
 	urgentAt time.Duration
 	usedAt   time.Duration
 }
 
-// asker is an instance with requests of a priority.
-type asker struct {
+// requester is an instance with requests of a priority.
+type requester struct {
 	instance uint64
 	priority int
 }
 
-// NewCoordinator returns grants of an instance that does not coordinate.
+// NewCoordinator returns the Coordinator of an instance that does not coordinate yet.
 func NewCoordinator() *Coordinator { return &Coordinator{allowances: map[uint32]*allowance{}} }
 
-// SetShare has this instance give out a part of each limit, or none when the share is 0. It is
-// called several times a second. Who begins has nothing to give out yet, as the instance
-// before may have given out all.
-func (g *Coordinator) SetShare(share float64, now time.Duration) {
-	if g.share == 0 || share == 0 || now-g.keptAt > standstill {
-		g.since = now
-		clear(g.allowances)
+// SetShare sets the part of each limit that this instance grants; 0 is none. It must be called several times
+// a second. A coordinator starts with empty buckets, as the one before may have granted the whole limit.
+func (c *Coordinator) SetShare(share float64, now time.Duration) {
+	if c.share == 0 || share == 0 || now-c.refreshedAt > stallTimeout {
+		c.activeSince = now
+		clear(c.allowances)
 	}
-	g.share, g.keptAt = share, now
-	for upstream, a := range g.allowances {
-		if now-a.usedAt > idleFor {
-			delete(g.allowances, upstream)
+	c.share, c.refreshedAt = share, now
+	for upstream, a := range c.allowances {
+		if now-a.usedAt > idleTimeout {
+			delete(c.allowances, upstream)
 		}
 	}
 }
 
-// Share is the part of each limit that is given out here.
-func (g *Coordinator) Share() float64 { return g.share }
+// Share returns the part of each limit that this instance grants.
+func (c *Coordinator) Share() float64 { return c.share }
 
-// Active tells whether this instance grants.
-func (g *Coordinator) Active(now time.Duration) bool {
-	return g.share > 0 && now-g.keptAt <= standstill && now-g.since >= settleFor
+// Active reports whether this instance grants requests.
+func (c *Coordinator) Active(now time.Duration) bool {
+	return c.share > 0 && now-c.refreshedAt <= stallTimeout && now-c.activeSince >= settleTime
 }
 
-// Limits is what is known of upstreams' limits.
+// Limits holds the known limits of upstreams.
 type Limits interface {
-	// ApplyLimit takes what an instance was told by the upstream itself.
-	ApplyLimit(w UpstreamLimit, now time.Duration)
-	// Limit returns what is known of an upstream's limit; known is false for one that never
-	// had one.
-	Limit(upstream uint32, now time.Duration) (w UpstreamLimit, firstHand, known bool)
+	// ApplyLimit applies a limit that an instance received from the upstream itself.
+	ApplyLimit(l UpstreamLimit, now time.Duration)
+	// Limit returns the known limit of an upstream; known is false for one that never had a limit.
+	Limit(upstream uint32, now time.Duration) (l UpstreamLimit, firstHand, known bool)
 }
 
-// Decide takes what an instance that asks for a send was told, and decides on it by the
-// newest word. Without one here, the asker's counts.
-func (g *Coordinator) Decide(limits Limits, ask GrantRequest, now time.Duration) Verdict {
-	if ask.FirstHand {
-		limits.ApplyLimit(ask.Limit, now)
+// Decide decides on a grant request by the newest known limit of the upstream. It first applies the
+// requester's limit if that is first-hand. If limits has none for the upstream, it uses the requester's.
+func (c *Coordinator) Decide(limits Limits, req GrantRequest, now time.Duration) Verdict {
+	if req.FirstHand {
+		limits.ApplyLimit(req.Limit, now)
 	}
-	word, _, known := limits.Limit(ask.Limit.Upstream, now)
+	current, _, known := limits.Limit(req.Limit.Upstream, now)
 	if !known {
-		word = ask.Limit
+		current = req.Limit
 	}
-	if !word.Limited() {
+	if !current.Limited() {
 		return Verdict{Granted: true}
 	}
-	return g.Take(ask, word.Rate, now)
+	return c.Take(req, current.Rate, now)
 }
 
-// Take decides on one send to an upstream that takes so many requests a second.
-func (g *Coordinator) Take(ask GrantRequest, rate float64, now time.Duration) Verdict {
-	if !g.Active(now) {
+// Take decides on a grant request for an upstream that is limited to rate requests a second.
+func (c *Coordinator) Take(req GrantRequest, rate float64, now time.Duration) Verdict {
+	if !c.Active(now) {
 		return Verdict{RetryIn: NoCoordinatorRetry}
 	}
-	a := g.allowance(ask.Limit.Upstream, now)
+	a := c.allowance(req.Limit.Upstream, now)
 	a.usedAt = now
-	a.bucket.Set(rate*g.share, burstOf(rate*g.share), now)
-	left := a.leaves(ask, now)
-	if a.bucket.TakeReserving(left, now) {
+	a.bucket.Set(rate*c.share, burstOf(rate*c.share), now)
+	reserve := a.reserve(req, now)
+	if a.bucket.TakeReserving(reserve, now) {
 		return Verdict{Granted: true}
 	}
-	return Verdict{RetryIn: a.askAgainIn(asker{ask.From, ask.Priority}, left, rate*g.share, now)}
+	return Verdict{RetryIn: a.retryIn(requester{req.From, req.Priority}, reserve, rate*c.share, now)}
 }
 
-func burstOf(rate float64) float64 { return max(leastBurst, rate*burstTime.Seconds()) }
+func burstOf(rate float64) float64 { return max(minBurst, rate*burstTime.Seconds()) }
 
-func (g *Coordinator) allowance(upstream uint32, now time.Duration) *allowance {
-	a, ok := g.allowances[upstream]
+func (c *Coordinator) allowance(upstream uint32, now time.Duration) *allowance {
+	a, ok := c.allowances[upstream]
 	if !ok {
-		a = &allowance{bucket: limit.NewBucket(now), urgent: -1, turns: map[asker]time.Duration{}}
-		g.allowances[upstream] = a
+		a = &allowance{bucket: limit.NewBucket(now), urgent: -1, retryAt: map[requester]time.Duration{}}
+		c.allowances[upstream] = a
 	}
 	return a
 }
 
-// leaves is how many tokens must be left after a request: one for those that are more
-// urgent while these ask too.
-func (a *allowance) leaves(ask GrantRequest, now time.Duration) float64 {
-	if ask.Continues {
-		return -debt
+// reserve returns how many tokens the request must leave in the bucket: one if more urgent requests asked
+// within urgentTimeout, and a negative number, a debt, if it continues an answer.
+func (a *allowance) reserve(req GrantRequest, now time.Duration) float64 {
+	if req.Continues {
+		return -continuationDebt
 	}
-	if a.urgent < 0 || ask.Priority <= a.urgent || now-a.urgentAt > urgentFor {
-		a.urgent, a.urgentAt = ask.Priority, now
+	if a.urgent < 0 || req.Priority <= a.urgent || now-a.urgentAt > urgentTimeout {
+		a.urgent, a.urgentAt = req.Priority, now
 		return 0
 	}
 	return 1
 }
 
-// askAgainIn spreads the instances that found nothing over the next tokens. One that asks
-// several times at once has one turn.
-func (a *allowance) askAgainIn(from asker, left, rate float64, now time.Duration) time.Duration {
-	soonest := now + a.bucket.Until(1+left)
-	if turn := a.turns[from]; turn > now {
-		return max(soonest, turn) - now
+// retryIn spreads the retries of refused requesters over the next tokens. A requester that is refused several
+// times before its retry keeps the same retry time.
+func (a *allowance) retryIn(from requester, reserve, rate float64, now time.Duration) time.Duration {
+	soonest := now + a.bucket.Until(1+reserve)
+	if retryAt := a.retryAt[from]; retryAt > now {
+		return max(soonest, retryAt) - now
 	}
-	a.nextAsk = max(soonest, a.nextAsk+time.Duration(float64(time.Second)/rate/asksEach))
-	a.nextAsk = min(a.nextAsk, max(soonest, now+waitAtMost))
-	a.turns[from] = a.nextAsk
-	return a.nextAsk - now
+	a.lastRetry = max(soonest, a.lastRetry+time.Duration(float64(time.Second)/rate/retriesPerToken))
+	a.lastRetry = min(a.lastRetry, max(soonest, now+maxRetryIn))
+	a.retryAt[from] = a.lastRetry
+	return a.lastRetry - now
 }
--- a/internal/quota/coordinator_test.go
+++ b/internal/quota/coordinator_test.go
@@ -7,188 +7,191 @@
 	"pgregory.net/rapid"
 )
 
-func asks(rate float64) GrantRequest {
+func grantRequest(rate float64) GrantRequest {
 	return GrantRequest{Limit: UpstreamLimit{Upstream: upstream, Rate: rate}}
 }
 
-// coordinating returns grants of an instance that has coordinated for long, and the time.
-func coordinating(rate float64) (*Coordinator, time.Duration) {
-	g, now := NewCoordinator(), time.Duration(0)
+// activeCoordinator returns the coordinator of an instance that has coordinated for 10 s, and the time.
+func activeCoordinator(rate float64) (*Coordinator, time.Duration) {
+	coordinator, now := NewCoordinator(), time.Duration(0)
 	for ; now < 10*time.Second; now += 100 * time.Millisecond {
-		g.SetShare(1, now)
+		coordinator.SetShare(1, now)
 	}
-	g.Take(asks(rate), rate, now)
-	return g, now
+	coordinator.Take(grantRequest(rate), rate, now)
+	return coordinator, now
 }
 
-// later has time pass at an instance that coordinates.
-func later(g *Coordinator, now, d time.Duration) time.Duration {
+// advance runs the coordinator for a time, and returns the time after it.
+func advance(coordinator *Coordinator, now, d time.Duration) time.Duration {
 	for end := now + d; now < end; now += 100 * time.Millisecond {
-		g.SetShare(1, now)
+		coordinator.SetShare(1, now)
 	}
-	g.SetShare(1, now)
+	coordinator.SetShare(1, now)
 	return now
 }
 
-// granted counts what is granted of many questions at once.
-func granted(g *Coordinator, a GrantRequest, rate float64, now time.Duration) int {
+// countGrants returns how many of 100 grant requests at once are granted.
+func countGrants(coordinator *Coordinator, req GrantRequest, rate float64, now time.Duration) int {
 	count := 0
 	for range 100 {
-		if g.Take(a, rate, now).Granted {
+		if coordinator.Take(req, rate, now).Granted {
 			count++
 		}
 	}
 	return count
 }
 
-// TestWhoBeginsHasNothingToGiveOut: the coordinator before may have given out all. One that
-// stood still begins anew.
-func TestWhoBeginsHasNothingToGiveOut(t *testing.T) {
-	g := NewCoordinator()
-	g.SetShare(1, 0)
-	if n := granted(g, asks(10), 10, settleFor-1); n > 0 {
-		t.Errorf("%d grants before others could have heard of it", n)
-	}
-	if n := granted(g, asks(10), 10, settleFor); n > 0 {
-		t.Errorf("%d grants at its beginning", n)
-	}
-	now := later(g, settleFor, time.Minute)
-	if n := granted(g, asks(10), 10, now); n != leastBurst {
-		t.Errorf("%d grants after a time without any, want %d", n, leastBurst)
-	}
-	now += standstill + 1
-	for _, wakes := range []time.Duration{now, now + settleFor - 1} {
-		if n := granted(g, asks(10), 10, wakes); n > 0 {
-			t.Errorf("%d grants %s after it stood still", n, wakes-now)
+// TestNewCoordinatorStartsWithEmptyBuckets guards against a limit that is granted twice when another instance
+// becomes the coordinator: the one before may have granted all of it. A coordinator that was stalled starts
+// over too.
+func TestNewCoordinatorStartsWithEmptyBuckets(t *testing.T) {
+	coordinator := NewCoordinator()
+	coordinator.SetShare(1, 0)
+	if n := countGrants(coordinator, grantRequest(10), 10, settleTime-1); n > 0 {
+		t.Errorf("%d grants before other instances could have learned of the coordinator", n)
+	}
+	if n := countGrants(coordinator, grantRequest(10), 10, settleTime); n > 0 {
+		t.Errorf("%d grants at the start", n)
+	}
+	now := advance(coordinator, settleTime, time.Minute)
+	if n := countGrants(coordinator, grantRequest(10), 10, now); n != minBurst {
+		t.Errorf("%d grants after a time without any, want %d", n, minBurst)
+	}
+	now += stallTimeout + 1
+	for _, resumed := range []time.Duration{now, now + settleTime - 1} {
+		if n := countGrants(coordinator, grantRequest(10), 10, resumed); n > 0 {
+			t.Errorf("%d grants %s after a stall", n, resumed-now)
 		}
-		g.SetShare(1, wakes)
+		coordinator.SetShare(1, resumed)
 	}
-	now = later(g, now, 10*time.Second)
-	g.SetShare(0, now)
-	g.SetShare(1, now)
-	now = later(g, now, settleFor)
-	if n := granted(g, asks(10), 10, now); n > 0 {
-		t.Errorf("%d grants of what was saved up before another one coordinated", n)
+	now = advance(coordinator, now, 10*time.Second)
+	coordinator.SetShare(0, now)
+	coordinator.SetShare(1, now)
+	now = advance(coordinator, now, settleTime)
+	if n := countGrants(coordinator, grantRequest(10), 10, now); n > 0 {
+		t.Errorf("%d grants of tokens from before another instance coordinated", n)
 	}
 }
 
-// TestGrantsKeepToTheLimit, whatever the moments of the questions, changes of the limit
-// and of the part that is given out.
-func TestGrantsKeepToTheLimit(t *testing.T) {
+// TestGrantsStayWithinTheLimit checks the limit for any times of grant requests, and any changes of the limit
+// and of the share.
+func TestGrantsStayWithinTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		highest := rapid.Float64Range(leastRate, 50).Draw(t, "rate")
-		g, now := coordinating(highest)
+		highest := rapid.Float64Range(minRate, 50).Draw(t, "rate")
+		coordinator, now := activeCoordinator(highest)
 		start, count := now, 0
 		for range rapid.IntRange(1, 200).Draw(t, "questions") {
 			now += time.Duration(rapid.Int64Range(0, int64(300*time.Millisecond)).Draw(t, "pause"))
-			g.SetShare(rapid.Float64Range(0.1, 1).Draw(t, "share"), now)
+			coordinator.SetShare(rapid.Float64Range(0.1, 1).Draw(t, "share"), now)
 			rate := highest * rapid.Float64Range(0.2, 1).Draw(t, "part")
-			a := asks(rate)
-			a.Priority, a.Continues = rapid.IntRange(0, 3).Draw(t, "priority"), rapid.Bool().Draw(t, "continues")
-			a.From = rapid.Uint64Range(1, 5).Draw(t, "from")
-			v := g.Take(a, rate, now)
+			req := grantRequest(rate)
+			req.Priority, req.Continues = rapid.IntRange(0, 3).Draw(t, "priority"), rapid.Bool().Draw(t, "continues")
+			req.From = rapid.Uint64Range(1, 5).Draw(t, "from")
+			v := coordinator.Take(req, rate, now)
 			if v.Granted {
 				count++
 			} else if v.RetryIn < 0 {
-				t.Fatalf("ask again in %s", v.RetryIn)
+				t.Fatalf("retry in %s", v.RetryIn)
 			}
 		}
-		most := highest*(now-start).Seconds() + burstOf(highest) + debt
+		most := highest*(now-start).Seconds() + burstOf(highest) + continuationDebt
 		if float64(count) > most+1e-6 {
 			t.Fatalf("%d grants in %s of %g a second", count, now-start, highest)
 		}
 	})
 }
 
-// TestMoreUrgentRequestsGoFirst: as long as they ask, the last token is theirs.
+// TestMoreUrgentRequestsGoFirst checks that the last token is reserved for more urgent requests as long as
+// they request grants.
 func TestMoreUrgentRequestsGoFirst(t *testing.T) {
 	const rate = 2
-	g, now := coordinating(rate)
-	urgent, other := asks(rate), asks(rate)
+	coordinator, now := activeCoordinator(rate)
+	urgent, other := grantRequest(rate), grantRequest(rate)
 	urgent.Priority, other.Priority = 1, 4
-	won := map[int]int{}
+	grants := map[int]int{}
 	for range 200 {
-		now = later(g, now, 100*time.Millisecond)
-		for _, a := range []GrantRequest{other, urgent} { // the less urgent one is there first
-			if g.Take(a, rate, now).Granted {
-				won[a.Priority]++
+		now = advance(coordinator, now, 100*time.Millisecond)
+		for _, req := range []GrantRequest{other, urgent} { // the less urgent one comes first
+			if coordinator.Take(req, rate, now).Granted {
+				grants[req.Priority]++
 			}
 		}
 	}
-	if won[4] > 1 || won[1] < 38 {
-		t.Errorf("grants by priority: %v", won)
+	if grants[4] > 1 || grants[1] < 38 {
+		t.Errorf("grants by priority: %v", grants)
 	}
-	now = later(g, now, 2*urgentFor)
-	if n := granted(g, other, rate, now); n != leastBurst {
-		t.Errorf("%d grants to the less urgent ones once nobody else asks, want %d", n, leastBurst)
+	now = advance(coordinator, now, 2*urgentTimeout)
+	if n := countGrants(coordinator, other, rate, now); n != minBurst {
+		t.Errorf("%d grants to less urgent requests once there are no others, want %d", n, minBurst)
 	}
-	on := asks(rate)
-	on.Continues = true
-	if n := granted(g, on, rate, now); n != debt {
-		t.Errorf("%d answers that have begun go on, want %d", n, debt)
+	continued := grantRequest(rate)
+	continued.Continues = true
+	if n := countGrants(coordinator, continued, rate, now); n != continuationDebt {
+		t.Errorf("%d grants to continue an answer, want %d", n, continuationDebt)
 	}
 }
 
-// TestWhenToAskAgainIsTrue: one that asks when it was told to finds room, and of many each
-// has its turn.
-func TestWhenToAskAgainIsTrue(t *testing.T) {
+// TestRetryAfterRetryInIsGranted checks that an instance that retries when it was told to gets a grant, and
+// that of many instances none is told to wait for longer than maxRetryIn.
+func TestRetryAfterRetryInIsGranted(t *testing.T) {
 	const rate, instances = 4, 20
-	g, now := coordinating(rate)
-	granted(g, asks(rate), rate, now)
-	first := g.Take(asks(rate), rate, now)
-	if again := g.Take(asks(rate), rate, now); again != first {
-		t.Errorf("one instance is told %v and %v", first, again)
+	coordinator, now := activeCoordinator(rate)
+	countGrants(coordinator, grantRequest(rate), rate, now)
+	first := coordinator.Take(grantRequest(rate), rate, now)
+	if again := coordinator.Take(grantRequest(rate), rate, now); again != first {
+		t.Errorf("the same instance got two verdicts, %v and %v", first, again)
 	}
-	if v := g.Take(asks(rate), rate, later(g, now, first.RetryIn)); !v.Granted {
-		t.Errorf("no room after %s", first.RetryIn)
+	if v := coordinator.Take(grantRequest(rate), rate, advance(coordinator, now, first.RetryIn)); !v.Granted {
+		t.Errorf("not granted after %s", first.RetryIn)
 	}
-	g, now = coordinating(rate)
-	granted(g, asks(rate), rate, now)
+	coordinator, now = activeCoordinator(rate)
+	countGrants(coordinator, grantRequest(rate), rate, now)
 	for from := range uint64(instances) {
-		a := asks(rate)
-		a.From = from + 1
-		v := g.Take(a, rate, now)
-		if v.RetryIn > waitAtMost {
+		req := grantRequest(rate)
+		req.From = from + 1
+		v := coordinator.Take(req, rate, now)
+		if v.RetryIn > maxRetryIn {
 			t.Errorf("instance %d is told to wait for %s", from, v.RetryIn)
 		}
 	}
 }
 
-// TestAnUnknownLimitIsTheAskers: the word of the instance that asks may be ahead of the reports.
-func TestAnUnknownLimitIsTheAskers(t *testing.T) {
+// TestDecideUsesTheNewestLimit checks whether the limit of the coordinator or of the requester is used. The
+// requester may know of a change before the reports of it reach the coordinator.
+func TestDecideUsesTheNewestLimit(t *testing.T) {
 	for name, c := range map[string]struct {
-		book      func(*Table)
-		ask       GrantRequest
+		setup     func(*Table)
+		req       GrantRequest
 		unbounded bool
 	}{
-		"the coordinator knows none": {func(*Table) {}, asks(1), false},
-		"it knows that it has ended": {func(b *Table) {
-			b.ApplyAnnouncement(upstream, limited(1), 0)
-			b.ApplyAnnouncement(upstream, Announcement{}, 5*time.Second)
+		"the coordinator knows no limit": {func(*Table) {}, grantRequest(1), false},
+		"the coordinator knows that it was lifted": {func(t *Table) {
+			t.ApplyAnnouncement(upstream, limited(1), 0)
+			t.ApplyAnnouncement(upstream, Announcement{}, 5*time.Second)
 		}, GrantRequest{Limit: UpstreamLimit{Upstream: upstream, Rate: 1, Age: 8 * time.Second}}, true},
-		"the asker's word is newer":   {func(b *Table) { b.ApplyAnnouncement(upstream, limited(9), 0) }, GrantRequest{Limit: UpstreamLimit{Upstream: upstream, Rate: 1}, FirstHand: true}, false},
-		"the asker's word is hearsay": {func(b *Table) { b.ApplyAnnouncement(upstream, limited(1), 0) }, GrantRequest{Limit: UpstreamLimit{Upstream: upstream, Rate: 1}}, false},
+		"the requester's limit is newer and first-hand":  {func(t *Table) { t.ApplyAnnouncement(upstream, limited(9), 0) }, GrantRequest{Limit: UpstreamLimit{Upstream: upstream, Rate: 1}, FirstHand: true}, false},
+		"the requester's limit is from another instance": {func(t *Table) { t.ApplyAnnouncement(upstream, limited(1), 0) }, GrantRequest{Limit: UpstreamLimit{Upstream: upstream, Rate: 1}}, false},
 	} {
-		known := bookOf{NewTable()}
-		c.book(known.Table)
-		g, now := coordinating(1)
+		limits := tableLimits{NewTable()}
+		c.setup(limits.Table)
+		coordinator, now := activeCoordinator(1)
 		granted := 0
 		for range 100 {
-			if g.Decide(known, c.ask, now).Granted {
+			if coordinator.Decide(limits, c.req, now).Granted {
 				granted++
 			}
 		}
-		if (granted == 100) != c.unbounded || !c.unbounded && granted > leastBurst {
+		if (granted == 100) != c.unbounded || !c.unbounded && granted > minBurst {
 			t.Errorf("%s: %d grants at once", name, granted)
 		}
 	}
 }
 
-// bookOf is what is known of limits.
-type bookOf struct{ *Table }
+// tableLimits implements Limits by a Table alone.
+type tableLimits struct{ *Table }
 
-func (b bookOf) ApplyLimit(w UpstreamLimit, now time.Duration) { b.ApplyReport(w, SameZone, now) }
+func (t tableLimits) ApplyLimit(l UpstreamLimit, now time.Duration) { t.ApplyReport(l, SameZone, now) }
 
-func (b bookOf) Limit(upstream uint32, now time.Duration) (UpstreamLimit, bool, bool) {
-	return b.Lookup(upstream, now)
+func (t tableLimits) Limit(upstream uint32, now time.Duration) (UpstreamLimit, bool, bool) {
+	return t.Lookup(upstream, now)
 }
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,13 +1,14 @@
-// Package quota has what upstreams announce of themselves to all instances: the requests that
-// they take, and that they leave. It keeps the requests to an upstream that limits them within
-// its limit, over all instances together. The instance that gets an answer with an announcement
-// tells the others, and each send to an upstream with a limit needs a grant of the one instance
-// that coordinates the grants.
+// Package quota keeps the requests of all instances to an upstream within the limit that the upstream
+// announces, and tracks which upstreams announce that they are shutting down.
 //
-// Book has what is known of the announcements, Grants is the coordinator's part. The package is
-// pure: times are passed in, on the instance's monotonic clock.
+// An upstream announces its request limit and its shutdown in the headers of its answers. The instance that
+// receives such an answer reports the announcement to the other instances. Each request to an upstream with
+// a limit needs a grant of the one instance that coordinates the grants.
 //
-// Callers: upstreamstate (Book), relay (Grants), peers (what is told and asked).
+// Table holds the announcements known to an instance, Coordinator grants requests. The package does no I/O
+// and reads no clock: times are passed in, on the instance's monotonic clock.
+//
+// Callers: upstreamstate (Table), relay (Coordinator), peers (the reports and the requests for grants).
 package quota
 
 import (
@@ -19,63 +20,64 @@
 // Unlimited is the rate of an upstream that announces no limit.
 var Unlimited = math.Inf(1)
 
-// Bounds of the rates that are kept to, in requests a second.
+// Bounds of the rates that are enforced, in requests a second.
 const (
-	// leastRate is the lowest. Only the answer to a request shows that a limit has ended, so
-	// an upstream that takes none is still asked so often.
-	leastRate = 0.1
-	// mostRate is one that no upstream gets, so that it counts as no limit.
-	mostRate = 10_000
+	// minRate is the lowest enforced rate. Only the answer to a request shows that a limit was lifted, so
+	// an upstream that announces a lower rate, even 0, still gets requests at this rate.
+	minRate = 0.1
+	// maxRate is more than any upstream receives; a limit of this or more counts as none.
+	maxRate = 10_000
 )
 
-// Announcement is what an answer says of its upstream to all instances.
+// Announcement is what an upstream's answer says about the upstream to all instances.
 type Announcement struct {
-	// Limited tells that it names a limit; Rate is in requests a second, 0 for none at all.
+	// Limited is true if the answer names a limit. Rate is in requests a second; 0 means no requests.
 	Limited bool
 	Rate    float64
-	// Draining: it ends soon, and takes no new requests.
+	// Draining is true if the upstream is shutting down and accepts no new requests.
 	Draining bool
 }
 
-// rate is the announced rate as it is kept to.
+// rate returns the rate to enforce.
 func (a Announcement) rate() float64 {
-	if !a.Limited || a.Rate >= mostRate {
+	if !a.Limited || a.Rate >= maxRate {
 		return Unlimited
 	}
-	return max(a.Rate, leastRate)
+	return max(a.Rate, minRate)
 }
 
-// AddAge returns words that have waited for a time since they were told.
-func AddAge(words []UpstreamLimit, by time.Duration) []UpstreamLimit {
-	aged := slices.Clone(words)
+// AddAge returns a copy of limits with d added to each age, for limits that were held that long after they
+// were received.
+func AddAge(limits []UpstreamLimit, d time.Duration) []UpstreamLimit {
+	aged := slices.Clone(limits)
 	for i := range aged {
-		aged[i].Age += by
+		aged[i].Age += d
 	}
 	return aged
 }
 
-// Merge returns newer words, with the older ones on other upstreams.
+// Merge returns the newer limits, followed by the older ones of other upstreams, cut to the size of a report.
 func Merge(older, newer []UpstreamLimit) []UpstreamLimit {
 	merged := slices.Clone(newer)
-	for _, w := range older {
-		if !slices.ContainsFunc(newer, func(n UpstreamLimit) bool { return n.Upstream == w.Upstream }) {
-			merged = append(merged, w)
+	for _, o := range older {
+		if !slices.ContainsFunc(newer, func(n UpstreamLimit) bool { return n.Upstream == o.Upstream }) {
+			merged = append(merged, o)
 		}
 	}
-	return merged[:min(len(merged), tellAtMost)]
+	return merged[:min(len(merged), maxReported)]
 }
 
-// Limited tells whether the upstream limits its requests.
-func (w UpstreamLimit) Limited() bool { return !math.IsInf(w.Rate, 1) }
+// Limited reports whether the upstream limits its requests.
+func (l UpstreamLimit) Limited() bool { return !math.IsInf(l.Rate, 1) }
 
-// UpstreamLimit is what one instance tells others of an upstream's announcements.
+// UpstreamLimit is an upstream's limit and drain state as one instance reports it to others.
 type UpstreamLimit struct {
-	// Upstream is a hash of its incarnation.
+	// Upstream is a hash of the upstream's incarnation.
 	Upstream uint32
-	// Rate in requests a second, Unlimited where there is no limit, or it ended.
+	// Rate is in requests a second; Unlimited if there is no limit, or none any more.
 	Rate float64
-	// Draining upstreams end soon. No incarnation takes this back.
+	// Draining is true if the upstream is shutting down. An incarnation never revokes this.
 	Draining bool
-	// Age of the newest answer that said so.
+	// Age is the time since the newest answer with this announcement.
 	Age time.Duration
 }
--- a/internal/quota/strategies_test.go
+++ b/internal/quota/strategies_test.go
@@ -10,31 +10,31 @@
 	"sassafrasfield/internal/rendezvous"
 )
 
-// way is how instances keep to one upstream's limit together.
-type way interface {
-	// exchange lets the instances tell one another what is due.
+// strategy is how instances keep to one upstream's limit together.
+type strategy interface {
+	// exchange runs the messages between the instances that are due.
 	exchange(now time.Duration)
 	// take decides on a request at an instance.
 	take(instance int, now time.Duration) bool
 }
 
-// nothing sends on what comes.
-type nothing struct{}
+// unlimited sends every request.
+type unlimited struct{}
 
-func (nothing) exchange(time.Duration)       {}
-func (nothing) take(int, time.Duration) bool { return true }
+func (unlimited) exchange(time.Duration)       {}
+func (unlimited) take(int, time.Duration) bool { return true }
 
-// shares has each instance keep to its part: an equal one, or by what others report to ask for.
+// shares gives each instance a part of the limit: an equal one, or one by the demand that instances report.
 type shares struct {
 	limiters []*limit.Limiter
 	totals   *limit.Totals
 	rule     limit.Rule
-	byUse    bool
+	byDemand bool
 	due      time.Duration
 }
 
-func newShares(instances int, rate float64, byUse bool) *shares {
-	s := &shares{totals: limit.NewTotals(3 * time.Second), rule: limit.Rule{Rate: rate, Burst: 1}, byUse: byUse}
+func newShares(instances int, rate float64, byDemand bool) *shares {
+	s := &shares{totals: limit.NewTotals(3 * time.Second), rule: limit.Rule{Rate: rate, Burst: 1}, byDemand: byDemand}
 	for range instances {
 		l := limit.New(limit.Options{Floor: 0.1, Window: time.Second, TotalsTTL: 5 * time.Second})
 		l.SetEntries(instances, 0)
@@ -45,7 +45,7 @@
 
 func (s *shares) exchange(now time.Duration) {
 	const every = 400 * time.Millisecond
-	if !s.byUse || now < s.due {
+	if !s.byDemand || now < s.due {
 		return
 	}
 	s.due = now + every
@@ -63,14 +63,14 @@
 	return s.limiters[i].Take("u", s.rule, now).Allowed
 }
 
-// one has a single instance send, which ranks first for the upstream.
-type one struct {
+// singleSender has only one instance send, the one that rendezvous hashing ranks first for the upstream.
+type singleSender struct {
 	bucket *limit.Bucket
 	sender int
 }
 
-func newOne(instances int, rate float64) *one {
-	o := &one{bucket: limit.NewBucket(0)}
+func newSingleSender(instances int, rate float64) *singleSender {
+	o := &singleSender{bucket: limit.NewBucket(0)}
 	for i := range instances {
 		if rendezvous.Compare("u", fmt.Sprint(i), fmt.Sprint(o.sender)) < 0 {
 			o.sender = i
@@ -80,48 +80,49 @@
 	return o
 }
 
-func (o *one) exchange(time.Duration) {}
-func (o *one) take(i int, now time.Duration) bool {
+func (o *singleSender) exchange(time.Duration) {}
+func (o *singleSender) take(i int, now time.Duration) bool {
 	return i == o.sender && o.bucket.TakeReserving(0, now)
 }
 
-// grant asks the one that coordinates, unless it was told to wait.
-type grant struct {
-	grants *Coordinator
-	rate   float64
-	waits  []time.Duration
+// coordinated asks the coordinator for a grant for each request. An instance that was refused waits until its
+// retry time.
+type coordinated struct {
+	coordinator *Coordinator
+	rate        float64
+	retryAt     []time.Duration
 }
 
-func newGrant(instances int, rate float64) *grant {
-	g := &grant{grants: NewCoordinator(), rate: rate, waits: make([]time.Duration, instances)}
-	for now := -2 * settleFor; now < 0; now += 100 * time.Millisecond {
-		g.grants.SetShare(1, now)
+func newCoordinated(instances int, rate float64) *coordinated {
+	s := &coordinated{coordinator: NewCoordinator(), rate: rate, retryAt: make([]time.Duration, instances)}
+	for now := -2 * settleTime; now < 0; now += 100 * time.Millisecond {
+		s.coordinator.SetShare(1, now)
 	}
-	return g
+	return s
 }
 
-func (g *grant) exchange(now time.Duration) { g.grants.SetShare(1, now) }
+func (s *coordinated) exchange(now time.Duration) { s.coordinator.SetShare(1, now) }
 
-func (g *grant) take(i int, now time.Duration) bool {
-	if now < g.waits[i] {
+func (s *coordinated) take(i int, now time.Duration) bool {
+	if now < s.retryAt[i] {
 		return false
 	}
-	a := asks(g.rate)
-	a.From = uint64(i) + 1
-	v := g.grants.Take(a, g.rate, now)
-	g.waits[i] = now + v.RetryIn
+	req := grantRequest(s.rate)
+	req.From = uint64(i) + 1
+	v := s.coordinator.Take(req, s.rate, now)
+	s.retryAt[i] = now + v.RetryIn
 	return v.Granted
 }
 
-// playWay has callers ask for ten times as much as the upstream takes, and returns the most that
-// it gets in 4 s and the part of its limit that is used.
-func playWay(w way, instances int, rate float64, at func(*rand.Rand, time.Duration) int) (most int, used float64) {
+// simulate sends ten times as many requests as the limit allows. It returns the most that the upstream gets
+// in 4 s, and the part of its limit that is used.
+func simulate(s strategy, instances int, rate float64, at func(*rand.Rand, time.Duration) int) (most int, used float64) {
 	const length, window = 30 * time.Second, 4 * time.Second
 	rng := rand.New(rand.NewPCG(1, uint64(instances)))
 	var sent []time.Duration
 	for now := time.Duration(0); now < length; now += time.Duration(rng.ExpFloat64() / (10 * rate) * float64(time.Second)) {
-		w.exchange(now)
-		if w.take(at(rng, now), now) {
+		s.exchange(now)
+		if s.take(at(rng, now), now) {
 			sent = append(sent, now)
 		}
 	}
@@ -135,17 +136,17 @@
 	return most, float64(len(sent)) / (rate * length.Seconds())
 }
 
-// TestWaysOfKeepingToALimit compares the ways, and bounds the one that is taken.
-func TestWaysOfKeepingToALimit(t *testing.T) {
-	ways := []struct {
+// TestLimitStrategies compares the strategies, and checks the bounds of the one that is used.
+func TestLimitStrategies(t *testing.T) {
+	strategies := []struct {
 		name string
-		make func(instances int, rate float64) way
+		make func(instances int, rate float64) strategy
 	}{
-		{"nothing", func(int, float64) way { return nothing{} }},
-		{"equal shares", func(n int, rate float64) way { return newShares(n, rate, false) }},
-		{"shares by use", func(n int, rate float64) way { return newShares(n, rate, true) }},
-		{"one sends", func(n int, rate float64) way { return newOne(n, rate) }},
-		{chosenWay, func(n int, rate float64) way { return newGrant(n, rate) }},
+		{"nothing", func(int, float64) strategy { return unlimited{} }},
+		{"equal shares", func(n int, rate float64) strategy { return newShares(n, rate, false) }},
+		{"shares by use", func(n int, rate float64) strategy { return newShares(n, rate, true) }},
+		{"one sends", func(n int, rate float64) strategy { return newSingleSender(n, rate) }},
+		{chosenStrategy, func(n int, rate float64) strategy { return newCoordinated(n, rate) }},
 	}
 	for _, rate := range []float64{1.5, 4} {
 		for _, n := range []int{1, 9, 62, 195, 400} {
@@ -159,11 +160,11 @@
 			}
 			allowed := int(1.5*rate*4) + 5
 			for _, load := range loads {
-				for _, w := range ways {
-					most, used := playWay(w.make(n, rate), n, rate, load.at)
-					t.Logf("%g a second, %d instances, calls %s: %s: at most %d in 4 s (allowed %d), %.0f%% used", rate, n, load.name, w.name, most, allowed, 100*used)
-					if w.name == chosenWay && (most > allowed || used < 0.9) {
-						t.Errorf("%s does not hold", w.name)
+				for _, s := range strategies {
+					most, used := simulate(s.make(n, rate), n, rate, load.at)
+					t.Logf("%g a second, %d instances, calls %s: %s: at most %d in 4 s (allowed %d), %.0f%% used", rate, n, load.name, s.name, most, allowed, 100*used)
+					if s.name == chosenStrategy && (most > allowed || used < 0.9) {
+						t.Errorf("%s: out of bounds", s.name)
 					}
 				}
 			}
@@ -171,5 +172,5 @@
 	}
 }
 
-// chosenWay is the one that the instances keep to limits by.
-const chosenWay = "one grants"
+// chosenStrategy is the strategy that instances use.
+const chosenStrategy = "one grants"
--- a/internal/quota/table.go
+++ b/internal/quota/table.go
@@ -7,247 +7,249 @@
 	"time"
 )
 
-// Source is where a word comes from.
+// Source is where an announcement was received.
 type Source int
 
 const (
-	// Own: this instance got the answer.
+	// Own: this instance received the upstream's answer.
 	Own Source = iota
-	// SameZone: an instance of the same zone did.
+	// SameZone: another instance of this zone received it.
 	SameZone
-	// OtherZone: an instance of another zone did.
+	// OtherZone: an instance of another zone received it.
 	OtherZone
 )
 
-// String names the scope in logs.
+// String returns the name of the source in logs.
 func (s Source) String() string {
 	return [...]string{"own", "zone", "other zones"}[s]
 }
 
-// Times of a Book.
+// Intervals and thresholds of a Table.
 const (
-	// crossing is how much newer a word for more must be than the one for less. Answers on
-	// different connections overtake one another by less.
-	crossing = 500 * time.Millisecond
-	// endsAfter is for how long answers must name no limit until it has ended.
-	endsAfter = 2 * time.Second
-	// retellEvery is the time after which a word is told again: reports may be lost, and an
-	// instance that has just started knows nothing.
-	retellEvery = 500 * time.Millisecond
-	// endToldFor is for how long the end of a limit is told.
-	endToldFor = 10 * time.Second
-	// unlistedFor is for how long the limit of an upstream is kept that is not listed.
-	unlistedFor = time.Minute
-	// leastChange is the part of a rate by which a change of it is told at once, and shown.
-	leastChange = 0.01
+	// reorderWindow is how much newer an announcement of a higher rate must be than that of a lower rate to
+	// replace it. Answers on different connections overtake one another by less.
+	reorderWindow = 500 * time.Millisecond
+	// removalDelay is how long answers must name no limit before the limit counts as lifted.
+	removalDelay = 2 * time.Second
+	// republishInterval is the time after which an announcement is published again: reports may be lost,
+	// and an instance that has just started knows no announcements.
+	republishInterval = 500 * time.Millisecond
+	// publishRemovalFor is how long the removal of a limit is published.
+	publishRemovalFor = 10 * time.Second
+	// keepUnlisted is how long the announcements of an upstream that is not listed are kept.
+	keepUnlisted = time.Minute
+	// minRateChange is the relative change of a rate above which it is published at once and returned as a
+	// Change.
+	minRateChange = 0.01
 )
 
-// tellAtMost bounds the words of a report; those that waited longest come first.
-const tellAtMost = 64
+// maxReported is the most upstreams in a report; those published longest ago come first.
+const maxReported = 64
 
-// entry is what one upstream announced.
+// entry is the state that one upstream announced.
 type entry struct {
-	rate    float64
-	leaving bool
-	scope   Source
-	// at is when the newest answer came that said so.
-	at time.Duration
-	// told is when it was last told, by whom it is told to.
-	told [receivers]time.Duration
+	rate     float64
+	draining bool
+	source   Source
+	// receivedAt is when the newest answer with this state came.
+	receivedAt time.Duration
+	// publishedAt is when the entry was last published, by audience.
+	publishedAt [audiences]time.Duration
 }
 
-// Receivers of words.
+// Audiences of published announcements; audiences is their number.
 const (
 	toZone = iota
 	toOtherZones
-	receivers
+	audiences
 )
 
 // never is a time before all others.
 const never = time.Duration(math.MinInt64 / 2)
 
-// Change of what is known of an upstream's announcements.
+// Change is a change of an upstream's known limit or drain state.
 type Change struct {
 	Upstream      uint32
 	OldRate, Rate float64
-	// StartsDraining: it was not known before that the upstream leaves.
+	// StartsDraining is true if the upstream was not known to be shutting down before.
 	StartsDraining bool
 	Source         Source
-	// Age of the answer that said so.
+	// Age of the answer with the announcement.
 	Age time.Duration
 }
 
-// Table has the announcements that are known. It is not safe for concurrent use.
+// Table holds the announcements of upstreams that an instance knows. It is not safe for concurrent use.
 type Table struct {
 	entries map[uint32]*entry
 }
 
-// NewTable returns an empty book.
+// NewTable returns an empty table.
 func NewTable() *Table { return &Table{entries: map[uint32]*entry{}} }
 
-// Rate returns the rate that an upstream is kept to; Unlimited for most.
-func (b *Table) Rate(upstream uint32) float64 {
-	if e, ok := b.entries[upstream]; ok {
+// Rate returns the rate that an upstream is limited to, or Unlimited.
+func (t *Table) Rate(upstream uint32) float64 {
+	if e, ok := t.entries[upstream]; ok {
 		return e.rate
 	}
 	return Unlimited
 }
 
-// Limited tells whether an upstream limits its requests.
-func (b *Table) Limited(upstream uint32) bool { return !math.IsInf(b.Rate(upstream), 1) }
+// Limited reports whether an upstream limits its requests.
+func (t *Table) Limited(upstream uint32) bool { return !math.IsInf(t.Rate(upstream), 1) }
 
-// Draining tells whether an upstream has said that it leaves.
-func (b *Table) Draining(upstream uint32) bool {
-	e, known := b.entries[upstream]
-	return known && e.leaving
+// Draining reports whether an upstream has announced that it is shutting down.
+func (t *Table) Draining(upstream uint32) bool {
+	e, known := t.entries[upstream]
+	return known && e.draining
 }
 
-// Any tells whether any upstream announces anything, or did so lately.
-func (b *Table) Any() bool { return len(b.entries) > 0 }
+// Any reports whether the table has any entry: an upstream with an announcement, or one whose limit was
+// lifted recently.
+func (t *Table) Any() bool { return len(t.entries) > 0 }
 
-// Lookup returns what is known of an upstream's announcements, and whether the upstream told this
-// instance itself; known is false for one that never announced anything.
-func (b *Table) Lookup(upstream uint32, now time.Duration) (w UpstreamLimit, firstHand, known bool) {
-	e, known := b.entries[upstream]
+// Lookup returns the limit of an upstream. firstHand is true if this instance received it from the upstream
+// itself; known is false for an upstream that has no entry.
+func (t *Table) Lookup(upstream uint32, now time.Duration) (l UpstreamLimit, firstHand, known bool) {
+	e, known := t.entries[upstream]
 	if !known {
 		return UpstreamLimit{Upstream: upstream, Rate: Unlimited}, false, false
 	}
-	return e.word(upstream, now), e.scope == Own, true
+	return e.limit(upstream, now), e.source == Own, true
 }
 
-// word is what is told of an entry.
-func (e *entry) word(upstream uint32, now time.Duration) UpstreamLimit {
-	return UpstreamLimit{Upstream: upstream, Rate: e.rate, Draining: e.leaving, Age: now - e.at}
+// limit returns the entry in the form in which it is reported.
+func (e *entry) limit(upstream uint32, now time.Duration) UpstreamLimit {
+	return UpstreamLimit{Upstream: upstream, Rate: e.rate, Draining: e.draining, Age: now - e.receivedAt}
 }
 
-// All returns what is known of all upstreams that announce anything, or did so lately.
-func (b *Table) All(now time.Duration) []UpstreamLimit {
-	var words []UpstreamLimit
-	for upstream, e := range b.entries {
-		words = append(words, e.word(upstream, now))
+// All returns the limits of all upstreams in the table, with those lifted recently.
+func (t *Table) All(now time.Duration) []UpstreamLimit {
+	var limits []UpstreamLimit
+	for upstream, e := range t.entries {
+		limits = append(limits, e.limit(upstream, now))
 	}
-	return words
+	return limits
 }
 
-// Forget drops what is known of an upstream.
-func (b *Table) Forget(upstream uint32) { delete(b.entries, upstream) }
+// Forget deletes the entry of an upstream.
+func (t *Table) Forget(upstream uint32) { delete(t.entries, upstream) }
 
-// ApplyAnnouncement takes what an answer to this instance says, and returns what it changes.
-func (b *Table) ApplyAnnouncement(upstream uint32, a Announcement, now time.Duration) (Change, bool) {
-	return b.take(UpstreamLimit{Upstream: upstream, Rate: a.rate(), Draining: a.Draining}, Own, now)
+// ApplyAnnouncement applies an announcement in an answer to this instance. It returns the change, and whether
+// there is one.
+func (t *Table) ApplyAnnouncement(upstream uint32, a Announcement, now time.Duration) (Change, bool) {
+	return t.apply(UpstreamLimit{Upstream: upstream, Rate: a.rate(), Draining: a.Draining}, Own, now)
 }
 
-// ApplyReport takes another instance's word, and returns what it changes.
-func (b *Table) ApplyReport(w UpstreamLimit, scope Source, now time.Duration) (Change, bool) {
-	if math.IsNaN(w.Rate) || w.Rate <= 0 {
+// ApplyReport applies a limit that another instance reported, unless its rate is invalid. It returns the
+// change, and whether there is one.
+func (t *Table) ApplyReport(l UpstreamLimit, source Source, now time.Duration) (Change, bool) {
+	if math.IsNaN(l.Rate) || l.Rate <= 0 {
 		return Change{}, false
 	}
-	return b.take(w, scope, now)
+	return t.apply(l, source, now)
 }
 
-// take takes a word, and returns what it changes.
-func (b *Table) take(w UpstreamLimit, scope Source, now time.Duration) (Change, bool) {
-	e, known := b.entries[w.Upstream]
+// apply applies a limit from any source. It returns the change, and whether there is one.
+func (t *Table) apply(l UpstreamLimit, source Source, now time.Duration) (Change, bool) {
+	e, known := t.entries[l.Upstream]
 	if !known {
-		if !w.Limited() && !w.Draining {
+		if !l.Limited() && !l.Draining {
 			return Change{}, false
 		}
-		e = &entry{rate: Unlimited, at: never}
-		b.entries[w.Upstream] = e
+		e = &entry{rate: Unlimited, receivedAt: never}
+		t.entries[l.Upstream] = e
 	}
-	change := Change{Upstream: w.Upstream, OldRate: e.rate, Rate: e.rate, Source: scope, Age: w.Age}
-	if w.Draining && !e.leaving {
-		e.leaving, e.scope, change.StartsDraining = true, scope, true
-		e.at = max(e.at, now-w.Age)
+	change := Change{Upstream: l.Upstream, OldRate: e.rate, Rate: e.rate, Source: source, Age: l.Age}
+	if l.Draining && !e.draining {
+		e.draining, e.source, change.StartsDraining = true, source, true
+		e.receivedAt = max(e.receivedAt, now-l.Age)
 	}
-	if e.takeRate(w, scope, now) {
-		change.Rate = w.Rate
+	if e.applyRate(l, source, now) {
+		change.Rate = l.Rate
 	}
-	if !change.shown() {
+	if !change.significant() {
 		return Change{}, false
 	}
-	e.told = [receivers]time.Duration{never, never}
+	e.publishedAt = [audiences]time.Duration{never, never}
 	return change, true
 }
 
-// takeRate has a word's rate take the place of the one before if it is newer, and tells whether
-// it did. Of rates that may have crossed the lower one stands.
-func (e *entry) takeRate(w UpstreamLimit, scope Source, now time.Duration) bool {
-	at := now - w.Age
-	if at <= e.at-crossing || w.Rate > e.rate && at <= e.at+patience(w.Rate) {
+// applyRate replaces the entry's rate if the limit is newer, and reports whether it did. Of two rates whose
+// order is uncertain, the lower one is kept.
+func (e *entry) applyRate(l UpstreamLimit, source Source, now time.Duration) bool {
+	at := now - l.Age
+	if at <= e.receivedAt-reorderWindow || l.Rate > e.rate && at <= e.receivedAt+increaseDelay(l.Rate) {
 		return false
 	}
-	if math.IsInf(w.Rate, 1) && e.rate == w.Rate {
-		return false // its time counts from the end of the limit
+	if math.IsInf(l.Rate, 1) && e.rate == l.Rate {
+		return false // the removal is published for a time that counts from when the limit was lifted
 	}
-	if e.rate != w.Rate || at > e.at+crossing {
-		e.scope = scope
+	if e.rate != l.Rate || at > e.receivedAt+reorderWindow {
+		e.source = source
 	}
-	e.rate, e.at = w.Rate, max(e.at, at)
+	e.rate, e.receivedAt = l.Rate, max(e.receivedAt, at)
 	return true
 }
 
-// shown tells whether anything changed but the last digits of the rate.
-func (c Change) shown() bool {
+// significant reports whether the upstream starts draining, or its rate changes by more than minRateChange.
+func (c Change) significant() bool {
 	if c.StartsDraining {
 		return true
 	}
 	if math.IsInf(c.OldRate, 1) || math.IsInf(c.Rate, 1) {
 		return c.OldRate != c.Rate
 	}
-	return math.Abs(c.OldRate-c.Rate) > leastChange*c.OldRate
+	return math.Abs(c.OldRate-c.Rate) > minRateChange*c.OldRate
 }
 
-// patience is how much newer a word for a higher rate must be.
-func patience(rate float64) time.Duration {
+// increaseDelay returns how much newer than the current announcement one of this higher rate must be.
+func increaseDelay(rate float64) time.Duration {
 	if math.IsInf(rate, 1) {
-		return endsAfter
+		return removalDelay
 	}
-	return crossing
+	return reorderWindow
 }
 
-// DueOwn are the words that are due to the zone of what this instance was told itself,
-// ZoneWords those due to other zones of what its zone was told, and BeyondWords those due
-// to the zone of what others were told.
-func (b *Table) DueOwn(now time.Duration) []UpstreamLimit {
-	return b.due(now, toZone, func(s Source) bool { return s == Own })
+// DueOwn returns the announcements received by this instance that are due to be published to its zone.
+func (t *Table) DueOwn(now time.Duration) []UpstreamLimit {
+	return t.due(now, toZone, func(s Source) bool { return s == Own })
 }
 
-// DueZone: see OwnWords.
-func (b *Table) DueZone(now time.Duration) []UpstreamLimit {
-	return b.due(now, toOtherZones, func(s Source) bool { return s != OtherZone })
+// DueZone returns the announcements received in this zone that are due to be published to other zones.
+func (t *Table) DueZone(now time.Duration) []UpstreamLimit {
+	return t.due(now, toOtherZones, func(s Source) bool { return s != OtherZone })
 }
 
-// DueOtherZones: see OwnWords.
-func (b *Table) DueOtherZones(now time.Duration) []UpstreamLimit {
-	return b.due(now, toZone, func(s Source) bool { return s == OtherZone })
+// DueOtherZones returns the announcements received in other zones that are due to be published to this zone.
+func (t *Table) DueOtherZones(now time.Duration) []UpstreamLimit {
+	return t.due(now, toZone, func(s Source) bool { return s == OtherZone })
 }
 
-func (b *Table) due(now time.Duration, to int, tells func(Source) bool) []UpstreamLimit {
-	var words []UpstreamLimit
-	for upstream, e := range b.entries {
-		if tells(e.scope) && now-e.told[to] >= retellEvery {
-			words = append(words, e.word(upstream, now))
+func (t *Table) due(now time.Duration, audience int, includes func(Source) bool) []UpstreamLimit {
+	var limits []UpstreamLimit
+	for upstream, e := range t.entries {
+		if includes(e.source) && now-e.publishedAt[audience] >= republishInterval {
+			limits = append(limits, e.limit(upstream, now))
 		}
 	}
-	slices.SortFunc(words, func(a, c UpstreamLimit) int {
-		return cmp.Compare(b.entries[a.Upstream].told[to], b.entries[c.Upstream].told[to])
+	slices.SortFunc(limits, func(a, b UpstreamLimit) int {
+		return cmp.Compare(t.entries[a.Upstream].publishedAt[audience], t.entries[b.Upstream].publishedAt[audience])
 	})
-	words = words[:min(len(words), tellAtMost)]
-	for _, w := range words {
-		b.entries[w.Upstream].told[to] = now
+	limits = limits[:min(len(limits), maxReported)]
+	for _, l := range limits {
+		t.entries[l.Upstream].publishedAt[audience] = now
 	}
-	return words
+	return limits
 }
 
-// Expire drops the ends of limits that were told for long enough, and the announcements of
-// upstreams that have not been listed for long.
-func (b *Table) Expire(listed func(upstream uint32) bool, now time.Duration) {
-	for upstream, e := range b.entries {
-		age := now - e.at
-		ended := math.IsInf(e.rate, 1) && !e.leaving
-		if ended && age > endToldFor || age > unlistedFor && !listed(upstream) {
-			delete(b.entries, upstream)
+// Expire deletes the removals of limits that were published long enough, and the announcements of upstreams
+// that are not listed once they are older than keepUnlisted.
+func (t *Table) Expire(listed func(upstream uint32) bool, now time.Duration) {
+	for upstream, e := range t.entries {
+		age := now - e.receivedAt
+		lifted := math.IsInf(e.rate, 1) && !e.draining
+		if lifted && age > publishRemovalFor || age > keepUnlisted && !listed(upstream) {
+			delete(t.entries, upstream)
 		}
 	}
 }
