--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -45,8 +45,8 @@
 
 // Prefill is one prompt that an engine has processed.
 type Prefill struct {
-	// Fresh tokens were processed, Cached ones are believed to have been there.
-	Fresh, Cached int
+	// Uncached tokens were processed, Cached ones are believed to have been there.
+	Uncached, Cached int
 	// Ahead was the predicted time of the prompts before it, Took the time from
 	// the send to the end.
 	Ahead, Took time.Duration
@@ -93,7 +93,7 @@
 // RecordPrefill takes note of a processed prompt.
 func (m *Model) RecordPrefill(p Prefill) {
 	predicted := m.predict(p)
-	if p.Fresh <= 0 || p.Ahead > time.Duration(idlePart*float64(predicted)) {
+	if p.Uncached <= 0 || p.Ahead > time.Duration(idlePart*float64(predicted)) {
 		return
 	}
 	m.prompts.add(sample{x: m.assumed(p), y: float64(p.Took)})
@@ -106,7 +106,7 @@
 
 // assumed is the time in nanoseconds that the prior's engines take for a prompt.
 func (m *Model) assumed(p Prefill) float64 {
-	return float64(p.Fresh)*m.prior.TokenTime + pairs(p.Fresh, p.Cached)*m.prior.PairTime
+	return float64(p.Uncached)*m.prior.TokenTime + pairs(p.Uncached, p.Cached)*m.prior.PairTime
 }
 
 // pairs is the number of pairs of tokens that fresh ones after cached ones make.
--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -31,7 +31,7 @@
 	if e.rng.Float64() < wrong/2 { // a wait that nobody told of
 		took *= 1 + 2*e.rng.Float64()
 	}
-	return Prefill{Fresh: fresh, Cached: cached, Took: time.Duration(took)}
+	return Prefill{Uncached: fresh, Cached: cached, Took: time.Duration(took)}
 }
 
 func (e engine) stream(batch float64) Stream {
@@ -62,7 +62,7 @@
 			}
 			const fresh, cached = 2900, 6300
 			want := fresh*e.token + pairs(fresh, cached)*e.pair + roundTrip + e.besides
-			got := m.predict(Prefill{Fresh: fresh, Cached: cached})
+			got := m.predict(Prefill{Uncached: fresh, Cached: cached})
 			if !near(float64(got), want, part) {
 				t.Errorf("%s, %d prompts: %s, want %s", name, n, got, time.Duration(want))
 			}
@@ -73,7 +73,7 @@
 func TestPromptsThatWaitedTellNothing(t *testing.T) {
 	m := New(DefaultPrior())
 	for range 100 {
-		m.RecordPrefill(Prefill{Fresh: 1000, Ahead: time.Second, Took: time.Second})
+		m.RecordPrefill(Prefill{Uncached: 1000, Ahead: time.Second, Took: time.Second})
 	}
 	if token, _, _ := m.PromptTimes(); token != DefaultPrior().TokenTime {
 		t.Errorf("%g ns a token", token)
@@ -99,7 +99,7 @@
 		m := New(DefaultPrior())
 		for range rapid.IntRange(0, 40).Draw(t, "prompts") {
 			m.RecordPrefill(Prefill{
-				Fresh: rapid.IntRange(0, 100000).Draw(t, "fresh"), Cached: rapid.IntRange(0, 100000).Draw(t, "cached"),
+				Uncached: rapid.IntRange(0, 100000).Draw(t, "fresh"), Cached: rapid.IntRange(0, 100000).Draw(t, "cached"),
 				Took: time.Duration(rapid.Int64Range(0, int64(10*time.Second)).Draw(t, "took")),
 			})
 		}
--- a/internal/model/run.go
+++ b/internal/model/run.go
@@ -218,7 +218,7 @@
 	req.at.picture.RecordCall(e.id, load.CallSucceeded, r.now)
 	if req.start.Source.ID == "" && req.start.UncachedTokens <= req.prompt.Tokens-req.prompt.SharedTokens() {
 		req.at.picture.RecordPrefill(service, estimate.Prefill{
-			Fresh: req.start.UncachedTokens, Cached: req.prompt.Tokens - req.start.UncachedTokens,
+			Uncached: req.start.UncachedTokens, Cached: req.prompt.Tokens - req.start.UncachedTokens,
 			Ahead: req.start.Engine.Aggregate.Backlog, Took: r.now - req.sent + e.spec.Overhead,
 		})
 	}
