--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -47,9 +47,9 @@
 type Prefill struct {
 	// Uncached tokens were processed, Cached ones are believed to have been there.
 	Uncached, Cached int
-	// Ahead was the predicted time of the prompts before it, Took the time from
+	// PredictedWait was the predicted time of the prompts before it, Took the time from
 	// the send to the end.
-	Ahead, Took time.Duration
+	PredictedWait, Took time.Duration
 }
 
 // Stream is one answer that an engine has generated.
@@ -93,7 +93,7 @@
 // RecordPrefill takes note of a processed prompt.
 func (m *Model) RecordPrefill(p Prefill) {
 	predicted := m.predict(p)
-	if p.Uncached <= 0 || p.Ahead > time.Duration(idlePart*float64(predicted)) {
+	if p.Uncached <= 0 || p.PredictedWait > time.Duration(idlePart*float64(predicted)) {
 		return
 	}
 	m.prompts.add(sample{x: m.assumed(p), y: float64(p.Took)})
--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -73,7 +73,7 @@
 func TestPromptsThatWaitedTellNothing(t *testing.T) {
 	m := New(DefaultPrior())
 	for range 100 {
-		m.RecordPrefill(Prefill{Uncached: 1000, Ahead: time.Second, Took: time.Second})
+		m.RecordPrefill(Prefill{Uncached: 1000, PredictedWait: time.Second, Took: time.Second})
 	}
 	if token, _, _ := m.PromptTimes(); token != DefaultPrior().TokenTime {
 		t.Errorf("%g ns a token", token)
