--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -47,9 +47,9 @@
 type Prefill struct {
 	// Uncached tokens were processed, Cached ones are believed to have been there.
 	Uncached, Cached int
-	// PredictedWait was the predicted time of the prompts before it, Took the time from
+	// PredictedWait was the predicted time of the prompts before it, Elapsed the time from
 	// the send to the end.
-	PredictedWait, Took time.Duration
+	PredictedWait, Elapsed time.Duration
 }
 
 // Stream is one answer that an engine has generated.
@@ -96,7 +96,7 @@
 	if p.Uncached <= 0 || p.PredictedWait > time.Duration(idlePart*float64(predicted)) {
 		return
 	}
-	m.prompts.add(sample{x: m.assumed(p), y: float64(p.Took)})
+	m.prompts.add(sample{x: m.assumed(p), y: float64(p.Elapsed)})
 }
 
 // predict is the time that a prompt takes on an engine without a queue.
--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -31,7 +31,7 @@
 	if e.rng.Float64() < wrong/2 { // a wait that nobody told of
 		took *= 1 + 2*e.rng.Float64()
 	}
-	return Prefill{Uncached: fresh, Cached: cached, Took: time.Duration(took)}
+	return Prefill{Uncached: fresh, Cached: cached, Elapsed: time.Duration(took)}
 }
 
 func (e engine) stream(batch float64) Stream {
@@ -73,7 +73,7 @@
 func TestPromptsThatWaitedTellNothing(t *testing.T) {
 	m := New(DefaultPrior())
 	for range 100 {
-		m.RecordPrefill(Prefill{Uncached: 1000, PredictedWait: time.Second, Took: time.Second})
+		m.RecordPrefill(Prefill{Uncached: 1000, PredictedWait: time.Second, Elapsed: time.Second})
 	}
 	if token, _, _ := m.PromptTimes(); token != DefaultPrior().TokenTime {
 		t.Errorf("%g ns a token", token)
@@ -100,7 +100,7 @@
 		for range rapid.IntRange(0, 40).Draw(t, "prompts") {
 			m.RecordPrefill(Prefill{
 				Uncached: rapid.IntRange(0, 100000).Draw(t, "fresh"), Cached: rapid.IntRange(0, 100000).Draw(t, "cached"),
-				Took: time.Duration(rapid.Int64Range(0, int64(10*time.Second)).Draw(t, "took")),
+				Elapsed: time.Duration(rapid.Int64Range(0, int64(10*time.Second)).Draw(t, "took")),
 			})
 		}
 		if token, pair, _ := m.PromptTimes(); !(token > 0) || !(pair > 0) {
--- a/internal/model/run.go
+++ b/internal/model/run.go
@@ -219,7 +219,7 @@
 	if req.start.Source.ID == "" && req.start.UncachedTokens <= req.prompt.Tokens-req.prompt.SharedTokens() {
 		req.at.picture.RecordPrefill(service, estimate.Prefill{
 			Uncached: req.start.UncachedTokens, Cached: req.prompt.Tokens - req.start.UncachedTokens,
-			PredictedWait: req.start.Engine.Aggregate.Backlog, Took: r.now - req.sent + e.spec.Overhead,
+			PredictedWait: req.start.Engine.Aggregate.Backlog, Elapsed: r.now - req.sent + e.spec.Overhead,
 		})
 	}
 	r.free(req)
--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -174,7 +174,7 @@
 	if start.Source.ID == "" && start.UncachedTokens <= g.prompt.Tokens-g.prompt.SharedTokens() {
 		// what is not believed cached may be there all the same
 		r.picture.RecordPrefill(g.service, estimate.Prefill{
-			Uncached: start.UncachedTokens, Cached: g.prompt.Tokens - start.UncachedTokens, PredictedWait: ahead, Took: took,
+			Uncached: start.UncachedTokens, Cached: g.prompt.Tokens - start.UncachedTokens, PredictedWait: ahead, Elapsed: took,
 		})
 	}
 	r.log.Info("relay: prefilled", "request", g.req.ID, "engine", engine.ID, "tokens", g.prompt.Tokens,
