--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -54,8 +54,8 @@
 
 // Stream is one answer that an engine has generated.
 type Stream struct {
-	// Stepped tokens were generated in Took: from the first event to the last one.
-	Stepped int
+	// Tokens tokens were generated in Took: from the first event to the last one.
+	Tokens int
 	Took    time.Duration
 	// Slot is how long the request had its slot, from the send to the end.
 	Slot time.Duration
@@ -121,10 +121,10 @@
 // RecordStream takes note of an answer that was generated whole.
 func (m *Model) RecordStream(s Stream) {
 	m.slot.add(s.Slot.Seconds())
-	if s.Stepped < leastStepped || s.Took <= 0 {
+	if s.Tokens < leastStepped || s.Took <= 0 {
 		return
 	}
-	m.steps.add(sample{x: max(1, s.Batch), y: float64(s.Took) / float64(s.Stepped)})
+	m.steps.add(sample{x: max(1, s.Batch), y: float64(s.Took) / float64(s.Tokens)})
 }
 
 // PromptTimes returns the times of a prompt's tokens and pairs of tokens, in
--- a/internal/upstreamstate/learn.go
+++ b/internal/upstreamstate/learn.go
@@ -83,7 +83,7 @@
 	if limits := p.table.Services[service].Engine; limits != nil {
 		eventTokens = max(1, limits.EventTokens)
 	}
-	done.Stepped = (events - 1) * eventTokens
+	done.Tokens = (events - 1) * eventTokens
 	if n, ok := p.nodes[engine]; ok {
 		done.Batch = float64(n.toldTo(now).Requests)
 	}
