--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -56,7 +56,7 @@
 type Stream struct {
 	// Tokens tokens were generated in Took: from the first event to the last one.
 	Tokens int
-	Took    time.Duration
+	Elapsed    time.Duration
 	// Slot is how long the request had its slot, from the send to the end.
 	Slot time.Duration
 	// Batch is how many requests the engine had.
@@ -121,10 +121,10 @@
 // RecordStream takes note of an answer that was generated whole.
 func (m *Model) RecordStream(s Stream) {
 	m.slot.add(s.Slot.Seconds())
-	if s.Tokens < leastStepped || s.Took <= 0 {
+	if s.Tokens < leastStepped || s.Elapsed <= 0 {
 		return
 	}
-	m.steps.add(sample{x: max(1, s.Batch), y: float64(s.Took) / float64(s.Tokens)})
+	m.steps.add(sample{x: max(1, s.Batch), y: float64(s.Elapsed) / float64(s.Tokens)})
 }
 
 // PromptTimes returns the times of a prompt's tokens and pairs of tokens, in
