--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -57,8 +57,8 @@
 	// Tokens tokens were generated in Took: from the first event to the last one.
 	Tokens int
 	Elapsed    time.Duration
-	// Slot is how long the request had its slot, from the send to the end.
-	Slot time.Duration
+	// SlotTime is how long the request had its slot, from the send to the end.
+	SlotTime time.Duration
 	// Batch is how many requests the engine had.
 	Batch float64
 }
@@ -120,7 +120,7 @@
 
 // RecordStream takes note of an answer that was generated whole.
 func (m *Model) RecordStream(s Stream) {
-	m.slot.add(s.Slot.Seconds())
+	m.slot.add(s.SlotTime.Seconds())
 	if s.Tokens < leastStepped || s.Elapsed <= 0 {
 		return
 	}
--- a/internal/model/run.go
+++ b/internal/model/run.go
@@ -244,7 +244,7 @@
 	req := w.req
 	req.at.picture.RecordCall(e.id, load.CallSucceeded, r.now)
 	events := 1 + int(req.answer)/e.spec.EventTokens
-	req.at.picture.RecordStream(service, e.id, events, estimate.Stream{Elapsed: r.now - req.first, Slot: r.now - req.sent}, r.now)
+	req.at.picture.RecordStream(service, e.id, events, estimate.Stream{Elapsed: r.now - req.first, SlotTime: r.now - req.sent}, r.now)
 	req.at.picture.RequestDone(e.id, req.id, r.now)
 	req.over = true
 	r.result.answered(req)
--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -298,7 +298,7 @@
 		observe("stream", r.now()-started)
 		if whole {
 			r.picture.RecordStream(g.service, engine.ID, p.events.Count(), estimate.Stream{
-				Elapsed: r.now() - began, Slot: r.now() - started,
+				Elapsed: r.now() - began, SlotTime: r.now() - started,
 			}, r.now())
 		}
 		return attempt.Result{Status: attempt.Done}
