--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -59,8 +59,8 @@
 	Elapsed    time.Duration
 	// SlotTime is how long the request had its slot, from the send to the end.
 	SlotTime time.Duration
-	// Batch is how many requests the engine had.
-	Batch float64
+	// BatchSize is how many requests the engine had.
+	BatchSize float64
 }
 
 // Model is what is known of a service's engines. It is not safe for concurrent use.
@@ -124,7 +124,7 @@
 	if s.Tokens < leastStepped || s.Elapsed <= 0 {
 		return
 	}
-	m.steps.add(sample{x: max(1, s.Batch), y: float64(s.Elapsed) / float64(s.Tokens)})
+	m.steps.add(sample{x: max(1, s.BatchSize), y: float64(s.Elapsed) / float64(s.Tokens)})
 }
 
 // PromptTimes returns the times of a prompt's tokens and pairs of tokens, in
--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -37,7 +37,7 @@
 func (e engine) stream(batch float64) Stream {
 	tokens := 50 + e.rng.IntN(4000)
 	step := float64(e.step) + batch*float64(e.perRequest)
-	return Stream{Tokens: tokens, Elapsed: time.Duration(step * float64(tokens)), Batch: batch}
+	return Stream{Tokens: tokens, Elapsed: time.Duration(step * float64(tokens)), BatchSize: batch}
 }
 
 func near(got, want, part float64) bool { return got > want*(1-part) && got < want*(1+part) }
--- a/internal/upstreamstate/learn.go
+++ b/internal/upstreamstate/learn.go
@@ -85,7 +85,7 @@
 	}
 	done.Tokens = (events - 1) * eventTokens
 	if n, ok := p.nodes[engine]; ok {
-		done.Batch = float64(n.toldTo(now).Requests)
+		done.BatchSize = float64(n.toldTo(now).Requests)
 	}
 	p.model(service).RecordStream(done)
 }
