--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -55,8 +55,8 @@
 // Stream is one answer that an engine has generated.
 type Stream struct {
 	// Tokens tokens were generated in Took: from the first event to the last one.
-	Tokens int
-	Elapsed    time.Duration
+	Tokens  int
+	Elapsed time.Duration
 	// SlotTime is how long the request had its slot, from the send to the end.
 	SlotTime time.Duration
 	// BatchSize is how many requests the engine had.
