--- a/internal/control/exchange.go
+++ b/internal/control/exchange.go
@@ -53,12 +53,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := bootclock.Now()
-	s.fresh.Heard(question.Version)
+	s.fresh.NoteVersion(question.Version)
 	s.takeLeaving(now, question.Leaving)
 	digest := s.fresh.Digest(now, question.WantContacts)
 	response := &sfv1.ExchangeResponse{
 		Version: digest.Version, Voter: digest.Voter,
-		TableSeen: digest.Seen, TableAgeMs: ceilMs(digest.SeenAge),
+		TableSeen: digest.HeadSeen, TableAgeMs: ceilMs(digest.HeadAge),
 		Promised: digest.Promised, PromisedAgeMs: digest.PromisedAge.Milliseconds(),
 		Leaving: leavingMessage(s.leaving.Ages(now)),
 	}
@@ -87,8 +87,8 @@
 	if len(members) == 0 {
 		members = s.fresh.Members()
 	}
-	s.fresh.Answered(sent, now, id, freshness.Digest{
-		Version: msg.Version, Seen: msg.TableSeen, SeenAge: millis(msg.TableAgeMs),
+	s.fresh.MergeAnswer(sent, now, id, freshness.Digest{
+		Version: msg.Version, HeadSeen: msg.TableSeen, HeadAge: millis(msg.TableAgeMs),
 		Promised: msg.Promised, PromisedAge: millis(msg.PromisedAgeMs), Voter: msg.Voter,
 		Contacts: decodeContacts(members, msg.Contacts),
 	})
--- a/internal/control/spread.go
+++ b/internal/control/spread.go
@@ -125,7 +125,7 @@
 	s.wasFresh = status.Fresh
 	if status.Fresh {
 		s.meters.fresh.Update(1)
-		s.log.Info("spread: the configuration is the newest", "by", status.By)
+		s.log.Info("spread: the configuration is the newest", "by", status.Rule)
 		return
 	}
 	s.meters.fresh.Update(0)
@@ -223,7 +223,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.meters.version.Update(version)
-	s.fresh.Holds(version)
+	s.fresh.SetHeld(version)
 	s.enqueue(s.machine.Learned(version))
 }
 
@@ -231,7 +231,7 @@
 func (s *spreader) offered(version int64) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fresh.Heard(version)
+	s.fresh.NoteVersion(version)
 	return s.machine.PeerOffered(bootclock.Now(), version)
 }
 
@@ -243,7 +243,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fresh.Listed(ids)
+	s.fresh.SetMembers(ids)
 	s.machine.ListChanged(peers)
 }
 
--- a/internal/fanout/pace.go
+++ b/internal/fanout/pace.go
@@ -31,14 +31,14 @@
 
 // Due is what an instance is to send.
 type Due struct {
-	// Own: its report to its receivers. Batch: a batch to its zone. Zone: its
-	// zone's report to the other zones. Greet: a report to the seeds. Times: with
+	// OwnReport: its report to its receivers. Batch: a batch to its zone. ZoneReport: its
+	// zone's report to the other zones. SeedReport: a report to the seeds. EngineTimes: with
 	// what the engines take.
-	Own, Batch, Zone, Greet, Times bool
+	OwnReport, Batch, ZoneReport, SeedReport, EngineTimes bool
 }
 
-// Pace decides when an instance reports. It is not safe for concurrent use.
-type Pace struct {
+// Pacer decides when an instance reports. It is not safe for concurrent use.
+type Pacer struct {
 	start time.Duration
 	// ownAt, batchAt, zoneAt, greetAt and timesAt are when each was last sent.
 	ownAt, batchAt, zoneAt, greetAt, timesAt time.Duration
@@ -46,36 +46,36 @@
 	changed, urgent bool
 }
 
-// NewPace returns the pace of an instance that starts now.
-func NewPace(now time.Duration) *Pace {
-	return &Pace{start: now, ownAt: now - ownAtMost, batchAt: now - batchEvery, zoneAt: now - zoneEvery, greetAt: now - greetEvery, timesAt: now}
+// NewPacer returns the pace of an instance that starts now.
+func NewPacer(now time.Duration) *Pacer {
+	return &Pacer{start: now, ownAt: now - ownAtMost, batchAt: now - batchEvery, zoneAt: now - zoneEvery, greetAt: now - greetEvery, timesAt: now}
 }
 
 // Changed notes that the instance has something new under way.
-func (p *Pace) Changed() { p.changed = true }
+func (p *Pacer) Changed() { p.changed = true }
 
 // Next returns what is to be sent now, for an instance that passes reports on or not
 // and to which batches come or not, and the time until the next call. Urgent news
 // hardly waits.
-func (p *Pace) Next(now time.Duration, passes, hears, urgent bool) (Due, time.Duration) {
+func (p *Pacer) Next(now time.Duration, passes, hears, urgent bool) (Due, time.Duration) {
 	p.urgent = p.urgent || urgent
 	var due Due
 	if passes {
 		due.Batch = now-p.batchAt >= p.every(batchEvery)
-		due.Zone = now-p.zoneAt >= p.every(zoneEvery)
-		due.Greet = now-p.greetAt >= p.greetEvery(now)
+		due.ZoneReport = now-p.zoneAt >= p.every(zoneEvery)
+		due.SeedReport = now-p.greetAt >= p.greetEvery(now)
 	} else {
-		due.Own = now-p.ownAt >= p.every(p.ownEvery(now, hears))
+		due.OwnReport = now-p.ownAt >= p.every(p.ownEvery(now, hears))
 	}
-	if due.Own || due.Batch {
-		due.Times = now-p.timesAt >= timesEvery
+	if due.OwnReport || due.Batch {
+		due.EngineTimes = now-p.timesAt >= timesEvery
 	}
 	p.sent(due, now)
 	return due, p.wait(now, passes, hears)
 }
 
 // every is the time between two sends, which urgent news shortens.
-func (p *Pace) every(usual time.Duration) time.Duration {
+func (p *Pacer) every(usual time.Duration) time.Duration {
 	if p.urgent {
 		return min(usual, urgentGap)
 	}
@@ -83,7 +83,7 @@
 }
 
 // greetEvery is the time between greetings of the seeds.
-func (p *Pace) greetEvery(now time.Duration) time.Duration {
+func (p *Pacer) greetEvery(now time.Duration) time.Duration {
 	if now-p.start < greetFor {
 		return greetEvery
 	}
@@ -91,7 +91,7 @@
 }
 
 // ownEvery is the time between this instance's reports.
-func (p *Pace) ownEvery(now time.Duration, hears bool) time.Duration {
+func (p *Pacer) ownEvery(now time.Duration, hears bool) time.Duration {
 	switch {
 	case p.changed:
 		return ownGap
@@ -102,26 +102,26 @@
 	}
 }
 
-func (p *Pace) sent(due Due, now time.Duration) {
-	if due.Own || due.Batch {
+func (p *Pacer) sent(due Due, now time.Duration) {
+	if due.OwnReport || due.Batch {
 		p.changed, p.urgent, p.ownAt = false, false, now
 	}
 	if due.Batch {
 		p.batchAt = now
 	}
-	if due.Zone {
+	if due.ZoneReport {
 		p.zoneAt = now
 	}
-	if due.Greet {
+	if due.SeedReport {
 		p.greetAt = now
 	}
-	if due.Times {
+	if due.EngineTimes {
 		p.timesAt = now
 	}
 }
 
 // wait is the time until something may be due.
-func (p *Pace) wait(now time.Duration, passes, hears bool) time.Duration {
+func (p *Pacer) wait(now time.Duration, passes, hears bool) time.Duration {
 	if passes {
 		return max(0, min(p.batchAt+p.every(batchEvery), p.zoneAt+p.every(zoneEvery))-now)
 	}
--- a/internal/fanout/pace_test.go
+++ b/internal/fanout/pace_test.go
@@ -9,19 +9,19 @@
 // often; 0 for none.
 func sends(passes, hears bool, changes, length time.Duration) (own, batch, zone int) {
 	const start = time.Hour
-	p := NewPace(start - greetFor)
+	p := NewPacer(start - greetFor)
 	for now := start; now < start+length; now += time.Millisecond {
 		if changes > 0 && (now-start)%changes == 0 {
 			p.Changed()
 		}
 		due, _ := p.Next(now, passes, hears, false)
-		if due.Own {
+		if due.OwnReport {
 			own++
 		}
 		if due.Batch {
 			batch++
 		}
-		if due.Zone {
+		if due.ZoneReport {
 			zone++
 		}
 	}
@@ -45,21 +45,21 @@
 }
 
 func TestAChangeIsToldAtOnceAfterAPause(t *testing.T) {
-	p := NewPace(0)
+	p := NewPacer(0)
 	p.Next(time.Second, false, true, false)
 	p.Changed()
-	if due, _ := p.Next(time.Second+ownGap, false, true, false); !due.Own {
+	if due, _ := p.Next(time.Second+ownGap, false, true, false); !due.OwnReport {
 		t.Error("a change waits")
 	}
 }
 
 func TestUrgentNewsHardlyWaits(t *testing.T) {
-	p := NewPace(0)
+	p := NewPacer(0)
 	p.Next(time.Second, true, false, false)
 	if due, wait := p.Next(time.Second+time.Millisecond, true, false, true); due.Batch || wait != urgentGap-time.Millisecond {
 		t.Errorf("%+v, %s", due, wait)
 	}
-	if due, _ := p.Next(time.Second+urgentGap, true, false, false); !due.Batch || !due.Zone {
+	if due, _ := p.Next(time.Second+urgentGap, true, false, false); !due.Batch || !due.ZoneReport {
 		t.Errorf("%+v", due)
 	}
 	if due, _ := p.Next(time.Second+2*urgentGap, true, false, false); due.Batch {
@@ -70,10 +70,10 @@
 // TestTheWaitEndsWhenSomethingIsDue: a caller that waits as it is told sends all in time.
 func TestTheWaitEndsWhenSomethingIsDue(t *testing.T) {
 	for _, passes := range []bool{false, true} {
-		p, now, sent := NewPace(0), time.Duration(0), 0
+		p, now, sent := NewPacer(0), time.Duration(0), 0
 		for now < 10*time.Second {
 			due, wait := p.Next(now, passes, true, false)
-			if due.Own || due.Batch {
+			if due.OwnReport || due.Batch {
 				sent++
 			}
 			now += max(wait, time.Millisecond)
--- a/internal/gossip/model_test.go
+++ b/internal/gossip/model_test.go
@@ -85,7 +85,7 @@
 			peers = append(peers, other.id)
 		}
 	}
-	d.fresh.Listed(ids)
+	d.fresh.SetMembers(ids)
 	d.machine.ListChanged(peers)
 }
 
@@ -141,7 +141,7 @@
 	if _, ok := w.known[version]; !ok {
 		w.known[version] = w.now
 	}
-	d.fresh.Holds(version)
+	d.fresh.SetHeld(version)
 	w.carryOut(d, d.machine.Learned(version))
 }
 
@@ -168,17 +168,17 @@
 		to := w.byID(a.Peer)
 		version := d.held
 		w.ask(d, to, func() func() {
-			to.fresh.Heard(version)
+			to.fresh.NoteVersion(version)
 			digest := to.fresh.Digest(w.clock(to), true)
 			return func() {
-				d.fresh.Answered(sent, w.clock(d), to.id, digest)
+				d.fresh.MergeAnswer(sent, w.clock(d), to.id, digest)
 				w.carryOut(d, d.machine.PeerAnswered(w.clock(d), to.id, digest.Version))
 			}
 		})
 	case gossip.Offer:
 		to, version := w.byID(a.Peer), d.held
 		w.ask(d, to, func() func() {
-			to.fresh.Heard(version)
+			to.fresh.NoteVersion(version)
 			answer := to.machine.PeerOffered(w.clock(to), version)
 			return func() { w.carryOut(d, d.machine.PeerAnswered(w.clock(d), to.id, answer)) }
 		})
@@ -212,7 +212,7 @@
 	d.fresh.Prepare(w.clock(d), version)
 	count := func() {
 		answered++
-		if answered == freshness.Needed(len(w.nodes)) {
+		if answered == freshness.Majority(len(w.nodes)) {
 			w.commit(d, version, started)
 		}
 	}
@@ -283,11 +283,11 @@
 	}
 	next := d.held + 1
 	since, exists := w.committed[next]
-	if status.By == "all" {
+	if status.Rule == "all" {
 		since, exists = w.known[next]
 	}
 	if exists && w.now > since+modelFresh.FreshFor {
-		w.t.Fatalf("%s serves version %d, by %s, %s after version %d was accepted", d.id, d.held, status.By, w.now-since, next)
+		w.t.Fatalf("%s serves version %d, by %s, %s after version %d was accepted", d.id, d.held, status.Rule, w.now-since, next)
 	}
 }
 
--- a/internal/peers/reports.go
+++ b/internal/peers/reports.go
@@ -74,7 +74,7 @@
 	limitAsks *asks[quota.Verdict]
 	// verdicts are those that this instance gave as the coordinator.
 	verdicts *verdicts
-	pace     *fanout.Pace
+	pace     *fanout.Pacer
 	// allowance bounds the bytes of what an instance that passes reports on tells; Run
 	// alone uses it.
 	allowance *fanout.Allowance
@@ -89,7 +89,7 @@
 // NewReporter returns the reports of an exchange.
 func NewReporter(e *Exchange, l LoadState) *Reporter {
 	r := &Reporter{
-		exchange: e, loads: l, asks: newAsks[bool](), limitAsks: newAsks[quota.Verdict](), verdicts: newVerdicts(), pace: fanout.NewPace(e.now()),
+		exchange: e, loads: l, asks: newAsks[bool](), limitAsks: newAsks[quota.Verdict](), verdicts: newVerdicts(), pace: fanout.NewPacer(e.now()),
 		allowance: fanout.NewAllowance(e.self.LinkMbps, e.now()), boot: rand.Uint32(),
 	}
 	r.write = r.writeTo
@@ -149,16 +149,16 @@
 	r.loads.SetGrantShare(r.exchange.grantShare())
 	passes, hears := r.exchange.state()
 	due, wait := r.pace.Next(r.exchange.now(), passes, hears, urgent)
-	if due.Own {
-		r.tellOwn(due.Times)
+	if due.OwnReport {
+		r.tellOwn(due.EngineTimes)
 	}
 	if due.Batch {
-		r.tellZone(due.Times)
+		r.tellZone(due.EngineTimes)
 	}
-	if due.Zone {
-		r.tellZones(due.Times)
+	if due.ZoneReport {
+		r.tellZones(due.EngineTimes)
 	}
-	if due.Greet {
+	if due.SeedReport {
 		r.send(r.message(sfv1.Datagram_KIND_OWN), r.exchange.seedAddresses())
 	}
 	return wait
@@ -173,7 +173,7 @@
 	var messages []*sfv1.InstanceReport
 	for _, part := range report.Split() {
 		r.sequence++
-		messages = append(messages, ownToMessage(fanout.Own{
+		messages = append(messages, ownToMessage(fanout.InstanceReport{
 			Source: r.exchange.id, Boot: r.boot, Sequence: r.sequence, Reading: r.exchange.rows.Reading(), Report: part,
 		}))
 	}
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -32,9 +32,9 @@
 	// Deleted rows keep their revision, so that an older one is not taken for
 	// news.
 	Deleted bool
-	// Lost tells of a deleted row that nobody removed: the store came back from a
+	// MissingAfterRestore tells of a deleted row that nobody removed: the store came back from a
 	// copy without it. Whoever wrote it may write it again.
-	Lost bool
+	MissingAfterRestore bool
 }
 
 // Settings of a Replica. The zero value is for a store that loses nothing.
@@ -44,10 +44,10 @@
 	// era does not take the place of a later document: its revision counts, and the document
 	// that is held stays, for those too who get the rows from this copy.
 	Older func(held, read Row) bool
-	// HoldReturned is for how long a row is not believed that was removed, and is back in a
+	// HoldRestored is for how long a row is not believed that was removed, and is back in a
 	// store that came back from a copy: its owner may be gone, and write no more. What is written
 	// since counts.
-	HoldReturned time.Duration
+	HoldRestored time.Duration
 }
 
 // Replica is the copy. It is not safe for concurrent use.
@@ -76,9 +76,9 @@
 	return &Replica{settings: s, rows: map[Key]Row{}, read: map[string]int64{}, newest: map[string]int64{}, held: map[Key]heldRow{}, lapses: lapses{}}
 }
 
-// Hold has deletions of many rows doubted that come before a time: after an outage the
+// HoldDeletions has deletions of many rows doubted that come before a time: after an outage the
 // store drops entries whose owners live on and write them again.
-func (r *Replica) Hold(until time.Duration) {
+func (r *Replica) HoldDeletions(until time.Duration) {
 	r.holdUntil = max(r.holdUntil, until)
 }
 
@@ -126,10 +126,10 @@
 // holdsUntil is until when a row is not believed; 0 for one that is.
 func (r *Replica) holdsUntil(before, row Row, doubted bool, now time.Duration) time.Duration {
 	switch {
-	case row.Deleted && !before.Deleted && (doubted || row.Lost && r.doubts(now)):
+	case row.Deleted && !before.Deleted && (doubted || row.MissingAfterRestore && r.doubts(now)):
 		return r.holdUntil
 	case r.broughtBack(before, row):
-		return now + r.settings.HoldReturned
+		return now + r.settings.HoldRestored
 	default:
 		return 0
 	}
@@ -138,7 +138,7 @@
 // broughtBack tells whether a row that was removed is there again by a return alone. One that was
 // brought back before, and is written since, has an owner.
 func (r *Replica) broughtBack(held, read Row) bool {
-	if r.settings.HoldReturned == 0 || !held.Deleted || held.Lost || read.Deleted {
+	if r.settings.HoldRestored == 0 || !held.Deleted || held.MissingAfterRestore || read.Deleted {
 		return false
 	}
 	before, known := r.held[read.Key]
@@ -173,7 +173,7 @@
 	var lost []Row
 	for key, row := range r.rows {
 		if era := eras[key.Table]; era > 0 && !row.Deleted && !given[key] {
-			lost = append(lost, Row{Key: key, Revision: platform.RevisionOf(era, 0), Deleted: true, Lost: true})
+			lost = append(lost, Row{Key: key, Revision: platform.RevisionOf(era, 0), Deleted: true, MissingAfterRestore: true})
 		}
 	}
 	return lost
@@ -214,7 +214,7 @@
 	for key, row := range r.rows {
 		if key.Table == table && !row.Deleted && !present[key] && row.Revision < revision {
 			lost := platform.EraOf(row.Revision) < platform.EraOf(revision)
-			all = append(all, Row{Key: key, Revision: revision, Deleted: true, Lost: lost})
+			all = append(all, Row{Key: key, Revision: revision, Deleted: true, MissingAfterRestore: lost})
 		}
 	}
 	for key, held := range r.held {
@@ -222,17 +222,17 @@
 			delete(r.held, key)
 		}
 	}
-	r.ReadTo(table, revision)
+	r.SetReadRevision(table, revision)
 	return r.Apply(all, now)
 }
 
-// ReadTo records that the store's feed of a table was read up to a revision.
-func (r *Replica) ReadTo(table string, revision int64) {
+// SetReadRevision records that the store's feed of a table was read up to a revision.
+func (r *Replica) SetReadRevision(table string, revision int64) {
 	r.read[table] = max(r.read[table], revision)
 }
 
-// ReadFrom is the revision after which the feed of a table goes on.
-func (r *Replica) ReadFrom(table string) int64 {
+// ReadRevision is the revision after which the feed of a table goes on.
+func (r *Replica) ReadRevision(table string) int64 {
 	return r.read[table]
 }
 
@@ -276,5 +276,5 @@
 // known, as long as each source gave all of its rows.
 func (r *Replica) Newest() map[string]int64 { return maps.Clone(r.newest) }
 
-// Held is for how much longer deletions are held back.
-func (r *Replica) Held(now time.Duration) time.Duration { return max(0, r.holdUntil-now) }
+// HoldRemaining is for how much longer deletions are held back.
+func (r *Replica) HoldRemaining(now time.Duration) time.Duration { return max(0, r.holdUntil-now) }
--- a/internal/rowsync/rowsync.go
+++ b/internal/rowsync/rowsync.go
@@ -62,11 +62,11 @@
 	// believed: owners of rows that lapsed meanwhile write them again. When the store
 	// is known to have answered other instances meanwhile, nothing lapsed.
 	HoldDeletions time.Duration
-	// NoticedIn is how long the other instances take to tell that they have no
+	// PeerReportDelay is how long the other instances take to tell that they have no
 	// answers from the store either.
-	NoticedIn time.Duration
-	// Copy is how rows are taken that a store has after its return from an older copy.
-	Copy replica.Settings
+	PeerReportDelay time.Duration
+	// Replica is how rows are taken that a store has after its return from an older copy.
+	Replica replica.Settings
 	// PullEvery is the time between questions to peers while the store gives
 	// nothing.
 	PullEvery time.Duration
@@ -118,7 +118,7 @@
 func New(s Settings, feed Feed, changed func([]replica.Row), log *slog.Logger) *Follower {
 	return &Follower{
 		settings: s, feed: feed, log: log, start: time.Now(), changed: changed,
-		copy: replica.New(s.Copy), lost: map[string]outage{}, synced: map[string]bool{}, told: map[string]bool{}, failures: map[string]int{}, rested: map[string]bool{},
+		copy: replica.New(s.Replica), lost: map[string]outage{}, synced: map[string]bool{}, told: map[string]bool{}, failures: map[string]int{}, rested: map[string]bool{},
 	}
 }
 
@@ -226,7 +226,7 @@
 // step makes one call to the feed, and tells that it did, or reads a table whole.
 func (f *Follower) step(ctx context.Context, table string) (waited bool, err error) {
 	f.mu.Lock()
-	synced, after := f.synced[table], f.copy.ReadFrom(table)
+	synced, after := f.synced[table], f.copy.ReadRevision(table)
 	f.mu.Unlock()
 	if !synced {
 		return false, f.readAll(ctx, table)
@@ -240,7 +240,7 @@
 	f.recovered(table)
 	f.mu.Lock()
 	news := f.copy.Apply(rows, f.now())
-	f.copy.ReadTo(table, revision)
+	f.copy.SetReadRevision(table, revision)
 	f.publish(news)
 	f.mu.Unlock()
 	f.tellNews(news)
@@ -263,8 +263,8 @@
 	}
 	f.recovered(table)
 	f.mu.Lock()
-	if before := f.copy.ReadFrom(table); before > 0 && platform.EraOf(revision) > platform.EraOf(before) {
-		f.copy.Hold(f.now() + f.settings.HoldDeletions)
+	if before := f.copy.ReadRevision(table); before > 0 && platform.EraOf(revision) > platform.EraOf(before) {
+		f.copy.HoldDeletions(f.now() + f.settings.HoldDeletions)
 		f.log.Warn("follow: the store came back from an older copy", "table", table, "revision", platform.CounterOf(revision),
 			"before", platform.CounterOf(before), "era", platform.EraOf(revision))
 	}
@@ -310,7 +310,7 @@
 		lost.since = f.now()
 		f.log.Warn("follow: the store is lost", "table", table, "error", err)
 	}
-	lost.alone = f.now()-lost.since >= f.settings.NoticedIn && f.peers != nil && f.peers.HasOtherReaders()
+	lost.alone = f.now()-lost.since >= f.settings.PeerReportDelay && f.peers != nil && f.peers.HasOtherReaders()
 	f.lost[table] = lost
 }
 
@@ -323,7 +323,7 @@
 	f.failures[table] = 0
 	lost, failed := f.lost[table]
 	if (failed || f.rested[table]) && !lost.alone {
-		f.copy.Hold(f.now() + f.settings.HoldDeletions)
+		f.copy.HoldDeletions(f.now() + f.settings.HoldDeletions)
 	}
 	delete(f.lost, table)
 	delete(f.rested, table)
