--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -45,22 +45,22 @@
 
 // Prefill is one prompt that an engine has processed.
 type Prefill struct {
-	// Fresh tokens were processed, Cached ones are believed to have been there.
-	Fresh, Cached int
-	// Ahead was the predicted time of the prompts before it, Took the time from
+	// Uncached tokens were processed, Cached ones are believed to have been there.
+	Uncached, Cached int
+	// PredictedWait was the predicted time of the prompts before it, Elapsed the time from
 	// the send to the end.
-	Ahead, Took time.Duration
+	PredictedWait, Elapsed time.Duration
 }
 
 // Stream is one answer that an engine has generated.
 type Stream struct {
-	// Stepped tokens were generated in Took: from the first event to the last one.
-	Stepped int
-	Took    time.Duration
-	// Slot is how long the request had its slot, from the send to the end.
-	Slot time.Duration
-	// Batch is how many requests the engine had.
-	Batch float64
+	// Tokens tokens were generated in Took: from the first event to the last one.
+	Tokens  int
+	Elapsed time.Duration
+	// SlotTime is how long the request had its slot, from the send to the end.
+	SlotTime time.Duration
+	// BatchSize is how many requests the engine had.
+	BatchSize float64
 }
 
 // Model is what is known of a service's engines. It is not safe for concurrent use.
@@ -90,13 +90,13 @@
 	leastStepped = 16
 )
 
-// Prefilled takes note of a processed prompt.
-func (m *Model) Prefilled(p Prefill) {
+// RecordPrefill takes note of a processed prompt.
+func (m *Model) RecordPrefill(p Prefill) {
 	predicted := m.predict(p)
-	if p.Fresh <= 0 || p.Ahead > time.Duration(idlePart*float64(predicted)) {
+	if p.Uncached <= 0 || p.PredictedWait > time.Duration(idlePart*float64(predicted)) {
 		return
 	}
-	m.prompts.add(sample{x: m.assumed(p), y: float64(p.Took)})
+	m.prompts.add(sample{x: m.assumed(p), y: float64(p.Elapsed)})
 }
 
 // predict is the time that a prompt takes on an engine without a queue.
@@ -106,7 +106,7 @@
 
 // assumed is the time in nanoseconds that the prior's engines take for a prompt.
 func (m *Model) assumed(p Prefill) float64 {
-	return float64(p.Fresh)*m.prior.TokenTime + pairs(p.Fresh, p.Cached)*m.prior.PairTime
+	return float64(p.Uncached)*m.prior.TokenTime + pairs(p.Uncached, p.Cached)*m.prior.PairTime
 }
 
 // pairs is the number of pairs of tokens that fresh ones after cached ones make.
@@ -114,29 +114,29 @@
 	return float64(fresh) * (float64(cached) + float64(fresh)/2)
 }
 
-// Began takes note of the time from a send with a processed prompt to the first
+// RecordHandOver takes note of the time from a send with a processed prompt to the first
 // token, less the predicted transfer.
-func (m *Model) Began(took time.Duration) { m.handOver.add(took.Seconds()) }
+func (m *Model) RecordHandOver(took time.Duration) { m.handOver.add(took.Seconds()) }
 
-// Streamed takes note of an answer that was generated whole.
-func (m *Model) Streamed(s Stream) {
-	m.slot.add(s.Slot.Seconds())
-	if s.Stepped < leastStepped || s.Took <= 0 {
+// RecordStream takes note of an answer that was generated whole.
+func (m *Model) RecordStream(s Stream) {
+	m.slot.add(s.SlotTime.Seconds())
+	if s.Tokens < leastStepped || s.Elapsed <= 0 {
 		return
 	}
-	m.steps.add(sample{x: max(1, s.Batch), y: float64(s.Took) / float64(s.Stepped)})
+	m.steps.add(sample{x: max(1, s.BatchSize), y: float64(s.Elapsed) / float64(s.Tokens)})
 }
 
-// Prompt returns the times of a prompt's tokens and pairs of tokens, in
+// PromptTimes returns the times of a prompt's tokens and pairs of tokens, in
 // nanoseconds, and what it takes besides.
-func (m *Model) Prompt() (token, pair float64, overhead time.Duration) {
+func (m *Model) PromptTimes() (token, pair float64, overhead time.Duration) {
 	c := m.prompts.estimate()
 	return c.slope * m.prior.TokenTime, c.slope * m.prior.PairTime, time.Duration(c.base)
 }
 
-// Step returns the time of a step of generation with no request and what each
+// StepTimes returns the time of a step of generation with no request and what each
 // request adds.
-func (m *Model) Step() (alone, perRequest time.Duration) {
+func (m *Model) StepTimes() (alone, perRequest time.Duration) {
 	c := m.steps.estimate()
 	return time.Duration(c.base), time.Duration(c.slope)
 }
@@ -147,7 +147,7 @@
 	return seconds(m.handOver.or(m.prior.HandOver.Seconds()))
 }
 
-// Slot returns the mean time that a generation keeps its slot; 0 until one ended.
-func (m *Model) Slot() time.Duration { return seconds(m.slot.or(0)) }
+// SlotTime returns the mean time that a generation keeps its slot; 0 until one ended.
+func (m *Model) SlotTime() time.Duration { return seconds(m.slot.or(0)) }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/freshness/digest.go
+++ b/internal/freshness/digest.go
@@ -6,10 +6,10 @@
 type Digest struct {
 	// Version that the daemon holds.
 	Version int64
-	// Seen and SeenAge tell of the newest known read of the head: no version
+	// HeadSeen and SeenAge tell of the newest known read of the head: no version
 	// above Version had been accepted then.
-	Seen    bool
-	SeenAge time.Duration
+	HeadSeen bool
+	HeadAge  time.Duration
 	// Promised and PromisedAge tell of the highest prepared version.
 	Promised    int64
 	PromisedAge time.Duration
@@ -28,7 +28,7 @@
 // Digest returns what to tell a peer now.
 func (s *State) Digest(now time.Duration, withContacts bool) Digest {
 	d := Digest{
-		Version: s.held, Seen: s.seen, SeenAge: now - s.seenAt,
+		Version: s.held, HeadSeen: s.seen, HeadAge: now - s.seenAt,
 		Promised: s.promised, PromisedAge: now - s.promisedAt, Voter: s.Voter(),
 	}
 	if !withContacts || s.heard > s.held {
@@ -41,15 +41,15 @@
 	return d
 }
 
-// Answered takes a peer's answer to a question that was sent at a time. A peer
+// MergeAnswer takes a peer's answer to a question that was sent at a time. A peer
 // that holds a newer version proves nothing until that is held here too.
-func (s *State) Answered(sent, now time.Duration, peer string, d Digest) {
-	s.Heard(d.Version)
+func (s *State) MergeAnswer(sent, now time.Duration, peer string, d Digest) {
+	s.NoteVersion(d.Version)
 	if d.Promised > 0 {
 		s.promise(d.Promised, now-d.PromisedAge)
 	}
-	if d.Seen {
-		s.headWas(d.Version, sent-d.SeenAge)
+	if d.HeadSeen {
+		s.headWas(d.Version, sent-d.HeadAge)
 	}
 	s.met(peer, contact{at: sent, voter: d.Voter})
 	for id, c := range d.Contacts {
--- a/internal/freshness/freshness.go
+++ b/internal/freshness/freshness.go
@@ -75,8 +75,8 @@
 	return &State{settings: settings, self: self, started: now, contacts: map[string]contact{}}
 }
 
-// Listed takes the ids of the own instances that the platform lists.
-func (s *State) Listed(ids []string) {
+// SetMembers takes the ids of the own instances that the platform lists.
+func (s *State) SetMembers(ids []string) {
 	s.members = slices.Clone(ids)
 	slices.Sort(s.members)
 	for id := range s.contacts {
@@ -89,25 +89,25 @@
 // Members returns the listed own instances in order. Treat it as read-only.
 func (s *State) Members() []string { return s.members }
 
-// Holds tells the version that the daemon holds now. It never falls.
-func (s *State) Holds(version int64) {
+// SetHeld tells the version that the daemon holds now. It never falls.
+func (s *State) SetHeld(version int64) {
 	s.held = max(s.held, version)
-	s.Heard(version)
+	s.NoteVersion(version)
 	if s.ahead > 0 && s.held >= s.ahead {
 		s.see(s.aheadAt)
 		s.ahead = 0
 	}
 }
 
-// Heard tells of a version that exists, from whichever source.
-func (s *State) Heard(version int64) {
+// NoteVersion tells of a version that exists, from whichever source.
+func (s *State) NoteVersion(version int64) {
 	s.heard = max(s.heard, version)
 }
 
 // HeadRead takes a read of the head that was sent at a time. A read of a
 // version above the one held counts once that is held; one below it is stale.
 func (s *State) HeadRead(sent time.Duration, head int64) {
-	s.Heard(head)
+	s.NoteVersion(head)
 	if head >= s.held {
 		s.headWas(head, sent-s.settings.ReadLag)
 	}
@@ -165,8 +165,8 @@
 	Fresh bool
 	// Until is when the evidence ends.
 	Until time.Duration
-	// By names the rule that Until follows from: "table", "majority" or "all".
-	By string
+	// Rule names the rule that Until follows from: "table", "majority" or "all".
+	Rule string
 	// Reason says why it is not fresh.
 	Reason string
 }
@@ -176,15 +176,15 @@
 	if s.held == 0 {
 		return Status{Reason: "no configuration known yet"}
 	}
-	best := Status{Until: s.seenAt + s.settings.FreshFor, By: "table"}
+	best := Status{Until: s.seenAt + s.settings.FreshFor, Rule: "table"}
 	if !s.seen {
 		best.Until = -1
 	}
 	if until, ok := s.byMajority(now); ok && until > best.Until {
-		best = Status{Until: until, By: "majority"}
+		best = Status{Until: until, Rule: "majority"}
 	}
 	if until, ok := s.byAll(now); ok && until > best.Until {
-		best = Status{Until: until, By: "all"}
+		best = Status{Until: until, Rule: "all"}
 	}
 	best.Fresh = best.Until > now
 	if !best.Fresh {
@@ -193,15 +193,15 @@
 	return best
 }
 
-// Needed is how many of a number of listed instances are a majority.
-func Needed(listed int) int { return listed/2 + 1 }
+// Majority is how many of a number of listed instances are a majority.
+func Majority(listed int) int { return listed/2 + 1 }
 
 // byMajority returns until when the answers of a majority are good.
 func (s *State) byMajority(now time.Duration) (time.Duration, bool) {
 	if len(s.members) == 0 || s.heard > s.held || s.open() {
 		return 0, false
 	}
-	return s.nthContact(now, Needed(len(s.members)))
+	return s.nthContact(now, Majority(len(s.members)))
 }
 
 // byAll returns until when the answers of all listed instances are good.
@@ -251,7 +251,7 @@
 		return fmt.Sprintf("%s; version %d may have been accepted, held is %d", table, s.promised, s.held)
 	}
 	return fmt.Sprintf("%s; %d of %d listed instances answer, a majority is %d",
-		table, s.answering(now), len(s.members), Needed(len(s.members)))
+		table, s.answering(now), len(s.members), Majority(len(s.members)))
 }
 
 func (s *State) answering(now time.Duration) int {
--- a/internal/freshness/freshness_test.go
+++ b/internal/freshness/freshness_test.go
@@ -15,8 +15,8 @@
 // voter returns a daemon of three that holds version 1 and read the head.
 func voter(read time.Duration) *State {
 	s := New("a", settings, 0)
-	s.Listed([]string{"c", "a", "b"})
-	s.Holds(1)
+	s.SetMembers([]string{"c", "a", "b"})
+	s.SetHeld(1)
 	s.HeadRead(read, 1)
 	return s
 }
@@ -28,7 +28,7 @@
 
 func TestFreshByTableEnds(t *testing.T) {
 	s := voter(10 * second)
-	if status := s.Status(14 * second); !status.Fresh || status.By != "table" || status.Until != 14*second+second/2 {
+	if status := s.Status(14 * second); !status.Fresh || status.Rule != "table" || status.Until != 14*second+second/2 {
 		t.Errorf("within the time: %+v", status)
 	}
 	if status := s.Status(15 * second); status.Fresh || !strings.Contains(status.Reason, "0 of 3") && !strings.Contains(status.Reason, "1 of 3") {
@@ -38,7 +38,7 @@
 
 func TestStaleHeadIsNoEvidence(t *testing.T) {
 	s := voter(10 * second)
-	s.Holds(2)
+	s.SetHeld(2)
 	s.HeadRead(20*second, 1)
 	if s.Status(21 * second).Fresh {
 		t.Error("a head below the version held counted")
@@ -55,7 +55,7 @@
 	if s.Status(21 * second).Fresh {
 		t.Error("version 1 is fresh, and 2 was read")
 	}
-	s.Holds(2)
+	s.SetHeld(2)
 	if !s.Status(21 * second).Fresh {
 		t.Error("version 2 is not fresh")
 	}
@@ -63,16 +63,16 @@
 
 func TestMajorityServesUntilOneHeardOfAVersion(t *testing.T) {
 	s := voter(10 * second)
-	s.Answered(20*second, 20*second, "b", answers(0))
-	if status := s.Status(24 * second); !status.Fresh || status.By != "majority" {
+	s.MergeAnswer(20*second, 20*second, "b", answers(0))
+	if status := s.Status(24 * second); !status.Fresh || status.Rule != "majority" {
 		t.Errorf("two of three: %+v", status)
 	}
-	s.Answered(21*second, 21*second, "b", answers(2))
+	s.MergeAnswer(21*second, 21*second, "b", answers(2))
 	if s.Status(22 * second).Fresh {
 		t.Error("version 2 may have been accepted")
 	}
-	s.Answered(21*second, 21*second, "c", answers(0))
-	if status := s.Status(22 * second); !status.Fresh || status.By != "all" {
+	s.MergeAnswer(21*second, 21*second, "c", answers(0))
+	if status := s.Status(22 * second); !status.Fresh || status.Rule != "all" {
 		t.Errorf("all three answer, and none holds version 2: %+v", status)
 	}
 }
@@ -81,12 +81,12 @@
 	s := voter(10 * second)
 	s.Prepare(20*second, 2)
 	s.HeadRead(21*second, 1) // the write may still come
-	s.Answered(30*second, 30*second, "b", answers(0))
+	s.MergeAnswer(30*second, 30*second, "b", answers(0))
 	if s.Status(31 * second).Fresh {
 		t.Error("a read right after the Prepare settled it")
 	}
 	s.HeadRead(25*second, 1)
-	s.Answered(35*second, 35*second, "b", answers(0))
+	s.MergeAnswer(35*second, 35*second, "b", answers(0))
 	if !s.Status(36 * second).Fresh {
 		t.Error("a read after accept_within did not settle it")
 	}
@@ -94,7 +94,7 @@
 
 func TestRestartedPeerIsNoVoter(t *testing.T) {
 	restarted := New("b", settings, 8*second)
-	restarted.Holds(1)
+	restarted.SetHeld(1)
 	restarted.HeadRead(10*second, 1)
 	if restarted.Digest(10*second, false).Voter {
 		t.Error("it may have forgotten a Prepare whose write can still come")
--- a/internal/peers/pull.go
+++ b/internal/peers/pull.go
@@ -35,7 +35,7 @@
 	}
 	e.mu.Unlock()
 	if len(list) == 0 {
-		return ErrNobody
+		return ErrNoPeer
 	}
 	return e.pullFrom(ctx, list[rand.IntN(len(list))])
 }
@@ -56,8 +56,8 @@
 		limits.ApplyLimits(limitsFromMessages(reply.Msg.GetLimits()), k.Zone == e.self.Zone)
 	}
 	hold := time.Duration(reply.Msg.GetHoldMs()) * time.Millisecond
-	e.rows.Take(rowsFromMessages(reply.Msg.GetRows()), hold)
-	e.rows.Inform(reply.Msg.GetInformed())
+	e.rows.ApplyRows(rowsFromMessages(reply.Msg.GetRows()), hold)
+	e.rows.MarkTablesLoaded(reply.Msg.GetInformed())
 	return nil
 }
 
--- a/internal/replica/era_test.go
+++ b/internal/replica/era_test.go
@@ -53,7 +53,7 @@
 
 // read has a replica follow the store: by the feed where it goes on, else by a full read.
 func (s *returningStore) read(r *Replica, now time.Duration) {
-	after := r.ReadFrom(table)
+	after := r.ReadRevision(table)
 	if platform.EraOf(after) == s.era && after > 0 && platform.CounterOf(after) >= s.from {
 		var rows []Row
 		for _, row := range s.changes {
@@ -62,7 +62,7 @@
 			}
 		}
 		r.Apply(rows, now)
-		r.ReadTo(table, s.revision())
+		r.SetReadRevision(table, s.revision())
 		return
 	}
 	var rows []Row
@@ -84,7 +84,7 @@
 		s := &returningStore{copied: copied{rows: map[Key]Row{}}}
 		s.keepCopy()
 		const hold = 30 * time.Millisecond
-		settings := Settings{HoldReturned: time.Duration(rapid.IntRange(0, 1).Draw(t, "held")) * hold}
+		settings := Settings{HoldRestored: time.Duration(rapid.IntRange(0, 1).Draw(t, "held")) * hold}
 		replicas := []*Replica{New(settings), New(settings), New(settings)}
 		now := time.Duration(0)
 		for i := range rapid.IntRange(10, 80).Draw(t, "steps") {
@@ -98,7 +98,7 @@
 			case 4:
 				s.comeBack(rapid.SampledFrom(s.copies).Draw(t, "copy"))
 				if rapid.Bool().Draw(t, "doubted") {
-					replicas[n].Hold(now + 50*time.Millisecond)
+					replicas[n].HoldDeletions(now + 50*time.Millisecond)
 				}
 			case 5, 6:
 				s.read(replicas[n], now)
@@ -137,7 +137,7 @@
 	for _, fromPeer := range []bool{false, true} {
 		r := New(Settings{})
 		r.Apply([]Row{row(1, old(1)), row(2, old(2)), row(3, old(3)), row(4, old(9))}, 0)
-		r.Hold(time.Second)
+		r.HoldDeletions(time.Second)
 		copied := []Row{row(1, fresh(1)), row(2, fresh(2)), row(3, fresh(3))}
 		var news []Row
 		if fromPeer {
@@ -148,7 +148,7 @@
 		if _, there := r.Get(keyOf(4)); len(news) > 0 || !there {
 			t.Errorf("from a peer %t: news %v, the lost row is there: %t", fromPeer, news, there)
 		}
-		if told := r.Since(map[string]int64{table: old(9)}); len(told) != 4 || !told[len(told)-1].Lost && !told[0].Lost {
+		if told := r.Since(map[string]int64{table: old(9)}); len(told) != 4 || !told[len(told)-1].MissingAfterRestore && !told[0].MissingAfterRestore {
 			t.Errorf("from a peer %t: others are told %v", fromPeer, told)
 		}
 		again := New(Settings{})
@@ -162,9 +162,9 @@
 	}
 	r := New(Settings{})
 	r.Apply([]Row{row(4, old(9))}, 0)
-	r.Hold(time.Second)
+	r.HoldDeletions(time.Second)
 	r.Replace(table, nil, fresh(5), 0)
-	if news := r.Release(time.Second); len(news) != 1 || !news[0].Lost {
+	if news := r.Release(time.Second); len(news) != 1 || !news[0].MissingAfterRestore {
 		t.Errorf("not written again: %v", news)
 	}
 }
@@ -212,13 +212,13 @@
 	const hold = time.Second
 	row := func(revision int64) []Row { return []Row{{Key: keyOf(1), Value: []byte("v"), Revision: revision}} }
 	gone := func() *Replica {
-		r := New(Settings{HoldReturned: hold})
+		r := New(Settings{HoldRestored: hold})
 		r.Apply(row(platform.RevisionOf(1, 80)), 0)
 		r.Apply([]Row{{Key: keyOf(1), Revision: platform.RevisionOf(1, 100), Deleted: true}}, 0)
 		r.Replace(table, row(platform.RevisionOf(2, 80)), platform.RevisionOf(2, 85), 0)
 		return r
 	}
-	r, newcomer := gone(), New(Settings{HoldReturned: hold})
+	r, newcomer := gone(), New(Settings{HoldRestored: hold})
 	newcomer.Apply(r.Since(nil), 0)
 	newcomer.Apply(row(platform.RevisionOf(2, 80)), 0) // once more, from another one
 	for name, one := range map[string]*Replica{"who knew that it left": r, "who heard of both": newcomer} {
--- a/internal/rowsync/rowsync_test.go
+++ b/internal/rowsync/rowsync_test.go
@@ -109,7 +109,7 @@
 	t.Helper()
 	f := New(Settings{
 		Tables: []string{"t"}, Wait: 50 * time.Millisecond, ReadTimeout: time.Second,
-		HoldDeletions: hold, PullEvery: 5 * time.Millisecond, NoticedIn: 5 * time.Millisecond,
+		HoldDeletions: hold, PullEvery: 5 * time.Millisecond, PeerReportDelay: 5 * time.Millisecond,
 	}, feed, func([]replica.Row) {}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if others != nil {
 		f.Join(others)
@@ -207,7 +207,7 @@
 	waitFor(func() bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		return len(f.lost) == 0 && f.copy.ReadFrom("t") == 4
+		return len(f.lost) == 0 && f.copy.ReadRevision("t") == 4
 	})
 	if !f.knows("ab") {
 		t.Error("the deletions were believed at once")
@@ -247,7 +247,7 @@
 	waitFor(func() bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		return f.copy.ReadFrom("t") == 8
+		return f.copy.ReadRevision("t") == 8
 	})
 	if !f.knows("abcd") {
 		t.Error("all upstreams are believed to be gone")
@@ -285,7 +285,7 @@
 	feed := newFakeFeed()
 	feed.down = true
 	f := start(t, feed, 0)
-	f.Take([]replica.Row{{Key: replica.Key{Table: "t", Key: "a"}, Revision: 9}}, 0)
+	f.ApplyRows([]replica.Row{{Key: replica.Key{Table: "t", Key: "a"}, Revision: 9}}, 0)
 	if !f.knows("a") {
 		t.Error("not taken")
 	}
@@ -300,19 +300,19 @@
 	news   int
 }
 
-func (p *fakePeers) News() {
+func (p *fakePeers) NotifyRows() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.news++
 }
 
-func (p *fakePeers) ShouldRead() bool {
+func (p *fakePeers) ShouldReadStore() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.read
 }
 
-func (p *fakePeers) OthersRead() bool {
+func (p *fakePeers) HasOtherReaders() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.others
@@ -339,7 +339,7 @@
 		t.Error("it says that it reads")
 	}
 	feed.put("b", false)
-	f.Take([]replica.Row{{Key: replica.Key{Table: "t", Key: "b"}, Revision: 2}}, 0)
+	f.ApplyRows([]replica.Row{{Key: replica.Key{Table: "t", Key: "b"}, Revision: 2}}, 0)
 	others.mu.Lock()
 	others.read = true
 	others.mu.Unlock()
@@ -395,7 +395,7 @@
 	feed.put("a", false)
 	f := start(t, feed, 0)
 	waitFor(func() bool { return f.knows("a") })
-	f.Take([]replica.Row{{Key: replica.Key{Table: "t", Key: "a"}, Revision: 9, Deleted: true}}, 100*time.Millisecond)
+	f.ApplyRows([]replica.Row{{Key: replica.Key{Table: "t", Key: "a"}, Revision: 9, Deleted: true}}, 100*time.Millisecond)
 	if !f.knows("a") {
 		t.Error("believed at once")
 	}
--- a/internal/rowsync/share.go
+++ b/internal/rowsync/share.go
@@ -8,8 +8,8 @@
 	"sassafrasfield/internal/replica"
 )
 
-// Informed lists the tables of which all rows are known, as of some time.
-func (f *Follower) Informed() []string {
+// LoadedTables lists the tables of which all rows are known, as of some time.
+func (f *Follower) LoadedTables() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var tables []string
@@ -21,8 +21,8 @@
 	return tables
 }
 
-// Inform takes the tables that a peer knows which gave all its rows: one may have none.
-func (f *Follower) Inform(tables []string) {
+// MarkTablesLoaded takes the tables that a peer knows which gave all its rows: one may have none.
+func (f *Follower) MarkTablesLoaded(tables []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, table := range tables {
@@ -30,11 +30,11 @@
 	}
 }
 
-// Take gets rows from a peer, which does not believe deletions for a while.
-func (f *Follower) Take(rows []replica.Row, hold time.Duration) {
+// ApplyRows gets rows from a peer, which does not believe deletions for a while.
+func (f *Follower) ApplyRows(rows []replica.Row, hold time.Duration) {
 	f.mu.Lock()
 	if hold > 0 {
-		f.copy.Hold(f.now() + hold)
+		f.copy.HoldDeletions(f.now() + hold)
 	}
 	news := f.copy.Apply(rows, f.now())
 	f.publish(news)
@@ -50,7 +50,7 @@
 func (f *Follower) Since(revisions map[string]int64) ([]replica.Row, time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.copy.Since(revisions), f.copy.Held(f.now())
+	return f.copy.Since(revisions), f.copy.HoldRemaining(f.now())
 }
 
 // Revisions are the highest ones that are held, by table.
