--- a/internal/model/run.go
+++ b/internal/model/run.go
@@ -218,8 +218,8 @@
 	req.at.picture.RecordCall(e.id, load.CallSucceeded, r.now)
 	if req.start.Source.ID == "" && req.start.UncachedTokens <= req.prompt.Tokens-req.prompt.SharedTokens() {
 		req.at.picture.RecordPrefill(service, estimate.Prefill{
-			Fresh: req.start.UncachedTokens, Cached: req.prompt.Tokens - req.start.UncachedTokens,
-			Ahead: req.start.Engine.Aggregate.Backlog, Took: r.now - req.sent + e.spec.Overhead,
+			Uncached: req.start.UncachedTokens, Cached: req.prompt.Tokens - req.start.UncachedTokens,
+			PredictedWait: req.start.Engine.Aggregate.Backlog, Elapsed: r.now - req.sent + e.spec.Overhead,
 		})
 	}
 	r.free(req)
@@ -244,7 +244,7 @@
 	req := w.req
 	req.at.picture.RecordCall(e.id, load.CallSucceeded, r.now)
 	events := 1 + int(req.answer)/e.spec.EventTokens
-	req.at.picture.RecordStream(service, e.id, events, estimate.Stream{Took: r.now - req.first, Slot: r.now - req.sent}, r.now)
+	req.at.picture.RecordStream(service, e.id, events, estimate.Stream{Elapsed: r.now - req.first, SlotTime: r.now - req.sent}, r.now)
 	req.at.picture.RequestDone(e.id, req.id, r.now)
 	req.over = true
 	r.result.answered(req)
