--- a/internal/control/confirm.go
+++ b/internal/control/confirm.go
@@ -91,7 +91,7 @@
 		return v, nil
 	}
 	head, base, err := o.daemon.versions.NewestFrom(ctx, o.daemon.holder.Current())
-	if errors.Is(err, versions.ErrBehind) {
+	if errors.Is(err, versions.ErrStaleRead) {
 		return verdict{}, nil
 	}
 	if err != nil {
@@ -263,7 +263,7 @@
 // cancelRunning writes a version in which what has not started stays as it is.
 func (o *operatorService) cancelRunning(ctx context.Context, p *plan.Plan, revision int64, operator string) (verdict, error) {
 	head, doc, err := o.daemon.versions.NewestFrom(ctx, o.daemon.holder.Current())
-	if errors.Is(err, versions.ErrBehind) {
+	if errors.Is(err, versions.ErrStaleRead) {
 		return verdict{}, nil
 	}
 	if err != nil {
--- a/internal/control/operator.go
+++ b/internal/control/operator.go
@@ -120,7 +120,7 @@
 		LocalVersion: local.Version, HeadVersion: local.Version, IntentVersion: local.Intent,
 	}
 	head, doc, err := o.daemon.versions.NewestFrom(ctx, local)
-	if err != nil && !errors.Is(err, versions.ErrBehind) {
+	if err != nil && !errors.Is(err, versions.ErrStaleRead) {
 		return connect.NewResponse(response), nil
 	}
 	response.TableReachable = true
@@ -205,7 +205,7 @@
 }
 
 func platformError(err error) error {
-	if errors.Is(err, platform.ErrUnknown) || errors.Is(err, platform.ErrUnavailable) || errors.Is(err, versions.ErrBehind) {
+	if errors.Is(err, platform.ErrUnknown) || errors.Is(err, platform.ErrUnavailable) || errors.Is(err, versions.ErrStaleRead) {
 		return connect.NewError(connect.CodeUnavailable, errors.New("the platform's table did not answer; nothing was changed by this call unless plan or history shows it"))
 	}
 	return err
--- a/internal/versions/versions.go
+++ b/internal/versions/versions.go
@@ -41,8 +41,8 @@
 var (
 	// ErrMoved: the head is no longer the one that the change was made from.
 	ErrMoved = errors.New("versions: the head has moved")
-	// ErrBehind: the table's answer came from a copy that lacks the version.
-	ErrBehind = errors.New("versions: the table answered from an old copy")
+	// ErrStaleRead: the table's answer came from a copy that lacks the version.
+	ErrStaleRead = errors.New("versions: the table answered from an old copy")
 )
 
 // Head is the content of the head row.
@@ -180,7 +180,7 @@
 	}
 	row, err := l.Table.Get(ctx, snapshotKey(bucket))
 	if errors.Is(err, platform.ErrNotFound) {
-		return nil, ErrBehind
+		return nil, ErrStaleRead
 	}
 	if err != nil {
 		return nil, err
@@ -202,7 +202,7 @@
 		doc = next
 	}
 	if doc.Version != version {
-		return nil, ErrBehind
+		return nil, ErrStaleRead
 	}
 	return doc, nil
 }
@@ -214,7 +214,7 @@
 		return doc, unpack(e.Document, doc)
 	}
 	if len(e.Delta) == 0 || e.Version != before.Version+1 {
-		return nil, ErrBehind
+		return nil, ErrStaleRead
 	}
 	var delta Delta
 	if err := unpack(e.Delta, &delta); err != nil {
@@ -237,7 +237,7 @@
 		return Head{}, nil, err
 	}
 	if known != nil && known.Version > head.Version {
-		return Head{}, nil, ErrBehind
+		return Head{}, nil, ErrStaleRead
 	}
 	doc, err := l.LoadFrom(ctx, known, head.Version)
 	if err != nil {
