--- a/internal/control/confirm.go
+++ b/internal/control/confirm.go
@@ -181,7 +181,7 @@
 	case err == nil:
 		o.daemon.learn(target, "self")
 		return verdict{outcome: outcomeAccepted, version: target.Version}, nil
-	case errors.Is(err, versions.ErrMoved), errors.Is(err, platform.ErrConflict):
+	case errors.Is(err, versions.ErrHeadMoved), errors.Is(err, platform.ErrConflict):
 		return verdict{}, nil
 	default:
 		return unreachable(err)
--- a/internal/versions/append.go
+++ b/internal/versions/append.go
@@ -124,7 +124,7 @@
 	case err == nil && found.WriteID == entry.WriteID:
 		return nil, true
 	case err == nil:
-		return ErrMoved, true
+		return ErrHeadMoved, true
 	case !errors.Is(err, platform.ErrNotFound):
 		return nil, false
 	}
@@ -141,7 +141,7 @@
 	if err == nil && stands {
 		return platform.ErrConflict
 	}
-	return ErrMoved
+	return ErrHeadMoved
 }
 
 // Stands tells for sure whether the head is still the one that was read.
--- a/internal/versions/versions.go
+++ b/internal/versions/versions.go
@@ -39,8 +39,8 @@
 
 // Errors of the log. Compare with errors.Is.
 var (
-	// ErrMoved: the head is no longer the one that the change was made from.
-	ErrMoved = errors.New("versions: the head has moved")
+	// ErrHeadMoved: the head is no longer the one that the change was made from.
+	ErrHeadMoved = errors.New("versions: the head has moved")
 	// ErrStaleRead: the table's answer came from a copy that lacks the version.
 	ErrStaleRead = errors.New("versions: the table answered from an old copy")
 )
--- a/internal/versions/versions_test.go
+++ b/internal/versions/versions_test.go
@@ -128,7 +128,7 @@
 	}
 	table.loseRequests = 1
 	doc.Version = 1
-	if err := log.Append(context.Background(), head, doc, Entry{}, platform.Txn{}); !errors.Is(err, ErrMoved) {
+	if err := log.Append(context.Background(), head, doc, Entry{}, platform.Txn{}); !errors.Is(err, ErrHeadMoved) {
 		t.Fatalf("another version was written, and Append told %v", err)
 	}
 }
@@ -196,7 +196,7 @@
 			switch err := log.Append(context.Background(), head, doc, Entry{Summary: id}, platform.Txn{}); {
 			case err == nil:
 				accepted[id] = true
-			case errors.Is(err, ErrMoved), errors.Is(err, platform.ErrConflict):
+			case errors.Is(err, ErrHeadMoved), errors.Is(err, platform.ErrConflict):
 				refused[id] = true
 			}
 		}
