--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -124,7 +124,7 @@
 	if err != nil {
 		return err
 	}
-	stands, err := d.versions.Stands(ctx, head)
+	stands, err := d.versions.HeadUnchanged(ctx, head)
 	if err != nil {
 		return err
 	}
--- a/internal/versions/append.go
+++ b/internal/versions/append.go
@@ -137,15 +137,15 @@
 
 // explain tells a moved head from another failed check.
 func (l Log) explain(ctx context.Context, head Head) error {
-	stands, err := l.Stands(ctx, head)
+	stands, err := l.HeadUnchanged(ctx, head)
 	if err == nil && stands {
 		return platform.ErrConflict
 	}
 	return ErrHeadMoved
 }
 
-// Stands tells for sure whether the head is still the one that was read.
-func (l Log) Stands(ctx context.Context, head Head) (bool, error) {
+// HeadUnchanged tells for sure whether the head is still the one that was read.
+func (l Log) HeadUnchanged(ctx context.Context, head Head) (bool, error) {
 	return Holds(ctx, l.Table, platform.Check{Key: HeadKey, Revision: head.Revision})
 }
 
