--- a/internal/control/confirm.go
+++ b/internal/control/confirm.go
@@ -150,7 +150,7 @@
 // ifNewest gives a verdict if what it rests on is known for sure to be the
 // newest, and else asks for another try.
 func (o *operatorService) ifNewest(ctx context.Context, v verdict, head versions.Head, p *plan.Plan, revision int64) (verdict, error) {
-	newest, err := versions.Holds(ctx, o.daemon.platform,
+	newest, err := versions.CheckRevisions(ctx, o.daemon.platform,
 		platform.Check{Key: versions.HeadKey, Revision: head.Revision},
 		platform.Check{Key: plan.Key(p.ID), Revision: revision})
 	if err != nil {
--- a/internal/control/operator.go
+++ b/internal/control/operator.go
@@ -91,7 +91,7 @@
 		if !errors.Is(err, platform.ErrNotFound) {
 			return nil, 0, platformError(err)
 		}
-		absent, err := versions.Holds(ctx, o.daemon.platform, platform.Check{Key: plan.Key(id), Revision: 0})
+		absent, err := versions.CheckRevisions(ctx, o.daemon.platform, platform.Check{Key: plan.Key(id), Revision: 0})
 		if err != nil {
 			return nil, 0, platformError(err)
 		}
--- a/internal/versions/append.go
+++ b/internal/versions/append.go
@@ -128,7 +128,7 @@
 	case !errors.Is(err, platform.ErrNotFound):
 		return nil, false
 	}
-	absent, err := Holds(ctx, l.Table, platform.Check{Key: key(entry.Version), Revision: 0})
+	absent, err := CheckRevisions(ctx, l.Table, platform.Check{Key: key(entry.Version), Revision: 0})
 	if err != nil || !absent {
 		return nil, false
 	}
@@ -146,12 +146,12 @@
 
 // HeadUnchanged tells for sure whether the head is still the one that was read.
 func (l Log) HeadUnchanged(ctx context.Context, head Head) (bool, error) {
-	return Holds(ctx, l.Table, platform.Check{Key: HeadKey, Revision: head.Revision})
+	return CheckRevisions(ctx, l.Table, platform.Check{Key: HeadKey, Revision: head.Revision})
 }
 
-// Holds tells for sure whether rows have the revisions, by a transaction
+// CheckRevisions tells for sure whether rows have the revisions, by a transaction
 // without writes: unlike a read, a check is never answered from an old copy.
-func Holds(ctx context.Context, table platform.Table, checks ...platform.Check) (bool, error) {
+func CheckRevisions(ctx context.Context, table platform.Table, checks ...platform.Check) (bool, error) {
 	_, err := table.Commit(ctx, platform.Txn{Checks: checks})
 	if errors.Is(err, platform.ErrConflict) {
 		return false, nil
