--- a/internal/replica/expiry.go
+++ b/internal/replica/expiry.go
@@ -2,57 +2,60 @@
 
 import "time"
 
-// lapsedPart: where more than one in so many of a table's rows are deleted after an outage,
-// the outage may have made them lapse. Owners that leave are fewer, and those that replace
-// them are among the rows.
-const lapsedPart = 2
+// massDeletionDivisor sets which deletions count as a mass deletion: those of more than one in so
+// many rows of a table. After an outage such rows may have expired because their owners could not
+// renew them. Fewer owners than that shut down at a time, and the owners that replace them
+// have rows of their own in the table.
+const massDeletionDivisor = 2
 
-// lapses tells, by table, how many rows were deleted since deletions are doubted.
-type lapses map[string]int
+// deletionCounts holds, by table, the number of deletions that were applied since mass deletions
+// are withheld.
+type deletionCounts map[string]int
 
-// doubted returns the tables of which so many rows are deleted that they may have lapsed
-// with the outage. An upstream that leaves by its own word must get no requests soon after,
-// and an instance does not know whether its own link or the store was to blame: so the
-// deletion of a few is believed, whoever was heard meanwhile.
-func (r *Replica) doubted(rows []Row, now time.Duration) map[string]bool {
-	if !r.doubts(now) {
+// tablesWithMassDeletion returns the tables of which so many rows are deleted that the rows may
+// have expired during an outage. Deletions of a few rows are applied at once, no matter which peers
+// were reachable during the outage. One reason is that an upstream that announces its shutdown must
+// soon get no more requests. The other is that an instance cannot tell whether its own link or the
+// store failed.
+func (r *Replica) tablesWithMassDeletion(rows []Row, now time.Duration) map[string]bool {
+	if !r.holdingDeletions(now) {
 		return nil
 	}
 	deleted, added := map[string]int{}, map[string]int{}
 	for _, row := range rows {
 		before := r.rows[row.Key]
-		there := before.Revision > 0 && !before.Deleted
+		existed := before.Revision > 0 && !before.Deleted
 		switch {
 		case row.Revision <= before.Revision:
-		case row.Deleted && there:
+		case row.Deleted && existed:
 			deleted[row.Table]++
-		case !row.Deleted && !there:
+		case !row.Deleted && !existed:
 			added[row.Table]++
 		}
 	}
-	doubted := map[string]bool{}
+	massDeletion := map[string]bool{}
 	for table, n := range deleted {
-		lapsed := n + r.heldOf(table) + r.lapses[table]
-		rowsThen := len(r.Table(table)) + added[table] + r.lapses[table]
-		if doubted[table] = lapsed*lapsedPart > rowsThen; !doubted[table] {
-			r.lapses[table] += n
+		expired := n + r.heldDeletions(table) + r.acceptedDeletions[table]
+		total := len(r.Table(table)) + added[table] + r.acceptedDeletions[table]
+		if massDeletion[table] = expired*massDeletionDivisor > total; !massDeletion[table] {
+			r.acceptedDeletions[table] += n
 		}
 	}
-	return doubted
+	return massDeletion
 }
 
-// doubts tells whether there was an outage lately; what lapsed with an earlier one counts no
-// more.
-func (r *Replica) doubts(now time.Duration) bool {
+// holdingDeletions reports whether mass deletions are withheld after a recent outage. Once they
+// are not, it clears the counts of deletions, so that they do not add to those of the next outage.
+func (r *Replica) holdingDeletions(now time.Duration) bool {
 	if now < r.holdUntil {
 		return true
 	}
-	clear(r.lapses)
+	clear(r.acceptedDeletions)
 	return false
 }
 
-// heldOf counts the deletions of a table that are held back.
-func (r *Replica) heldOf(table string) int {
+// heldDeletions counts the withheld deletions of a table.
+func (r *Replica) heldDeletions(table string) int {
 	n := 0
 	for key, held := range r.held {
 		if key.Table == table && held.row.Deleted {
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -1,11 +1,12 @@
 // Package replica keeps one instance's copy of the platform's rows that it
-// follows. Rows come from the store's feed, from full reads and from other
-// instances, in any order and more than once; the newest revision of each row
-// wins. It is pure.
+// follows. Its input is rows from the store's change feed, from full reads and
+// from other instances, in any order and possibly more than once. The newest
+// revision of each row wins. Its output is the rows that changed. The package
+// does no I/O and reads no clock.
 //
-// A store may come back from an older copy, with a new era of its revisions
-// (platform.RevisionOf). Whoever gives rows of a newer era than the receiver has
-// gives all rows of their table.
+// A store may be restored from an older copy. Its revisions then have a higher
+// restore generation (platform.RevisionOf). A sender of rows whose generation
+// is newer than the receiver's must send all rows of their table.
 package replica
 
 import (
@@ -18,7 +19,7 @@
 	"sassafrasfield/internal/platform"
 )
 
-// Key names a row.
+// Key identifies a row.
 type Key struct {
 	Table, Key string
 }
@@ -29,24 +30,25 @@
 	Value []byte
 	// Revision rises with each change of the row.
 	Revision int64
-	// Deleted rows keep their revision, so that an older one is not taken for
-	// news.
+	// Deleted rows keep their revision, so that an older revision of the row is
+	// not applied as a change.
 	Deleted bool
-	// MissingAfterRestore tells of a deleted row that nobody removed: the store came back from a
-	// copy without it. Whoever wrote it may write it again.
+	// MissingAfterRestore marks a deleted row that nobody removed: the store was
+	// restored from a copy without it. The row's owner may write it again.
 	MissingAfterRestore bool
 }
 
-// Settings of a Replica. The zero value is for a store that loses nothing.
+// Settings of a Replica. The zero value suits a store that never loses data.
 type Settings struct {
-	// Older tells whether a row that was read is an earlier document than the one held, by
-	// their owner's own order; nil where owners have none. What a store gives back of an earlier
-	// era does not take the place of a later document: its revision counts, and the document
-	// that is held stays, for those too who get the rows from this copy.
+	// Older reports whether a row that was read is an earlier document than the held one, by
+	// the order that the owner of the document defines. It is nil where owners define no order. A
+	// row of a newer restore generation does not replace a later document with an earlier one: the
+	// replica takes over its revision but keeps the held document, and also passes that on to
+	// others that copy its rows.
 	Older func(held, read Row) bool
-	// HoldRestored is for how long a row is not believed that was removed, and is back in a
-	// store that came back from a copy: its owner may be gone, and write no more. What is written
-	// since counts.
+	// HoldRestored is how long the replica withholds a row that was removed and is present again
+	// only because the store was restored from a copy. The row's owner may have departed and no
+	// longer write it. A row that was written after the restore is applied at once.
 	HoldRestored time.Duration
 }
 
@@ -54,18 +56,18 @@
 type Replica struct {
 	settings Settings
 	rows     map[Key]Row
-	// read is the revision up to which a table was read from the store, newest the
-	// highest one of any of its rows, those held among them.
-	read, newest map[string]int64
-	// held are rows that are not believed yet: deletions, and those that a return brought
-	// back.
+	// readUpTo is the revision up to which each table was read from the store. newest is the
+	// highest revision of any row of a table, including held rows.
+	readUpTo, newest map[string]int64
+	// held are rows that are not applied yet: deletions, and rows that came back
+	// with a restore of the store.
 	held map[Key]heldRow
-	// holdUntil is when all deletions are believed again.
-	holdUntil time.Duration
-	lapses    lapses
+	// holdUntil is when all deletions are applied at once again.
+	holdUntil         time.Duration
+	acceptedDeletions deletionCounts
 }
 
-// heldRow is a row that its owner may still take back, or that the store may still drop.
+// heldRow is a row that its owner may still write again, or that the store may still drop.
 type heldRow struct {
 	row   Row
 	until time.Duration
@@ -73,71 +75,71 @@
 
 // New returns an empty copy.
 func New(s Settings) *Replica {
-	return &Replica{settings: s, rows: map[Key]Row{}, read: map[string]int64{}, newest: map[string]int64{}, held: map[Key]heldRow{}, lapses: lapses{}}
+	return &Replica{settings: s, rows: map[Key]Row{}, readUpTo: map[string]int64{}, newest: map[string]int64{}, held: map[Key]heldRow{}, acceptedDeletions: deletionCounts{}}
 }
 
-// HoldDeletions has deletions of many rows doubted that come before a time: after an outage the
-// store drops entries whose owners live on and write them again.
+// HoldDeletions withholds mass deletions that arrive before a time. After an outage the
+// store drops expired entries whose owners are alive and write them again.
 func (r *Replica) HoldDeletions(until time.Duration) {
 	r.holdUntil = max(r.holdUntil, until)
 }
 
-// Apply takes rows and returns those that were news.
+// Apply merges rows into the copy and returns those that changed it.
 func (r *Replica) Apply(rows []Row, now time.Duration) []Row {
-	var news []Row
-	rows = append(rows, r.leftBehind(rows)...)
-	doubted := r.doubted(rows, now)
+	var changes []Row
+	rows = append(rows, r.missingAfterRestore(rows)...)
+	withMassDeletion := r.tablesWithMassDeletion(rows, now)
 	for _, row := range rows {
 		before := r.rows[row.Key]
 		if row.Revision <= before.Revision || platform.EraOf(row.Revision) < platform.EraOf(r.newest[row.Table]) {
 			continue
 		}
 		r.newest[row.Table] = max(r.newest[row.Table], row.Revision)
-		if until := r.holdsUntil(before, row, doubted[row.Table], now); until > 0 {
+		if until := r.holdDeadline(before, row, withMassDeletion[row.Table], now); until > 0 {
 			r.hold(row, until)
 			continue
 		}
-		if r.put(before, row) {
-			news = append(news, row)
+		if r.store(before, row) {
+			changes = append(changes, row)
 		}
 	}
-	return r.current(news)
+	return r.dropSuperseded(changes)
 }
 
-// put has a row take the place of the one before, and tells whether it is another one.
-func (r *Replica) put(before, row Row) bool {
+// store replaces the row before with a new one, and reports whether that is a change.
+func (r *Replica) store(before, row Row) bool {
 	if held, ok := r.held[row.Key]; ok && held.row.Revision <= row.Revision {
 		delete(r.held, row.Key)
 	}
-	if r.fallsBehind(before, row) {
+	if r.isOlderDocument(before, row) {
 		row.Value = before.Value
 	}
 	r.rows[row.Key] = row
 	return !unchanged(before, row)
 }
 
-// hold keeps a row that is not believed yet, unless one that is newer is held.
+// hold withholds a row, unless a newer revision of it is held already.
 func (r *Replica) hold(row Row, until time.Duration) {
 	if row.Revision > r.held[row.Key].row.Revision {
 		r.held[row.Key] = heldRow{row: row, until: until}
 	}
 }
 
-// holdsUntil is until when a row is not believed; 0 for one that is.
-func (r *Replica) holdsUntil(before, row Row, doubted bool, now time.Duration) time.Duration {
+// holdDeadline returns until when a row is withheld, or 0 for a row that is applied at once.
+func (r *Replica) holdDeadline(before, row Row, massDeletion bool, now time.Duration) time.Duration {
 	switch {
-	case row.Deleted && !before.Deleted && (doubted || row.MissingAfterRestore && r.doubts(now)):
+	case row.Deleted && !before.Deleted && (massDeletion || row.MissingAfterRestore && r.holdingDeletions(now)):
 		return r.holdUntil
-	case r.broughtBack(before, row):
+	case r.onlyRestored(before, row):
 		return now + r.settings.HoldRestored
 	default:
 		return 0
 	}
 }
 
-// broughtBack tells whether a row that was removed is there again by a return alone. One that was
-// brought back before, and is written since, has an owner.
-func (r *Replica) broughtBack(held, read Row) bool {
+// onlyRestored reports whether a removed row is present again only because the store was restored.
+// A row that came back with a restore and was written since then has a live owner.
+func (r *Replica) onlyRestored(held, read Row) bool {
 	if r.settings.HoldRestored == 0 || !held.Deleted || held.MissingAfterRestore || read.Deleted {
 		return false
 	}
@@ -146,65 +148,66 @@
 	return !written && platform.EraOf(read.Revision) > platform.EraOf(held.Revision)
 }
 
-// fallsBehind tells whether a row of a newer era is an earlier document than the one held.
-func (r *Replica) fallsBehind(held, read Row) bool {
+// isOlderDocument reports whether a row of a newer restore generation is an earlier document than
+// the held one.
+func (r *Replica) isOlderDocument(held, read Row) bool {
 	return r.settings.Older != nil && held.Revision > 0 && !held.Deleted && !read.Deleted &&
 		platform.EraOf(read.Revision) > platform.EraOf(held.Revision) && r.settings.Older(held, read)
 }
 
-// unchanged tells whether a row of a newer era is what it was before.
+// unchanged reports whether a row of a newer restore generation has the same content as before.
 func unchanged(before, row Row) bool {
 	return before.Revision > 0 && platform.EraOf(row.Revision) > platform.EraOf(before.Revision) &&
 		before.Deleted == row.Deleted && bytes.Equal(before.Value, row.Value)
 }
 
-// leftBehind are the deletions of the rows that a table of a newer era lacks.
-func (r *Replica) leftBehind(rows []Row) []Row {
-	eras, given := map[string]int64{}, map[Key]bool{}
+// missingAfterRestore returns deletions of the rows that a table of a newer restore generation lacks.
+func (r *Replica) missingAfterRestore(rows []Row) []Row {
+	generations, given := map[string]int64{}, map[Key]bool{}
 	for _, row := range rows {
 		given[row.Key] = true
-		if era := platform.EraOf(row.Revision); r.newest[row.Table] > 0 && era > platform.EraOf(r.newest[row.Table]) {
-			eras[row.Table] = max(eras[row.Table], era)
+		if generation := platform.EraOf(row.Revision); r.newest[row.Table] > 0 && generation > platform.EraOf(r.newest[row.Table]) {
+			generations[row.Table] = max(generations[row.Table], generation)
 		}
 	}
-	if len(eras) == 0 {
+	if len(generations) == 0 {
 		return nil
 	}
-	var lost []Row
+	var missing []Row
 	for key, row := range r.rows {
-		if era := eras[key.Table]; era > 0 && !row.Deleted && !given[key] {
-			lost = append(lost, Row{Key: key, Revision: platform.RevisionOf(era, 0), Deleted: true, MissingAfterRestore: true})
+		if generation := generations[key.Table]; generation > 0 && !row.Deleted && !given[key] {
+			missing = append(missing, Row{Key: key, Revision: platform.RevisionOf(generation, 0), Deleted: true, MissingAfterRestore: true})
 		}
 	}
-	return lost
+	return missing
 }
 
-// current drops the rows that a later one of the same key has overtaken.
-func (r *Replica) current(rows []Row) []Row {
+// dropSuperseded drops the rows of which the copy has a newer revision by now.
+func (r *Replica) dropSuperseded(rows []Row) []Row {
 	return slices.DeleteFunc(rows, func(row Row) bool { return r.rows[row.Key].Revision > row.Revision })
 }
 
-// Release believes the rows that were held long enough, and returns them.
+// Release applies the rows whose hold has ended, and returns them.
 func (r *Replica) Release(now time.Duration) []Row {
-	r.doubts(now)
-	var news []Row
+	r.holdingDeletions(now)
+	var changes []Row
 	for key, held := range r.held {
 		if now < held.until {
 			continue
 		}
 		delete(r.held, key)
-		over := platform.EraOf(held.row.Revision) < platform.EraOf(r.newest[key.Table])
-		if held.row.Revision > r.rows[key].Revision && !over {
+		outdated := platform.EraOf(held.row.Revision) < platform.EraOf(r.newest[key.Table])
+		if held.row.Revision > r.rows[key].Revision && !outdated {
 			r.rows[key] = held.row
-			news = append(news, held.row)
+			changes = append(changes, held.row)
 		}
 	}
-	return news
+	return changes
 }
 
-// Replace takes a full read of a table as of a revision: rows that it lacks
-// were deleted, unless they are newer than the read, or lost where it has a newer
-// era.
+// Replace applies a full read of a table as of a revision. Rows that the read
+// lacks were deleted, unless they are newer than the read. If the read has a newer
+// restore generation, they are marked as missing after the restore.
 func (r *Replica) Replace(table string, rows []Row, revision int64, now time.Duration) []Row {
 	present := map[Key]bool{}
 	for _, row := range rows {
@@ -213,8 +216,8 @@
 	all := slices.Clone(rows)
 	for key, row := range r.rows {
 		if key.Table == table && !row.Deleted && !present[key] && row.Revision < revision {
-			lost := platform.EraOf(row.Revision) < platform.EraOf(revision)
-			all = append(all, Row{Key: key, Revision: revision, Deleted: true, MissingAfterRestore: lost})
+			restored := platform.EraOf(row.Revision) < platform.EraOf(revision)
+			all = append(all, Row{Key: key, Revision: revision, Deleted: true, MissingAfterRestore: restored})
 		}
 	}
 	for key, held := range r.held {
@@ -226,23 +229,24 @@
 	return r.Apply(all, now)
 }
 
-// SetReadRevision records that the store's feed of a table was read up to a revision.
+// SetReadRevision records that a table was read from the store up to a revision. It never
+// lowers the recorded revision.
 func (r *Replica) SetReadRevision(table string, revision int64) {
-	r.read[table] = max(r.read[table], revision)
+	r.readUpTo[table] = max(r.readUpTo[table], revision)
 }
 
-// ReadRevision is the revision after which the feed of a table goes on.
+// ReadRevision returns the revision after which the feed of a table continues.
 func (r *Replica) ReadRevision(table string) int64 {
-	return r.read[table]
+	return r.readUpTo[table]
 }
 
-// Get returns a row that is there.
+// Get returns a row, and whether it exists.
 func (r *Replica) Get(key Key) (Row, bool) {
 	row, ok := r.rows[key]
 	return row, ok && !row.Deleted
 }
 
-// Table returns the rows of a table that are there, ordered by key.
+// Table returns the existing rows of a table, ordered by key.
 func (r *Replica) Table(table string) []Row {
 	var rows []Row
 	for key, row := range r.rows {
@@ -254,8 +258,8 @@
 	return rows
 }
 
-// Since returns all rows, deleted ones too, that are above the revision given
-// for their table. Those that are held back are among them.
+// Since returns all rows whose revision is above the one given for their table,
+// ordered by revision. Deleted rows and held rows are included.
 func (r *Replica) Since(revisions map[string]int64) []Row {
 	var rows []Row
 	for _, row := range r.rows {
@@ -272,9 +276,9 @@
 	return rows
 }
 
-// Newest is the highest revision of any row of each table. All rows up to it are
-// known, as long as each source gave all of its rows.
+// Newest returns the highest revision of any row of each table. All rows up to it are
+// known, provided that each source sent all of its rows.
 func (r *Replica) Newest() map[string]int64 { return maps.Clone(r.newest) }
 
-// HoldRemaining is for how much longer deletions are held back.
+// HoldRemaining returns for how much longer mass deletions are withheld.
 func (r *Replica) HoldRemaining(now time.Duration) time.Duration { return max(0, r.holdUntil-now) }
