--- a/internal/quarantine/outbox.go
+++ b/internal/quarantine/outbox.go
@@ -5,64 +5,64 @@
 	"time"
 )
 
-// Bounds of what is told of ends.
+// Bounds of the crashes in reports.
 const (
-	// tellFor is for how long an end is told of on each way. Reports go every 0.1 to
-	// 0.4 s, so five may be lost.
-	tellFor = 2 * time.Second
-	// toldAtMost bounds the ends in one report: an eighth of a datagram.
-	toldAtMost = 32
+	// publishFor is how long a crash is published to each audience. Reports are sent every 0.1 to 0.4 s, so
+	// five of them may be lost.
+	publishFor = 2 * time.Second
+	// maxReported is the most crashes in a report; so many take an eighth of a datagram.
+	maxReported = 32
 )
 
-// telling has the ends that are to be told of, each with the time until which.
-type telling struct {
-	// here are this instance's own, beside those of its zone with this one's, and beyond
+// outbox holds the crashes to publish, each with the time until which it is published.
+type outbox struct {
+	// own are the crashes that this instance observed, zone those of its zone, with its own, and otherZones
 	// those of other zones.
-	here, beside, beyond map[Crash]time.Duration
+	own, zone, otherZones map[Crash]time.Duration
 }
 
-func newTelling() telling {
-	return telling{here: map[Crash]time.Duration{}, beside: map[Crash]time.Duration{}, beyond: map[Crash]time.Duration{}}
+func newOutbox() outbox {
+	return outbox{own: map[Crash]time.Duration{}, zone: map[Crash]time.Duration{}, otherZones: map[Crash]time.Duration{}}
 }
 
-func (t *telling) own(e Crash, now time.Duration) {
-	t.here[e], t.beside[e] = now+tellFor, now+tellFor
+func (o *outbox) addOwn(c Crash, now time.Duration) {
+	o.own[c], o.zone[c] = now+publishFor, now+publishFor
 }
 
-func (t *telling) heard(e Crash, beside bool, now time.Duration) {
-	if beside {
-		t.beside[e] = now + tellFor
+func (o *outbox) addReceived(c Crash, sameZone bool, now time.Duration) {
+	if sameZone {
+		o.zone[c] = now + publishFor
 	} else {
-		t.beyond[e] = now + tellFor
+		o.otherZones[c] = now + publishFor
 	}
 }
 
-func (t *telling) lapse(now time.Duration) {
-	for _, ends := range []map[Crash]time.Duration{t.here, t.beside, t.beyond} {
-		maps.DeleteFunc(ends, func(_ Crash, until time.Duration) bool { return now >= until })
+func (o *outbox) expire(now time.Duration) {
+	for _, crashes := range []map[Crash]time.Duration{o.own, o.zone, o.otherZones} {
+		maps.DeleteFunc(crashes, func(_ Crash, until time.Duration) bool { return now >= until })
 	}
 }
 
-// due lists ends that are still to be told of. Where they are too many for a report, it is
-// left to chance which it has, so that a few reports have all.
-func due(ends map[Crash]time.Duration, now time.Duration) []Crash {
+// due returns crashes that are still to be published. If there are too many for a report, it selects them at
+// random, so that a few reports include all of them.
+func due(crashes map[Crash]time.Duration, now time.Duration) []Crash {
 	var list []Crash
-	for e, until := range ends { // a map's order is drawn anew each time
+	for c, until := range crashes { // the order of a map is random in each iteration
 		if now < until {
-			list = append(list, e)
+			list = append(list, c)
 		}
-		if len(list) == toldAtMost {
+		if len(list) == maxReported {
 			break
 		}
 	}
 	return list
 }
 
-// DueOwn are what this instance tells of the ends that it saw.
-func (t *Table) DueOwn(now time.Duration) []Crash { return due(t.tell.here, now) }
+// DueOwn returns the crashes observed by this instance that it publishes to its zone.
+func (t *Table) DueOwn(now time.Duration) []Crash { return due(t.outbox.own, now) }
 
-// DueZone are what its zone tells the others.
-func (t *Table) DueZone(now time.Duration) []Crash { return due(t.tell.beside, now) }
+// DueZone returns the crashes observed in this zone that it publishes to other zones.
+func (t *Table) DueZone(now time.Duration) []Crash { return due(t.outbox.zone, now) }
 
-// DueOtherZones are what its zone is told of the others.
-func (t *Table) DueOtherZones(now time.Duration) []Crash { return due(t.tell.beyond, now) }
+// DueOtherZones returns the crashes observed in other zones that this instance publishes to its zone.
+func (t *Table) DueOtherZones(now time.Duration) []Crash { return due(t.outbox.otherZones, now) }
--- a/internal/quarantine/recent.go
+++ b/internal/quarantine/recent.go
@@ -2,47 +2,47 @@
 
 import "time"
 
-// recent remembers the contents that were served lately, in two generations: the older
-// one is dropped when the newer one is full or old enough.
+// recent is a set of the contents that were served recently. It has two generations: when the newer one is
+// full or old enough, it replaces the older one.
 type recent struct {
-	// lasts is for how long a content is remembered, at least, while there is room for
-	// most in each generation.
-	lasts      time.Duration
-	most       int
+	// ttl is how long a content is remembered at least, unless a generation exceeds its capacity.
+	ttl        time.Duration
+	capacity   int
 	newer      map[Content]bool
 	older      map[Content]bool
 	newerSince time.Duration
 }
 
-func newRecent(lasts time.Duration, most int) recent {
-	return recent{lasts: lasts, most: most, newer: map[Content]bool{}, older: map[Content]bool{}}
+func newRecent(ttl time.Duration, capacity int) recent {
+	return recent{ttl: ttl, capacity: capacity, newer: map[Content]bool{}, older: map[Content]bool{}}
 }
 
 func (r *recent) add(c Content, now time.Duration) {
-	r.age(now)
-	if len(r.newer) >= r.most {
-		r.turn(now)
+	r.expire(now)
+	if len(r.newer) >= r.capacity {
+		r.rotate(now)
 	}
 	r.newer[c] = true
 }
 
 func (r *recent) has(c Content, now time.Duration) bool {
-	r.age(now)
+	r.expire(now)
 	return r.newer[c] || r.older[c]
 }
 
-// age drops what is too old.
-func (r *recent) age(now time.Duration) {
-	if now-r.newerSince <= r.lasts {
+// expire drops the generations that are too old.
+func (r *recent) expire(now time.Duration) {
+	if now-r.newerSince <= r.ttl {
 		return
 	}
-	tooOld := now-r.newerSince > 2*r.lasts
-	r.turn(now)
-	if tooOld {
+	bothExpired := now-r.newerSince > 2*r.ttl
+	r.rotate(now)
+	if bothExpired {
 		clear(r.older)
 	}
 }
 
-func (r *recent) turn(now time.Duration) {
+// rotate drops the older generation and starts a new one.
+func (r *recent) rotate(now time.Duration) {
 	r.older, r.newer, r.newerSince = r.newer, map[Content]bool{}, now
 }
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -7,105 +7,107 @@
 	"time"
 )
 
-// Crash tells that an upstream ended while it had a request.
+// Crash is the crash of an upstream while it had a request.
 type Crash struct {
 	Content Content
-	// Upstream is a hash of the upstream's incarnation: one that starts again is another.
+	// Upstream is a hash of the upstream's incarnation: after a restart it is another one.
 	Upstream uint32
 }
 
 // Settings of a Table.
 type Settings struct {
-	// Crashes of upstreams under a content have it set apart. One is chance: an engine that
-	// ended had up to 48 requests. Two may be where many upstreams crash at once: 4 and 36
-	// of some 12,220 requests in two plays of a day on which 0.3 to 0.4 of the engines
-	// crashed four times met two.
+	// Crashes is how many upstreams must crash under a content for its quarantine. One is not enough: an
+	// engine that crashed had up to 48 requests, and most were there by chance. Two may be chance where many
+	// upstreams crash at once: in two simulated days on which 0.3 to 0.4 of the engines crashed four times,
+	// 4 and 36 of some 12,220 requests met two crashes.
 	Crashes int
-	// Durations are for how long a content is set apart: the first time, and each time again
-	// that one more upstream ends under it once it is let through. The first is short, for
-	// those that were there by chance: where all callers ask for the same, it is on each
-	// upstream that another content ends. The second holds off whoever comes again and
-	// again, the last is about as long as upstreams keep their software.
+	// Durations are the durations of a content's quarantines: of the first one, and of each later one, which
+	// begins when one more upstream crashes under the content after the quarantine before it. The last
+	// duration is used from then on. The first is short because of contents that were there by chance: where
+	// all callers ask for the same, it is on each upstream that another content crashes. The second holds off
+	// a content that comes again and again. The last is about as long as upstreams keep their software.
 	Durations []time.Duration
-	// CrashTTL is for how long an end counts, and ForgetAfter for how long after its term it
-	// is known that a content was set apart.
+	// CrashTTL is how long a crash counts, and ForgetAfter how long after the end of a quarantine it is known
+	// that the content was quarantined.
 	CrashTTL, ForgetAfter time.Duration
-	// ServedTTL is for how long it counts that a content was served: until then no end counts
-	// against it. Where many ask for the same, it is on any upstream that ends.
+	// ServedTTL is how long after a content was served no crash counts against it. Where many callers ask for
+	// the same, it is on any upstream that crashes.
 	ServedTTL time.Duration
-	// MaxServed bounds the contents of which that is remembered, in each Served.
+	// MaxServed is the most served contents that are remembered in each ServedTTL.
 	MaxServed int
-	// MaxContents bounds those with ends that are remembered, MaxQuarantined those that were set
-	// apart. The oldest yield.
+	// MaxContents is the most contents with crashes that are remembered, MaxQuarantined the most that are or
+	// were quarantined. The oldest are dropped.
 	MaxContents, MaxQuarantined int
 }
 
-// DefaultSettings returns the defaults.
+// DefaultSettings returns the default settings.
 func DefaultSettings() Settings {
 	return Settings{
 		Crashes:     2,
 		Durations:   []time.Duration{10 * time.Second, time.Hour, 24 * time.Hour},
-		CrashTTL:    10 * time.Minute, // callers that come back do so within seconds
+		CrashTTL:    10 * time.Minute, // callers that retry do so within seconds
 		ForgetAfter: 24 * time.Hour,
-		ServedTTL:   time.Minute, // what is asked for less often is hardly on two that end
-		// 130 requests a second, ten times what an instance gets; 16 bytes each
+		ServedTTL:   time.Minute, // content that is requested less often is hardly on two upstreams that crash
+		// 130 requests a second, ten times the load of an instance; 16 bytes each
 		MaxServed:      8192,
-		MaxContents:    4096, // 80 engines that end at once with 48 requests each
-		MaxQuarantined: 1000, // rows of some 100 bytes; a start reads two pages of them
+		MaxContents:    4096, // 80 engines that crash at once with 48 requests each
+		MaxQuarantined: 1000, // rows of some 100 bytes; an instance reads two pages of them at its start
 	}
 }
 
-// Table is what an instance knows of contents. It is not safe for concurrent use.
+// Table holds the crashes and quarantines of contents that an instance knows. It is not safe for concurrent
+// use.
 type Table struct {
-	settings Settings
-	records  map[Content]*record
-	apart    map[Content]apart
-	served   recent
-	tell     telling
+	settings    Settings
+	records     map[Content]*record
+	quarantines map[Content]quarantine
+	served      recent
+	outbox      outbox
 }
 
-// record is what is known of a content.
+// record holds the crashes under a content.
 type record struct {
-	// ends are those that count; served are those from before the content was served.
-	ends, served map[uint32]bool
-	newest       time.Duration
-	// seen: this instance saw one of the ends itself.
-	seen bool
+	// crashes are the upstreams whose crashes count; ignored are those that crashed before the content was
+	// served.
+	crashes, ignored map[uint32]bool
+	newest           time.Duration
+	// observed is true if this instance observed one of the crashes itself.
+	observed bool
 }
 
-// apart is a content that was set apart so many times, the last one at a time.
-type apart struct {
+// quarantine is the latest quarantine of a content: its number, from 1, and its start.
+type quarantine struct {
 	times int
 	since time.Duration
 }
 
 // NewTable returns an empty table.
 func NewTable(s Settings) *Table {
-	return &Table{settings: s, records: map[Content]*record{}, apart: map[Content]apart{}, served: newRecent(s.ServedTTL, s.MaxServed), tell: newTelling()}
+	return &Table{settings: s, records: map[Content]*record{}, quarantines: map[Content]quarantine{}, served: newRecent(s.ServedTTL, s.MaxServed), outbox: newOutbox()}
 }
 
-// Empty tells that no content is known to have ended an upstream, so that none needs to be
-// looked for.
-func (t *Table) Empty() bool { return len(t.records) == 0 && len(t.apart) == 0 }
+// Empty reports whether there are no records of crashes and no quarantines, so that contents need not be
+// looked up.
+func (t *Table) Empty() bool { return len(t.records) == 0 && len(t.quarantines) == 0 }
 
-// term is for how long a content is set apart that is so for the nth time.
-func (t *Table) term(times int) time.Duration {
+// duration returns the duration of a content's nth quarantine.
+func (t *Table) duration(times int) time.Duration {
 	return t.settings.Durations[min(times, len(t.settings.Durations))-1]
 }
 
-// Quarantined tells whether no upstream may get a content.
+// Quarantined reports whether a content is quarantined, so that no upstream may get it.
 func (t *Table) Quarantined(c Content, now time.Duration) bool {
-	a, ok := t.apart[c]
-	return ok && now-a.since < t.term(a.times)
+	q, ok := t.quarantines[c]
+	return ok && now-q.since < t.duration(q.times)
 }
 
-// TimesQuarantined is how often a content was set apart.
-func (t *Table) TimesQuarantined(c Content) int { return t.apart[c].times }
+// TimesQuarantined returns how often a content was quarantined.
+func (t *Table) TimesQuarantined(c Content) int { return t.quarantines[c].times }
 
-// CountQuarantined is how many contents are set apart.
+// CountQuarantined returns how many contents are quarantined.
 func (t *Table) CountQuarantined(now time.Duration) int {
 	n := 0
-	for c := range t.apart {
+	for c := range t.quarantines {
 		if t.Quarantined(c, now) {
 			n++
 		}
@@ -113,130 +115,131 @@
 	return n
 }
 
-// Crashes counts the ends that count against a content.
+// Crashes returns how many crashes count against a content.
 func (t *Table) Crashes(c Content) int {
 	r, ok := t.records[c]
 	if !ok {
 		return 0
 	}
-	return len(r.ends)
+	return len(r.crashes)
 }
 
-// SawCrash tells whether this instance saw an end under a content itself.
+// SawCrash reports whether this instance itself observed a crash under a content.
 func (t *Table) SawCrash(c Content) bool {
 	r, ok := t.records[c]
-	return ok && r.seen
+	return ok && r.observed
 }
 
-// RecordCrash takes an end that this instance saw, and tells whether the content is set apart
-// by it.
-func (t *Table) RecordCrash(e Crash, now time.Duration) bool {
-	news := t.add(e, now)
-	if news {
-		t.tell.own(e, now)
+// RecordCrash records a crash that this instance observed, and reports whether it starts a quarantine of the
+// content.
+func (t *Table) RecordCrash(c Crash, now time.Duration) bool {
+	added := t.add(c, now)
+	if added {
+		t.outbox.addOwn(c, now)
 	}
-	t.records[e.Content].seen = true
-	return news && t.decide(e.Content, now)
+	t.records[c.Content].observed = true
+	return added && t.decide(c.Content, now)
 }
 
-// ReceiveCrash takes an end that another instance told of, of the same zone or not, and tells
-// whether the content is set apart by it.
-func (t *Table) ReceiveCrash(e Crash, beside bool, now time.Duration) bool {
-	news := t.add(e, now)
-	if news {
-		t.tell.heard(e, beside, now)
+// ReceiveCrash records a crash that another instance reported, of the same zone or of another one, and
+// reports whether it starts a quarantine of the content.
+func (t *Table) ReceiveCrash(c Crash, sameZone bool, now time.Duration) bool {
+	added := t.add(c, now)
+	if added {
+		t.outbox.addReceived(c, sameZone, now)
 	}
-	return news && t.decide(e.Content, now)
+	return added && t.decide(c.Content, now)
 }
 
-// add takes an end, and tells whether it is news.
-func (t *Table) add(e Crash, now time.Duration) bool {
-	r, ok := t.records[e.Content]
+// add records a crash, and reports whether it was not known before.
+func (t *Table) add(c Crash, now time.Duration) bool {
+	r, ok := t.records[c.Content]
 	if !ok {
 		t.makeRoom(now)
-		r = &record{ends: map[uint32]bool{}, served: map[uint32]bool{}}
-		t.records[e.Content] = r
+		r = &record{crashes: map[uint32]bool{}, ignored: map[uint32]bool{}}
+		t.records[c.Content] = r
 	}
-	if r.ends[e.Upstream] || r.served[e.Upstream] {
+	if r.crashes[c.Upstream] || r.ignored[c.Upstream] {
 		return false
 	}
-	r.ends[e.Upstream] = true
+	r.crashes[c.Upstream] = true
 	r.newest = now
 	return true
 }
 
-// decide sets a content apart by an end that is news: when enough count against it, or it
-// was set apart before and is let through again.
+// decide quarantines a content after a new crash if enough crashes count against it, or if it was quarantined
+// before and that quarantine is over. It reports whether it did. A content that was served recently is not
+// quarantined.
 func (t *Table) decide(c Content, now time.Duration) bool {
 	if t.served.has(c, now) {
-		t.clear(c)
+		t.ignoreCrashes(c)
 		return false
 	}
 	if t.Quarantined(c, now) || t.TimesQuarantined(c) == 0 && t.Crashes(c) < t.settings.Crashes {
 		return false
 	}
-	t.apart[c] = apart{times: t.TimesQuarantined(c) + 1, since: now}
+	t.quarantines[c] = quarantine{times: t.TimesQuarantined(c) + 1, since: now}
 	return true
 }
 
-// RecordServed notes that a content was answered whole: the ends before it were others' fault.
-// It tells whether the content was set apart for them, which is over.
+// RecordServed records that a content was answered completely, which shows that the crashes before had other
+// causes. It deletes the content's quarantine, and reports whether there was one.
 func (t *Table) RecordServed(c Content, now time.Duration) bool {
 	t.served.add(c, now)
-	t.clear(c)
-	_, was := t.apart[c]
-	delete(t.apart, c)
-	return was
+	t.ignoreCrashes(c)
+	_, existed := t.quarantines[c]
+	delete(t.quarantines, c)
+	return existed
 }
 
-// clear has the ends under a content so far count no more.
-func (t *Table) clear(c Content) {
+// ignoreCrashes makes the crashes under a content so far no longer count.
+func (t *Table) ignoreCrashes(c Content) {
 	if r, ok := t.records[c]; ok {
-		maps.Copy(r.served, r.ends)
-		clear(r.ends)
+		maps.Copy(r.ignored, r.crashes)
+		clear(r.crashes)
 	}
 }
 
-// Quarantine takes the decision of other instances, that a content is set apart for the nth
-// time. It returns false when that is wrong: the content was served here lately.
+// Quarantine applies the decision of another instance to quarantine a content for the nth time. It returns
+// false if the decision is wrong because the content was served here recently.
 func (t *Table) Quarantine(c Content, times int, now time.Duration) bool {
 	if t.served.has(c, now) {
 		return false
 	}
 	if times > t.TimesQuarantined(c) {
-		t.apart[c] = apart{times: times, since: now}
+		t.quarantines[c] = quarantine{times: times, since: now}
 	}
 	return true
 }
 
-// Release takes a content back; what ended under it is forgotten.
+// Release deletes the quarantine of a content and its record of crashes.
 func (t *Table) Release(c Content) {
-	delete(t.apart, c)
+	delete(t.quarantines, c)
 	delete(t.records, c)
 }
 
-// Expired lists the contents of which it need not be known any more that they were set
-// apart, and the oldest of those that are too many.
+// Expired returns the contents whose quarantines need not be remembered any more: those that ended long
+// enough ago, and the oldest of those in excess of MaxQuarantined.
 func (t *Table) Expired(now time.Duration) []Content {
-	list := slices.SortedFunc(maps.Keys(t.apart), func(a, b Content) int {
-		return cmp.Or(cmp.Compare(t.apart[a].since, t.apart[b].since), cmp.Compare(a, b))
+	list := slices.SortedFunc(maps.Keys(t.quarantines), func(a, b Content) int {
+		return cmp.Or(cmp.Compare(t.quarantines[a].since, t.quarantines[b].since), cmp.Compare(a, b))
 	})
-	tooMany := max(0, len(list)-t.settings.MaxQuarantined)
-	lapsed := list[:tooMany:tooMany]
-	for _, c := range list[tooMany:] {
-		if a := t.apart[c]; now-a.since > t.term(a.times)+t.settings.ForgetAfter {
-			lapsed = append(lapsed, c)
+	excess := max(0, len(list)-t.settings.MaxQuarantined)
+	expired := list[:excess:excess]
+	for _, c := range list[excess:] {
+		if q := t.quarantines[c]; now-q.since > t.duration(q.times)+t.settings.ForgetAfter {
+			expired = append(expired, c)
 		}
 	}
-	return lapsed
+	return expired
 }
 
-// makeRoom forgets what lapsed, and the oldest record where there are too many.
+// makeRoom deletes the expired records, and the oldest one if there are still too many.
 func (t *Table) makeRoom(now time.Duration) {
 	if len(t.records) < t.settings.MaxContents {
 		return
 	}
-	t.forgetOld(now)
+	t.expireRecords(now)
 	if len(t.records) < t.settings.MaxContents {
 		return
 	}
@@ -246,13 +249,13 @@
 	delete(t.records, oldest)
 }
 
-// forgetOld forgets the records whose ends count no longer.
-func (t *Table) forgetOld(now time.Duration) {
+// expireRecords deletes the records whose newest crash is older than CrashTTL.
+func (t *Table) expireRecords(now time.Duration) {
 	maps.DeleteFunc(t.records, func(_ Content, r *record) bool { return now-r.newest > t.settings.CrashTTL })
 }
 
-// Expire forgets the ends that count no longer.
+// Expire deletes the crashes that no longer count, and those that were published long enough.
 func (t *Table) Expire(now time.Duration) {
-	t.forgetOld(now)
-	t.tell.lapse(now)
+	t.expireRecords(now)
+	t.outbox.expire(now)
 }
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -11,225 +11,228 @@
 
 func newTable() *Table { return NewTable(DefaultSettings()) }
 
-// TestASecondEndSetsAContentApart: also when it is another instance that saw it.
-func TestASecondEndSetsAContentApart(t *testing.T) {
+// TestSecondCrashQuarantines checks that the second crash quarantines a content, also if another instance
+// observed it.
+func TestSecondCrashQuarantines(t *testing.T) {
 	for name, second := range map[string]func(*Table) bool{
-		"own":    func(q *Table) bool { return q.RecordCrash(Crash{Content: 7, Upstream: 2}, now) },
-		"beside": func(q *Table) bool { return q.ReceiveCrash(Crash{Content: 7, Upstream: 2}, true, now) },
-		"beyond": func(q *Table) bool { return q.ReceiveCrash(Crash{Content: 7, Upstream: 2}, false, now) },
+		"own":    func(table *Table) bool { return table.RecordCrash(Crash{Content: 7, Upstream: 2}, now) },
+		"beside": func(table *Table) bool { return table.ReceiveCrash(Crash{Content: 7, Upstream: 2}, true, now) },
+		"beyond": func(table *Table) bool { return table.ReceiveCrash(Crash{Content: 7, Upstream: 2}, false, now) },
 	} {
-		q := newTable()
-		if !q.Empty() || q.RecordCrash(Crash{Content: 7, Upstream: 1}, now) || q.Quarantined(7, now) {
-			t.Errorf("%s: set apart after one end", name)
+		table := newTable()
+		if !table.Empty() || table.RecordCrash(Crash{Content: 7, Upstream: 1}, now) || table.Quarantined(7, now) {
+			t.Errorf("%s: quarantined after one crash", name)
 		}
-		if !second(q) || !q.Quarantined(7, now) || q.Quarantined(8, now) {
-			t.Errorf("%s: apart %t, another content %t", name, q.Quarantined(7, now), q.Quarantined(8, now))
+		if !second(table) || !table.Quarantined(7, now) || table.Quarantined(8, now) {
+			t.Errorf("%s: quarantined %t, another content %t", name, table.Quarantined(7, now), table.Quarantined(8, now))
 		}
 	}
 }
 
-// TestOneEndIsCountedOnce: several copies of a request end with one upstream, and each is
-// told of again and again.
-func TestOneEndIsCountedOnce(t *testing.T) {
-	q := newTable()
+// TestACrashCountsOnce guards against a crash that is counted several times: an upstream may crash with
+// several copies of a request, and each crash is reported repeatedly.
+func TestACrashCountsOnce(t *testing.T) {
+	table := newTable()
 	for range 3 {
-		q.RecordCrash(Crash{Content: 7, Upstream: 1}, now)
-		q.ReceiveCrash(Crash{Content: 7, Upstream: 1}, true, now)
+		table.RecordCrash(Crash{Content: 7, Upstream: 1}, now)
+		table.ReceiveCrash(Crash{Content: 7, Upstream: 1}, true, now)
 	}
-	if q.Quarantined(7, now) || q.Crashes(7) != 1 {
-		t.Errorf("apart %t after %d ends", q.Quarantined(7, now), q.Crashes(7))
+	if table.Quarantined(7, now) || table.Crashes(7) != 1 {
+		t.Errorf("quarantined %t after %d crashes", table.Quarantined(7, now), table.Crashes(7))
 	}
 }
 
-// TestWhatWasServedIsNotToBlame: calls without a body are alike, and are on upstreams that
-// end again and again.
-func TestWhatWasServedIsNotToBlame(t *testing.T) {
-	q := newTable()
+// TestCrashesBeforeServingDoNotCount guards against the quarantine of a harmless content: calls without a
+// body have the same content, and are on many of the upstreams that crash.
+func TestCrashesBeforeServingDoNotCount(t *testing.T) {
+	table := newTable()
 	for upstream := range uint32(50) {
-		q.RecordCrash(Crash{Content: 7, Upstream: upstream}, now)
-		q.RecordServed(7, now)
-		q.ReceiveCrash(Crash{Content: 7, Upstream: upstream}, true, now) // told of once more
+		table.RecordCrash(Crash{Content: 7, Upstream: upstream}, now)
+		table.RecordServed(7, now)
+		table.ReceiveCrash(Crash{Content: 7, Upstream: upstream}, true, now) // reported again
 	}
-	if q.Quarantined(7, now) {
-		t.Error("set apart, though it was served after each end")
+	if table.Quarantined(7, now) {
+		t.Error("quarantined although it was served after each crash")
 	}
 }
 
-func TestEndsAreForgotten(t *testing.T) {
-	q := newTable()
-	q.RecordCrash(Crash{Content: 7, Upstream: 1}, now)
+func TestCrashesExpire(t *testing.T) {
+	table := newTable()
+	table.RecordCrash(Crash{Content: 7, Upstream: 1}, now)
 	later := now + DefaultSettings().CrashTTL + time.Second
-	q.Expire(later)
-	if !q.Empty() || q.RecordCrash(Crash{Content: 7, Upstream: 2}, later) {
-		t.Error("an end counts for ever")
+	table.Expire(later)
+	if !table.Empty() || table.RecordCrash(Crash{Content: 7, Upstream: 2}, later) {
+		t.Error("a crash never expires")
 	}
 }
 
-// TestAContentIsLetThroughAndSetApartForLonger: each time that it ends one more upstream.
-// One that was there by chance is served then, and nothing is left of it.
-func TestAContentIsLetThroughAndSetApartForLonger(t *testing.T) {
-	q, at := newTable(), time.Duration(now)
-	q.RecordCrash(Crash{Content: 7, Upstream: 0}, at)
-	for n, term := range []time.Duration{10 * time.Second, time.Hour, 24 * time.Hour, 24 * time.Hour} {
+// TestRepeatedQuarantinesLastLonger checks that a content is sent again after a quarantine, and is
+// quarantined for longer each time one more upstream crashes under it. Once it is served, its earlier
+// quarantines no longer count.
+func TestRepeatedQuarantinesLastLonger(t *testing.T) {
+	table, at := newTable(), time.Duration(now)
+	table.RecordCrash(Crash{Content: 7, Upstream: 0}, at)
+	for n, duration := range []time.Duration{10 * time.Second, time.Hour, 24 * time.Hour, 24 * time.Hour} {
 		upstream := uint32(n + 1)
-		if !q.RecordCrash(Crash{Content: 7, Upstream: upstream}, at) || q.TimesQuarantined(7) != n+1 {
-			t.Fatalf("not set apart for the %d. time", n+1)
+		if !table.RecordCrash(Crash{Content: 7, Upstream: upstream}, at) || table.TimesQuarantined(7) != n+1 {
+			t.Fatalf("not quarantined for the %d. time", n+1)
 		}
-		if q.RecordCrash(Crash{Content: 7, Upstream: upstream + 100}, at+time.Second) {
-			t.Errorf("an end that was heard late counts for the %d. time", n+2)
+		if table.RecordCrash(Crash{Content: 7, Upstream: upstream + 100}, at+time.Second) {
+			t.Errorf("a crash that is observed during the quarantine starts the %d. one", n+2)
 		}
-		q.Expire(at + term - time.Second)
-		if !q.Quarantined(7, at+term-time.Second) || q.Quarantined(7, at+term) {
-			t.Errorf("not apart for %s", term)
+		table.Expire(at + duration - time.Second)
+		if !table.Quarantined(7, at+duration-time.Second) || table.Quarantined(7, at+duration) {
+			t.Errorf("not quarantined for %s", duration)
 		}
-		at += term + time.Second
+		at += duration + time.Second
 	}
-	if !q.RecordServed(7, at) || q.TimesQuarantined(7) != 0 || q.RecordCrash(Crash{Content: 7, Upstream: 50}, at+time.Hour) {
-		t.Error("it was served, and is held to be what it was before")
+	if !table.RecordServed(7, at) || table.TimesQuarantined(7) != 0 || table.RecordCrash(Crash{Content: 7, Upstream: 50}, at+time.Hour) {
+		t.Error("it was served, but its earlier quarantines still count")
 	}
 }
 
-// TestWhatIsServedAllTheTimeIsNotSetApart. Pattern: all callers ask for the same, so that
-// it is on each upstream that another content ends. Seen: half of all requests refused for
-// as long as the run went on.
-func TestWhatIsServedAllTheTimeIsNotSetApart(t *testing.T) {
-	q := newTable()
-	q.RecordServed(7, now)
+// TestContentServedAllTheTimeIsNotQuarantined guards against the quarantine of a content that all callers
+// send, so that it is on each upstream that another content crashes. Seen: half of all requests were refused
+// for as long as the run lasted.
+func TestContentServedAllTheTimeIsNotQuarantined(t *testing.T) {
+	table := newTable()
+	table.RecordServed(7, now)
 	for upstream := range uint32(5) {
 		at := now + time.Duration(upstream)*time.Second
-		if q.RecordCrash(Crash{Content: 7, Upstream: upstream}, at) || q.Quarantined(7, at) {
-			t.Fatalf("set apart after %d ends, though it was served a moment ago", upstream+1)
+		if table.RecordCrash(Crash{Content: 7, Upstream: upstream}, at) || table.Quarantined(7, at) {
+			t.Fatalf("quarantined after %d crashes although it was served a moment ago", upstream+1)
 		}
 	}
-	if q.Quarantine(7, 1, now+5*time.Second) || q.Quarantined(7, now+5*time.Second) {
-		t.Error("another instance's decision was taken, though it was served here a moment ago")
+	if table.Quarantine(7, 1, now+5*time.Second) || table.Quarantined(7, now+5*time.Second) {
+		t.Error("another instance's decision was applied although the content was served here a moment ago")
 	}
-	long := now + 3*DefaultSettings().ServedTTL
-	q.RecordCrash(Crash{Content: 7, Upstream: 10}, long)
-	if !q.RecordCrash(Crash{Content: 7, Upstream: 11}, long) {
-		t.Error("what was served long ago is never set apart")
+	later := now + 3*DefaultSettings().ServedTTL
+	table.RecordCrash(Crash{Content: 7, Upstream: 10}, later)
+	if !table.RecordCrash(Crash{Content: 7, Upstream: 11}, later) {
+		t.Error("a content that was served long ago is never quarantined")
 	}
 }
 
-// TestWhatWasServedIsRememberedForAWhile: for a minute at least, and not for three, and no
-// more than there is room for.
-func TestWhatWasServedIsRememberedForAWhile(t *testing.T) {
+// TestRecentExpiresAndIsBounded checks that contents are remembered for at least a minute and less than
+// three, and no more of them than the capacity allows.
+func TestRecentExpiresAndIsBounded(t *testing.T) {
 	r := newRecent(time.Minute, 10)
 	r.add(1, now)
 	if !r.has(1, now+time.Minute) || r.has(2, now) || r.has(1, now+3*time.Minute) {
-		t.Error("not remembered for a minute, or for too long")
+		t.Error("remembered for less than a minute, or for too long")
 	}
 	for c := range Content(1000) {
 		r.add(c, now+3*time.Minute)
 	}
 	if len(r.newer)+len(r.older) > 20 || !r.has(999, now+3*time.Minute) {
-		t.Errorf("%d and %d are remembered", len(r.newer), len(r.older))
+		t.Errorf("the generations hold %d and %d contents", len(r.newer), len(r.older))
 	}
 }
 
-// TestAnothersDecisionCounts: the row of a content may be told again and again, and by one
-// that lags.
-func TestAnothersDecisionCounts(t *testing.T) {
-	q := newTable()
-	q.Quarantine(7, 2, now)
-	q.Quarantine(7, 2, now+30*time.Minute) // told again
-	q.Quarantine(7, 1, now+30*time.Minute) // told late
-	if !q.Quarantined(7, now+59*time.Minute) || q.Quarantined(7, now+time.Hour) {
-		t.Error("not apart for an hour from when it was first told")
-	}
-	if !q.RecordCrash(Crash{Content: 7, Upstream: 1}, now+2*time.Hour) || !q.Quarantined(7, now+25*time.Hour) {
-		t.Error("one more end does not set it apart for longer")
-	}
-	q.Release(7)
-	if q.Quarantined(7, now+25*time.Hour) || !q.Empty() {
+// TestQuarantineByAnotherInstance checks that another instance's decision is applied once: the row of a
+// content may be received repeatedly, and from an instance that lags behind.
+func TestQuarantineByAnotherInstance(t *testing.T) {
+	table := newTable()
+	table.Quarantine(7, 2, now)
+	table.Quarantine(7, 2, now+30*time.Minute) // received again
+	table.Quarantine(7, 1, now+30*time.Minute) // received late
+	if !table.Quarantined(7, now+59*time.Minute) || table.Quarantined(7, now+time.Hour) {
+		t.Error("not quarantined for an hour from when it was first received")
+	}
+	if !table.RecordCrash(Crash{Content: 7, Upstream: 1}, now+2*time.Hour) || !table.Quarantined(7, now+25*time.Hour) {
+		t.Error("one more crash does not quarantine it for longer")
+	}
+	table.Release(7)
+	if table.Quarantined(7, now+25*time.Hour) || !table.Empty() {
 		t.Error("not released")
 	}
 }
 
-// TestWhatIsKeptIsBounded plays more contents than there is room for.
-func TestWhatIsKeptIsBounded(t *testing.T) {
+// TestRecordsAreBounded adds more contents than the table may hold.
+func TestRecordsAreBounded(t *testing.T) {
 	s := DefaultSettings()
 	s.MaxContents, s.MaxQuarantined = 10, 5
-	q := NewTable(s)
+	table := NewTable(s)
 	for c := range Content(100) {
 		at := now + time.Duration(c)*time.Second
-		q.RecordCrash(Crash{Content: c, Upstream: 1}, at)
-		q.Quarantine(c, 1, at)
+		table.RecordCrash(Crash{Content: c, Upstream: 1}, at)
+		table.Quarantine(c, 1, at)
 	}
-	if len(q.records) > 10 {
-		t.Errorf("%d contents are remembered", len(q.records))
+	if len(table.records) > 10 {
+		t.Errorf("%d contents have records", len(table.records))
 	}
-	if lapsed := q.Expired(now + 100*time.Second); len(lapsed) != 95 || lapsed[0] != 0 {
-		t.Errorf("%d lapse", len(lapsed))
+	if expired := table.Expired(now + 100*time.Second); len(expired) != 95 || expired[0] != 0 {
+		t.Errorf("%d expired", len(expired))
 	}
-	if lapsed := q.Expired(now + 25*time.Hour); len(lapsed) != 100 {
-		t.Errorf("%d lapse after a day", len(lapsed))
+	if expired := table.Expired(now + 25*time.Hour); len(expired) != 100 {
+		t.Errorf("%d expired after a day", len(expired))
 	}
 }
 
-// TestAllInstancesDecideAlike has instances see ends in any order, and tell one another
-// in any order and more than once: whoever heard all sets the same contents apart.
-func TestAllInstancesDecideAlike(t *testing.T) {
+// TestInstancesDecideAlike checks that all instances that know the same crashes quarantine the same contents,
+// whatever the order in which they observe or receive them, and however often.
+func TestInstancesDecideAlike(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		ends := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Crash {
+		crashes := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Crash {
 			return Crash{Content: Content(rapid.IntRange(1, 4).Draw(t, "content")), Upstream: uint32(rapid.IntRange(1, 4).Draw(t, "upstream"))}
 		}), 1, 20).Draw(t, "ends")
 		first, second := newTable(), newTable()
 		want := map[Content]map[uint32]bool{}
-		for _, e := range ends {
-			if want[e.Content] == nil {
-				want[e.Content] = map[uint32]bool{}
+		for _, c := range crashes {
+			if want[c.Content] == nil {
+				want[c.Content] = map[uint32]bool{}
 			}
-			want[e.Content][e.Upstream] = true
-			first.RecordCrash(e, now)
+			want[c.Content][c.Upstream] = true
+			first.RecordCrash(c, now)
 		}
-		for _, e := range rapid.Permutation(append(ends, ends...)).Draw(t, "told") {
-			second.ReceiveCrash(e, rapid.Bool().Draw(t, "beside"), now)
+		for _, c := range rapid.Permutation(append(crashes, crashes...)).Draw(t, "told") {
+			second.ReceiveCrash(c, rapid.Bool().Draw(t, "beside"), now)
 		}
 		for c, upstreams := range want {
-			apart := len(upstreams) >= DefaultSettings().Crashes
-			if first.Quarantined(c, now) != apart || second.Quarantined(c, now) != apart {
-				t.Fatalf("content %s after the ends of %d: %t and %t", c, len(upstreams), first.Quarantined(c, now), second.Quarantined(c, now))
+			quarantined := len(upstreams) >= DefaultSettings().Crashes
+			if first.Quarantined(c, now) != quarantined || second.Quarantined(c, now) != quarantined {
+				t.Fatalf("content %s after %d crashes: quarantined %t and %t", c, len(upstreams), first.Quarantined(c, now), second.Quarantined(c, now))
 			}
 		}
 	})
 }
 
-// TestAnEndIsToldOfForAWhile: on the way of who saw it, and of who heard it.
-func TestAnEndIsToldOfForAWhile(t *testing.T) {
-	q, e := newTable(), Crash{Content: 7, Upstream: 1}
-	q.RecordCrash(e, now)
-	if len(q.DueOwn(now)) != 1 || len(q.DueZone(now)) != 1 || len(q.DueOtherZones(now)) != 0 {
-		t.Error("an own end is not told of on the zone's ways")
-	}
-	heard := newTable()
-	heard.ReceiveCrash(e, true, now)
-	heard.ReceiveCrash(e, true, now+time.Second) // told again: not told on for longer
-	if len(heard.DueOwn(now)) != 0 || len(heard.DueZone(now)) != 1 || len(heard.DueZone(now+tellFor)) != 0 {
-		t.Error("an end that was heard beside is not told on to other zones, or for too long")
-	}
-	heard = newTable()
-	heard.ReceiveCrash(e, false, now)
-	if len(heard.DueZone(now)) != 0 || len(heard.DueOtherZones(now)) != 1 {
-		t.Error("an end of another zone is not told on to the own one")
+// TestCrashesArePublishedForAWhile checks to which audiences and for how long an instance publishes crashes
+// that it observed or received, and that a few reports include all of them.
+func TestCrashesArePublishedForAWhile(t *testing.T) {
+	table, crash := newTable(), Crash{Content: 7, Upstream: 1}
+	table.RecordCrash(crash, now)
+	if len(table.DueOwn(now)) != 1 || len(table.DueZone(now)) != 1 || len(table.DueOtherZones(now)) != 0 {
+		t.Error("an observed crash is not published to the own zone and the other zones")
+	}
+	receiver := newTable()
+	receiver.ReceiveCrash(crash, true, now)
+	receiver.ReceiveCrash(crash, true, now+time.Second) // received again: not published for longer
+	if len(receiver.DueOwn(now)) != 0 || len(receiver.DueZone(now)) != 1 || len(receiver.DueZone(now+publishFor)) != 0 {
+		t.Error("a crash received from the same zone is not published to other zones, or for too long")
+	}
+	receiver = newTable()
+	receiver.ReceiveCrash(crash, false, now)
+	if len(receiver.DueZone(now)) != 0 || len(receiver.DueOtherZones(now)) != 1 {
+		t.Error("a crash of another zone is not published to the own zone")
 	}
 	for upstream := range uint32(1000) {
-		q.RecordCrash(Crash{Content: 7, Upstream: upstream}, now)
+		table.RecordCrash(Crash{Content: 7, Upstream: upstream}, now)
 	}
-	if n := len(q.DueOwn(now)); n > toldAtMost {
-		t.Errorf("%d ends in one report", n)
+	if n := len(table.DueOwn(now)); n > maxReported {
+		t.Errorf("%d crashes in one report", n)
 	}
-	q, told := newTable(), map[Crash]bool{}
-	const ends = 48 // the requests of one upstream
-	for content := range Content(ends) {
-		q.RecordCrash(Crash{Content: content, Upstream: 1}, now)
+	table, published := newTable(), map[Crash]bool{}
+	const crashes = 48 // the requests of one upstream
+	for content := range Content(crashes) {
+		table.RecordCrash(Crash{Content: content, Upstream: 1}, now)
 	}
 	for range 20 { // the reports of two seconds
-		for _, e := range q.DueOwn(now) {
-			told[e] = true
+		for _, c := range table.DueOwn(now) {
+			published[c] = true
 		}
 	}
-	if len(told) != ends {
-		t.Errorf("%d of %d ends were told of", len(told), ends)
+	if len(published) != crashes {
+		t.Errorf("%d of %d crashes were published", len(published), crashes)
 	}
 }
--- a/internal/quota/coordinator.go
+++ b/internal/quota/coordinator.go
@@ -71,8 +71,8 @@
 	// lastRetry is the latest retry time given out, retryAt the one of each requester.
 	lastRetry time.Duration
 	retryAt   map[requester]time.Duration
-	// urgent is the most urgent priority of recent grant requests, -1 if there are none, and urgentAt the time
-	// of its last one.
+	// urgent is the most urgent priority of recent grant requests, -1 if there are none, and urgentAt the
+	// time of its last one.
 	urgent   int
 	urgentAt time.Duration
 	usedAt   time.Duration
