--- a/internal/fanout/inbox.go
+++ b/internal/fanout/inbox.go
@@ -48,9 +48,9 @@
 // NewInbox returns an empty inbox.
 func NewInbox() *Inbox { return &Inbox{newest: map[ID]stamp{}, waiting: map[ID]waiting{}} }
 
-// Take takes a report, and tells whether it is newer than those before. The same one
+// Accept takes a report, and tells whether it is newer than those before. The same one
 // may come from several instances that pass it on.
-func (b *Inbox) Take(o InstanceReport) bool {
+func (b *Inbox) Accept(o InstanceReport) bool {
 	last, known := b.newest[o.Source]
 	if known && last.boot == o.Boot && int32(o.Sequence-last.sequence) <= 0 {
 		return false
@@ -59,9 +59,9 @@
 	return true
 }
 
-// Keep has the next batch pass a report on. One that waits already gives way to it,
+// Enqueue has the next batch pass a report on. One that waits already gives way to it,
 // but for the parts, the ends and the limits that it told of.
-func (b *Inbox) Keep(o InstanceReport, now time.Duration) {
+func (b *Inbox) Enqueue(o InstanceReport, now time.Duration) {
 	placed := append(b.waiting[o.Source].own.Report.Placed, o.Report.Placed...)
 	o.Report.Placed = placed[max(0, len(placed)-placedAtMost):]
 	if o.Report.Times == nil {
--- a/internal/fanout/roster.go
+++ b/internal/fanout/roster.go
@@ -80,8 +80,8 @@
 	return m
 }
 
-// Heard notes a sign of an instance of the zone.
-func (r *Roster) Heard(id ID, now time.Duration) {
+// MarkAlive notes a sign of an instance of the zone.
+func (r *Roster) MarkAlive(id ID, now time.Duration) {
 	if id != r.self {
 		r.member(id).heardAt = now
 	}
@@ -91,12 +91,12 @@
 // alive until it should have given a sign itself.
 func (r *Roster) Introduce(id ID, now time.Duration) {
 	if _, ok := r.members[id]; !ok {
-		r.Heard(id, now)
+		r.MarkAlive(id, now)
 	}
 }
 
-// Batched notes a batch that an instance of the zone sent.
-func (r *Roster) Batched(id ID, now time.Duration) {
+// BatchReceived notes a batch that an instance of the zone sent.
+func (r *Roster) BatchReceived(id ID, now time.Duration) {
 	if id == r.self {
 		return
 	}
@@ -110,8 +110,8 @@
 // Forget drops an instance.
 func (r *Roster) Forget(id ID) { delete(r.members, id) }
 
-// Known counts the instances of the zone that are not forgotten, this one included.
-func (r *Roster) Known() int { return len(r.members) + 1 }
+// KnownCount counts the instances of the zone that are not forgotten, this one included.
+func (r *Roster) KnownCount() int { return len(r.members) + 1 }
 
 // Alive tells whether an instance gave a sign lately.
 func (r *Roster) Alive(id ID, now time.Duration) bool {
@@ -130,9 +130,9 @@
 	return rank
 }
 
-// Passes tells whether this instance is to pass reports on: nobody ranks before it,
+// ShouldRelay tells whether this instance is to pass reports on: nobody ranks before it,
 // or those who do have been silent, longer for each of them.
-func (r *Roster) Passes(now time.Duration) bool {
+func (r *Roster) ShouldRelay(now time.Duration) bool {
 	rank := r.Rank(now)
 	if rank == 0 {
 		return true
@@ -181,8 +181,8 @@
 	return count
 }
 
-// HearsBatches tells whether batches reach this instance.
-func (r *Roster) HearsBatches(now time.Duration) bool {
+// ReceivesBatches tells whether batches reach this instance.
+func (r *Roster) ReceivesBatches(now time.Duration) bool {
 	for _, m := range r.members {
 		if m.batched && now-m.batchAt <= listens {
 			return true
--- a/internal/peers/take.go
+++ b/internal/peers/take.go
@@ -159,13 +159,13 @@
 func (e *Exchange) takeOwn(o fanout.InstanceReport, keep bool) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.inbox.Take(o) {
+	if !e.inbox.Accept(o) {
 		return false
 	}
 	now := e.now()
 	e.heardOwn(o, now)
 	if keep {
-		e.inbox.Keep(o, now)
+		e.inbox.Enqueue(o, now)
 	}
 	return true
 }
@@ -176,7 +176,7 @@
 	defer e.mu.Unlock()
 	now, id := e.now(), k.ID()
 	k.heardAt = now
-	e.roster.Batched(id, now)
+	e.roster.BatchReceived(id, now)
 	if e.passes(now) {
 		return false // this instance hears of them itself
 	}
@@ -204,7 +204,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.now()
-	return e.passes(now), e.roster.HearsBatches(now)
+	return e.passes(now), e.roster.ReceivesBatches(now)
 }
 
 // betterFor lists whom a peer should tell its reports instead of this instance; none
@@ -247,7 +247,7 @@
 			list = append(list, k.Address)
 		}
 	}
-	if e.roster.HearsBatches(now) {
+	if e.roster.ReceivesBatches(now) {
 		return list
 	}
 	return append(list, e.greeted()...)
@@ -295,7 +295,7 @@
 	if e.zoneReads(e.now(), self) {
 		readers = 1
 	}
-	return uint32(e.roster.Known()), readers
+	return uint32(e.roster.KnownCount()), readers
 }
 
 // zonesWord is what a batch tells besides reports.
--- a/internal/versions/append.go
+++ b/internal/versions/append.go
@@ -124,11 +124,11 @@
 	case err == nil && found.WriteID == entry.WriteID:
 		return nil, true
 	case err == nil:
-		return ErrMoved, true
+		return ErrHeadMoved, true
 	case !errors.Is(err, platform.ErrNotFound):
 		return nil, false
 	}
-	absent, err := Holds(ctx, l.Table, platform.Check{Key: key(entry.Version), Revision: 0})
+	absent, err := CheckRevisions(ctx, l.Table, platform.Check{Key: key(entry.Version), Revision: 0})
 	if err != nil || !absent {
 		return nil, false
 	}
@@ -137,21 +137,21 @@
 
 // explain tells a moved head from another failed check.
 func (l Log) explain(ctx context.Context, head Head) error {
-	stands, err := l.Stands(ctx, head)
+	stands, err := l.HeadUnchanged(ctx, head)
 	if err == nil && stands {
 		return platform.ErrConflict
 	}
-	return ErrMoved
+	return ErrHeadMoved
 }
 
-// Stands tells for sure whether the head is still the one that was read.
-func (l Log) Stands(ctx context.Context, head Head) (bool, error) {
-	return Holds(ctx, l.Table, platform.Check{Key: HeadKey, Revision: head.Revision})
+// HeadUnchanged tells for sure whether the head is still the one that was read.
+func (l Log) HeadUnchanged(ctx context.Context, head Head) (bool, error) {
+	return CheckRevisions(ctx, l.Table, platform.Check{Key: HeadKey, Revision: head.Revision})
 }
 
-// Holds tells for sure whether rows have the revisions, by a transaction
+// CheckRevisions tells for sure whether rows have the revisions, by a transaction
 // without writes: unlike a read, a check is never answered from an old copy.
-func Holds(ctx context.Context, table platform.Table, checks ...platform.Check) (bool, error) {
+func CheckRevisions(ctx context.Context, table platform.Table, checks ...platform.Check) (bool, error) {
 	_, err := table.Commit(ctx, platform.Txn{Checks: checks})
 	if errors.Is(err, platform.ErrConflict) {
 		return false, nil
