--- a/internal/limit/bucket.go
+++ b/internal/limit/bucket.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// Bucket is a token bucket; a token is one request. It is not safe for concurrent use.
+// Bucket is a token bucket; each request spends one token. It is not safe for concurrent use.
 type Bucket struct {
-	tokens float64
-	rate   float64 // tokens a second
-	burst  float64 // the most tokens it holds
-	at     time.Duration
+	tokens     float64
+	rate       float64 // tokens a second
+	burst      float64 // the capacity in tokens
+	refilledAt time.Duration
 }
 
-// NewBucket returns a bucket without tokens, a rate and a size.
-func NewBucket(now time.Duration) *Bucket { return &Bucket{at: now} }
+// NewBucket returns an empty bucket; its rate and capacity are 0 until Set is called.
+func NewBucket(now time.Duration) *Bucket { return &Bucket{refilledAt: now} }
 
-// Set changes the rate and size from now on. Tokens over the new size are
-// lost, so that a change of share never adds any.
+// Set changes the rate and the capacity from now on. Tokens in excess of the new capacity are dropped, so
+// that a change of the share never adds tokens.
 func (b *Bucket) Set(rate, burst float64, now time.Duration) {
 	b.refill(now)
 	b.rate, b.burst = rate, burst
@@ -22,39 +22,39 @@
 }
 
 func (b *Bucket) refill(now time.Duration) {
-	if now <= b.at {
+	if now <= b.refilledAt {
 		return
 	}
-	b.tokens = min(b.burst, b.tokens+b.rate*(now-b.at).Seconds())
-	b.at = now
+	b.tokens = min(b.burst, b.tokens+b.rate*(now-b.refilledAt).Seconds())
+	b.refilledAt = now
 }
 
-// take spends one token; false means that there is none.
+// take spends one token, and reports whether there was one.
 func (b *Bucket) take(now time.Duration) bool { return b.TakeReserving(0, now) }
 
-// force spends one token and may leave a debt, as large as the bucket; false
-// means that the debt is that large already.
-func (b *Bucket) force(now time.Duration) bool { return b.TakeReserving(-b.burst, now) }
+// takeWithDebt spends one token even if the bucket is empty, up to a debt as large as the capacity. It
+// reports whether it spent the token.
+func (b *Bucket) takeWithDebt(now time.Duration) bool { return b.TakeReserving(-b.burst, now) }
 
-// TakeReserving spends one token if so many are left after it; a negative number allows a
-// debt. False means that none is spent.
-func (b *Bucket) TakeReserving(least float64, now time.Duration) bool {
+// TakeReserving spends one token if at least reserve tokens are left after it, and reports whether it did. A
+// negative reserve allows a debt.
+func (b *Bucket) TakeReserving(reserve float64, now time.Duration) bool {
 	b.refill(now)
-	if b.tokens-1 < least {
+	if b.tokens-1 < reserve {
 		return false
 	}
 	b.tokens--
 	return true
 }
 
-// Until returns the time until the bucket holds n tokens, at most longest.
+// Until returns the time until the bucket holds n tokens, at most maxWait.
 func (b *Bucket) Until(n float64) time.Duration {
 	missing := n - b.tokens
 	if missing <= 0 {
 		return 0
 	}
-	if b.rate*longest.Seconds() <= missing {
-		return longest
+	if b.rate*maxWait.Seconds() <= missing {
+		return maxWait
 	}
 	return time.Duration(missing / b.rate * float64(time.Second))
 }
--- a/internal/limit/demand.go
+++ b/internal/limit/demand.go
@@ -7,11 +7,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// average is a moving average of events a second, with exponential decay.
+// average is an exponentially decaying moving average of events a second.
 type average struct {
-	window time.Duration
-	value  float64
-	at     time.Duration
+	window    time.Duration
+	value     float64
+	decayedAt time.Duration
 }
 
 func (a *average) add(now time.Duration) {
@@ -25,39 +25,38 @@
 }
 
 func (a *average) decay(now time.Duration) {
-	if now <= a.at {
+	if now <= a.decayedAt {
 		return
 	}
-	a.value *= math.Exp(-(now - a.at).Seconds() / a.window.Seconds())
-	a.at = now
+	a.value *= math.Exp(-(now - a.decayedAt).Seconds() / a.window.Seconds())
+	a.decayedAt = now
 }
 
-// Totals adds up the demand that entries report for the organisations whose
-// home this daemon is. It is not safe for concurrent use.
+// Totals adds up the demand that instances report for the organisations whose home this instance is (see
+// Home). It is not safe for concurrent use.
 type Totals struct {
-	keep    time.Duration
+	ttl     time.Duration
 	reports map[string]report
 }
 
-// report is one instance's last word.
+// report is the latest report of an instance.
 type report struct {
-	rates map[string]float64
-	at    time.Duration
+	rates      map[string]float64
+	receivedAt time.Duration
 }
 
-// NewTotals returns totals that forget an instance that has not reported for
-// the time keep.
-func NewTotals(keep time.Duration) *Totals {
-	return &Totals{keep: keep, reports: map[string]report{}}
+// NewTotals returns totals that drop an instance's report once it is older than ttl.
+func NewTotals(ttl time.Duration) *Totals {
+	return &Totals{ttl: ttl, reports: map[string]report{}}
 }
 
-// Report takes an instance's demand in place of what it reported before, and
-// returns the totals of the organisations it named.
+// Report replaces the demand that an instance reported before, and returns the totals of the organisations in
+// the report.
 func (t *Totals) Report(instance string, rates map[string]float64, now time.Duration) map[string]float64 {
-	t.reports[instance] = report{rates: rates, at: now}
+	t.reports[instance] = report{rates: rates, receivedAt: now}
 	totals := make(map[string]float64, len(rates))
 	for id, r := range t.reports {
-		if now-r.at > t.keep {
+		if now-r.receivedAt > t.ttl {
 			delete(t.reports, id)
 			continue
 		}
@@ -68,9 +67,8 @@
 	return totals
 }
 
-// Home returns the instance that adds up an organisation's demand: the one
-// with the highest hash of both names (rendezvous hashing), so that a change
-// of the list moves few homes. It is empty when the list is.
+// Home returns the instance that adds up an organisation's demand: the one with the highest hash of both
+// names (rendezvous hashing), so that a change of the list moves few homes. It is empty if the list is empty.
 func Home(organisation string, instances []string) string {
 	best, highest := "", uint64(0)
 	for _, id := range instances {
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -11,27 +11,28 @@
 	"pgregory.net/rapid"
 )
 
-// answerDelay is the time that totals are on their way back.
+// answerDelay is the time until the totals for a report arrive at the entry.
 const answerDelay = 50 * time.Millisecond
 
-// way is how the entries of a run learn their shares.
-type way struct {
+// strategy is how the entries of a simulation set their shares.
+type strategy struct {
 	name string
-	// every is the time between reports to the home; 0 is a fixed equal share.
-	every time.Duration
-	// floor, smallest and window are the limiter's options.
-	floor, smallest float64
+	// interval is the time between reports to the home; 0 means a fixed equal share.
+	interval time.Duration
+	// floor, minBurst and window are the limiter's options.
+	floor, minBurst float64
 	window          time.Duration
 }
 
-// split gives the weights of the entries at a time.
+// split returns the parts of the traffic that go to the entries at a time, as weights.
 type split func(entries int, now time.Duration) []float64
 
 func even(n int, _ time.Duration) []float64 {
 	return slices.Repeat([]float64{1}, n)
 }
 
-// skewed sends half of the traffic to one entry, and a half again to each next.
+// skewed sends half of the traffic to the first entry, and to each further one half as much as to the one
+// before.
 func skewed(n int, _ time.Duration) []float64 {
 	weights := make([]float64, n)
 	for i := range weights {
@@ -40,20 +41,20 @@
 	return weights
 }
 
-// moving sends four fifths to one entry, another one every 15 s.
+// moving sends four fifths of the traffic to one entry, which changes every 15 s.
 func moving(n int, now time.Duration) []float64 {
 	weights := slices.Repeat([]float64{0.2 / float64(n)}, n)
 	weights[int(now/(15*time.Second))%n] += 0.8
 	return weights
 }
 
-// fleet drives the limiters of one organisation directly.
+// fleet holds the limiters of all entries and exchanges their demand for one organisation.
 type fleet struct {
 	limiters []*Limiter
 	totals   *Totals
 	due      []time.Duration // next report of each entry
 	pending  []answer
-	way      way
+	strategy strategy
 }
 
 type answer struct {
@@ -62,25 +63,25 @@
 	totals map[string]float64
 }
 
-func newFleet(n int, w way, rng *rand.Rand) *fleet {
-	f := &fleet{totals: NewTotals(3 * time.Second), way: w}
+func newFleet(n int, s strategy, rng *rand.Rand) *fleet {
+	f := &fleet{totals: NewTotals(3 * time.Second), strategy: s}
 	for range n {
-		l := New(Options{Floor: w.floor, MinBurst: w.smallest, Window: max(w.window, time.Second), TotalsTTL: 5 * time.Second})
+		l := New(Options{Floor: s.floor, MinBurst: s.minBurst, Window: max(s.window, time.Second), TotalsTTL: 5 * time.Second})
 		l.SetEntries(n, 0)
 		f.limiters = append(f.limiters, l)
-		f.due = append(f.due, time.Duration(rng.Int64N(int64(max(w.every, 1)))))
+		f.due = append(f.due, time.Duration(rng.Int64N(int64(max(s.interval, 1)))))
 	}
 	return f
 }
 
-// exchange carries out the reports and answers that are due.
+// exchange delivers the reports and answers that are due.
 func (f *fleet) exchange(now time.Duration) {
-	if f.way.every == 0 {
+	if f.strategy.interval == 0 {
 		return
 	}
 	for i := range f.due {
 		if now >= f.due[i] {
-			f.due[i] += f.way.every
+			f.due[i] += f.strategy.interval
 			totals := f.totals.Report(fmt.Sprint(i), f.limiters[i].Demand(now), now)
 			f.pending = append(f.pending, answer{at: now + answerDelay, entry: i, totals: totals})
 		}
@@ -109,23 +110,23 @@
 	return len(weights) - 1
 }
 
-// result of a run.
+// result is the outcome of a simulation.
 type result struct {
 	offered, admitted int
 	seconds           []int // admitted in each second
 }
 
-// drive offers Poisson arrivals for the time; each goes to an entry by the
+// simulate offers Poisson arrivals at the offered rate for the length; each goes to an entry selected by the
 // split.
-func drive(n int, w way, s split, rule Rule, offered float64, length time.Duration, seed uint64) result {
+func simulate(n int, s strategy, weights split, rule Rule, offered float64, length time.Duration, seed uint64) result {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	f := newFleet(n, w, rng)
+	f := newFleet(n, s, rng)
 	r := result{seconds: make([]int, int(length.Seconds())+1)}
 	for now := time.Duration(0); now < length; {
 		now += time.Duration(rng.ExpFloat64() / offered * float64(time.Second))
 		f.exchange(now)
 		r.offered++
-		if f.limiters[pick(s(n, now), rng)].Take("o", rule, now).Allowed {
+		if f.limiters[pick(weights(n, now), rng)].Take("o", rule, now).Allowed {
 			r.admitted++
 			r.seconds[min(int(now.Seconds()), len(r.seconds)-1)]++
 		}
@@ -133,23 +134,23 @@
 	return r
 }
 
-var ways = []way{
+var strategies = []strategy{
 	{name: "rate/N", floor: 1},
-	{name: "rate/N, burst 4", floor: 1, smallest: 4},
-	{name: "0.5s", every: 500 * time.Millisecond, floor: 0.1, smallest: 4, window: time.Second},
-	{name: "1s", every: time.Second, floor: 0.1, smallest: 4, window: time.Second},
-	{name: "2s", every: 2 * time.Second, floor: 0.1, smallest: 4, window: time.Second},
-	{name: "1s, floor 0.25", every: time.Second, floor: 0.25, smallest: 4, window: time.Second},
-	{name: "1s, window 2s", every: time.Second, floor: 0.1, smallest: 4, window: 2 * time.Second},
-	{name: "1s, burst 1", every: time.Second, floor: 0.1, window: time.Second},
-	{name: "1s, burst 8", every: time.Second, floor: 0.1, smallest: 8, window: time.Second},
+	{name: "rate/N, burst 4", floor: 1, minBurst: 4},
+	{name: "0.5s", interval: 500 * time.Millisecond, floor: 0.1, minBurst: 4, window: time.Second},
+	{name: "1s", interval: time.Second, floor: 0.1, minBurst: 4, window: time.Second},
+	{name: "2s", interval: 2 * time.Second, floor: 0.1, minBurst: 4, window: time.Second},
+	{name: "1s, floor 0.25", interval: time.Second, floor: 0.25, minBurst: 4, window: time.Second},
+	{name: "1s, window 2s", interval: time.Second, floor: 0.1, minBurst: 4, window: 2 * time.Second},
+	{name: "1s, burst 1", interval: time.Second, floor: 0.1, window: time.Second},
+	{name: "1s, burst 8", interval: time.Second, floor: 0.1, minBurst: 8, window: time.Second},
 }
 
-// chosen is the way of the default settings.
+// chosen is the strategy of the default settings.
 const chosen = "1s"
 
-// TestLimitErrorTable prints the error of each way for docs/measurements/
-// admission.md, and bounds that of the way that is used. It is seeded.
+// TestLimitErrorTable prints the error of each strategy for docs/measurements/admission.md, and checks the
+// bounds of the one that is used. Its random numbers have a fixed seed.
 func TestLimitErrorTable(t *testing.T) {
 	const length = 90 * time.Second
 	splits := []struct {
@@ -159,15 +160,15 @@
 	for _, rule := range []Rule{{Rate: 100, Burst: 100}, {Rate: 5, Burst: 5}} {
 		for _, s := range splits {
 			for _, n := range []int{3, 9, 50} {
-				for _, w := range ways {
-					over := drive(n, w, s.split, rule, 2*rule.Rate, length, 7)
-					under := drive(n, w, s.split, rule, 0.8*rule.Rate, length, 7)
+				for _, candidate := range strategies {
+					over := simulate(n, candidate, s.split, rule, 2*rule.Rate, length, 7)
+					under := simulate(n, candidate, s.split, rule, 0.8*rule.Rate, length, 7)
 					configured := rule.Burst + rule.Rate*length.Seconds()
 					excess := float64(over.admitted)/configured - 1
 					refused := 1 - float64(under.admitted)/float64(under.offered)
 					t.Logf("rate %3.0f %-7s n=%-2d %-16s error at 2x %+6.1f%%   refused at 0.8x %5.1f%%",
-						rule.Rate, s.name, n, w.name, 100*excess, 100*refused)
-					if w.name == chosen && rule.Rate == 100 && (excess > 0.03 || excess < -0.15 || refused > 0.15) {
+						rule.Rate, s.name, n, candidate.name, 100*excess, 100*refused)
+					if candidate.name == chosen && rule.Rate == 100 && (excess > 0.03 || excess < -0.15 || refused > 0.15) {
 						t.Errorf("%s n=%d: error %+.3f, refused below the limit %.3f", s.name, n, excess, refused)
 					}
 				}
@@ -176,8 +177,8 @@
 	}
 }
 
-// TestConvergence prints how fast the admitted rate returns to the limit after
-// all traffic has moved to another entry.
+// TestConvergence prints how fast the admitted rate returns to the limit after all traffic has moved to
+// another entry, and checks that it takes 5 s at most.
 func TestConvergence(t *testing.T) {
 	rule := Rule{Rate: 100, Burst: 100}
 	move := func(n int, now time.Duration) []float64 {
@@ -190,35 +191,34 @@
 		return weights
 	}
 	for _, n := range []int{3, 9, 50} {
-		for _, w := range ways {
-			r := drive(n, w, move, rule, 2*rule.Rate, 60*time.Second, 7)
+		for _, candidate := range strategies {
+			r := simulate(n, candidate, move, rule, 2*rule.Rate, 60*time.Second, 7)
 			settled := -1
 			for s := 30; s < 60 && settled < 0; s++ {
 				if float64(r.seconds[s]) >= 0.85*rule.Rate {
 					settled = s - 29
 				}
 			}
-			t.Logf("n=%-2d %-16s admitted in the seconds after the move %v; within 15%% in second %d", n, w.name, r.seconds[30:36], settled)
-			// A tenth of the rate is kept for the entries without traffic.
-			if w.name == chosen && (settled < 0 || settled > 5) {
+			t.Logf("n=%-2d %-16s admitted in the seconds after the move %v; within 15%% in second %d", n, candidate.name, r.seconds[30:36], settled)
+			// A tenth of the rate stays reserved for the entries without traffic.
+			if candidate.name == chosen && (settled < 0 || settled > 5) {
 				t.Errorf("n=%d: the rate has not returned to the limit in 5 s", n)
 			}
 		}
 	}
 }
 
-// Whatever the arrivals and the moments of reports, the entries together admit
-// no more than the burst, the smallest bucket for each entry, and the rate with the error
-// that changes of share can make: all of them together never hold more than
-// twice the rate, and a fixed share never more than once.
-func TestNeverAboveBound(t *testing.T) {
+// TestAdmittedRequestsAreBounded checks that for any times of arrivals and reports, the entries together
+// admit no more than the burst, the minimum burst of each entry, and the rate times a factor for the error
+// that changes of share cause. Varying shares add up to at most twice the rate, fixed shares to the rate.
+func TestAdmittedRequestsAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "entries")
 		rule := Rule{Rate: rapid.Float64Range(0.5, 200).Draw(t, "rate")}
 		rule.Burst = rapid.Float64Range(1, 100).Draw(t, "burst")
-		w := rapid.SampledFrom(ways).Draw(t, "way")
+		s := rapid.SampledFrom(strategies).Draw(t, "way")
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
-		f := newFleet(n, w, rng)
+		f := newFleet(n, s, rng)
 		now, admitted := time.Duration(0), 0
 		for range rapid.IntRange(1, 400).Draw(t, "arrivals") {
 			now += time.Duration(rapid.Int64Range(0, int64(50*time.Millisecond)).Draw(t, "gap"))
@@ -228,18 +228,19 @@
 			}
 		}
 		factor := 2.0
-		if w.every == 0 {
+		if s.interval == 0 {
 			factor = 1
 		}
-		bound := factor*(rule.Burst+rule.Rate*now.Seconds()) + float64(n)*max(1, w.smallest)
+		bound := factor*(rule.Burst+rule.Rate*now.Seconds()) + float64(n)*max(1, s.minBurst)
 		if float64(admitted) > bound+1e-6 {
-			t.Fatalf("%s: %d admitted, bound %.2f", w.name, admitted, bound)
+			t.Fatalf("%s: %d admitted, bound %.2f", s.name, admitted, bound)
 		}
 	})
 }
 
-// Totals that are old count no more: the entry is back at an equal share.
-func TestOldTotalsFallBack(t *testing.T) {
+// TestExpiredTotalsGiveEqualShare checks that an entry returns to an equal share once its totals have
+// expired.
+func TestExpiredTotalsGiveEqualShare(t *testing.T) {
 	rule := Rule{Rate: 90, Burst: 90}
 	l := New(Options{Floor: 0.25, Window: time.Second, TotalsTTL: 5 * time.Second})
 	l.SetEntries(9, 0)
@@ -249,11 +250,11 @@
 	l.Demand(2 * time.Second)
 	l.SetTotals(map[string]float64{"o": 100}, 2*time.Second)
 	if rate := l.organisations["o"].bucket.rate; rate < 45 {
-		t.Fatalf("with all the demand the entry has %.1f of %.1f", rate, rule.Rate)
+		t.Fatalf("with all the demand, the entry has a rate of %.1f of %.1f", rate, rule.Rate)
 	}
 	l.Take("o", rule, 8*time.Second)
 	if rate := l.organisations["o"].bucket.rate; math.Abs(rate-10) > 1e-9 {
-		t.Fatalf("without totals the entry has %.1f, an equal share is 10", rate)
+		t.Fatalf("without totals, the entry has a rate of %.1f, want an equal share of 10", rate)
 	}
 }
 
@@ -274,25 +275,25 @@
 			t.Fatal("the home depends on the order of the list")
 		}
 		if without := slices.DeleteFunc(slices.Clone(instances), func(id string) bool { return id == "b" }); home != "b" && Home(name, without) != home {
-			t.Fatal("a home moved that was not on the instance removed")
+			t.Fatal("a home moved although it was not on the removed instance")
 		}
 	}
 }
 
-// Requests that say they were accepted before gain one burst, and no rate.
-func TestChargeIsBounded(t *testing.T) {
+// TestDebtIsBounded checks that requests that claim to continue an answer gain one burst, but no higher rate.
+func TestDebtIsBounded(t *testing.T) {
 	l := New(Options{Floor: 0.1, Window: time.Second, TotalsTTL: time.Second})
 	rule := Rule{Rate: 10, Burst: 20}
-	charged := 0
+	allowed := 0
 	for i := range 10000 {
 		if l.TakeWithDebt("o", rule, time.Duration(i)*time.Millisecond).Allowed {
-			charged++
+			allowed++
 		}
 	}
-	if charged < 130 || charged > 140 {
-		t.Fatalf("%d charged in 10 s with 10 a second and a burst of 20", charged)
+	if allowed < 130 || allowed > 140 {
+		t.Fatalf("%d allowed in 10 s with 10 a second and a burst of 20", allowed)
 	}
 	if l.Take("o", rule, 10*time.Second).Allowed {
-		t.Fatal("a new request was allowed in debt")
+		t.Fatal("a new request was allowed although the bucket is in debt")
 	}
 }
