--- a/internal/fanout/allowance.go
+++ b/internal/fanout/allowance.go
@@ -3,42 +3,43 @@
 import "time"
 
 const (
-	// reportsShare is the part of an instance's link that its reports may take, one in
-	// so many: the rest is its callers'.
-	reportsShare = 6
-	// saveFor is how long what is not sent is saved up.
-	saveFor = batchEvery
+	// linkDivisor sets the part of an instance's link that its reports may use: one in so
+	// many. The rest is for the traffic of callers.
+	linkDivisor = 6
+	// accrualTime is for how long unused allowance accumulates.
+	accrualTime = batchEvery
 	// bytesPerMbit is how many bytes a second a link of one Mbit/s carries.
 	bytesPerMbit = 1e6 / 8
 )
 
-// Allowance bounds the bytes of an instance's reports by what its link carries. Who passes
-// reports on sends to all instances of the zone, and would choke its link with what many
-// requests bring about: nothing else would reach it in time then, and whoever took over
-// would choke next. It is not safe for concurrent use.
+// Allowance limits the bytes of an instance's reports to a share of its link's bandwidth. A hub
+// sends to all instances of the zone. Without a limit, the reports that many requests cause
+// would saturate its link: nothing else would get through in time, and the next hub that takes
+// over would be saturated too. It is not safe for concurrent use.
 type Allowance struct {
-	rate float64 // bytes a second; 0 for no bound
-	left float64
-	at   time.Duration
+	rate      float64 // bytes a second; 0 for no limit
+	available float64
+	at        time.Duration
 }
 
-// NewAllowance returns the allowance of an instance whose link carries so many Mbit/s; 0
-// where that is not known, and nothing is bounded.
+// NewAllowance returns the allowance of an instance whose link carries linkMbps Mbit/s. 0 means that
+// the bandwidth is not known; nothing is limited then.
 func NewAllowance(linkMbps float64, now time.Duration) *Allowance {
-	a := &Allowance{rate: linkMbps * bytesPerMbit / reportsShare, at: now}
-	a.left = a.most()
+	a := &Allowance{rate: linkMbps * bytesPerMbit / linkDivisor, at: now}
+	a.available = a.capacity()
 	return a
 }
 
-func (a *Allowance) most() float64 { return a.rate * saveFor.Seconds() }
+func (a *Allowance) capacity() float64 { return a.rate * accrualTime.Seconds() }
 
-// Spend takes bytes off. What has to be sent is sent, and taken off what comes after it.
-func (a *Allowance) Spend(bytes int) { a.left -= float64(bytes) }
+// Spend deducts bytes that are sent. Reports that must be sent are sent even if they exceed the
+// allowance, and delay later ones.
+func (a *Allowance) Spend(bytes int) { a.available -= float64(bytes) }
 
-// Allows tells whether anything is left beside bytes that are to be sent now. One report may
-// go beyond it, so that none is too long for a small link.
+// Allows reports whether any allowance is left after the bytes that are to be sent now. One report may
+// exceed the allowance, so that no report is too long for a small link.
 func (a *Allowance) Allows(bytes int, now time.Duration) bool {
-	a.left = min(a.most(), a.left+a.rate*(now-a.at).Seconds())
+	a.available = min(a.capacity(), a.available+a.rate*(now-a.at).Seconds())
 	a.at = now
-	return a.rate == 0 || float64(bytes) < a.left
+	return a.rate == 0 || float64(bytes) < a.available
 }
--- a/internal/fanout/allowance_test.go
+++ b/internal/fanout/allowance_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestReportsTakePartOfALink: reports that would fill a link of 10 Mbit/s, 1.25 MB a second,
-// leave most of it.
-func TestReportsTakePartOfALink(t *testing.T) {
+// TestReportsUseShareOfLink checks that reports that would fill a link of 10 Mbit/s, 1.25 MB a
+// second, use only a sixth of it.
+func TestReportsUseShareOfLink(t *testing.T) {
 	const link, datagram = 1_250_000, 1000
 	a := NewAllowance(10, 0)
 	sent := 0
@@ -24,17 +24,17 @@
 	}
 }
 
-func TestWhatHasToBeSentIsTakenOffLaterReports(t *testing.T) {
+func TestExcessIsDeductedFromLaterReports(t *testing.T) {
 	a := NewAllowance(10, 0)
-	a.Spend(250_000) // of a second
+	a.Spend(250_000) // the allowance of 1.2 s
 	if a.Allows(0, 1000*time.Millisecond) || !a.Allows(0, 1200*time.Millisecond) {
-		t.Errorf("%g bytes are left", a.left)
+		t.Errorf("%g bytes are available", a.available)
 	}
 }
 
-// TestAReportMayBeLongerThanWhatIsSaved: 50 kB to a zone, on a link that has 21 kB to spare
-// each tenth of a second.
-func TestAReportMayBeLongerThanWhatIsSaved(t *testing.T) {
+// TestReportMayExceedAllowance sends reports of 50 kB on a link whose allowance is 21 kB each tenth of a
+// second.
+func TestReportMayExceedAllowance(t *testing.T) {
 	const report = 50_000
 	a := NewAllowance(10, 0)
 	sent := 0
@@ -49,8 +49,8 @@
 	}
 }
 
-func TestALinkThatIsNotKnownBoundsNothing(t *testing.T) {
+func TestUnknownBandwidthLimitsNothing(t *testing.T) {
 	if a := NewAllowance(0, 0); !a.Allows(1<<30, 0) {
-		t.Error("it is bounded")
+		t.Error("reports are limited")
 	}
 }
--- a/internal/fanout/inbox.go
+++ b/internal/fanout/inbox.go
@@ -12,101 +12,102 @@
 // InstanceReport is an instance's report on itself.
 type InstanceReport struct {
 	Source ID
-	// Boot is another number with each start of the instance's process; Sequence
-	// counts its reports since.
+	// Boot is a different number after each start of the instance's process. Sequence
+	// numbers the reports of that process.
 	Boot, Sequence uint32
-	// Reading tells that it follows the platform's store, and that it answers.
+	// Reading is true if the instance follows the platform's store and gets answers.
 	Reading bool
 	Report  upstreamstate.Report
 }
 
-// placedAtMost bounds the parts that wait with one instance's report.
-const placedAtMost = 64
+// maxPlaced bounds the placed prompt parts that are queued with one instance's report.
+const maxPlaced = 64
 
-// endsAtMost bounds the ends of upstreams that wait with one instance's report.
-const endsAtMost = 32
+// maxCrashes bounds the crashes of upstreams that are queued with one instance's report.
+const maxCrashes = 32
 
-// Inbox has the reports of a zone's instances: which one of each is the newest, and
-// those that wait to be passed on. It is not safe for concurrent use.
+// Inbox holds, for each instance of a zone, the number of its newest report and the report that is
+// queued to be passed on. It is not safe for concurrent use.
 type Inbox struct {
-	newest  map[ID]stamp
-	waiting map[ID]waiting
+	newest map[ID]reportNumber
+	queued map[ID]queuedReport
 }
 
-// stamp tells one report of an instance from the others.
-type stamp struct {
+// reportNumber identifies a report among those of one instance.
+type reportNumber struct {
 	boot, sequence uint32
 }
 
-// waiting is a report that is to be passed on.
-type waiting struct {
-	own InstanceReport
-	// at is when it came, since when a report of its source has waited.
+// queuedReport is a report that waits to be passed on.
+type queuedReport struct {
+	report InstanceReport
+	// at is when the report arrived. since is from when on a report of its source has been queued
+	// without interruption.
 	at, since time.Duration
 }
 
 // NewInbox returns an empty inbox.
-func NewInbox() *Inbox { return &Inbox{newest: map[ID]stamp{}, waiting: map[ID]waiting{}} }
+func NewInbox() *Inbox { return &Inbox{newest: map[ID]reportNumber{}, queued: map[ID]queuedReport{}} }
 
-// Accept takes a report, and tells whether it is newer than those before. The same one
-// may come from several instances that pass it on.
+// Accept records a report, and reports whether it is newer than the earlier ones of its source. The
+// same report may arrive from several instances that pass it on.
 func (b *Inbox) Accept(o InstanceReport) bool {
 	last, known := b.newest[o.Source]
 	if known && last.boot == o.Boot && int32(o.Sequence-last.sequence) <= 0 {
 		return false
 	}
-	b.newest[o.Source] = stamp{boot: o.Boot, sequence: o.Sequence}
+	b.newest[o.Source] = reportNumber{boot: o.Boot, sequence: o.Sequence}
 	return true
 }
 
-// Enqueue has the next batch pass a report on. One that waits already gives way to it,
-// but for the parts, the ends and the limits that it told of.
+// Enqueue queues a report for the next batch. It replaces a queued report of the same source, but keeps
+// that report's placed parts, crashes and limits.
 func (b *Inbox) Enqueue(o InstanceReport, now time.Duration) {
-	placed := append(b.waiting[o.Source].own.Report.Placed, o.Report.Placed...)
-	o.Report.Placed = placed[max(0, len(placed)-placedAtMost):]
+	placed := append(b.queued[o.Source].report.Report.Placed, o.Report.Placed...)
+	o.Report.Placed = placed[max(0, len(placed)-maxPlaced):]
 	if o.Report.Times == nil {
-		o.Report.Times = b.waiting[o.Source].own.Report.Times
+		o.Report.Times = b.queued[o.Source].report.Report.Times
 	}
-	ends := append(b.waiting[o.Source].own.Report.Crashes, o.Report.Crashes...)
-	o.Report.Crashes = ends[max(0, len(ends)-endsAtMost):]
-	if w, waits := b.waiting[o.Source]; waits {
-		o.Report.Limits = quota.Merge(quota.AddAge(w.own.Report.Limits, now-w.at), o.Report.Limits)
+	crashes := append(b.queued[o.Source].report.Report.Crashes, o.Report.Crashes...)
+	o.Report.Crashes = crashes[max(0, len(crashes)-maxCrashes):]
+	if w, ok := b.queued[o.Source]; ok {
+		o.Report.Limits = quota.Merge(quota.AddAge(w.report.Report.Limits, now-w.at), o.Report.Limits)
 	}
-	o.Report.RetryOverflow, o.Report.Usage = nil, nil // these are for those that pass reports on
+	o.Report.RetryOverflow, o.Report.Usage = nil, nil // only hubs use these
 	since := now
-	if w, waits := b.waiting[o.Source]; waits {
+	if w, ok := b.queued[o.Source]; ok {
 		since = w.since
 	}
-	b.waiting[o.Source] = waiting{own: o, at: now, since: since}
+	b.queued[o.Source] = queuedReport{report: o, at: now, since: since}
 }
 
-// Batch returns the reports that wait, those of the sources that have waited longest
-// first, as long as they fit. The others wait on, but for those that are so old that their
-// source may be gone.
+// Batch removes and returns queued reports as long as they fit, those of the sources that have waited
+// longest first. The others stay queued. Reports that are so old that their source may have departed
+// are dropped.
 func (b *Inbox) Batch(now time.Duration, fits func(InstanceReport) bool) []InstanceReport {
-	var list []waiting
-	for id, w := range b.waiting {
+	var list []queuedReport
+	for id, w := range b.queued {
 		if now-w.at > aliveFor {
-			delete(b.waiting, id)
+			delete(b.queued, id)
 			continue
 		}
 		list = append(list, w)
 	}
-	slices.SortFunc(list, func(x, y waiting) int { return cmp.Compare(x.since, y.since) })
+	slices.SortFunc(list, func(x, y queuedReport) int { return cmp.Compare(x.since, y.since) })
 	var batch []InstanceReport
 	for _, w := range list {
-		if !fits(w.own) {
+		if !fits(w.report) {
 			break
 		}
-		w.own.Report.Limits = quota.AddAge(w.own.Report.Limits, now-w.at)
-		batch = append(batch, w.own)
-		delete(b.waiting, w.own.Source)
+		w.report.Report.Limits = quota.AddAge(w.report.Report.Limits, now-w.at)
+		batch = append(batch, w.report)
+		delete(b.queued, w.report.Source)
 	}
 	return batch
 }
 
-// Forget drops an instance.
+// Forget drops all data of an instance.
 func (b *Inbox) Forget(id ID) {
 	delete(b.newest, id)
-	delete(b.waiting, id)
+	delete(b.queued, id)
 }
--- a/internal/fanout/inbox_test.go
+++ b/internal/fanout/inbox_test.go
@@ -10,24 +10,24 @@
 	"sassafrasfield/internal/upstreamstate"
 )
 
-func own(source ID, boot, sequence uint32, part uint32) InstanceReport {
+func reportOf(source ID, boot, sequence uint32, part uint32) InstanceReport {
 	return InstanceReport{Source: source, Boot: boot, Sequence: sequence, Report: upstreamstate.Report{
 		Complete: true, Placed: []upstreamstate.PlacedPart{{Engine: 1, Part: part}},
 	}}
 }
 
-// all fit.
-func all(InstanceReport) bool { return true }
+// allFit accepts each report into a batch.
+func allFit(InstanceReport) bool { return true }
 
-// TestWhoWaitedLongestIsPassedOnFirst: three instances report again and again, and a batch
-// has room for one of them.
-func TestWhoWaitedLongestIsPassedOnFirst(t *testing.T) {
+// TestLongestQueuedReportIsPassedOnFirst has three instances report repeatedly while a batch has room
+// for one report.
+func TestLongestQueuedReportIsPassedOnFirst(t *testing.T) {
 	b := NewInbox()
 	passed := map[ID]int{}
 	for n := range 30 {
 		now := time.Duration(n) * batchEvery
 		for id := range ID(3) {
-			b.Enqueue(own(id, 1, uint32(n), 1), now)
+			b.Enqueue(reportOf(id, 1, uint32(n), 1), now)
 		}
 		room := 1
 		for _, o := range b.Batch(now, func(InstanceReport) bool { room--; return room >= 0 }) {
@@ -41,26 +41,26 @@
 	}
 }
 
-func TestAReportCountsOnce(t *testing.T) {
+func TestReportIsAcceptedOnce(t *testing.T) {
 	b := NewInbox()
 	for _, c := range []struct {
 		boot, sequence uint32
-		news           bool
+		accepted       bool
 	}{{1, 1, true}, {1, 1, false}, {1, 3, true}, {1, 2, false}, {2, 1, true}, {2, 2, true}} {
-		if got := b.Accept(own(7, c.boot, c.sequence, 1)); got != c.news {
-			t.Errorf("boot %d, sequence %d: news %t", c.boot, c.sequence, got)
+		if got := b.Accept(reportOf(7, c.boot, c.sequence, 1)); got != c.accepted {
+			t.Errorf("boot %d, sequence %d: accepted %t", c.boot, c.sequence, got)
 		}
 	}
 }
 
-// TestTheNewestReportIsPassedOnWithAllParts: the load of the newest one counts, parts
-// are told once.
-func TestTheNewestReportIsPassedOnWithAllParts(t *testing.T) {
+// TestNewestReportIsPassedOnWithAllParts checks that a newer report replaces a queued one but keeps its
+// placed parts, which are reported only once.
+func TestNewestReportIsPassedOnWithAllParts(t *testing.T) {
 	b := NewInbox()
-	b.Enqueue(own(7, 1, 1, 10), 0)
-	b.Enqueue(own(7, 1, 2, 11), 0)
-	b.Enqueue(own(8, 1, 1, 12), 0)
-	reports := b.Batch(0, all)
+	b.Enqueue(reportOf(7, 1, 1, 10), 0)
+	b.Enqueue(reportOf(7, 1, 2, 11), 0)
+	b.Enqueue(reportOf(8, 1, 1, 12), 0)
+	reports := b.Batch(0, allFit)
 	if len(reports) != 2 {
 		t.Fatalf("%d reports, want one of each instance", len(reports))
 	}
@@ -69,20 +69,20 @@
 			t.Errorf("%+v", r)
 		}
 	}
-	if len(b.Batch(0, all)) != 0 {
-		t.Error("they are passed on twice")
+	if len(b.Batch(0, allFit)) != 0 {
+		t.Error("the reports are passed on twice")
 	}
 }
 
-// TestEndsAreNotLostWithTheReportThatHadThem: a long report comes in parts, and the last
-// part of it waits for the batch.
-func TestEndsAreNotLostWithTheReportThatHadThem(t *testing.T) {
+// TestCrashesOfReplacedReportAreKept guards against crashes that are lost with a replaced report. A long
+// report arrives in parts, and only its last part stays queued for the batch.
+func TestCrashesOfReplacedReportAreKept(t *testing.T) {
 	b := NewInbox()
-	first := own(7, 1, 1, 10)
+	first := reportOf(7, 1, 1, 10)
 	first.Report.Crashes = []quarantine.Crash{{Content: 1, Upstream: 2}}
 	b.Enqueue(first, 0)
-	b.Enqueue(own(7, 1, 2, 11), 0)
-	reports := b.Batch(0, all)
+	b.Enqueue(reportOf(7, 1, 2, 11), 0)
+	reports := b.Batch(0, allFit)
 	if len(reports) != 1 || len(reports[0].Report.Crashes) != 1 {
 		t.Errorf("%+v", reports)
 	}
@@ -90,33 +90,33 @@
 		first.Report.Crashes[0].Content = quarantine.Content(n)
 		b.Enqueue(first, 0)
 	}
-	if n := len(b.Batch(0, all)[0].Report.Crashes); n > endsAtMost {
-		t.Errorf("%d ends wait", n)
+	if n := len(b.Batch(0, allFit)[0].Report.Crashes); n > maxCrashes {
+		t.Errorf("%d crashes are queued", n)
 	}
 }
 
-// TestOldReportsAreNotPassedOn: whoever takes over keeps reports for long, and their
-// sources may be gone.
+// TestOldReportsAreNotPassedOn checks that old reports are dropped. An instance that becomes hub has kept
+// reports for a long time, and their sources may have departed.
 func TestOldReportsAreNotPassedOn(t *testing.T) {
 	b := NewInbox()
-	b.Enqueue(own(7, 1, 1, 10), 0)
-	if len(b.Batch(aliveFor+time.Millisecond, all)) != 0 {
+	b.Enqueue(reportOf(7, 1, 1, 10), 0)
+	if len(b.Batch(aliveFor+time.Millisecond, allFit)) != 0 {
 		t.Error("an old report is passed on")
 	}
 }
 
-// TestLimitsWaitWithTheirAge: a report that gives way to a newer one leaves the limits that it
-// told of, and each is as old as it is when it is passed on.
-func TestLimitsWaitWithTheirAge(t *testing.T) {
+// TestQueuedLimitsAge checks that a replaced report's limits are kept, and that the time in the queue is
+// added to the age of each limit.
+func TestQueuedLimitsAge(t *testing.T) {
 	b := NewInbox()
-	told := func(sequence uint32, now time.Duration, words ...quota.UpstreamLimit) {
-		o := own(7, 1, sequence, 1)
-		o.Report.Limits = words
+	enqueue := func(sequence uint32, now time.Duration, limits ...quota.UpstreamLimit) {
+		o := reportOf(7, 1, sequence, 1)
+		o.Report.Limits = limits
 		b.Enqueue(o, now)
 	}
-	told(1, 0, quota.UpstreamLimit{Upstream: 1, Rate: 2, Age: time.Second}, quota.UpstreamLimit{Upstream: 2, Rate: 5})
-	told(2, 100*time.Millisecond, quota.UpstreamLimit{Upstream: 2, Rate: 3})
-	got := b.Batch(300*time.Millisecond, all)[0].Report.Limits
+	enqueue(1, 0, quota.UpstreamLimit{Upstream: 1, Rate: 2, Age: time.Second}, quota.UpstreamLimit{Upstream: 2, Rate: 5})
+	enqueue(2, 100*time.Millisecond, quota.UpstreamLimit{Upstream: 2, Rate: 3})
+	got := b.Batch(300*time.Millisecond, allFit)[0].Report.Limits
 	want := []quota.UpstreamLimit{
 		{Upstream: 2, Rate: 3, Age: 200 * time.Millisecond}, {Upstream: 1, Rate: 2, Age: 1300 * time.Millisecond},
 	}
--- a/internal/fanout/pace.go
+++ b/internal/fanout/pace.go
@@ -2,107 +2,108 @@
 
 import "time"
 
-// Pace of the reports. What an instance decides on is as old as they are slow: the
-// prompts of one engine end some 100 ms apart.
+// Intervals of the reports. They determine the age of the data that instances decide on. For
+// comparison, the prompts of one engine end some 100 ms apart.
 const (
-	// ownGap is the least time between two reports of an instance, ownAtMost the
-	// time after which one with nothing new tells so.
-	ownGap    = 100 * time.Millisecond
-	ownAtMost = 400 * time.Millisecond
-	// greetEvery is the time between reports of an instance to which no batches
-	// come yet, for the first greetFor; greetLater the time between greetings of the
-	// seeds after that, should two parts of the instances not know of one another.
-	greetEvery = 150 * time.Millisecond
-	greetFor   = 2 * time.Second
-	greetLater = 5 * time.Second
-	// batchEvery is the time between batches, zoneEvery that between the reports of
-	// a zone to the other zones, whose bytes cost.
+	// ownMinGap is the least time between two reports of an instance. ownMaxGap is the
+	// time after which an instance reports even if nothing changed.
+	ownMinGap = 100 * time.Millisecond
+	ownMaxGap = 400 * time.Millisecond
+	// seedEvery is the time between the reports of an instance that receives no batches yet,
+	// and between a hub's reports to the seeds, for the first seedFor after the start.
+	// seedEveryLater is the time between reports to the seeds after that. They are needed
+	// where two groups of instances do not know of each other.
+	seedEvery      = 150 * time.Millisecond
+	seedFor        = 2 * time.Second
+	seedEveryLater = 5 * time.Second
+	// batchEvery is the time between batches. zoneEvery is the time between the reports
+	// of a zone to the other zones; traffic between zones costs money.
 	batchEvery = 100 * time.Millisecond
 	zoneEvery  = 200 * time.Millisecond
-	// urgentGap is the least time between two batches that news of rows brings about:
-	// many rows that change at once go out together.
+	// urgentGap is the least time between two batches that are sent because rows changed.
+	// Many rows that change at once are sent together.
 	urgentGap = 20 * time.Millisecond
-	// standby is how late an instance may notice that it is to pass reports on.
-	standby = 100 * time.Millisecond
-	// timesEvery is the time between words on what the engines take, which change
+	// hubCheckEvery bounds how late an instance may notice that it became a hub.
+	hubCheckEvery = 100 * time.Millisecond
+	// engineTimesEvery is the time between reports with engine times, which change
 	// over seconds.
-	timesEvery = time.Second
+	engineTimesEvery = time.Second
 )
 
-// Due is what an instance is to send.
+// Due says what an instance is to send now.
 type Due struct {
-	// OwnReport: its report to its receivers. Batch: a batch to its zone. ZoneReport: its
-	// zone's report to the other zones. SeedReport: a report to the seeds. EngineTimes: with
-	// what the engines take.
+	// OwnReport is its report to its receivers, Batch a batch to its zone, ZoneReport its
+	// zone's report to the other zones, and SeedReport a report to the seeds. EngineTimes
+	// means that the report or batch includes the times of the engines.
 	OwnReport, Batch, ZoneReport, SeedReport, EngineTimes bool
 }
 
 // Pacer decides when an instance reports. It is not safe for concurrent use.
 type Pacer struct {
 	start time.Duration
-	// ownAt, batchAt, zoneAt, greetAt and timesAt are when each was last sent.
-	ownAt, batchAt, zoneAt, greetAt, timesAt time.Duration
-	// changed: there is something new to tell; urgent: of the platform's rows.
+	// ownAt, batchAt, zoneAt, seedAt and engineTimesAt are when each was last sent.
+	ownAt, batchAt, zoneAt, seedAt, engineTimesAt time.Duration
+	// changed: the instance has a change to report. urgent: rows of the platform changed.
 	changed, urgent bool
 }
 
-// NewPacer returns the pace of an instance that starts now.
+// NewPacer returns the pacer of an instance that starts now.
 func NewPacer(now time.Duration) *Pacer {
-	return &Pacer{start: now, ownAt: now - ownAtMost, batchAt: now - batchEvery, zoneAt: now - zoneEvery, greetAt: now - greetEvery, timesAt: now}
+	return &Pacer{start: now, ownAt: now - ownMaxGap, batchAt: now - batchEvery, zoneAt: now - zoneEvery, seedAt: now - seedEvery, engineTimesAt: now}
 }
 
-// MarkChanged notes that the instance has something new under way.
+// MarkChanged records that the instance has a change to report.
 func (p *Pacer) MarkChanged() { p.changed = true }
 
-// Next returns what is to be sent now, for an instance that passes reports on or not
-// and to which batches come or not, and the time until the next call. Urgent news
-// hardly waits.
-func (p *Pacer) Next(now time.Duration, passes, hears, urgent bool) (Due, time.Duration) {
+// Next returns what is to be sent now, and the time until the next call. Relays is whether the
+// instance passes reports on as a hub, and receivesBatches whether batches reach it. Urgent
+// changes shorten the intervals to urgentGap.
+func (p *Pacer) Next(now time.Duration, relays, receivesBatches, urgent bool) (Due, time.Duration) {
 	p.urgent = p.urgent || urgent
 	var due Due
-	if passes {
-		due.Batch = now-p.batchAt >= p.every(batchEvery)
-		due.ZoneReport = now-p.zoneAt >= p.every(zoneEvery)
-		due.SeedReport = now-p.greetAt >= p.greetEvery(now)
+	if relays {
+		due.Batch = now-p.batchAt >= p.interval(batchEvery)
+		due.ZoneReport = now-p.zoneAt >= p.interval(zoneEvery)
+		due.SeedReport = now-p.seedAt >= p.seedInterval(now)
 	} else {
-		due.OwnReport = now-p.ownAt >= p.every(p.ownEvery(now, hears))
+		due.OwnReport = now-p.ownAt >= p.interval(p.ownInterval(now, receivesBatches))
 	}
 	if due.OwnReport || due.Batch {
-		due.EngineTimes = now-p.timesAt >= timesEvery
+		due.EngineTimes = now-p.engineTimesAt >= engineTimesEvery
 	}
-	p.sent(due, now)
-	return due, p.wait(now, passes, hears)
+	p.markSent(due, now)
+	return due, p.nextDue(now, relays, receivesBatches)
 }
 
-// every is the time between two sends, which urgent news shortens.
-func (p *Pacer) every(usual time.Duration) time.Duration {
+// interval returns the time between two sends, which is shorter for urgent changes.
+func (p *Pacer) interval(usual time.Duration) time.Duration {
 	if p.urgent {
 		return min(usual, urgentGap)
 	}
 	return usual
 }
 
-// greetEvery is the time between greetings of the seeds.
-func (p *Pacer) greetEvery(now time.Duration) time.Duration {
-	if now-p.start < greetFor {
-		return greetEvery
+// seedInterval returns the time between a hub's reports to the seeds.
+func (p *Pacer) seedInterval(now time.Duration) time.Duration {
+	if now-p.start < seedFor {
+		return seedEvery
 	}
-	return greetLater
+	return seedEveryLater
 }
 
-// ownEvery is the time between this instance's reports.
-func (p *Pacer) ownEvery(now time.Duration, hears bool) time.Duration {
+// ownInterval returns the time between this instance's reports.
+func (p *Pacer) ownInterval(now time.Duration, receivesBatches bool) time.Duration {
 	switch {
 	case p.changed:
-		return ownGap
-	case !hears && now-p.start < greetFor:
-		return greetEvery
+		return ownMinGap
+	case !receivesBatches && now-p.start < seedFor:
+		return seedEvery
 	default:
-		return ownAtMost
+		return ownMaxGap
 	}
 }
 
-func (p *Pacer) sent(due Due, now time.Duration) {
+func (p *Pacer) markSent(due Due, now time.Duration) {
 	if due.OwnReport || due.Batch {
 		p.changed, p.urgent, p.ownAt = false, false, now
 	}
@@ -113,17 +114,17 @@
 		p.zoneAt = now
 	}
 	if due.SeedReport {
-		p.greetAt = now
+		p.seedAt = now
 	}
 	if due.EngineTimes {
-		p.timesAt = now
+		p.engineTimesAt = now
 	}
 }
 
-// wait is the time until something may be due.
-func (p *Pacer) wait(now time.Duration, passes, hears bool) time.Duration {
-	if passes {
-		return max(0, min(p.batchAt+p.every(batchEvery), p.zoneAt+p.every(zoneEvery))-now)
+// nextDue returns the time until something may be due.
+func (p *Pacer) nextDue(now time.Duration, relays, receivesBatches bool) time.Duration {
+	if relays {
+		return max(0, min(p.batchAt+p.interval(batchEvery), p.zoneAt+p.interval(zoneEvery))-now)
 	}
-	return max(0, min(p.ownAt+p.every(p.ownEvery(now, hears))-now, standby))
+	return max(0, min(p.ownAt+p.interval(p.ownInterval(now, receivesBatches))-now, hubCheckEvery))
 }
--- a/internal/fanout/pace_test.go
+++ b/internal/fanout/pace_test.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// sends counts what an instance sends in a time, with a change of its load each so
-// often; 0 for none.
-func sends(passes, hears bool, changes, length time.Duration) (own, batch, zone int) {
+// countSends counts what an instance sends within a duration. Its load changes once per
+// changeEvery, or never if that is 0.
+func countSends(relays, receivesBatches bool, changeEvery, length time.Duration) (own, batch, zone int) {
 	const start = time.Hour
-	p := NewPacer(start - greetFor)
+	p := NewPacer(start - seedFor)
 	for now := start; now < start+length; now += time.Millisecond {
-		if changes > 0 && (now-start)%changes == 0 {
+		if changeEvery > 0 && (now-start)%changeEvery == 0 {
 			p.MarkChanged()
 		}
-		due, _ := p.Next(now, passes, hears, false)
+		due, _ := p.Next(now, relays, receivesBatches, false)
 		if due.OwnReport {
 			own++
 		}
@@ -28,32 +28,32 @@
 	return own, batch, zone
 }
 
-func TestAnInstanceReportsWhenItsLoadChanges(t *testing.T) {
-	if own, batch, zone := sends(false, true, 0, 10*time.Second); own != 25 || batch+zone != 0 {
-		t.Errorf("%d reports, %d and %d of a hub, of an idle instance in 10 s", own, batch, zone)
+func TestInstanceReportsWhenItsLoadChanges(t *testing.T) {
+	if own, batch, zone := countSends(false, true, 0, 10*time.Second); own != 25 || batch+zone != 0 {
+		t.Errorf("%d reports, %d batches and %d zone reports of an idle instance in 10 s", own, batch, zone)
 	}
-	if own, _, _ := sends(false, true, time.Millisecond, 10*time.Second); own < 99 || own > 101 {
-		t.Errorf("%d reports of a busy instance in 10 s, want one each %s", own, ownGap)
+	if own, _, _ := countSends(false, true, time.Millisecond, 10*time.Second); own < 99 || own > 101 {
+		t.Errorf("%d reports of a busy instance in 10 s, want one per %s", own, ownMinGap)
 	}
 }
 
-func TestAHubSendsBatchesAtItsPace(t *testing.T) {
-	own, batch, zone := sends(true, false, time.Millisecond, 10*time.Second)
+func TestHubSendsBatchesAndZoneReports(t *testing.T) {
+	own, batch, zone := countSends(true, false, time.Millisecond, 10*time.Second)
 	if own != 0 || batch < 99 || batch > 101 || zone < 49 || zone > 51 {
-		t.Errorf("%d, %d, %d", own, batch, zone)
+		t.Errorf("%d own reports, %d batches, %d zone reports", own, batch, zone)
 	}
 }
 
-func TestAChangeIsToldAtOnceAfterAPause(t *testing.T) {
+func TestChangeIsReportedAtOnceAfterPause(t *testing.T) {
 	p := NewPacer(0)
 	p.Next(time.Second, false, true, false)
 	p.MarkChanged()
-	if due, _ := p.Next(time.Second+ownGap, false, true, false); !due.OwnReport {
-		t.Error("a change waits")
+	if due, _ := p.Next(time.Second+ownMinGap, false, true, false); !due.OwnReport {
+		t.Error("the change is not reported yet")
 	}
 }
 
-func TestUrgentNewsHardlyWaits(t *testing.T) {
+func TestUrgentChangeIsSentSoon(t *testing.T) {
 	p := NewPacer(0)
 	p.Next(time.Second, true, false, false)
 	if due, wait := p.Next(time.Second+time.Millisecond, true, false, true); due.Batch || wait != urgentGap-time.Millisecond {
@@ -63,27 +63,28 @@
 		t.Errorf("%+v", due)
 	}
 	if due, _ := p.Next(time.Second+2*urgentGap, true, false, false); due.Batch {
-		t.Error("the news is told twice")
+		t.Error("the change is sent twice")
 	}
 }
 
-// TestTheWaitEndsWhenSomethingIsDue: a caller that waits as it is told sends all in time.
-func TestTheWaitEndsWhenSomethingIsDue(t *testing.T) {
-	for _, passes := range []bool{false, true} {
+// TestReturnedWaitEndsWhenSomethingIsDue checks that a caller that waits as long as Next returns sends
+// everything in time.
+func TestReturnedWaitEndsWhenSomethingIsDue(t *testing.T) {
+	for _, relays := range []bool{false, true} {
 		p, now, sent := NewPacer(0), time.Duration(0), 0
 		for now < 10*time.Second {
-			due, wait := p.Next(now, passes, true, false)
+			due, wait := p.Next(now, relays, true, false)
 			if due.OwnReport || due.Batch {
 				sent++
 			}
 			now += max(wait, time.Millisecond)
 		}
 		want := 25
-		if passes {
+		if relays {
 			want = 100
 		}
 		if sent < want-1 || sent > want+2 {
-			t.Errorf("passes %t: %d sent, want %d", passes, sent, want)
+			t.Errorf("relays %t: %d sent, want %d", relays, sent, want)
 		}
 	}
 }
--- a/internal/fanout/roster.go
+++ b/internal/fanout/roster.go
@@ -1,13 +1,15 @@
 // Package fanout decides how the reports of many instances reach all others at a
-// cost that does not grow with their square. In each zone the instance that ranks
-// first, its hub, takes the reports of all others and passes them on in batches; it
-// tells the hubs of the other zones what its zone has together. All instances rank
-// one another alike, by what their links carry and a hash of their names, so no hub is
-// agreed on: the second gets the reports too, and passes them on once the first is silent.
+// cost that does not grow with the square of their number. In each zone the instance
+// that ranks first, the hub, receives the reports of all others and passes them on in
+// batches. It also sends a summary of its zone to the hubs of the other zones. All
+// instances compute the same ranks, from the bandwidth of the links and a hash of the
+// names, so they need not agree on a hub. The instance that ranks second receives the
+// reports too, and passes them on when the first one is silent.
 //
-// The package is pure: times are passed in, on the instance's monotonic clock.
-// Callers: peers, which sends and receives, and model, which plays the same
-// decisions in virtual time.
+// Its inputs are the reports, batches and signs of life that an instance receives, and
+// its outputs say what to send to which instances. The package does no I/O and reads no
+// clock: callers pass times on the instance's monotonic clock. Package peers does the
+// sending and receiving.
 package fanout
 
 import (
@@ -19,15 +21,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ID names an instance in reports; the highest one of a zone ranks first.
+// ID identifies an instance in reports. The highest ID of a zone ranks first.
 type ID uint64
 
-// hashBits are the bits of an ID below those for the link: a hash of the name.
+// hashBits is the number of low bits of an ID that hold a hash of the name. The bits above them hold the
+// bandwidth class of the link.
 const hashBits = 58
 
-// IDOf is the id of the instance with a name, whose link carries so many Mbit/s. One of
-// twice the bandwidth ranks higher whatever the names: passing reports on takes more of a
-// link than all else that an instance does.
+// IDOf returns the ID of an instance with a name, whose link carries linkMbps Mbit/s. An instance with
+// twice the bandwidth ranks higher whatever the names, because passing reports on needs more
+// bandwidth than anything else that an instance does.
 func IDOf(name string, linkMbps float64) ID {
 	class := bits.Len64(uint64(max(0, linkMbps))) // 0 to 63
 	return ID(uint64(min(class, 63))<<hashBits | xxhash.Sum64String(name)>>(64-hashBits))
@@ -35,40 +38,40 @@
 
 // Times of the roster.
 const (
-	// aliveFor is for how long an instance counts after its last sign: three reports
-	// of one with nothing new may be lost.
+	// aliveFor is how long an instance counts as alive after its last sign of life: three
+	// reports of an instance without changes may be lost.
 	aliveFor = 1700 * time.Millisecond
-	// silentFor is how long no batch came from those ahead until the next in rank
-	// passes reports on: three batches may be lost.
-	silentFor = 350 * time.Millisecond
-	// listens is for how long after its last batch a sender of batches is told this
+	// takeoverAfter is how long no batch must have come from the instances that rank higher
+	// until the next in rank passes reports on: three batches may be lost.
+	takeoverAfter = 350 * time.Millisecond
+	// relayingFor is how long after its last batch a sender of batches gets this
 	// instance's reports, whatever its rank.
-	listens = 700 * time.Millisecond
-	// told is how many of the instances that rank first get each report.
-	told = 2
+	relayingFor = 700 * time.Millisecond
+	// topReceivers is how many of the instances that rank first get each report.
+	topReceivers = 2
 )
 
-// Roster is what an instance knows of the others of its zone. It is not safe for
-// concurrent use.
+// Roster holds what an instance knows about the other instances of its zone. It is not
+// safe for concurrent use.
 type Roster struct {
 	self    ID
 	members map[ID]*member
-	// ahead is when a batch last came from an instance that ranks before this one,
-	// or when none was due.
-	ahead time.Duration
+	// higherBatchAt is when a batch last came from an instance that ranks before this
+	// one. It begins with the roster's start.
+	higherBatchAt time.Duration
 }
 
 // member is another instance of the zone.
 type member struct {
-	heardAt time.Duration
-	// batchAt is when its last batch came; batched tells that any did.
-	batchAt time.Duration
-	batched bool
+	seenAt time.Duration // last sign of life
+	// batchAt is when its last batch came; sentBatch is whether any came.
+	batchAt   time.Duration
+	sentBatch bool
 }
 
-// NewRoster returns a roster that knows nobody.
+// NewRoster returns a roster without other instances.
 func NewRoster(self ID, now time.Duration) *Roster {
-	return &Roster{self: self, members: map[ID]*member{}, ahead: now}
+	return &Roster{self: self, members: map[ID]*member{}, higherBatchAt: now}
 }
 
 func (r *Roster) member(id ID) *member {
@@ -80,46 +83,46 @@
 	return m
 }
 
-// MarkAlive notes a sign of an instance of the zone.
+// MarkAlive records a sign of life of an instance of the zone.
 func (r *Roster) MarkAlive(id ID, now time.Duration) {
 	if id != r.self {
-		r.member(id).heardAt = now
+		r.member(id).seenAt = now
 	}
 }
 
-// Introduce takes note of an instance of the zone that another one named. It counts as
-// alive until it should have given a sign itself.
+// Introduce adds an instance of the zone that another one named. It counts as alive for aliveFor,
+// within which it should give a sign of life itself.
 func (r *Roster) Introduce(id ID, now time.Duration) {
 	if _, ok := r.members[id]; !ok {
 		r.MarkAlive(id, now)
 	}
 }
 
-// BatchReceived notes a batch that an instance of the zone sent.
+// BatchReceived records a batch that an instance of the zone sent.
 func (r *Roster) BatchReceived(id ID, now time.Duration) {
 	if id == r.self {
 		return
 	}
 	m := r.member(id)
-	m.heardAt, m.batchAt, m.batched = now, now, true
+	m.seenAt, m.batchAt, m.sentBatch = now, now, true
 	if id > r.self {
-		r.ahead = now
+		r.higherBatchAt = now
 	}
 }
 
-// Forget drops an instance.
+// Forget removes an instance.
 func (r *Roster) Forget(id ID) { delete(r.members, id) }
 
-// KnownCount counts the instances of the zone that are not forgotten, this one included.
+// KnownCount returns the number of instances in the roster, including this one.
 func (r *Roster) KnownCount() int { return len(r.members) + 1 }
 
-// Alive tells whether an instance gave a sign lately.
+// Alive reports whether an instance gave a sign of life within aliveFor.
 func (r *Roster) Alive(id ID, now time.Duration) bool {
 	m, ok := r.members[id]
-	return id == r.self || ok && now-m.heardAt <= aliveFor
+	return id == r.self || ok && now-m.seenAt <= aliveFor
 }
 
-// Rank is how many live instances of the zone rank before this one.
+// Rank returns how many live instances of the zone rank before this one.
 func (r *Roster) Rank(now time.Duration) int {
 	rank := 0
 	for id := range r.members {
@@ -130,18 +133,18 @@
 	return rank
 }
 
-// ShouldRelay tells whether this instance is to pass reports on: nobody ranks before it,
-// or those who do have been silent, longer for each of them.
+// ShouldRelay reports whether this instance is to pass reports on. It is if no live instance ranks
+// before it, or if those that do have sent no batch for takeoverAfter times their number.
 func (r *Roster) ShouldRelay(now time.Duration) bool {
 	rank := r.Rank(now)
 	if rank == 0 {
 		return true
 	}
-	return now-r.ahead > time.Duration(rank)*silentFor
+	return now-r.higherBatchAt > time.Duration(rank)*takeoverAfter
 }
 
-// Receivers are the instances that are told this one's reports: those of the live
-// ones that rank first, and whoever sent a batch lately. None known is none.
+// Receivers returns the instances that get this one's reports: the live ones that rank first, and
+// those that recently sent a batch. It is empty if no other instance is alive.
 func (r *Roster) Receivers(now time.Duration) []ID {
 	var alive []ID
 	for id := range r.members {
@@ -150,27 +153,27 @@
 		}
 	}
 	slices.SortFunc(alive, func(a, b ID) int { return cmp.Compare(b, a) })
-	first := alive[:min(told, len(alive))]
+	first := alive[:min(topReceivers, len(alive))]
 	for _, id := range alive[len(first):] {
-		if m := r.members[id]; m.batched && now-m.batchAt <= listens {
+		if m := r.members[id]; m.sentBatch && now-m.batchAt <= relayingFor {
 			first = append(first, id)
 		}
 	}
 	return first
 }
 
-// Hub is the instance that ranks first of those whose batches come; 0 for none.
+// Hub returns the highest-ranking instance that recently sent a batch, or 0 if there is none.
 func (r *Roster) Hub(now time.Duration) ID {
 	var hub ID
 	for id, m := range r.members {
-		if m.batched && now-m.batchAt <= listens {
+		if m.sentBatch && now-m.batchAt <= relayingFor {
 			hub = max(hub, id)
 		}
 	}
 	return hub
 }
 
-// AliveCount counts the live instances of the zone, this one included.
+// AliveCount returns the number of live instances of the zone, including this one.
 func (r *Roster) AliveCount(now time.Duration) int {
 	count := 1
 	for id := range r.members {
@@ -181,10 +184,10 @@
 	return count
 }
 
-// ReceivesBatches tells whether batches reach this instance.
+// ReceivesBatches reports whether batches recently reached this instance.
 func (r *Roster) ReceivesBatches(now time.Duration) bool {
 	for _, m := range r.members {
-		if m.batched && now-m.batchAt <= listens {
+		if m.sentBatch && now-m.batchAt <= relayingFor {
 			return true
 		}
 	}
--- a/internal/fanout/roster_test.go
+++ b/internal/fanout/roster_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// ranked returns so many ids, the one that ranks first first.
+// ranked returns n IDs in order of rank.
 func ranked(n int) []ID {
 	ids := make([]ID, n)
 	for i := range ids {
@@ -18,7 +18,7 @@
 	return ids
 }
 
-// rosterOf knows all of the ids, as heard at a time.
+// rosterOf returns a roster of the ids, all of them alive at a time.
 func rosterOf(self ID, ids []ID, now time.Duration) *Roster {
 	r := NewRoster(self, now)
 	for _, id := range ids {
@@ -27,36 +27,36 @@
 	return r
 }
 
-// TestWideLinksRankFirst: of a zone's 23 instances two have links of 200 Mbit/s and the
-// others of 10, and the first in rank passes all reports on.
-func TestWideLinksRankFirst(t *testing.T) {
-	for wide := range 100 {
-		for narrow := range 21 {
-			w, n := IDOf(fmt.Sprint("wide-", wide), 200), IDOf(fmt.Sprint("narrow-", narrow), 10)
-			if w < n {
-				t.Fatalf("wide %d ranks behind narrow %d", wide, narrow)
+// TestFastLinksRankFirst guards against a hub with a slow link. Of a zone's 23 instances two have links
+// of 200 Mbit/s and the others of 10 Mbit/s, and the one that ranks first passes all reports on.
+func TestFastLinksRankFirst(t *testing.T) {
+	for fast := range 100 {
+		for slow := range 21 {
+			f, s := IDOf(fmt.Sprint("wide-", fast), 200), IDOf(fmt.Sprint("narrow-", slow), 10)
+			if f < s {
+				t.Fatalf("fast link %d ranks behind slow link %d", fast, slow)
 			}
 		}
 	}
 	if IDOf("a", 0) >= IDOf("b", 1) || IDOf("a", 1e30) < IDOf("a", 1e6) || IDOf("a", -1) != IDOf("a", 0) {
-		t.Error("links without a sound bandwidth")
+		t.Error("bandwidths that are 0, negative or very large rank wrongly")
 	}
 	if IDOf("a", 10) == IDOf("b", 10) {
-		t.Error("names count for nothing")
+		t.Error("names do not affect the ID")
 	}
 }
 
-func TestTheFirstInRankPassesReportsOn(t *testing.T) {
+func TestFirstInRankPassesReportsOn(t *testing.T) {
 	ids := ranked(5)
 	for i, id := range ids {
 		r := rosterOf(id, ids, 0)
 		if r.Rank(0) != i || r.ShouldRelay(0) != (i == 0) {
-			t.Errorf("rank %d: %d, passes %t", i, r.Rank(0), r.ShouldRelay(0))
+			t.Errorf("rank %d: got rank %d, passes reports on %t", i, r.Rank(0), r.ShouldRelay(0))
 		}
 	}
 }
 
-func TestTheNextInRankTakesOverAfterSilence(t *testing.T) {
+func TestNextInRankTakesOverAfterSilence(t *testing.T) {
 	ids := ranked(4)
 	for rank := 1; rank < len(ids); rank++ {
 		r := rosterOf(ids[rank], ids, 0)
@@ -64,50 +64,50 @@
 		for _, id := range ids[1:] {
 			r.MarkAlive(id, 2*time.Second)
 		}
-		early := time.Second + time.Duration(rank)*silentFor
-		if r.ShouldRelay(early) || !r.ShouldRelay(early+time.Millisecond) {
-			t.Errorf("rank %d passes reports on %t at %s, then %t", rank, r.ShouldRelay(early), early, r.ShouldRelay(early+time.Millisecond))
+		takeover := time.Second + time.Duration(rank)*takeoverAfter
+		if r.ShouldRelay(takeover) || !r.ShouldRelay(takeover+time.Millisecond) {
+			t.Errorf("rank %d passes reports on %t at %s, then %t", rank, r.ShouldRelay(takeover), takeover, r.ShouldRelay(takeover+time.Millisecond))
 		}
-		r.BatchReceived(ids[0], early+2*time.Millisecond)
-		if r.ShouldRelay(early + 3*time.Millisecond) {
+		r.BatchReceived(ids[0], takeover+2*time.Millisecond)
+		if r.ShouldRelay(takeover + 3*time.Millisecond) {
 			t.Errorf("rank %d still passes reports on though the first is back", rank)
 		}
 	}
 }
 
-func TestAnInstanceThatFallsSilentRanksNoMore(t *testing.T) {
+func TestSilentInstanceIsNotRanked(t *testing.T) {
 	ids := ranked(3)
 	r := rosterOf(ids[2], ids, 0)
 	r.MarkAlive(ids[1], aliveFor)
 	if rank := r.Rank(aliveFor + time.Millisecond); rank != 1 {
-		t.Errorf("rank %d, one of those ahead is silent", rank)
+		t.Errorf("rank %d, though one of the two higher instances is silent", rank)
 	}
 }
 
-func TestReportsGoToTheFirstTwoAndWhoeverPassesThemOn(t *testing.T) {
+func TestReportsGoToFirstTwoAndSendersOfBatches(t *testing.T) {
 	ids := ranked(6)
 	r := rosterOf(ids[5], ids, 0)
 	if got := r.Receivers(0); !slices.Equal(got, ids[:2]) {
 		t.Errorf("%v, want the first two of %v", got, ids)
 	}
-	r.BatchReceived(ids[3], 0) // it does not hear of those ahead
+	r.BatchReceived(ids[3], 0) // it does not receive the reports of those that rank before it
 	if got := r.Receivers(0); !slices.Equal(got, []ID{ids[0], ids[1], ids[3]}) {
 		t.Errorf("%v", got)
 	}
-	if got := r.Receivers(listens + time.Millisecond); !slices.Equal(got, ids[:2]) {
+	if got := r.Receivers(relayingFor + time.Millisecond); !slices.Equal(got, ids[:2]) {
 		t.Errorf("%v after its batches ended", got)
 	}
 }
 
-// TestAnIntroducedInstanceHasToGiveASign: one that is named again and again by others
-// that do not know better counts no more.
-func TestAnIntroducedInstanceHasToGiveASign(t *testing.T) {
+// TestIntroducedInstanceMustGiveSignOfLife checks that an instance expires even if others, which do not
+// know that it departed, keep naming it.
+func TestIntroducedInstanceMustGiveSignOfLife(t *testing.T) {
 	ids := ranked(2)
 	r := NewRoster(ids[1], 0)
 	for now := time.Duration(0); now <= 2*aliveFor; now += 100 * time.Millisecond {
 		r.Introduce(ids[0], now)
 	}
 	if !r.Alive(ids[0], aliveFor) || r.Alive(ids[0], 2*aliveFor) {
-		t.Error("it counts for another time than one sign")
+		t.Error("an introduced instance is not alive for exactly aliveFor")
 	}
 }
