--- a/internal/freshness/digest.go
+++ b/internal/freshness/digest.go
@@ -2,20 +2,21 @@
 
 import "time"
 
-// Digest is what a daemon tells a peer that asked.
+// Digest is the answer of a daemon to a query of a peer.
 type Digest struct {
-	// Version that the daemon holds.
+	// Version is the version that the daemon holds.
 	Version int64
-	// HeadSeen and SeenAge tell of the newest known read of the head: no version
-	// above Version had been accepted then.
+	// HeadSeen is whether the head is known to have been read, and HeadAge the age
+	// of the newest known read. No version above Version had been accepted then.
 	HeadSeen bool
 	HeadAge  time.Duration
-	// Promised and PromisedAge tell of the highest prepared version.
+	// Promised is the highest prepared version, and PromisedAge the age of its
+	// Prepare.
 	Promised    int64
 	PromisedAge time.Duration
-	// Voter tells whether the daemon counts in a majority.
+	// Voter is whether the daemon counts towards a majority.
 	Voter bool
-	// Contacts are the other listed instances that the daemon knows answers of.
+	// Contacts are the newest known answers of the other listed instances.
 	Contacts map[string]Contact
 }
 
@@ -25,13 +26,13 @@
 	Voter bool
 }
 
-// Digest returns what to tell a peer now.
+// Digest returns the answer to a query of a peer now.
 func (s *State) Digest(now time.Duration, withContacts bool) Digest {
 	d := Digest{
-		Version: s.held, HeadSeen: s.seen, HeadAge: now - s.seenAt,
+		Version: s.held, HeadSeen: s.headSeen, HeadAge: now - s.headSeenAt,
 		Promised: s.promised, PromisedAge: now - s.promisedAt, Voter: s.Voter(),
 	}
-	if !withContacts || s.heard > s.held {
+	if !withContacts || s.highest > s.held {
 		return d
 	}
 	d.Contacts = map[string]Contact{}
@@ -41,24 +42,24 @@
 	return d
 }
 
-// MergeAnswer takes a peer's answer to a question that was sent at a time. A peer
-// that holds a newer version proves nothing until that is held here too.
+// MergeAnswer merges a peer's answer to a query that was sent at a time. If the peer
+// holds a newer version, its answer is no evidence until that version is held here too.
 func (s *State) MergeAnswer(sent, now time.Duration, peer string, d Digest) {
 	s.NoteVersion(d.Version)
 	if d.Promised > 0 {
 		s.promise(d.Promised, now-d.PromisedAge)
 	}
 	if d.HeadSeen {
-		s.headWas(d.Version, sent-d.HeadAge)
+		s.noteHead(d.Version, sent-d.HeadAge)
 	}
-	s.met(peer, contact{at: sent, voter: d.Voter})
+	s.mergeContact(peer, contact{at: sent, voter: d.Voter})
 	for id, c := range d.Contacts {
-		s.met(id, contact{at: sent - c.Age, voter: c.Voter})
+		s.mergeContact(id, contact{at: sent - c.Age, voter: c.Voter})
 	}
 }
 
-func (s *State) met(id string, c contact) {
-	if id == s.self || !s.lists(id) {
+func (s *State) mergeContact(id string, c contact) {
+	if id == s.self || !s.isMember(id) {
 		return
 	}
 	if known, ok := s.contacts[id]; !ok || c.at > known.at {
@@ -66,7 +67,7 @@
 	}
 }
 
-func (s *State) lists(id string) bool {
+func (s *State) isMember(id string) bool {
 	for _, member := range s.members {
 		if member == id {
 			return true
--- a/internal/freshness/freshness.go
+++ b/internal/freshness/freshness.go
@@ -1,23 +1,25 @@
-// Package freshness decides whether a daemon may take its configuration for
-// the newest one. It is pure: callers pass the time of their own monotonic
-// clock, and no clock of another process is compared with it.
+// Package freshness decides whether a daemon may treat its configuration as the
+// newest one. Its inputs are reads of the table's head and answers of peers, and its
+// output is a Status. It does no I/O and reads no clock: callers pass the time of
+// their own monotonic clock, and times of different processes are never compared.
 //
-// A daemon is fresh when one of these holds, within the last FreshFor:
+// A daemon is fresh when one of these rules held within the last FreshFor:
 //
-//   - Table: it read the table's head, or a peer answered that it had, or that
-//     a peer of that peer had, and so on.
-//   - Majority: it knows of answers of a majority of the listed own instances,
-//     directly or through peers, and none of them heard that a newer version
-//     was being accepted. A version is accepted only after a majority has
-//     answered a Prepare, so one instance would have told.
-//   - All: it knows of answers of every listed own instance. Then nobody holds
-//     a newer version, even if one that was being accepted reached the table.
+//   - Table: the daemon read the table's head, or a peer answered that it had read
+//     the head, or that a peer of that peer had, and so on.
+//   - Majority: the daemon knows of answers of a majority of the listed own instances,
+//     directly or through peers, and none of them knew of a newer version that was
+//     being accepted. A version is accepted only after a majority has answered a
+//     Prepare, so at least one of these instances would have reported it.
+//   - All: the daemon knows of answers of all listed own instances. No instance holds
+//     a newer version then, even if one that was being accepted reached the table.
 //
-// An instance counts for the last two only when it has known of the table for
-// long enough since its start to remember each Prepare that matters.
+// An instance counts for the last two rules only if it knows of a read of the head that
+// was made AcceptWithin or more after its start. Otherwise it may have answered a Prepare
+// before a restart, and not know of it although the write can still take effect.
 //
-// Ages are taken from answers alone, and counted from when the question was
-// sent: a message that lay in a buffer can't make anything look newer.
+// Ages come only from answers, and count from when the query was sent: a message that
+// was delayed in a buffer cannot make anything look newer.
 package freshness
 
 import (
@@ -28,25 +30,24 @@
 
 // Settings of the decision.
 type Settings struct {
-	// FreshFor is how long evidence is good for: no daemon serves a version
+	// FreshFor is how long evidence is valid. No daemon serves a version for
 	// longer than that after the next one was accepted.
 	FreshFor time.Duration
 	// AcceptWithin bounds the time from a Prepare to the end of the write that
-	// it is for.
+	// it announces.
 	AcceptWithin time.Duration
-	// ReadLag is how old the platform's answer to a read may be; it counts into
+	// ReadLag is how old the platform's answer to a read may be. It is added to
 	// the age of each read.
 	ReadLag time.Duration
 }
 
-// contact is what is known of one instance.
+// contact is the newest known answer of one instance.
 type contact struct {
-	at    time.Duration // it answered then, or later
+	at    time.Duration // the instance answered at this time or later
 	voter bool
 }
 
-// State is what one daemon knows. It is not safe for use by several
-// goroutines.
+// State holds what one daemon knows. It is not safe for concurrent use.
 type State struct {
 	settings Settings
 	self     string
@@ -54,28 +55,28 @@
 
 	members []string // listed own instances, sorted
 	held    int64
-	// heard is the highest version that is known to exist.
-	heard int64
-	// seen tells whether the head was ever read; at seenAt, no version above
+	// highest is the highest version that is known to exist.
+	highest int64
+	// headSeen is whether the head was ever read. At headSeenAt, no version above
 	// held had been accepted.
-	seen   bool
-	seenAt time.Duration
-	// ahead is a version above held that the head had at aheadAt.
-	ahead   int64
-	aheadAt time.Duration
-	// promised is the highest version that was prepared; the last Prepare was
+	headSeen   bool
+	headSeenAt time.Duration
+	// newerHead is a version above held that the head had at newerHeadAt.
+	newerHead   int64
+	newerHeadAt time.Duration
+	// promised is the highest version that was prepared. The last Prepare was
 	// sent at promisedAt at the latest.
 	promised   int64
 	promisedAt time.Duration
 	contacts   map[string]contact
 }
 
-// New returns the state of a daemon that starts now and knows nothing.
+// New returns the state of a daemon that starts now and has no data yet.
 func New(self string, settings Settings, now time.Duration) *State {
 	return &State{settings: settings, self: self, started: now, contacts: map[string]contact{}}
 }
 
-// SetMembers takes the ids of the own instances that the platform lists.
+// SetMembers sets the IDs of the own instances that the platform lists.
 func (s *State) SetMembers(ids []string) {
 	s.members = slices.Clone(ids)
 	slices.Sort(s.members)
@@ -86,52 +87,53 @@
 	}
 }
 
-// Members returns the listed own instances in order. Treat it as read-only.
+// Members returns the listed own instances in order. Callers must not modify it.
 func (s *State) Members() []string { return s.members }
 
-// SetHeld tells the version that the daemon holds now. It never falls.
+// SetHeld sets the version that the daemon holds. A lower version than before is ignored.
 func (s *State) SetHeld(version int64) {
 	s.held = max(s.held, version)
 	s.NoteVersion(version)
-	if s.ahead > 0 && s.held >= s.ahead {
-		s.see(s.aheadAt)
-		s.ahead = 0
+	if s.newerHead > 0 && s.held >= s.newerHead {
+		s.setHeadSeen(s.newerHeadAt)
+		s.newerHead = 0
 	}
 }
 
-// NoteVersion tells of a version that exists, from whichever source.
+// NoteVersion records that a version exists, known from any source.
 func (s *State) NoteVersion(version int64) {
-	s.heard = max(s.heard, version)
+	s.highest = max(s.highest, version)
 }
 
-// HeadRead takes a read of the head that was sent at a time. A read of a
-// version above the one held counts once that is held; one below it is stale.
+// HeadRead records the result of a read of the head that was sent at a time. A read
+// of a version above the held one counts once that version is held. A read of a version
+// below the held one is stale and does not count.
 func (s *State) HeadRead(sent time.Duration, head int64) {
 	s.NoteVersion(head)
 	if head >= s.held {
-		s.headWas(head, sent-s.settings.ReadLag)
+		s.noteHead(head, sent-s.settings.ReadLag)
 	}
 }
 
-// headWas takes that no version above one had been accepted at a time.
-func (s *State) headWas(version int64, at time.Duration) {
+// noteHead records that no version above the given one had been accepted at a time.
+func (s *State) noteHead(version int64, at time.Duration) {
 	if version <= s.held {
-		s.see(at)
+		s.setHeadSeen(at)
 		return
 	}
-	if version >= s.ahead {
-		s.ahead, s.aheadAt = version, at
+	if version >= s.newerHead {
+		s.newerHead, s.newerHeadAt = version, at
 	}
 }
 
-func (s *State) see(at time.Duration) {
-	if !s.seen || at > s.seenAt {
-		s.seenAt = at
+func (s *State) setHeadSeen(at time.Duration) {
+	if !s.headSeen || at > s.headSeenAt {
+		s.headSeenAt = at
 	}
-	s.seen = true
+	s.headSeen = true
 }
 
-// Prepare takes the word that a version is about to be accepted.
+// Prepare records that a version is about to be accepted.
 func (s *State) Prepare(now time.Duration, version int64) {
 	s.promise(version, now)
 }
@@ -144,40 +146,40 @@
 	s.promisedAt = max(s.promisedAt, at)
 }
 
-// Voter tells whether this daemon remembers each Prepare whose write can still
-// take effect, those that a former run of it answered included.
+// Voter reports whether this daemon knows of each Prepare whose write can still
+// take effect, including those that an earlier process of it answered.
 func (s *State) Voter() bool {
-	return s.seen && s.seenAt >= s.started+s.settings.AcceptWithin
+	return s.headSeen && s.headSeenAt >= s.started+s.settings.AcceptWithin
 }
 
-// open tells whether a prepared version above the one held may have been
+// mayBeAccepted reports whether a prepared version above the held one may have been
 // accepted.
-func (s *State) open() bool {
+func (s *State) mayBeAccepted() bool {
 	if s.promised <= s.held {
 		return false
 	}
-	settled := s.seen && s.seenAt >= s.promisedAt+s.settings.AcceptWithin
+	settled := s.headSeen && s.headSeenAt >= s.promisedAt+s.settings.AcceptWithin
 	return !settled
 }
 
-// Status is the decision.
+// Status is the decision whether the held version is fresh.
 type Status struct {
 	Fresh bool
-	// Until is when the evidence ends.
+	// Until is when the evidence expires.
 	Until time.Duration
-	// Rule names the rule that Until follows from: "table", "majority" or "all".
+	// Rule is the rule that Until follows from: "table", "majority" or "all".
 	Rule string
-	// Reason says why it is not fresh.
+	// Reason says why the held version is not fresh.
 	Reason string
 }
 
-// Status decides.
+// Status returns the decision at a time.
 func (s *State) Status(now time.Duration) Status {
 	if s.held == 0 {
 		return Status{Reason: "no configuration known yet"}
 	}
-	best := Status{Until: s.seenAt + s.settings.FreshFor, Rule: "table"}
-	if !s.seen {
+	best := Status{Until: s.headSeenAt + s.settings.FreshFor, Rule: "table"}
+	if !s.headSeen {
 		best.Until = -1
 	}
 	if until, ok := s.byMajority(now); ok && until > best.Until {
@@ -188,31 +190,31 @@
 	}
 	best.Fresh = best.Until > now
 	if !best.Fresh {
-		best.Reason = s.why(now)
+		best.Reason = s.reason(now)
 	}
 	return best
 }
 
-// Majority is how many of a number of listed instances are a majority.
+// Majority returns the smallest number of instances that is a majority of those listed.
 func Majority(listed int) int { return listed/2 + 1 }
 
-// byMajority returns until when the answers of a majority are good.
+// byMajority returns until when the answers of a majority are valid evidence.
 func (s *State) byMajority(now time.Duration) (time.Duration, bool) {
-	if len(s.members) == 0 || s.heard > s.held || s.open() {
+	if len(s.members) == 0 || s.highest > s.held || s.mayBeAccepted() {
 		return 0, false
 	}
 	return s.nthContact(now, Majority(len(s.members)))
 }
 
-// byAll returns until when the answers of all listed instances are good.
+// byAll returns until when the answers of all listed instances are valid evidence.
 func (s *State) byAll(now time.Duration) (time.Duration, bool) {
-	if len(s.members) == 0 || s.heard > s.held {
+	if len(s.members) == 0 || s.highest > s.held {
 		return 0, false
 	}
 	return s.nthContact(now, len(s.members))
 }
 
-// nthContact returns until when n listed voters count as having answered.
+// nthContact returns until when the newest answers of n listed voters are valid evidence.
 func (s *State) nthContact(now time.Duration, n int) (time.Duration, bool) {
 	var times []time.Duration
 	for _, id := range s.members {
@@ -236,25 +238,25 @@
 	return c, ok
 }
 
-// why names what is missing.
-func (s *State) why(now time.Duration) string {
+// reason says which evidence is missing.
+func (s *State) reason(now time.Duration) string {
 	table := "the table has not been read, here or by a peer"
-	if s.seen {
-		table = fmt.Sprintf("the table was last read, here or by a peer, %s ago", (now - s.seenAt).Round(time.Millisecond))
+	if s.headSeen {
+		table = fmt.Sprintf("the table was last read, here or by a peer, %s ago", (now - s.headSeenAt).Round(time.Millisecond))
 	}
 	switch {
 	case len(s.members) == 0:
 		return table + "; no instance list is known"
-	case s.heard > s.held:
-		return fmt.Sprintf("%s; version %d exists, held is %d", table, s.heard, s.held)
-	case s.open():
+	case s.highest > s.held:
+		return fmt.Sprintf("%s; version %d exists, held is %d", table, s.highest, s.held)
+	case s.mayBeAccepted():
 		return fmt.Sprintf("%s; version %d may have been accepted, held is %d", table, s.promised, s.held)
 	}
 	return fmt.Sprintf("%s; %d of %d listed instances answer, a majority is %d",
-		table, s.answering(now), len(s.members), Majority(len(s.members)))
+		table, s.countAnswering(now), len(s.members), Majority(len(s.members)))
 }
 
-func (s *State) answering(now time.Duration) int {
+func (s *State) countAnswering(now time.Duration) int {
 	n := 0
 	for _, id := range s.members {
 		if c, ok := s.contactOf(id, now); ok && c.voter && c.at+s.settings.FreshFor > now {
@@ -264,7 +266,7 @@
 	return n
 }
 
-// TableAge is the time since the newest known read of the head.
+// TableAge returns the time since the newest known read of the head, and whether there was one.
 func (s *State) TableAge(now time.Duration) (time.Duration, bool) {
-	return now - s.seenAt, s.seen
+	return now - s.headSeenAt, s.headSeen
 }
