--- a/internal/versions/delta.go
+++ b/internal/versions/delta.go
@@ -22,8 +22,8 @@
 // gzipMagic is the first byte of compressed data; JSON never begins with it.
 const gzipMagic = 0x1f
 
-// Part is what changed among the objects of one kind.
-type Part[T any] struct {
+// KindDelta is what changed among the objects of one kind.
+type KindDelta[T any] struct {
 	// Set replaces the object with the same name, or adds it at the end.
 	Set []T `json:"set,omitempty"`
 	// Remove names the objects that are gone.
@@ -33,11 +33,11 @@
 // Delta leads from one version of the document to the next.
 type Delta struct {
 	Intent        int64                     `json:"intent"`
-	Models        Part[config.Model]        `json:"models,omitzero"`
-	Pools         Part[config.Pool]         `json:"pools,omitzero"`
-	Engines       Part[config.Engine]       `json:"engines,omitzero"`
-	Services      Part[config.Service]      `json:"services,omitzero"`
-	Organisations Part[config.Organisation] `json:"organisations,omitzero"`
+	Models        KindDelta[config.Model]        `json:"models,omitzero"`
+	Pools         KindDelta[config.Pool]         `json:"pools,omitzero"`
+	Engines       KindDelta[config.Engine]       `json:"engines,omitzero"`
+	Services      KindDelta[config.Service]      `json:"services,omitzero"`
+	Organisations KindDelta[config.Organisation] `json:"organisations,omitzero"`
 }
 
 func modelName(m config.Model) string               { return m.Name }
@@ -58,8 +58,8 @@
 	}
 }
 
-func diffPart[T any](from, to []T, name func(T) string) Part[T] {
-	var part Part[T]
+func diffPart[T any](from, to []T, name func(T) string) KindDelta[T] {
+	var part KindDelta[T]
 	old := map[string]*T{}
 	for i := range from {
 		old[name(from[i])] = &from[i]
@@ -92,7 +92,7 @@
 	}
 }
 
-func applyPart[T any](base []T, part Part[T], name func(T) string) []T {
+func applyPart[T any](base []T, part KindDelta[T], name func(T) string) []T {
 	if len(part.Set) == 0 && len(part.Remove) == 0 {
 		return base
 	}
