--- a/internal/versions/append.go
+++ b/internal/versions/append.go
@@ -14,19 +14,19 @@
 	"sassafrasfield/internal/platform"
 )
 
-// Settling of a write whose outcome is unknown.
+// Retries of a write whose outcome is unknown.
 const (
-	// settleAttempts bounds the tries.
+	// settleAttempts is the maximum number of retries.
 	settleAttempts = 6
 	// settlePause is the default of Log.SettlePause.
 	settlePause = 50 * time.Millisecond
 )
 
-// Append makes doc the next version, if the head still has the revision that
-// head was read with. Extra checks and writes go into the same transaction.
-// Doc's version must be head's plus one. Errors: ErrMoved and
-// platform.ErrConflict when nothing was written, platform.ErrUnavailable
-// likewise, platform.ErrUnknown when the outcome could not be settled.
+// Append writes doc as the next version, if the head row still has the revision
+// of head. The checks and writes of extra go into the same transaction. The
+// version of doc must be that of head plus one. Append returns ErrHeadMoved,
+// platform.ErrConflict or platform.ErrUnavailable when nothing was written, and
+// platform.ErrUnknown when it could not find out whether the write took effect.
 func (l Log) Append(ctx context.Context, head Head, doc *config.Config, entry Entry, extra platform.Txn) error {
 	if doc.Version != head.Version+1 {
 		return errors.Errorf("versions: document %d does not follow head %d", doc.Version, head.Version)
@@ -39,13 +39,13 @@
 		return l.settle(ctx, txn, head, entry)
 	}
 	if errors.Is(err, platform.ErrConflict) {
-		return l.explain(ctx, head)
+		return l.conflictError(ctx, head)
 	}
 	return err
 }
 
-// transaction checks that the version is the next one, and writes it. The
-// first version of a bucket gets its whole document in a row of its own.
+// transaction returns the transaction that checks that the version is the next one,
+// and writes it. The first version of a bucket gets a separate row with its whole document.
 func transaction(head Head, doc *config.Config, entry Entry, extra platform.Txn) platform.Txn {
 	writes := []platform.Write{{Key: HeadKey, Value: encode(Head{Version: entry.Version, Intent: entry.Intent})}}
 	if entry.Version%bucketSize == 0 {
@@ -55,18 +55,17 @@
 	} else {
 		entry.Document = pack(doc)
 	}
-	writes = append(writes, platform.Write{Key: key(entry.Version), Value: encode(entry)})
+	writes = append(writes, platform.Write{Key: versionKey(entry.Version), Value: encode(entry)})
 	return platform.Txn{
 		Checks: append([]platform.Check{
 			{Key: HeadKey, Revision: head.Revision},
-			{Key: key(entry.Version), Revision: 0},
+			{Key: versionKey(entry.Version), Revision: 0},
 		}, extra.Checks...),
 		Writes: append(writes, extra.Writes...),
 	}
 }
 
-// deltaOf returns the packed delta, unless it would not lead to the very
-// document.
+// deltaOf returns the packed delta from base to doc, and whether applying it gives exactly doc.
 func deltaOf(base, doc *config.Config) ([]byte, bool) {
 	if base == nil {
 		return nil, false
@@ -81,16 +80,16 @@
 func encode(value any) []byte {
 	data, err := json.Marshal(value)
 	if err != nil {
-		panic(errors.Wrap(err, "versions: encode")) // plain data always marshals
+		panic(errors.Wrap(err, "versions: encode")) // the types stored here always marshal
 	}
 	return data
 }
 
 // settle finds out whether a write whose reply was lost took effect. It sends
-// the same transaction again: that commits, or its conflict proves that a
-// check fails now. Revisions never come back, so a check that failed once
-// fails for good, and a copy of the write that is still on its way has no
-// effect. What is left is whether the row of the version is this write's.
+// the same transaction again. Either that commits, or the conflict proves that a
+// check fails now. Revisions are never reused, so a check that failed once fails
+// permanently, and a copy of the write that is still in transit has no effect.
+// It remains to find out whether this write created the row of the version.
 func (l Log) settle(ctx context.Context, txn platform.Txn, head Head, entry Entry) error {
 	pause := cmp.Or(l.SettlePause, settlePause)
 	for range settleAttempts {
@@ -99,7 +98,7 @@
 			return nil
 		}
 		if errors.Is(err, platform.ErrConflict) {
-			outcome, known := l.ownerOf(ctx, head, entry)
+			outcome, known := l.outcomeOf(ctx, head, entry)
 			if known {
 				return outcome
 			}
@@ -114,11 +113,11 @@
 	return platform.ErrUnknown
 }
 
-// ownerOf tells whose write created the row of the entry's version: a row that
-// is found never changes, so that an old copy of it is as good as the newest.
-// A row that is not found may just be missing in an old copy, so its absence
-// is proved by a transaction.
-func (l Log) ownerOf(ctx context.Context, head Head, entry Entry) (outcome error, known bool) {
+// outcomeOf returns the outcome of the write of an entry, by the write that created the
+// row of the entry's version, and whether the outcome is known. A version row never
+// changes, so a stale copy of it is as good as the newest one. A row that is not found may
+// only be missing in a stale copy, so a transaction checks that it does not exist.
+func (l Log) outcomeOf(ctx context.Context, head Head, entry Entry) (outcome error, known bool) {
 	found, err := l.Get(ctx, entry.Version)
 	switch {
 	case err == nil && found.WriteID == entry.WriteID:
@@ -128,29 +127,31 @@
 	case !errors.Is(err, platform.ErrNotFound):
 		return nil, false
 	}
-	absent, err := CheckRevisions(ctx, l.Table, platform.Check{Key: key(entry.Version), Revision: 0})
+	absent, err := CheckRevisions(ctx, l.Table, platform.Check{Key: versionKey(entry.Version), Revision: 0})
 	if err != nil || !absent {
 		return nil, false
 	}
-	return l.explain(ctx, head), true
+	return l.conflictError(ctx, head), true
 }
 
-// explain tells a moved head from another failed check.
-func (l Log) explain(ctx context.Context, head Head) error {
-	stands, err := l.HeadUnchanged(ctx, head)
-	if err == nil && stands {
+// conflictError returns ErrHeadMoved after a conflict, or platform.ErrConflict if the
+// head is unchanged and another check failed.
+func (l Log) conflictError(ctx context.Context, head Head) error {
+	unchanged, err := l.HeadUnchanged(ctx, head)
+	if err == nil && unchanged {
 		return platform.ErrConflict
 	}
 	return ErrHeadMoved
 }
 
-// HeadUnchanged tells for sure whether the head is still the one that was read.
+// HeadUnchanged reports whether the head is still the one that was read. The answer
+// is never stale.
 func (l Log) HeadUnchanged(ctx context.Context, head Head) (bool, error) {
 	return CheckRevisions(ctx, l.Table, platform.Check{Key: HeadKey, Revision: head.Revision})
 }
 
-// CheckRevisions tells for sure whether rows have the revisions, by a transaction
-// without writes: unlike a read, a check is never answered from an old copy.
+// CheckRevisions reports whether rows have the given revisions, by a transaction without
+// writes. Unlike a read, a check is never answered from a stale copy.
 func CheckRevisions(ctx context.Context, table platform.Table, checks ...platform.Check) (bool, error) {
 	_, err := table.Commit(ctx, platform.Txn{Checks: checks})
 	if errors.Is(err, platform.ErrConflict) {
--- a/internal/versions/delta.go
+++ b/internal/versions/delta.go
@@ -13,26 +13,26 @@
 	"sassafrasfield/internal/config"
 )
 
-// packAbove is the size in bytes above which a value is compressed.
-const packAbove = 512
+// compressAbove is the size in bytes above which a value is compressed.
+const compressAbove = 512
 
-// maxDocumentBytes bounds what a packed value may expand to.
+// maxDocumentBytes bounds the size of an unpacked value.
 const maxDocumentBytes = 256 << 20
 
 // gzipMagic is the first byte of compressed data; JSON never begins with it.
 const gzipMagic = 0x1f
 
-// KindDelta is what changed among the objects of one kind.
+// KindDelta holds the changes to the objects of one kind.
 type KindDelta[T any] struct {
-	// Set replaces the object with the same name, or adds it at the end.
+	// Set are changed and new objects. Each replaces the object with the same name, or is added at the end.
 	Set []T `json:"set,omitempty"`
-	// Remove names the objects that are gone.
+	// Remove are the names of the removed objects.
 	Remove []string `json:"remove,omitempty"`
 }
 
-// Delta leads from one version of the document to the next.
+// Delta holds the changes from one version of the document to the next.
 type Delta struct {
-	Intent        int64                     `json:"intent"`
+	Intent        int64                          `json:"intent"`
 	Models        KindDelta[config.Model]        `json:"models,omitzero"`
 	Pools         KindDelta[config.Pool]         `json:"pools,omitzero"`
 	Engines       KindDelta[config.Engine]       `json:"engines,omitzero"`
@@ -46,20 +46,20 @@
 func serviceName(s config.Service) string           { return s.Name }
 func organisationName(o config.Organisation) string { return o.Name }
 
-// Diff returns what leads from one document to another.
+// Diff returns the changes from one document to another.
 func Diff(from, to *config.Config) Delta {
 	return Delta{
 		Intent:        to.Intent,
-		Models:        diffPart(from.Models, to.Models, modelName),
-		Pools:         diffPart(from.Pools, to.Pools, poolName),
-		Engines:       diffPart(from.Engines, to.Engines, engineID),
-		Services:      diffPart(from.Services, to.Services, serviceName),
-		Organisations: diffPart(from.Organisations, to.Organisations, organisationName),
+		Models:        diffKind(from.Models, to.Models, modelName),
+		Pools:         diffKind(from.Pools, to.Pools, poolName),
+		Engines:       diffKind(from.Engines, to.Engines, engineID),
+		Services:      diffKind(from.Services, to.Services, serviceName),
+		Organisations: diffKind(from.Organisations, to.Organisations, organisationName),
 	}
 }
 
-func diffPart[T any](from, to []T, name func(T) string) KindDelta[T] {
-	var part KindDelta[T]
+func diffKind[T any](from, to []T, name func(T) string) KindDelta[T] {
+	var delta KindDelta[T]
 	old := map[string]*T{}
 	for i := range from {
 		old[name(from[i])] = &from[i]
@@ -67,44 +67,44 @@
 	for i := range to {
 		before, ok := old[name(to[i])]
 		if !ok || !reflect.DeepEqual(*before, to[i]) {
-			part.Set = append(part.Set, to[i])
+			delta.Set = append(delta.Set, to[i])
 		}
 		delete(old, name(to[i]))
 	}
 	for i := range from {
-		if _, gone := old[name(from[i])]; gone {
-			part.Remove = append(part.Remove, name(from[i]))
+		if _, removed := old[name(from[i])]; removed {
+			delta.Remove = append(delta.Remove, name(from[i]))
 		}
 	}
-	return part
+	return delta
 }
 
-// Apply returns the document that follows base. Base is left as it is.
+// Apply returns the document of the version after base. It does not modify base.
 func (d Delta) Apply(base *config.Config) *config.Config {
 	return &config.Config{
 		Version:       base.Version + 1,
 		Intent:        d.Intent,
-		Models:        applyPart(base.Models, d.Models, modelName),
-		Pools:         applyPart(base.Pools, d.Pools, poolName),
-		Engines:       applyPart(base.Engines, d.Engines, engineID),
-		Services:      applyPart(base.Services, d.Services, serviceName),
-		Organisations: applyPart(base.Organisations, d.Organisations, organisationName),
+		Models:        applyKind(base.Models, d.Models, modelName),
+		Pools:         applyKind(base.Pools, d.Pools, poolName),
+		Engines:       applyKind(base.Engines, d.Engines, engineID),
+		Services:      applyKind(base.Services, d.Services, serviceName),
+		Organisations: applyKind(base.Organisations, d.Organisations, organisationName),
 	}
 }
 
-func applyPart[T any](base []T, part KindDelta[T], name func(T) string) []T {
-	if len(part.Set) == 0 && len(part.Remove) == 0 {
+func applyKind[T any](base []T, delta KindDelta[T], name func(T) string) []T {
+	if len(delta.Set) == 0 && len(delta.Remove) == 0 {
 		return base
 	}
 	result := slices.DeleteFunc(slices.Clone(base), func(item T) bool {
-		return slices.Contains(part.Remove, name(item))
+		return slices.Contains(delta.Remove, name(item))
 	})
-	at := make(map[string]int, len(result))
+	index := make(map[string]int, len(result))
 	for i := range result {
-		at[name(result[i])] = i
+		index[name(result[i])] = i
 	}
-	for _, item := range part.Set {
-		if i, ok := at[name(item)]; ok {
+	for _, item := range delta.Set {
+		if i, ok := index[name(item)]; ok {
 			result[i] = item
 			continue
 		}
@@ -113,23 +113,23 @@
 	return result
 }
 
-// pack marshals a value, and compresses it when it is large.
+// pack marshals a value, and compresses it if it is large.
 func pack(value any) []byte {
 	data, err := json.Marshal(value)
 	if err != nil {
-		panic(errors.Wrap(err, "versions: encode")) // plain data always marshals
+		panic(errors.Wrap(err, "versions: encode")) // the types stored here always marshal
 	}
-	if len(data) <= packAbove {
+	if len(data) <= compressAbove {
 		return data
 	}
 	var packed bytes.Buffer
 	w := gzip.NewWriter(&packed)
-	_, _ = w.Write(data) // a buffer takes all
+	_, _ = w.Write(data) // writes to a buffer never fail
 	_ = w.Close()
 	return packed.Bytes()
 }
 
-// unpack reads what pack wrote.
+// unpack decodes data that pack encoded.
 func unpack(data []byte, into any) error {
 	if len(data) > 0 && data[0] == gzipMagic {
 		r, err := gzip.NewReader(bytes.NewReader(data))
--- a/internal/versions/size_bench_test.go
+++ b/internal/versions/size_bench_test.go
@@ -10,9 +10,9 @@
 	"sassafrasfield/internal/platform"
 )
 
-// fullSize is a document of the size that the project is built for: 1,900
+// fullSizeConfig returns a document of the size that the project is designed for: 1,900
 // engines in 93 pools of 31 models in 3 regions, and 220 organisations.
-func fullSize() *config.Config {
+func fullSizeConfig() *config.Config {
 	doc := &config.Config{Version: 1, Intent: 1}
 	for m := range 31 {
 		name := fmt.Sprintf("model-%02d", m)
@@ -39,13 +39,13 @@
 	return doc
 }
 
-// BenchmarkRows measures the rows of the log at full size: the whole document,
-// whole and compressed, and the deltas of a mark of one engine and of an intent
-// that changes a model's version. The time is that of an append and a load.
+// BenchmarkRows measures the size of the log's rows for a document of full size: the whole
+// document plain and compressed, the delta of a routing change of one engine, and the delta
+// of an intent that changes a model's version. The measured time is that of a load and an append.
 func BenchmarkRows(b *testing.B) {
-	doc := fullSize()
-	mark := doc.Clone()
-	mark.SetRouting("engine-0007", config.RoutingDraining)
+	doc := fullSizeConfig()
+	marked := doc.Clone()
+	marked.SetRouting("engine-0007", config.RoutingDraining)
 	intent := doc.Clone()
 	for i := range intent.Engines {
 		if e := &intent.Engines[i]; e.Want.Model == "model-03" {
@@ -71,6 +71,6 @@
 	}
 	b.ReportMetric(float64(len(doc.Encode())), "whole-B")
 	b.ReportMetric(float64(len(pack(doc))), "packed-B")
-	b.ReportMetric(float64(len(pack(Diff(doc, mark)))), "mark-delta-B")
+	b.ReportMetric(float64(len(pack(Diff(doc, marked)))), "mark-delta-B")
 	b.ReportMetric(float64(len(pack(Diff(doc, intent)))), "intent-delta-B")
 }
--- a/internal/versions/versions.go
+++ b/internal/versions/versions.go
@@ -1,12 +1,14 @@
 // Package versions keeps the append-only log of configuration versions in the
-// platform's table. The head is one row; each version is a row that is created
-// once and never changed. A version's row holds what changed since the one
-// before it; the first version of each bucket has a row with the whole
-// document beside it.
+// platform's table. Its input is new documents to append, and its output is the
+// documents of versions and the list of versions.
 //
-// Reads of the table may be stale, the checks of a transaction never are. So
-// what must be known for sure is found out by a transaction that has checks
-// and no writes.
+// The head is one row. Each version has a row that is created once and never
+// changed. It holds the changes since the version before it. The first version of
+// each bucket also has a snapshot row with the whole document.
+//
+// Reads of the table may be stale, but the checks of a transaction never are. Where
+// a stale answer would be wrong, the package uses a transaction that has checks and
+// no writes.
 package versions
 
 import (
@@ -21,27 +23,27 @@
 	"sassafrasfield/internal/platform"
 )
 
-// HeadKey is the row that names the newest version.
+// HeadKey is the versionKey of the row that holds the number of the newest version.
 const HeadKey = "head"
 
-// Prefixes of the rows.
+// Prefixes of the keys of rows.
 const (
 	VersionPrefix  = "version/"
 	SnapshotPrefix = "snapshot/"
 )
 
-// bucketSize is the number of versions that one listing of the table returns,
-// and that lie between two whole documents.
+// bucketSize is the number of versions in a bucket. One listing of the table returns a
+// bucket, and each bucket begins with a snapshot of the whole document.
 const bucketSize = 64
 
-// MaxListed bounds the versions that List returns, and so its reads.
+// MaxListed bounds the versions that List returns, and thereby its reads.
 const MaxListed = 512
 
 // Errors of the log. Compare with errors.Is.
 var (
-	// ErrHeadMoved: the head is no longer the one that the change was made from.
+	// ErrHeadMoved means that the head is no longer the one that the change is based on.
 	ErrHeadMoved = errors.New("versions: the head has moved")
-	// ErrStaleRead: the table's answer came from a copy that lacks the version.
+	// ErrStaleRead means that the table answered from a stale copy that lacks the version.
 	ErrStaleRead = errors.New("versions: the table answered from an old copy")
 )
 
@@ -49,9 +51,9 @@
 type Head struct {
 	Version int64 `json:"version"`
 	Intent  int64 `json:"intent"`
-	// Revision of the row itself, as it was read.
+	// Revision is the revision of the head row when it was read.
 	Revision int64 `json:"-"`
-	// base is the document of the head, when it was loaded with it.
+	// base is the head's document, or nil if only the head was read.
 	base *config.Config
 }
 
@@ -63,20 +65,19 @@
 	Summary  string `json:"summary"`
 	PlanID   string `json:"plan_id,omitempty"`
 	Accepted int64  `json:"accepted_unix_ms"`
-	// WriteID names the write that created the row.
+	// WriteID identifies the write that created the row.
 	WriteID string `json:"write_id"`
-	// Delta is a packed Delta from the version before. A version that has none
-	// has its whole document in Document or in the bucket's snapshot.
+	// Delta is the packed Delta from the version before. If it is empty, the whole
+	// document is in Document or in the bucket's snapshot.
 	Delta    []byte `json:"delta,omitempty"`
 	Document []byte `json:"document,omitempty"`
 }
 
-// Log reads and appends versions. It keeps no state and is safe for use by
-// several goroutines.
+// Log reads and appends versions. It keeps no state and is safe for concurrent use.
 type Log struct {
 	Table platform.Table
-	// SettlePause is the time before an unknown write is asked about again; it
-	// doubles each time. 0 means 50 ms.
+	// SettlePause is the pause after the first retry of a write whose outcome is unknown. It
+	// doubles after each retry. 0 means 50 ms.
 	SettlePause time.Duration
 }
 
@@ -86,7 +87,7 @@
 	return fmt.Sprintf("%s%09d/", VersionPrefix, bucket)
 }
 
-func key(version int64) string {
+func versionKey(version int64) string {
 	return fmt.Sprintf("%s%012d", bucketPrefix(bucketOf(version)), version)
 }
 
@@ -94,7 +95,7 @@
 	return fmt.Sprintf("%s%09d", SnapshotPrefix, bucket)
 }
 
-// Head reads the head row. A table with none gives the zero Head.
+// Head reads the head row. It returns the zero Head if the table has none.
 func (l Log) Head(ctx context.Context) (Head, error) {
 	row, err := l.Table.Get(ctx, HeadKey)
 	if errors.Is(err, platform.ErrNotFound) {
@@ -111,9 +112,9 @@
 	return head, nil
 }
 
-// Get reads one version's row.
+// Get reads the row of one version.
 func (l Log) Get(ctx context.Context, version int64) (Entry, error) {
-	row, err := l.Table.Get(ctx, key(version))
+	row, err := l.Table.Get(ctx, versionKey(version))
 	if err != nil {
 		return Entry{}, err
 	}
@@ -126,14 +127,14 @@
 	return entry, errors.Wrap(err, "versions: entry")
 }
 
-// Load reads the document of one version. Version 0 is the empty one. It costs
-// two reads. ErrBehind asks to try again.
+// Load reads the document of one version. Version 0 is the empty document. It costs
+// two reads. After ErrStaleRead the caller may try again.
 func (l Log) Load(ctx context.Context, version int64) (*config.Config, error) {
 	return l.LoadFrom(ctx, nil, version)
 }
 
-// LoadFrom reads the document of a version on top of one that is known, which
-// costs one read when both are in the same bucket. Known may be nil.
+// LoadFrom reads the document of a version, starting from a known document. This costs one
+// read if both versions are in the same bucket. Known may be nil.
 func (l Log) LoadFrom(ctx context.Context, known *config.Config, version int64) (*config.Config, error) {
 	if version == 0 {
 		return &config.Config{}, nil
@@ -142,21 +143,21 @@
 		return known, nil
 	}
 	bucket := bucketOf(version)
-	entries, err := l.bucket(ctx, bucket)
+	entries, err := l.readBucket(ctx, bucket)
 	if err != nil {
 		return nil, err
 	}
 	base := known
 	if base == nil || base.Version > version || bucketOf(base.Version) != bucket {
-		if base, err = l.snapshot(ctx, bucket); err != nil {
+		if base, err = l.readSnapshot(ctx, bucket); err != nil {
 			return nil, err
 		}
 	}
 	return replay(base, entries, version)
 }
 
-// bucket reads the rows of one bucket, ordered by version.
-func (l Log) bucket(ctx context.Context, bucket int64) ([]Entry, error) {
+// readBucket reads the version rows of one bucket, ordered by version.
+func (l Log) readBucket(ctx context.Context, bucket int64) ([]Entry, error) {
 	rows, err := l.Table.List(ctx, bucketPrefix(bucket))
 	if err != nil {
 		return nil, err
@@ -172,8 +173,8 @@
 	return entries, nil
 }
 
-// snapshot reads the whole document of a bucket's first version.
-func (l Log) snapshot(ctx context.Context, bucket int64) (*config.Config, error) {
+// readSnapshot reads the whole document of a bucket's first version.
+func (l Log) readSnapshot(ctx context.Context, bucket int64) (*config.Config, error) {
 	doc := &config.Config{}
 	if bucket == 0 {
 		return doc, nil
@@ -188,14 +189,14 @@
 	return doc, unpack(row.Value, doc)
 }
 
-// replay brings base to the version by the entries that follow it.
+// replay returns the document of a version, by applying entries to base.
 func replay(base *config.Config, entries []Entry, version int64) (*config.Config, error) {
 	doc := base
 	for _, entry := range entries {
 		if entry.Version <= doc.Version || entry.Version > version {
 			continue
 		}
-		next, err := entry.follow(doc)
+		next, err := entry.documentAfter(doc)
 		if err != nil {
 			return nil, err
 		}
@@ -207,8 +208,8 @@
 	return doc, nil
 }
 
-// follow returns the entry's document; before is the newest one known below.
-func (e Entry) follow(before *config.Config) (*config.Config, error) {
+// documentAfter returns the entry's document. Before is the newest known document of a lower version.
+func (e Entry) documentAfter(before *config.Config) (*config.Config, error) {
 	if len(e.Document) > 0 {
 		doc := &config.Config{}
 		return doc, unpack(e.Document, doc)
@@ -228,9 +229,8 @@
 	return l.NewestFrom(ctx, nil)
 }
 
-// NewestFrom reads the head and its document, on top of a document that is
-// known. Known may be nil, and newer than what the table's copy has: that is
-// ErrBehind.
+// NewestFrom reads the head and its document, starting from a known document. Known may be
+// nil. If known is newer than the head that was read, it returns ErrStaleRead.
 func (l Log) NewestFrom(ctx context.Context, known *config.Config) (Head, *config.Config, error) {
 	head, err := l.Head(ctx)
 	if err != nil {
@@ -247,8 +247,8 @@
 	return head, doc.Clone(), nil
 }
 
-// List returns the newest versions, newest first, without their documents. It
-// returns MaxListed at most, and costs one read for each bucket.
+// List returns the newest versions, newest first, without their documents. It returns at
+// most MaxListed versions, and costs one read for the head and one for each bucket.
 func (l Log) List(ctx context.Context, limit int) ([]Entry, error) {
 	head, err := l.Head(ctx)
 	if err != nil {
@@ -257,7 +257,7 @@
 	limit = min(limit, MaxListed)
 	var newest []Entry
 	for b := bucketOf(head.Version); b >= 0 && len(newest) < limit; b-- {
-		entries, err := l.bucket(ctx, b)
+		entries, err := l.readBucket(ctx, b)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/versions/versions_test.go
+++ b/internal/versions/versions_test.go
@@ -14,16 +14,16 @@
 	"sassafrasfield/internal/platform"
 )
 
-// fakeTable is a table whose reads come from an old copy while stale is set,
-// and that loses the replies of the next commits.
+// fakeTable is a table that can answer reads from a stale copy, and lose the requests or
+// replies of commits.
 type fakeTable struct {
 	rows     map[string]platform.Row
 	copied   map[string]platform.Row
 	revision int64
-	// staleReads is how many of the next reads come from the copy.
+	// staleReads is how many of the next reads are answered from the copy.
 	staleReads int
 	// loseReplies and loseRequests are how many of the next commits with writes
-	// end without a reply, after and before they took effect.
+	// get no reply, after and before they take effect.
 	loseReplies, loseRequests int
 	reads                     int
 }
@@ -32,8 +32,8 @@
 	return &fakeTable{rows: map[string]platform.Row{}, copied: map[string]platform.Row{}}
 }
 
-// freeze makes the next reads come from the table as it is now.
-func (f *fakeTable) freeze(reads int) {
+// serveStale answers the next reads from a copy of the table as it is now.
+func (f *fakeTable) serveStale(reads int) {
 	f.copied = map[string]platform.Row{}
 	for key, row := range f.rows {
 		f.copied[key] = row
@@ -61,8 +61,8 @@
 func (f *fakeTable) List(_ context.Context, prefix string) ([]platform.Row, error) {
 	var rows []platform.Row
 	source := f.source()
-	for v := int64(0); v <= f.revision; v++ { // the tests list version rows alone
-		if row, ok := source[key(v)]; ok && strings.HasPrefix(key(v), prefix) {
+	for v := int64(0); v <= f.revision; v++ { // the tests list only version rows
+		if row, ok := source[versionKey(v)]; ok && strings.HasPrefix(versionKey(v), prefix) {
 			rows = append(rows, row)
 		}
 	}
@@ -109,14 +109,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	table.freeze(2) // the read-back does not show the row yet
+	table.serveStale(2) // the read-back does not show the row yet
 	doc.Version = 1
 	if err := log.Append(context.Background(), head, doc, Entry{}, platform.Txn{}); err != nil {
-		t.Fatalf("the version was written, and Append told %v", err)
+		t.Fatalf("the version was written, but Append returned %v", err)
 	}
 }
 
-func TestLostReplyOfALoserIsRefused(t *testing.T) {
+func TestLostRequestAfterAnotherWriteIsRefused(t *testing.T) {
 	table := newFakeTable()
 	log := Log{Table: table, SettlePause: time.Microsecond}
 	head, doc, err := log.Newest(context.Background())
@@ -129,22 +129,22 @@
 	table.loseRequests = 1
 	doc.Version = 1
 	if err := log.Append(context.Background(), head, doc, Entry{}, platform.Txn{}); !errors.Is(err, ErrHeadMoved) {
-		t.Fatalf("another version was written, and Append told %v", err)
+		t.Fatalf("another version was written, but Append returned %v", err)
 	}
 }
 
-func TestFailedExtraCheckIsNoMovedHead(t *testing.T) {
+func TestFailedExtraCheckIsNotErrHeadMoved(t *testing.T) {
 	table := newFakeTable()
 	log := Log{Table: table, SettlePause: time.Microsecond}
 	table.loseRequests = 1
 	extra := platform.Txn{Checks: []platform.Check{{Key: "epoch/p", Revision: 9}}}
 	doc := &config.Config{Version: 1}
 	if err := log.Append(context.Background(), Head{}, doc, Entry{}, extra); !errors.Is(err, platform.ErrConflict) {
-		t.Fatalf("told %v", err)
+		t.Fatalf("Append returned %v", err)
 	}
 }
 
-func TestListingReadsBuckets(t *testing.T) {
+func TestListReadsBuckets(t *testing.T) {
 	table := newFakeTable()
 	log := Log{Table: table, SettlePause: time.Microsecond}
 	for i := range 150 {
@@ -166,14 +166,14 @@
 			t.Errorf("version %d: %v", version, err)
 		}
 	}
-	if whole := len(table.rows[key(65)].Value); whole > 512 {
-		t.Errorf("a version that adds one engine has a row of %d bytes", whole)
+	if size := len(table.rows[versionKey(65)].Value); size > 512 {
+		t.Errorf("a version that adds one engine has a row of %d bytes", size)
 	}
 }
 
-// TestOutcomesAreTrue lets writers race with lost requests, lost replies and
-// stale reads: what each is told is what the table has.
-func TestOutcomesAreTrue(t *testing.T) {
+// TestReportedOutcomesMatchTable lets writers race with lost requests, lost replies and
+// stale reads, and checks that the outcome that Append returns is what the table has.
+func TestReportedOutcomesMatchTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := newFakeTable()
 		log := Log{Table: table, SettlePause: time.Microsecond}
@@ -185,9 +185,9 @@
 				continue
 			}
 			if rapid.Bool().Draw(t, "raced") {
-				_ = appendEngine(log, fmt.Sprintf("rival-%d", i)) // may find an old copy
+				_ = appendEngine(log, fmt.Sprintf("rival-%d", i)) // may get a stale copy
 			}
-			table.freeze(rapid.IntRange(0, 2).Draw(t, "stale"))
+			table.serveStale(rapid.IntRange(0, 2).Draw(t, "stale"))
 			table.loseReplies = rapid.IntRange(0, 1).Draw(t, "replies")
 			table.loseRequests = rapid.IntRange(0, 1).Draw(t, "requests")
 			id := fmt.Sprintf("own-%d", i)
@@ -207,12 +207,12 @@
 		}
 		for id := range accepted {
 			if doc.Engine(id) == nil {
-				t.Fatalf("%s was told accepted and is not there", id)
+				t.Fatalf("%s was accepted but is missing", id)
 			}
 		}
 		for id := range refused {
 			if doc.Engine(id) != nil {
-				t.Fatalf("%s was told refused and is there", id)
+				t.Fatalf("%s was refused but is present", id)
 			}
 		}
 	})
