--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -52,8 +52,8 @@
 	Margin time.Duration
 }
 
-// Place is how closely a process watches the lease of a pool.
-type Place struct {
+// WatchPolicy is how closely a process watches the lease of a pool.
+type WatchPolicy struct {
 	// Watch is false for a process that leaves the lease alone.
 	Watch bool
 	// ReadEvery is the time between reads while another holds the lease.
@@ -118,7 +118,7 @@
 	self     string
 	settings Settings
 	newID    func() string
-	place    Place
+	place    WatchPolicy
 
 	busy bool
 	sent attempt // the write under way
@@ -168,7 +168,7 @@
 }
 
 // SetPlace sets how closely the lease is watched.
-func (l *Lease) SetPlace(place Place) {
+func (l *Lease) SetPlace(place WatchPolicy) {
 	l.place = place
 }
 
--- a/internal/lease/place.go
+++ b/internal/lease/place.go
@@ -37,12 +37,12 @@
 }
 
 // Place returns how closely the instance of a rank watches.
-func (r Ranks) Place(rank int) Place {
+func (r Ranks) Place(rank int) WatchPolicy {
 	if rank >= r.Watchers {
-		return Place{}
+		return WatchPolicy{}
 	}
 	doublings := max(0, rank-frequent)
-	return Place{
+	return WatchPolicy{
 		Watch:     true,
 		ReadEvery: r.ReadEvery << doublings,
 		TakeDelay: time.Duration(rank) * r.Delay,
