--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -58,9 +58,9 @@
 	Watch bool
 	// ReadEvery is the time between reads while another holds the lease.
 	ReadEvery time.Duration
-	// TakeDelay is a further wait of a challenger that is not the first choice
+	// TakeoverDelay is a further wait of a challenger that is not the first choice
 	// for the pool.
-	TakeDelay time.Duration
+	TakeoverDelay time.Duration
 }
 
 // Grant is the authority over a pool.
@@ -296,9 +296,9 @@
 // ripeAt is when the row may be taken over if it still stands.
 func (l *Lease) ripeAt() time.Duration {
 	if l.free() {
-		return l.since + l.place.TakeDelay
+		return l.since + l.place.TakeoverDelay
 	}
-	return l.since + l.settings.Term + l.settings.Margin + l.place.TakeDelay
+	return l.since + l.settings.Term + l.settings.Margin + l.place.TakeoverDelay
 }
 
 // free tells that the row was given up, or never there. After a return of the table
--- a/internal/lease/place.go
+++ b/internal/lease/place.go
@@ -45,6 +45,6 @@
 	return WatchPolicy{
 		Watch:     true,
 		ReadEvery: r.ReadEvery << doublings,
-		TakeDelay: time.Duration(rank) * r.Delay,
+		TakeoverDelay: time.Duration(rank) * r.Delay,
 	}
 }
