--- a/internal/control/leasesettings.go
+++ b/internal/control/leasesettings.go
@@ -77,6 +77,6 @@
 	return lease.Settings{Term: s.Term, RenewEvery: s.RenewEvery, RetryEvery: s.RetryEvery, Margin: s.Margin}
 }
 
-func (s LeaseSettings) ranks() lease.Ranks {
-	return lease.Ranks{Watchers: s.Watchers, ReadEvery: s.RenewEvery, Delay: s.RankDelay}
+func (s LeaseSettings) ranks() lease.RankSettings {
+	return lease.RankSettings{Watchers: s.Watchers, ReadEvery: s.RenewEvery, Delay: s.RankDelay}
 }
--- a/internal/lease/place.go
+++ b/internal/lease/place.go
@@ -6,8 +6,8 @@
 	"sassafrasfield/internal/rendezvous"
 )
 
-// Ranks settle how closely the instances watch the leases.
-type Ranks struct {
+// RankSettings settle how closely the instances watch the leases.
+type RankSettings struct {
 	// Watchers is how many of the instances that rank highest for a pool watch
 	// its lease at all.
 	Watchers int
@@ -37,7 +37,7 @@
 }
 
 // Place returns how closely the instance of a rank watches.
-func (r Ranks) Place(rank int) WatchPolicy {
+func (r RankSettings) Place(rank int) WatchPolicy {
 	if rank >= r.Watchers {
 		return WatchPolicy{}
 	}
