--- a/internal/lease/place.go
+++ b/internal/lease/place.go
@@ -36,8 +36,8 @@
 	return rank
 }
 
-// Place returns how closely the instance of a rank watches.
-func (r RankSettings) Place(rank int) WatchPolicy {
+// WatchPolicy returns how closely the instance of a rank watches.
+func (r RankSettings) WatchPolicy(rank int) WatchPolicy {
 	if rank >= r.Watchers {
 		return WatchPolicy{}
 	}
