--- a/internal/control/leasesettings.go
+++ b/internal/control/leasesettings.go
@@ -78,5 +78,5 @@
 }
 
 func (s LeaseSettings) ranks() lease.RankSettings {
-	return lease.RankSettings{Watchers: s.Watchers, ReadEvery: s.RenewEvery, Delay: s.RankDelay}
+	return lease.RankSettings{Watchers: s.Watchers, ReadEvery: s.RenewEvery, RankDelay: s.RankDelay}
 }
--- a/internal/lease/place.go
+++ b/internal/lease/place.go
@@ -14,9 +14,9 @@
 	// ReadEvery is the time between reads of the first choice and the two
 	// after it; each next one takes twice as long as the one before.
 	ReadEvery time.Duration
-	// Delay is how much longer each rank waits than the one before it, before
+	// RankDelay is how much longer each rank waits than the one before it, before
 	// it takes a lease over.
-	Delay time.Duration
+	RankDelay time.Duration
 }
 
 // frequent is how many ranks after the first read at the full rate.
@@ -45,6 +45,6 @@
 	return WatchPolicy{
 		Watch:     true,
 		ReadEvery: r.ReadEvery << doublings,
-		TakeoverDelay: time.Duration(rank) * r.Delay,
+		TakeoverDelay: time.Duration(rank) * r.RankDelay,
 	}
 }
--- a/internal/rolekeeper/lease.go
+++ b/internal/rolekeeper/lease.go
@@ -18,7 +18,7 @@
 // ranks settles who watches the lease: three instances, the others leave the
 // store alone.
 func (k *Keeper) ranks() lease.RankSettings {
-	return lease.RankSettings{Watchers: 3, ReadEvery: k.settings.Lease / 2, Delay: k.settings.Lease / 10}
+	return lease.RankSettings{Watchers: 3, ReadEvery: k.settings.Lease / 2, RankDelay: k.settings.Lease / 10}
 }
 
 func (k *Keeper) place() {
