--- a/internal/control/leasehandover.go
+++ b/internal/control/leasehandover.go
@@ -89,7 +89,7 @@
 	now := bootclock.Now()
 	for _, p := range l.machines {
 		rank := l.ownRank(p.pool, live)
-		p.machine.SetPlace(l.daemon.settings.Lease.ranks().WatchPolicy(rank))
+		p.machine.SetWatchPolicy(l.daemon.settings.Lease.ranks().WatchPolicy(rank))
 		if rank == 0 && !p.first {
 			p.firstSince = now
 		}
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -167,8 +167,8 @@
 	return &Lease{self: self, settings: settings, newID: newID, readSoon: true}
 }
 
-// SetPlace sets how closely the lease is watched.
-func (l *Lease) SetPlace(place WatchPolicy) {
+// SetWatchPolicy sets how closely the lease is watched.
+func (l *Lease) SetWatchPolicy(place WatchPolicy) {
 	l.place = place
 }
 
--- a/internal/lease/model_test.go
+++ b/internal/lease/model_test.go
@@ -152,7 +152,7 @@
 	p := &process{name: name, rate: rate, offset: time.Duration(w.runs) * time.Hour}
 	p.machine = lease.New(name, modelSettings, w.newID)
 	ranks := lease.RankSettings{Watchers: 8, ReadEvery: time.Second, RankDelay: 300 * time.Millisecond}
-	p.machine.SetPlace(ranks.WatchPolicy(i))
+	p.machine.SetWatchPolicy(ranks.WatchPolicy(i))
 	return p
 }
 
--- a/internal/lease/return_test.go
+++ b/internal/lease/return_test.go
@@ -124,7 +124,7 @@
 func (w *returningWorld) start(i int) *orderer {
 	name := fmt.Sprintf("p%d/run%s", i, w.newID())
 	o := &orderer{name: name, machine: lease.New(name, modelSettings, w.newID)}
-	o.machine.SetPlace(lease.RankSettings{Watchers: 3, ReadEvery: 500 * time.Millisecond, RankDelay: 300 * time.Millisecond}.WatchPolicy(i))
+	o.machine.SetWatchPolicy(lease.RankSettings{Watchers: 3, ReadEvery: 500 * time.Millisecond, RankDelay: 300 * time.Millisecond}.WatchPolicy(i))
 	return o
 }
 
--- a/internal/rolekeeper/lease.go
+++ b/internal/rolekeeper/lease.go
@@ -27,7 +27,7 @@
 	if slices.Contains(candidates, k.settings.Instance) {
 		rank = lease.Rank(Lease, k.settings.Instance, candidates)
 	}
-	k.machine.SetPlace(ranks.WatchPolicy(rank))
+	k.machine.SetWatchPolicy(ranks.WatchPolicy(rank))
 	k.watches = rank < ranks.Watchers
 }
 
