--- a/internal/lease/outcome.go
+++ b/internal/lease/outcome.go
@@ -15,8 +15,8 @@
 	Committed Outcome = iota
 	// Conflicted writes did not: the row has another revision.
 	Conflicted
-	// NotTaken writes did not: the table did not take the call.
-	NotTaken
+	// Unavailable writes did not: the table did not take the call.
+	Unavailable
 	// Unknown writes may have taken effect, or may yet.
 	Unknown
 )
@@ -118,7 +118,7 @@
 		l.accept(l.sent, revision)
 	case Conflicted:
 		l.conflicted()
-	case NotTaken:
+	case Unavailable:
 		l.nextTry = now + l.settings.RetryEvery
 	case Unknown:
 		l.doubt(now)
--- a/internal/lease/return_test.go
+++ b/internal/lease/return_test.go
@@ -74,7 +74,7 @@
 	case action.Kind == lease.Read:
 		o.machine.OnReadFailed(now)
 	case !answers:
-		o.machine.OnWrite(now, lease.NotTaken, 0)
+		o.machine.OnWrite(now, lease.Unavailable, 0)
 	default:
 		if revision, ok := t.write(action.Row, action.Revision); ok {
 			o.machine.OnWrite(now, lease.Committed, revision)
--- a/internal/leaserows/leaserows.go
+++ b/internal/leaserows/leaserows.go
@@ -70,7 +70,7 @@
 	case errors.Is(err, platform.ErrConflict):
 		return lease.Conflicted
 	case errors.Is(err, platform.ErrUnavailable):
-		return lease.NotTaken
+		return lease.Unavailable
 	default:
 		return lease.Unknown
 	}
