--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -75,9 +75,9 @@
 	Resumed bool
 	// First tells that no process had it before.
 	First bool
-	// Returned tells that the table came back from an older copy since this process
+	// TableRestored tells that the table came back from an older copy since this process
 	// had the lease last: rows that were written since may be lost.
-	Returned bool
+	TableRestored bool
 }
 
 // ActionKind tells what to do.
--- a/internal/lease/outcome.go
+++ b/internal/lease/outcome.go
@@ -95,7 +95,7 @@
 	l.lastRenewal, l.heldUntil = a.at, a.at+l.settings.Term
 	l.grant = &Grant{
 		Epoch: a.row.Epoch, EpochRevision: l.epochRevision, Until: l.heldUntil,
-		Resumed: l.takeover.resumed, First: l.takeover.first, Returned: l.takeover.returned,
+		Resumed: l.takeover.resumed, First: l.takeover.first, TableRestored: l.takeover.returned,
 	}
 }
 
--- a/internal/rolekeeper/lease.go
+++ b/internal/rolekeeper/lease.go
@@ -67,7 +67,7 @@
 		for _, d := range k.duties {
 			d.Taken()
 		}
-		k.log.Info("roles: lease taken", "epoch", grant.Epoch, "first", grant.First, "resumed", grant.Resumed, "returned", grant.Returned)
+		k.log.Info("roles: lease taken", "epoch", grant.Epoch, "first", grant.First, "resumed", grant.Resumed, "returned", grant.TableRestored)
 		return
 	}
 	k.log.Info("roles: lease lost or given up")
@@ -77,7 +77,7 @@
 // copy and nobody else had the lease, this process knows more than the store does: it goes on with
 // that, and has the wanted splits written again.
 func (k *Keeper) begin(grant lease.Grant) {
-	if !grant.Returned || !grant.Resumed {
+	if !grant.TableRestored || !grant.Resumed {
 		k.pending, k.services = map[string]pending{}, map[string]*duty{}
 		return
 	}
--- a/internal/rolekeeper/rolekeeper_test.go
+++ b/internal/rolekeeper/rolekeeper_test.go
@@ -405,8 +405,8 @@
 		grant lease.Grant
 		keeps bool
 	}{
-		{lease.Grant{Resumed: true, Returned: true}, true},
-		{lease.Grant{Returned: true}, false}, // another one may have moved it since
+		{lease.Grant{Resumed: true, TableRestored: true}, true},
+		{lease.Grant{TableRestored: true}, false}, // another one may have moved it since
 		{lease.Grant{Resumed: true}, false},
 	} {
 		k := &Keeper{services: map[string]*duty{"llm": {target: target, kept: target}}, pending: map[string]pending{"e": {}}}
--- a/internal/usagereport/reporter.go
+++ b/internal/usagereport/reporter.go
@@ -131,7 +131,7 @@
 	}
 	switch era := platform.EraOf(grant.EpochRevision); {
 	case kept.Era >= era:
-	case grant.Returned && grant.Resumed && r.row.Last > 0:
+	case grant.TableRestored && grant.Resumed && r.row.Last > 0:
 		r.log.Warn("usage: the store came back from a copy, what was fixed is kept", "up_to", r.row.Last, "store_has", kept.Last)
 		kept = r.row
 	default:
--- a/internal/usagereport/reporter_test.go
+++ b/internal/usagereport/reporter_test.go
@@ -358,7 +358,7 @@
 		r.table.rows[key] = row
 	}
 	r.takeOver(holder)
-	r.grants[holder].Returned, r.grants[holder].Resumed = true, resumed
+	r.grants[holder].TableRestored, r.grants[holder].Resumed = true, resumed
 }
 
 // TestAWindowThatTheStoreLostIsNotCountedAnew guards against two counts of a window: the store came
