--- a/internal/control/leasehandover.go
+++ b/internal/control/leasehandover.go
@@ -223,7 +223,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if p, ok := l.machines[req.Msg.Pool]; ok {
-		p.machine.Hint()
+		p.machine.RequestRead()
 	}
 	return connect.NewResponse(&sfv1.FreedResponse{}), nil
 }
--- a/internal/lease/histories_test.go
+++ b/internal/lease/histories_test.go
@@ -157,7 +157,7 @@
 		w.finishLease(p, true)
 		w.giveUpOrder(p)
 	case "hint":
-		p.machine.Hint()
+		p.machine.RequestRead()
 	case "release":
 		if p.step == idle {
 			p.machine.Release()
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -201,9 +201,9 @@
 	l.releasing = false
 }
 
-// Hint asks for a read with the next tick, when word came that the row has
+// RequestRead asks for a read with the next tick, when word came that the row has
 // changed. It proves nothing.
-func (l *Lease) Hint() {
+func (l *Lease) RequestRead() {
 	l.readSoon = true
 	l.nextTry = 0
 }
