--- a/internal/control/leasehandover.go
+++ b/internal/control/leasehandover.go
@@ -32,7 +32,7 @@
 	}
 	if p.closing == closingBack && p.sending == 0 && p.machine.Released() {
 		p.closing = closingNot
-		p.machine.Resume()
+		p.machine.ResumeWatching()
 	}
 }
 
--- a/internal/lease/histories_test.go
+++ b/internal/lease/histories_test.go
@@ -163,7 +163,7 @@
 			p.machine.Release()
 		}
 		if p.machine.Released() {
-			p.machine.Resume()
+			p.machine.ResumeWatching()
 		}
 	}
 }
@@ -249,7 +249,7 @@
 	for range 60 {
 		w.advance(200 * time.Millisecond)
 		for _, p := range w.processes {
-			p.machine.Resume()
+			p.machine.ResumeWatching()
 			if p.leaseCall == nil {
 				w.tickLease(p)
 			}
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -196,8 +196,8 @@
 	return !l.busy && len(l.doubts) == 0 && l.row.Holder != l.self
 }
 
-// Resume makes a released lease one to watch again.
-func (l *Lease) Resume() {
+// ResumeWatching makes a released lease one to watch again.
+func (l *Lease) ResumeWatching() {
 	l.releasing = false
 }
 
--- a/internal/lease/return_test.go
+++ b/internal/lease/return_test.go
@@ -203,7 +203,7 @@
 			case 4:
 				w.processes[n].machine.Release()
 				w.play(time.Second, true)
-				w.processes[n].machine.Resume()
+				w.processes[n].machine.ResumeWatching()
 			case 5:
 				w.play(tenths(80, "time"), true)
 			}
