--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -18,7 +18,7 @@
 // Offer implements the PeerService.
 func (p *peerService) Offer(_ context.Context, req *connect.Request[sfv1.OfferRequest]) (*connect.Response[sfv1.OfferResponse], error) {
 	err := p.daemon.take(req.Msg.Document, req.Msg.Deltas, req.Msg.Sum, "peer "+req.Msg.From)
-	if errors.Is(err, gossip.ErrBase) {
+	if errors.Is(err, gossip.ErrBaseMismatch) {
 		return connect.NewResponse(&sfv1.OfferResponse{Version: p.daemon.holder.Current().Version}), nil
 	}
 	if err != nil {
--- a/internal/gossip/delta.go
+++ b/internal/gossip/delta.go
@@ -10,9 +10,9 @@
 	"sassafrasfield/internal/config"
 )
 
-// ErrBase: a delta is for another version than the one held, or its result is
+// ErrBaseMismatch: a delta is for another version than the one held, or its result is
 // not the version that it names. The whole document has to be sent.
-var ErrBase = errors.New("spread: the delta does not fit the version held")
+var ErrBaseMismatch = errors.New("spread: the delta does not fit the version held")
 
 // Delta is what changed from one version to another.
 type Delta struct {
@@ -106,7 +106,7 @@
 // shares objects with the base.
 func (d Delta) Apply(base *config.Config) (*config.Config, error) {
 	if base.Version != d.Base {
-		return nil, ErrBase
+		return nil, ErrBaseMismatch
 	}
 	next := *base
 	next.Version, next.Intent = d.Version, d.Intent
@@ -170,7 +170,7 @@
 		doc = next
 	}
 	if Sum(doc.Encode()) != sum {
-		return nil, ErrBase
+		return nil, ErrBaseMismatch
 	}
 	return doc, nil
 }
--- a/internal/gossip/delta_test.go
+++ b/internal/gossip/delta_test.go
@@ -63,10 +63,10 @@
 		t.Fatal(err)
 	}
 	other := &config.Config{Version: 1, Organisations: []config.Organisation{{Name: "b"}}}
-	if _, err := ApplyAll(other, [][]byte{data}, Sum(next.Encode())); !errors.Is(err, ErrBase) {
+	if _, err := ApplyAll(other, [][]byte{data}, Sum(next.Encode())); !errors.Is(err, ErrBaseMismatch) {
 		t.Errorf("another version 1: %v", err)
 	}
-	if _, err := ApplyAll(&config.Config{}, [][]byte{data}, Sum(next.Encode())); !errors.Is(err, ErrBase) {
+	if _, err := ApplyAll(&config.Config{}, [][]byte{data}, Sum(next.Encode())); !errors.Is(err, ErrBaseMismatch) {
 		t.Errorf("version 0: %v", err)
 	}
 }
