--- a/internal/control/spread.go
+++ b/internal/control/spread.go
@@ -212,7 +212,7 @@
 
 // learn takes a configuration from any source.
 func (d *Daemon) learn(doc *config.Config, source string) {
-	if d.holder.Learn(doc) {
+	if d.holder.SetIfNewer(doc) {
 		d.log.Info("spread: version learned", "version", doc.Version, "source", source)
 	}
 	d.spread.holds(d.holder.Current().Version)
--- a/internal/gossip/delta_test.go
+++ b/internal/gossip/delta_test.go
@@ -74,7 +74,7 @@
 func TestHolderGivesDeltasSinceAVersion(t *testing.T) {
 	h := NewHolder()
 	for v := int64(1); v <= 5; v++ {
-		h.Learn(&config.Config{Version: v, Organisations: []config.Organisation{{Name: "a", Share: float64(v)}}})
+		h.SetIfNewer(&config.Config{Version: v, Organisations: []config.Organisation{{Name: "a", Share: float64(v)}}})
 	}
 	update := h.Since(3)
 	if len(update.Deltas) != 2 || update.Document != nil {
--- a/internal/gossip/holder.go
+++ b/internal/gossip/holder.go
@@ -107,9 +107,9 @@
 	}
 }
 
-// Learn takes a configuration, from whichever source, and tells whether it was
+// SetIfNewer takes a configuration, from whichever source, and tells whether it was
 // newer than the one held.
-func (h *Holder) Learn(doc *config.Config) bool {
+func (h *Holder) SetIfNewer(doc *config.Config) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if doc.Version <= h.doc.Version {
--- a/internal/gossip/machine_test.go
+++ b/internal/gossip/machine_test.go
@@ -38,7 +38,7 @@
 
 func TestHolderNeverFalls(t *testing.T) {
 	h := NewHolder()
-	if !h.Learn(&config.Config{Version: 2}) || h.Learn(&config.Config{Version: 1}) {
+	if !h.SetIfNewer(&config.Config{Version: 2}) || h.SetIfNewer(&config.Config{Version: 1}) {
 		t.Error("want version 2 taken and version 1 not")
 	}
 	if v := h.Current().Version; v != 2 {
