--- a/internal/control/offer.go
+++ b/internal/control/offer.go
@@ -22,7 +22,7 @@
 // send brings a peer that has an older version the one held: what changed, or
 // all of it when that is not known here or does not fit there.
 func (s *spreader) send(ctx context.Context, peer string, have int64) {
-	update := s.daemon.holder.Since(have)
+	update := s.daemon.holder.UpdateSince(have)
 	if len(update.Deltas) > 0 {
 		s.meters.deltas.Inc(1)
 		request := &sfv1.OfferRequest{From: s.daemon.settings.Instance, Version: update.Version, Deltas: update.Deltas, Sum: update.Sum}
@@ -32,7 +32,7 @@
 		}
 	}
 	s.meters.documents.Inc(1)
-	doc := s.daemon.holder.Since(0)
+	doc := s.daemon.holder.UpdateSince(0)
 	s.callOffer(ctx, peer, &sfv1.OfferRequest{From: s.daemon.settings.Instance, Version: doc.Version, Document: doc.Document})
 }
 
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -33,7 +33,7 @@
 	if p.daemon.holder.Current().Version <= req.Msg.Have {
 		return connect.NewResponse(&sfv1.FetchResponse{Version: p.daemon.holder.Current().Version}), nil
 	}
-	update := p.daemon.holder.Since(req.Msg.Have)
+	update := p.daemon.holder.UpdateSince(req.Msg.Have)
 	return connect.NewResponse(&sfv1.FetchResponse{
 		Version: update.Version, Document: update.Document, Deltas: update.Deltas, Sum: update.Sum,
 	}), nil
--- a/internal/gossip/delta_test.go
+++ b/internal/gossip/delta_test.go
@@ -76,11 +76,11 @@
 	for v := int64(1); v <= 5; v++ {
 		h.SetIfNewer(&config.Config{Version: v, Organisations: []config.Organisation{{Name: "a", Share: float64(v)}}})
 	}
-	update := h.Since(3)
+	update := h.UpdateSince(3)
 	if len(update.Deltas) != 2 || update.Document != nil {
 		t.Errorf("since 3: %d deltas, %d bytes of document", len(update.Deltas), len(update.Document))
 	}
-	if update := h.Since(0); update.Document == nil {
+	if update := h.UpdateSince(0); update.Document == nil {
 		t.Error("since 0: no document")
 	}
 }
--- a/internal/gossip/holder.go
+++ b/internal/gossip/holder.go
@@ -71,8 +71,8 @@
 	Sum uint64
 }
 
-// Since returns the update for a peer that holds a version.
-func (h *Holder) Since(version int64) Update {
+// UpdateSince returns the update for a peer that holds a version.
+func (h *Holder) UpdateSince(version int64) Update {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	update := Update{Version: h.doc.Version, Sum: Sum(h.encode())}
