--- a/internal/control/spread.go
+++ b/internal/control/spread.go
@@ -29,7 +29,7 @@
 	mu      sync.Mutex // protects all below
 	machine *gossip.Machine
 	fresh   *freshness.State
-	leaving *gossip.Leaving
+	leaving *gossip.DrainingSet
 	queue   []gossip.Action
 	// tableError is why the last read of the table failed; "" when it did not.
 	tableError string
--- a/internal/gossip/leaving.go
+++ b/internal/gossip/leaving.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Leaving knows which upstreams are leaving by the platform's word, from the
+// DrainingSet knows which upstreams are leaving by the platform's word, from the
 // instance list or from peers. It is pure, and not safe for use by several
 // goroutines.
-type Leaving struct {
+type DrainingSet struct {
 	// listLag is how old the instance list may be: a list without the word
 	// takes it back only when it was read that long after the word.
 	listLag time.Duration
@@ -15,13 +15,13 @@
 }
 
 // NewLeaving returns a set without any upstream.
-func NewLeaving(listLag time.Duration) *Leaving {
-	return &Leaving{listLag: listLag, said: map[string]time.Duration{}}
+func NewLeaving(listLag time.Duration) *DrainingSet {
+	return &DrainingSet{listLag: listLag, said: map[string]time.Duration{}}
 }
 
 // Listed takes the ids that the instance list calls leaving; the list was
 // asked for at a time.
-func (l *Leaving) Listed(at time.Duration, ids []string) {
+func (l *DrainingSet) Listed(at time.Duration, ids []string) {
 	l.listed = at
 	for id, said := range l.said {
 		if l.overruled(said) {
@@ -34,7 +34,7 @@
 }
 
 // Heard takes the platform's word from a peer: said at a time, or later.
-func (l *Leaving) Heard(id string, at time.Duration) {
+func (l *DrainingSet) Heard(id string, at time.Duration) {
 	if l.overruled(at) {
 		return
 	}
@@ -44,13 +44,13 @@
 }
 
 // overruled tells whether the last list is newer than a word that it lacks.
-func (l *Leaving) overruled(said time.Duration) bool {
+func (l *DrainingSet) overruled(said time.Duration) bool {
 	return l.listed >= said+l.listLag
 }
 
 // Ages returns the time since the platform's last word for each upstream that
 // is leaving.
-func (l *Leaving) Ages(now time.Duration) map[string]time.Duration {
+func (l *DrainingSet) Ages(now time.Duration) map[string]time.Duration {
 	ages := make(map[string]time.Duration, len(l.said))
 	for id, said := range l.said {
 		ages[id] = now - said
