--- a/internal/control/spread.go
+++ b/internal/control/spread.go
@@ -67,7 +67,7 @@
 	return &spreader{
 		daemon: d, log: log, meters: newSpreadMeters(metrics.DefaultRegistry),
 		wake: make(chan struct{}, 1), machine: machine, fresh: fresh,
-		leaving: gossip.NewLeaving(s.ListLag),
+		leaving: gossip.NewDrainingSet(s.ListLag),
 	}
 }
 
--- a/internal/gossip/leaving.go
+++ b/internal/gossip/leaving.go
@@ -14,8 +14,8 @@
 	said   map[string]time.Duration
 }
 
-// NewLeaving returns a set without any upstream.
-func NewLeaving(listLag time.Duration) *DrainingSet {
+// NewDrainingSet returns a set without any upstream.
+func NewDrainingSet(listLag time.Duration) *DrainingSet {
 	return &DrainingSet{listLag: listLag, said: map[string]time.Duration{}}
 }
 
--- a/internal/gossip/machine_test.go
+++ b/internal/gossip/machine_test.go
@@ -78,7 +78,7 @@
 }
 
 func TestLeavingIsTakenBackByALaterListAlone(t *testing.T) {
-	l := NewLeaving(10 * time.Second)
+	l := NewDrainingSet(10 * time.Second)
 	l.Heard("e", 20*time.Second)
 	l.Listed(29*time.Second, nil) // may be older than the word
 	if len(l.Ages(30*time.Second)) != 1 {
