--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -208,5 +208,5 @@
 func (s *spreader) listRead(asked time.Duration, leaving []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.leaving.Listed(asked, leaving)
+	s.leaving.MergeList(asked, leaving)
 }
--- a/internal/gossip/leaving.go
+++ b/internal/gossip/leaving.go
@@ -19,9 +19,9 @@
 	return &DrainingSet{listLag: listLag, said: map[string]time.Duration{}}
 }
 
-// Listed takes the ids that the instance list calls leaving; the list was
+// MergeList takes the ids that the instance list calls leaving; the list was
 // asked for at a time.
-func (l *DrainingSet) Listed(at time.Duration, ids []string) {
+func (l *DrainingSet) MergeList(at time.Duration, ids []string) {
 	l.listed = at
 	for id, said := range l.said {
 		if l.overruled(said) {
