--- a/internal/control/exchange.go
+++ b/internal/control/exchange.go
@@ -97,7 +97,7 @@
 
 func (s *spreader) takeLeaving(now time.Duration, leaving []*sfv1.LeavingUpstream) {
 	for _, upstream := range leaving {
-		s.leaving.Heard(upstream.Id, now-millis(upstream.AgeMs))
+		s.leaving.Merge(upstream.Id, now-millis(upstream.AgeMs))
 	}
 }
 
--- a/internal/gossip/leaving.go
+++ b/internal/gossip/leaving.go
@@ -29,12 +29,12 @@
 		}
 	}
 	for _, id := range ids {
-		l.Heard(id, at)
+		l.Merge(id, at)
 	}
 }
 
-// Heard takes the platform's word from a peer: said at a time, or later.
-func (l *DrainingSet) Heard(id string, at time.Duration) {
+// Merge takes the platform's word from a peer: said at a time, or later.
+func (l *DrainingSet) Merge(id string, at time.Duration) {
 	if l.overruled(at) {
 		return
 	}
--- a/internal/gossip/machine_test.go
+++ b/internal/gossip/machine_test.go
@@ -79,13 +79,13 @@
 
 func TestLeavingIsTakenBackByALaterListAlone(t *testing.T) {
 	l := NewDrainingSet(10 * time.Second)
-	l.Heard("e", 20*time.Second)
+	l.Merge("e", 20*time.Second)
 	l.MergeList(29*time.Second, nil) // may be older than the word
 	if len(l.Ages(30*time.Second)) != 1 {
 		t.Error("a list that may be older took the word back")
 	}
 	l.MergeList(30*time.Second, nil)
-	l.Heard("e", 20*time.Second) // a peer's old word
+	l.Merge("e", 20*time.Second) // a peer's old word
 	if len(l.Ages(31*time.Second)) != 0 {
 		t.Error("an old word came back")
 	}
