--- a/internal/control/spread.go
+++ b/internal/control/spread.go
@@ -60,7 +60,7 @@
 		PollEvery: s.PollEvery, TableReads: float64(s.TableReads),
 		ExchangeEvery: s.ExchangeEvery, Fanout: s.Fanout,
 	}, rng)
-	machine.ListChanged(s.Seeds)
+	machine.SetPeers(s.Seeds)
 	fresh := freshness.New(d.settings.Instance, freshness.Settings{
 		FreshFor: s.FreshFor, AcceptWithin: s.AcceptWithin, ReadLag: s.ReadLag,
 	}, bootclock.Now())
@@ -244,7 +244,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fresh.SetMembers(ids)
-	s.machine.ListChanged(peers)
+	s.machine.SetPeers(peers)
 }
 
 // status decides whether the configuration may be taken for the newest.
--- a/internal/gossip/machine.go
+++ b/internal/gossip/machine.go
@@ -86,8 +86,8 @@
 // Version is the newest version that was learned.
 func (m *Machine) Version() int64 { return m.version }
 
-// ListChanged takes the control addresses of the peers, self excluded.
-func (m *Machine) ListChanged(peers []string) {
+// SetPeers takes the control addresses of the peers, self excluded.
+func (m *Machine) SetPeers(peers []string) {
 	m.peers = slices.Clone(peers)
 }
 
--- a/internal/gossip/machine_test.go
+++ b/internal/gossip/machine_test.go
@@ -12,7 +12,7 @@
 	m := NewMachine(Settings{
 		PollEvery: time.Second, TableReads: 100, ExchangeEvery: time.Second / 2, Fanout: 3,
 	}, rand.New(rand.NewPCG(1, 2)))
-	m.ListChanged(peers)
+	m.SetPeers(peers)
 	return m
 }
 
--- a/internal/gossip/model_test.go
+++ b/internal/gossip/model_test.go
@@ -86,7 +86,7 @@
 		}
 	}
 	d.fresh.SetMembers(ids)
-	d.machine.ListChanged(peers)
+	d.machine.SetPeers(peers)
 }
 
 func (w *world) clock(d *node) time.Duration { return w.now + d.offset }
