--- a/internal/control/spread.go
+++ b/internal/control/spread.go
@@ -224,7 +224,7 @@
 	defer s.mu.Unlock()
 	s.meters.version.Update(version)
 	s.fresh.SetHeld(version)
-	s.enqueue(s.machine.Learned(version))
+	s.enqueue(s.machine.OnNewVersion(version))
 }
 
 // offered takes that a peer holds a version, and returns what to answer.
--- a/internal/gossip/machine.go
+++ b/internal/gossip/machine.go
@@ -91,9 +91,9 @@
 	m.peers = slices.Clone(peers)
 }
 
-// Learned takes a version that is held now, from whichever source. Peers are
+// OnNewVersion takes a version that is held now, from whichever source. Peers are
 // told of it, unless it is none that is newer.
-func (m *Machine) Learned(version int64) []Action {
+func (m *Machine) OnNewVersion(version int64) []Action {
 	if version <= m.version {
 		return nil
 	}
--- a/internal/gossip/machine_test.go
+++ b/internal/gossip/machine_test.go
@@ -18,10 +18,10 @@
 
 func TestVersionNeverFalls(t *testing.T) {
 	m := newTestMachine("p", "q", "r", "s")
-	if actions := m.Learned(7); len(actions) != 3 {
+	if actions := m.OnNewVersion(7); len(actions) != 3 {
 		t.Errorf("%d peers are told, want 3", len(actions))
 	}
-	if actions := m.Learned(6); actions != nil || m.Version() != 7 {
+	if actions := m.OnNewVersion(6); actions != nil || m.Version() != 7 {
 		t.Errorf("version %d, %v", m.Version(), actions)
 	}
 	m.TableAnswered(0, 6)
@@ -48,7 +48,7 @@
 
 func TestOnePeerSendsAVersion(t *testing.T) {
 	m := newTestMachine("p", "q")
-	m.Learned(1)
+	m.OnNewVersion(1)
 	if answer := m.PeerOffered(0, 2); answer != 1 {
 		t.Errorf("the first that offers is answered %d, want 1", answer)
 	}
--- a/internal/gossip/model_test.go
+++ b/internal/gossip/model_test.go
@@ -142,7 +142,7 @@
 		w.known[version] = w.now
 	}
 	d.fresh.SetHeld(version)
-	w.carryOut(d, d.machine.Learned(version))
+	w.carryOut(d, d.machine.OnNewVersion(version))
 }
 
 func (w *world) carryOut(d *node, actions []gossip.Action) {
