--- a/internal/control/spread.go
+++ b/internal/control/spread.go
@@ -167,7 +167,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.machine.TableAnswered(bootclock.Now(), head)
+	s.machine.OnHeadRead(bootclock.Now(), head)
 	s.enqueue(nil)
 }
 
--- a/internal/gossip/machine.go
+++ b/internal/gossip/machine.go
@@ -160,10 +160,10 @@
 	return chosen
 }
 
-// TableAnswered takes the version of the head; one below the version held is a
+// OnHeadRead takes the version of the head; one below the version held is a
 // stale read. A document is large and peers bring it compressed, so the table
 // is asked for it only when they have not after a while.
-func (m *Machine) TableAnswered(now time.Duration, head int64) {
+func (m *Machine) OnHeadRead(now time.Duration, head int64) {
 	if head <= m.version || head <= m.seenHead {
 		return
 	}
--- a/internal/gossip/machine_test.go
+++ b/internal/gossip/machine_test.go
@@ -24,7 +24,7 @@
 	if actions := m.OnNewVersion(6); actions != nil || m.Version() != 7 {
 		t.Errorf("version %d, %v", m.Version(), actions)
 	}
-	m.TableAnswered(0, 6)
+	m.OnHeadRead(0, 6)
 	actions, _ := m.Tick(time.Hour, false)
 	for _, action := range actions {
 		if load, ok := action.(Load); ok {
--- a/internal/gossip/model_test.go
+++ b/internal/gossip/model_test.go
@@ -159,7 +159,7 @@
 			head := w.staleHead()
 			return func() {
 				d.fresh.HeadRead(sent, head)
-				d.machine.TableAnswered(w.clock(d), head)
+				d.machine.OnHeadRead(w.clock(d), head)
 			}
 		})
 	case gossip.Load:
