--- a/internal/control/exchange.go
+++ b/internal/control/exchange.go
@@ -92,7 +92,7 @@
 		Promised: msg.Promised, PromisedAge: millis(msg.PromisedAgeMs), Voter: msg.Voter,
 		Contacts: decodeContacts(members, msg.Contacts),
 	})
-	s.enqueue(s.machine.PeerAnswered(now, peer, msg.Version))
+	s.enqueue(s.machine.OnPeerAnswer(now, peer, msg.Version))
 }
 
 func (s *spreader) takeLeaving(now time.Duration, leaving []*sfv1.LeavingUpstream) {
--- a/internal/control/spread.go
+++ b/internal/control/spread.go
@@ -277,7 +277,7 @@
 func (s *spreader) peerAnswered(peer string, version int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.enqueue(s.machine.PeerAnswered(bootclock.Now(), peer, version))
+	s.enqueue(s.machine.OnPeerAnswer(bootclock.Now(), peer, version))
 }
 
 func (s *spreader) peerFailed(peer string, err error) {
--- a/internal/gossip/machine.go
+++ b/internal/gossip/machine.go
@@ -173,9 +173,9 @@
 	}
 }
 
-// PeerAnswered takes the version that a peer answered an Exchange or an Offer
+// OnPeerAnswer takes the version that a peer answered an Exchange or an Offer
 // with.
-func (m *Machine) PeerAnswered(now time.Duration, peer string, version int64) []Action {
+func (m *Machine) OnPeerAnswer(now time.Duration, peer string, version int64) []Action {
 	switch {
 	case version < m.version:
 		return []Action{Send{Peer: peer, Have: version}}
--- a/internal/gossip/model_test.go
+++ b/internal/gossip/model_test.go
@@ -172,7 +172,7 @@
 			digest := to.fresh.Digest(w.clock(to), true)
 			return func() {
 				d.fresh.MergeAnswer(sent, w.clock(d), to.id, digest)
-				w.carryOut(d, d.machine.PeerAnswered(w.clock(d), to.id, digest.Version))
+				w.carryOut(d, d.machine.OnPeerAnswer(w.clock(d), to.id, digest.Version))
 			}
 		})
 	case gossip.Offer:
@@ -180,7 +180,7 @@
 		w.ask(d, to, func() func() {
 			to.fresh.NoteVersion(version)
 			answer := to.machine.PeerOffered(w.clock(to), version)
-			return func() { w.carryOut(d, d.machine.PeerAnswered(w.clock(d), to.id, answer)) }
+			return func() { w.carryOut(d, d.machine.OnPeerAnswer(w.clock(d), to.id, answer)) }
 		})
 	case gossip.Send:
 		to, version := w.byID(a.Peer), d.held
