--- a/internal/control/spread.go
+++ b/internal/control/spread.go
@@ -232,7 +232,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fresh.NoteVersion(version)
-	return s.machine.PeerOffered(bootclock.Now(), version)
+	return s.machine.OnOffer(bootclock.Now(), version)
 }
 
 // listed takes the instance list, as it was asked for at a time.
--- a/internal/gossip/machine.go
+++ b/internal/gossip/machine.go
@@ -185,10 +185,10 @@
 	return nil
 }
 
-// PeerOffered takes the number of a version that a peer told of, and returns
+// OnOffer takes the number of a version that a peer told of, and returns
 // the version to answer with: the one held, or one that is on its way here, so
 // that only one peer sends it.
-func (m *Machine) PeerOffered(now time.Duration, version int64) int64 {
+func (m *Machine) OnOffer(now time.Duration, version int64) int64 {
 	if m.want(now, version) {
 		return m.version
 	}
--- a/internal/gossip/machine_test.go
+++ b/internal/gossip/machine_test.go
@@ -49,13 +49,13 @@
 func TestOnePeerSendsAVersion(t *testing.T) {
 	m := newTestMachine("p", "q")
 	m.OnNewVersion(1)
-	if answer := m.PeerOffered(0, 2); answer != 1 {
+	if answer := m.OnOffer(0, 2); answer != 1 {
 		t.Errorf("the first that offers is answered %d, want 1", answer)
 	}
-	if answer := m.PeerOffered(fetchTimeout/2, 2); answer != 2 {
+	if answer := m.OnOffer(fetchTimeout/2, 2); answer != 2 {
 		t.Errorf("the second is answered %d, want 2", answer)
 	}
-	if answer := m.PeerOffered(2*fetchTimeout, 2); answer != 1 {
+	if answer := m.OnOffer(2*fetchTimeout, 2); answer != 1 {
 		t.Errorf("one after the first did not send is answered %d, want 1", answer)
 	}
 }
--- a/internal/gossip/model_test.go
+++ b/internal/gossip/model_test.go
@@ -179,7 +179,7 @@
 		to, version := w.byID(a.Peer), d.held
 		w.ask(d, to, func() func() {
 			to.fresh.NoteVersion(version)
-			answer := to.machine.PeerOffered(w.clock(to), version)
+			answer := to.machine.OnOffer(w.clock(to), version)
 			return func() { w.carryOut(d, d.machine.OnPeerAnswer(w.clock(d), to.id, answer)) }
 		})
 	case gossip.Send:
