--- a/internal/control/spread.go
+++ b/internal/control/spread.go
@@ -57,7 +57,7 @@
 	s := d.settings.Spread
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	machine := gossip.NewMachine(gossip.Settings{
-		PollEvery: s.PollEvery, TableReads: float64(s.TableReads),
+		PollEvery: s.PollEvery, TableReadsPerSecond: float64(s.TableReads),
 		ExchangeEvery: s.ExchangeEvery, Fanout: s.Fanout,
 	}, rng)
 	machine.SetPeers(s.Seeds)
--- a/internal/gossip/machine.go
+++ b/internal/gossip/machine.go
@@ -10,9 +10,9 @@
 type Settings struct {
 	// PollEvery is the least mean time between reads of the head.
 	PollEvery time.Duration
-	// TableReads is how many reads of the head a second all daemons together
+	// TableReadsPerSecond is how many reads of the head a second all daemons together
 	// may cost the table. With many instances each polls less often.
-	TableReads float64
+	TableReadsPerSecond float64
 	// ExchangeEvery is the mean time between exchanges with a random peer.
 	ExchangeEvery time.Duration
 	// Fanout is how many peers are told of a version that is learned.
@@ -141,7 +141,7 @@
 
 // pollPeriod is the mean time between this daemon's reads of the head.
 func (m *Machine) pollPeriod() time.Duration {
-	share := time.Duration(float64(len(m.peers)+1) / m.settings.TableReads * float64(time.Second))
+	share := time.Duration(float64(len(m.peers)+1) / m.settings.TableReadsPerSecond * float64(time.Second))
 	return max(m.settings.PollEvery, share)
 }
 
--- a/internal/gossip/machine_test.go
+++ b/internal/gossip/machine_test.go
@@ -10,7 +10,7 @@
 
 func newTestMachine(peers ...string) *Machine {
 	m := NewMachine(Settings{
-		PollEvery: time.Second, TableReads: 100, ExchangeEvery: time.Second / 2, Fanout: 3,
+		PollEvery: time.Second, TableReadsPerSecond: 100, ExchangeEvery: time.Second / 2, Fanout: 3,
 	}, rand.New(rand.NewPCG(1, 2)))
 	m.SetPeers(peers)
 	return m
--- a/internal/gossip/model_test.go
+++ b/internal/gossip/model_test.go
@@ -15,7 +15,7 @@
 // Settings of the model.
 var (
 	modelFresh  = freshness.Settings{FreshFor: 5 * time.Second, AcceptWithin: 4 * time.Second, ReadLag: 500 * time.Millisecond}
-	modelSpread = gossip.Settings{PollEvery: time.Second, TableReads: 100, ExchangeEvery: 500 * time.Millisecond, Fanout: 2}
+	modelSpread = gossip.Settings{PollEvery: time.Second, TableReadsPerSecond: 100, ExchangeEvery: 500 * time.Millisecond, Fanout: 2}
 )
 
 const modelStep = 50 * time.Millisecond
