--- a/internal/control/spread.go
+++ b/internal/control/spread.go
@@ -153,7 +153,7 @@
 	case gossip.Offer:
 		s.offer(ctx, a.Peer)
 	case gossip.Send:
-		s.send(ctx, a.Peer, a.Have)
+		s.send(ctx, a.Peer, a.PeerVersion)
 	case gossip.Fetch:
 		s.fetch(ctx, a.Peer)
 	}
--- a/internal/gossip/machine.go
+++ b/internal/gossip/machine.go
@@ -40,7 +40,7 @@
 	// Send brings a peer, which has an older version, the one held.
 	Send struct {
 		Peer string
-		Have int64
+		PeerVersion int64
 	}
 	// Fetch asks a peer for the version that it holds.
 	Fetch struct{ Peer string }
@@ -178,7 +178,7 @@
 func (m *Machine) OnPeerAnswer(now time.Duration, peer string, version int64) []Action {
 	switch {
 	case version < m.version:
-		return []Action{Send{Peer: peer, Have: version}}
+		return []Action{Send{Peer: peer, PeerVersion: version}}
 	case m.want(now, version):
 		return []Action{Fetch{Peer: peer}}
 	}
--- a/internal/gossip/machine_test.go
+++ b/internal/gossip/machine_test.go
@@ -31,7 +31,7 @@
 			t.Errorf("a stale head is loaded: %+v", load)
 		}
 	}
-	if actions := m.OnPeerAnswer(0, "p", 6); len(actions) != 1 || actions[0] != (Send{Peer: "p", Have: 6}) {
+	if actions := m.OnPeerAnswer(0, "p", 6); len(actions) != 1 || actions[0] != (Send{Peer: "p", PeerVersion: 6}) {
 		t.Errorf("a peer that is behind: %v", actions)
 	}
 }
