--- a/internal/gossip/machine.go
+++ b/internal/gossip/machine.go
@@ -39,7 +39,7 @@
 	Offer struct{ Peer string }
 	// Send brings a peer, which has an older version, the one held.
 	Send struct {
-		Peer string
+		Peer        string
 		PeerVersion int64
 	}
 	// Fetch asks a peer for the version that it holds.
--- a/internal/lease/place.go
+++ b/internal/lease/place.go
@@ -43,8 +43,8 @@
 	}
 	doublings := max(0, rank-frequent)
 	return WatchPolicy{
-		Watch:     true,
-		ReadEvery: r.ReadEvery << doublings,
+		Watch:         true,
+		ReadEvery:     r.ReadEvery << doublings,
 		TakeoverDelay: time.Duration(rank) * r.RankDelay,
 	}
 }
