--- a/internal/gossip/machine_test.go
+++ b/internal/gossip/machine_test.go
@@ -10,35 +10,35 @@
 
 func newTestMachine(peers ...string) *Machine {
 	m := NewMachine(Settings{
-		PollEvery: time.Second, TableReads: 100, ExchangeEvery: time.Second / 2, Fanout: 3,
+		PollEvery: time.Second, TableReadsPerSecond: 100, ExchangeEvery: time.Second / 2, Fanout: 3,
 	}, rand.New(rand.NewPCG(1, 2)))
-	m.ListChanged(peers)
+	m.SetPeers(peers)
 	return m
 }
 
 func TestVersionNeverFalls(t *testing.T) {
 	m := newTestMachine("p", "q", "r", "s")
-	if actions := m.Learned(7); len(actions) != 3 {
+	if actions := m.OnNewVersion(7); len(actions) != 3 {
 		t.Errorf("%d peers are told, want 3", len(actions))
 	}
-	if actions := m.Learned(6); actions != nil || m.Version() != 7 {
+	if actions := m.OnNewVersion(6); actions != nil || m.Version() != 7 {
 		t.Errorf("version %d, %v", m.Version(), actions)
 	}
-	m.TableAnswered(0, 6)
+	m.OnHeadRead(0, 6)
 	actions, _ := m.Tick(time.Hour, false)
 	for _, action := range actions {
 		if load, ok := action.(Load); ok {
 			t.Errorf("a stale head is loaded: %+v", load)
 		}
 	}
-	if actions := m.PeerAnswered(0, "p", 6); len(actions) != 1 || actions[0] != (Send{Peer: "p", Have: 6}) {
+	if actions := m.OnPeerAnswer(0, "p", 6); len(actions) != 1 || actions[0] != (Send{Peer: "p", PeerVersion: 6}) {
 		t.Errorf("a peer that is behind: %v", actions)
 	}
 }
 
 func TestHolderNeverFalls(t *testing.T) {
 	h := NewHolder()
-	if !h.Learn(&config.Config{Version: 2}) || h.Learn(&config.Config{Version: 1}) {
+	if !h.SetIfNewer(&config.Config{Version: 2}) || h.SetIfNewer(&config.Config{Version: 1}) {
 		t.Error("want version 2 taken and version 1 not")
 	}
 	if v := h.Current().Version; v != 2 {
@@ -48,14 +48,14 @@
 
 func TestOnePeerSendsAVersion(t *testing.T) {
 	m := newTestMachine("p", "q")
-	m.Learned(1)
-	if answer := m.PeerOffered(0, 2); answer != 1 {
+	m.OnNewVersion(1)
+	if answer := m.OnOffer(0, 2); answer != 1 {
 		t.Errorf("the first that offers is answered %d, want 1", answer)
 	}
-	if answer := m.PeerOffered(fetchTimeout/2, 2); answer != 2 {
+	if answer := m.OnOffer(fetchTimeout/2, 2); answer != 2 {
 		t.Errorf("the second is answered %d, want 2", answer)
 	}
-	if answer := m.PeerOffered(2*fetchTimeout, 2); answer != 1 {
+	if answer := m.OnOffer(2*fetchTimeout, 2); answer != 1 {
 		t.Errorf("one after the first did not send is answered %d, want 1", answer)
 	}
 }
@@ -78,14 +78,14 @@
 }
 
 func TestLeavingIsTakenBackByALaterListAlone(t *testing.T) {
-	l := NewLeaving(10 * time.Second)
-	l.Heard("e", 20*time.Second)
-	l.Listed(29*time.Second, nil) // may be older than the word
+	l := NewDrainingSet(10 * time.Second)
+	l.Merge("e", 20*time.Second)
+	l.MergeList(29*time.Second, nil) // may be older than the word
 	if len(l.Ages(30*time.Second)) != 1 {
 		t.Error("a list that may be older took the word back")
 	}
-	l.Listed(30*time.Second, nil)
-	l.Heard("e", 20*time.Second) // a peer's old word
+	l.MergeList(30*time.Second, nil)
+	l.Merge("e", 20*time.Second) // a peer's old word
 	if len(l.Ages(31*time.Second)) != 0 {
 		t.Error("an old word came back")
 	}
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -52,15 +52,15 @@
 	Margin time.Duration
 }
 
-// Place is how closely a process watches the lease of a pool.
-type Place struct {
+// WatchPolicy is how closely a process watches the lease of a pool.
+type WatchPolicy struct {
 	// Watch is false for a process that leaves the lease alone.
 	Watch bool
 	// ReadEvery is the time between reads while another holds the lease.
 	ReadEvery time.Duration
-	// TakeDelay is a further wait of a challenger that is not the first choice
+	// TakeoverDelay is a further wait of a challenger that is not the first choice
 	// for the pool.
-	TakeDelay time.Duration
+	TakeoverDelay time.Duration
 }
 
 // Grant is the authority over a pool.
@@ -75,9 +75,9 @@
 	Resumed bool
 	// First tells that no process had it before.
 	First bool
-	// Returned tells that the table came back from an older copy since this process
+	// TableRestored tells that the table came back from an older copy since this process
 	// had the lease last: rows that were written since may be lost.
-	Returned bool
+	TableRestored bool
 }
 
 // ActionKind tells what to do.
@@ -118,7 +118,7 @@
 	self     string
 	settings Settings
 	newID    func() string
-	place    Place
+	place    WatchPolicy
 
 	busy bool
 	sent attempt // the write under way
@@ -167,8 +167,8 @@
 	return &Lease{self: self, settings: settings, newID: newID, readSoon: true}
 }
 
-// SetPlace sets how closely the lease is watched.
-func (l *Lease) SetPlace(place Place) {
+// SetWatchPolicy sets how closely the lease is watched.
+func (l *Lease) SetWatchPolicy(place WatchPolicy) {
 	l.place = place
 }
 
@@ -196,14 +196,14 @@
 	return !l.busy && len(l.doubts) == 0 && l.row.Holder != l.self
 }
 
-// Resume makes a released lease one to watch again.
-func (l *Lease) Resume() {
+// ResumeWatching makes a released lease one to watch again.
+func (l *Lease) ResumeWatching() {
 	l.releasing = false
 }
 
-// Hint asks for a read with the next tick, when word came that the row has
+// RequestRead asks for a read with the next tick, when word came that the row has
 // changed. It proves nothing.
-func (l *Lease) Hint() {
+func (l *Lease) RequestRead() {
 	l.readSoon = true
 	l.nextTry = 0
 }
@@ -296,9 +296,9 @@
 // ripeAt is when the row may be taken over if it still stands.
 func (l *Lease) ripeAt() time.Duration {
 	if l.free() {
-		return l.since + l.place.TakeDelay
+		return l.since + l.place.TakeoverDelay
 	}
-	return l.since + l.settings.Term + l.settings.Margin + l.place.TakeDelay
+	return l.since + l.settings.Term + l.settings.Margin + l.place.TakeoverDelay
 }
 
 // free tells that the row was given up, or never there. After a return of the table
--- a/internal/lease/place.go
+++ b/internal/lease/place.go
@@ -6,17 +6,17 @@
 	"sassafrasfield/internal/rendezvous"
 )
 
-// Ranks settle how closely the instances watch the leases.
-type Ranks struct {
+// RankSettings settle how closely the instances watch the leases.
+type RankSettings struct {
 	// Watchers is how many of the instances that rank highest for a pool watch
 	// its lease at all.
 	Watchers int
 	// ReadEvery is the time between reads of the first choice and the two
 	// after it; each next one takes twice as long as the one before.
 	ReadEvery time.Duration
-	// Delay is how much longer each rank waits than the one before it, before
+	// RankDelay is how much longer each rank waits than the one before it, before
 	// it takes a lease over.
-	Delay time.Duration
+	RankDelay time.Duration
 }
 
 // frequent is how many ranks after the first read at the full rate.
@@ -36,15 +36,15 @@
 	return rank
 }
 
-// Place returns how closely the instance of a rank watches.
-func (r Ranks) Place(rank int) Place {
+// WatchPolicy returns how closely the instance of a rank watches.
+func (r RankSettings) WatchPolicy(rank int) WatchPolicy {
 	if rank >= r.Watchers {
-		return Place{}
+		return WatchPolicy{}
 	}
 	doublings := max(0, rank-frequent)
-	return Place{
-		Watch:     true,
-		ReadEvery: r.ReadEvery << doublings,
-		TakeDelay: time.Duration(rank) * r.Delay,
+	return WatchPolicy{
+		Watch:         true,
+		ReadEvery:     r.ReadEvery << doublings,
+		TakeoverDelay: time.Duration(rank) * r.RankDelay,
 	}
 }
--- a/internal/lease/return_test.go
+++ b/internal/lease/return_test.go
@@ -74,7 +74,7 @@
 	case action.Kind == lease.Read:
 		o.machine.OnReadFailed(now)
 	case !answers:
-		o.machine.OnWrite(now, lease.NotTaken, 0)
+		o.machine.OnWrite(now, lease.Unavailable, 0)
 	default:
 		if revision, ok := t.write(action.Row, action.Revision); ok {
 			o.machine.OnWrite(now, lease.Committed, revision)
@@ -124,7 +124,7 @@
 func (w *returningWorld) start(i int) *orderer {
 	name := fmt.Sprintf("p%d/run%s", i, w.newID())
 	o := &orderer{name: name, machine: lease.New(name, modelSettings, w.newID)}
-	o.machine.SetPlace(lease.Ranks{Watchers: 3, ReadEvery: 500 * time.Millisecond, Delay: 300 * time.Millisecond}.Place(i))
+	o.machine.SetWatchPolicy(lease.RankSettings{Watchers: 3, ReadEvery: 500 * time.Millisecond, RankDelay: 300 * time.Millisecond}.WatchPolicy(i))
 	return o
 }
 
@@ -203,7 +203,7 @@
 			case 4:
 				w.processes[n].machine.Release()
 				w.play(time.Second, true)
-				w.processes[n].machine.Resume()
+				w.processes[n].machine.ResumeWatching()
 			case 5:
 				w.play(tenths(80, "time"), true)
 			}
