--- a/internal/rowsync/peers.go
+++ b/internal/rowsync/peers.go
@@ -92,7 +92,8 @@
 	}
 }
 
-// releaseEvery is the time between two checks for rows whose hold has ended.
+// releaseEvery is the time between two checks for rows whose hold has ended, and so bounds how late they
+// are applied.
 const releaseEvery = 100 * time.Millisecond
 
 // release applies withheld rows when their hold ends.
--- a/internal/rowsync/rowsync_test.go
+++ b/internal/rowsync/rowsync_test.go
@@ -216,8 +216,8 @@
 	waitFor(func() bool { return f.hasKeys("a") })
 }
 
-// TestMassDeletionIsHeldWhenInstanceStartsToRead guards against an instance that takes all upstreams for
-// removed because it starts to read the store right after an outage.
+// TestMassDeletionIsHeldWhenInstanceStartsToRead guards against an instance that treats all upstreams
+// as removed because it starts to read the store right after an outage.
 //
 // Observed: the store was down for six seconds and all entries of upstreams expired. Within 20 ms of
 // its return all instances treated all upstreams as removed, for half a second (180 log lines "upstream
@@ -291,17 +291,17 @@
 
 // fakePeers are other instances with a state that the test sets.
 type fakePeers struct {
-	mu     sync.Mutex // protects all below
-	read   bool       // this instance should read
-	others bool       // another instance reads
-	pulls  int
-	news   int
+	mu       sync.Mutex // protects all below
+	read     bool       // this instance should read
+	others   bool       // another instance reads
+	pulls    int
+	notified int
 }
 
 func (p *fakePeers) NotifyRows() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.news++
+	p.notified++
 }
 
 func (p *fakePeers) ShouldReadStore() bool {
@@ -357,7 +357,8 @@
 // this one 2.3 s after it reached the store again. Logs of two runs show the store's return, the rows
 // and the deletion at the end of the hold, in this order.
 //
-// The reports that it lacks say nothing about the store, so deletions of a few rows are applied at once.
+// Missing reports of other instances say nothing about the store, so deletions of a few rows are
+// applied at once. With that rule the test passes.
 func TestSaturatedLinkDoesNotHoldFewDeletions(t *testing.T) {
 	feed, others := newFakeFeed(), &fakePeers{read: true}
 	upstreams, departing, added := "", "012345", "stuvwx"
--- a/internal/versions/versions.go
+++ b/internal/versions/versions.go
@@ -23,7 +23,7 @@
 	"sassafrasfield/internal/platform"
 )
 
-// HeadKey is the versionKey of the row that holds the number of the newest version.
+// HeadKey is the key of the row that holds the number of the newest version.
 const HeadKey = "head"
 
 // Prefixes of the keys of rows.
