--- a/internal/control/confirm.go
+++ b/internal/control/confirm.go
@@ -91,7 +91,7 @@
 		return v, nil
 	}
 	head, base, err := o.daemon.versions.NewestFrom(ctx, o.daemon.holder.Current())
-	if errors.Is(err, versions.ErrBehind) {
+	if errors.Is(err, versions.ErrStaleRead) {
 		return verdict{}, nil
 	}
 	if err != nil {
@@ -150,7 +150,7 @@
 // ifNewest gives a verdict if what it rests on is known for sure to be the
 // newest, and else asks for another try.
 func (o *operatorService) ifNewest(ctx context.Context, v verdict, head versions.Head, p *plan.Plan, revision int64) (verdict, error) {
-	newest, err := versions.Holds(ctx, o.daemon.platform,
+	newest, err := versions.CheckRevisions(ctx, o.daemon.platform,
 		platform.Check{Key: versions.HeadKey, Revision: head.Revision},
 		platform.Check{Key: plan.Key(p.ID), Revision: revision})
 	if err != nil {
@@ -181,7 +181,7 @@
 	case err == nil:
 		o.daemon.learn(target, "self")
 		return verdict{outcome: outcomeAccepted, version: target.Version}, nil
-	case errors.Is(err, versions.ErrMoved), errors.Is(err, platform.ErrConflict):
+	case errors.Is(err, versions.ErrHeadMoved), errors.Is(err, platform.ErrConflict):
 		return verdict{}, nil
 	default:
 		return unreachable(err)
@@ -263,7 +263,7 @@
 // cancelRunning writes a version in which what has not started stays as it is.
 func (o *operatorService) cancelRunning(ctx context.Context, p *plan.Plan, revision int64, operator string) (verdict, error) {
 	head, doc, err := o.daemon.versions.NewestFrom(ctx, o.daemon.holder.Current())
-	if errors.Is(err, versions.ErrBehind) {
+	if errors.Is(err, versions.ErrStaleRead) {
 		return verdict{}, nil
 	}
 	if err != nil {
--- a/internal/control/spread.go
+++ b/internal/control/spread.go
@@ -29,7 +29,7 @@
 	mu      sync.Mutex // protects all below
 	machine *gossip.Machine
 	fresh   *freshness.State
-	leaving *gossip.Leaving
+	leaving *gossip.DrainingSet
 	queue   []gossip.Action
 	// tableError is why the last read of the table failed; "" when it did not.
 	tableError string
@@ -57,17 +57,17 @@
 	s := d.settings.Spread
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	machine := gossip.NewMachine(gossip.Settings{
-		PollEvery: s.PollEvery, TableReads: float64(s.TableReads),
+		PollEvery: s.PollEvery, TableReadsPerSecond: float64(s.TableReads),
 		ExchangeEvery: s.ExchangeEvery, Fanout: s.Fanout,
 	}, rng)
-	machine.ListChanged(s.Seeds)
+	machine.SetPeers(s.Seeds)
 	fresh := freshness.New(d.settings.Instance, freshness.Settings{
 		FreshFor: s.FreshFor, AcceptWithin: s.AcceptWithin, ReadLag: s.ReadLag,
 	}, bootclock.Now())
 	return &spreader{
 		daemon: d, log: log, meters: newSpreadMeters(metrics.DefaultRegistry),
 		wake: make(chan struct{}, 1), machine: machine, fresh: fresh,
-		leaving: gossip.NewLeaving(s.ListLag),
+		leaving: gossip.NewDrainingSet(s.ListLag),
 	}
 }
 
@@ -125,7 +125,7 @@
 	s.wasFresh = status.Fresh
 	if status.Fresh {
 		s.meters.fresh.Update(1)
-		s.log.Info("spread: the configuration is the newest", "by", status.By)
+		s.log.Info("spread: the configuration is the newest", "by", status.Rule)
 		return
 	}
 	s.meters.fresh.Update(0)
@@ -153,7 +153,7 @@
 	case gossip.Offer:
 		s.offer(ctx, a.Peer)
 	case gossip.Send:
-		s.send(ctx, a.Peer, a.Have)
+		s.send(ctx, a.Peer, a.PeerVersion)
 	case gossip.Fetch:
 		s.fetch(ctx, a.Peer)
 	}
@@ -167,7 +167,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.machine.TableAnswered(bootclock.Now(), head)
+	s.machine.OnHeadRead(bootclock.Now(), head)
 	s.enqueue(nil)
 }
 
@@ -212,7 +212,7 @@
 
 // learn takes a configuration from any source.
 func (d *Daemon) learn(doc *config.Config, source string) {
-	if d.holder.Learn(doc) {
+	if d.holder.SetIfNewer(doc) {
 		d.log.Info("spread: version learned", "version", doc.Version, "source", source)
 	}
 	d.spread.holds(d.holder.Current().Version)
@@ -223,16 +223,16 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.meters.version.Update(version)
-	s.fresh.Holds(version)
-	s.enqueue(s.machine.Learned(version))
+	s.fresh.SetHeld(version)
+	s.enqueue(s.machine.OnNewVersion(version))
 }
 
 // offered takes that a peer holds a version, and returns what to answer.
 func (s *spreader) offered(version int64) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fresh.Heard(version)
-	return s.machine.PeerOffered(bootclock.Now(), version)
+	s.fresh.NoteVersion(version)
+	return s.machine.OnOffer(bootclock.Now(), version)
 }
 
 // listed takes the instance list, as it was asked for at a time.
@@ -243,8 +243,8 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fresh.Listed(ids)
-	s.machine.ListChanged(peers)
+	s.fresh.SetMembers(ids)
+	s.machine.SetPeers(peers)
 }
 
 // status decides whether the configuration may be taken for the newest.
@@ -277,7 +277,7 @@
 func (s *spreader) peerAnswered(peer string, version int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.enqueue(s.machine.PeerAnswered(bootclock.Now(), peer, version))
+	s.enqueue(s.machine.OnPeerAnswer(bootclock.Now(), peer, version))
 }
 
 func (s *spreader) peerFailed(peer string, err error) {
--- a/internal/estimate/share.go
+++ b/internal/estimate/share.go
@@ -2,40 +2,40 @@
 
 import "time"
 
-// Learned is what one instance has learned of a service's engines, for the others.
-type Learned struct {
-	// Speed is the time of a prompt's tokens, against the prior's, and Overhead the
+// Snapshot is what one instance has learned of a service's engines, for the others.
+type Snapshot struct {
+	// PromptTimeRatio is the time of a prompt's tokens, against the prior's, and Overhead the
 	// time besides; Prompts is how many prompts tell so.
-	Speed    float64
-	Overhead time.Duration
-	Prompts  int
-	// Step is the time of a step of generation and PerRequest what each request
+	PromptTimeRatio float64
+	Overhead        time.Duration
+	PromptCount     int
+	// Step is the time of a step of generation and StepPerRequest what each request
 	// adds; Streams is how many answers tell so.
-	Step, PerRequest time.Duration
-	Streams          int
+	Step, StepPerRequest time.Duration
+	StreamCount          int
 }
 
 // knownFrom is the number of observations from which an estimate is one of the
 // engines and not of the prior (TestThePriorYields).
 const knownFrom = 16
 
-// Learned returns what this instance has learned by itself.
-func (m *Model) Learned() Learned {
+// Snapshot returns what this instance has learned by itself.
+func (m *Model) Snapshot() Snapshot {
 	prompt, step := m.prompts.estimate(), m.steps.estimate()
-	return Learned{
-		Speed: prompt.slope, Overhead: time.Duration(prompt.base), Prompts: len(m.prompts.samples),
-		Step: time.Duration(step.base), PerRequest: time.Duration(step.slope), Streams: len(m.steps.samples),
+	return Snapshot{
+		PromptTimeRatio: prompt.slope, Overhead: time.Duration(prompt.base), PromptCount: len(m.prompts.samples),
+		Step: time.Duration(step.base), StepPerRequest: time.Duration(step.slope), StreamCount: len(m.steps.samples),
 	}
 }
 
-// Hear takes what another instance has learned: it takes the place of the prior,
+// Merge takes what another instance has learned: it takes the place of the prior,
 // for an instance that has just started or serves little.
-func (m *Model) Hear(l Learned) {
-	if l.Prompts >= knownFrom && l.Speed > 0 && l.Overhead >= 0 {
-		m.prompts.hear(coefficients{slope: l.Speed, base: float64(l.Overhead)})
+func (m *Model) Merge(l Snapshot) {
+	if l.PromptCount >= knownFrom && l.PromptTimeRatio > 0 && l.Overhead >= 0 {
+		m.prompts.hear(coefficients{slope: l.PromptTimeRatio, base: float64(l.Overhead)})
 	}
-	if l.Streams >= knownFrom && l.Step >= 0 && l.PerRequest > 0 {
-		m.steps.hear(coefficients{slope: float64(l.PerRequest), base: float64(l.Step)})
+	if l.StreamCount >= knownFrom && l.Step >= 0 && l.StepPerRequest > 0 {
+		m.steps.hear(coefficients{slope: float64(l.StepPerRequest), base: float64(l.Step)})
 	}
 }
 
--- a/internal/gossip/holder.go
+++ b/internal/gossip/holder.go
@@ -71,8 +71,8 @@
 	Sum uint64
 }
 
-// Since returns the update for a peer that holds a version.
-func (h *Holder) Since(version int64) Update {
+// UpdateSince returns the update for a peer that holds a version.
+func (h *Holder) UpdateSince(version int64) Update {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	update := Update{Version: h.doc.Version, Sum: Sum(h.encode())}
@@ -107,9 +107,9 @@
 	}
 }
 
-// Learn takes a configuration, from whichever source, and tells whether it was
+// SetIfNewer takes a configuration, from whichever source, and tells whether it was
 // newer than the one held.
-func (h *Holder) Learn(doc *config.Config) bool {
+func (h *Holder) SetIfNewer(doc *config.Config) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if doc.Version <= h.doc.Version {
--- a/internal/gossip/machine.go
+++ b/internal/gossip/machine.go
@@ -10,9 +10,9 @@
 type Settings struct {
 	// PollEvery is the least mean time between reads of the head.
 	PollEvery time.Duration
-	// TableReads is how many reads of the head a second all daemons together
+	// TableReadsPerSecond is how many reads of the head a second all daemons together
 	// may cost the table. With many instances each polls less often.
-	TableReads float64
+	TableReadsPerSecond float64
 	// ExchangeEvery is the mean time between exchanges with a random peer.
 	ExchangeEvery time.Duration
 	// Fanout is how many peers are told of a version that is learned.
@@ -39,8 +39,8 @@
 	Offer struct{ Peer string }
 	// Send brings a peer, which has an older version, the one held.
 	Send struct {
-		Peer string
-		Have int64
+		Peer        string
+		PeerVersion int64
 	}
 	// Fetch asks a peer for the version that it holds.
 	Fetch struct{ Peer string }
@@ -86,14 +86,14 @@
 // Version is the newest version that was learned.
 func (m *Machine) Version() int64 { return m.version }
 
-// ListChanged takes the control addresses of the peers, self excluded.
-func (m *Machine) ListChanged(peers []string) {
+// SetPeers takes the control addresses of the peers, self excluded.
+func (m *Machine) SetPeers(peers []string) {
 	m.peers = slices.Clone(peers)
 }
 
-// Learned takes a version that is held now, from whichever source. Peers are
+// OnNewVersion takes a version that is held now, from whichever source. Peers are
 // told of it, unless it is none that is newer.
-func (m *Machine) Learned(version int64) []Action {
+func (m *Machine) OnNewVersion(version int64) []Action {
 	if version <= m.version {
 		return nil
 	}
@@ -141,7 +141,7 @@
 
 // pollPeriod is the mean time between this daemon's reads of the head.
 func (m *Machine) pollPeriod() time.Duration {
-	share := time.Duration(float64(len(m.peers)+1) / m.settings.TableReads * float64(time.Second))
+	share := time.Duration(float64(len(m.peers)+1) / m.settings.TableReadsPerSecond * float64(time.Second))
 	return max(m.settings.PollEvery, share)
 }
 
@@ -160,10 +160,10 @@
 	return chosen
 }
 
-// TableAnswered takes the version of the head; one below the version held is a
+// OnHeadRead takes the version of the head; one below the version held is a
 // stale read. A document is large and peers bring it compressed, so the table
 // is asked for it only when they have not after a while.
-func (m *Machine) TableAnswered(now time.Duration, head int64) {
+func (m *Machine) OnHeadRead(now time.Duration, head int64) {
 	if head <= m.version || head <= m.seenHead {
 		return
 	}
@@ -173,22 +173,22 @@
 	}
 }
 
-// PeerAnswered takes the version that a peer answered an Exchange or an Offer
+// OnPeerAnswer takes the version that a peer answered an Exchange or an Offer
 // with.
-func (m *Machine) PeerAnswered(now time.Duration, peer string, version int64) []Action {
+func (m *Machine) OnPeerAnswer(now time.Duration, peer string, version int64) []Action {
 	switch {
 	case version < m.version:
-		return []Action{Send{Peer: peer, Have: version}}
+		return []Action{Send{Peer: peer, PeerVersion: version}}
 	case m.want(now, version):
 		return []Action{Fetch{Peer: peer}}
 	}
 	return nil
 }
 
-// PeerOffered takes the number of a version that a peer told of, and returns
+// OnOffer takes the number of a version that a peer told of, and returns
 // the version to answer with: the one held, or one that is on its way here, so
 // that only one peer sends it.
-func (m *Machine) PeerOffered(now time.Duration, version int64) int64 {
+func (m *Machine) OnOffer(now time.Duration, version int64) int64 {
 	if m.want(now, version) {
 		return m.version
 	}
--- a/internal/lease/histories_test.go
+++ b/internal/lease/histories_test.go
@@ -157,13 +157,13 @@
 		w.finishLease(p, true)
 		w.giveUpOrder(p)
 	case "hint":
-		p.machine.Hint()
+		p.machine.RequestRead()
 	case "release":
 		if p.step == idle {
 			p.machine.Release()
 		}
 		if p.machine.Released() {
-			p.machine.Resume()
+			p.machine.ResumeWatching()
 		}
 	}
 }
@@ -249,7 +249,7 @@
 	for range 60 {
 		w.advance(200 * time.Millisecond)
 		for _, p := range w.processes {
-			p.machine.Resume()
+			p.machine.ResumeWatching()
 			if p.leaseCall == nil {
 				w.tickLease(p)
 			}
--- a/internal/lease/outcome.go
+++ b/internal/lease/outcome.go
@@ -15,8 +15,8 @@
 	Committed Outcome = iota
 	// Conflicted writes did not: the row has another revision.
 	Conflicted
-	// NotTaken writes did not: the table did not take the call.
-	NotTaken
+	// Unavailable writes did not: the table did not take the call.
+	Unavailable
 	// Unknown writes may have taken effect, or may yet.
 	Unknown
 )
@@ -95,7 +95,7 @@
 	l.lastRenewal, l.heldUntil = a.at, a.at+l.settings.Term
 	l.grant = &Grant{
 		Epoch: a.row.Epoch, EpochRevision: l.epochRevision, Until: l.heldUntil,
-		Resumed: l.takeover.resumed, First: l.takeover.first, Returned: l.takeover.returned,
+		Resumed: l.takeover.resumed, First: l.takeover.first, TableRestored: l.takeover.returned,
 	}
 }
 
@@ -118,7 +118,7 @@
 		l.accept(l.sent, revision)
 	case Conflicted:
 		l.conflicted()
-	case NotTaken:
+	case Unavailable:
 		l.nextTry = now + l.settings.RetryEvery
 	case Unknown:
 		l.doubt(now)
--- a/internal/peers/messages.go
+++ b/internal/peers/messages.go
@@ -22,16 +22,16 @@
 	return upstreamstate.InstanceSourcePrefix + strconv.FormatUint(uint64(id), 16)
 }
 
-func ownToMessage(o fanout.Own) *sfv1.InstanceReport {
+func ownToMessage(o fanout.InstanceReport) *sfv1.InstanceReport {
 	return &sfv1.InstanceReport{
 		Source: uint64(o.Source), Boot: o.Boot, Sequence: o.Sequence, Reading: o.Reading, Report: reportToMessage(o.Report),
 	}
 }
 
-func ownFromMessage(m *sfv1.InstanceReport) fanout.Own {
+func ownFromMessage(m *sfv1.InstanceReport) fanout.InstanceReport {
 	report := reportFromMessage(m.GetReport())
 	report.Boot = m.GetBoot()
-	return fanout.Own{
+	return fanout.InstanceReport{
 		Source: fanout.ID(m.GetSource()), Boot: m.GetBoot(), Sequence: m.GetSequence(), Reading: m.GetReading(), Report: report,
 	}
 }
@@ -63,8 +63,8 @@
 	m.Limits = limitsToMessages(report.Limits)
 	for service, l := range report.Times {
 		m.Times = append(m.Times, &sfv1.EngineTimes{
-			Service: service, Speed: float32(l.Speed), Overhead: float32(l.Overhead), Prompts: uint32(l.Prompts),
-			Step: float32(l.Step), PerRequest: float32(l.PerRequest), Streams: uint32(l.Streams),
+			Service: service, Speed: float32(l.PromptTimeRatio), Overhead: float32(l.Overhead), Prompts: uint32(l.PromptCount),
+			Step: float32(l.Step), PerRequest: float32(l.StepPerRequest), Streams: uint32(l.StreamCount),
 		})
 	}
 	return m
@@ -103,11 +103,11 @@
 	report.Limits = limitsFromMessages(m.GetLimits())
 	for _, t := range m.GetTimes() {
 		if report.Times == nil {
-			report.Times = map[uint32]estimate.Learned{}
+			report.Times = map[uint32]estimate.Snapshot{}
 		}
-		report.Times[t.GetService()] = estimate.Learned{
-			Speed: float64(t.GetSpeed()), Overhead: time.Duration(t.GetOverhead()), Prompts: int(t.GetPrompts()),
-			Step: time.Duration(t.GetStep()), PerRequest: time.Duration(t.GetPerRequest()), Streams: int(t.GetStreams()),
+		report.Times[t.GetService()] = estimate.Snapshot{
+			PromptTimeRatio: float64(t.GetSpeed()), Overhead: time.Duration(t.GetOverhead()), PromptCount: int(t.GetPrompts()),
+			Step: time.Duration(t.GetStep()), StepPerRequest: time.Duration(t.GetPerRequest()), StreamCount: int(t.GetStreams()),
 		}
 	}
 	return report
@@ -157,7 +157,7 @@
 	messages := make([]*sfv1.ReplicaRow, len(rows))
 	for i, row := range rows {
 		messages[i] = &sfv1.ReplicaRow{
-			Table: row.Table, Key: row.Key.Key, Value: row.Value, Revision: row.Revision, Deleted: row.Deleted, Lost: row.Lost,
+			Table: row.Table, Key: row.Key.Key, Value: row.Value, Revision: row.Revision, Deleted: row.Deleted, Lost: row.MissingAfterRestore,
 		}
 	}
 	return messages
@@ -168,7 +168,7 @@
 	for i, m := range messages {
 		rows[i] = replica.Row{
 			Key:   replica.Key{Table: m.GetTable(), Key: m.GetKey()},
-			Value: m.GetValue(), Revision: m.GetRevision(), Deleted: m.GetDeleted(), Lost: m.GetLost(),
+			Value: m.GetValue(), Revision: m.GetRevision(), Deleted: m.GetDeleted(), MissingAfterRestore: m.GetLost(),
 		}
 	}
 	return rows
--- a/internal/peers/receive.go
+++ b/internal/peers/receive.go
@@ -159,13 +159,13 @@
 func (e *Exchange) acceptReport(o fanout.Own, keep bool) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.inbox.Take(o) {
+	if !e.inbox.Accept(o) {
 		return false
 	}
 	now := e.now()
 	e.recordReport(o, now)
 	if keep {
-		e.inbox.Keep(o, now)
+		e.inbox.Enqueue(o, now)
 	}
 	return true
 }
@@ -247,7 +247,7 @@
 			list = append(list, k.Address)
 		}
 	}
-	if e.roster.HearsBatches(now) {
+	if e.roster.ReceivesBatches(now) {
 		return list
 	}
 	return append(list, e.otherSeeds()...)
@@ -295,7 +295,7 @@
 	if e.zoneHasReader(e.now(), self) {
 		readers = 1
 	}
-	return uint32(e.roster.Known()), readers
+	return uint32(e.roster.KnownCount()), readers
 }
 
 // batchHeader is what a batch tells besides reports.
--- a/internal/peers/reports.go
+++ b/internal/peers/reports.go
@@ -39,7 +39,7 @@
 	ZoneReport() upstreamstate.Report
 	OtherZonesReport() upstreamstate.Report
 	// Learned is what this instance has learned of the engines.
-	Learned() map[uint32]estimate.Learned
+	Learned() map[uint32]estimate.Snapshot
 	// ApplyReport takes the report of a source.
 	ApplyReport(source string, report upstreamstate.Report)
 	// SetBehind takes whether others are known to have rows that this instance lacks.
@@ -136,7 +136,7 @@
 		case <-r.exchange.rowsChanged:
 			urgent = true
 		case <-r.loads.Changed():
-			r.pace.Changed()
+			r.pace.MarkChanged()
 		case <-timer.C:
 		}
 		timer.Reset(r.sendDue(urgent))
@@ -173,7 +173,7 @@
 	var messages []*sfv1.InstanceReport
 	for _, part := range report.Split() {
 		r.sequence++
-		messages = append(messages, ownToMessage(fanout.Own{
+		messages = append(messages, ownToMessage(fanout.InstanceReport{
 			Source: r.exchange.id, Boot: r.boot, Sequence: r.sequence, Reading: r.exchange.rows.Reading(), Report: part,
 		}))
 	}
