--- a/internal/peers/batch.go
+++ b/internal/peers/batch.go
@@ -38,7 +38,7 @@
 
 // hasRoom tells whether the link bears more than the batch has.
 func (b *batch) hasRoom() bool {
-	return b.reports.allowance.Bears(b.bytes*len(b.to), b.reports.exchange.now())
+	return b.reports.allowance.Allows(b.bytes*len(b.to), b.reports.exchange.now())
 }
 
 // addOtherZones adds what the other zones have.
@@ -58,7 +58,7 @@
 	for _, own := range b.reports.ownReports(times) {
 		b.addReport(own)
 	}
-	b.reports.exchange.pendingReports(func(o fanout.Own) bool {
+	b.reports.exchange.pendingReports(func(o fanout.InstanceReport) bool {
 		if !b.hasRoom() {
 			return false
 		}
--- a/internal/peers/members.go
+++ b/internal/peers/members.go
@@ -56,7 +56,7 @@
 
 // currentCount is how many instances there are now. The lock is held.
 func (e *Exchange) currentCount(now time.Duration) int {
-	total := e.roster.Known()
+	total := e.roster.KnownCount()
 	for _, z := range e.zones {
 		total += z.instances
 	}
@@ -91,10 +91,10 @@
 
 // isHub is Passes. The lock is held.
 func (e *Exchange) isHub(now time.Duration) bool {
-	passes := e.roster.Passes(now)
+	passes := e.roster.ShouldRelay(now)
 	if passes != e.wasHub {
 		e.wasHub, e.hubSince = passes, now
-		e.log.Info("peers: passing reports on", "passes", passes, "rank", e.roster.Rank(now), "known", e.roster.Known())
+		e.log.Info("peers: passing reports on", "passes", passes, "rank", e.roster.Rank(now), "known", e.roster.KnownCount())
 	}
 	return passes
 }
--- a/internal/peers/readers.go
+++ b/internal/peers/readers.go
@@ -57,7 +57,7 @@
 // hasReaderTurn tells whether it is the turn of an instance of a rank to try to follow the
 // store. The lock is held.
 func (e *Exchange) hasReaderTurn(rank int, now time.Duration) bool {
-	steps := readers + e.roster.Known() + readerTurnIntervals
+	steps := readers + e.roster.KnownCount() + readerTurnIntervals
 	at := int((now-e.tooFewReadersSince)/readerTurnInterval) % steps
 	mine := rank - readers + 1
 	return at >= mine && at < mine+readerTurnIntervals
@@ -121,8 +121,8 @@
 }
 
 // recordReport notes an instance's word on itself. The lock is held.
-func (e *Exchange) recordReport(o fanout.Own, now time.Duration) {
-	e.roster.Heard(o.Source, now)
+func (e *Exchange) recordReport(o fanout.InstanceReport, now time.Duration) {
+	e.roster.MarkAlive(o.Source, now)
 	if k, ok := e.byID[o.Source]; ok {
 		k.lastSeen, k.reading, k.readingAt = now, o.Reading, now
 	}
--- a/internal/peers/receive.go
+++ b/internal/peers/receive.go
@@ -156,7 +156,7 @@
 }
 
 // acceptReport notes an instance's report, and tells whether it is news.
-func (e *Exchange) acceptReport(o fanout.Own, keep bool) bool {
+func (e *Exchange) acceptReport(o fanout.InstanceReport, keep bool) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !e.inbox.Accept(o) {
@@ -176,7 +176,7 @@
 	defer e.mu.Unlock()
 	now, id := e.now(), k.ID()
 	k.lastSeen = now
-	e.roster.Batched(id, now)
+	e.roster.BatchReceived(id, now)
 	if e.isHub(now) {
 		return false // this instance hears of them itself
 	}
@@ -204,7 +204,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.now()
-	return e.isHub(now), e.roster.HearsBatches(now)
+	return e.isHub(now), e.roster.ReceivesBatches(now)
 }
 
 // betterContacts lists whom a peer should tell its reports instead of this instance; none
@@ -319,7 +319,7 @@
 }
 
 // pendingReports returns the reports that are passed on now.
-func (e *Exchange) pendingReports(fits func(fanout.Own) bool) []fanout.Own {
+func (e *Exchange) pendingReports(fits func(fanout.InstanceReport) bool) []fanout.InstanceReport {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.inbox.Batch(e.now(), fits)
--- a/internal/peers/reports.go
+++ b/internal/peers/reports.go
@@ -74,7 +74,7 @@
 	grantRequests *pendingRequests[quota.Verdict]
 	// verdicts are those that this instance gave as the coordinator.
 	verdicts *verdictCache
-	pace     *fanout.Pace
+	pace     *fanout.Pacer
 	// allowance bounds the bytes of what an instance that passes reports on tells; Run
 	// alone uses it.
 	allowance *fanout.Allowance
@@ -89,7 +89,7 @@
 // NewReporter returns the reports of an exchange.
 func NewReporter(e *Exchange, l LoadState) *Reporter {
 	r := &Reporter{
-		exchange: e, loads: l, retryRequests: newPendingRequests[bool](), grantRequests: newPendingRequests[quota.Verdict](), verdicts: newVerdictCache(), pace: fanout.NewPace(e.now()),
+		exchange: e, loads: l, retryRequests: newPendingRequests[bool](), grantRequests: newPendingRequests[quota.Verdict](), verdicts: newVerdictCache(), pace: fanout.NewPacer(e.now()),
 		allowance: fanout.NewAllowance(e.self.LinkMbps, e.now()), boot: rand.Uint32(),
 	}
 	r.write = r.writeTo
@@ -149,16 +149,16 @@
 	r.loads.SetGrantShare(r.exchange.grantShare())
 	passes, hears := r.exchange.hubState()
 	due, wait := r.pace.Next(r.exchange.now(), passes, hears, urgent)
-	if due.Own {
-		r.sendOwnReport(due.Times)
+	if due.OwnReport {
+		r.sendOwnReport(due.EngineTimes)
 	}
 	if due.Batch {
-		r.sendBatch(due.Times)
+		r.sendBatch(due.EngineTimes)
 	}
-	if due.Zone {
-		r.sendZoneReport(due.Times)
+	if due.ZoneReport {
+		r.sendZoneReport(due.EngineTimes)
 	}
-	if due.Greet {
+	if due.SeedReport {
 		r.send(r.newDatagram(sfv1.Datagram_KIND_OWN), r.exchange.seedAddresses())
 	}
 	return wait
