--- a/internal/peers/fleet_test.go
+++ b/internal/peers/fleet_test.go
@@ -19,22 +19,22 @@
 // virtualFleet plays many instances with their reports in virtual time, without a
 // network: datagrams are lost, late, and cut off.
 type virtualFleet struct {
-	rng     *rand.Rand
-	now     time.Duration
-	nodes   []*virtualNode
-	byAddr  map[netip.AddrPort]*virtualNode
-	loss    float64
-	flying  []flight
-	reading bool                // all follow the store
-	links   func(i int) float64 // Mbit/s; nil where they are not known
-	// cut tells whether nothing passes from one node to another; nil for no cuts.
-	cut     func(from, to *virtualNode) bool
-	sent    int
-	bytes   int
-	crossed int // bytes between zones
+	rng      *rand.Rand
+	now      time.Duration
+	nodes    []*virtualNode
+	byAddr   map[netip.AddrPort]*virtualNode
+	loss     float64
+	inFlight []virtualDatagram
+	reading  bool                // all follow the store
+	links    func(i int) float64 // Mbit/s; nil where they are not known
+	// blocked tells whether nothing passes from one node to another; nil for no cuts.
+	blocked        func(from, to *virtualNode) bool
+	sent           int
+	bytes          int
+	otherZoneBytes int // bytes between zones
 }
 
-type flight struct {
+type virtualDatagram struct {
 	at   time.Duration
 	from *virtualNode
 	to   netip.AddrPort
@@ -105,8 +105,8 @@
 func (l *virtualLoads) requests() int { return l.Engines(l.now())["s"][0].Load.Requests }
 
 const (
-	virtualTick = 10 * time.Millisecond
-	virtualLag  = time.Millisecond
+	virtualTick    = 10 * time.Millisecond
+	virtualLatency = time.Millisecond
 )
 
 // noRows has none of the platform's rows, and follows the store as it is told.
@@ -124,11 +124,11 @@
 func (r noRows) Reading() bool                                       { return *r.reading }
 
 func newVirtualFleet(instances, zones int, loss float64, seed uint64) *virtualFleet {
-	return newLinkedFleet(instances, zones, loss, seed, nil)
+	return newFleetWithLinks(instances, zones, loss, seed, nil)
 }
 
-// newLinkedFleet is a fleet whose instances know what their links carry.
-func newLinkedFleet(instances, zones int, loss float64, seed uint64, links func(int) float64) *virtualFleet {
+// newFleetWithLinks is a fleet whose instances know what their links carry.
+func newFleetWithLinks(instances, zones int, loss float64, seed uint64, links func(int) float64) *virtualFleet {
 	f := &virtualFleet{rng: rand.New(rand.NewPCG(seed, 1)), byAddr: map[netip.AddrPort]*virtualNode{}, loss: loss, reading: true, links: links}
 	for i := range instances {
 		f.nodes = append(f.nodes, &virtualNode{})
@@ -154,7 +154,7 @@
 	}
 	began := f.now
 	clock := func() time.Duration { return f.now - began }
-	e, loads := newExchange(self, seeds, noRows{&f.reading}, quiet(), clock), newVirtualLoads(clock)
+	e, loads := newExchange(self, seeds, noRows{&f.reading}, discardLogger(), clock), newVirtualLoads(clock)
 	r := NewReporter(e, loads)
 	n := f.nodes[i]
 	*n = virtualNode{Reporter: r, loads: loads, up: true, next: f.now + time.Duration(f.rng.Int64N(int64(300*time.Millisecond)))}
@@ -172,18 +172,18 @@
 	f.sent++
 	f.bytes += len(data)
 	if target, ok := f.byAddr[to]; ok && target.exchange.self.Zone != from.exchange.self.Zone {
-		f.crossed += len(data)
+		f.otherZoneBytes += len(data)
 	}
 	if f.rng.Float64() < f.loss {
 		return
 	}
-	f.flying = append(f.flying, flight{at: f.now + virtualLag, from: from, to: to, data: data})
+	f.inFlight = append(f.inFlight, virtualDatagram{at: f.now + virtualLatency, from: from, to: to, data: data})
 }
 
 // run lets time pass.
 func (f *virtualFleet) run(d time.Duration) {
 	for end := f.now + d; f.now < end; f.now += virtualTick {
-		f.arrive()
+		f.deliver()
 		for _, n := range f.nodes {
 			if !n.up || n.frozen || f.now < n.next {
 				continue
@@ -206,20 +206,20 @@
 	}
 }
 
-func (f *virtualFleet) arrive() {
-	flying := f.flying
-	f.flying = nil
+func (f *virtualFleet) deliver() {
+	flying := f.inFlight
+	f.inFlight = nil
 	for _, d := range flying {
 		if d.at > f.now {
-			f.flying = append(f.flying, d)
+			f.inFlight = append(f.inFlight, d)
 			continue
 		}
 		to, ok := f.byAddr[d.to]
-		if !ok || !to.up || f.cut != nil && f.cut(d.from, to) {
+		if !ok || !to.up || f.blocked != nil && f.blocked(d.from, to) {
 			continue
 		}
 		if to.frozen {
-			f.flying = append(f.flying, d)
+			f.inFlight = append(f.inFlight, d)
 			continue
 		}
 		message := &sfv1.Datagram{}
@@ -241,11 +241,11 @@
 	return hubs
 }
 
-// place has an instance put a request on the engine.
-func (n *virtualNode) place(id string) { n.loads.PlaceOn("e", id, n.loads.now()) }
+// placeRequest has an instance put a request on the engine.
+func (n *virtualNode) placeRequest(id string) { n.loads.PlaceOn("e", id, n.loads.now()) }
 
-// wrong counts the live instances that believe another number of requests under way.
-func (f *virtualFleet) wrong(requests int) int {
+// countWrong counts the live instances that believe another number of requests under way.
+func (f *virtualFleet) countWrong(requests int) int {
 	count := 0
 	for _, n := range f.nodes {
 		if n.up && n.loads.requests() != requests {
@@ -256,28 +256,28 @@
 }
 
 const (
-	// settleIn is how long a fleet takes to know of itself after all of it started.
-	settleIn = 2 * time.Second
-	// knownIn is how long it takes at most until all know of what changed, though
+	// startupTime is how long a fleet takes to know of itself after all of it started.
+	startupTime = 2 * time.Second
+	// convergenceTime is how long it takes at most until all know of what changed, though
 	// datagrams are lost: what was told is told again each second.
-	knownIn = 4 * time.Second
+	convergenceTime = 4 * time.Second
 )
 
-// TestALargeFleetKnowsItsLoad: 195 instances in six zones that start within a third of
+// TestLargeFleetSharesLoads: 195 instances in six zones that start within a third of
 // a second, with three seeds, each with a request under way, while one datagram in 40 is
 // lost. Once none is lost any more, all count all of them, one instance a zone passes
 // reports on, and what an instance sends does not grow with the fleet.
-func TestALargeFleetKnowsItsLoad(t *testing.T) {
+func TestLargeFleetSharesLoads(t *testing.T) {
 	for _, c := range []struct{ instances, zones int }{{1, 1}, {9, 4}, {62, 3}, {195, 6}, {400, 12}} {
 		f := newVirtualFleet(c.instances, c.zones, 0.025, 1)
-		f.run(settleIn)
+		f.run(startupTime)
 		for i, n := range f.nodes {
-			n.place(fmt.Sprintf("r%d", i))
+			n.placeRequest(fmt.Sprintf("r%d", i))
 		}
 		f.run(time.Second)
 		f.loss = 0
-		f.run(knownIn)
-		if wrong := f.wrong(c.instances); wrong > 0 {
+		f.run(convergenceTime)
+		if wrong := f.countWrong(c.instances); wrong > 0 {
 			t.Errorf("%d instances: %d are wrong about what is under way", c.instances, wrong)
 		}
 		if hubs := f.hubs(); len(hubs) != c.zones {
@@ -288,7 +288,7 @@
 				t.Fatalf("%d instances: %d counted", c.instances, n.exchange.InstanceCount())
 			}
 		}
-		f.sent, f.bytes, f.crossed = 0, 0, 0
+		f.sent, f.bytes, f.otherZoneBytes = 0, 0, 0
 		for _, n := range f.nodes {
 			n.sent = 0
 		}
@@ -299,21 +299,21 @@
 		}
 		t.Logf("%d instances in %d zones: %.1f datagrams a second an instance, %d at most; %.1f kB/s, %.2f kB/s across zones",
 			c.instances, c.zones, float64(f.sent)/5/float64(c.instances), most/5,
-			float64(f.bytes)/5e3/float64(c.instances), float64(f.crossed)/5e3/float64(c.instances))
+			float64(f.bytes)/5e3/float64(c.instances), float64(f.otherZoneBytes)/5e3/float64(c.instances))
 	}
 }
 
-// TestReportsArePassedOnByWideLinks: of 21 instances a zone two have links of 200 Mbit/s.
+// TestHubsHaveWidestLinks: of 21 instances a zone two have links of 200 Mbit/s.
 // They pass reports on, one after the other, and once both are gone another one does.
-func TestReportsArePassedOnByWideLinks(t *testing.T) {
+func TestHubsHaveWidestLinks(t *testing.T) {
 	const instances, zones, wide = 63, 3, 6
-	f := newLinkedFleet(instances, zones, 0.025, 5, func(i int) float64 {
+	f := newFleetWithLinks(instances, zones, 0.025, 5, func(i int) float64 {
 		if i < instances-wide {
 			return 10
 		}
 		return 200
 	})
-	f.run(2 * settleIn)
+	f.run(2 * startupTime)
 	for _, narrow := range []bool{false, false, true} {
 		if hubs := f.hubs(); len(hubs) != zones {
 			t.Errorf("%v pass reports on", hubs)
@@ -331,15 +331,15 @@
 				n.up = false
 			}
 		}
-		f.run(2 * settleIn)
+		f.run(2 * startupTime)
 	}
 }
 
-// TestHubsThatDieAreReplaced: the instances that pass reports on die in all zones at
+// TestDeadHubsAreReplaced: the instances that pass reports on die in all zones at
 // once, then those that took over.
-func TestHubsThatDieAreReplaced(t *testing.T) {
+func TestDeadHubsAreReplaced(t *testing.T) {
 	f := newVirtualFleet(60, 6, 0.025, 2)
-	f.run(settleIn)
+	f.run(startupTime)
 	busy := 0
 	for range 2 {
 		f.loss = 0.025
@@ -351,53 +351,53 @@
 		f.run(2 * time.Second)
 		for i, n := range f.nodes {
 			if n.up {
-				n.place(fmt.Sprintf("r%d-%d", busy, i))
+				n.placeRequest(fmt.Sprintf("r%d-%d", busy, i))
 			}
 		}
 		busy++
 		f.run(time.Second)
 		f.loss = 0
-		f.run(knownIn)
+		f.run(convergenceTime)
 		alive := 0
 		for _, n := range f.nodes {
 			if n.up {
 				alive++
 			}
 		}
-		if wrong := f.wrong(alive * busy); wrong > 0 {
+		if wrong := f.countWrong(alive * busy); wrong > 0 {
 			t.Errorf("round %d: %d of %d are wrong", busy, wrong, alive)
 		}
 	}
 }
 
-// TestAllStartAnew: all instances are killed and start again within a third of a
+// TestFleetRestart: all instances are killed and start again within a third of a
 // second.
-func TestAllStartAnew(t *testing.T) {
+func TestFleetRestart(t *testing.T) {
 	f := newVirtualFleet(195, 6, 0, 3)
-	f.run(settleIn)
+	f.run(startupTime)
 	for i := range f.nodes {
 		f.start(i, 6)
 	}
-	f.run(settleIn)
+	f.run(startupTime)
 	for i, n := range f.nodes {
-		n.place(fmt.Sprintf("r%d", i))
+		n.placeRequest(fmt.Sprintf("r%d", i))
 	}
 	f.run(time.Second)
-	if wrong := f.wrong(195); wrong > 0 {
+	if wrong := f.countWrong(195); wrong > 0 {
 		t.Errorf("%d are wrong", wrong)
 	}
 }
 
-// TestFewAskAStoreThatFailsForAll. Pattern: the platform's store resets all connections
+// TestStoreOutageLimitsReaders. Pattern: the platform's store resets all connections
 // for eight seconds. Grounds: on such a day of 195 instances, 2,370 of 4,200 calls to the
 // store were made in these seconds, as one instance after another began to ask and none
 // gave up. Each has its turn all the same, as the store may serve it alone.
-func TestFewAskAStoreThatFailsForAll(t *testing.T) {
+func TestStoreOutageLimitsReaders(t *testing.T) {
 	const instances, zones = 195, 6
 	f := newVirtualFleet(instances, zones, 0, 4)
-	f.run(2 * settleIn)
+	f.run(2 * startupTime)
 	f.reading = false
-	f.run(settleIn)
+	f.run(startupTime)
 	had, most := map[*virtualNode]bool{}, 0
 	for range 200 {
 		f.run(100 * time.Millisecond)
@@ -429,7 +429,7 @@
 		{9, 4, 0}, {62, 3, 0.05}, {195, 6, 0.05}, {400, 12, 0.05},
 	} {
 		f := newVirtualFleet(c.instances, c.zones, c.loss, 1)
-		f.run(settleIn)
+		f.run(startupTime)
 		told := f.nodes[c.instances/2].loads
 		u := told.Upstream("e")
 		told.Announced(u, quota.Announcement{Draining: true}, told.now())
--- a/internal/peers/hublink_test.go
+++ b/internal/peers/hublink_test.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// smallLink is what a link of 10 Mbit/s carries, in bytes a second.
-	smallLink = 1_250_000
+	// narrowLinkBytes is what a link of 10 Mbit/s carries, in bytes a second.
+	narrowLinkBytes = 1_250_000
 	// reportsShare is the part of it that reports may take, one in so many: what an
 	// instance does for the others must leave the link to its callers.
 	reportsShare = 4
@@ -24,21 +24,21 @@
 // busyFleet is a fleet before many engines, with callers.
 type busyFleet struct {
 	*virtualFleet
-	requests int
-	ends     map[time.Duration][]func()
+	requests  int
+	scheduled map[time.Duration][]func()
 }
 
 const (
 	busyEngines = 60
 	// prefillOf18 of 18 engines process prompts.
 	prefillOf18 = 13
-	// promptFor and answerFor are how long a prompt and an answer take.
-	promptFor = 60 * time.Millisecond
-	answerFor = 200 * time.Millisecond
+	// prefillTime and answerFor are how long a prompt and an answer take.
+	prefillTime = 60 * time.Millisecond
+	decodeTime  = 200 * time.Millisecond
 )
 
 func newBusyFleet(instances, zones int, seed uint64, links func(int) float64) *busyFleet {
-	b := &busyFleet{virtualFleet: newLinkedFleet(instances, zones, 0, seed, links), ends: map[time.Duration][]func(){}}
+	b := &busyFleet{virtualFleet: newFleetWithLinks(instances, zones, 0, seed, links), scheduled: map[time.Duration][]func(){}}
 	for _, n := range b.nodes {
 		n.loads.SetRoutes(routes.NewTable(1, nil, []routes.Service{{Name: "llm", Engine: &routes.EngineLimits{
 			Slots: 64, KVTokens: 370000, TransferTime: 100, EventTokens: 1,
@@ -65,17 +65,19 @@
 		for ; due >= 1; due-- {
 			b.place(b.nodes[b.rng.IntN(len(b.nodes))])
 		}
-		for _, end := range b.ends[b.now] {
+		for _, end := range b.scheduled[b.now] {
 			end()
 		}
-		delete(b.ends, b.now)
+		delete(b.scheduled, b.now)
 		b.run(virtualTick)
 		then()
 	}
 }
 
-// at has something done later.
-func (b *busyFleet) at(in time.Duration, do func()) { b.ends[b.now+in] = append(b.ends[b.now+in], do) }
+// schedule has something done later.
+func (b *busyFleet) schedule(in time.Duration, do func()) {
+	b.scheduled[b.now+in] = append(b.scheduled[b.now+in], do)
+}
 
 // place has an instance take a request whose prompt one engine processes and whose answer
 // another one generates.
@@ -89,18 +91,18 @@
 	if !ok {
 		return
 	}
-	b.at(promptFor, func() {
+	b.schedule(prefillTime, func() {
 		n.loads.PromptDone(start.Engine.ID, start.BusyTime, turn)
 		n.loads.RequestDone(start.Engine.ID, ask.ID, n.loads.now())
 		chosen, ok := n.loads.PickDecode(ask, "z0", n.loads.now())
 		if !ok {
 			return
 		}
-		b.at(answerFor, func() { n.loads.RequestDone(chosen.ID, ask.ID, n.loads.now()) })
+		b.schedule(decodeTime, func() { n.loads.RequestDone(chosen.ID, ask.ID, n.loads.now()) })
 	})
 }
 
-// TestWhoPassesReportsOnKeepsItsLinkForCallers.
+// TestHubReportsDoNotSaturateLink.
 //
 // Seen: on a fleet of 62 instances whose links carry 10 Mbit/s, the first instances of each
 // zone lost the platform's store, the others and upstreams for seconds at a time, in turn.
@@ -113,9 +115,9 @@
 //
 // Cause: batches were as large as what had changed. What proved it: the bytes of reports by
 // kind and part, a second, of the instances that choked; bounded by the link the test holds.
-func TestWhoPassesReportsOnKeepsItsLinkForCallers(t *testing.T) {
+func TestHubReportsDoNotSaturateLink(t *testing.T) {
 	b := newBusyFleet(62, 3, 1, func(int) float64 { return 10 })
-	b.serve(28, settleIn, func() {})
+	b.serve(28, startupTime, func() {})
 	const second = int(time.Second / virtualTick)
 	sent := make([][]int, len(b.nodes))
 	b.serve(28, 3*time.Second, func() {
@@ -130,12 +132,12 @@
 		}
 	}
 	t.Logf("%d requests; an instance sends up to %d kB a second", b.requests, most/1000)
-	if most > smallLink/reportsShare {
-		t.Errorf("an instance sends %d bytes of reports in a second, its link carries %d", most, smallLink)
+	if most > narrowLinkBytes/reportsShare {
+		t.Errorf("an instance sends %d bytes of reports in a second, its link carries %d", most, narrowLinkBytes)
 	}
 }
 
-// TestAnInstanceThatKnowsItIsBehindSendsNothing.
+// TestInstanceMissingRowsRefusesRequests.
 //
 // Seen: an instance whose own link was choked heard from the others that they had newer rows,
 // and could not ask for them; it sent requests on all the while, to an upstream that had left.
@@ -147,7 +149,7 @@
 // Cause: only to hear of nobody was a reason to refuse, and reports came in all the while. What
 // proved it: of 62 instances the one that broke the rule had the others' revisions in each
 // datagram, and its own questions to 15 of them were not answered.
-func TestAnInstanceThatKnowsItIsBehindSendsNothing(t *testing.T) {
+func TestInstanceMissingRowsRefusesRequests(t *testing.T) {
 	n := newNode(t, "behind", "a")
 	newer := &sfv1.Datagram{
 		Kind: sfv1.Datagram_KIND_OWN, Revisions: map[string]int64{"t": 9},
@@ -160,16 +162,16 @@
 	if refuses() {
 		t.Error("it refuses before it could ask")
 	}
-	if !holdsWithin(10*time.Second, refuses) {
+	if !eventually(10*time.Second, refuses) {
 		t.Error("it goes on sending")
 	}
-	n.ApplyRows(news(9), 0)
-	if !holdsWithin(10*time.Second, func() bool { return !refuses() }) {
+	n.ApplyRows(rowAt(9), 0)
+	if !eventually(10*time.Second, func() bool { return !refuses() }) {
 		t.Error("it does not serve though it has all rows")
 	}
 }
 
-func holdsWithin(d time.Duration, holds func() bool) bool {
+func eventually(d time.Duration, holds func() bool) bool {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if holds() {
 			return true
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -25,7 +25,7 @@
 	*Exchange
 	relay   *relay.Relay
 	reports *Reporter
-	sender  *heldSender
+	sender  *blockingSender
 	stop    func()
 
 	mu      sync.Mutex // protects all below
@@ -33,7 +33,7 @@
 	reading bool
 }
 
-func quiet() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
+func discardLogger() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
 func (n *node) Revisions() map[string]int64 {
 	n.mu.Lock()
@@ -77,10 +77,10 @@
 func newNode(t *testing.T, name, zone string, seeds ...string) *node {
 	t.Helper()
 	server := httptest.NewUnstartedServer(nil)
-	n := &node{rows: replica.New(replica.Settings{}), sender: &heldSender{release: make(chan struct{})}}
-	n.relay = relay.New(relay.DefaultSettings(), n.sender, quiet())
+	n := &node{rows: replica.New(replica.Settings{}), sender: &blockingSender{release: make(chan struct{})}}
+	n.relay = relay.New(relay.DefaultSettings(), n.sender, discardLogger())
 	self := Peer{Name: name, Address: server.Listener.Addr().String(), Zone: zone}
-	n.Exchange = New(self, seeds, n, quiet())
+	n.Exchange = New(self, seeds, n, discardLogger())
 	_, server.Config.Handler = n.Handler()
 	server.Start()
 	n.reports = NewReporter(n.Exchange, n.relay)
@@ -101,7 +101,7 @@
 	return n
 }
 
-func news(revision int64) []replica.Row {
+func rowAt(revision int64) []replica.Row {
 	return []replica.Row{{Key: replica.Key{Table: "t", Key: "k"}, Value: []byte("v"), Revision: revision}}
 }
 
@@ -111,8 +111,8 @@
 	}
 }
 
-// fleet starts three instances in each of three zones, which know one another.
-func fleet(t *testing.T) []*node {
+// newFleet starts three instances in each of three zones, which know one another.
+func newFleet(t *testing.T) []*node {
 	t.Helper()
 	var all []*node
 	for i, name := range []string{"n0", "n1", "n2", "n3", "n4", "n5", "n6", "n7", "n8"} {
@@ -135,18 +135,18 @@
 	return all
 }
 
-func TestNewsReachesAll(t *testing.T) {
-	all := fleet(t)
+func TestRowsReachAllInstances(t *testing.T) {
+	all := newFleet(t)
 	for i, n := range all {
-		n.ApplyRows(news(int64(7+i)), 0)
+		n.ApplyRows(rowAt(int64(7+i)), 0)
 		for _, other := range all {
 			waitFor(func() bool { return other.has(int64(7 + i)) })
 		}
 	}
 }
 
-func TestAFewInstancesFollowTheStore(t *testing.T) {
-	all := fleet(t)
+func TestFewInstancesReadStore(t *testing.T) {
+	all := newFleet(t)
 	should := func() (n int) {
 		for _, node := range all {
 			if node.ShouldReadStore() {
@@ -181,8 +181,8 @@
 	turns()
 }
 
-// hubOf is the instance that passes the reports of a zone on.
-func hubOf(all []*node, zone string) *node {
+// waitForHub is the instance that passes the reports of a zone on.
+func waitForHub(all []*node, zone string) *node {
 	for {
 		for _, n := range all {
 			if n.self.Zone == zone && n.HubDuration() > 2*hubTimeout {
@@ -193,12 +193,12 @@
 	}
 }
 
-func TestLoadsAreToldToAllZones(t *testing.T) {
-	all := fleet(t)
+func TestPlacementsReachAllZones(t *testing.T) {
+	all := newFleet(t)
 	for _, n := range all {
 		n.relay.UpdateUpstream(upstreamstate.Upstream{ID: "e", Service: "s", Role: "decode"})
 	}
-	speaker := hubOf(all, "b")
+	speaker := waitForHub(all, "b")
 	waitFor(func() bool {
 		// A part is told once, and a datagram may be lost: it is placed again.
 		speaker.relay.ApplyReport("instance x", upstreamstate.Report{Placed: []upstreamstate.PlacedPart{{Engine: 1, Part: 2}}})
@@ -211,12 +211,12 @@
 	})
 }
 
-// heldSender holds requests until it is released, and then fails them.
-type heldSender struct {
+// blockingSender holds requests until it is released, and then fails them.
+type blockingSender struct {
 	release chan struct{}
 }
 
-func (s *heldSender) Send(ctx context.Context, _ *relay.Request, _ relay.Send) (*relay.Reply, error) {
+func (s *blockingSender) Send(ctx context.Context, _ *relay.Request, _ relay.Send) (*relay.Reply, error) {
 	select {
 	case <-s.release:
 	case <-ctx.Done():
@@ -224,20 +224,21 @@
 	return nil, relay.ErrNoValidAnswer
 }
 
-func (s *heldSender) Prefill(context.Context, *relay.Request, relay.Send) (relay.KV, upstreamstate.Load, error) {
+func (s *blockingSender) Prefill(context.Context, *relay.Request, relay.Send) (relay.KV, upstreamstate.Load, error) {
 	return relay.KV{}, upstreamstate.Load{}, relay.ErrNoValidAnswer
 }
 
-func (*heldSender) SetStatementHandler(func(upstreamstate.Upstream, upstreamstate.UpstreamStatus)) {}
+func (*blockingSender) SetStatementHandler(func(upstreamstate.Upstream, upstreamstate.UpstreamStatus)) {
+}
 
-func (*heldSender) Crashed(context.Context, upstreamstate.Upstream, string) (bool, error) {
+func (*blockingSender) Crashed(context.Context, upstreamstate.Upstream, string) (bool, error) {
 	return false, nil
 }
 
-func (s *heldSender) Free(context.Context, relay.KV) error { return nil }
+func (s *blockingSender) Free(context.Context, relay.KV) error { return nil }
 
-// serving has all instances know one engine and the route to it.
-func serving(all []*node) {
+// setRoutes has all instances know one engine and the route to it.
+func setRoutes(all []*node) {
 	table := routes.NewTable(1, []routes.Route{{
 		Name: "generate", Kind: routes.Generation, Host: "h", Prefix: "/", MaxAttempts: 1,
 		Shares: []routes.Share{{Service: "s", Weight: 1}},
@@ -250,19 +251,19 @@
 
 func requestsOn(n *node) int { return n.relay.Engines()["s"][0].Load.Requests }
 
-// allSee waits until all instances count so many requests on the engine.
-func allSee(all []*node, requests int) {
+// waitForRequests waits until all instances count so many requests on the engine.
+func waitForRequests(all []*node, requests int) {
 	for _, n := range all {
 		waitFor(func() bool { return requestsOn(n) == requests })
 	}
 }
 
-// TestWhatAnInstanceHasUnderWayIsToldToAll has an instance that does not pass reports
+// TestRequestsInProgressAreReportedToAll has an instance that does not pass reports
 // on serve a request: all others of all zones count it, until it ends.
-func TestWhatAnInstanceHasUnderWayIsToldToAll(t *testing.T) {
-	all := fleet(t)
-	serving(all)
-	hub := hubOf(all, "b")
+func TestRequestsInProgressAreReportedToAll(t *testing.T) {
+	all := newFleet(t)
+	setRoutes(all)
+	hub := waitForHub(all, "b")
 	var busy *node
 	for _, n := range all {
 		if n.self.Zone == hub.self.Zone && n != hub {
@@ -275,18 +276,18 @@
 		request := &relay.Request{ID: "r", Host: "h", Path: "/x", Prompt: &placement.Prompt{Tokens: 100}}
 		_ = busy.relay.Serve(context.Background(), request, httptest.NewRecorder()) // it is held, then fails
 	}()
-	allSee(all, 1)
+	waitForRequests(all, 1)
 	close(busy.sender.release)
 	<-done
-	allSee(all, 0)
+	waitForRequests(all, 0)
 }
 
-// TestAnotherInstancePassesReportsOnWhenTheHubIsGone: what is under way is counted all
+// TestStandbyReplacesStoppedHub: what is under way is counted all
 // the same, and again by one that has just started.
-func TestAnotherInstancePassesReportsOnWhenTheHubIsGone(t *testing.T) {
-	all := fleet(t)
-	serving(all)
-	hub := hubOf(all, "a")
+func TestStandbyReplacesStoppedHub(t *testing.T) {
+	all := newFleet(t)
+	setRoutes(all)
+	hub := waitForHub(all, "a")
 	hub.stop()
 	var left []*node
 	for _, n := range all {
@@ -294,24 +295,24 @@
 			left = append(left, n)
 		}
 	}
-	busy := hubOf(left, "a")
+	busy := waitForHub(left, "a")
 	go func() {
 		request := &relay.Request{ID: "r", Host: "h", Path: "/x", Prompt: &placement.Prompt{Tokens: 100}}
 		_ = busy.relay.Serve(context.Background(), request, httptest.NewRecorder()) // it is held until the end
 	}()
 	defer close(busy.sender.release)
-	allSee(left, 1)
+	waitForRequests(left, 1)
 	newcomer := newNode(t, "newcomer", "a", left[0].self.Address, left[1].self.Address)
-	serving([]*node{newcomer})
-	allSee([]*node{newcomer}, 1)
+	setRoutes([]*node{newcomer})
+	waitForRequests([]*node{newcomer}, 1)
 }
 
 // TestTheHubGrantsSendsFromThePool: an instance asks its zone's hub, which has some to
 // give, and one of a zone whose hub keeps no pool gets none.
-// TestALongReportArrives: an instance that orders 1,000 engines into other roles tells that
+// TestLongReportIsDelivered: an instance that orders 1,000 engines into other roles tells that
 // all of them are away. Seen: reports that could not be read, before 1,950 engines that were
 // ordered at the start, as they were cut off at 4 kB.
-func TestALongReportArrives(t *testing.T) {
+func TestLongReportIsDelivered(t *testing.T) {
 	from, to := newNode(t, "from", "a"), newNode(t, "to", "a")
 	message := from.reports.newDatagram(sfv1.Datagram_KIND_OWN)
 	var away []upstreamstate.UnavailableUpstream
@@ -320,7 +321,7 @@
 	}
 	message.Beyond = reportToMessage(upstreamstate.Report{Unavailable: away})
 	waitFor(func() bool { return from.reports.conn.Load() != nil && to.reports.conn.Load() != nil })
-	if !holdsWithin(10*time.Second, func() bool {
+	if !eventually(10*time.Second, func() bool {
 		from.reports.send(message, []string{to.self.Address})
 		return to.InstanceCount() == 2
 	}) {
@@ -328,9 +329,9 @@
 	}
 }
 
-func TestTheHubGrantsSendsFromThePool(t *testing.T) {
-	all := fleet(t)
-	hub, other := hubOf(all, "a"), hubOf(all, "b")
+func TestHubGrantsRetriesFromPool(t *testing.T) {
+	all := newFleet(t)
+	hub, other := waitForHub(all, "a"), waitForHub(all, "b")
 	hub.relay.SetPool(relay.BudgetSettings{Slack: 1000, Window: time.Second}, len(all), len(all))
 	const service = 7
 	for _, n := range all {
@@ -345,7 +346,7 @@
 	}
 }
 
-func TestAPeerThatDoesNotAnswerIsLeftAloneForAWhile(t *testing.T) {
+func TestUnreachablePeerIsExcluded(t *testing.T) {
 	n := newNode(t, "n", "a", "127.0.0.1:1")
 	if err := n.Pull(context.Background()); err == nil || errors.Is(err, ErrNoPeer) {
 		t.Fatalf("%v", err)
@@ -355,12 +356,12 @@
 	}
 }
 
-// TestLimitsComeWithTheRows: an instance that has just started knows what upstreams take before
+// TestPullReturnsLimits: an instance that has just started knows what upstreams take before
 // it has anything to serve by.
-func TestLimitsComeWithTheRows(t *testing.T) {
+func TestPullReturnsLimits(t *testing.T) {
 	first := newNode(t, "n0", "a")
 	first.relay.ApplyLimits([]quota.UpstreamLimit{{Upstream: 7, Rate: 2, Age: time.Second}}, true)
-	first.ApplyRows(news(1), 0)
+	first.ApplyRows(rowAt(1), 0)
 	second := newNode(t, "n1", "b", first.self.Address)
 	if err := second.Pull(context.Background()); err != nil {
 		t.Fatal(err)
