--- a/internal/relay/apart_test.go
+++ b/internal/relay/apart_test.go
@@ -27,18 +27,18 @@
 
 // answered tells whether it is known of all upstreams that cut requests off what became of
 // them.
-func (c *contents) answered() bool {
+func (c *quarantineState) answered() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.cut) == 0
+	return len(c.interrupted) == 0
 }
 
 // endsSoon waits until so many ends count against a content.
 func endsSoon(r *Relay, content quarantine.Content, ends int) {
 	for {
-		r.contents.mu.Lock()
-		n := r.contents.table.Ends(content)
-		r.contents.mu.Unlock()
+		r.quarantine.mu.Lock()
+		n := r.quarantine.table.Ends(content)
+		r.quarantine.mu.Unlock()
 		if n >= ends {
 			return
 		}
@@ -84,7 +84,7 @@
 	if f.runs < 6 {
 		t.Fatalf("%d runs", f.runs)
 	}
-	for !r.contents.answered() {
+	for !r.quarantine.answered() {
 		time.Sleep(time.Millisecond)
 	}
 	f.run = nil
@@ -164,7 +164,7 @@
 	r := newFake(t, &fakeSender{})
 	req := call("/unsafe/1")
 	long := bootclock.Now() - time.Minute // its first term is over
-	r.contents.table.SetApart(req.Content(), 1, long)
+	r.quarantine.table.SetApart(req.Content(), 1, long)
 	if _, err := serve(r, req); err != nil {
 		t.Fatalf("refused after its term: %v", err)
 	}
--- a/internal/relay/bar.go
+++ b/internal/relay/bar.go
@@ -9,30 +9,32 @@
 // errKeyRevoked: the organisation's key was taken away while the request was on its way.
 var errKeyRevoked = errors.New("relay: the API key is not known any more")
 
-// troubleError: the instance's own link is to blame that nothing reaches upstreams, or it
+// impairedError: the instance's own link is to blame that nothing reaches upstreams, or it
 // cannot know which ones leave.
-type troubleError struct {
-	why ownlink.Trouble
+type impairedError struct {
+	reason ownlink.Trouble
 }
 
-func (e troubleError) Error() string { return "relay: " + string(e.why) }
+func (e impairedError) Error() string { return "relay: " + string(e.reason) }
 
-// refuseKey is the refusal of a request whose route asks for a key that it does not bear.
-func refuseKey() error { return &Refusal{Outcome: Unauthenticated, Reason: "no API key that is known"} }
+// refuseUnauthenticated is the refusal of a request whose route asks for a key that it does not bear.
+func refuseUnauthenticated() error {
+	return &Refusal{Outcome: Unauthenticated, Reason: "no API key that is known"}
+}
 
-// bar returns why a request must not be sent on now: upstreams ended under its content, its
+// checkSend returns why a request must not be sent on now: upstreams ended under its content, its
 // key was revoked, or this instance is in trouble, unless its answer has begun. It is
 // asked before each send, as prompts and second tries may be seconds after the request came.
-func (r *Relay) bar(x *exchange) error {
-	if r.isApart(x) {
-		return errApart
+func (r *Relay) checkSend(x *exchange) error {
+	if r.isQuarantined(x) {
+		return errQuarantined
 	}
 	if x.status == 0 {
 		if why := r.Trouble(); why != "" {
-			return troubleError{why}
+			return impairedError{why}
 		}
 	}
-	table, _ := r.picture.Routes(r.now())
+	table, _ := r.upstreams.Routes(r.now())
 	identity, known := table.Identify(x.route, x.req.Credential)
 	if !known {
 		return errKeyRevoked
@@ -44,15 +46,15 @@
 // refuse returns the refusal of a request that must not be sent on and has not run; nil
 // for others.
 func (r *Relay) refuse(x *exchange) error {
-	var trouble troubleError
-	switch err := r.bar(x); {
+	var trouble impairedError
+	switch err := r.checkSend(x); {
 	case err == nil:
 		return nil
 	case errors.Is(err, errKeyRevoked):
-		return refuseKey()
+		return refuseUnauthenticated()
 	case errors.As(err, &trouble):
-		return refuseTroubled(trouble.why, r.retryIn(x))
+		return refuseImpaired(trouble.reason, r.retryIn(x))
 	default:
-		return r.refuseApart(x)
+		return r.refuseQuarantined(x)
 	}
 }
--- a/internal/relay/budget.go
+++ b/internal/relay/budget.go
@@ -26,30 +26,30 @@
 // together, and it slides: what was saved up and what is earned in one window must
 // both fit.
 const (
-	shareUsed = 0.9
-	slackUsed = 0.9
-	// ownSaved is what each instance may save up for itself, without which it could
+	usedShare = 0.9
+	usedSlack = 0.9
+	// instanceReserve is what each instance may save up for itself, without which it could
 	// make no further send by itself. The rest of the slack is pooled by zone, where
 	// it goes to whoever needs it: failures come to few instances at a time.
-	ownSaved = 1
+	instanceReserve = 1
 )
 
-// unknown is the number of instances while it is not known, as after a start.
-const unknown = 0
+// instancesUnknown is the number of instances while it is not known, as after a start.
+const instancesUnknown = 0
 
-// rules are one instance's own part of the bounds: its requests pay for its sends.
-func (s BudgetSettings) rules() retry.Rules {
-	return retry.Rules{Share: shareUsed * s.Share, Max: ownSaved}
+// instanceRules are one instance's own part of the bounds: its requests pay for its sends.
+func (s BudgetSettings) instanceRules() retry.Rules {
+	return retry.Rules{Share: usedShare * s.Share, Max: instanceReserve}
 }
 
 // poolRules are the part of the bounds that is pooled by so many of all instances.
 // Half of what the instances' own parts leave of the slack may be saved up, half is
 // earned in each window without requests.
 func (s BudgetSettings) poolRules(members, instances int) retry.Rules {
-	if instances == unknown {
+	if instances == instancesUnknown {
 		return retry.Rules{}
 	}
-	left := max(0, slackUsed*s.Slack-ownSaved*float64(instances))
+	left := max(0, usedSlack*s.Slack-instanceReserve*float64(instances))
 	part := float64(members) / float64(max(members, instances))
 	return retry.Rules{
 		Floor: part * left / 2 / max(1, s.Window.Seconds()),
@@ -63,16 +63,16 @@
 
 // budgets has one retry budget a service.
 type budgets struct {
-	meters attempt.Meters
-	ask    func(ctx context.Context, service uint32) bool
+	meters       attempt.Meters
+	requestRetry func(ctx context.Context, service uint32) bool
 
-	mu       sync.Mutex // protects all below
-	settings BudgetSettings
-	all      map[string]*attempt.Budget
+	mu        sync.Mutex // protects all below
+	settings  BudgetSettings
+	byService map[string]*attempt.Budget
 }
 
 func newBudgets(s BudgetSettings, meters attempt.Meters, ask func(context.Context, uint32) bool) *budgets {
-	return &budgets{settings: s, meters: meters, ask: ask, all: map[string]*attempt.Budget{}}
+	return &budgets{settings: s, meters: meters, requestRetry: ask, byService: map[string]*attempt.Budget{}}
 }
 
 // set takes other settings.
@@ -83,46 +83,46 @@
 		return
 	}
 	b.settings = s
-	for _, budget := range b.all {
-		budget.SetRules(s.rules())
+	for _, budget := range b.byService {
+		budget.SetRules(s.instanceRules())
 	}
 }
 
-// spilled is what the requests to each service paid for beyond what this instance can
+// overflow is what the requests to each service paid for beyond what this instance can
 // save up, by a hash of the service.
-func (b *budgets) spilled() map[uint32]float64 {
+func (b *budgets) overflow() map[uint32]float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	all := make(map[uint32]float64, len(b.all))
-	for service, budget := range b.all {
+	all := make(map[uint32]float64, len(b.byService))
+	for service, budget := range b.byService {
 		if spilled := budget.Overflow(); spilled > 0 {
-			all[hashOf(service)] = spilled
+			all[serviceHash(service)] = spilled
 		}
 	}
 	return all
 }
 
-// hashOf names a service in what instances tell one another.
-func hashOf(service string) uint32 { return uint32(xxhash.Sum64String(service)) }
+// serviceHash names a service in what instances tell one another.
+func serviceHash(service string) uint32 { return uint32(xxhash.Sum64String(service)) }
 
-// pooled asks the zone's pool for a send to a service.
-type pooled struct {
+// poolClient asks the zone's pool for a send to a service.
+type poolClient struct {
 	service uint32
-	ask     func(ctx context.Context, service uint32) bool
+	request func(ctx context.Context, service uint32) bool
 }
 
 // Acquire implements attempt.Pool.
-func (p pooled) Acquire(ctx context.Context) bool { return p.ask(ctx, p.service) }
+func (p poolClient) Acquire(ctx context.Context) bool { return p.request(ctx, p.service) }
 
-// of returns a service's budget. A new one has nothing saved up: the process whose
+// forService returns a service's budget. A new one has nothing saved up: the process whose
 // place this one took may have spent the window's.
-func (b *budgets) of(service string, now time.Duration) *attempt.Budget {
+func (b *budgets) forService(service string, now time.Duration) *attempt.Budget {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	budget, ok := b.all[service]
+	budget, ok := b.byService[service]
 	if !ok {
-		budget = attempt.NewBudget(b.settings.rules(), backoff, b.meters, pooled{service: hashOf(service), ask: b.ask}, now)
-		b.all[service] = budget
+		budget = attempt.NewBudget(b.settings.instanceRules(), backoff, b.meters, poolClient{service: serviceHash(service), request: b.requestRetry}, now)
+		b.byService[service] = budget
 	}
 	return budget
 }
--- a/internal/relay/budget_test.go
+++ b/internal/relay/budget_test.go
@@ -27,10 +27,10 @@
 	weights []float64
 	budgets []*budgets
 	// pools are by instance: that of its zone's hub, or its own while it is cut off.
-	pools []*pool
+	pools []*retryPool
 	// zones are the pools of the zones' hubs, cut the instances that are cut off and
 	// have pools of their own.
-	zones []*pool
+	zones []*retryPool
 	cut   map[int]bool
 	now   time.Duration
 
@@ -43,7 +43,7 @@
 func newShedding(bounds BudgetSettings, instances, zones int, seed uint64) *shedding {
 	s := &shedding{
 		bounds: bounds, instances: instances, rng: rand.New(rand.NewPCG(seed, 1)), cut: map[int]bool{},
-		zones: make([]*pool, min(zones, instances)),
+		zones: make([]*retryPool, min(zones, instances)),
 	}
 	for range instances {
 		s.weights = append(s.weights, 0.2+s.rng.Float64())
@@ -57,7 +57,7 @@
 	meters := attempt.Meters{Retries: metrics.NewCounter(), Denied: metrics.NewCounter()}
 	s.budgets, s.pools = nil, nil
 	for i := range s.zones {
-		s.zones[i] = newPool()
+		s.zones[i] = newRetryPool()
 	}
 	for i := range s.instances {
 		s.budgets = append(s.budgets, newBudgets(s.bounds, meters, func(_ context.Context, service uint32) bool {
@@ -73,7 +73,7 @@
 	for i := range s.instances {
 		if s.rng.Float64() < part {
 			s.cut[i] = true
-			s.pools[i] = newPool()
+			s.pools[i] = newRetryPool()
 		}
 	}
 }
@@ -100,7 +100,7 @@
 		p.set(members[z] > 0, s.bounds.poolRules(members[z], s.instances))
 	}
 	for i, b := range s.budgets {
-		s.pools[i].deposit(fmt.Sprint(i), b.spilled(), s.now)
+		s.pools[i].deposit(fmt.Sprint(i), b.overflow(), s.now)
 	}
 }
 
@@ -119,7 +119,7 @@
 		requests, extra := 0, 0
 		for i, b := range s.budgets {
 			for range s.arrivals(perSecond * s.weights[i] / total) {
-				budget := b.of("desk", s.now)
+				budget := b.forService("desk", s.now)
 				budget.Succeeded(s.now)
 				requests++
 				for range 2 {
@@ -233,7 +233,7 @@
 			}
 			for i, b := range s.budgets {
 				for range s.arrivals(224 * s.weights[i] / float64(instances)) {
-					b.of("desk", s.now).Succeeded(s.now)
+					b.forService("desk", s.now).Succeeded(s.now)
 				}
 			}
 		}
@@ -241,8 +241,8 @@
 	quiet(0, 20*time.Second)
 	alone, both := 0, 0
 	for i := range failing {
-		first := s.budgets[i].of("desk", s.now).SpendLocal(false, s.now)
-		second := s.budgets[i].of("desk", s.now).Spend(context.Background(), false, s.now)
+		first := s.budgets[i].forService("desk", s.now).SpendLocal(false, s.now)
+		second := s.budgets[i].forService("desk", s.now).Spend(context.Background(), false, s.now)
 		if first {
 			alone++
 		}
--- a/internal/relay/call_test.go
+++ b/internal/relay/call_test.go
@@ -84,7 +84,7 @@
 	f := &fakeSender{run: func(int, Send) (*Reply, error) { return nil, ErrRefused }}
 	r := newFake(t, f)
 	r.SetBudget(BudgetSettings{})
-	r.budgets.of("app", 0).SpendLocal(false, 0)
+	r.budgets.forService("app", 0).SpendLocal(false, 0)
 	_, err := serve(r, call("/safe/1"))
 	if word := wordOf(t, err); word != NotRun || f.runs != 1 {
 		t.Errorf("word %v after %d sends", word, f.runs)
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -24,16 +24,16 @@
 	version  int64
 	age      time.Duration // of the configuration, when the request came
 	arrived  time.Duration
-	ends     time.Duration
-	tries    *attempt.Attempts
+	deadline time.Duration
+	attempts *attempt.Attempts
 	budget   *attempt.Budget
 	// status is what the caller got; upstream and prefill are the newest ones
 	// asked.
 	status            int
 	upstream, prefill string
-	// ahead and own are the times that were predicted when the newest prompt was
-	// placed: of the prompts before it on its engine, and its own.
-	ahead, own time.Duration
+	// ahead and predicted are the times that were predicted when the newest prompt was
+	// placed: of the prompts before it on its engine, and its predicted.
+	ahead, predicted time.Duration
 	// counted: it was counted as one that began to run.
 	counted bool
 	// turn is when that prompt was to be processed there.
@@ -42,11 +42,11 @@
 	content func() quarantine.Content
 }
 
-// ask is what the choice of an upstream depends on.
-func (x *exchange) ask(now time.Duration) upstreamstate.Ask {
+// placementRequest is what the choice of an upstream depends on.
+func (x *exchange) placementRequest(now time.Duration) upstreamstate.Ask {
 	ask := upstreamstate.Ask{
-		ID: x.req.ID, Service: x.service, Excluded: x.tries.Excluded(),
-		Objective: x.route.Objective - (now - x.arrived), Left: x.left(now),
+		ID: x.req.ID, Service: x.service, Excluded: x.attempts.Excluded(),
+		Objective: x.route.Objective - (now - x.arrived), Left: x.remaining(now),
 		Priority: x.identity.Priority(x.route),
 	}
 	if patience := x.route.Patience; patience > 0 {
@@ -58,29 +58,29 @@
 	return ask
 }
 
-// send is a way to send it to an upstream, with what each way has.
-func (x *exchange) send(to upstreamstate.Upstream, now time.Duration) Send {
-	return Send{To: to, Timeout: x.left(now), Priority: x.identity.Priority(x.route), Identity: x.identity}
+// newSend is a way to newSend it to an upstream, with what each way has.
+func (x *exchange) newSend(to upstreamstate.Upstream, now time.Duration) Send {
+	return Send{To: to, Timeout: x.remaining(now), Priority: x.identity.Priority(x.route), Identity: x.identity}
 }
 
-func (x *exchange) left(now time.Duration) time.Duration { return x.ends - now }
+func (x *exchange) remaining(now time.Duration) time.Duration { return x.deadline - now }
 
-// sent notes a send; an error means that a second run is not allowed.
-func (x *exchange) sent(id string) error {
+// noteSent notes a send; an error means that a second run is not allowed.
+func (x *exchange) noteSent(id string) error {
 	x.upstream = id
-	return x.tries.Sent()
+	return x.attempts.Sent()
 }
 
-// failure is the result of an attempt that brought no whole answer.
-func failure(upstream string, err error) attempt.Result {
+// failedAttempt is the result of an attempt that brought no whole answer.
+func failedAttempt(upstream string, err error) attempt.Result {
 	if ranNothing(err) {
 		return attempt.Result{Status: attempt.Refused, Upstream: upstream, Unsent: errors.Is(err, ErrNotSent), Declined: errors.Is(err, ErrDeclined), Err: err}
 	}
 	return attempt.Result{Status: attempt.Lost, Upstream: upstream, Err: err}
 }
 
-// verdictOf is what an error tells of the upstream.
-func verdictOf(ctx context.Context, err error) load.CallResult {
+// verdictFor is what an error tells of the upstream.
+func verdictFor(ctx context.Context, err error) load.CallResult {
 	switch {
 	case errors.Is(err, ErrNotSent):
 		return load.CallUnreachable
--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -30,8 +30,8 @@
 	start  placement.Prefill
 	// kv is the processed prompt that no engine has fetched yet.
 	kv KV
-	// begun: the caller has the answer's header.
-	begun bool
+	// headerSent: the caller has the answer's header.
+	headerSent bool
 	// lastEvent is the id of the last event that the caller has.
 	lastEvent string
 	// reserved is the engine with a limit that has room for the answer; empty for none.
@@ -47,38 +47,38 @@
 	if x.req.Prompt != nil {
 		g.prompt = *x.req.Prompt
 	}
-	defer r.free(g)
-	result, _ := x.tries.Run(ctx, x.budget, r.now, g)
+	defer r.freeKV(g)
+	result, _ := x.attempts.Run(ctx, x.budget, r.now, g)
 	if result.Status == attempt.Done {
 		return result.Err
 	}
-	return g.ended(r.giveUp(ctx, x))
+	return g.endError(r.finalError(ctx, x))
 }
 
-// ended is how an answer ends that no engine finished: one that has begun can't
+// endError is how an answer ends that no engine finished: one that has begun can't
 // be refused any more, it can only break off.
-func (g *generation) ended(err error) error {
+func (g *generation) endError(err error) error {
 	var refusal *Refusal
-	if g.begun && errors.As(err, &refusal) {
-		return errors.WithMessagef(ErrAnswerAborted, "%s: %s", refusal.Reason, causeOf(g.exchange))
+	if g.headerSent && errors.As(err, &refusal) {
+		return errors.WithMessagef(ErrAnswerAborted, "%s: %s", refusal.Reason, lastFailure(g.exchange))
 	}
 	return err
 }
 
 // Started implements attempt.Call.
-func (g *generation) Started() bool { return g.begun }
+func (g *generation) Started() bool { return g.headerSent }
 
 // Try implements attempt.Call. One attempt has the prompt processed, unless a KV
 // cache is left of the one before, and the answer generated.
 func (g *generation) Try(ctx context.Context) attempt.Result {
-	if err := g.relay.bar(g.exchange); err != nil {
+	if err := g.relay.checkSend(g.exchange); err != nil {
 		return attempt.Result{Status: attempt.NoUpstream, Err: err}
 	}
-	if g.begun {
+	if g.headerSent {
 		g.relay.meters.resumed.Inc(1)
 	}
-	if id := g.tries.Backup(); id != "" {
-		return g.goOn(ctx, id)
+	if id := g.attempts.Backup(); id != "" {
+		return g.resumeAtCopy(ctx, id)
 	}
 	if g.kv.Handle == "" {
 		if result := g.prepare(ctx); result.Status != attempt.Done {
@@ -98,19 +98,19 @@
 // pickDecode chooses the engine that generates from the processed prompt, and charges the
 // request to it: the one that has room for it reserved, if there is one.
 func (r *Relay) pickDecode(g *generation) (placement.Candidate, bool) {
-	engine := r.picture.Upstream(g.reserved)
-	if engine.Role == config.RoleDecode && !engine.Draining && !g.tries.Excluded()[engine.ID] {
-		r.picture.PlaceOn(engine.ID, g.req.ID, r.now())
+	engine := r.upstreams.Upstream(g.reserved)
+	if engine.Role == config.RoleDecode && !engine.Draining && !g.attempts.Excluded()[engine.ID] {
+		r.upstreams.PlaceOn(engine.ID, g.req.ID, r.now())
 		return placement.Candidate{ID: engine.ID, Zone: engine.Zone}, true
 	}
 	g.reserved = ""
-	return r.picture.PickDecode(g.ask(r.now()), g.kv.Engine.Zone, r.now())
+	return r.upstreams.PickDecode(g.placementRequest(r.now()), g.kv.Engine.Zone, r.now())
 }
 
-// goOn has the engine with the copy of the run that was lost go on with it.
-func (g *generation) goOn(ctx context.Context, id string) attempt.Result {
+// resumeAtCopy has the engine with the copy of the run that was lost go on with it.
+func (g *generation) resumeAtCopy(ctx context.Context, id string) attempt.Result {
 	r := g.relay
-	engine := r.picture.PlaceOn(id, g.req.ID, r.now())
+	engine := r.upstreams.PlaceOn(id, g.req.ID, r.now())
 	if engine.ID == "" {
 		return attempt.Result{Status: attempt.NoUpstream, Err: errors.WithMessage(ErrNotSent, "the engine with the copy is gone")}
 	}
@@ -124,56 +124,56 @@
 // of it, it has the prompt processed. Over means that this is done.
 func (g *generation) prepare(ctx context.Context) attempt.Result {
 	r := g.relay
-	start, turn, ok := r.picture.PickStart(g.ask(r.now()), r.now())
+	start, turn, ok := r.upstreams.PickStart(g.placementRequest(r.now()), r.now())
 	if !ok {
 		return attempt.Result{Status: attempt.NoUpstream, Err: errors.WithMessage(ErrNotSent, "no engine for the prompt")}
 	}
-	g.ahead, g.own, g.turn = start.Engine.Aggregate.Backlog, start.BusyTime, turn
+	g.ahead, g.predicted, g.turn = start.Engine.Aggregate.Backlog, start.BusyTime, turn
 	if g.direct = start.Direct(); g.direct {
 		r.meters.direct.Inc(1)
 		g.start = start
 		return attempt.Result{Status: attempt.Done}
 	}
 	if !r.reserve(ctx, g) {
-		r.picture.PromptDone(start.Engine.ID, start.BusyTime, turn)
-		r.picture.End(start.Engine.ID, g.req.ID, r.now())
+		r.upstreams.PromptDone(start.Engine.ID, start.BusyTime, turn)
+		r.upstreams.End(start.Engine.ID, g.req.ID, r.now())
 		return attempt.Result{Status: attempt.NoUpstream, Err: errors.WithMessage(ErrLimited, "no room for the answer")}
 	}
-	kv, err := r.prefillOn(ctx, g, start)
+	kv, err := r.prefill(ctx, g, start)
 	if err != nil {
-		r.blame(ctx, g.exchange, start.Engine.ID, err)
+		r.recordFailure(ctx, g.exchange, start.Engine.ID, err)
 		return attempt.Result{Status: attempt.NotReady, Upstream: start.Engine.ID, Unsent: errors.Is(err, ErrNotSent), Declined: errors.Is(err, ErrDeclined), Err: err}
 	}
 	g.kv = kv
 	return attempt.Result{Status: attempt.Done}
 }
 
-func (r *Relay) prefillOn(ctx context.Context, g *generation, start placement.Prefill) (KV, error) {
-	engine, work := r.picture.Upstream(start.Engine.ID), start.BusyTime
-	defer r.picture.PromptDone(engine.ID, work, g.turn)
-	defer func() { r.picture.End(engine.ID, g.req.ID, r.now()) }()
+func (r *Relay) prefill(ctx context.Context, g *generation, start placement.Prefill) (KV, error) {
+	engine, work := r.upstreams.Upstream(start.Engine.ID), start.BusyTime
+	defer r.upstreams.PromptDone(engine.ID, work, g.turn)
+	defer func() { r.upstreams.End(engine.ID, g.req.ID, r.now()) }()
 	g.exchange.prefill = engine.ID
-	g.tries.Prepared()
+	g.attempts.Prepared()
 	started := r.now()
 	ahead := start.Engine.Aggregate.Backlog
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	go r.whenSilent(ctx, engine.ID, ahead+work+r.settings.PrefillIdleTimeout, cancel)
-	send := g.send(engine, started)
-	send.Deferred, send.FetchFrom = g.turn == placement.QueueDeferred, r.picture.Upstream(start.Source.ID).Address
+	go r.cancelWhenSilent(ctx, engine.ID, ahead+work+r.settings.PrefillIdleTimeout, cancel)
+	send := g.newSend(engine, started)
+	send.Deferred, send.FetchFrom = g.turn == placement.QueueDeferred, r.upstreams.Upstream(start.Source.ID).Address
 	kv, said, err := r.sender.Prefill(ctx, g.req, send)
 	if err != nil {
 		return KV{}, err
 	}
-	r.noteAnswer(engine.ID, said)
-	r.picture.Judge(engine.ID, load.CallSucceeded, r.now())
+	r.recordAnswer(engine.ID, said)
+	r.upstreams.Judge(engine.ID, load.CallSucceeded, r.now())
 	r.meters.prefills.Inc(1)
 	took := r.now() - started
 	observe("prefill", took)
 	observe("prefill_predicted", ahead+work)
 	if start.Source.ID == "" && start.UncachedTokens <= g.prompt.Tokens-g.prompt.SharedTokens() {
 		// what is not believed cached may be there all the same
-		r.picture.Prefilled(g.service, estimate.Prefill{
+		r.upstreams.Prefilled(g.service, estimate.Prefill{
 			Fresh: start.UncachedTokens, Cached: g.prompt.Tokens - start.UncachedTokens, Ahead: ahead, Took: took,
 		})
 	}
@@ -184,11 +184,11 @@
 	return kv, nil
 }
 
-// whenSilent calls stop once an engine has answered nothing at all for a time,
+// cancelWhenSilent calls stop once an engine has answered nothing at all for a time,
 // and returns when the context ends. An engine that answers other requests is
 // busy, and to ask another one would only have the prompt's shared part
 // processed twice.
-func (r *Relay) whenSilent(ctx context.Context, id string, limit time.Duration, stop func()) {
+func (r *Relay) cancelWhenSilent(ctx context.Context, id string, limit time.Duration, stop func()) {
 	since := r.now()
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
@@ -198,7 +198,7 @@
 			return
 		case <-timer.C:
 		}
-		if !r.picture.HeardSince(id, since) {
+		if !r.upstreams.HeardSince(id, since) {
 			stop()
 			return
 		}
@@ -209,95 +209,95 @@
 
 // run has an engine generate, and passes its events on.
 func (r *Relay) run(ctx context.Context, g *generation, start placement.Prefill) attempt.Result {
-	engine := r.picture.Upstream(start.Engine.ID)
-	defer func() { r.picture.End(start.Engine.ID, g.req.ID, r.now()) }()
-	prompted := sync.OnceFunc(func() { r.picture.PromptDone(start.Engine.ID, start.BusyTime, placement.QueueNormal) })
+	engine := r.upstreams.Upstream(start.Engine.ID)
+	defer func() { r.upstreams.End(start.Engine.ID, g.req.ID, r.now()) }()
+	prompted := sync.OnceFunc(func() { r.upstreams.PromptDone(start.Engine.ID, start.BusyTime, placement.QueueNormal) })
 	defer prompted()
-	if err := r.bar(g.exchange); err != nil { // its prompt may have taken a while
+	if err := r.checkSend(g.exchange); err != nil { // its prompt may have taken a while
 		return attempt.Result{Status: attempt.NoUpstream, Err: err}
 	}
-	if err := g.sent(engine.ID); err != nil {
+	if err := g.noteSent(engine.ID); err != nil {
 		return attempt.Result{Status: attempt.NoUpstream, Err: err}
 	}
 	running, stop := context.WithCancel(ctx)
 	defer stop()
 	started := r.now()
-	if !g.begun && !g.route.Resumable {
-		g.backup = r.picture.PickBackup(g.ask(started), start.Engine, started)
+	if !g.headerSent && !g.route.Resumable {
+		g.backup = r.upstreams.PickBackup(g.placementRequest(started), start.Engine, started)
 	}
-	send := g.send(engine, started)
-	send.KV, send.LastEvent, send.Backup, send.Continues = g.kv, g.lastEvent, g.backup, g.begun
+	send := g.newSend(engine, started)
+	send.KV, send.LastEvent, send.Backup, send.Continues = g.kv, g.lastEvent, g.backup, g.headerSent
 	send.Granted = g.reserved == engine.ID
 	g.reserved = ""
-	send.FetchFrom = r.picture.Upstream(start.Source.ID).Address
+	send.FetchFrom = r.upstreams.Upstream(start.Source.ID).Address
 	reply, err := r.sender.Send(running, g.req, send)
 	if err != nil {
-		return r.unanswered(ctx, g, engine, err)
+		return r.handleNoAnswer(ctx, g, engine, err)
 	}
 	prompted()
-	r.noteBegan(g.exchange, r.now())
+	r.countUsage(g.exchange, r.now())
 	g.kv = KV{} // the engine has fetched it
 	defer reply.Body.Close()
-	r.noteAnswer(engine.ID, reply.Load)
+	r.recordAnswer(engine.ID, reply.Load)
 	if reply.Status != http.StatusOK {
-		return r.passFailure(ctx, g, engine, reply)
+		return r.handleEngineFailure(ctx, g, engine, reply)
 	}
-	if !g.direct && !g.begun {
-		r.picture.Began(g.service, g.prompt.Tokens-start.Engine.Aggregate.CachedTokens, r.now()-started)
+	if !g.direct && !g.headerSent {
+		r.upstreams.Began(g.service, g.prompt.Tokens-start.Engine.Aggregate.CachedTokens, r.now()-started)
 	}
 	r.log.Info("relay: generates", "request", g.req.ID, "engine", engine.ID, "direct", g.direct, "tokens", g.prompt.Tokens,
 		"running", reply.Load.Running, "waiting", reply.Load.Waiting, "after", r.now()-started,
 		"cached", start.Engine.Aggregate.CachedTokens, "ahead", start.Engine.Aggregate.Backlog, "requests", start.Engine.Aggregate.Requests, "last_event", g.lastEvent)
-	return r.passOn(ctx, stop, g, engine, reply, started)
+	return r.forwardStream(ctx, stop, g, engine, reply, started)
 }
 
-// passFailure deals with an engine's own failure: another one is asked where
+// handleEngineFailure deals with an engine's own failure: another one is asked where
 // the route allows it, and else the caller gets the engine's word.
-func (r *Relay) passFailure(ctx context.Context, g *generation, engine upstreamstate.Upstream, reply *Reply) attempt.Result {
-	again := g.tries.MayRunElsewhere() && ctx.Err() == nil
-	if g.begun || again {
+func (r *Relay) handleEngineFailure(ctx context.Context, g *generation, engine upstreamstate.Upstream, reply *Reply) attempt.Result {
+	again := g.attempts.MayRunElsewhere() && ctx.Err() == nil
+	if g.headerSent || again {
 		err := errors.WithMessagef(ErrNoValidAnswer, "the engine answered %d", reply.Status)
-		r.blame(ctx, g.exchange, engine.ID, err)
-		return failure(engine.ID, err)
+		r.recordFailure(ctx, g.exchange, engine.ID, err)
+		return failedAttempt(engine.ID, err)
 	}
-	first, err := io.ReadAll(io.LimitReader(reply.Body, wholeBytes))
+	first, err := io.ReadAll(io.LimitReader(reply.Body, maxBufferedBytes))
 	if err != nil {
-		return failure(engine.ID, errors.WithMessage(ErrNoValidAnswer, err.Error()))
+		return failedAttempt(engine.ID, errors.WithMessage(ErrNoValidAnswer, err.Error()))
 	}
-	return attempt.Result{Status: attempt.Done, Err: deliver(g.w, g.exchange, answer{reply: reply, first: first, whole: true})}
+	return attempt.Result{Status: attempt.Done, Err: deliver(g.w, g.exchange, bufferedAnswer{reply: reply, head: first, complete: true})}
 }
 
-// unanswered notes an engine that did not begin an answer. When it could not
+// handleNoAnswer notes an engine that did not begin an answer. When it could not
 // have the KV cache, the prompt is processed anew.
-func (r *Relay) unanswered(ctx context.Context, g *generation, engine upstreamstate.Upstream, err error) attempt.Result {
+func (r *Relay) handleNoAnswer(ctx context.Context, g *generation, engine upstreamstate.Upstream, err error) attempt.Result {
 	if g.kv.Handle != "" && errors.Is(err, ErrRefused) {
 		g.kv = KV{}
 	}
-	r.blame(ctx, g.exchange, engine.ID, err)
-	return failure(engine.ID, err)
+	r.recordFailure(ctx, g.exchange, engine.ID, err)
+	return failedAttempt(engine.ID, err)
 }
 
-// passOn gives an engine's events to the caller.
-func (r *Relay) passOn(ctx context.Context, stop context.CancelFunc, g *generation, engine upstreamstate.Upstream, reply *Reply, started time.Duration) attempt.Result {
-	if !g.begun {
-		g.tries.Answered()
+// forwardStream gives an engine's events to the caller.
+func (r *Relay) forwardStream(ctx context.Context, stop context.CancelFunc, g *generation, engine upstreamstate.Upstream, reply *Reply, started time.Duration) attempt.Result {
+	if !g.headerSent {
+		g.attempts.Answered()
 		writeHeader(g.w, g.exchange, reply)
-		g.begun = true
+		g.headerSent = true
 		observe("first", r.now()-g.arrived)
 	}
-	p := passing{w: g.w, flush: http.NewResponseController(g.w).Flush, lastEvent: g.lastEvent}
-	if g.tries.MayRunElsewhere() {
-		p.silence, p.stop = r.settings.StreamIdleTimeout, stop
+	p := eventForwarder{w: g.w, flush: http.NewResponseController(g.w).Flush, lastEvent: g.lastEvent}
+	if g.attempts.MayRunElsewhere() {
+		p.idleTimeout, p.cancel = r.settings.StreamIdleTimeout, stop
 	}
 	began, whole := r.now(), g.lastEvent == ""
-	err := p.pass(reply.Body)
+	err := p.forward(reply.Body)
 	g.lastEvent = p.lastEvent
 	switch {
 	case err == nil:
-		r.picture.Judge(engine.ID, load.CallSucceeded, r.now())
+		r.upstreams.Judge(engine.ID, load.CallSucceeded, r.now())
 		observe("stream", r.now()-started)
 		if whole {
-			r.picture.Streamed(g.service, engine.ID, p.events.Count(), estimate.Stream{
+			r.upstreams.Streamed(g.service, engine.ID, p.events.Count(), estimate.Stream{
 				Took: r.now() - began, Slot: r.now() - started,
 			}, r.now())
 		}
@@ -306,18 +306,18 @@
 		return attempt.Result{Status: attempt.Done, Err: ErrCallerDisconnected}
 	}
 	if g.backup.ID != "" && g.lastEvent != "" {
-		g.tries.SetBackup(g.backup.ID)
+		g.attempts.SetBackup(g.backup.ID)
 	}
 	err = WrapReadError(err)
-	r.blame(ctx, g.exchange, engine.ID, err)
-	return failure(engine.ID, err)
+	r.recordFailure(ctx, g.exchange, engine.ID, err)
+	return failedAttempt(engine.ID, err)
 }
 
 // freeTimeout bounds the call that drops a KV cache.
 const freeTimeout = time.Second
 
-// free drops the KV cache of a request that ended before an engine fetched it.
-func (r *Relay) free(g *generation) {
+// freeKV drops the KV cache of a request that ended before an engine fetched it.
+func (r *Relay) freeKV(g *generation) {
 	if g.kv.Handle == "" {
 		return
 	}
--- a/internal/relay/generate_test.go
+++ b/internal/relay/generate_test.go
@@ -179,7 +179,7 @@
 	holder, other := newFake(t, f), newFake(t, g)
 	for _, id := range []string{"dec-1", "dec-2"} { // two of eight may be away
 		holder.MarkUnavailable(id, time.Minute)
-		holder.picture.Judge(id, load.CallSucceeded, holder.now()) // what ran there ends
+		holder.upstreams.Judge(id, load.CallSucceeded, holder.now()) // what ran there ends
 	}
 	other.ApplyReport("instance holder", holder.OwnReport())
 	for _, r := range []*Relay{holder, other} {
@@ -195,7 +195,7 @@
 func TestAnInstanceThatReachesHardlyAnythingTellsOfNothing(t *testing.T) {
 	r := newFake(t, &fakeSender{})
 	for i, want := range []int{1, 2, 0} { // of eight upstreams
-		r.picture.Judge([]string{"app-1", "app-2", "dec-1"}[i], load.CallUnreachable, r.now())
+		r.upstreams.Judge([]string{"app-1", "app-2", "dec-1"}[i], load.CallUnreachable, r.now())
 		if n := len(r.OwnReport().Gone); n != want {
 			t.Errorf("%d told with %d out of reach, want %d", n, i+1, want)
 		}
--- a/internal/relay/key_test.go
+++ b/internal/relay/key_test.go
@@ -25,7 +25,7 @@
 func withKeys(r *Relay, version int64, known ...string) {
 	urgent := 0
 	owners := map[string]*routes.Organisation{millKey: {Name: "mill", Priority: &urgent}, gateKey: {Name: "gate"}}
-	before, _ := r.picture.Routes(r.now())
+	before, _ := r.upstreams.Routes(r.now())
 	list := append([]routes.Route{}, before.Routes...)
 	for i := range list {
 		list[i].Priority = 3
--- a/internal/relay/leaving_test.go
+++ b/internal/relay/leaving_test.go
@@ -53,7 +53,7 @@
 // saidBy has upstreams say a word in answers of before.
 func saidBy(r *Relay, word upstreamstate.Statement, ids ...string) {
 	for _, id := range ids {
-		r.hear(r.picture.Upstream(id), word)
+		r.applyStatement(r.upstreams.Upstream(id), word)
 	}
 }
 
@@ -104,8 +104,8 @@
 		left := ""
 		asked := &coordinator{decide: func(a quota.Ask) quota.Verdict {
 			if left == "" { // the first one leaves while its grant is asked for
-				left = r.picture.NameOf(a.Word.Upstream)
-				r.hear(r.picture.Upstream(left), leavingWord())
+				left = r.upstreams.NameOf(a.Word.Upstream)
+				r.applyStatement(r.upstreams.Upstream(left), leavingWord())
 			}
 			return quota.Verdict{Granted: true}
 		}}
@@ -183,7 +183,7 @@
 	left := ""
 	sender.prefill = func(_ int, s Send) (KV, error) {
 		for _, a := range asked.asks {
-			if id := r.picture.NameOf(a.Word.Upstream); strings.HasPrefix(id, "dec") {
+			if id := r.upstreams.NameOf(a.Word.Upstream); strings.HasPrefix(id, "dec") {
 				left = id
 			}
 		}
--- a/internal/relay/limits_test.go
+++ b/internal/relay/limits_test.go
@@ -47,7 +47,7 @@
 	plentiful(r)
 	r.SetGrantRequester(c.ask)
 	for _, id := range limited {
-		r.hear(r.picture.Upstream(id), limitOf(2))
+		r.applyStatement(r.upstreams.Upstream(id), limitOf(2))
 	}
 	return r
 }
@@ -216,7 +216,7 @@
 	asked.decide = func(a quota.Ask) quota.Verdict {
 		if len(asked.asks) == 2 { // the answer began; all others find nothing from now on
 			for _, id := range allEngines {
-				r.picture.Spent(hashOfUpstream(id), 0, time.Minute)
+				r.upstreams.Spent(hashOfUpstream(id), 0, time.Minute)
 			}
 		}
 		return quota.Verdict{Granted: len(asked.asks) <= 2 || a.Continues}
@@ -254,7 +254,7 @@
 	sender := &fakeSender{}
 	r := newFake(t, sender)
 	for _, id := range allApps {
-		r.hear(r.picture.Upstream(id), limitOf(2))
+		r.applyStatement(r.upstreams.Upstream(id), limitOf(2))
 	}
 	if _, err := serve(r, call("/safe/1")); wordOf(t, err) != NotRun || sender.count() > 0 {
 		t.Errorf("%v, %d sends", err, sender.count())
@@ -268,12 +268,12 @@
 func TestAnUpstreamThatStartsAgainHasNoLimit(t *testing.T) {
 	asked := &coordinator{}
 	r := limitedRelay(t, &fakeSender{}, asked, "app-1")
-	before := r.picture.Upstream("app-1")
+	before := r.upstreams.Upstream("app-1")
 	again := before
 	again.Born = 7
 	r.UpdateUpstream(again)
-	r.hear(before, limitOf(1))
-	w, _, known := r.picture.Limit(again.Incarnation(), r.now())
+	r.applyStatement(before, limitOf(1))
+	w, _, known := r.upstreams.Limit(again.Incarnation(), r.now())
 	if w.Limits() || known {
 		t.Errorf("it is kept to %+v", w)
 	}
@@ -283,10 +283,10 @@
 func TestAWordThatCannotBeReadChangesNothing(t *testing.T) {
 	r := limitedRelay(t, &fakeSender{}, &coordinator{}, "app-1")
 	for _, id := range []string{"app-1", "app-2"} {
-		r.hear(r.picture.Upstream(id), upstreamstate.Statement{Unread: []error{errors.New("no rate")}})
+		r.applyStatement(r.upstreams.Upstream(id), upstreamstate.Statement{Unread: []error{errors.New("no rate")}})
 	}
 	for id, limits := range map[string]bool{"app-1": true, "app-2": false} {
-		if w, _, _ := r.picture.Limit(hashOfUpstream(id), r.now()); w.Limits() != limits {
+		if w, _, _ := r.upstreams.Limit(hashOfUpstream(id), r.now()); w.Limits() != limits {
 			t.Errorf("%s: %+v", id, w)
 		}
 	}
--- a/internal/relay/link.go
+++ b/internal/relay/link.go
@@ -20,27 +20,27 @@
 
 func newLink() *link { return &link{state: ownlink.New(ownlink.DefaultSettings())} }
 
-func (l *link) note(do func(*ownlink.Link)) {
+func (l *link) update(do func(*ownlink.Link)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	do(l.state)
 }
 
-func (l *link) heard(now time.Duration) {
-	l.note(func(s *ownlink.Link) { s.Heard(now) })
+func (l *link) reportReceived(now time.Duration) {
+	l.update(func(s *ownlink.Link) { s.Heard(now) })
 }
 
 // SetBehind takes whether other instances are known to have rows of the platform that this one
 // lacks.
 func (r *Relay) SetBehind(behind bool) {
 	now := r.now()
-	r.link.note(func(s *ownlink.Link) { s.Lacks(behind, now) })
+	r.link.update(func(s *ownlink.Link) { s.Lacks(behind, now) })
 }
 
-// noteLink takes what a failed send tells of this instance's link.
-func (r *Relay) noteLink(upstream string, err error) {
+// recordSendError takes what a failed send tells of this instance's link.
+func (r *Relay) recordSendError(upstream string, err error) {
 	now := r.now()
-	r.link.note(func(s *ownlink.Link) {
+	r.link.update(func(s *ownlink.Link) {
 		if errors.Is(err, ErrConnectTimeout) {
 			s.Silent(upstream, now)
 		} else if errors.Is(err, ErrRefused) || errors.Is(err, ErrAddressReassigned) {
@@ -49,11 +49,11 @@
 	})
 }
 
-// noteAnswer takes the beginning of an upstream's answer, and what it says of its load.
-func (r *Relay) noteAnswer(upstream string, said upstreamstate.Load) {
+// recordAnswer takes the beginning of an upstream's answer, and what it says of its load.
+func (r *Relay) recordAnswer(upstream string, said upstreamstate.Load) {
 	now := r.now()
-	r.picture.Reported(upstream, said, now)
-	r.link.note(func(s *ownlink.Link) { s.Answered(upstream, now) })
+	r.upstreams.Reported(upstream, said, now)
+	r.link.update(func(s *ownlink.Link) { s.Answered(upstream, now) })
 }
 
 // Trouble is why this instance sends nothing on; empty for none.
@@ -63,8 +63,8 @@
 	return r.link.state.Trouble(r.now())
 }
 
-// refuseTroubled is the refusal of a request at an instance in trouble.
-func refuseTroubled(why ownlink.Trouble, retryIn time.Duration) *Refusal {
+// refuseImpaired is the refusal of a request at an instance in trouble.
+func refuseImpaired(why ownlink.Trouble, retryIn time.Duration) *Refusal {
 	return &Refusal{Outcome: NotRun, Reason: string(why), RetryIn: retryIn}
 }
 
@@ -72,11 +72,11 @@
 // upstream, or that it cannot know which ones leave.
 func (r *Relay) Impaired() bool { return r.Trouble() != "" }
 
-// comeBackIn is when a caller should come back, to another instance.
-func (r *Relay) comeBackIn(patience time.Duration) time.Duration {
+// retryElsewhereIn is when a caller should come back, to another instance.
+func (r *Relay) retryElsewhereIn(patience time.Duration) time.Duration {
 	in := jittered(r.settings.RetryIn)
 	if patience > 0 {
-		in = min(in, patience/retryPart)
+		in = min(in, patience/retryDivisor)
 	}
 	return in
 }
--- a/internal/relay/link_test.go
+++ b/internal/relay/link_test.go
@@ -27,7 +27,7 @@
 		t.Errorf("%v after %d sends", err, f.count()-sends)
 	}
 	for _, id := range []string{"app-1", "app-2", "app-3", "pre-1", "pre-2", "dec-1", "dec-2", "dec-3"} {
-		r.noteLink(id, ErrRefused) // an answer
+		r.recordSendError(id, ErrRefused) // an answer
 	}
 	f.run = nil
 	if _, err := serve(r, call("/unsafe/1")); err != nil {
--- a/internal/relay/meters.go
+++ b/internal/relay/meters.go
@@ -12,10 +12,10 @@
 
 // meters count what the relay did.
 type meters struct {
-	requests, answered, refused, broken, gone metrics.Counter
-	resumed, copied                           metrics.Counter
-	prefills, direct, choked                  metrics.Counter
-	limits                                    limitMeters
+	requests, answered, refused, broken, callerDisconnected metrics.Counter
+	resumed, copied                                         metrics.Counter
+	prefills, direct, saturated                             metrics.Counter
+	limits                                                  limitMeters
 }
 
 func counter(name string) metrics.Counter {
@@ -29,8 +29,8 @@
 func newMeters() *meters {
 	return &meters{
 		requests: counter("requests"), answered: counter("answered"), refused: counter("refused"),
-		broken: counter("broken"), gone: counter("caller_gone"),
-		resumed: counter("resumed"), copied: counter("gone_on_at_copy"), prefills: counter("prefills"), direct: counter("direct"), choked: counter("refused_choked"),
+		broken: counter("broken"), callerDisconnected: counter("caller_gone"),
+		resumed: counter("resumed"), copied: counter("gone_on_at_copy"), prefills: counter("prefills"), direct: counter("direct"), saturated: counter("refused_choked"),
 		limits: newLimitMeters(),
 	}
 }
@@ -45,8 +45,8 @@
 
 func observe(stage string, d time.Duration) { latency(stage).Update(d.Microseconds()) }
 
-// report writes the one line on a request's end, and counts it.
-func (r *Relay) report(x *exchange, req *Request, err error) {
+// finish writes the one line on a request's end, and counts it.
+func (r *Relay) finish(x *exchange, req *Request, err error) {
 	r.meters.requests.Inc(1)
 	outcome := "answered"
 	var refusal *Refusal
@@ -57,7 +57,7 @@
 		r.meters.refused.Inc(1)
 		outcome = "refused: " + refusal.Reason
 	case errors.Is(err, ErrCallerDisconnected):
-		r.meters.gone.Inc(1)
+		r.meters.callerDisconnected.Inc(1)
 		outcome = "the caller left"
 	default:
 		r.meters.broken.Inc(1)
@@ -71,14 +71,14 @@
 	observe(x.route.Kind.String(), took)
 	r.log.Info("relay: done", "request", req.ID, "outcome", outcome, "route", x.route.Name, "kind", x.route.Kind.String(),
 		"config", x.version, "config_age", x.age.Round(time.Millisecond), "upstream", x.upstream, "prefill", x.prefill,
-		"ahead", x.ahead, "predicted", x.own, "sends", x.tries.Sends(), "runs", x.tries.Runs(), "status", x.status, "took", took, "cause", causeOf(x))
+		"ahead", x.ahead, "predicted", x.predicted, "sends", x.attempts.Sends(), "runs", x.attempts.Runs(), "status", x.status, "took", took, "cause", lastFailure(x))
 }
 
-func causeOf(x *exchange) string {
-	if x.tries.LastError() == nil {
+func lastFailure(x *exchange) string {
+	if x.attempts.LastError() == nil {
 		return ""
 	}
-	return x.tries.LastError().Error()
+	return x.attempts.LastError().Error()
 }
 
 // writeHeader begins an answer to the caller.
--- a/internal/relay/pass.go
+++ b/internal/relay/pass.go
@@ -11,41 +11,41 @@
 	"sassafrasfield/internal/stream"
 )
 
-// errCutEvent: the stream ended inside an event.
-var errCutEvent = errors.New("relay: the stream ended inside an event")
+// errPartialEvent: the stream ended inside an event.
+var errPartialEvent = errors.New("relay: the stream ended inside an event")
 
-// passing gives the events of one engine's stream to a caller, each whole.
-type passing struct {
+// eventForwarder gives the events of one engine's stream to a caller, each whole.
+type eventForwarder struct {
 	w     http.ResponseWriter
 	flush func() error
-	// silence stops the stream when nothing comes for so long; 0 does not.
-	silence time.Duration
-	stop    context.CancelFunc
-	events  stream.Events
+	// idleTimeout stops the stream when nothing comes for so long; 0 does not.
+	idleTimeout time.Duration
+	cancel      context.CancelFunc
+	events      stream.Events
 	// lastEvent is the id of the last event that was given to the caller.
 	lastEvent string
 }
 
-// readBytes is how much is read from an engine at once; an event has some
+// readBufferBytes is how much is read from an engine at once; an event has some
 // hundred bytes.
-const readBytes = 4 << 10
+const readBufferBytes = 4 << 10
 
-// pass returns nil at the stream's proper end.
-func (p *passing) pass(body io.Reader) error {
-	buffer := make([]byte, readBytes)
-	timer := p.watch()
+// forward returns nil at the stream's proper end.
+func (p *eventForwarder) forward(body io.Reader) error {
+	buffer := make([]byte, readBufferBytes)
+	timer := p.startIdleTimer()
 	defer timer.Stop()
 	for {
 		n, err := body.Read(buffer)
-		if p.silence > 0 {
-			timer.Reset(p.silence)
+		if p.idleTimeout > 0 {
+			timer.Reset(p.idleTimeout)
 		}
 		if err := p.write(p.events.Add(buffer[:n])); err != nil {
 			return err
 		}
 		switch {
 		case err == io.EOF && p.events.Cut():
-			return errCutEvent
+			return errPartialEvent
 		case err == io.EOF:
 			return nil
 		case err != nil:
@@ -54,10 +54,10 @@
 	}
 }
 
-// watch stops a stream that stays silent, if that is wanted.
-func (p *passing) watch() *time.Timer {
-	if p.silence > 0 {
-		return time.AfterFunc(p.silence, p.stop)
+// startIdleTimer stops a stream that stays silent, if that is wanted.
+func (p *eventForwarder) startIdleTimer() *time.Timer {
+	if p.idleTimeout > 0 {
+		return time.AfterFunc(p.idleTimeout, p.cancel)
 	}
 	never := time.NewTimer(time.Hour)
 	never.Stop()
@@ -65,7 +65,7 @@
 }
 
 // write gives whole events to the caller at once.
-func (p *passing) write(events []byte) error {
+func (p *eventForwarder) write(events []byte) error {
 	if len(events) == 0 {
 		return nil
 	}
--- a/internal/relay/pool.go
+++ b/internal/relay/pool.go
@@ -10,7 +10,7 @@
 	"sassafrasfield/internal/retry"
 )
 
-// pool has the further sends that the instances of a zone share: part of the slack, and
+// retryPool has the further sends that the instances of a zone share: part of the slack, and
 // what their requests paid for beyond what each can save up. The zone's hub keeps it,
 // one bucket a service; it starts empty when an instance becomes the hub, as the one
 // before may have spent the window's.
@@ -18,7 +18,7 @@
 // It buys further sends where the failures are: of 124 in 195 instances with two
 // requests that fail at once, none may send the second one again with its own part
 // alone, and 87 with the pools (TestFailuresAtAFewInstancesFindThePool).
-type pool struct {
+type retryPool struct {
 	granted, denied metrics.Counter
 
 	mu      sync.Mutex // protects all below
@@ -35,12 +35,12 @@
 	service uint32
 }
 
-func newPool() *pool {
-	return &pool{granted: counter("pool_granted"), denied: counter("pool_denied")}
+func newRetryPool() *retryPool {
+	return &retryPool{granted: counter("pool_granted"), denied: counter("pool_denied")}
 }
 
 // set opens the pool with its rules, or closes it.
-func (p *pool) set(open bool, rules retry.Rules) {
+func (p *retryPool) set(open bool, rules retry.Rules) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !open || !p.open {
@@ -57,7 +57,7 @@
 }
 
 // bucket returns a service's. The lock is held.
-func (p *pool) bucket(service uint32, now time.Duration) *retry.Budget {
+func (p *retryPool) bucket(service uint32, now time.Duration) *retry.Budget {
 	b, ok := p.buckets[service]
 	if !ok {
 		b = retry.NewBudget(p.rules, now)
@@ -67,7 +67,7 @@
 }
 
 // deposit takes what a source paid in since its start, by service.
-func (p *pool) deposit(source string, spilled map[uint32]float64, now time.Duration) {
+func (p *retryPool) deposit(source string, spilled map[uint32]float64, now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.open {
@@ -85,7 +85,7 @@
 
 // grant gives one send to a service away; false means that none is left, or that the
 // pool is not kept here.
-func (p *pool) grant(service uint32, now time.Duration) bool {
+func (p *retryPool) grant(service uint32, now time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.open && p.bucket(service, now).Take(now) {
@@ -107,11 +107,11 @@
 
 // SetPoolRequester sets how a send is asked for at the instance that keeps the pool.
 func (r *Relay) SetPoolRequester(ask func(ctx context.Context, service uint32) bool) {
-	r.ask.Store(&ask)
+	r.requestRetry.Store(&ask)
 }
 
-// askPool asks for a send to a service.
-func (r *Relay) askPool(ctx context.Context, service uint32) bool {
-	ask := r.ask.Load()
+// requestFromPool asks for a send to a service.
+func (r *Relay) requestFromPool(ctx context.Context, service uint32) bool {
+	ask := r.requestRetry.Load()
 	return ask != nil && (*ask)(ctx, service)
 }
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -89,9 +89,9 @@
 	Granted bool
 }
 
-// goesOnAtCopy tells whether the upstream has the copy of the run that goes on. Nobody else can
+// continuesAtCopy tells whether the upstream has the copy of the run that goes on. Nobody else can
 // finish it, so that it is no new work.
-func (s Send) goesOnAtCopy() bool { return s.Continues && s.KV.Engine.ID == s.To.ID }
+func (s Send) continuesAtCopy() bool { return s.Continues && s.KV.Engine.ID == s.To.ID }
 
 // Reply is an upstream's answer to a request that it ran. Its body must be
 // closed.
@@ -130,7 +130,7 @@
 
 // WrapReadError is the error of a request that was sent and whose whole answer could not be read.
 func WrapReadError(err error) error {
-	for _, cut := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE, errCutEvent} {
+	for _, cut := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE, errPartialEvent} {
 		if errors.Is(err, cut) {
 			return errors.WithMessage(ErrCutOff, err.Error())
 		}
--- a/internal/relay/rest_test.go
+++ b/internal/relay/rest_test.go
@@ -48,8 +48,8 @@
 		rests := ""
 		asked := &coordinator{decide: func(a quota.Ask) quota.Verdict {
 			if rests == "" {
-				rests = r.picture.NameOf(a.Word.Upstream)
-				r.hear(r.picture.Upstream(rests), restOf(time.Minute))
+				rests = r.upstreams.NameOf(a.Word.Upstream)
+				r.applyStatement(r.upstreams.Upstream(rests), restOf(time.Minute))
 			}
 			return quota.Verdict{Granted: true}
 		}}
@@ -116,18 +116,18 @@
 func TestNothingIsAskedOfAnUpstreamThatRests(t *testing.T) {
 	sender := &fakeSender{}
 	r := newFake(t, sender)
-	u := r.picture.Upstream("app-1")
+	u := r.upstreams.Upstream("app-1")
 	saidBy(r, restOf(time.Minute), "app-1", "pre-1")
-	r.hasEnded(u)
+	r.hasCrashed(u)
 	if sender.healthPath != "" {
 		t.Errorf("asked at %s", sender.healthPath)
 	}
-	g := &generation{exchange: &exchange{req: call("/once/1")}, kv: KV{Engine: r.picture.Upstream("pre-1"), Handle: "h"}}
-	r.free(g)
+	g := &generation{exchange: &exchange{req: call("/once/1")}, kv: KV{Engine: r.upstreams.Upstream("pre-1"), Handle: "h"}}
+	r.freeKV(g)
 	if sender.freedCount() > 0 {
 		t.Error("its KV cache was dropped")
 	}
-	r.hasEnded(r.picture.Upstream("app-2"))
+	r.hasCrashed(r.upstreams.Upstream("app-2"))
 	if sender.healthPath == "" {
 		t.Error("another one was not asked for its health")
 	}
