--- a/internal/relay/apart.go
+++ b/internal/relay/apart.go
@@ -15,47 +15,49 @@
 	"sassafrasfield/internal/upstreamstate"
 )
 
-// errQuarantined: no upstream may get the request.
+// errQuarantined: the request's content is quarantined, so that no upstream may receive it.
 var errQuarantined = errors.New("relay: upstreams ended under its content")
 
-// The question whether an upstream has ended is asked until there is a word on it: a packet
-// is lost now and then, and a machine may be slow to answer.
+// Timing of the check whether an upstream has crashed. The check is repeated until it has a result,
+// because packets are lost now and then and a machine may be slow to answer.
 const (
-	// crashCheckTimeout bounds one question. A process that has ended is told of by its machine
-	// within a round trip of 2 ms.
+	// crashCheckTimeout bounds one check. The machine of a process that has ended answers within a
+	// round trip of 2 ms.
 	crashCheckTimeout = 400 * time.Millisecond
-	// crashCheckInterval is the pause between two questions.
+	// crashCheckInterval is the pause between two checks.
 	crashCheckInterval = 100 * time.Millisecond
-	// crashCheckDeadline bounds the wait for a word; what is silent for longer is no end that a
-	// request brought about.
+	// crashCheckDeadline bounds the wait for a result. If the machine is silent for longer, the
+	// request did not cause that.
 	crashCheckDeadline = 3 * time.Second
 )
 
-// quarantineState are those of the requests under which upstreams ended. Its times are on the
-// clock that goes on while the machine is suspended, so that none is remembered for
-// longer, or told for longer, than meant.
+// quarantineState tracks the contents of requests during which upstreams crashed. Its times are on
+// the clock that keeps running while the machine is suspended, so that nothing is remembered or
+// reported for longer than intended.
 //
-// It saves the upstreams that a request ends which comes again and again, with all that
-// they have: before it, two such requests ended 15 and 21 engines of 18 within a minute.
+// It protects the upstreams, and all requests that they hold, from a request that crashes them and
+// is sent again and again. Without it, two such requests crashed 15 and 21 engines of a fleet of 18
+// within a minute.
 type quarantineState struct {
 	crashes, refused metrics.Counter
 	quarantined      metrics.Gauge
-	// persistNeeded has a value when a content is to be kept for all.
+	// persistNeeded receives a value when unpersisted has a new entry.
 	persistNeeded chan struct{}
 
-	mu    sync.Mutex // protects all below
+	mu    sync.Mutex // protects the fields below
 	table *quarantine.Table
-	// interrupted are the contents that an upstream interrupted off, until it is known whether it ended.
+	// interrupted holds the requests that upstreams cut off, by the upstream's id, until it is
+	// known whether the upstream crashed.
 	interrupted map[string][]interruptedRequest
-	// unpersisted is what this instance is to keep for all: how often a content was set apart;
-	// 0 when that is over.
+	// unpersisted holds what this instance has to persist for all instances: how often a content
+	// was quarantined; 0 to remove it.
 	unpersisted map[quarantine.Content]int
 }
 
 // interruptedRequest is a request that an upstream cut off.
 type interruptedRequest struct {
-	content quarantine.Content
-	request string
+	content   quarantine.Content
+	requestID string
 }
 
 func newQuarantineState() *quarantineState {
@@ -67,73 +69,74 @@
 	}
 }
 
-// dueCrashes returns the ends that are due in one of the reports.
-func (c *quarantineState) dueCrashes(due func(*quarantine.Table, time.Duration) []quarantine.End) []quarantine.End {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.table.Empty() {
+// dueCrashes returns the crashes that are due in one kind of report.
+func (q *quarantineState) dueCrashes(due func(*quarantine.Table, time.Duration) []quarantine.End) []quarantine.End {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if q.table.Empty() {
 		return nil
 	}
-	return due(c.table, bootclock.Now())
+	return due(q.table, bootclock.Now())
 }
 
-// addInterrupted adds a request to those whose upstream is being asked for, and tells whether it
-// is the first one.
-func (c *quarantineState) addInterrupted(id string, one interruptedRequest) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.interrupted[id] = append(c.interrupted[id], one)
-	return len(c.interrupted[id]) == 1
+// addInterrupted adds a request to those that wait for the crash check of an upstream, and reports
+// whether it is the first one.
+func (q *quarantineState) addInterrupted(id string, request interruptedRequest) bool {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.interrupted[id] = append(q.interrupted[id], request)
+	return len(q.interrupted[id]) == 1
 }
 
-// takeInterrupted returns the requests that waited for the word on an upstream.
-func (c *quarantineState) takeInterrupted(id string) []interruptedRequest {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	list := c.interrupted[id]
-	delete(c.interrupted, id)
-	return list
+// takeInterrupted removes and returns the requests that wait for the crash check of an upstream.
+func (q *quarantineState) takeInterrupted(id string) []interruptedRequest {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	requests := q.interrupted[id]
+	delete(q.interrupted, id)
+	return requests
 }
 
-// record notes an end by one of the table's ways, and tells whether the content is set
-// apart by it and how many ends count against it.
-func (c *quarantineState) record(content quarantine.Content, note func(*quarantine.Table) bool) (apart bool, ends int) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	apart = note(c.table)
-	if apart && c.table.Seen(content) { // else those that saw an end keep it
-		c.requestPersist(content, c.table.Times(content))
+// record applies a crash to the table with note. It returns whether the content is quarantined by
+// it and how many crashes count against the content.
+func (q *quarantineState) record(content quarantine.Content, apply func(*quarantine.Table) bool) (quarantined bool, crashes int) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	quarantined = apply(q.table)
+	if quarantined && q.table.Seen(content) { // otherwise the instances that observed a crash persist it
+		q.requestPersist(content, q.table.Times(content))
 	}
-	c.quarantined.Update(int64(c.table.Count(bootclock.Now())))
-	return apart, c.table.Ends(content)
+	q.quarantined.Update(int64(q.table.Count(bootclock.Now())))
+	return quarantined, q.table.Ends(content)
 }
 
-// requestPersist has it kept for all how often a content was set apart. The lock is held.
-func (c *quarantineState) requestPersist(content quarantine.Content, times int) {
-	c.unpersisted[content] = times
+// requestPersist has the number of a content's quarantines persisted for all instances. The caller
+// holds the lock.
+func (q *quarantineState) requestPersist(content quarantine.Content, times int) {
+	q.unpersisted[content] = times
 	select {
-	case c.persistNeeded <- struct{}{}:
-	default: // it is told already
+	case q.persistNeeded <- struct{}{}:
+	default: // a notification is already pending
 	}
 }
 
-// isQuarantined tells whether no upstream may get a request.
+// isQuarantined reports whether no upstream may receive a request.
 func (r *Relay) isQuarantined(x *exchange) bool {
-	c := r.quarantine
-	c.mu.Lock()
-	empty := c.table.Empty()
-	c.mu.Unlock()
+	q := r.quarantine
+	q.mu.Lock()
+	empty := q.table.Empty()
+	q.mu.Unlock()
 	if empty {
-		return false // and its content needs no name
+		return false // saves hashing the content
 	}
 	content := x.content()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.table.Apart(content, bootclock.Now())
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return q.table.Apart(content, bootclock.Now())
 }
 
-// refuseQuarantined returns the refusal of a request that no upstream may get, and nil for
-// others. Its caller is not told to come back.
+// refuseQuarantined returns the refusal of a request whose content is quarantined, and nil for
+// others. The refusal has no retry delay.
 func (r *Relay) refuseQuarantined(x *exchange) error {
 	if !r.isQuarantined(x) {
 		return nil
@@ -143,156 +146,157 @@
 	return &Refusal{Outcome: NotRun, Reason: "upstreams ended under its content"}
 }
 
-// recordServed notes that a request was answered whole.
+// recordServed records that a request was answered completely.
 func (r *Relay) recordServed(x *exchange) {
-	c, content := r.quarantine, x.content()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.table.Served(content, bootclock.Now()) {
-		c.requestPersist(content, 0)
+	q, content := r.quarantine, x.content()
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if q.table.Served(content, bootclock.Now()) {
+		q.requestPersist(content, 0)
 		r.log.Info("relay: content served, and not to blame", "request", x.req.ID, "content", content)
 	}
 }
 
-// checkInterrupted takes a request that an upstream cut off. If the upstream has ended, this
-// counts against the request's content.
+// checkInterrupted handles a request that an upstream cut off. If the upstream crashed, this counts
+// against the request's content.
 func (r *Relay) checkInterrupted(x *exchange, id string) {
-	if !r.quarantine.addInterrupted(id, interruptedRequest{content: x.content(), request: x.req.ID}) {
+	if !r.quarantine.addInterrupted(id, interruptedRequest{content: x.content(), requestID: x.req.ID}) {
 		return
 	}
 	to := r.upstreams.Upstream(id)
-	if to.ID == "" { // it has left, and its requests with it
+	if to.ID == "" { // the upstream was removed, and its requests with it
 		r.quarantine.takeInterrupted(id)
 		return
 	}
 	go r.checkCrashed(to)
 }
 
-// checkCrashed finds out whether an upstream has ended that cut requests off.
+// checkCrashed finds out whether an upstream that cut off requests has crashed, and records that
+// for their contents.
 func (r *Relay) checkCrashed(to upstreamstate.Upstream) {
-	ended := r.hasCrashed(to)
+	crashed := r.hasCrashed(to)
 	requests := r.quarantine.takeInterrupted(to.ID)
-	if !ended {
+	if !crashed {
 		r.log.Info("relay: upstream lives on", "upstream", to.ID, "cut_off", len(requests))
 		return
 	}
-	for _, one := range requests {
-		apart, ends := r.RecordCrash(quarantine.End{Content: one.content, Upstream: to.Incarnation()})
+	for _, request := range requests {
+		quarantined, crashes := r.RecordCrash(quarantine.End{Content: request.content, Upstream: to.Incarnation()})
 		r.quarantine.crashes.Inc(1)
-		r.log.Info("relay: upstream ended", "upstream", to.ID, "request", one.request, "content", one.content, "ends", ends, "apart", apart)
+		r.log.Info("relay: upstream ended", "upstream", to.ID, "request", request.requestID, "content", request.content, "ends", crashes, "apart", quarantined)
 	}
 	r.notifyChanged()
 }
 
-// hasCrashed asks whether an upstream has ended until there is a word on it; without one it
-// counts as living.
+// hasCrashed checks whether an upstream has crashed until there is a result. Without a result the
+// upstream is treated as running.
 func (r *Relay) hasCrashed(to upstreamstate.Upstream) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), crashCheckDeadline)
 	defer cancel()
 	healthPath := r.Services()[to.Service].HealthPath
 	if r.BackingOff(to) {
-		healthPath = "" // the machine alone is asked
+		healthPath = "" // the check must not send it a request
 	}
 	for {
-		asked, stop := context.WithTimeout(ctx, crashCheckTimeout)
-		ended, err := r.sender.Crashed(asked, to, healthPath)
-		stop()
+		checkCtx, cancelCheck := context.WithTimeout(ctx, crashCheckTimeout)
+		crashed, err := r.sender.Crashed(checkCtx, to, healthPath)
+		cancelCheck()
 		if err == nil {
-			return ended
+			return crashed
 		}
 		if !pause.For(ctx, crashCheckInterval) {
-			r.log.Info("relay: no word on an upstream", "upstream", to.ID, "error", err)
+			r.log.Info("relay: cannot determine whether upstream crashed", "upstream", to.ID, "error", err)
 			return false
 		}
 	}
 }
 
-// RecordCrash takes an end that this instance saw, and returns whether the content is set apart
-// by it and how many ends count against it.
-func (r *Relay) RecordCrash(end quarantine.End) (apart bool, ends int) {
-	return r.quarantine.record(end.Content, func(t *quarantine.Table) bool { return t.Note(end, bootclock.Now()) })
+// RecordCrash records a crash that this instance observed. It returns whether the content is
+// quarantined by it and how many crashes count against the content.
+func (r *Relay) RecordCrash(crash quarantine.End) (quarantined bool, crashes int) {
+	return r.quarantine.record(crash.Content, func(t *quarantine.Table) bool { return t.Note(crash, bootclock.Now()) })
 }
 
-// applyCrashes takes the ends that others told of.
-func (r *Relay) applyCrashes(ends []quarantine.End, beside bool) {
-	for _, e := range ends {
-		apart, count := r.quarantine.record(e.Content, func(t *quarantine.Table) bool { return t.Hear(e, beside, bootclock.Now()) })
-		if apart {
-			r.log.Info("relay: content set apart by what was heard", "content", e.Content, "ends", count)
+// applyCrashes merges the crashes that other instances reported.
+func (r *Relay) applyCrashes(crashes []quarantine.End, sameZone bool) {
+	for _, crash := range crashes {
+		quarantined, count := r.quarantine.record(crash.Content, func(t *quarantine.Table) bool { return t.Hear(crash, sameZone, bootclock.Now()) })
+		if quarantined {
+			r.log.Info("relay: content quarantined after reports of other instances", "content", crash.Content, "ends", count)
 		}
 	}
 }
 
-// Quarantine takes it that a content was set apart so often, as it is kept for all. One that
-// was served here lately is released by all instead.
+// Quarantine applies the persisted state of a content that was quarantined the given number of
+// times. A content that was served here recently is released for all instances instead.
 func (r *Relay) Quarantine(content quarantine.Content, times int) {
-	c := r.quarantine
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	q := r.quarantine
+	q.mu.Lock()
+	defer q.mu.Unlock()
 	now := bootclock.Now()
-	if !c.table.SetApart(content, times, now) {
-		c.requestPersist(content, 0)
-		r.log.Info("relay: content was served, and is not to blame", "content", content)
+	if !q.table.SetApart(content, times, now) {
+		q.requestPersist(content, 0)
+		r.log.Info("relay: content was served recently, quarantine rejected", "content", content)
 	}
-	c.quarantined.Update(int64(c.table.Count(now)))
+	q.quarantined.Update(int64(q.table.Count(now)))
 }
 
-// Release has upstreams get a content again, as it is not kept any more.
+// Release ends the quarantine of a content whose persisted state was removed.
 func (r *Relay) Release(content quarantine.Content) {
-	c := r.quarantine
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.table.Release(content)
-	c.quarantined.Update(int64(c.table.Count(bootclock.Now())))
+	q := r.quarantine
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.table.Release(content)
+	q.quarantined.Update(int64(q.table.Count(bootclock.Now())))
 }
 
-// PersistAgain has this instance keep for all, once more, how often a content was set apart.
+// PersistAgain has this instance persist once more how often a content was quarantined.
 func (r *Relay) PersistAgain(content quarantine.Content) {
-	c := r.quarantine
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if times := c.table.Times(content); times > 0 {
-		c.requestPersist(content, times)
+	q := r.quarantine
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if times := q.table.Times(content); times > 0 {
+		q.requestPersist(content, times)
 	}
 }
 
-// PersistNeeded has a value when there is something in Unkept.
+// PersistNeeded returns a channel that receives a value when Unpersisted has new entries.
 func (r *Relay) PersistNeeded() <-chan struct{} { return r.quarantine.persistNeeded }
 
-// Unpersisted is what this instance is to keep for all: how often each content was set apart;
-// 0 when that is over.
+// Unpersisted returns what this instance has to persist for all instances: how often each content
+// was quarantined; 0 to remove it.
 func (r *Relay) Unpersisted() map[quarantine.Content]int {
-	c := r.quarantine
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return maps.Clone(c.unpersisted)
+	q := r.quarantine
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return maps.Clone(q.unpersisted)
 }
 
-// MarkPersisted takes note of what is kept now.
-func (r *Relay) MarkPersisted(kept map[quarantine.Content]int) {
-	c := r.quarantine
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for content, times := range kept {
-		if c.unpersisted[content] == times {
-			delete(c.unpersisted, content)
+// MarkPersisted records what is persisted now. Entries that changed meanwhile stay unpersisted.
+func (r *Relay) MarkPersisted(persisted map[quarantine.Content]int) {
+	q := r.quarantine
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	for content, times := range persisted {
+		if q.unpersisted[content] == times {
+			delete(q.unpersisted, content)
 		}
 	}
 }
 
-// ExpireQuarantines forgets the ends that count no longer, and has what lapsed released by
-// all if this instance is to see to it.
+// ExpireQuarantines drops the crashes that no longer count. If release is set, it also has expired
+// quarantines released for all instances.
 func (r *Relay) ExpireQuarantines(release bool) {
-	c := r.quarantine
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	q := r.quarantine
+	q.mu.Lock()
+	defer q.mu.Unlock()
 	now := bootclock.Now()
-	c.table.Lapse(now)
-	c.quarantined.Update(int64(c.table.Count(now)))
+	q.table.Lapse(now)
+	q.quarantined.Update(int64(q.table.Count(now)))
 	if !release {
 		return
 	}
-	for _, content := range c.table.Lapsed(now) {
-		c.requestPersist(content, 0)
+	for _, content := range q.table.Lapsed(now) {
+		q.requestPersist(content, 0)
 	}
 }
--- a/internal/relay/bar.go
+++ b/internal/relay/bar.go
@@ -6,32 +6,33 @@
 	"sassafrasfield/internal/ownlink"
 )
 
-// errKeyRevoked: the organisation's key was taken away while the request was on its way.
-var errKeyRevoked = errors.New("relay: the API key is not known any more")
+// errKeyRevoked: the organisation's key was revoked while the request was in progress.
+var errKeyRevoked = errors.New("relay: the API key was revoked")
 
-// impairedError: the instance's own link is to blame that nothing reaches upstreams, or it
-// cannot know which ones leave.
+// impairedError: requests do not reach upstreams because of this instance's own link, or the instance
+// cannot know which upstreams are draining.
 type impairedError struct {
 	reason ownlink.Trouble
 }
 
 func (e impairedError) Error() string { return "relay: " + string(e.reason) }
 
-// refuseUnauthenticated is the refusal of a request whose route asks for a key that it does not bear.
+// refuseUnauthenticated returns the refusal of a request without a known API key on a route that
+// requires one.
 func refuseUnauthenticated() error {
 	return &Refusal{Outcome: Unauthenticated, Reason: "no API key that is known"}
 }
 
-// checkSend returns why a request must not be sent on now: upstreams ended under its content, its
-// key was revoked, or this instance is in trouble, unless its answer has begun. It is
-// asked before each send, as prompts and second tries may be seconds after the request came.
+// checkSend returns why a request must not be sent now: its content is quarantined, its key was
+// revoked, or this instance is impaired and the answer has not begun. It is called before each
+// send, because a prefill or a retry may take place seconds after the request arrived.
 func (r *Relay) checkSend(x *exchange) error {
 	if r.isQuarantined(x) {
 		return errQuarantined
 	}
 	if x.status == 0 {
-		if why := r.Trouble(); why != "" {
-			return impairedError{why}
+		if reason := r.Trouble(); reason != "" {
+			return impairedError{reason}
 		}
 	}
 	table, _ := r.upstreams.Routes(r.now())
@@ -43,17 +44,17 @@
 	return nil
 }
 
-// refuse returns the refusal of a request that must not be sent on and has not run; nil
-// for others.
+// refuse returns the refusal of a request that must not be sent and has not run, and nil for
+// others.
 func (r *Relay) refuse(x *exchange) error {
-	var trouble impairedError
+	var impaired impairedError
 	switch err := r.checkSend(x); {
 	case err == nil:
 		return nil
 	case errors.Is(err, errKeyRevoked):
 		return refuseUnauthenticated()
-	case errors.As(err, &trouble):
-		return refuseImpaired(trouble.reason, r.retryIn(x))
+	case errors.As(err, &impaired):
+		return refuseImpaired(impaired.reason, r.retryIn(x))
 	default:
 		return r.refuseQuarantined(x)
 	}
--- a/internal/relay/budget.go
+++ b/internal/relay/budget.go
@@ -12,70 +12,69 @@
 	"sassafrasfield/internal/retry"
 )
 
-// BudgetSettings bound the sends beyond the first of each request, for each
-// service, over all instances.
+// BudgetSettings bounds the retries, which are the sends beyond the first of each request. The
+// bounds hold for each service, over all instances together.
 type BudgetSettings struct {
-	// Share of further sends that each request pays for.
+	// Share is the part of a retry that each request earns.
 	Share float64
-	// Slack is how many further sends are allowed besides in each window.
+	// Slack is the number of retries that are allowed in each window in addition.
 	Slack  float64
 	Window time.Duration
 }
 
-// Parts of the bounds that are used. The window is counted over all instances
-// together, and it slides: what was saved up and what is earned in one window must
-// both fit.
+// Fractions of the bounds that are used. The window counts the retries of all instances together,
+// and it slides: what was saved up before and what is earned during one window must both fit.
 const (
 	usedShare = 0.9
 	usedSlack = 0.9
-	// instanceReserve is what each instance may save up for itself, without which it could
-	// make no further send by itself. The rest of the slack is pooled by zone, where
-	// it goes to whoever needs it: failures come to few instances at a time.
+	// instanceReserve is the number of retries that each instance may save up for itself; without
+	// it an instance could make no retry on its own. The rest of the slack is pooled by zone and
+	// goes to whichever instance needs it, because failures hit few instances at a time.
 	instanceReserve = 1
 )
 
 // instancesUnknown is the number of instances while it is not known, as after a start.
 const instancesUnknown = 0
 
-// instanceRules are one instance's own part of the bounds: its requests pay for its sends.
+// instanceRules returns the rules of an instance's own part of the bounds, which its requests earn.
 func (s BudgetSettings) instanceRules() retry.Rules {
 	return retry.Rules{Share: usedShare * s.Share, Max: instanceReserve}
 }
 
-// poolRules are the part of the bounds that is pooled by so many of all instances.
-// Half of what the instances' own parts leave of the slack may be saved up, half is
-// earned in each window without requests.
+// poolRules returns the rules of the part of the bounds that is pooled by members of all instances.
+// Of the slack that the instances' own parts leave, half may be saved up, and half is earned in
+// each window without requests.
 func (s BudgetSettings) poolRules(members, instances int) retry.Rules {
 	if instances == instancesUnknown {
 		return retry.Rules{}
 	}
-	left := max(0, usedSlack*s.Slack-instanceReserve*float64(instances))
-	part := float64(members) / float64(max(members, instances))
+	slackLeft := max(0, usedSlack*s.Slack-instanceReserve*float64(instances))
+	fraction := float64(members) / float64(max(members, instances))
 	return retry.Rules{
-		Floor: part * left / 2 / max(1, s.Window.Seconds()),
-		Max:   part * left / 2,
+		Floor: fraction * slackLeft / 2 / max(1, s.Window.Seconds()),
+		Max:   fraction * slackLeft / 2,
 	}
 }
 
-// backoff bounds the wait before a further send. Another upstream is asked, so
-// it only has to keep requests that failed together apart.
+// backoff bounds the wait before a retry. A retry goes to another upstream, so that the wait only
+// has to spread out requests that failed at the same time.
 var backoff = retry.Backoff{Base: 2 * time.Millisecond, Max: 20 * time.Millisecond}
 
-// budgets has one retry budget a service.
+// budgets holds one retry budget per service.
 type budgets struct {
 	meters       attempt.Meters
 	requestRetry func(ctx context.Context, service uint32) bool
 
-	mu        sync.Mutex // protects all below
+	mu        sync.Mutex // protects the fields below
 	settings  BudgetSettings
 	byService map[string]*attempt.Budget
 }
 
-func newBudgets(s BudgetSettings, meters attempt.Meters, ask func(context.Context, uint32) bool) *budgets {
-	return &budgets{settings: s, meters: meters, requestRetry: ask, byService: map[string]*attempt.Budget{}}
+func newBudgets(s BudgetSettings, meters attempt.Meters, requestRetry func(context.Context, uint32) bool) *budgets {
+	return &budgets{settings: s, meters: meters, requestRetry: requestRetry, byService: map[string]*attempt.Budget{}}
 }
 
-// set takes other settings.
+// set replaces the settings.
 func (b *budgets) set(s BudgetSettings) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -88,24 +87,24 @@
 	}
 }
 
-// overflow is what the requests to each service paid for beyond what this instance can
-// save up, by a hash of the service.
+// overflow returns what the requests to each service earned beyond what this instance may save up,
+// by a hash of the service.
 func (b *budgets) overflow() map[uint32]float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	all := make(map[uint32]float64, len(b.byService))
+	byService := make(map[uint32]float64, len(b.byService))
 	for service, budget := range b.byService {
-		if spilled := budget.Overflow(); spilled > 0 {
-			all[serviceHash(service)] = spilled
+		if overflow := budget.Overflow(); overflow > 0 {
+			byService[serviceHash(service)] = overflow
 		}
 	}
-	return all
+	return byService
 }
 
-// serviceHash names a service in what instances tell one another.
+// serviceHash identifies a service in messages between instances.
 func serviceHash(service string) uint32 { return uint32(xxhash.Sum64String(service)) }
 
-// poolClient asks the zone's pool for a send to a service.
+// poolClient requests retries for a service from the zone's pool.
 type poolClient struct {
 	service uint32
 	request func(ctx context.Context, service uint32) bool
@@ -114,8 +113,8 @@
 // Acquire implements attempt.Pool.
 func (p poolClient) Acquire(ctx context.Context) bool { return p.request(ctx, p.service) }
 
-// forService returns a service's budget. A new one has nothing saved up: the process whose
-// place this one took may have spent the window's.
+// forService returns a service's budget. A new budget starts empty, because the process that this
+// one replaced may have exhausted the window's.
 func (b *budgets) forService(service string, now time.Duration) *attempt.Budget {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -127,7 +126,7 @@
 	return budget
 }
 
-// jittered spreads a time that is told to callers, up to half of it again.
+// jittered extends a retry delay for callers at random, by up to half of it.
 func jittered(d time.Duration) time.Duration {
 	return d + time.Duration(rand.Float64()*float64(d)/2)
 }
--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -14,20 +14,20 @@
 	"sassafrasfield/internal/upstreamstate"
 )
 
-// maxBufferedBytes is how much of an answer is held before the caller gets any, so
-// that a broken one can still be asked for elsewhere. Longer ones are passed on
-// as they come.
+// maxBufferedBytes is how much of an answer is buffered before the caller receives any, so that a
+// truncated one can still be requested from another upstream. The rest of a longer answer is
+// forwarded as it arrives.
 const maxBufferedBytes = 256 << 10
 
 // bufferedAnswer is a reply of which the first part has been read.
 type bufferedAnswer struct {
 	reply *Reply
 	head  []byte
-	// complete tells that first is all of it.
+	// complete is set if head is the whole body.
 	complete bool
 }
 
-// serviceCall is the way of a request to a plain service's upstreams. It implements
+// serviceCall is the path of a request to the upstreams of a plain service. It implements
 // attempt.Call.
 type serviceCall struct {
 	*exchange
@@ -45,8 +45,8 @@
 	return r.finalError(ctx, x)
 }
 
-// Started implements attempt.Call: no part of an answer is given to the caller
-// before it is known that no other upstream will be asked.
+// Started implements attempt.Call. It is false, because the caller receives no part of an answer
+// before it is decided that no other upstream will be tried.
 func (c *serviceCall) Started() bool { return false }
 
 // Try implements attempt.Call.
@@ -60,22 +60,22 @@
 		return attempt.Result{Status: attempt.NoUpstream}
 	}
 	defer func() { r.upstreams.End(upstream.ID, c.req.ID, r.now()) }()
-	got, err := r.sendCall(ctx, c.exchange, upstream)
+	answer, err := r.sendCall(ctx, c.exchange, upstream)
 	if err != nil {
 		r.recordFailure(ctx, c.exchange, upstream.ID, err)
 		return failedAttempt(upstream.ID, err)
 	}
-	if r.shouldRetryElsewhere(ctx, c.exchange, got) {
-		got.reply.Body.Close()
-		return failedAttempt(upstream.ID, errors.Errorf("relay: the upstream answered %d", got.reply.Status))
+	if r.shouldRetryElsewhere(ctx, c.exchange, answer) {
+		answer.reply.Body.Close()
+		return failedAttempt(upstream.ID, errors.Errorf("relay: the upstream answered %d", answer.reply.Status))
 	}
-	return attempt.Result{Status: attempt.Done, Err: deliver(c.w, c.exchange, got)}
+	return attempt.Result{Status: attempt.Done, Err: deliver(c.w, c.exchange, answer)}
 }
 
-// shouldRetryElsewhere tells whether a failure that the upstream answered with
-// should be tried elsewhere.
-func (r *Relay) shouldRetryElsewhere(ctx context.Context, x *exchange, got bufferedAnswer) bool {
-	if got.reply.Status < http.StatusInternalServerError || x.route.Kind != routes.Idempotent {
+// shouldRetryElsewhere reports whether a failure status of the upstream should be retried at
+// another one.
+func (r *Relay) shouldRetryElsewhere(ctx context.Context, x *exchange, answer bufferedAnswer) bool {
+	if answer.reply.Status < http.StatusInternalServerError || x.route.Kind != routes.Idempotent {
 		return false
 	}
 	if !x.attempts.MayRunElsewhere() || ctx.Err() != nil || r.upstreams.Count(x.service) < 2 {
@@ -84,14 +84,15 @@
 	return x.attempts.Prepay(ctx, x.budget, r.now())
 }
 
-// attemptTimeout is how long an idempotent call may take on one upstream: the route's
-// objective, at most half of the time left, so that another one has a chance.
+// attemptTimeout returns how long an idempotent call may take on one upstream: the route's
+// objective, but at least a third and at most half of the remaining time, so that another upstream
+// can still be tried.
 func (r *Relay) attemptTimeout(x *exchange) time.Duration {
-	left := x.remaining(r.now())
+	remaining := x.remaining(r.now())
 	if x.route.Kind != routes.Idempotent || !x.attempts.MayRunElsewhere() {
-		return left
+		return remaining
 	}
-	return min(left/2, max(x.route.Objective, left/3))
+	return min(remaining/2, max(x.route.Objective, remaining/3))
 }
 
 func (r *Relay) sendCall(ctx context.Context, x *exchange, to upstreamstate.Upstream) (bufferedAnswer, error) {
@@ -99,8 +100,8 @@
 		return bufferedAnswer{}, err
 	}
 	sentAt := r.now()
-	sending, cancel := context.WithTimeout(ctx, r.attemptTimeout(x))
-	reply, err := r.sender.Send(sending, x.req, x.newSend(to, r.now()))
+	sendCtx, cancel := context.WithTimeout(ctx, r.attemptTimeout(x))
+	reply, err := r.sender.Send(sendCtx, x.req, x.newSend(to, r.now()))
 	if err == nil || errors.Is(err, ErrCutOff) { // it ran, though its answer may be lost
 		r.countUsage(x, sentAt)
 	}
@@ -110,7 +111,7 @@
 	}
 	reply.Body = cancellingBody{reply.Body, cancel}
 	r.recordAnswer(to.ID, reply.Load)
-	first, err := io.ReadAll(io.LimitReader(reply.Body, maxBufferedBytes))
+	head, err := io.ReadAll(io.LimitReader(reply.Body, maxBufferedBytes))
 	if err != nil {
 		reply.Body.Close()
 		return bufferedAnswer{}, WrapReadError(err)
@@ -118,10 +119,10 @@
 	if reply.Status < http.StatusInternalServerError {
 		r.upstreams.Judge(to.ID, load.CallSucceeded, r.now())
 	}
-	return bufferedAnswer{reply: reply, head: first, complete: len(first) < maxBufferedBytes}, nil
+	return bufferedAnswer{reply: reply, head: head, complete: len(head) < maxBufferedBytes}, nil
 }
 
-// cancellingBody ends its context when it is closed.
+// cancellingBody cancels its context when it is closed.
 type cancellingBody struct {
 	io.ReadCloser
 	cancel context.CancelFunc
@@ -133,16 +134,16 @@
 	return b.ReadCloser.Close()
 }
 
-// deliver gives an answer to the caller.
-func deliver(w http.ResponseWriter, x *exchange, got bufferedAnswer) error {
-	defer got.reply.Body.Close()
+// deliver writes an answer to the caller.
+func deliver(w http.ResponseWriter, x *exchange, answer bufferedAnswer) error {
+	defer answer.reply.Body.Close()
 	x.attempts.Answered()
-	writeHeader(w, x, got.reply)
-	if _, err := w.Write(got.head); err != nil {
+	writeHeader(w, x, answer.reply)
+	if _, err := w.Write(answer.head); err != nil {
 		return ErrCallerDisconnected
 	}
-	if !got.complete {
-		if _, err := io.Copy(w, got.reply.Body); err != nil {
+	if !answer.complete {
+		if _, err := io.Copy(w, answer.reply.Body); err != nil {
 			return errors.WithMessage(ErrAnswerAborted, err.Error())
 		}
 	}
--- a/internal/relay/call_test.go
+++ b/internal/relay/call_test.go
@@ -9,7 +9,7 @@
 	"sassafrasfield/internal/upstreamstate"
 )
 
-func TestAnIdempotentCallIsSentAgain(t *testing.T) {
+func TestIdempotentCallIsRetried(t *testing.T) {
 	f := &fakeSender{run: func(n int, _ Send) (*Reply, error) {
 		if n == 1 {
 			return nil, ErrNoValidAnswer
@@ -17,7 +17,7 @@
 		return reply(http.StatusOK, strings.NewReader("whole")), nil
 	}}
 	r := newFake(t, f)
-	plentiful(r)
+	withLargeBudget(r)
 	w, err := serve(r, call("/safe/1"))
 	if err != nil || w.Body.String() != "whole" || f.runs != 2 {
 		t.Errorf("%v %q after %d runs", err, w.Body.String(), f.runs)
@@ -27,32 +27,32 @@
 	}
 }
 
-func TestACutAnswerIsNotPassedOn(t *testing.T) {
+func TestTruncatedAnswerIsRetried(t *testing.T) {
 	f := &fakeSender{run: func(n int, _ Send) (*Reply, error) {
 		if n == 1 {
-			return cutAfter("half"), nil
+			return truncated("half"), nil
 		}
 		return reply(http.StatusOK, strings.NewReader("whole")), nil
 	}}
 	r := newFake(t, f)
-	plentiful(r)
+	withLargeBudget(r)
 	w, err := serve(r, call("/safe/1"))
 	if err != nil || w.Body.String() != "whole" {
 		t.Errorf("%v %q", err, w.Body.String())
 	}
 }
 
-func TestALostNonIdempotentCallIsSentOnce(t *testing.T) {
+func TestNonIdempotentCallWithUnknownOutcomeIsNotRetried(t *testing.T) {
 	f := &fakeSender{run: func(int, Send) (*Reply, error) { return nil, ErrNoValidAnswer }}
 	r := newFake(t, f)
-	plentiful(r)
+	withLargeBudget(r)
 	_, err := serve(r, call("/unsafe/1"))
-	if word := wordOf(t, err); word != Unknown || f.runs != 1 {
-		t.Errorf("word %v after %d runs", word, f.runs)
+	if word := outcomeOf(t, err); word != Unknown || f.runs != 1 {
+		t.Errorf("outcome %v after %d runs", word, f.runs)
 	}
 }
 
-func TestANonIdempotentCallThatDidNotRunIsSentAgain(t *testing.T) {
+func TestNonIdempotentCallThatDidNotRunIsRetried(t *testing.T) {
 	for _, notRun := range []error{ErrNotSent, ErrRefused, ErrAddressReassigned} {
 		f := &fakeSender{run: func(n int, _ Send) (*Reply, error) {
 			if n == 1 {
@@ -61,37 +61,37 @@
 			return reply(http.StatusOK, strings.NewReader("whole")), nil
 		}}
 		r := newFake(t, f)
-		plentiful(r)
+		withLargeBudget(r)
 		if _, err := serve(r, call("/unsafe/1")); err != nil || f.runs != 2 {
 			t.Errorf("%v: %v after %d runs", notRun, err, f.runs)
 		}
 	}
 }
 
-func TestAFailureIsPassedOnWhenNoOtherTryIsLeft(t *testing.T) {
+func TestFailureIsForwardedIfNoAttemptIsLeft(t *testing.T) {
 	f := &fakeSender{run: func(int, Send) (*Reply, error) {
 		return reply(http.StatusInternalServerError, strings.NewReader("sorry")), nil
 	}}
 	r := newFake(t, f)
-	plentiful(r)
+	withLargeBudget(r)
 	w, err := serve(r, call("/safe/1"))
 	if err != nil || w.Code != http.StatusInternalServerError || f.runs != 2 {
 		t.Errorf("%v, status %d after %d runs", err, w.Code, f.runs)
 	}
 }
 
-func TestWithoutBudgetNothingIsSentAgain(t *testing.T) {
+func TestNoRetryWithoutBudget(t *testing.T) {
 	f := &fakeSender{run: func(int, Send) (*Reply, error) { return nil, ErrRefused }}
 	r := newFake(t, f)
 	r.SetBudget(BudgetSettings{})
 	r.budgets.forService("app", 0).SpendLocal(false, 0)
 	_, err := serve(r, call("/safe/1"))
-	if word := wordOf(t, err); word != NotRun || f.runs != 1 {
-		t.Errorf("word %v after %d sends", word, f.runs)
+	if word := outcomeOf(t, err); word != NotRun || f.runs != 1 {
+		t.Errorf("outcome %v after %d sends", word, f.runs)
 	}
 }
 
-func TestADrainingUpstreamGetsNothing(t *testing.T) {
+func TestDrainingUpstreamReceivesNothing(t *testing.T) {
 	f := &fakeSender{}
 	r := newFake(t, f)
 	for _, id := range []string{"app-1", "app-2"} {
@@ -99,27 +99,27 @@
 	}
 	r.RemoveUpstream("app-3")
 	_, err := serve(r, call("/safe/1"))
-	if word := wordOf(t, err); word != NotRun || f.count() != 0 {
-		t.Errorf("word %v after %d sends", word, f.count())
+	if word := outcomeOf(t, err); word != NotRun || f.count() != 0 {
+		t.Errorf("outcome %v after %d sends", word, f.count())
 	}
 }
 
-func TestWithoutConfigurationNothingIsServed(t *testing.T) {
+func TestNothingIsServedWithoutConfiguration(t *testing.T) {
 	r := New(DefaultSettings(), &fakeSender{}, newFake(t, &fakeSender{}).log)
 	_, err := serve(r, call("/safe/1"))
-	if wordOf(t, err) != NotRun {
+	if outcomeOf(t, err) != NotRun {
 		t.Error(err)
 	}
 }
 
-func TestAnUnknownPathHasNoRoute(t *testing.T) {
+func TestUnknownPathHasNoRoute(t *testing.T) {
 	_, err := serve(newFake(t, &fakeSender{}), call("/elsewhere/1"))
-	if wordOf(t, err) != NoRoute {
+	if outcomeOf(t, err) != NoRoute {
 		t.Error(err)
 	}
 }
 
-func TestTheTimeOfARouteBoundsARequest(t *testing.T) {
+func TestRouteTimeoutBoundsRequest(t *testing.T) {
 	f := &fakeSender{}
 	req := call("/safe/1")
 	req.WaitBudget = time.Hour
@@ -127,16 +127,16 @@
 		t.Fatal(err)
 	}
 	if within := f.calls[0].send.Timeout; within > time.Second {
-		t.Errorf("an upstream got %s for a request of one second", within)
+		t.Errorf("an upstream got a timeout of %s for a request of one second", within)
 	}
 }
 
-func TestAClosedRelayRunsNothing(t *testing.T) {
+func TestClosedRelayRunsNothing(t *testing.T) {
 	f := &fakeSender{}
 	r := newFake(t, f)
 	r.Close()
 	_, err := serve(r, call("/unsafe/1"))
-	if word := wordOf(t, err); word != NotRun || f.count() != 0 {
-		t.Errorf("word %v after %d sends", word, f.count())
+	if word := outcomeOf(t, err); word != NotRun || f.count() != 0 {
+		t.Errorf("outcome %v after %d sends", word, f.count())
 	}
 }
--- a/internal/relay/copy_test.go
+++ b/internal/relay/copy_test.go
@@ -14,12 +14,12 @@
 	return req
 }
 
-// TestAStreamThatMayRunOnceGoesOnWhereItsCopyIs: an engine crashes in the middle
-// of a stream that may not be repeated; callers saw it cut off.
-func TestAStreamThatMayRunOnceGoesOnWhereItsCopyIs(t *testing.T) {
+// TestSingleRunStreamContinuesAtBackup: an engine crashes in the middle of a stream that must not
+// run twice. Without the copy on the backup, callers saw the stream cut off.
+func TestSingleRunStreamContinuesAtBackup(t *testing.T) {
 	f := &fakeSender{run: func(n int, s Send) (*Reply, error) {
 		if n == 1 {
-			return cutAfter("id: 1\ndata: a\n\nid: 2\nda"), nil
+			return truncated("id: 1\ndata: a\n\nid: 2\nda"), nil
 		}
 		return events("id: 2\ndata: b\n\n"), nil
 	}}
@@ -29,17 +29,17 @@
 	}
 	first, second := f.calls[0], f.calls[1]
 	if first.send.Backup.ID == "" || first.send.Backup.ID == first.to || second.to != first.send.Backup.ID {
-		t.Errorf("ran at %q, copied to %q, went on at %q", first.to, first.send.Backup.ID, second.to)
+		t.Errorf("ran at %q, copied to %q, continued at %q", first.to, first.send.Backup.ID, second.to)
 	}
 	if second.send.KV.Handle != "r1" || second.send.KV.Engine.ID != second.to || second.send.LastEvent != "1" {
-		t.Errorf("gone on with %+v", second.send)
+		t.Errorf("continued with %+v", second.send)
 	}
 }
 
-func TestAStreamWithoutACopyBreaksOff(t *testing.T) {
+func TestStreamWithoutCopyIsAborted(t *testing.T) {
 	f := &fakeSender{run: func(n int, s Send) (*Reply, error) {
 		if n == 1 {
-			return cutAfter("id: 1\ndata: a\n\n"), nil
+			return truncated("id: 1\ndata: a\n\n"), nil
 		}
 		return nil, ErrRefused // the copy had not arrived
 	}}
@@ -51,13 +51,12 @@
 	}
 }
 
-// TestARunIsNotGoneOnWithBeforeItsFirstEvent: what an engine did that never sent
-// an event is not known.
-func TestARunIsNotGoneOnWithBeforeItsFirstEvent(t *testing.T) {
+// TestRunIsNotContinuedBeforeFirstEvent: it is unknown what an engine did that never sent an event.
+func TestRunIsNotContinuedBeforeFirstEvent(t *testing.T) {
 	for name, answer := range map[string]func() (*Reply, error){
 		"nothing":       func() (*Reply, error) { return nil, ErrNoValidAnswer },
-		"a header only": func() (*Reply, error) { return cutAfter(""), nil },
-		"half an event": func() (*Reply, error) { return cutAfter("id: 1\nda"), nil },
+		"a header only": func() (*Reply, error) { return truncated(""), nil },
+		"half an event": func() (*Reply, error) { return truncated("id: 1\nda"), nil },
 	} {
 		f := &fakeSender{run: func(int, Send) (*Reply, error) { return answer() }}
 		if _, err := serve(newFake(t, f), shortPrompt("/once/1")); err == nil || f.count() != 1 {
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -14,64 +14,65 @@
 	"sassafrasfield/internal/upstreamstate"
 )
 
-// exchange is one request on its way.
+// exchange is the state of one request while it is served.
 type exchange struct {
 	req     *Request
 	route   *routes.Route
 	service string
-	// identity is who it comes from, by the newest configuration that was asked.
+	// identity is who the request comes from, according to the newest configuration that was
+	// checked.
 	identity routes.Identity
 	version  int64
-	age      time.Duration // of the configuration, when the request came
+	age      time.Duration // of the configuration, when the request arrived
 	arrived  time.Duration
 	deadline time.Duration
 	attempts *attempt.Attempts
 	budget   *attempt.Budget
-	// status is what the caller got; upstream and prefill are the newest ones
-	// asked.
+	// status is the HTTP status that the caller received. upstream and prefill are the upstreams
+	// that were contacted last.
 	status            int
 	upstream, prefill string
-	// ahead and predicted are the times that were predicted when the newest prompt was
-	// placed: of the prompts before it on its engine, and its predicted.
+	// ahead and predicted are the times that were predicted when the newest prompt was placed: for
+	// the prompts queued before it on its engine, and for the prompt itself.
 	ahead, predicted time.Duration
-	// counted: it was counted as one that began to run.
+	// counted is set once the request was counted as one that began to run.
 	counted bool
-	// turn is when that prompt was to be processed there.
+	// turn is the queue order of that prompt on its engine.
 	turn placement.QueueOrder
-	// content returns the name of what is asked for, which is computed once.
+	// content returns the identifier of what is requested. It is computed once.
 	content func() quarantine.Content
 }
 
-// placementRequest is what the choice of an upstream depends on.
+// placementRequest returns the input for choosing an upstream.
 func (x *exchange) placementRequest(now time.Duration) upstreamstate.Ask {
-	ask := upstreamstate.Ask{
+	request := upstreamstate.Ask{
 		ID: x.req.ID, Service: x.service, Excluded: x.attempts.Excluded(),
 		Objective: x.route.Objective - (now - x.arrived), Left: x.remaining(now),
 		Priority: x.identity.Priority(x.route),
 	}
-	if patience := x.route.Patience; patience > 0 {
-		ask.Left = min(ask.Left, patience-(now-x.arrived))
+	if waitBudget := x.route.Patience; waitBudget > 0 {
+		request.Left = min(request.Left, waitBudget-(now-x.arrived))
 	}
 	if x.req.Prompt != nil {
-		ask.Prompt = *x.req.Prompt
+		request.Prompt = *x.req.Prompt
 	}
-	return ask
+	return request
 }
 
-// newSend is a way to newSend it to an upstream, with what each way has.
+// newSend returns a send to an upstream, with the fields that all kinds of sends have.
 func (x *exchange) newSend(to upstreamstate.Upstream, now time.Duration) Send {
 	return Send{To: to, Timeout: x.remaining(now), Priority: x.identity.Priority(x.route), Identity: x.identity}
 }
 
 func (x *exchange) remaining(now time.Duration) time.Duration { return x.deadline - now }
 
-// noteSent notes a send; an error means that a second run is not allowed.
+// noteSent records a send. An error means that a second run is not allowed.
 func (x *exchange) noteSent(id string) error {
 	x.upstream = id
 	return x.attempts.Sent()
 }
 
-// failedAttempt is the result of an attempt that brought no whole answer.
+// failedAttempt returns the result of an attempt that produced no complete answer.
 func failedAttempt(upstream string, err error) attempt.Result {
 	if ranNothing(err) {
 		return attempt.Result{Status: attempt.Refused, Upstream: upstream, Unsent: errors.Is(err, ErrNotSent), Declined: errors.Is(err, ErrDeclined), Err: err}
@@ -79,7 +80,7 @@
 	return attempt.Result{Status: attempt.Lost, Upstream: upstream, Err: err}
 }
 
-// verdictFor is what an error tells of the upstream.
+// verdictFor returns what an error says about the upstream.
 func verdictFor(ctx context.Context, err error) load.CallResult {
 	switch {
 	case errors.Is(err, ErrNotSent):
--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -19,36 +19,36 @@
 	"sassafrasfield/internal/upstreamstate"
 )
 
-// sent is one call that the fake upstreams got.
+// sent is one call that the fake upstreams received.
 type sent struct {
 	to      string
 	prefill bool
 	send    Send
 }
 
-// fakeSender answers by script and records what was sent.
+// fakeSender answers from a script and records what was sent.
 type fakeSender struct {
 	// run and prefill answer the calls; nil gives a good answer.
 	run     func(n int, s Send) (*Reply, error)
 	prefill func(n int, s Send) (KV, error)
 
-	hear func(upstreamstate.Upstream, upstreamstate.Statement)
+	handleStatement func(upstreamstate.Upstream, upstreamstate.Statement)
 
-	mu       sync.Mutex // protects all below
+	mu       sync.Mutex // protects the fields below
 	calls    []sent
 	runs     int
 	prefills int
 	freed    []KV
-	// ended are the upstreams whose processes have ended, silent how many questions for
-	// that get no word first.
-	ended  map[string]bool
-	silent int
-	// healthPath is where the newest question went.
+	// crashed are the upstreams whose processes have ended. inconclusive is the number of crash
+	// checks that fail first.
+	crashed      map[string]bool
+	inconclusive int
+	// healthPath is the path of the newest crash check.
 	healthPath string
 }
 
 func (f *fakeSender) SetStatementHandler(hear func(upstreamstate.Upstream, upstreamstate.Statement)) {
-	f.hear = hear
+	f.handleStatement = hear
 }
 
 func (f *fakeSender) Send(_ context.Context, _ *Request, s Send) (*Reply, error) {
@@ -81,16 +81,16 @@
 	return nil
 }
 
-// Crashed implements Sender: the upstreams that the script names have.
+// Crashed implements Sender, according to the script.
 func (f *fakeSender) Crashed(_ context.Context, to upstreamstate.Upstream, healthPath string) (bool, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.healthPath = healthPath
-	if f.silent > 0 {
-		f.silent--
-		return false, errors.New("no word")
+	if f.inconclusive > 0 {
+		f.inconclusive--
+		return false, errors.New("no result yet")
 	}
-	return f.ended[to.ID], nil
+	return f.crashed[to.ID], nil
 }
 
 func (f *fakeSender) freedCount() int {
@@ -111,12 +111,12 @@
 
 func events(text string) *Reply { return reply(http.StatusOK, strings.NewReader(text)) }
 
-// cut gives its text and then breaks off.
-type cut struct {
+// truncatedReader returns its text and then fails.
+type truncatedReader struct {
 	text io.Reader
 }
 
-func (c cut) Read(p []byte) (int, error) {
+func (c truncatedReader) Read(p []byte) (int, error) {
 	n, err := c.text.Read(p)
 	if err == io.EOF {
 		return n, io.ErrUnexpectedEOF
@@ -124,9 +124,11 @@
 	return n, err
 }
 
-func cutAfter(text string) *Reply { return reply(http.StatusOK, cut{strings.NewReader(text)}) }
+func truncated(text string) *Reply {
+	return reply(http.StatusOK, truncatedReader{strings.NewReader(text)})
+}
 
-// newFake returns a relay before one plain service and one service of engines.
+// newFake returns a relay in front of one plain service and one service of engines.
 func newFake(t *testing.T, sender Sender) *Relay {
 	t.Helper()
 	s := DefaultSettings()
@@ -151,8 +153,8 @@
 	return r
 }
 
-// plentiful makes the relay's budget large.
-func plentiful(r *Relay) {
+// withLargeBudget gives the relay a large retry budget.
+func withLargeBudget(r *Relay) {
 	r.SetBudget(BudgetSettings{Share: 10, Slack: 100, Window: time.Second})
 	r.SetPoolRequester(func(context.Context, uint32) bool { return true })
 }
@@ -173,7 +175,7 @@
 	return w, err
 }
 
-func wordOf(t *testing.T, err error) Outcome {
+func outcomeOf(t *testing.T, err error) Outcome {
 	t.Helper()
 	var refusal *Refusal
 	if !errors.As(err, &refusal) {
--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -17,31 +17,30 @@
 	"sassafrasfield/internal/upstreamstate"
 )
 
-// generation is the answer of a model on its way to the caller. It implements
-// attempt.Call.
+// generation is the state of a request whose answer a model generates. It implements attempt.Call.
 type generation struct {
 	*exchange
 	relay  *Relay
 	w      http.ResponseWriter
 	prompt placement.Prompt
-	// direct: the engine that generates processes the prompt too; start says
-	// which one, unless it is to be chosen anew.
+	// direct is set if the engine that generates also processes the prompt. start is the placement
+	// on that engine; each attempt chooses a new one.
 	direct bool
 	start  placement.Prefill
 	// kv is the processed prompt that no engine has fetched yet.
 	kv KV
-	// headerSent: the caller has the answer's header.
+	// headerSent is set once the caller has received the answer's header.
 	headerSent bool
-	// lastEvent is the id of the last event that the caller has.
+	// lastEvent is the id of the last event that the caller received.
 	lastEvent string
-	// reserved is the engine with a limit that has room for the answer; empty for none.
+	// reserved is the rate-limited engine that has room reserved for the answer; empty for none.
 	reserved string
-	// backup is the engine that the run is copied to as it goes.
+	// backup is the engine to which the run is copied while it proceeds.
 	backup upstreamstate.Upstream
 }
 
-// generate brings a generation to the caller, from as many engines as that
-// takes and as the route allows.
+// generate delivers a generated answer to the caller, from as many engines as that takes and as the
+// route allows.
 func (r *Relay) generate(ctx context.Context, x *exchange, w http.ResponseWriter) error {
 	g := &generation{exchange: x, relay: r, w: w, lastEvent: x.req.LastEvent}
 	if x.req.Prompt != nil {
@@ -55,8 +54,8 @@
 	return g.endError(r.finalError(ctx, x))
 }
 
-// endError is how an answer ends that no engine finished: one that has begun can't
-// be refused any more, it can only break off.
+// endError returns the error of an answer that no engine finished. An answer that has begun cannot
+// be refused any more, only aborted.
 func (g *generation) endError(err error) error {
 	var refusal *Refusal
 	if g.headerSent && errors.As(err, &refusal) {
@@ -68,8 +67,8 @@
 // Started implements attempt.Call.
 func (g *generation) Started() bool { return g.headerSent }
 
-// Try implements attempt.Call. One attempt has the prompt processed, unless a KV
-// cache is left of the one before, and the answer generated.
+// Try implements attempt.Call. One attempt has the prompt processed, unless a KV cache is left from
+// the previous attempt, and has the answer generated.
 func (g *generation) Try(ctx context.Context) attempt.Result {
 	if err := g.relay.checkSend(g.exchange); err != nil {
 		return attempt.Result{Status: attempt.NoUpstream, Err: err}
@@ -95,8 +94,8 @@
 	return g.relay.run(ctx, g, placement.Prefill{Engine: engine})
 }
 
-// pickDecode chooses the engine that generates from the processed prompt, and charges the
-// request to it: the one that has room for it reserved, if there is one.
+// pickDecode chooses the engine that generates from the processed prompt, and charges the request
+// to it. An engine that has room reserved for the request is preferred.
 func (r *Relay) pickDecode(g *generation) (placement.Candidate, bool) {
 	engine := r.upstreams.Upstream(g.reserved)
 	if engine.Role == config.RoleDecode && !engine.Draining && !g.attempts.Excluded()[engine.ID] {
@@ -107,21 +106,21 @@
 	return r.upstreams.PickDecode(g.placementRequest(r.now()), g.kv.Engine.Zone, r.now())
 }
 
-// resumeAtCopy has the engine with the copy of the run that was lost go on with it.
+// resumeAtCopy has the lost run continued by the engine that has its copy.
 func (g *generation) resumeAtCopy(ctx context.Context, id string) attempt.Result {
 	r := g.relay
 	engine := r.upstreams.PlaceOn(id, g.req.ID, r.now())
 	if engine.ID == "" {
-		return attempt.Result{Status: attempt.NoUpstream, Err: errors.WithMessage(ErrNotSent, "the engine with the copy is gone")}
+		return attempt.Result{Status: attempt.NoUpstream, Err: errors.WithMessage(ErrNotSent, "the engine with the copy was removed")}
 	}
 	r.meters.copied.Inc(1)
 	g.kv, g.backup = KV{Engine: engine, Handle: g.req.ID}, upstreamstate.Upstream{}
-	defer func() { g.kv = KV{} }() // the engine drops a copy that was not used
+	defer func() { g.kv = KV{} }() // the engine itself drops a copy that was not used
 	return r.run(ctx, g, placement.Prefill{Engine: placement.Candidate{ID: id}})
 }
 
-// prepare chooses where the generation begins. Unless one engine is to do all
-// of it, it has the prompt processed. Over means that this is done.
+// prepare chooses where the generation begins. Unless one engine does all of it, prepare has the
+// prompt processed. The status Done means that this succeeded.
 func (g *generation) prepare(ctx context.Context) attempt.Result {
 	r := g.relay
 	start, turn, ok := r.upstreams.PickStart(g.placementRequest(r.now()), r.now())
@@ -148,49 +147,49 @@
 	return attempt.Result{Status: attempt.Done}
 }
 
+// prefill has the prompt processed on the chosen engine.
 func (r *Relay) prefill(ctx context.Context, g *generation, start placement.Prefill) (KV, error) {
-	engine, work := r.upstreams.Upstream(start.Engine.ID), start.BusyTime
-	defer r.upstreams.PromptDone(engine.ID, work, g.turn)
+	engine, prefillTime := r.upstreams.Upstream(start.Engine.ID), start.BusyTime
+	defer r.upstreams.PromptDone(engine.ID, prefillTime, g.turn)
 	defer func() { r.upstreams.End(engine.ID, g.req.ID, r.now()) }()
 	g.exchange.prefill = engine.ID
 	g.attempts.Prepared()
 	started := r.now()
-	ahead := start.Engine.Aggregate.Backlog
+	queueTime := start.Engine.Aggregate.Backlog
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	go r.cancelWhenSilent(ctx, engine.ID, ahead+work+r.settings.PrefillIdleTimeout, cancel)
+	go r.cancelWhenSilent(ctx, engine.ID, queueTime+prefillTime+r.settings.PrefillIdleTimeout, cancel)
 	send := g.newSend(engine, started)
 	send.Deferred, send.FetchFrom = g.turn == placement.QueueDeferred, r.upstreams.Upstream(start.Source.ID).Address
-	kv, said, err := r.sender.Prefill(ctx, g.req, send)
+	kv, reported, err := r.sender.Prefill(ctx, g.req, send)
 	if err != nil {
 		return KV{}, err
 	}
-	r.recordAnswer(engine.ID, said)
+	r.recordAnswer(engine.ID, reported)
 	r.upstreams.Judge(engine.ID, load.CallSucceeded, r.now())
 	r.meters.prefills.Inc(1)
-	took := r.now() - started
-	observe("prefill", took)
-	observe("prefill_predicted", ahead+work)
+	elapsed := r.now() - started
+	observe("prefill", elapsed)
+	observe("prefill_predicted", queueTime+prefillTime)
 	if start.Source.ID == "" && start.UncachedTokens <= g.prompt.Tokens-g.prompt.SharedTokens() {
-		// what is not believed cached may be there all the same
+		// shared parts that are not assumed to be cached may be cached all the same
 		r.upstreams.Prefilled(g.service, estimate.Prefill{
-			Fresh: start.UncachedTokens, Cached: g.prompt.Tokens - start.UncachedTokens, Ahead: ahead, Took: took,
+			Fresh: start.UncachedTokens, Cached: g.prompt.Tokens - start.UncachedTokens, Ahead: queueTime, Took: elapsed,
 		})
 	}
 	r.log.Info("relay: prefilled", "request", g.req.ID, "engine", engine.ID, "tokens", g.prompt.Tokens,
-		"shared", g.prompt.SharedTokens(), "cached", start.Engine.Aggregate.CachedTokens, "source", start.Source.ID, "ahead", ahead,
-		"turn", g.turn, "yielding", start.Engine.Aggregate.DeferredBacklog, "use", start.Engine.Aggregate.Utilization, "predicted", work, "took", took,
-		"running", said.Running, "waiting", said.Waiting)
+		"shared", g.prompt.SharedTokens(), "cached", start.Engine.Aggregate.CachedTokens, "source", start.Source.ID, "ahead", queueTime,
+		"turn", g.turn, "yielding", start.Engine.Aggregate.DeferredBacklog, "use", start.Engine.Aggregate.Utilization, "predicted", prefillTime, "took", elapsed,
+		"running", reported.Running, "waiting", reported.Waiting)
 	return kv, nil
 }
 
-// cancelWhenSilent calls stop once an engine has answered nothing at all for a time,
-// and returns when the context ends. An engine that answers other requests is
-// busy, and to ask another one would only have the prompt's shared part
-// processed twice.
-func (r *Relay) cancelWhenSilent(ctx context.Context, id string, limit time.Duration, stop func()) {
+// cancelWhenSilent calls cancel once an engine has answered no request at all for a time, and
+// returns when the context ends. An engine that answers other requests is only busy, and another
+// engine would merely process the shared part of the prompt a second time.
+func (r *Relay) cancelWhenSilent(ctx context.Context, id string, timeout time.Duration, cancel func()) {
 	since := r.now()
-	timer := time.NewTimer(limit)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	for {
 		select {
@@ -199,7 +198,7 @@
 		case <-timer.C:
 		}
 		if !r.upstreams.HeardSince(id, since) {
-			stop()
+			cancel()
 			return
 		}
 		since = r.now()
@@ -207,20 +206,20 @@
 	}
 }
 
-// run has an engine generate, and passes its events on.
+// run has an engine generate, and forwards its events.
 func (r *Relay) run(ctx context.Context, g *generation, start placement.Prefill) attempt.Result {
 	engine := r.upstreams.Upstream(start.Engine.ID)
 	defer func() { r.upstreams.End(start.Engine.ID, g.req.ID, r.now()) }()
-	prompted := sync.OnceFunc(func() { r.upstreams.PromptDone(start.Engine.ID, start.BusyTime, placement.QueueNormal) })
-	defer prompted()
-	if err := r.checkSend(g.exchange); err != nil { // its prompt may have taken a while
+	promptDone := sync.OnceFunc(func() { r.upstreams.PromptDone(start.Engine.ID, start.BusyTime, placement.QueueNormal) })
+	defer promptDone()
+	if err := r.checkSend(g.exchange); err != nil { // the prefill may have taken a while
 		return attempt.Result{Status: attempt.NoUpstream, Err: err}
 	}
 	if err := g.noteSent(engine.ID); err != nil {
 		return attempt.Result{Status: attempt.NoUpstream, Err: err}
 	}
-	running, stop := context.WithCancel(ctx)
-	defer stop()
+	runCtx, cancel := context.WithCancel(ctx)
+	defer cancel()
 	started := r.now()
 	if !g.headerSent && !g.route.Resumable {
 		g.backup = r.upstreams.PickBackup(g.placementRequest(started), start.Engine, started)
@@ -230,11 +229,11 @@
 	send.Granted = g.reserved == engine.ID
 	g.reserved = ""
 	send.FetchFrom = r.upstreams.Upstream(start.Source.ID).Address
-	reply, err := r.sender.Send(running, g.req, send)
+	reply, err := r.sender.Send(runCtx, g.req, send)
 	if err != nil {
 		return r.handleNoAnswer(ctx, g, engine, err)
 	}
-	prompted()
+	promptDone()
 	r.countUsage(g.exchange, r.now())
 	g.kv = KV{} // the engine has fetched it
 	defer reply.Body.Close()
@@ -248,27 +247,27 @@
 	r.log.Info("relay: generates", "request", g.req.ID, "engine", engine.ID, "direct", g.direct, "tokens", g.prompt.Tokens,
 		"running", reply.Load.Running, "waiting", reply.Load.Waiting, "after", r.now()-started,
 		"cached", start.Engine.Aggregate.CachedTokens, "ahead", start.Engine.Aggregate.Backlog, "requests", start.Engine.Aggregate.Requests, "last_event", g.lastEvent)
-	return r.forwardStream(ctx, stop, g, engine, reply, started)
+	return r.forwardStream(ctx, cancel, g, engine, reply, started)
 }
 
-// handleEngineFailure deals with an engine's own failure: another one is asked where
-// the route allows it, and else the caller gets the engine's word.
+// handleEngineFailure handles a failure status of an engine: another engine is tried where the
+// route allows it, otherwise the caller receives the engine's answer.
 func (r *Relay) handleEngineFailure(ctx context.Context, g *generation, engine upstreamstate.Upstream, reply *Reply) attempt.Result {
-	again := g.attempts.MayRunElsewhere() && ctx.Err() == nil
-	if g.headerSent || again {
+	retry := g.attempts.MayRunElsewhere() && ctx.Err() == nil
+	if g.headerSent || retry {
 		err := errors.WithMessagef(ErrNoValidAnswer, "the engine answered %d", reply.Status)
 		r.recordFailure(ctx, g.exchange, engine.ID, err)
 		return failedAttempt(engine.ID, err)
 	}
-	first, err := io.ReadAll(io.LimitReader(reply.Body, maxBufferedBytes))
+	head, err := io.ReadAll(io.LimitReader(reply.Body, maxBufferedBytes))
 	if err != nil {
 		return failedAttempt(engine.ID, errors.WithMessage(ErrNoValidAnswer, err.Error()))
 	}
-	return attempt.Result{Status: attempt.Done, Err: deliver(g.w, g.exchange, bufferedAnswer{reply: reply, head: first, complete: true})}
+	return attempt.Result{Status: attempt.Done, Err: deliver(g.w, g.exchange, bufferedAnswer{reply: reply, head: head, complete: true})}
 }
 
-// handleNoAnswer notes an engine that did not begin an answer. When it could not
-// have the KV cache, the prompt is processed anew.
+// handleNoAnswer records that an engine did not begin an answer. If the engine could not fetch the
+// KV cache, the prompt is processed again.
 func (r *Relay) handleNoAnswer(ctx context.Context, g *generation, engine upstreamstate.Upstream, err error) attempt.Result {
 	if g.kv.Handle != "" && errors.Is(err, ErrRefused) {
 		g.kv = KV{}
@@ -277,28 +276,28 @@
 	return failedAttempt(engine.ID, err)
 }
 
-// forwardStream gives an engine's events to the caller.
-func (r *Relay) forwardStream(ctx context.Context, stop context.CancelFunc, g *generation, engine upstreamstate.Upstream, reply *Reply, started time.Duration) attempt.Result {
+// forwardStream forwards an engine's events to the caller.
+func (r *Relay) forwardStream(ctx context.Context, cancel context.CancelFunc, g *generation, engine upstreamstate.Upstream, reply *Reply, started time.Duration) attempt.Result {
 	if !g.headerSent {
 		g.attempts.Answered()
 		writeHeader(g.w, g.exchange, reply)
 		g.headerSent = true
 		observe("first", r.now()-g.arrived)
 	}
-	p := eventForwarder{w: g.w, flush: http.NewResponseController(g.w).Flush, lastEvent: g.lastEvent}
+	forwarder := eventForwarder{w: g.w, flush: http.NewResponseController(g.w).Flush, lastEvent: g.lastEvent}
 	if g.attempts.MayRunElsewhere() {
-		p.idleTimeout, p.cancel = r.settings.StreamIdleTimeout, stop
+		forwarder.idleTimeout, forwarder.cancel = r.settings.StreamIdleTimeout, cancel
 	}
-	began, whole := r.now(), g.lastEvent == ""
-	err := p.forward(reply.Body)
-	g.lastEvent = p.lastEvent
+	streamStarted, fromStart := r.now(), g.lastEvent == ""
+	err := forwarder.forward(reply.Body)
+	g.lastEvent = forwarder.lastEvent
 	switch {
 	case err == nil:
 		r.upstreams.Judge(engine.ID, load.CallSucceeded, r.now())
 		observe("stream", r.now()-started)
-		if whole {
-			r.upstreams.Streamed(g.service, engine.ID, p.events.Count(), estimate.Stream{
-				Took: r.now() - began, Slot: r.now() - started,
+		if fromStart {
+			r.upstreams.Streamed(g.service, engine.ID, forwarder.events.Count(), estimate.Stream{
+				Took: r.now() - streamStarted, Slot: r.now() - started,
 			}, r.now())
 		}
 		return attempt.Result{Status: attempt.Done}
@@ -323,14 +322,14 @@
 	}
 	kv := g.kv
 	if r.BackingOff(kv.Engine) {
-		r.log.Info("relay: a KV cache is left to lapse, its engine rests", "request", g.req.ID, "engine", kv.Engine.ID)
+		r.log.Info("relay: KV cache left to expire, its engine is backing off", "request", g.req.ID, "engine", kv.Engine.ID)
 		return
 	}
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), freeTimeout)
 		defer cancel()
 		if err := r.sender.Free(ctx, kv); err != nil {
-			r.log.Info("relay: a KV cache was not dropped; it lapses", "request", g.req.ID, "engine", kv.Engine.ID, "error", err)
+			r.log.Info("relay: KV cache not freed, it will expire", "request", g.req.ID, "engine", kv.Engine.ID, "error", err)
 		}
 	}()
 }
--- a/internal/relay/generate_test.go
+++ b/internal/relay/generate_test.go
@@ -11,7 +11,7 @@
 	"sassafrasfield/internal/upstreamstate"
 )
 
-func TestALongPromptIsProcessedOnOneEngineAndGeneratedOnAnother(t *testing.T) {
+func TestLongPromptUsesSeparatePrefillAndDecodeEngines(t *testing.T) {
 	f := &fakeSender{}
 	w, err := serve(newFake(t, f), longPrompt("/once/1"))
 	if err != nil || w.Body.String() != "id: 1\ndata: a\n\n" {
@@ -21,11 +21,11 @@
 		t.Fatalf("calls %+v", f.calls)
 	}
 	if f.calls[1].send.KV.Handle != "h" {
-		t.Error("the decode engine was not told of the KV cache")
+		t.Error("the decode engine did not receive the handle of the KV cache")
 	}
 }
 
-func TestAShortPromptGoesToOneEngine(t *testing.T) {
+func TestShortPromptUsesOneEngine(t *testing.T) {
 	f := &fakeSender{}
 	if _, err := serve(newFake(t, f), call("/once/1")); err != nil {
 		t.Fatal(err)
@@ -35,11 +35,11 @@
 	}
 }
 
-// TestAStreamThatCannotGoOnBreaksOff was found on a standard day: an engine
-// crashed, the resumption found no engine, and the caller got what it had as if
-// it were the whole answer.
-func TestAStreamThatCannotGoOnBreaksOff(t *testing.T) {
-	f := &fakeSender{run: func(int, Send) (*Reply, error) { return cutAfter("id: 1\ndata: a\n\n"), nil }}
+// TestStreamThatCannotBeResumedIsAborted guards against passing a truncated stream off as complete:
+// an engine crashed, no engine was found to resume the stream, and the caller received what it had
+// as if it were the whole answer.
+func TestStreamThatCannotBeResumedIsAborted(t *testing.T) {
+	f := &fakeSender{run: func(int, Send) (*Reply, error) { return truncated("id: 1\ndata: a\n\n"), nil }}
 	f.prefill = func(n int, s Send) (KV, error) {
 		if n > 1 {
 			return KV{}, ErrRefused
@@ -52,14 +52,14 @@
 	}
 }
 
-func TestAResumableStreamGoesOnAtAnotherEngineWithoutASeam(t *testing.T) {
+func TestResumedStreamHasNoGapOrDuplicate(t *testing.T) {
 	f := &fakeSender{}
 	f.run = func(n int, s Send) (*Reply, error) {
 		if n == 1 {
-			return cutAfter("id: 1\ndata: a\n\nid: 2\nda"), nil
+			return truncated("id: 1\ndata: a\n\nid: 2\nda"), nil
 		}
 		if s.LastEvent != "1" {
-			t.Errorf("the second engine was asked to go on after %q", s.LastEvent)
+			t.Errorf("the second engine was asked to continue after %q", s.LastEvent)
 		}
 		return events("id: 2\ndata: b\n\n"), nil
 	}
@@ -69,10 +69,10 @@
 	}
 }
 
-func TestAStreamThatMayNotBeResumedBreaksOffAndRunsOnce(t *testing.T) {
-	f := &fakeSender{run: func(int, Send) (*Reply, error) { return cutAfter("id: 1\ndata: a\n\n"), nil }}
+func TestNonResumableStreamIsAbortedAndRunsOnce(t *testing.T) {
+	f := &fakeSender{run: func(int, Send) (*Reply, error) { return truncated("id: 1\ndata: a\n\n"), nil }}
 	r := newFake(t, f)
-	plentiful(r)
+	withLargeBudget(r)
 	if _, err := serve(r, longPrompt("/once/1")); !errors.Is(err, ErrAnswerAborted) {
 		t.Fatalf("%v; want ErrBroken", err)
 	}
@@ -81,17 +81,17 @@
 	}
 }
 
-func TestALostGenerationIsNotRunAgain(t *testing.T) {
+func TestGenerationWithUnknownOutcomeIsNotRetried(t *testing.T) {
 	f := &fakeSender{run: func(int, Send) (*Reply, error) { return nil, ErrNoValidAnswer }}
 	r := newFake(t, f)
-	plentiful(r)
+	withLargeBudget(r)
 	_, err := serve(r, longPrompt("/once/1"))
-	if word := wordOf(t, err); word != Unknown || f.runs != 1 {
-		t.Errorf("word %v after %d runs", word, f.runs)
+	if word := outcomeOf(t, err); word != Unknown || f.runs != 1 {
+		t.Errorf("outcome %v after %d runs", word, f.runs)
 	}
 }
 
-func TestARefusedGenerationIsAskedForElsewhere(t *testing.T) {
+func TestRefusedGenerationIsRetriedElsewhere(t *testing.T) {
 	f := &fakeSender{run: func(n int, _ Send) (*Reply, error) {
 		if n == 1 {
 			return nil, ErrRefused
@@ -99,7 +99,7 @@
 		return events("id: 1\ndata: a\n\n"), nil
 	}}
 	r := newFake(t, f)
-	plentiful(r)
+	withLargeBudget(r)
 	if _, err := serve(r, longPrompt("/once/1")); err != nil {
 		t.Fatal(err)
 	}
@@ -108,11 +108,11 @@
 	}
 }
 
-func TestAnUnusedKVCacheIsDropped(t *testing.T) {
+func TestUnusedKVCacheIsFreed(t *testing.T) {
 	f := &fakeSender{run: func(int, Send) (*Reply, error) { return nil, ErrNotSent }}
 	r := newFake(t, f)
 	_, err := serve(r, longPrompt("/once/1"))
-	if wordOf(t, err) != NotRun {
+	if outcomeOf(t, err) != NotRun {
 		t.Fatal(err)
 	}
 	waitFor(t, func() bool {
@@ -139,10 +139,10 @@
 	return s.fakeSender.Prefill(ctx, req, send)
 }
 
-func TestAnEngineThatFallsSilentIsLeft(t *testing.T) {
+func TestPrefillMovesAwayFromSilentEngine(t *testing.T) {
 	f := &silentSender{}
 	r := newFake(t, f)
-	plentiful(r)
+	withLargeBudget(r)
 	if _, err := serve(r, longPrompt("/once/1")); err != nil {
 		t.Fatal(err)
 	}
@@ -151,14 +151,14 @@
 	}
 }
 
-func TestACallerThatLeavesIsNotAnswered(t *testing.T) {
+func TestDisconnectedCallerIsNotAnswered(t *testing.T) {
 	ctx, leave := context.WithCancel(context.Background())
 	f := &fakeSender{run: func(int, Send) (*Reply, error) {
 		leave()
 		return nil, ErrNoValidAnswer
 	}}
 	r := newFake(t, f)
-	plentiful(r)
+	withLargeBudget(r)
 	err := r.Serve(ctx, longPrompt("/resumable/1"), nil)
 	if !errors.Is(err, ErrCallerDisconnected) {
 		t.Errorf("%v", err)
@@ -172,14 +172,15 @@
 	}
 }
 
-// TestAnEngineThatChangesItsRoleIsLeftOutByAll: instances learnt by its refusals
-// alone, each for itself, and requests met four such engines in a row.
-func TestAnEngineThatChangesItsRoleIsLeftOutByAll(t *testing.T) {
+// TestUnavailableEngineIsExcludedByAllInstances: an engine that changes its role refuses requests
+// meanwhile. Instances used to learn of it by refusals, each one separately, and a request was
+// refused by four such engines in a row.
+func TestUnavailableEngineIsExcludedByAllInstances(t *testing.T) {
 	f, g := &fakeSender{}, &fakeSender{}
 	holder, other := newFake(t, f), newFake(t, g)
-	for _, id := range []string{"dec-1", "dec-2"} { // two of eight may be away
+	for _, id := range []string{"dec-1", "dec-2"} { // two of eight may be unavailable
 		holder.MarkUnavailable(id, time.Minute)
-		holder.upstreams.Judge(id, load.CallSucceeded, holder.now()) // what ran there ends
+		holder.upstreams.Judge(id, load.CallSucceeded, holder.now()) // the requests there have ended
 	}
 	other.ApplyReport("instance holder", holder.OwnReport())
 	for _, r := range []*Relay{holder, other} {
@@ -192,12 +193,12 @@
 	}
 }
 
-func TestAnInstanceThatReachesHardlyAnythingTellsOfNothing(t *testing.T) {
+func TestIsolatedInstanceReportsNoUnreachableUpstreams(t *testing.T) {
 	r := newFake(t, &fakeSender{})
 	for i, want := range []int{1, 2, 0} { // of eight upstreams
 		r.upstreams.Judge([]string{"app-1", "app-2", "dec-1"}[i], load.CallUnreachable, r.now())
 		if n := len(r.OwnReport().Gone); n != want {
-			t.Errorf("%d told with %d out of reach, want %d", n, i+1, want)
+			t.Errorf("%d reported with %d unreachable, want %d", n, i+1, want)
 		}
 	}
 }
--- a/internal/relay/key_test.go
+++ b/internal/relay/key_test.go
@@ -9,19 +9,19 @@
 	"sassafrasfield/internal/upstreamstate"
 )
 
-// Keys of the tests' configuration.
+// API keys in the configuration of the tests.
 const (
 	millKey = "key-of-the-mill"
 	gateKey = "key-of-the-gate"
 )
 
-// credential is that of a request with a key.
+// credential returns the credential of a request with a key.
 func credential(key string) apikey.Credential {
 	return apikey.Read(http.Header{apikey.Header: {"Bearer " + key}})
 }
 
-// withKeys puts a version in force in which only these keys are known; the mill's
-// requests are the most urgent.
+// withKeys puts a version in force in which only the given keys are known. The requests of
+// organisation mill are the most urgent.
 func withKeys(r *Relay, version int64, known ...string) {
 	urgent := 0
 	owners := map[string]*routes.Organisation{millKey: {Name: "mill", Priority: &urgent}, gateKey: {Name: "gate"}}
@@ -44,8 +44,8 @@
 	return req
 }
 
-// TestOnlyKnownKeysAreServed: a route asks for a key unless it is public, and each send
-// says whose the request is.
+// TestOnlyKnownKeysAreServed checks that a route requires a key unless it is public, and that each
+// send states whose request it is.
 func TestOnlyKnownKeysAreServed(t *testing.T) {
 	for name, c := range map[string]struct {
 		req      *Request
@@ -68,8 +68,8 @@
 		withKeys(r, 2, millKey, gateKey)
 		_, err := serve(r, c.req)
 		if !c.served {
-			if word := wordOf(t, err); word != Unauthenticated || f.count() != 0 {
-				t.Errorf("%s: word %d after %d sends", name, word, f.count())
+			if word := outcomeOf(t, err); word != Unauthenticated || f.count() != 0 {
+				t.Errorf("%s: outcome %d after %d sends", name, word, f.count())
 			}
 			continue
 		}
@@ -78,24 +78,24 @@
 		}
 		for _, s := range f.calls {
 			if id := s.send.Identity; !id.Checked || id.Name() != c.owner || s.send.Priority != c.priority {
-				t.Errorf("%s: sent as of %q, checked %t, priority %d", name, id.Name(), id.Checked, s.send.Priority)
+				t.Errorf("%s: sent for %q, checked %t, priority %d", name, id.Name(), id.Checked, s.send.Priority)
 			}
 		}
 	}
 }
 
-// TestWithoutAConfigurationNoKeyIsRefused: nothing is known of keys yet, and the request
-// may be sent again.
-func TestWithoutAConfigurationNoKeyIsRefused(t *testing.T) {
+// TestNoKeyIsRejectedWithoutConfiguration: no keys are known yet, so that the request may be
+// retried.
+func TestNoKeyIsRejectedWithoutConfiguration(t *testing.T) {
 	r := New(DefaultSettings(), &fakeSender{}, newFake(t, &fakeSender{}).log)
-	if _, err := serve(r, withKey(call("/unsafe/1"), millKey)); wordOf(t, err) != NotRun {
+	if _, err := serve(r, withKey(call("/unsafe/1"), millKey)); outcomeOf(t, err) != NotRun {
 		t.Error(err)
 	}
 }
 
-// TestAKeyRevokedMeanwhileEndsARequest: it is revoked while an engine processes the
-// prompt, or between two tries. Nothing more is sent of it.
-func TestAKeyRevokedMeanwhileEndsARequest(t *testing.T) {
+// TestKeyRevocationStopsRequest: the key is revoked while an engine processes the prompt, or
+// between two attempts. Nothing more is sent for the request.
+func TestKeyRevocationStopsRequest(t *testing.T) {
 	f := &fakeSender{}
 	r := newFake(t, f)
 	withKeys(r, 2, millKey)
@@ -103,18 +103,18 @@
 		withKeys(r, 3, gateKey)
 		return KV{Engine: upstreamstate.Upstream{ID: "pre-1"}, Handle: "h"}, nil
 	}
-	if _, err := serve(r, withKey(longPrompt("/once/1"), millKey)); wordOf(t, err) != Unauthenticated || f.runs != 0 {
+	if _, err := serve(r, withKey(longPrompt("/once/1"), millKey)); outcomeOf(t, err) != Unauthenticated || f.runs != 0 {
 		t.Errorf("%v after %d runs", err, f.runs)
 	}
 	f = &fakeSender{}
 	r = newFake(t, f)
-	plentiful(r)
+	withLargeBudget(r)
 	withKeys(r, 2, millKey)
 	f.run = func(int, Send) (*Reply, error) {
 		withKeys(r, 3, gateKey)
 		return nil, ErrRefused
 	}
-	if _, err := serve(r, withKey(call("/unsafe/1"), millKey)); wordOf(t, err) != Unauthenticated || f.runs != 1 {
+	if _, err := serve(r, withKey(call("/unsafe/1"), millKey)); outcomeOf(t, err) != Unauthenticated || f.runs != 1 {
 		t.Errorf("%v after %d runs", err, f.runs)
 	}
 }
--- a/internal/relay/leaving_test.go
+++ b/internal/relay/leaving_test.go
@@ -13,20 +13,20 @@
 	"sassafrasfield/internal/upstreamstate"
 )
 
-// leavingWord is an upstream's word that it leaves.
-func leavingWord() upstreamstate.Statement {
+// drainingStatement returns an upstream's announcement that it is draining.
+func drainingStatement() upstreamstate.Statement {
 	return upstreamstate.Statement{Announcement: &quota.Announcement{Leaving: true}}
 }
 
-// sendKind is a kind of request whose sends must heed what upstreams say.
+// sendKind is a kind of request whose sends must observe what upstreams announce.
 type sendKind struct {
 	sender func() *fakeSender
 	req    func() *Request
 }
 
-func good() *fakeSender { return &fakeSender{} }
+func workingSender() *fakeSender { return &fakeSender{} }
 
-func answering(run func(int, Send) (*Reply, error)) func() *fakeSender {
+func senderRunning(run func(int, Send) (*Reply, error)) func() *fakeSender {
 	return func() *fakeSender { return &fakeSender{run: run} }
 }
 
@@ -36,29 +36,30 @@
 	return func() *Request { return make(path) }
 }
 
-// sendKinds are all ways to upstreams.
+// sendKinds covers all kinds of sends to upstreams.
 var sendKinds = map[string]sendKind{
-	"a call":                    {good, requestTo(call, "/unsafe/1")},
-	"a call that is repeated":   {answering(failFirst(ErrNoValidAnswer, plainReply)), requestTo(call, "/safe/1")},
-	"a call that is refused":    {answering(failFirst(ErrRefused, plainReply)), requestTo(call, "/unsafe/1")},
-	"a prompt and its answer":   {good, requestTo(longPrompt, "/once/1")},
-	"a prompt processed anew":   {answering(failFirst(ErrRefused, wholeEvents)), requestTo(longPrompt, "/once/1")},
+	"a call":                    {workingSender, requestTo(call, "/unsafe/1")},
+	"a call that is repeated":   {senderRunning(failFirst(ErrNoValidAnswer, plainReply)), requestTo(call, "/safe/1")},
+	"a call that is refused":    {senderRunning(failFirst(ErrRefused, plainReply)), requestTo(call, "/unsafe/1")},
+	"a prompt and its answer":   {workingSender, requestTo(longPrompt, "/once/1")},
+	"a prompt processed anew":   {senderRunning(failFirst(ErrRefused, wholeEvents)), requestTo(longPrompt, "/once/1")},
 	"a prompt that fails":       {func() *fakeSender { return &fakeSender{prefill: failFirstPrompt} }, requestTo(longPrompt, "/resumable/1")},
-	"an answer that goes on":    {answering(cutFirst), requestTo(longPrompt, "/resumable/1")},
-	"an answer from its copy":   {answering(cutFirst), shortOnce},
-	"a short prompt, directly":  {good, shortOnce},
-	"an answer asked for again": {good, resumedPrompt},
+	"an answer that goes on":    {senderRunning(cutFirst), requestTo(longPrompt, "/resumable/1")},
+	"an answer from its copy":   {senderRunning(cutFirst), shortOnce},
+	"a short prompt, directly":  {workingSender, shortOnce},
+	"an answer asked for again": {workingSender, resumedPrompt},
 }
 
-// saidBy has upstreams say a word in answers of before.
-func saidBy(r *Relay, word upstreamstate.Statement, ids ...string) {
+// announce has upstreams make a statement in earlier answers.
+func announce(r *Relay, word upstreamstate.Statement, ids ...string) {
 	for _, id := range ids {
 		r.applyStatement(r.upstreams.Upstream(id), word)
 	}
 }
 
-// sentTo lists where requests were sent, and to which a run was to be copied.
-func (f *fakeSender) sentTo() []string {
+// destinations lists the upstreams that requests were sent to, and those that a run was to be
+// copied to.
+func (f *fakeSender) destinations() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var list []string
@@ -71,41 +72,41 @@
 	return list
 }
 
-// TestNoKindOfSendReachesAnUpstreamThatLeaves guards against a way to upstreams that does not
-// heed their word that they leave.
-func TestNoKindOfSendReachesAnUpstreamThatLeaves(t *testing.T) {
+// TestNoSendReachesDrainingUpstream guards against a kind of send that ignores the announcement
+// that an upstream is draining.
+func TestNoSendReachesDrainingUpstream(t *testing.T) {
 	leaving := []string{"app-1", "pre-1", "dec-1"}
 	for name, kind := range sendKinds {
 		for n := range 20 {
 			sender := kind.sender()
 			r := newFake(t, sender)
-			plentiful(r)
-			saidBy(r, leavingWord(), leaving...)
+			withLargeBudget(r)
+			announce(r, drainingStatement(), leaving...)
 			req := kind.req()
 			req.ID = fmt.Sprint("r", n)
 			if _, err := serve(r, req); err != nil {
 				t.Errorf("%s: %v", name, err)
 			}
-			for _, id := range sender.sentTo() {
+			for _, id := range sender.destinations() {
 				if slices.Contains(leaving, id) {
-					t.Errorf("%s reached %s, which leaves", name, id)
+					t.Errorf("%s reached %s, which is draining", name, id)
 				}
 			}
 		}
 	}
 }
 
-// TestAWordThatComesWhileARequestWaitsCounts guards against a request that is sent on to the
-// upstream that was chosen for it, though that said meanwhile that it leaves.
-func TestAWordThatComesWhileARequestWaitsCounts(t *testing.T) {
+// TestDrainAnnouncedDuringGrantRequestIsObserved guards against sending a request to the upstream
+// chosen for it, though that announced meanwhile that it is draining.
+func TestDrainAnnouncedDuringGrantRequestIsObserved(t *testing.T) {
 	for _, req := range []*Request{call("/unsafe/1"), longPrompt("/once/1"), shortOnce()} {
 		sender := &fakeSender{}
 		var r *Relay
 		left := ""
-		asked := &coordinator{decide: func(a quota.Ask) quota.Verdict {
-			if left == "" { // the first one leaves while its grant is asked for
+		asked := &fakeCoordinator{decide: func(a quota.Ask) quota.Verdict {
+			if left == "" { // the first one starts draining while its grant is requested
 				left = r.upstreams.NameOf(a.Word.Upstream)
-				r.applyStatement(r.upstreams.Upstream(left), leavingWord())
+				r.applyStatement(r.upstreams.Upstream(left), drainingStatement())
 			}
 			return quota.Verdict{Granted: true}
 		}}
@@ -113,37 +114,37 @@
 		if _, err := serve(r, req); err != nil {
 			t.Errorf("%s: %v", req.Path, err)
 		}
-		if slices.Contains(sender.sentTo(), left) {
-			t.Errorf("%s reached %s, which had said that it leaves", req.Path, left)
+		if slices.Contains(sender.destinations(), left) {
+			t.Errorf("%s reached %s, which had announced that it is draining", req.Path, left)
 		}
 	}
 }
 
-// TestAnAnswerGoesToAnEngineThatStays guards against the second stage of a request that goes to an
-// engine which said while the prompt was processed that it leaves.
-func TestAnAnswerGoesToAnEngineThatStays(t *testing.T) {
+// TestDecodeEngineDrainingDuringPrefillIsNotUsed guards against generating the answer on an engine
+// that announced while the prompt was processed that it is draining.
+func TestDecodeEngineDrainingDuringPrefillIsNotUsed(t *testing.T) {
 	sender := &fakeSender{}
 	r := newFake(t, sender)
 	sender.prefill = func(_ int, s Send) (KV, error) {
-		saidBy(r, leavingWord(), "dec-1", "dec-2")
+		announce(r, drainingStatement(), "dec-1", "dec-2")
 		return KV{Engine: s.To, Handle: "h"}, nil
 	}
 	if _, err := serve(r, longPrompt("/once/1")); err != nil {
 		t.Fatal(err)
 	}
 	if to := sender.calls[len(sender.calls)-1].to; to != "dec-3" {
-		t.Errorf("the answer is generated by %s, which leaves", to)
+		t.Errorf("the answer is generated by %s, which is draining", to)
 	}
 }
 
-// TestARunGoesOnAtItsCopyThoughThatLeaves guards against a stream that breaks off: nobody else can
-// finish it.
-func TestARunGoesOnAtItsCopyThoughThatLeaves(t *testing.T) {
+// TestRunContinuesAtDrainingBackup guards against aborting a stream whose backup is draining: no
+// other engine can finish it.
+func TestRunContinuesAtDrainingBackup(t *testing.T) {
 	sender := &fakeSender{}
 	r := newFake(t, sender)
 	sender.run = func(n int, s Send) (*Reply, error) {
 		if n == 1 {
-			saidBy(r, leavingWord(), s.Backup.ID)
+			announce(r, drainingStatement(), s.Backup.ID)
 		}
 		return cutFirst(n, s)
 	}
@@ -151,17 +152,17 @@
 		t.Fatal(err)
 	}
 	if n := sender.count(); n != 2 || sender.calls[1].to != sender.calls[0].send.Backup.ID {
-		t.Errorf("%d sends, to %v", n, sender.sentTo())
+		t.Errorf("%d sends, to %v", n, sender.destinations())
 	}
 }
 
-// TestWhatOnlyLeavingUpstreamsCouldServeIsRefusedAtOnce guards against requests that wait for
-// upstreams which all leave, and against refusals that do not say why.
-func TestWhatOnlyLeavingUpstreamsCouldServeIsRefusedAtOnce(t *testing.T) {
+// TestRequestIsRefusedIfAllUpstreamsDrain guards against requests that wait for upstreams which are
+// all draining, and against refusals that do not say why.
+func TestRequestIsRefusedIfAllUpstreamsDrain(t *testing.T) {
 	for _, req := range []*Request{call("/safe/1"), call("/unsafe/1"), longPrompt("/once/1")} {
 		sender := &fakeSender{}
 		r := newFake(t, sender)
-		saidBy(r, leavingWord(), append(allApps, allEngines...)...)
+		announce(r, drainingStatement(), append(allApps, allEngines...)...)
 		began := time.Now()
 		_, err := serve(r, req)
 		var refusal *Refusal
@@ -174,26 +175,26 @@
 	}
 }
 
-// TestAReservedEngineThatLeavesIsNotUsed guards against an answer that goes to the engine with room
-// reserved for it, though that leaves.
-func TestAReservedEngineThatLeavesIsNotUsed(t *testing.T) {
+// TestReservedEngineThatDrainsIsNotUsed guards against generating the answer on the engine that has
+// room reserved for it, though that is draining.
+func TestReservedEngineThatDrainsIsNotUsed(t *testing.T) {
 	sender := &fakeSender{}
-	asked := &coordinator{}
+	asked := &fakeCoordinator{}
 	r := limitedRelay(t, sender, asked, allEngines...)
 	left := ""
 	sender.prefill = func(_ int, s Send) (KV, error) {
-		for _, a := range asked.asks {
+		for _, a := range asked.requests {
 			if id := r.upstreams.NameOf(a.Word.Upstream); strings.HasPrefix(id, "dec") {
 				left = id
 			}
 		}
-		saidBy(r, leavingWord(), left)
+		announce(r, drainingStatement(), left)
 		return KV{Engine: s.To, Handle: "h"}, nil
 	}
 	if _, err := serve(r, longPrompt("/once/1")); err != nil {
 		t.Fatal(err)
 	}
-	if left == "" || slices.Contains(sender.sentTo(), left) {
-		t.Errorf("%q left, sent to %v", left, sender.sentTo())
+	if left == "" || slices.Contains(sender.destinations(), left) {
+		t.Errorf("%q is draining, sent to %v", left, sender.destinations())
 	}
 }
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -12,20 +12,22 @@
 	"sassafrasfield/internal/upstreamstate"
 )
 
-// limitMeters count what became of upstreams' limits.
+// limitMeters counts what became of upstreams' rate limits and other announcements.
 type limitMeters struct {
-	// learned, changed and ended count the limits, unparsed the words that could not be read.
+	// learned, changed and ended count the limits, unparsed the announcements that could not be
+	// parsed.
 	learned, changed, ended, unparsed metrics.Counter
-	// draining counts the upstreams that said that they leave, backoffs the times that they asked
-	// for rest.
+	// draining counts the upstreams that announced that they are draining, backoffs the times that
+	// upstreams requested a backoff.
 	draining, backoffs metrics.Counter
-	// granted and declined count the sends for which a grant was asked, withheld those to
-	// upstreams that leave or rest.
+	// granted and declined count the sends for which a grant was requested, withheld those to
+	// upstreams that are draining or backing off.
 	granted, declined, withheld metrics.Counter
-	// refused count the requests that no upstream had room for, refusedBackingOff those that none
-	// takes as they rest, refusedDraining those of services whose upstreams all leave.
+	// refused counts the requests that no upstream had room for, refusedBackingOff those that no
+	// upstream accepts because it is backing off, refusedDraining those of services whose upstreams
+	// are all draining.
 	refused, refusedBackingOff, refusedDraining metrics.Counter
-	// given and denied count the answers to instances that asked this one.
+	// given and denied count the decisions of this instance as the coordinator of the grants.
 	given, denied metrics.Counter
 }
 
@@ -37,8 +39,8 @@
 	}
 }
 
-// admittingSender has all that is sent to upstreams pass what they announce: first sends and
-// repeated ones, prompts alone, answers that go on, and whatever comes to be sent.
+// admittingSender checks all sends against what the upstreams announced: first sends and retries,
+// prefills, resumed answers, and any kind that may be added.
 type admittingSender struct {
 	Sender
 	relay *Relay
@@ -60,8 +62,9 @@
 	return s.Sender.Prefill(ctx, req, send)
 }
 
-// admit returns why a request must not be sent to an upstream now, by what that has announced.
-// Words may have come since the upstream was chosen, and while a grant was waited for.
+// admit returns why a request must not be sent to an upstream now, according to the upstream's
+// announcements. These may have arrived after the upstream was chosen, or while a grant was
+// awaited.
 func (r *Relay) admit(ctx context.Context, req *Request, send Send) error {
 	if !r.acquireGrant(ctx, req, send) {
 		return ErrLimited
@@ -77,28 +80,28 @@
 	return nil
 }
 
-// BackingOff tells whether an upstream wants nothing from this instance now.
+// BackingOff reports whether an upstream accepts nothing from this instance now.
 func (r *Relay) BackingOff(u upstreamstate.Upstream) bool {
 	return r.upstreams.Resting(u.Incarnation(), r.now()) > 0
 }
 
-// recordWithheld notes that a request is not sent to the upstream that was chosen for it.
-func (r *Relay) recordWithheld(req *Request, send Send, why error) {
+// recordWithheld records that a request is not sent to the upstream that was chosen for it.
+func (r *Relay) recordWithheld(req *Request, send Send, reason error) {
 	r.meters.limits.withheld.Inc(1)
-	r.log.Info("relay: send withheld", "request", req.ID, "upstream", send.To.ID, "error", why)
+	r.log.Info("relay: send withheld", "request", req.ID, "upstream", send.To.ID, "error", reason)
 }
 
-// SetGrantRequester sets how a send to an upstream with a limit is asked for at the instance that
-// coordinates the grants.
-func (r *Relay) SetGrantRequester(ask func(context.Context, quota.Ask) quota.Verdict) {
-	r.requestGrant.Store(&ask)
+// SetGrantRequester sets the function that requests a grant for a send to a rate-limited upstream
+// from the instance that coordinates the grants.
+func (r *Relay) SetGrantRequester(request func(context.Context, quota.Ask) quota.Verdict) {
+	r.requestGrant.Store(&request)
 }
 
-// minGrantRetry is the least time between two questions for one upstream that had no room.
+// minGrantRetry is the minimum time between two grant requests for an upstream that had no room.
 const minGrantRetry = 5 * time.Millisecond
 
-// acquireGrant tells whether a request may be sent to an upstream by its limit. The grant is asked
-// for before each send, as no instance can know the sum of what all send.
+// acquireGrant reports whether an upstream's rate limit allows a send. A grant is requested before
+// each send, because no instance knows the sum of what all of them send.
 func (r *Relay) acquireGrant(ctx context.Context, req *Request, send Send) bool {
 	if send.Granted {
 		return true
@@ -113,8 +116,8 @@
 		return false
 	}
 	verdict := quota.Verdict{RetryIn: quota.NoWordRetry}
-	if ask := r.requestGrant.Load(); ask != nil {
-		verdict = (*ask)(ctx, quota.Ask{Word: limit, FirstHand: firstHand, Priority: send.Priority, Continues: send.Continues})
+	if request := r.requestGrant.Load(); request != nil {
+		verdict = (*request)(ctx, quota.Ask{Word: limit, FirstHand: firstHand, Priority: send.Priority, Continues: send.Continues})
 	}
 	r.log.Info("relay: send to a limited upstream", "request", req.ID, "upstream", send.To.ID, "per_second", limit.Rate,
 		"limit_age", limit.Age, "granted", verdict.Granted, "retry_in", verdict.RetryIn, "took", r.now()-now)
@@ -127,8 +130,8 @@
 	return false
 }
 
-// reserve asks for room at an engine that generates, where all of them limit their requests.
-// Otherwise the prompts of those would be processed for nothing that find none afterwards.
+// reserve requests room at an engine that generates if all of these are rate-limited. Otherwise
+// prompts would be processed whose answers find no room afterwards.
 func (r *Relay) reserve(ctx context.Context, g *generation) bool {
 	if g.reserved != "" || !r.upstreams.GeneratorsLimited(g.placementRequest(r.now()), r.now()) {
 		return true
@@ -148,26 +151,26 @@
 	return false
 }
 
-// refuseUnavailable is the refusal of a request that no upstream of its service takes, by what
-// they have announced; nil where that is not to blame.
+// refuseUnavailable returns the refusal of a request that no upstream of its service accepts, as
+// they announced, and nil if announcements are not the cause.
 func (r *Relay) refuseUnavailable(x *exchange) error {
 	if r.upstreams.AllLeave(x.service) {
 		r.meters.limits.refusedDraining.Inc(1)
 		return &Refusal{Outcome: NotRun, Reason: "all upstreams leave", RetryIn: r.retryIn(x)}
 	}
-	in, resting, found := r.upstreams.AllowanceIn(x.placementRequest(r.now()), r.now())
+	delay, backingOff, found := r.upstreams.AllowanceIn(x.placementRequest(r.now()), r.now())
 	switch {
 	case !found:
 		return nil
-	case resting:
+	case backingOff:
 		r.meters.limits.refusedBackingOff.Inc(1)
-		return &Refusal{Outcome: NotRun, Reason: "upstreams asked for rest", RetryIn: jittered(in)}
+		return &Refusal{Outcome: NotRun, Reason: "upstreams asked for rest", RetryIn: jittered(delay)}
 	}
 	r.meters.limits.refused.Inc(1)
-	return &Refusal{Outcome: NotRun, Reason: "the upstreams' limits leave no room", RetryIn: jittered(in)}
+	return &Refusal{Outcome: NotRun, Reason: "the upstreams' limits leave no room", RetryIn: jittered(delay)}
 }
 
-// grants are those that this instance gives out while it coordinates them for all.
+// grants holds the grants that this instance gives out while it coordinates them for all instances.
 type grants struct {
 	mu    sync.Mutex // protects state
 	state *quota.Grants
@@ -175,7 +178,7 @@
 
 func newGrants() *grants { return &grants{state: quota.NewGrants()} }
 
-// SetGrantShare takes the part of upstreams' limits that this instance gives out; 0 for none.
+// SetGrantShare sets the part of upstreams' limits that this instance gives out; 0 for none.
 func (r *Relay) SetGrantShare(share float64) {
 	r.grants.mu.Lock()
 	before := r.grants.state.Share()
@@ -186,8 +189,7 @@
 	}
 }
 
-// DecideGrant decides on one send to an upstream with a limit, of this instance or of
-// another one.
+// DecideGrant decides on one send of this or another instance to a rate-limited upstream.
 func (r *Relay) DecideGrant(ask quota.Ask) quota.Verdict {
 	r.grants.mu.Lock()
 	verdict := r.grants.state.Decide(r.upstreams, ask, r.now())
@@ -204,58 +206,58 @@
 // Limits returns what is known of upstreams' limits.
 func (r *Relay) Limits() []quota.Word { return r.upstreams.Limits(r.now()) }
 
-// ApplyLimits takes what an instance of this zone, or of another one, knows of them.
-func (r *Relay) ApplyLimits(words []quota.Word, beside bool) {
-	r.upstreams.HearLimits(words, beside, r.now())
+// ApplyLimits merges what an instance of this or another zone knows of upstreams' limits.
+func (r *Relay) ApplyLimits(words []quota.Word, sameZone bool) {
+	r.upstreams.HearLimits(words, sameZone, r.now())
 	r.logLimitChanges()
 }
 
-// applyStatement takes what an upstream says of itself with an answer.
-func (r *Relay) applyStatement(from upstreamstate.Upstream, s upstreamstate.Statement) {
-	for _, err := range s.Unread {
+// applyStatement applies what an upstream states about itself in an answer.
+func (r *Relay) applyStatement(from upstreamstate.Upstream, statement upstreamstate.Statement) {
+	for _, err := range statement.Unread {
 		r.meters.limits.unparsed.Inc(1)
-		r.log.Info("relay: upstream's word cannot be read", "upstream", from.ID, "error", err)
+		r.log.Info("relay: cannot parse upstream's announcement", "upstream", from.ID, "error", err)
 	}
-	if s.Announcement != nil {
-		r.upstreams.Announced(from, *s.Announcement, r.now())
+	if statement.Announcement != nil {
+		r.upstreams.Announced(from, *statement.Announcement, r.now())
 		r.logLimitChanges()
 	}
-	if s.Rest > 0 && r.upstreams.RestFor(from, s.Rest, r.now()) {
+	if statement.Rest > 0 && r.upstreams.RestFor(from, statement.Rest, r.now()) {
 		r.meters.limits.backoffs.Inc(1)
-		r.log.Info("relay: upstream asks for rest", "upstream", from.ID, "for", s.Rest)
+		r.log.Info("relay: upstream asks for rest", "upstream", from.ID, "for", statement.Rest)
 	}
 }
 
-// logEndedBackoffs writes a line on each rest that is over.
+// logEndedBackoffs logs each backoff that has ended.
 func (r *Relay) logEndedBackoffs() {
 	for _, id := range r.upstreams.RestsOver(r.now()) {
 		r.log.Info("relay: upstream's rest is over", "upstream", id)
 	}
 }
 
-// logLimitChanges writes a line on each limit that was learned, changed or ended, and on each
-// upstream that leaves.
+// logLimitChanges logs each limit that was learned, changed or ended, and each upstream that
+// announced that it is draining.
 func (r *Relay) logLimitChanges() {
-	for _, c := range r.upstreams.LimitChanges() {
-		inputs := []any{
-			"upstream", r.upstreams.NameOf(c.Upstream), "per_second", c.Rate, "before", c.Before,
-			"source", c.Scope.String(), "age", c.Age,
+	for _, change := range r.upstreams.LimitChanges() {
+		attrs := []any{
+			"upstream", r.upstreams.NameOf(change.Upstream), "per_second", change.Rate, "before", change.Before,
+			"source", change.Scope.String(), "age", change.Age,
 		}
-		if c.Leaves {
+		if change.Leaves {
 			r.meters.limits.draining.Inc(1)
-			r.log.Info("relay: upstream says that it leaves", inputs...)
+			r.log.Info("relay: upstream says that it leaves", attrs...)
 		}
 		switch {
-		case c.Rate == c.Before:
-		case math.IsInf(c.Before, 1):
+		case change.Rate == change.Before:
+		case math.IsInf(change.Before, 1):
 			r.meters.limits.learned.Inc(1)
-			r.log.Info("relay: upstream limits its requests", inputs...)
-		case math.IsInf(c.Rate, 1):
+			r.log.Info("relay: upstream limits its requests", attrs...)
+		case math.IsInf(change.Rate, 1):
 			r.meters.limits.ended.Inc(1)
-			r.log.Info("relay: upstream's limit ended", inputs...)
+			r.log.Info("relay: upstream's limit ended", attrs...)
 		default:
 			r.meters.limits.changed.Inc(1)
-			r.log.Info("relay: upstream's limit changed", inputs...)
+			r.log.Info("relay: upstream's limit changed", attrs...)
 		}
 	}
 }
--- a/internal/relay/limits_test.go
+++ b/internal/relay/limits_test.go
@@ -14,46 +14,47 @@
 	"sassafrasfield/internal/upstreamstate"
 )
 
-// coordinator answers the questions for grants by script.
-type coordinator struct {
+// fakeCoordinator answers grant requests from a script.
+type fakeCoordinator struct {
 	// decide answers them; nil grants all.
 	decide func(quota.Ask) quota.Verdict
 
-	mu   sync.Mutex // protects asks
-	asks []quota.Ask
+	mu       sync.Mutex // protects asks
+	requests []quota.Ask
 }
 
-func (c *coordinator) ask(_ context.Context, a quota.Ask) quota.Verdict {
+func (c *fakeCoordinator) request(_ context.Context, a quota.Ask) quota.Verdict {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.asks = append(c.asks, a)
+	c.requests = append(c.requests, a)
 	if c.decide == nil {
 		return quota.Verdict{Granted: true}
 	}
 	return c.decide(a)
 }
 
-// count is how often it was asked.
-func (c *coordinator) count() int {
+// count returns how many requests it received.
+func (c *fakeCoordinator) count() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.asks)
+	return len(c.requests)
 }
 
-// limitedRelay is a relay before upstreams that have announced a limit, as far as named.
-func limitedRelay(t *testing.T, sender *fakeSender, c *coordinator, limited ...string) *Relay {
+// limitedRelay returns a relay in front of upstreams of which the given ones have announced a
+// limit.
+func limitedRelay(t *testing.T, sender *fakeSender, c *fakeCoordinator, limited ...string) *Relay {
 	t.Helper()
 	r := newFake(t, sender)
-	plentiful(r)
-	r.SetGrantRequester(c.ask)
+	withLargeBudget(r)
+	r.SetGrantRequester(c.request)
 	for _, id := range limited {
-		r.applyStatement(r.upstreams.Upstream(id), limitOf(2))
+		r.applyStatement(r.upstreams.Upstream(id), limitStatement(2))
 	}
 	return r
 }
 
-// limitOf is an upstream's word on the requests a second that it takes.
-func limitOf(rate float64) upstreamstate.Statement {
+// limitStatement returns an upstream's announcement of the requests per second that it accepts.
+func limitStatement(rate float64) upstreamstate.Statement {
 	return upstreamstate.Statement{Announcement: &quota.Announcement{Limited: true, Rate: rate}}
 }
 
@@ -62,11 +63,12 @@
 	allEngines = []string{"pre-1", "pre-2", "dec-1", "dec-2", "dec-3"}
 )
 
-func hashOfUpstream(id string) uint32 { return upstreamstate.Upstream{ID: id}.Incarnation() }
+func incarnationOf(id string) uint32 { return upstreamstate.Upstream{ID: id}.Incarnation() }
 
-// TestEachSendToALimitedUpstreamIsAskedFor: first sends and repeated ones, prompts alone and
-// processed anew, answers that go on elsewhere or at the engine with the copy of the run.
-func TestEachSendToALimitedUpstreamIsAskedFor(t *testing.T) {
+// TestEachSendToLimitedUpstreamRequestsGrant covers first sends and retries, prefills alone and
+// repeated ones, and answers that are resumed on another engine or on the one with the copy of the
+// run.
+func TestEachSendToLimitedUpstreamRequestsGrant(t *testing.T) {
 	for name, c := range map[string]struct {
 		sender *fakeSender
 		req    *Request
@@ -83,13 +85,13 @@
 		"a short prompt, directly":  {&fakeSender{}, shortOnce(), 1},
 		"an answer asked for again": {&fakeSender{}, resumedPrompt(), 2},
 	} {
-		asked := &coordinator{}
+		asked := &fakeCoordinator{}
 		r := limitedRelay(t, c.sender, asked, append(allApps, allEngines...)...)
 		if _, err := serve(r, c.req); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
 		if sends := c.sender.count(); sends != asked.count() || sends != c.sends {
-			t.Errorf("%s: %d sends, want %d, with %d questions", name, sends, c.sends, asked.count())
+			t.Errorf("%s: %d sends, want %d, with %d grant requests", name, sends, c.sends, asked.count())
 		}
 	}
 }
@@ -106,10 +108,10 @@
 	}
 }
 
-// cutFirst breaks the first answer off.
+// cutFirst cuts the first answer off.
 func cutFirst(n int, _ Send) (*Reply, error) {
 	if n == 1 {
-		return cutAfter("id: 1\ndata: a\n\n"), nil
+		return truncated("id: 1\ndata: a\n\n"), nil
 	}
 	return events("id: 2\ndata: b\n\n"), nil
 }
@@ -133,12 +135,12 @@
 	return req
 }
 
-// TestWhatOneUpstreamHasNoRoomForGoesToAnother: at once, and it is no repeat that a budget pays
-// for.
-func TestWhatOneUpstreamHasNoRoomForGoesToAnother(t *testing.T) {
+// TestExhaustedUpstreamIsSkippedWithoutRetry checks that another upstream is tried at once if one
+// has no room, and that this uses no retry budget.
+func TestExhaustedUpstreamIsSkippedWithoutRetry(t *testing.T) {
 	for _, path := range []string{"/unsafe/1", "/safe/1", "/once/1"} {
 		sender := &fakeSender{}
-		asked := &coordinator{decide: func(a quota.Ask) quota.Verdict {
+		asked := &fakeCoordinator{decide: func(a quota.Ask) quota.Verdict {
 			return quota.Verdict{RetryIn: time.Minute}
 		}}
 		r := limitedRelay(t, sender, asked, "app-1", "app-2", "pre-1", "dec-1", "dec-2")
@@ -160,14 +162,14 @@
 			}
 		}
 		if n := asked.count(); n > 3 {
-			t.Errorf("%s: asked %d times, though the first answers said when to ask again", path, n)
+			t.Errorf("%s: %d grant requests, though the first verdicts said when to retry", path, n)
 		}
 	}
 }
 
-// TestWhatNoUpstreamHasRoomForIsRefusedAtOnce: as not run, with the time after which there is
-// room again; no prompt is processed for it.
-func TestWhatNoUpstreamHasRoomForIsRefusedAtOnce(t *testing.T) {
+// TestRequestIsRefusedIfAllLimitsAreExhausted checks that the refusal says that nothing ran and
+// when there is room again, and that no prompt is processed for it.
+func TestRequestIsRefusedIfAllLimitsAreExhausted(t *testing.T) {
 	const room = 700 * time.Millisecond
 	for name, c := range map[string]struct {
 		path    string
@@ -180,10 +182,10 @@
 		"engines that generate, resumed": {"/resumable/1", allEngines[2:]},
 	} {
 		sender := &fakeSender{}
-		r := limitedRelay(t, sender, &coordinator{decide: func(quota.Ask) quota.Verdict {
+		r := limitedRelay(t, sender, &fakeCoordinator{decide: func(quota.Ask) quota.Verdict {
 			return quota.Verdict{RetryIn: room}
 		}}, c.limited...)
-		for range 2 { // the second one asks nobody
+		for range 2 { // the second one requests no grant
 			req := longPrompt(c.path)
 			if strings.HasPrefix(name, "calls") {
 				req.Prompt = nil
@@ -195,7 +197,7 @@
 				t.Fatalf("%s: %v", name, err)
 			}
 			if refusal.RetryIn < room/2 || refusal.RetryIn > 2*room {
-				t.Errorf("%s: come back in %s, there is room in %s", name, refusal.RetryIn, room)
+				t.Errorf("%s: retry in %s, there is room in %s", name, refusal.RetryIn, room)
 			}
 			if took := time.Since(began); took > room {
 				t.Errorf("%s: refused after %s", name, took)
@@ -207,56 +209,58 @@
 	}
 }
 
-// TestAnAnswerThatHasBegunIsAskedForAsSuch: it goes before others, and is not held back by what
-// these were told.
-func TestAnAnswerThatHasBegunIsAskedForAsSuch(t *testing.T) {
-	asked := &coordinator{}
+// TestResumedAnswerRequestsGrantAsContinuation checks that the grant request for a resumed answer
+// is marked as such, since those take precedence, and that it is made even if the limit is known to
+// be exhausted for other requests.
+func TestResumedAnswerRequestsGrantAsContinuation(t *testing.T) {
+	asked := &fakeCoordinator{}
 	sender := &fakeSender{run: cutFirst}
 	r := limitedRelay(t, sender, asked, allEngines...)
 	asked.decide = func(a quota.Ask) quota.Verdict {
-		if len(asked.asks) == 2 { // the answer began; all others find nothing from now on
+		if len(asked.requests) == 2 { // the answer has begun; the limits are exhausted for all other requests from now on
 			for _, id := range allEngines {
-				r.upstreams.Spent(hashOfUpstream(id), 0, time.Minute)
+				r.upstreams.Spent(incarnationOf(id), 0, time.Minute)
 			}
 		}
-		return quota.Verdict{Granted: len(asked.asks) <= 2 || a.Continues}
+		return quota.Verdict{Granted: len(asked.requests) <= 2 || a.Continues}
 	}
 	w, err := serve(r, shortOnce())
 	if err != nil || !strings.Contains(w.Body.String(), "data: b") {
 		t.Errorf("%v, %q", err, w.Body)
 	}
-	if last := asked.asks[len(asked.asks)-1]; !last.Continues {
+	if last := asked.requests[len(asked.requests)-1]; !last.Continues {
 		t.Errorf("%+v", last)
 	}
 }
 
-// TestRefusalsTellLimitsToo: an upstream in need refuses, and says what it takes.
-func TestRefusalsTellLimitsToo(t *testing.T) {
+// TestLimitsInRefusalsAreApplied: an overloaded upstream announces its limit with a refusal.
+func TestLimitsInRefusalsAreApplied(t *testing.T) {
 	sender := &fakeSender{}
 	sender.run = func(_ int, s Send) (*Reply, error) {
-		sender.hear(s.To, limitOf(1))
+		sender.handleStatement(s.To, limitStatement(1))
 		return nil, ErrRefused
 	}
-	asked := &coordinator{}
+	asked := &fakeCoordinator{}
 	r := limitedRelay(t, sender, asked)
 	for range 2 {
-		if _, err := serve(r, call("/unsafe/1")); wordOf(t, err) != NotRun {
+		if _, err := serve(r, call("/unsafe/1")); outcomeOf(t, err) != NotRun {
 			t.Error(err)
 		}
 	}
 	if asked.count() == 0 {
-		t.Error("nobody was asked for a send to upstreams whose refusals named limits")
+		t.Error("no grant was requested for sends to upstreams whose refusals announced limits")
 	}
 }
 
-// TestWithoutACoordinatorALimitedUpstreamGetsNothing: nobody knows what others send.
-func TestWithoutACoordinatorALimitedUpstreamGetsNothing(t *testing.T) {
+// TestLimitedUpstreamReceivesNothingWithoutCoordinator: without one, it is unknown what other
+// instances send.
+func TestLimitedUpstreamReceivesNothingWithoutCoordinator(t *testing.T) {
 	sender := &fakeSender{}
 	r := newFake(t, sender)
 	for _, id := range allApps {
-		r.applyStatement(r.upstreams.Upstream(id), limitOf(2))
+		r.applyStatement(r.upstreams.Upstream(id), limitStatement(2))
 	}
-	if _, err := serve(r, call("/safe/1")); wordOf(t, err) != NotRun || sender.count() > 0 {
+	if _, err := serve(r, call("/safe/1")); outcomeOf(t, err) != NotRun || sender.count() > 0 {
 		t.Errorf("%v, %d sends", err, sender.count())
 	}
 	if verdict := r.DecideGrant(quota.Ask{Word: quota.Word{Upstream: 1, Rate: 2}}); verdict.Granted {
@@ -264,29 +268,29 @@
 	}
 }
 
-// TestAnUpstreamThatStartsAgainHasNoLimit: answers of the start before come late.
-func TestAnUpstreamThatStartsAgainHasNoLimit(t *testing.T) {
-	asked := &coordinator{}
+// TestRestartedUpstreamHasNoLimit: answers from before the restart arrive late.
+func TestRestartedUpstreamHasNoLimit(t *testing.T) {
+	asked := &fakeCoordinator{}
 	r := limitedRelay(t, &fakeSender{}, asked, "app-1")
 	before := r.upstreams.Upstream("app-1")
 	again := before
 	again.Born = 7
 	r.UpdateUpstream(again)
-	r.applyStatement(before, limitOf(1))
+	r.applyStatement(before, limitStatement(1))
 	w, _, known := r.upstreams.Limit(again.Incarnation(), r.now())
 	if w.Limits() || known {
-		t.Errorf("it is kept to %+v", w)
+		t.Errorf("it is limited to %+v", w)
 	}
 }
 
-// TestAWordThatCannotBeReadChangesNothing: neither that there is a limit nor that there is none.
-func TestAWordThatCannotBeReadChangesNothing(t *testing.T) {
-	r := limitedRelay(t, &fakeSender{}, &coordinator{}, "app-1")
+// TestUnparsableAnnouncementChangesNothing: it neither sets nor removes a limit.
+func TestUnparsableAnnouncementChangesNothing(t *testing.T) {
+	r := limitedRelay(t, &fakeSender{}, &fakeCoordinator{}, "app-1")
 	for _, id := range []string{"app-1", "app-2"} {
 		r.applyStatement(r.upstreams.Upstream(id), upstreamstate.Statement{Unread: []error{errors.New("no rate")}})
 	}
 	for id, limits := range map[string]bool{"app-1": true, "app-2": false} {
-		if w, _, _ := r.upstreams.Limit(hashOfUpstream(id), r.now()); w.Limits() != limits {
+		if w, _, _ := r.upstreams.Limit(incarnationOf(id), r.now()); w.Limits() != limits {
 			t.Errorf("%s: %+v", id, w)
 		}
 	}
--- a/internal/relay/link.go
+++ b/internal/relay/link.go
@@ -10,9 +10,9 @@
 	"sassafrasfield/internal/upstreamstate"
 )
 
-// link is what this instance knows of its own link. While that is choked, requests are
-// refused at once, and others serve them: on a link of 10 Mbit/s 23 requests of 3 s waited
-// for 1.1 s at the median and 1.9 s at most, and were not served.
+// link is what this instance knows of its own network link. While the link is saturated, requests
+// are refused at once so that other instances serve them: on a link of 10 Mbit/s, 23 requests with
+// a timeout of 3 s waited for 1.1 s at the median and 1.9 s at most, and were not served.
 type link struct {
 	mu    sync.Mutex // protects state
 	state *ownlink.Link
@@ -20,24 +20,24 @@
 
 func newLink() *link { return &link{state: ownlink.New(ownlink.DefaultSettings())} }
 
-func (l *link) update(do func(*ownlink.Link)) {
+func (l *link) update(apply func(*ownlink.Link)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	do(l.state)
+	apply(l.state)
 }
 
 func (l *link) reportReceived(now time.Duration) {
 	l.update(func(s *ownlink.Link) { s.Heard(now) })
 }
 
-// SetBehind takes whether other instances are known to have rows of the platform that this one
+// SetBehind records whether other instances are known to have rows of the platform that this one
 // lacks.
 func (r *Relay) SetBehind(behind bool) {
 	now := r.now()
 	r.link.update(func(s *ownlink.Link) { s.Lacks(behind, now) })
 }
 
-// recordSendError takes what a failed send tells of this instance's link.
+// recordSendError updates the state of this instance's link after a failed send.
 func (r *Relay) recordSendError(upstream string, err error) {
 	now := r.now()
 	r.link.update(func(s *ownlink.Link) {
@@ -49,34 +49,34 @@
 	})
 }
 
-// recordAnswer takes the beginning of an upstream's answer, and what it says of its load.
-func (r *Relay) recordAnswer(upstream string, said upstreamstate.Load) {
+// recordAnswer records the beginning of an upstream's answer, and the load that it reports.
+func (r *Relay) recordAnswer(upstream string, load upstreamstate.Load) {
 	now := r.now()
-	r.upstreams.Reported(upstream, said, now)
+	r.upstreams.Reported(upstream, load, now)
 	r.link.update(func(s *ownlink.Link) { s.Answered(upstream, now) })
 }
 
-// Trouble is why this instance sends nothing on; empty for none.
+// Trouble returns why this instance forwards nothing; empty if it is not impaired.
 func (r *Relay) Trouble() ownlink.Trouble {
 	r.link.mu.Lock()
 	defer r.link.mu.Unlock()
 	return r.link.state.Trouble(r.now())
 }
 
-// refuseImpaired is the refusal of a request at an instance in trouble.
-func refuseImpaired(why ownlink.Trouble, retryIn time.Duration) *Refusal {
-	return &Refusal{Outcome: NotRun, Reason: string(why), RetryIn: retryIn}
+// refuseImpaired returns the refusal of a request at an impaired instance.
+func refuseImpaired(reason ownlink.Trouble, retryIn time.Duration) *Refusal {
+	return &Refusal{Outcome: NotRun, Reason: string(reason), RetryIn: retryIn}
 }
 
-// Impaired tells whether this instance's own link is to blame that its requests reach no
-// upstream, or that it cannot know which ones leave.
+// Impaired reports whether this instance's requests reach no upstream because of its own link, or
+// whether it cannot know which upstreams are draining.
 func (r *Relay) Impaired() bool { return r.Trouble() != "" }
 
-// retryElsewhereIn is when a caller should come back, to another instance.
-func (r *Relay) retryElsewhereIn(patience time.Duration) time.Duration {
-	in := jittered(r.settings.RetryIn)
-	if patience > 0 {
-		in = min(in, patience/retryDivisor)
+// retryElsewhereIn returns when a caller should retry, at another instance.
+func (r *Relay) retryElsewhereIn(waitBudget time.Duration) time.Duration {
+	delay := jittered(r.settings.RetryIn)
+	if waitBudget > 0 {
+		delay = min(delay, waitBudget/retryDivisor)
 	}
-	return in
+	return delay
 }
--- a/internal/relay/meters.go
+++ b/internal/relay/meters.go
@@ -10,7 +10,7 @@
 	"sassafrasfield/internal/attempt"
 )
 
-// meters count what the relay did.
+// meters counts the relay's requests and sends by what became of them.
 type meters struct {
 	requests, answered, refused, broken, callerDisconnected metrics.Counter
 	resumed, copied                                         metrics.Counter
@@ -35,17 +35,17 @@
 	}
 }
 
-// samples of each latency histogram; the library's own choice for a reservoir.
+// samples is the reservoir size of each latency histogram, which is the library's own choice.
 const samples = 1028
 
-// latency returns the histogram of a stage of a route, in microseconds.
+// latency returns the histogram of a stage or kind of route, in microseconds.
 func latency(stage string) metrics.Histogram {
 	return metrics.GetOrRegisterHistogram("relay."+stage+"_us", metrics.DefaultRegistry, metrics.NewExpDecaySample(samples, 0.015))
 }
 
 func observe(stage string, d time.Duration) { latency(stage).Update(d.Microseconds()) }
 
-// finish writes the one line on a request's end, and counts it.
+// finish logs the end of a request in one line, and counts it.
 func (r *Relay) finish(x *exchange, req *Request, err error) {
 	r.meters.requests.Inc(1)
 	outcome := "answered"
@@ -81,7 +81,7 @@
 	return x.attempts.LastError().Error()
 }
 
-// writeHeader begins an answer to the caller.
+// writeHeader sends the header of an answer to the caller.
 func writeHeader(w http.ResponseWriter, x *exchange, reply *Reply) {
 	header := w.Header()
 	for name, values := range reply.Header {
--- a/internal/relay/pass.go
+++ b/internal/relay/pass.go
@@ -14,23 +14,22 @@
 // errPartialEvent: the stream ended inside an event.
 var errPartialEvent = errors.New("relay: the stream ended inside an event")
 
-// eventForwarder gives the events of one engine's stream to a caller, each whole.
+// eventForwarder forwards the events of one engine's stream to a caller, each one complete.
 type eventForwarder struct {
 	w     http.ResponseWriter
 	flush func() error
-	// idleTimeout stops the stream when nothing comes for so long; 0 does not.
+	// idleTimeout is how long the stream may be silent before it is stopped; 0 for no bound.
 	idleTimeout time.Duration
 	cancel      context.CancelFunc
 	events      stream.Events
-	// lastEvent is the id of the last event that was given to the caller.
+	// lastEvent is the id of the last event that was written to the caller.
 	lastEvent string
 }
 
-// readBufferBytes is how much is read from an engine at once; an event has some
-// hundred bytes.
+// readBufferBytes is how much is read from an engine at once. An event has some hundred bytes.
 const readBufferBytes = 4 << 10
 
-// forward returns nil at the stream's proper end.
+// forward returns nil at the regular end of the stream.
 func (p *eventForwarder) forward(body io.Reader) error {
 	buffer := make([]byte, readBufferBytes)
 	timer := p.startIdleTimer()
@@ -54,7 +53,7 @@
 	}
 }
 
-// startIdleTimer stops a stream that stays silent, if that is wanted.
+// startIdleTimer starts the timer that stops a silent stream, if there is an idle timeout.
 func (p *eventForwarder) startIdleTimer() *time.Timer {
 	if p.idleTimeout > 0 {
 		return time.AfterFunc(p.idleTimeout, p.cancel)
@@ -64,7 +63,7 @@
 	return never
 }
 
-// write gives whole events to the caller at once.
+// write writes complete events to the caller at once.
 func (p *eventForwarder) write(events []byte) error {
 	if len(events) == 0 {
 		return nil
--- a/internal/relay/pool.go
+++ b/internal/relay/pool.go
@@ -10,26 +10,26 @@
 	"sassafrasfield/internal/retry"
 )
 
-// retryPool has the further sends that the instances of a zone share: part of the slack, and
-// what their requests paid for beyond what each can save up. The zone's hub keeps it,
-// one bucket a service; it starts empty when an instance becomes the hub, as the one
-// before may have spent the window's.
+// retryPool holds the retries that the instances of a zone share: part of the slack, and what their
+// requests earned beyond what each instance may save up. The zone's hub keeps the pool, with one
+// bucket per service. The pool starts empty when an instance becomes the hub, because the previous
+// hub may have exhausted the window's retries.
 //
-// It buys further sends where the failures are: of 124 in 195 instances with two
-// requests that fail at once, none may send the second one again with its own part
-// alone, and 87 with the pools (TestFailuresAtAFewInstancesFindThePool).
+// It makes retries available where the failures are. In a fleet of 195 instances, 124 had two
+// requests that failed at once: none of them could retry the second one from its own part alone,
+// and 87 could with the pools (TestPoolServesFailuresAtFewInstances).
 type retryPool struct {
 	granted, denied metrics.Counter
 
-	mu      sync.Mutex // protects all below
+	mu      sync.Mutex // protects the fields below
 	rules   retry.Rules
 	open    bool
 	buckets map[uint32]*retry.Budget
-	// paid is what each source has told that it paid in, by service.
+	// paid holds the total that each source reported as paid in, by service.
 	paid map[payment]float64
 }
 
-// payment is what an instance pays in for a service.
+// payment identifies what an instance pays in for a service.
 type payment struct {
 	source  string
 	service uint32
@@ -39,7 +39,7 @@
 	return &retryPool{granted: counter("pool_granted"), denied: counter("pool_denied")}
 }
 
-// set opens the pool with its rules, or closes it.
+// set opens the pool with rules, or closes it.
 func (p *retryPool) set(open bool, rules retry.Rules) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -56,7 +56,7 @@
 	}
 }
 
-// bucket returns a service's. The lock is held.
+// bucket returns the bucket of a service. The caller holds the lock.
 func (p *retryPool) bucket(service uint32, now time.Duration) *retry.Budget {
 	b, ok := p.buckets[service]
 	if !ok {
@@ -66,25 +66,25 @@
 	return b
 }
 
-// deposit takes what a source paid in since its start, by service.
-func (p *retryPool) deposit(source string, spilled map[uint32]float64, now time.Duration) {
+// deposit adds what a source has paid in since its start, by service.
+func (p *retryPool) deposit(source string, overflow map[uint32]float64, now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.open {
 		return
 	}
-	for service, total := range spilled {
+	for service, total := range overflow {
 		from := payment{source: source, service: service}
 		before, known := p.paid[from]
 		p.paid[from] = total
-		if known && total > before { // else it is new here, or has started again
+		if known && total > before { // otherwise the source is new here, or has restarted
 			p.bucket(service, now).Add(total-before, now)
 		}
 	}
 }
 
-// grant gives one send to a service away; false means that none is left, or that the
-// pool is not kept here.
+// grant gives out one retry for a service. False means that none is left, or that the pool is not
+// kept here.
 func (p *retryPool) grant(service uint32, now time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -96,22 +96,22 @@
 	return false
 }
 
-// SetPool has this instance keep the pool of so many of all instances, itself among
-// them, or keep none when members is 0.
+// SetPool has this instance keep the pool of members out of all instances, itself among them, or no
+// pool if members is 0.
 func (r *Relay) SetPool(s BudgetSettings, members, instances int) {
 	r.pool.set(members > 0, s.poolRules(members, instances))
 }
 
-// GrantRetry gives a send to a service away, which is named by its hash.
+// GrantRetry gives out one retry for the service with the given hash.
 func (r *Relay) GrantRetry(service uint32) bool { return r.pool.grant(service, r.now()) }
 
-// SetPoolRequester sets how a send is asked for at the instance that keeps the pool.
-func (r *Relay) SetPoolRequester(ask func(ctx context.Context, service uint32) bool) {
-	r.requestRetry.Store(&ask)
+// SetPoolRequester sets the function that requests a retry from the instance that keeps the pool.
+func (r *Relay) SetPoolRequester(request func(ctx context.Context, service uint32) bool) {
+	r.requestRetry.Store(&request)
 }
 
-// requestFromPool asks for a send to a service.
+// requestFromPool requests a retry for a service from the zone's pool.
 func (r *Relay) requestFromPool(ctx context.Context, service uint32) bool {
-	ask := r.requestRetry.Load()
-	return ask != nil && (*ask)(ctx, service)
+	request := r.requestRetry.Load()
+	return request != nil && (*request)(ctx, service)
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -24,52 +24,53 @@
 	"sassafrasfield/internal/usage"
 )
 
-// Settings of the relay.
+// Settings configures a Relay.
 type Settings struct {
-	// Zone of this instance.
+	// Zone is the availability zone of this instance.
 	Zone   string
 	Budget BudgetSettings
-	// Placement is what is weighed against the times that engines take, Prior what
-	// is assumed of these times before anything was observed.
+	// Placement holds what placement weighs against the engines' processing times.
+	// Prior holds the processing times that are assumed before any were observed.
 	Placement placement.Settings
 	Prior     estimate.Prior
 	// MaxSends bounds the sends of one request, refused ones included.
 	MaxSends int
-	// PrefillIdleTimeout is how long an engine may take for a prompt beyond what
-	// was predicted, before another one is asked.
+	// PrefillIdleTimeout is how long an engine may exceed the predicted time of a prefill without
+	// answering any request, before the prompt is sent to another engine.
 	PrefillIdleTimeout time.Duration
-	// StreamIdleTimeout is how long a resumable generation may pause before
-	// another engine goes on with it.
+	// StreamIdleTimeout is how long a resumable generation may pause before it is resumed on
+	// another engine.
 	StreamIdleTimeout time.Duration
-	// RetryIn is told to callers whose request did not run.
+	// RetryIn is the retry delay that is returned to callers whose request did not run.
 	RetryIn time.Duration
-	// StartupRetryIn is told to them instead while this instance does not know the
-	// configuration or any upstream yet.
+	// StartupRetryIn replaces RetryIn while this instance has no configuration or knows no upstream
+	// yet.
 	StartupRetryIn time.Duration
 	Outliers       load.OutlierRules
-	// UsageWindow is the length of the windows in which requests are counted that begin
-	// to run; 0 for a deployment that wants no such counts.
+	// UsageWindow is the length of the time windows in which the requests that began to run are
+	// counted; 0 disables the counts.
 	UsageWindow time.Duration
 }
 
-// DefaultSettings returns the defaults; each was set by the reason beside it.
+// DefaultSettings returns the default settings.
 func DefaultSettings() Settings {
 	outliers := load.DefaultOutlierRules()
-	outliers.EjectAtMost = 5 * time.Second // a crashed upstream loses its entry within that
+	outliers.EjectAtMost = 5 * time.Second // the entry of a crashed upstream is removed within this time
 	return Settings{
 		Budget:             BudgetSettings{Share: 0.2, Slack: 58, Window: 10 * time.Second},
 		Placement:          placement.DefaultSettings(),
 		Prior:              estimate.DefaultPrior(),
 		MaxSends:           4,
-		PrefillIdleTimeout: 1200 * time.Millisecond, // above the queue of a busy engine, below most deadlines
-		StreamIdleTimeout:  1200 * time.Millisecond, // callers leave after two seconds of silence
-		RetryIn:            150 * time.Millisecond,  // about the time of one long prompt
-		StartupRetryIn:     400 * time.Millisecond,  // of 79 instances that start at once half have the configuration after 0.55 s, the last after 0.9 s
-		Outliers:           outliers,
+		PrefillIdleTimeout: 1200 * time.Millisecond, // longer than a busy engine's queue, shorter than most deadlines
+		StreamIdleTimeout:  1200 * time.Millisecond, // callers disconnect after two seconds without an event
+		RetryIn:            150 * time.Millisecond,  // about the processing time of one long prompt
+		// Of 79 instances that start at once, half have the configuration after 0.55 s, the last after 0.9 s.
+		StartupRetryIn: 400 * time.Millisecond,
+		Outliers:       outliers,
 	}
 }
 
-// Relay serves requests. It is safe for use by several goroutines.
+// Relay serves requests. It is safe for concurrent use.
 type Relay struct {
 	settings   Settings
 	sender     Sender
@@ -83,20 +84,21 @@
 	link       *link
 	meters     *meters
 	grants     *grants
-	// requestGrant asks the instance that coordinates the grants of sends to upstreams with
-	// limits; nil for none.
+	// requestGrant requests a grant for a send to a rate-limited upstream from the instance that
+	// coordinates the grants; nil if unset.
 	requestGrant atomic.Pointer[func(context.Context, quota.Ask) quota.Verdict]
-	// requestRetry asks the instance that keeps the zone's pool; nil for none.
+	// requestRetry requests a retry from the instance that keeps the zone's retry pool; nil if
+	// unset.
 	requestRetry atomic.Pointer[func(context.Context, uint32) bool]
-	// closed: new requests are refused.
+	// closed is set once new requests are refused.
 	closed atomic.Bool
-	// lastRequest is when the newest request came, on the relay's clock.
+	// lastRequest is the arrival time of the newest request, on the relay's clock.
 	lastRequest atomic.Int64
-	// changed tells that there is news for the other instances.
+	// changed receives a value when there are updates to publish to the other instances.
 	changed chan struct{}
 }
 
-// New returns a relay that knows no routes and no upstreams.
+// New returns a relay without routes and upstreams.
 func New(s Settings, sender Sender, log *slog.Logger) *Relay {
 	r := &Relay{
 		settings: s, log: log, start: time.Now(),
@@ -115,29 +117,30 @@
 func (r *Relay) notifyChanged() {
 	select {
 	case r.changed <- struct{}{}:
-	default: // it is told already
+	default: // a notification is already pending
 	}
 }
 
-// Changed has a value when the other instances should be told of news.
+// Changed returns a channel that receives a value when there are updates to publish to the other
+// instances.
 func (r *Relay) Changed() <-chan struct{} { return r.changed }
 
 func (r *Relay) now() time.Duration { return time.Since(r.start) }
 
-// SetRoutes puts a version of the configuration in force unless it is older,
-// and tells whether it did.
+// SetRoutes puts a version of the configuration in force unless it is older than the one in force,
+// and reports whether it did.
 func (r *Relay) SetRoutes(t *routes.Table) bool { return r.upstreams.SetRoutes(t, r.now()) }
 
-// SetBudget takes other bounds of the sends beyond the first.
+// SetBudget replaces the bounds on retries.
 func (r *Relay) SetBudget(s BudgetSettings) { r.budgets.set(s) }
 
-// UpdateUpstream takes an upstream's newest entry.
+// UpdateUpstream stores an upstream's newest entry.
 func (r *Relay) UpdateUpstream(u upstreamstate.Upstream) { r.upstreams.Learn(u) }
 
-// RemoveUpstream drops an upstream that is gone.
+// RemoveUpstream removes an upstream.
 func (r *Relay) RemoveUpstream(id string) { r.upstreams.Forget(id) }
 
-// Engines returns the model engines that take requests, by service.
+// Engines returns the model engines that accept requests, by service.
 func (r *Relay) Engines() map[string][]upstreamstate.Engine { return r.upstreams.Engines(r.now()) }
 
 // Services returns the services of the configuration in force.
@@ -146,19 +149,19 @@
 	return table.Services
 }
 
-// Upstreams returns the upstreams of a service, those that are leaving too.
+// Upstreams returns the upstreams of a service, including those that are draining.
 func (r *Relay) Upstreams(service string) []upstreamstate.Upstream {
 	return r.upstreams.Members(service)
 }
 
-// EngineTimes returns what the engines of a service take.
+// EngineTimes returns the processing times of a service's engines.
 func (r *Relay) EngineTimes(service string) upstreamstate.Times { return r.upstreams.Times(service) }
 
-// MarkUnavailable has all instances leave an upstream out for a time in which it takes no
+// MarkUnavailable has all instances exclude an upstream for the time d in which it accepts no
 // requests, or until its role has changed.
 func (r *Relay) MarkUnavailable(id string, d time.Duration) { r.upstreams.SendAway(id, r.now()+d) }
 
-// OwnReport returns what this instance tells the others.
+// OwnReport returns this instance's report to the other instances.
 func (r *Relay) OwnReport() upstreamstate.Report {
 	r.logEndedBackoffs()
 	report := r.upstreams.OwnReport(r.now())
@@ -167,7 +170,7 @@
 	return report
 }
 
-// ZoneReport returns what this instance tells other zones of its own.
+// ZoneReport returns the report on this instance's zone to the other zones.
 func (r *Relay) ZoneReport() upstreamstate.Report {
 	r.depositOwn()
 	report := r.upstreams.ZoneReport(r.now())
@@ -176,17 +179,17 @@
 	return report
 }
 
-// OtherZonesReport returns what this instance tells its zone of the other zones.
+// OtherZonesReport returns the report on the other zones to the instances of this zone.
 func (r *Relay) OtherZonesReport() upstreamstate.Report {
 	report := r.upstreams.BeyondReport(r.now())
 	report.Ends = r.quarantine.dueCrashes((*quarantine.Table).BeyondEnds)
 	return report
 }
 
-// Learned returns what this instance has learned of the engines.
+// Learned returns what this instance has learned about the engines, by a hash of the service.
 func (r *Relay) Learned() map[uint32]estimate.Learned { return r.upstreams.Learned() }
 
-// ApplyReport takes the report of another instance, or of a whole zone.
+// ApplyReport merges the report of another instance or of a whole zone.
 func (r *Relay) ApplyReport(source string, report upstreamstate.Report) {
 	now := r.now()
 	r.upstreams.TakeReport(source, report, now)
@@ -197,35 +200,35 @@
 	r.applyCrashes(report.Ends, strings.HasPrefix(source, upstreamstate.BesidePrefix))
 }
 
-// ownSource names this instance in its own pool.
+// ownSource identifies this instance as a source of its own pool.
 const ownSource = "own"
 
-// depositOwn pays what this instance has too much into its own pool.
+// depositOwn pays what this instance earned beyond its own maximum into its own pool.
 func (r *Relay) depositOwn() { r.pool.deposit(ownSource, r.budgets.overflow(), r.now()) }
 
-// HasPlacement tells whether a part was placed on an engine, as far as is known here.
+// HasPlacement reports whether a prompt part is known to have been placed on an engine.
 func (r *Relay) HasPlacement(placed upstreamstate.Placed) bool { return r.upstreams.Knows(placed) }
 
-// recentRequestWindow is for how long after a request the instance counts as serving.
+// recentRequestWindow is how long after a request HasRecentRequests reports true.
 const recentRequestWindow = 2 * time.Second
 
-// HasRecentRequests tells whether requests came lately.
+// HasRecentRequests reports whether requests arrived recently.
 func (r *Relay) HasRecentRequests() bool {
 	last := r.lastRequest.Load()
 	return last > 0 && r.now()-time.Duration(last) < recentRequestWindow
 }
 
-// Close has all new requests refused; those under way go on.
+// Close makes the relay refuse all new requests. Requests in progress continue.
 func (r *Relay) Close() { r.closed.Store(true) }
 
-// Ready tells whether there are routes to serve.
+// Ready reports whether a configuration is in force.
 func (r *Relay) Ready() bool {
 	table, _ := r.upstreams.Routes(r.now())
 	return table.Version > 0
 }
 
-// Serve answers a request. The error is a *Refusal when nothing of an answer
-// was written, ErrBroken or ErrCallerGone.
+// Serve answers a request. The error is a *Refusal if no part of an answer was written,
+// ErrAnswerAborted or ErrCallerDisconnected.
 func (r *Relay) Serve(ctx context.Context, req *Request, w http.ResponseWriter) error {
 	x, err := r.newExchange(req)
 	if err == nil {
@@ -237,7 +240,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, x.remaining(r.now()))
 	defer cancel()
-	x.budget.Succeeded(r.now()) // each request pays its share in
+	x.budget.Succeeded(r.now()) // each request earns its share of a retry
 	if x.route.Kind == routes.Generation {
 		err = r.generate(ctx, x, w)
 	} else {
@@ -250,9 +253,11 @@
 	return err
 }
 
-// maxTimeout is the time of a request whose caller and route give none.
+// maxTimeout bounds every request. It is the timeout of a request for which neither the caller nor
+// the route sets one.
 const maxTimeout = time.Minute
 
+// newExchange checks a request and returns the state in which it is served, or its refusal.
 func (r *Relay) newExchange(req *Request) (*exchange, error) {
 	now := r.now()
 	r.lastRequest.Store(int64(now))
@@ -263,51 +268,51 @@
 	if table.Version == 0 {
 		return nil, &Refusal{Outcome: NotRun, Reason: "no configuration yet", RetryIn: r.startupRetryIn(req.WaitBudget)}
 	}
-	if why := r.Trouble(); why != "" {
+	if reason := r.Trouble(); reason != "" {
 		r.meters.saturated.Inc(1)
-		return nil, refuseImpaired(why, r.retryElsewhereIn(req.WaitBudget))
+		return nil, refuseImpaired(reason, r.retryElsewhereIn(req.WaitBudget))
 	}
-	matched := table.Match(req.Host, req.Path)
-	if matched == nil {
+	route := table.Match(req.Host, req.Path)
+	if route == nil {
 		return nil, &Refusal{Outcome: NoRoute, Reason: "no route"}
 	}
-	identity, known := table.Identify(matched, req.Credential)
+	identity, known := table.Identify(route, req.Credential)
 	if !known {
 		return nil, refuseUnauthenticated()
 	}
-	limit := maxTimeout
-	for _, bound := range []time.Duration{req.WaitBudget, matched.Timeout} {
+	timeout := maxTimeout
+	for _, bound := range []time.Duration{req.WaitBudget, route.Timeout} {
 		if bound > 0 {
-			limit = min(limit, bound)
+			timeout = min(timeout, bound)
 		}
 	}
-	service := matched.Pick(hashFraction(req.ID))
+	service := route.Pick(hashFraction(req.ID))
 	return &exchange{
-		req: req, route: matched, service: service, identity: identity,
-		version: table.Version, age: age, arrived: now, deadline: now + limit,
-		attempts: attempt.New(r.attemptRules(matched)), budget: r.budgets.forService(service, now),
+		req: req, route: route, service: service, identity: identity,
+		version: table.Version, age: age, arrived: now, deadline: now + timeout,
+		attempts: attempt.New(r.attemptRules(route)), budget: r.budgets.forService(service, now),
 		content: sync.OnceValue(req.Content),
 	}, nil
 }
 
-// hashFraction is a number in [0, 1) that follows from an id.
+// hashFraction maps an id to a number in [0, 1).
 func hashFraction(id string) float64 {
 	const mantissa = 53 // bits of a float64's fraction
 	return float64(xxhash.Sum64String(id)>>(64-mantissa)) / (1 << mantissa)
 }
 
-// attemptRules are the bounds that a route sets on the attempts at its requests.
-func (r *Relay) attemptRules(of *routes.Route) attempt.Rules {
+// attemptRules returns the bounds that a route sets on the attempts at its requests.
+func (r *Relay) attemptRules(route *routes.Route) attempt.Rules {
 	return attempt.Rules{
-		Repeatable: of.Kind == routes.Idempotent || of.Resumable,
-		MaxRuns:    max(1, of.MaxAttempts), MaxSends: r.settings.MaxSends,
+		Repeatable: route.Kind == routes.Idempotent || route.Resumable,
+		MaxRuns:    max(1, route.MaxAttempts), MaxSends: r.settings.MaxSends,
 	}
 }
 
-// recordFailure records a failed send against the upstream, unless the caller left.
+// recordFailure records a failed send against the upstream, unless the caller disconnected.
 func (r *Relay) recordFailure(ctx context.Context, x *exchange, id string, err error) {
 	if errors.Is(err, ErrDeclined) {
-		return // it was not asked
+		return // the upstream was not contacted
 	}
 	if errors.Is(err, ErrCutOff) {
 		r.checkInterrupted(x, id)
@@ -316,13 +321,14 @@
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return
 	}
-	v := verdictFor(ctx, err)
-	ejected := r.upstreams.Judge(id, v, r.now())
+	result := verdictFor(ctx, err)
+	ejected := r.upstreams.Judge(id, result, r.now())
 	r.log.Info("relay: send failed", "request", x.req.ID, "upstream", id, "try", x.attempts.Sends(),
 		"ejected", ejected, "error", err, "after", r.now()-x.arrived, "content", x.content())
 }
 
-// finalError is the truthful end of a request without an answer.
+// finalError returns the error of a request that ends without an answer. It tells the caller
+// truthfully whether the request may have run.
 func (r *Relay) finalError(ctx context.Context, x *exchange) error {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return ErrCallerDisconnected
@@ -342,15 +348,16 @@
 	return &Refusal{Outcome: Unknown, Reason: refusalReason(x, "no whole answer")}
 }
 
-// startupRetryIn is when to come back to an instance that has just started.
-func (r *Relay) startupRetryIn(left time.Duration) time.Duration {
-	in := jittered(r.settings.StartupRetryIn)
-	if left > 0 {
-		in = min(in, left/retryDivisor)
+// startupRetryIn returns when a caller should retry at an instance that has just started.
+func (r *Relay) startupRetryIn(remaining time.Duration) time.Duration {
+	delay := jittered(r.settings.StartupRetryIn)
+	if remaining > 0 {
+		delay = min(delay, remaining/retryDivisor)
 	}
-	return in
+	return delay
 }
 
+// refusalReason returns the text of a refusal, and says if there was no upstream to try.
 func refusalReason(x *exchange, text string) string {
 	if x.attempts.LastError() == nil {
 		return text + ": none to ask"
@@ -358,7 +365,7 @@
 	return text
 }
 
-// retryIn is when a caller should come back, within what it has left.
+// retryIn returns when a caller should retry, within its remaining time.
 func (r *Relay) retryIn(x *exchange) time.Duration {
 	if r.upstreams.Count(x.service) == 0 {
 		return r.startupRetryIn(x.remaining(r.now()))
@@ -366,6 +373,6 @@
 	return min(jittered(r.settings.RetryIn), max(time.Millisecond, x.remaining(r.now())/retryDivisor))
 }
 
-// retryDivisor is the part of a caller's time after which it may be told to come
-// back: a quarter, so that an answer still fits.
+// retryDivisor bounds the retry delay to a part of the caller's remaining time: a quarter, so that
+// an answer still fits.
 const retryDivisor = 4
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -1,12 +1,15 @@
-// Package relay is the data path for callers and upstreams that speak HTTP of
-// their own: it finds a request's route, chooses upstreams, sends the request
-// there with its body unread, checks the answer and gives it to the caller
-// whole. It sends a request again only where that is safe and the retry budget
-// allows it, and its refusals say truthfully whether anything ran.
+// Package relay implements the data path for callers and upstreams that speak HTTP protocols of
+// their own. It matches a request to a route, chooses upstreams, forwards the request without
+// interpreting its body, checks the answer and delivers it completely to the caller. It retries a
+// request only where that is safe and the retry budget allows it, and its refusals state truthfully
+// whether anything ran.
 //
-// How a request looks on either side is the adapters' matter; see Sender for
-// the upstreams' side. The decisions are those of packages outcome, retry,
-// load, placement and routes.
+// Its inputs are the callers' requests, the configuration, the upstreams' entries and
+// announcements, and the reports of other instances. Its outputs are answers or refusals, and this
+// instance's own reports.
+//
+// Adapters convert requests and answers on both sides; see Sender for the upstreams' side. The
+// decisions are made by packages outcome, retry, load, route and routes.
 package relay
 
 import (
@@ -25,110 +28,111 @@
 	"sassafrasfield/internal/upstreamstate"
 )
 
-// Request is a caller's request, read whole.
+// Request is a caller's request with its complete body.
 type Request struct {
-	// ID is the caller's id of this attempt.
+	// ID is the id that the caller gave this attempt.
 	ID     string
 	Method string
 	Host   string
-	// Path decides the route; Target is the path with the query as received.
+	// Path selects the route. Target is the path with the query, as received.
 	Path, Target string
-	// Header is what is passed on to upstreams.
+	// Header holds the fields that are forwarded to upstreams.
 	Header http.Header
 	Body   []byte
-	// Credential is the API key that the caller gave.
+	// Credential is the API key that the caller sent.
 	Credential apikey.Credential
-	// WaitBudget is how long the caller waits for the answer; 0 when it did not
-	// say.
+	// WaitBudget is how long the caller waits for the answer; 0 if it did not say.
 	WaitBudget time.Duration
-	// Prompt is nil when the request carries none.
+	// Prompt is nil if the request has none.
 	Prompt *placement.Prompt
-	// LastEvent is the id of the last event that the caller has of an earlier
-	// answer; empty for a new request.
+	// LastEvent is the id of the last event that the caller received of an earlier answer; empty
+	// for a new request.
 	LastEvent string
 }
 
-// Content names what the request asks for; a request that is sent again has the same
-// one under another id.
+// Content returns the identifier of what the request asks for. A request that is sent again under
+// another id has the same one.
 func (r *Request) Content() quarantine.Content {
 	return quarantine.ContentOf(r.Method, r.Host, r.Target, r.Body)
 }
 
-// KV names a prompt's KV cache that an engine keeps for another one.
+// KV identifies the KV cache of a prompt that an engine keeps for another engine to fetch.
 type KV struct {
 	Engine upstreamstate.Upstream
 	Handle string
 	Tokens int
 }
 
-// Send is one way to send a request.
+// Send describes one send of a request to an upstream.
 type Send struct {
 	To upstreamstate.Upstream
-	// Timeout is how long the upstream may work on it.
+	// Timeout bounds the upstream's work on the request.
 	Timeout time.Duration
-	// KV is the processed prompt to fetch; the zero value when there is none.
+	// KV is the processed prompt to fetch; the zero value if there is none.
 	KV KV
-	// LastEvent is the event after which a generation goes on; empty from the
-	// start.
+	// LastEvent is the event after which a generation continues; empty to begin at the start.
 	LastEvent string
-	// FetchFrom is the address of an engine that has more of the prompt cached;
-	// empty when nothing is to be fetched.
+	// FetchFrom is the address of an engine that has more of the prompt cached; empty if nothing is
+	// to be fetched.
 	FetchFrom string
-	// Backup is the engine that the run is copied to as it goes; the zero value
-	// when it is not.
+	// Backup is the engine to which the run is copied while it proceeds; the zero value if it is
+	// not copied.
 	Backup upstreamstate.Upstream
-	// Priority of the organisation or the route; 0 is the most urgent.
+	// Priority is that of the organisation or of the route; 0 is the most urgent.
 	Priority int
-	// Identity is who the request comes from.
+	// Identity says who the request comes from.
 	Identity routes.Identity
-	// Deferred: the engine is to process the prompt after all that do not yield.
+	// Deferred is set if the engine is to process the prompt after all prompts that are not
+	// deferred.
 	Deferred bool
-	// Continues: the caller has a part of the answer already.
+	// Continues is set if the caller has received part of the answer.
 	Continues bool
-	// Granted: the upstream's limit has room for it that was asked for before.
+	// Granted is set if room for this send was already reserved within the upstream's rate limit.
 	Granted bool
 }
 
-// continuesAtCopy tells whether the upstream has the copy of the run that goes on. Nobody else can
-// finish it, so that it is no new work.
+// continuesAtCopy reports whether the upstream holds the copy of the run that continues. No other
+// upstream can finish that run, so that it does not count as new work.
 func (s Send) continuesAtCopy() bool { return s.Continues && s.KV.Engine.ID == s.To.ID }
 
 // Reply is an upstream's answer to a request that it ran. Its body must be
 // closed.
 type Reply struct {
 	Status int
-	// Header is what the caller gets of the upstream's.
+	// Header holds the upstream's fields that are passed to the caller.
 	Header http.Header
 	Body   io.ReadCloser
 	Load   upstreamstate.Load
 }
 
-// Errors of a Sender. Compare with errors.Is.
+// Errors returned by a Sender. Compare with errors.Is.
 var (
-	// ErrNotSent: no byte of the request left.
+	// ErrNotSent: no byte of the request was sent.
 	ErrNotSent = errors.New("relay: not sent")
-	// ErrConnectTimeout is the ErrNotSent of a request whose connection was not answered in time.
-	ErrConnectTimeout = errors.WithMessage(ErrNotSent, "no connection in time")
-	// ErrDeclined is the ErrNotSent of a request whose upstream takes none now, by its own
-	// word. It was not asked.
-	ErrDeclined = errors.WithMessage(ErrNotSent, "the upstream takes none now")
-	// ErrLimited, ErrLeaving and ErrResting tell by which word.
-	ErrLimited    = errors.WithMessage(ErrDeclined, "its limit leaves no room")
-	ErrDraining   = errors.WithMessage(ErrDeclined, "it leaves")
-	ErrBackingOff = errors.WithMessage(ErrDeclined, "it asked for rest")
-	// ErrRefused: the upstream says that it did not run the request.
+	// ErrConnectTimeout is the ErrNotSent of a request whose connection was not established in
+	// time.
+	ErrConnectTimeout = errors.WithMessage(ErrNotSent, "connect timeout")
+	// ErrDeclined is the ErrNotSent of a request whose upstream announced that it accepts none at
+	// the moment. The upstream was not contacted.
+	ErrDeclined = errors.WithMessage(ErrNotSent, "the upstream accepts no requests now")
+	// ErrLimited, ErrDraining and ErrBackingOff are the kinds of ErrDeclined, by what was
+	// announced.
+	ErrLimited    = errors.WithMessage(ErrDeclined, "its rate limit leaves no room")
+	ErrDraining   = errors.WithMessage(ErrDeclined, "it is draining")
+	ErrBackingOff = errors.WithMessage(ErrDeclined, "it requested a backoff")
+	// ErrRefused: the upstream answered that it did not run the request.
 	ErrRefused = errors.New("relay: the upstream did not run it")
-	// ErrAddressReassigned: another upstream has the address now; it did not run the
-	// request.
+	// ErrAddressReassigned: another upstream has the address now. It did not run the request.
 	ErrAddressReassigned = errors.New("relay: another upstream has the address")
-	// ErrNoValidAnswer: the request was sent, and nothing valid came back.
+	// ErrNoValidAnswer: the request was sent, but no valid answer was received.
 	ErrNoValidAnswer = errors.New("relay: no valid answer")
-	// ErrCutOff is the ErrLost of a request whose connection was ended by the upstream's
-	// side before the answer's end.
+	// ErrCutOff is the ErrNoValidAnswer of a request whose connection was closed by the upstream's
+	// side before the end of the answer.
 	ErrCutOff = errors.WithMessage(ErrNoValidAnswer, "cut off")
 )
 
-// WrapReadError is the error of a request that was sent and whose whole answer could not be read.
+// WrapReadError returns the error of a request that was sent but whose answer could not be read
+// completely: ErrCutOff or ErrNoValidAnswer.
 func WrapReadError(err error) error {
 	for _, cut := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE, errPartialEvent} {
 		if errors.Is(err, cut) {
@@ -138,60 +142,62 @@
 	return errors.WithMessage(ErrNoValidAnswer, err.Error())
 }
 
-// ranNothing tells whether an error says that the upstream ran nothing.
+// ranNothing reports whether an error implies that the upstream ran nothing.
 func ranNothing(err error) bool {
 	return errors.Is(err, ErrNotSent) || errors.Is(err, ErrRefused) || errors.Is(err, ErrAddressReassigned)
 }
 
-// Sender is the adapter to the upstreams. The end of the context ends the
-// upstream's work on a request.
+// Sender is the adapter to the upstreams. Cancelling the context stops the upstream's work on a
+// request.
 type Sender interface {
-	// SetStatementHandler has hear called with what upstreams say of themselves in any answer, whatever was
-	// asked. It is called once, before all else.
+	// SetStatementHandler sets the function to call with what upstreams state about themselves in
+	// any answer, whatever was requested. It is called once, before all other methods.
 	SetStatementHandler(hear func(from upstreamstate.Upstream, s upstreamstate.Statement))
-	// Send has an upstream run a request, and returns once its answer begins.
+	// Send runs a request on an upstream and returns when its answer begins.
 	Send(ctx context.Context, req *Request, s Send) (*Reply, error)
-	// Prefill has an engine process a request's prompt and keep the KV cache.
+	// Prefill makes an engine process the prompt of a request and keep the KV cache.
 	Prefill(ctx context.Context, req *Request, s Send) (KV, upstreamstate.Load, error)
-	// Free drops a KV cache that nobody will fetch.
+	// Free drops a KV cache that will not be fetched.
 	Free(ctx context.Context, kv KV) error
-	// Crashed tells whether an upstream's process has ended: its machine answers, and
-	// nobody listens at its address, or another upstream does, which is asked at the
-	// health path where the service has one. An error means that there is no word on it.
+	// Crashed reports whether an upstream's process has ended: its machine responds, but no process
+	// listens at its address, or that of another upstream does. The latter is checked with a
+	// request to the health path if the service has one. An error means that the state could not be
+	// determined.
 	Crashed(ctx context.Context, to upstreamstate.Upstream, healthPath string) (bool, error)
 }
 
-// Outcome is what a refusal tells of the request.
+// Outcome is what a refusal says about the request.
 type Outcome int
 
 const (
-	// NotRun: nothing of it ran, and nothing will.
+	// NotRun: no part of the request ran, and none will.
 	NotRun Outcome = iota
-	// Unknown: it may have run.
+	// Unknown: the request may have run.
 	Unknown
-	// NoRoute: the configuration has no route for it.
+	// NoRoute: the configuration has no route for the request.
 	NoRoute
-	// Unauthenticated: the route asks for an API key, and it has none that is known. Nothing ran.
+	// Unauthenticated: the route requires an API key, and the request has none that is known.
+	// Nothing ran.
 	Unauthenticated
-	// TimedOut: it may have run; the time that it had is over.
+	// TimedOut: the timeout of the request expired. It may have run.
 	TimedOut
 )
 
-// Refusal is the answer to a request that was given up.
+// Refusal is the error of a request that ended without an answer.
 type Refusal struct {
 	Outcome Outcome
-	// Reason in a word or two, for logs and metrics.
+	// Reason is a short text for logs and metrics.
 	Reason string
-	// RetryIn is when the caller should come back; 0 when it should not.
+	// RetryIn is when the caller should retry; 0 if it should not.
 	RetryIn time.Duration
 }
 
 // Error implements error.
 func (r *Refusal) Error() string { return "relay: " + r.Reason }
 
-// ErrAnswerAborted ends an answer that had begun and cannot be finished. The caller's
-// connection must be closed without the answer's end.
+// ErrAnswerAborted ends an answer that has begun and cannot be finished. The caller's connection
+// must be closed without completing the answer.
 var ErrAnswerAborted = errors.New("relay: the answer broke off")
 
-// ErrCallerDisconnected: nobody waits for the answer any more.
-var ErrCallerDisconnected = errors.New("relay: the caller has gone")
+// ErrCallerDisconnected: the caller no longer waits for the answer.
+var ErrCallerDisconnected = errors.New("relay: the caller disconnected")
--- a/internal/relay/usage.go
+++ b/internal/relay/usage.go
@@ -11,28 +11,28 @@
 	"sassafrasfield/internal/wallclock"
 )
 
-// keptWindows is how many windows are counted: those that a report may wait with, and the
-// two that go on or settle.
+// keptWindows is how many windows are counted: those whose usage report may still be pending, the
+// current one, and the previous one, whose counts are still arriving.
 const keptWindows = usagereport.Kept + 2
 
-// What is told again, for those who lost a report or have just started.
+// Totals are republished for instances that lost a report or have just started.
 const (
-	// republishEvery is the time between two such tellings. Counts are taken for
-	// complete some seconds after a window's end.
+	// republishEvery is the time between two republications. Counts are treated as complete some
+	// seconds after a window's end.
 	republishEvery = time.Second
-	// republishedWindows is how many windows are told again: the one that goes on, the one that
-	// settles, and one more. All ten that are kept would fill the reports, so that the
-	// newest totals wait: 369 of 941 requests of a window were missed so.
+	// republishedWindows is how many windows are republished: the current one, the previous
+	// one, whose counts are still arriving, and one more. Republishing all ten that are kept would
+	// fill the reports and delay the newest totals: 369 of 941 requests of a window were missed
+	// that way.
 	republishedWindows = 3
 )
 
-// usageCounter counts the requests that began to run. Without a window's length it counts
-// none.
+// usageCounter counts the requests that began to run. It counts none if length is 0.
 type usageCounter struct {
 	length time.Duration
 	clock  wallclock.Clock
 
-	mu            sync.Mutex // protects all below
+	mu            sync.Mutex // protects the fields below
 	tally         *usage.Tally
 	republishedAt time.Time
 }
@@ -41,14 +41,14 @@
 	return &usageCounter{length: length, clock: wallclock.New(), tally: usage.NewTally()}
 }
 
-// countStarted counts a request that countStarted to run a time ago.
+// countStarted counts a request that began to run a time ago.
 func (u *usageCounter) countStarted(organisation string, ago time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.tally.Began(usage.WindowAt(u.clock.Now().Add(-ago), u.length), organisation)
 }
 
-// dueTotals returns the totals that are due in a report, by one of the tally's ways.
+// dueTotals returns the totals that are due in one kind of report.
 func (u *usageCounter) dueTotals(due func(*usage.Tally) []usage.Count) []usage.Count {
 	if u.length <= 0 {
 		return nil
@@ -63,7 +63,7 @@
 	return due(u.tally)
 }
 
-// apply takes the totals of a report.
+// apply merges the totals of a report.
 func (u *usageCounter) apply(source string, report upstreamstate.Report) {
 	if u.length <= 0 || len(report.Usage) == 0 {
 		return
@@ -77,8 +77,7 @@
 	u.tally.HearZone(source, report.Usage)
 }
 
-// countUsage counts a request, once, that an upstream began to run at a time on the relay's
-// clock.
+// countUsage counts a request, once, that an upstream began to run at a time on the relay's clock.
 func (r *Relay) countUsage(x *exchange, at time.Duration) {
 	organisation := x.identity.Name()
 	if x.counted || organisation == "" || r.usage.length <= 0 {
@@ -88,12 +87,12 @@
 	r.usage.countStarted(organisation, r.now()-at)
 }
 
-// Usage returns what is known here of a window's requests at all instances.
+// Usage returns the requests of a window at all instances, as far as they are known here.
 func (r *Relay) Usage(window usage.Window) usage.Counts {
 	r.usage.mu.Lock()
 	defer r.usage.mu.Unlock()
 	return r.usage.tally.Total(window)
 }
 
-// TimeOfDay is the time by which requests are counted.
+// TimeOfDay returns the time by which requests are counted.
 func (r *Relay) TimeOfDay() time.Time { return r.usage.clock.Now() }
--- a/internal/relay/usage_test.go
+++ b/internal/relay/usage_test.go
@@ -13,26 +13,26 @@
 	"sassafrasfield/internal/usage"
 )
 
-// counting is a relay that counts use by windows of an hour, with two organisations.
-func counting(t *testing.T, f *fakeSender) *Relay {
+// newCounting returns a relay that counts usage in windows of an hour, for two organisations.
+func newCounting(t *testing.T, f *fakeSender) *Relay {
 	t.Helper()
 	r := newFake(t, f)
 	r.usage = newUsageCounter(time.Hour)
-	plentiful(r)
+	withLargeBudget(r)
 	withKeys(r, 2, millKey, gateKey)
 	return r
 }
 
-// counted is what a relay counted of an organisation now, or an hour ago where the hour
-// has just ended.
-func counted(r *Relay, organisation string) uint32 {
+// countOf returns what a relay counted for an organisation in this window and the previous one,
+// because the hour may have just ended.
+func countOf(r *Relay, organisation string) uint32 {
 	window := usage.WindowAt(r.TimeOfDay(), time.Hour)
 	return r.Usage(window)[organisation] + r.Usage(window - 1)[organisation]
 }
 
-// TestARequestIsCountedOnceItBeganToRun: once, however many upstreams ran it, and not when
-// none did.
-func TestARequestIsCountedOnceItBeganToRun(t *testing.T) {
+// TestRequestIsCountedOnceWhenItRuns checks that a request is counted once, however many upstreams
+// ran it, and not at all if none did.
+func TestRequestIsCountedOnceWhenItRuns(t *testing.T) {
 	good := func() *Reply { return events("id: 1\ndata: a\n\n") }
 	for name, c := range map[string]struct {
 		req  *Request
@@ -54,25 +54,25 @@
 		"cut before its first event": {longPrompt("/once/1"), func(int, Send) (*Reply, error) { return nil, WrapReadError(io.EOF) }, 0},
 		"resumed elsewhere": {longPrompt("/resumable/1"), func(n int, _ Send) (*Reply, error) {
 			if n == 1 {
-				return cutAfter("id: 1\ndata: a\n\n"), nil
+				return truncated("id: 1\ndata: a\n\n"), nil
 			}
 			return events("id: 2\ndata: b\n\n"), nil
 		}, 1},
 		"goes on at its copy": {call("/once/1"), func(n int, _ Send) (*Reply, error) {
 			if n == 1 {
-				return cutAfter("id: 1\ndata: a\n\n"), nil
+				return truncated("id: 1\ndata: a\n\n"), nil
 			}
 			return events("id: 2\ndata: b\n\n"), nil
 		}, 1},
 		"nobody's": {call("/safe/1"), func(int, Send) (*Reply, error) { return good(), nil }, 0},
 	} {
-		r := counting(t, &fakeSender{run: c.run})
+		r := newCounting(t, &fakeSender{run: c.run})
 		req := c.req
 		if name != "nobody's" {
 			withKey(req, millKey)
 		}
 		_, _ = serve(r, req)
-		if got := counted(r, "mill"); got != c.want || counted(r, "gate") != 0 {
+		if got := countOf(r, "mill"); got != c.want || countOf(r, "gate") != 0 {
 			t.Errorf("%s: counted %d times, want %d", name, got, c.want)
 		}
 	}
@@ -88,21 +88,21 @@
 	}
 }
 
-// TestARequestRefusedForItsKeyIsNotCounted: nothing ran.
-func TestARequestRefusedForItsKeyIsNotCounted(t *testing.T) {
-	r := counting(t, &fakeSender{})
-	if _, err := serve(r, withKey(call("/unsafe/1"), "x")); wordOf(t, err) != Unauthenticated {
+// TestUnauthenticatedRequestIsNotCounted: nothing ran.
+func TestUnauthenticatedRequestIsNotCounted(t *testing.T) {
+	r := newCounting(t, &fakeSender{})
+	if _, err := serve(r, withKey(call("/unsafe/1"), "x")); outcomeOf(t, err) != Unauthenticated {
 		t.Error(err)
 	}
-	if n := counted(r, "mill") + counted(r, ""); n != 0 {
+	if n := countOf(r, "mill") + countOf(r, ""); n != 0 {
 		t.Errorf("counted %d times", n)
 	}
 }
 
-// TestTheUseOfAZoneIsKnownBeyondIt: an instance tells its zone's hub, and that tells the
-// hub of another zone; a report that comes twice changes nothing.
-func TestTheUseOfAZoneIsKnownBeyondIt(t *testing.T) {
-	one, hub, far := counting(t, &fakeSender{}), counting(t, &fakeSender{}), counting(t, &fakeSender{})
+// TestUsageReachesOtherZones: an instance reports to its zone's hub, and that to the hub of another
+// zone. A report that arrives twice changes nothing.
+func TestUsageReachesOtherZones(t *testing.T) {
+	one, hub, far := newCounting(t, &fakeSender{}), newCounting(t, &fakeSender{}), newCounting(t, &fakeSender{})
 	for _, r := range []*Relay{one, hub, far} {
 		if _, err := serve(r, withKey(call("/unsafe/1"), millKey)); err != nil {
 			t.Fatal(err)
@@ -116,13 +116,13 @@
 	for range 2 {
 		far.ApplyReport("zone b", zone)
 	}
-	if a, b := counted(hub, "mill"), counted(far, "mill"); a != 2 || b != 3 {
-		t.Errorf("%d are known at the hub, want 2; %d at the other zone's, want 3", a, b)
+	if a, b := countOf(hub, "mill"), countOf(far, "mill"); a != 2 || b != 3 {
+		t.Errorf("%d requests are known at the hub, want 2; %d at the other zone's, want 3", a, b)
 	}
 }
 
-// TestWithoutWindowsNothingIsCounted: the deployment wants no reports.
-func TestWithoutWindowsNothingIsCounted(t *testing.T) {
+// TestNoUsageIsCountedWithoutWindows: the deployment disabled the counts.
+func TestNoUsageIsCountedWithoutWindows(t *testing.T) {
 	r := newFake(t, &fakeSender{})
 	withKeys(r, 2, millKey)
 	if _, err := serve(r, withKey(call("/unsafe/1"), millKey)); err != nil && !errors.Is(err, ErrAnswerAborted) {
