--- a/internal/peers/reports.go
+++ b/internal/peers/reports.go
@@ -38,8 +38,8 @@
 	OwnReport() upstreamstate.Report
 	ZoneReport() upstreamstate.Report
 	OtherZonesReport() upstreamstate.Report
-	// Learned is what this instance has learned of the engines.
-	Learned() map[uint32]estimate.Snapshot
+	// LearnedTimes is what this instance has learned of the engines.
+	LearnedTimes() map[uint32]estimate.Snapshot
 	// ApplyReport takes the report of a source.
 	ApplyReport(source string, report upstreamstate.Report)
 	// SetBehind takes whether others are known to have rows that this instance lacks.
@@ -168,7 +168,7 @@
 func (r *Reporter) own(times bool) []*sfv1.InstanceReport {
 	report := r.loads.OwnReport()
 	if times {
-		report.Times = r.loads.Learned()
+		report.Times = r.loads.LearnedTimes()
 	}
 	var messages []*sfv1.InstanceReport
 	for _, part := range report.Split() {
@@ -195,7 +195,7 @@
 	}
 	report := r.loads.ZoneReport()
 	if times {
-		report.Times = r.loads.Learned()
+		report.Times = r.loads.LearnedTimes()
 	}
 	message := r.message(sfv1.Datagram_KIND_ZONE)
 	message.Beyond = reportToMessage(report)
