--- a/internal/fanout/roster_test.go
+++ b/internal/fanout/roster_test.go
@@ -22,7 +22,7 @@
 func rosterOf(self ID, ids []ID, now time.Duration) *Roster {
 	r := NewRoster(self, now)
 	for _, id := range ids {
-		r.Heard(id, now)
+		r.MarkAlive(id, now)
 	}
 	return r
 }
@@ -50,8 +50,8 @@
 	ids := ranked(5)
 	for i, id := range ids {
 		r := rosterOf(id, ids, 0)
-		if r.Rank(0) != i || r.Passes(0) != (i == 0) {
-			t.Errorf("rank %d: %d, passes %t", i, r.Rank(0), r.Passes(0))
+		if r.Rank(0) != i || r.ShouldRelay(0) != (i == 0) {
+			t.Errorf("rank %d: %d, passes %t", i, r.Rank(0), r.ShouldRelay(0))
 		}
 	}
 }
@@ -60,16 +60,16 @@
 	ids := ranked(4)
 	for rank := 1; rank < len(ids); rank++ {
 		r := rosterOf(ids[rank], ids, 0)
-		r.Batched(ids[0], time.Second)
+		r.BatchReceived(ids[0], time.Second)
 		for _, id := range ids[1:] {
-			r.Heard(id, 2*time.Second)
+			r.MarkAlive(id, 2*time.Second)
 		}
 		early := time.Second + time.Duration(rank)*silentFor
-		if r.Passes(early) || !r.Passes(early+time.Millisecond) {
-			t.Errorf("rank %d passes reports on %t at %s, then %t", rank, r.Passes(early), early, r.Passes(early+time.Millisecond))
+		if r.ShouldRelay(early) || !r.ShouldRelay(early+time.Millisecond) {
+			t.Errorf("rank %d passes reports on %t at %s, then %t", rank, r.ShouldRelay(early), early, r.ShouldRelay(early+time.Millisecond))
 		}
-		r.Batched(ids[0], early+2*time.Millisecond)
-		if r.Passes(early + 3*time.Millisecond) {
+		r.BatchReceived(ids[0], early+2*time.Millisecond)
+		if r.ShouldRelay(early + 3*time.Millisecond) {
 			t.Errorf("rank %d still passes reports on though the first is back", rank)
 		}
 	}
@@ -78,7 +78,7 @@
 func TestAnInstanceThatFallsSilentRanksNoMore(t *testing.T) {
 	ids := ranked(3)
 	r := rosterOf(ids[2], ids, 0)
-	r.Heard(ids[1], aliveFor)
+	r.MarkAlive(ids[1], aliveFor)
 	if rank := r.Rank(aliveFor + time.Millisecond); rank != 1 {
 		t.Errorf("rank %d, one of those ahead is silent", rank)
 	}
@@ -90,7 +90,7 @@
 	if got := r.Receivers(0); !slices.Equal(got, ids[:2]) {
 		t.Errorf("%v, want the first two of %v", got, ids)
 	}
-	r.Batched(ids[3], 0) // it does not hear of those ahead
+	r.BatchReceived(ids[3], 0) // it does not hear of those ahead
 	if got := r.Receivers(0); !slices.Equal(got, []ID{ids[0], ids[1], ids[3]}) {
 		t.Errorf("%v", got)
 	}
