--- a/internal/upstreamstate/learn.go
+++ b/internal/upstreamstate/learn.go
@@ -85,14 +85,14 @@
 	}
 	done.Tokens = (events - 1) * eventTokens
 	if n, ok := p.nodes[engine]; ok {
-		done.BatchSize = float64(n.toldTo(now).Requests)
+		done.BatchSize = float64(n.aggregateLoad(now).Requests)
 	}
 	p.model(service).RecordStream(done)
 }
 
-// learned is what this instance has learned of the engines, by a hash of the
+// learnedTimes is what this instance has learnedTimes of the engines, by a hash of the
 // service. The lock is held.
-func (p *State) learned() map[uint32]estimate.Snapshot {
+func (p *State) learnedTimes() map[uint32]estimate.Snapshot {
 	all := map[uint32]estimate.Snapshot{}
 	for service, m := range p.models {
 		if l := m.Snapshot(); l.PromptCount > 0 || l.StreamCount > 0 {
@@ -102,8 +102,8 @@
 	return all
 }
 
-// hear takes what another instance has learned. The lock is held.
-func (p *State) hear(times map[uint32]estimate.Snapshot) {
+// mergeTimes takes what another instance has learned. The lock is held.
+func (p *State) mergeTimes(times map[uint32]estimate.Snapshot) {
 	if len(times) == 0 {
 		return
 	}
--- a/internal/upstreamstate/ledger.go
+++ b/internal/upstreamstate/ledger.go
@@ -7,67 +7,67 @@
 
 // How what changes is told.
 const (
-	// retellAfter is when a load is told again that has not changed: whoever missed
+	// resendAfter is when a load is told again that has not changed: whoever missed
 	// it, or is new, has it then.
-	retellAfter = time.Second
-	// zerosTold is how often it is told that nothing is left on an upstream, as a
+	resendAfter = time.Second
+	// zeroRepeats is how often it is told that nothing is left on an upstream, as a
 	// datagram may be lost.
-	zerosTold = 3
-	// toldAtMost bounds the loads in one report: about four datagrams. What is left
+	zeroRepeats = 3
+	// maxReportLoads bounds the loads in one report: about four datagrams. What is left
 	// is told with the next ones.
-	toldAtMost = 800
-	// leastUseChange and leastInflowChange are the changes of the rates, beyond how
+	maxReportLoads = 800
+	// minUtilizationChange and leastInflowChange are the changes of the rates, beyond how
 	// they fade, that are told: 1% of an engine's time, and 1,000 tokens a second.
-	leastUseChange    = 0.01
-	leastInflowChange = 1000
+	minUtilizationChange = 0.01
+	minInflowChange      = 1000
 )
 
-// ledger is what was told to a group of receivers, so that the next report to them
+// sentLoads is what was told to a group of receivers, so that the next report to them
 // has what changed since alone.
-type ledger struct {
-	told map[uint32]toldEntry
+type sentLoads struct {
+	loads map[uint32]sentLoad
 }
 
-// toldEntry is a load as it was told.
-type toldEntry struct {
+// sentLoad is a load as it was told.
+type sentLoad struct {
 	EngineLoad
 	at time.Duration
 	// zeros is how often it was told that nothing is left.
 	zeros int
 }
 
-func newLedger() ledger { return ledger{told: map[uint32]toldEntry{}} }
+func newSentLoads() sentLoads { return sentLoads{loads: map[uint32]sentLoad{}} }
 
 // due tells whether a load is to be told now, and notes that it is.
-func (l *ledger) due(load EngineLoad, now time.Duration) bool {
-	before, known := l.told[load.Engine]
+func (l *sentLoads) due(load EngineLoad, now time.Duration) bool {
+	before, known := l.loads[load.Engine]
 	if load.idle() {
-		return known && l.zero(before, load, now)
+		return known && l.dueZero(before, load, now)
 	}
-	if known && before.zeros == 0 && now-before.at < retellAfter && !before.differs(load, now) {
+	if known && before.zeros == 0 && now-before.at < resendAfter && !before.differs(load, now) {
 		return false
 	}
-	l.told[load.Engine] = toldEntry{EngineLoad: load, at: now}
+	l.loads[load.Engine] = sentLoad{EngineLoad: load, at: now}
 	return true
 }
 
-// zero notes that nothing is left on an upstream, and tells whether to tell it.
-func (l *ledger) zero(before toldEntry, load EngineLoad, now time.Duration) bool {
-	if before.zeros >= zerosTold {
-		delete(l.told, load.Engine)
+// dueZero notes that nothing is left on an upstream, and tells whether to tell it.
+func (l *sentLoads) dueZero(before sentLoad, load EngineLoad, now time.Duration) bool {
+	if before.zeros >= zeroRepeats {
+		delete(l.loads, load.Engine)
 		return false
 	}
-	l.told[load.Engine] = toldEntry{EngineLoad: load, at: now, zeros: before.zeros + 1}
+	l.loads[load.Engine] = sentLoad{EngineLoad: load, at: now, zeros: before.zeros + 1}
 	return true
 }
 
 // differs tells whether a load is another one than was told, but for the rates'
 // fading, which the receivers know of.
-func (e toldEntry) differs(load EngineLoad, now time.Duration) bool {
+func (e sentLoad) differs(load EngineLoad, now time.Duration) bool {
 	if e.Backlog != load.Backlog || e.DeferredBacklog != load.DeferredBacklog || e.Requests != load.Requests {
 		return true
 	}
 	since := now - e.at
-	return math.Abs(faded(e.Utilization, since)-load.Utilization) > leastUseChange ||
-		math.Abs(faded(e.Inflow, since)-load.Inflow) > leastInflowChange
+	return math.Abs(decayed(e.Utilization, since)-load.Utilization) > minUtilizationChange ||
+		math.Abs(decayed(e.Inflow, since)-load.Inflow) > minInflowChange
 }
--- a/internal/upstreamstate/limits.go
+++ b/internal/upstreamstate/limits.go
@@ -11,32 +11,32 @@
 
 // limits are what upstreams announced, which of them have nothing left, and which want rest.
 type limits struct {
-	book  *quota.Table
-	spent spentTable
-	rests restTable
+	announcements *quota.Table
+	exhausted     exhaustedTable
+	backoffs      backoffTable
 	// changes wait to be logged.
 	changes []quota.Change
 }
 
-// takesAgain is when an upstream takes a request of a priority again; not after now where it
+// availableAt is when an upstream takes a request of a priority again; not after now where it
 // takes one now.
-func (l limits) takesAgain(hash uint32, priority int) time.Duration {
-	return max(l.spent.until(hash, priority), l.rests[hash])
+func (l limits) availableAt(hash uint32, priority int) time.Duration {
+	return max(l.exhausted.until(hash, priority), l.backoffs[hash])
 }
 
 // any tells whether any upstream may not take requests.
-func (l limits) any() bool { return l.book.Any() || len(l.rests) > 0 }
+func (l limits) any() bool { return l.announcements.Any() || len(l.backoffs) > 0 }
 
 func newLimits() limits {
-	return limits{book: quota.NewTable(), spent: spentTable{}, rests: restTable{}}
+	return limits{announcements: quota.NewTable(), exhausted: exhaustedTable{}, backoffs: backoffTable{}}
 }
 
-// spentTable is until when upstreams have nothing left for requests of a priority and for less
+// exhaustedTable is until when upstreams have nothing left for requests of a priority and for less
 // urgent ones, by what requests for a grant were told.
-type spentTable map[uint32]map[int]time.Duration
+type exhaustedTable map[uint32]map[int]time.Duration
 
-// note takes what a request of a priority was told.
-func (t spentTable) note(hash uint32, priority int, until time.Duration) {
+// set takes what a request of a priority was told.
+func (t exhaustedTable) set(hash uint32, priority int, until time.Duration) {
 	if t[hash] == nil {
 		t[hash] = map[int]time.Duration{}
 	}
@@ -45,7 +45,7 @@
 
 // until is when an upstream has room for a request of a priority again; not after now where
 // it has room.
-func (t spentTable) until(hash uint32, priority int) time.Duration {
+func (t exhaustedTable) until(hash uint32, priority int) time.Duration {
 	latest := time.Duration(0)
 	for told, until := range t[hash] {
 		if told <= priority {
@@ -55,8 +55,8 @@
 	return latest
 }
 
-// lapse drops what counts no longer.
-func (t spentTable) lapse(now time.Duration) {
+// expire drops what counts no longer.
+func (t exhaustedTable) expire(now time.Duration) {
 	for hash, byPriority := range t {
 		maps.DeleteFunc(byPriority, func(_ int, until time.Duration) bool { return now >= until })
 		if len(byPriority) == 0 {
@@ -74,22 +74,22 @@
 	if n, ok := p.nodes[from.ID]; ok && n.hash != hash {
 		return
 	}
-	change, changed := p.limits.book.ApplyAnnouncement(hash, a, now)
-	p.noteLimit(change, changed)
+	change, changed := p.limits.announcements.ApplyAnnouncement(hash, a, now)
+	p.noteLimitChange(change, changed)
 	if changed {
 		p.settings.OnChange()
 	}
 }
 
-// hearLimits takes what others told of upstreams' announcements. The lock is held.
-func (p *State) hearLimits(words []quota.UpstreamLimit, beside bool, now time.Duration) {
+// applyLimits takes what others told of upstreams' announcements. The lock is held.
+func (p *State) applyLimits(words []quota.UpstreamLimit, beside bool, now time.Duration) {
 	scope := quota.OtherZone
 	if beside {
 		scope = quota.SameZone
 	}
 	for _, w := range words {
-		change, changed := p.limits.book.ApplyReport(w, scope, now)
-		p.noteLimit(change, changed)
+		change, changed := p.limits.announcements.ApplyReport(w, scope, now)
+		p.noteLimitChange(change, changed)
 	}
 }
 
@@ -97,31 +97,31 @@
 func (p *State) Limits(now time.Duration) []quota.UpstreamLimit {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.limits.book.All(now)
+	return p.limits.announcements.All(now)
 }
 
 // ApplyLimits takes what an instance of this zone, or of another one, knows of all upstreams.
 func (p *State) ApplyLimits(words []quota.UpstreamLimit, beside bool, now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.hearLimits(words, beside, now)
+	p.applyLimits(words, beside, now)
 }
 
 // ApplyLimit takes what an instance that asks for a grant was told by the upstream.
 func (p *State) ApplyLimit(w quota.UpstreamLimit, now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.hearLimits([]quota.UpstreamLimit{w}, true, now)
+	p.applyLimits([]quota.UpstreamLimit{w}, true, now)
 }
 
-// noteLimit keeps a change to be logged. What was told to wait for by the limit before
+// noteLimitChange keeps a change to be logged. What was told to wait for by the limit before
 // counts no longer. The lock is held.
-func (p *State) noteLimit(c quota.Change, changed bool) {
+func (p *State) noteLimitChange(c quota.Change, changed bool) {
 	if !changed {
 		return
 	}
 	if c.Rate != c.OldRate {
-		delete(p.limits.spent, c.Upstream)
+		delete(p.limits.exhausted, c.Upstream)
 	}
 	if n, ok := p.byHash[c.Upstream]; ok && c.StartsDraining {
 		n.Draining = true
@@ -143,7 +143,7 @@
 func (p *State) Limit(hash uint32, now time.Duration) (w quota.UpstreamLimit, firstHand, known bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.limits.book.Lookup(hash, now)
+	return p.limits.announcements.Lookup(hash, now)
 }
 
 // MarkExhausted takes it that an upstream with a limit has nothing left for a time, for requests of a
@@ -151,14 +151,14 @@
 func (p *State) MarkExhausted(hash uint32, priority int, until time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.limits.spent.note(hash, priority, until)
+	p.limits.exhausted.set(hash, priority, until)
 }
 
 // IsExhausted tells whether an upstream has nothing left for a request of a priority.
 func (p *State) IsExhausted(hash uint32, priority int, now time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return now < p.limits.spent.until(hash, priority)
+	return now < p.limits.exhausted.until(hash, priority)
 }
 
 // IsDraining tells whether a start of an upstream leaves, as far as is known now.
@@ -184,19 +184,19 @@
 	defer p.mu.Unlock()
 	in = time.Duration(math.MaxInt64)
 	for _, n := range p.byService[a.Service] {
-		until := p.limits.takesAgain(n.hash, a.Priority)
+		until := p.limits.availableAt(n.hash, a.Priority)
 		if n.Draining || until <= now || until-now >= in {
 			continue
 		}
-		in, resting, found = until-now, until == p.limits.rests[n.hash], true
+		in, resting, found = until-now, until == p.limits.backoffs[n.hash], true
 	}
 	return in, resting, found
 }
 
-// lapseLimits forgets what counts no longer. The lock is held.
-func (p *State) lapseLimits(now time.Duration) {
-	p.limits.spent.lapse(now)
-	p.limits.book.Expire(func(hash uint32) bool { return p.byHash[hash] != nil }, now)
+// expireLimits forgets what counts no longer. The lock is held.
+func (p *State) expireLimits(now time.Duration) {
+	p.limits.exhausted.expire(now)
+	p.limits.announcements.Expire(func(hash uint32) bool { return p.byHash[hash] != nil }, now)
 }
 
 // UpstreamID returns the id of the upstream with a hash; empty when it is not listed.
--- a/internal/upstreamstate/limits_test.go
+++ b/internal/upstreamstate/limits_test.go
@@ -37,8 +37,8 @@
 		}
 	}
 	p.OwnReport(2 * time.Second)
-	if len(p.limits.spent) > 0 {
-		t.Errorf("%v is kept", p.limits.spent)
+	if len(p.limits.exhausted) > 0 {
+		t.Errorf("%v is kept", p.limits.exhausted)
 	}
 }
 
--- a/internal/upstreamstate/node.go
+++ b/internal/upstreamstate/node.go
@@ -18,8 +18,8 @@
 	// load is this instance's own part, in the picture's table.
 	load *load.Upstream
 	work workload
-	// told is what the other instances have there.
-	told *toldLoad
+	// peers is what the other instances have there.
+	peers *peerLoad
 }
 
 // engineOf is how placement sees an upstream's configuration; nil for one of a
@@ -33,24 +33,24 @@
 	}
 }
 
-// own is what this instance has on the upstream.
-func (n *node) own(now time.Duration) EngineLoad {
+// ownLoad is what this instance has on the upstream.
+func (n *node) ownLoad(now time.Duration) EngineLoad {
 	return EngineLoad{
-		Engine: n.hash, Requests: n.load.Streams, Backlog: n.work.own, DeferredBacklog: n.work.yielding,
-		Utilization: n.work.use.now(now), Inflow: n.work.inflow.now(now),
+		Engine: n.hash, Requests: n.load.Streams, Backlog: n.work.backlog, DeferredBacklog: n.work.deferredBacklog,
+		Utilization: n.work.utilization.valueAt(now), Inflow: n.work.inflow.valueAt(now),
 	}
 }
 
-// here is what the instances of this zone together have on the upstream.
-func (n *node) here(now time.Duration) EngineLoad {
-	l := n.own(now)
-	l.add(n.told.beside.at(now))
+// zoneLoad is what the instances of this zone together have on the upstream.
+func (n *node) zoneLoad(now time.Duration) EngineLoad {
+	l := n.ownLoad(now)
+	l.add(n.peers.sameZone.at(now))
 	return l
 }
 
-// all is what all instances together have on the upstream.
-func (n *node) all(now time.Duration) EngineLoad {
-	l := n.here(now)
-	l.add(n.told.beyond.at(now))
+// totalLoad is what totalLoad instances together have on the upstream.
+func (n *node) totalLoad(now time.Duration) EngineLoad {
+	l := n.zoneLoad(now)
+	l.add(n.peers.otherZones.at(now))
 	return l
 }
--- a/internal/upstreamstate/parts.go
+++ b/internal/upstreamstate/parts.go
@@ -9,11 +9,11 @@
 
 // Bounds of how long an engine is believed to have a part cached that nobody used.
 const (
-	// partLastsAtMost bounds it where hardly anything comes in.
-	partLastsAtMost = time.Minute
-	// cachePart is the part of an engine's memory that the prompts' parts have;
+	// maxPartLifetime bounds it where hardly anything comes in.
+	maxPartLifetime = time.Minute
+	// partsMemoryShare is the part of an engine's memory that the prompts' parts have;
 	// requests that run and what waits to be fetched take the rest.
-	cachePart = 0.7
+	partsMemoryShare = 0.7
 )
 
 // partTable is when each shared part was last placed on each engine, by all
@@ -21,7 +21,7 @@
 // and few engines have one.
 type partTable struct {
 	holders map[uint32][]holder
-	sweep   time.Duration // when to drop old entries next
+	sweepAt time.Duration // when to drop old entries next
 }
 
 // holder is an engine that a part was placed on.
@@ -32,8 +32,8 @@
 
 func newPartTable() partTable { return partTable{holders: map[uint32][]holder{}} }
 
-func (t *partTable) note(p PlacedPart, now time.Duration) {
-	t.sweepOld(now)
+func (t *partTable) record(p PlacedPart, now time.Duration) {
+	t.removeExpired(now)
 	list := t.holders[p.Part]
 	for i := range list {
 		if list[i].engine == p.Engine {
@@ -44,14 +44,14 @@
 	t.holders[p.Part] = append(list, holder{engine: p.Engine, at: now})
 }
 
-// sweepOld drops what no engine is believed to have any more.
-func (t *partTable) sweepOld(now time.Duration) {
-	if now < t.sweep {
+// removeExpired drops what no engine is believed to have any more.
+func (t *partTable) removeExpired(now time.Duration) {
+	if now < t.sweepAt {
 		return
 	}
-	t.sweep = now + partLastsAtMost
+	t.sweepAt = now + maxPartLifetime
 	for part, list := range t.holders {
-		list = slices.DeleteFunc(list, func(h holder) bool { return now-h.at > partLastsAtMost })
+		list = slices.DeleteFunc(list, func(h holder) bool { return now-h.at > maxPartLifetime })
 		if t.holders[part] = list; len(list) == 0 {
 			delete(t.holders, part)
 		}
@@ -74,14 +74,14 @@
 	return tokens
 }
 
-// partLasts is how long an engine with so much memory keeps a part that nobody
+// partLifetime is how long an engine with so much memory keeps a part that nobody
 // uses: until as many tokens have come in as it keeps, as the parts that were used
 // longest ago yield first. The inflow is in tokens a second.
-func partLasts(memory int, inflow float64) time.Duration {
+func partLifetime(memory int, inflow float64) time.Duration {
 	if memory == 0 || inflow <= 0 {
-		return partLastsAtMost
+		return maxPartLifetime
 	}
-	return min(partLastsAtMost, time.Duration(cachePart*float64(memory)/inflow*float64(time.Second)))
+	return min(maxPartLifetime, time.Duration(partsMemoryShare*float64(memory)/inflow*float64(time.Second)))
 }
 
 // cached counts the leading tokens of a request's prompt that each engine is
@@ -95,16 +95,16 @@
 		if !ok {
 			return 0
 		}
-		return partLasts(req.Costs.CacheTokens, n.all(req.Now).Inflow)
+		return partLifetime(req.Costs.CacheTokens, n.totalLoad(req.Now).Inflow)
 	}, req.Now)
 }
 
-// notePrompt records that a prompt was placed on an engine, here and for the
+// recordPrompt records that a prompt was placed on an engine, here and for the
 // next reports. The lock is held.
-func (p *State) notePrompt(engine string, prompt placement.Prompt, now time.Duration) {
+func (p *State) recordPrompt(engine string, prompt placement.Prompt, now time.Duration) {
 	for i := 0; i < len(prompt.Parts)-1; i++ {
 		placed := PlacedPart{Engine: p.hash(engine), Part: hashOf(prompt.Parts[i].ID)}
-		p.parts.note(placed, now)
+		p.parts.record(placed, now)
 		p.placed = newest(append(p.placed, placed))
 		p.zonePlaced = newest(append(p.zonePlaced, placed))
 	}
--- a/internal/upstreamstate/place.go
+++ b/internal/upstreamstate/place.go
@@ -34,16 +34,16 @@
 // candidates returns the upstreams that a request may go to as placement sees them, until
 // the next choice. The lock is held.
 func (p *State) candidates(a PlacementRequest, req *placement.Request) []placement.Candidate {
-	p.told.lapse(req.Now)
+	p.peers.expire(req.Now)
 	list, cached := p.candidateBuf[:0], p.cached(req)
 	for _, n := range p.byService[a.Service] {
 		list = append(list, placement.Candidate{
 			ID: n.ID, Zone: n.Zone, Draining: n.Draining, Engine: n.engine,
-			Load: n.load, Suspect: p.takesNone(n, req.Now), Aggregate: n.toldTo(req.Now),
+			Load: n.load, Suspect: p.suspect(n, req.Now), Aggregate: n.aggregateLoad(req.Now),
 		})
 		if req.CheckLimits {
 			one := &list[len(list)-1]
-			one.Limited, one.Exhausted = p.limits.book.Limited(n.hash), req.Now < p.limits.takesAgain(n.hash, a.Priority)
+			one.Limited, one.Exhausted = p.limits.announcements.Limited(n.hash), req.Now < p.limits.availableAt(n.hash, a.Priority)
 		}
 		if len(cached) > 0 {
 			list[len(list)-1].Aggregate.CachedTokens = cached[n.hash]
@@ -53,17 +53,17 @@
 	return list
 }
 
-// reportFades is how long an engine's word on its load counts, ever less. At
+// reportedLoadValidFor is how long an engine's word on its load counts, ever less. At
 // the rates of today's sites an instance hears of each engine once in about
 // this time.
-const reportFades = 500 * time.Millisecond
+const reportedLoadValidFor = 500 * time.Millisecond
 
-// toldTo is what all instances together have on an upstream, or what it said of
+// aggregateLoad is what all instances together have on an upstream, or what it said of
 // itself lately, as placement sees it.
-func (n *node) toldTo(now time.Duration) placement.AggregateLoad {
-	all := n.all(now)
+func (n *node) aggregateLoad(now time.Duration) placement.AggregateLoad {
+	all := n.totalLoad(now)
 	told := placement.AggregateLoad{Backlog: all.Backlog, DeferredBacklog: all.DeferredBacklog, Utilization: all.Utilization, Requests: all.Requests}
-	if n.work.reported.Known && now-n.work.reportedAt < reportFades {
+	if n.work.reported.Known && now-n.work.reportedAt < reportedLoadValidFor {
 		told.Requests = max(told.Requests, n.work.reported.Running+n.work.reported.Waiting)
 	}
 	return told
@@ -74,7 +74,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	req := p.request(a, now)
-	chosen, ok := p.calls.Schedule(req, p.candidates(a, req), p.rng)
+	chosen, ok := p.serviceScheduler.Schedule(req, p.candidates(a, req), p.rng)
 	if !ok {
 		return Upstream{}, false
 	}
@@ -88,7 +88,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	req := p.request(a, now)
-	start, ok := p.stages.PickPrefill(req, p.candidates(a, req), p.rng)
+	start, ok := p.engineScheduler.PickPrefill(req, p.candidates(a, req), p.rng)
 	if !ok {
 		return start, placement.QueueNormal, false
 	}
@@ -99,7 +99,7 @@
 	p.place(start.Engine.ID, a.ID, now)
 	p.placePrompt(start, turn, now)
 	p.nodes[start.Engine.ID].work.inflow.add(float64(req.Prompt.Tokens-start.Engine.Aggregate.CachedTokens), now)
-	p.notePrompt(start.Engine.ID, req.Prompt, now)
+	p.recordPrompt(start.Engine.ID, req.Prompt, now)
 	return start, turn, true
 }
 
@@ -110,13 +110,13 @@
 	defer p.mu.Unlock()
 	req := p.request(a, now)
 	req.KVZone = kvZone
-	chosen, ok := p.stages.PickDecode(req, p.candidates(a, req), p.rng)
+	chosen, ok := p.engineScheduler.PickDecode(req, p.candidates(a, req), p.rng)
 	if !ok {
 		return chosen, false
 	}
 	p.place(chosen.ID, a.ID, now)
 	p.nodes[chosen.ID].work.inflow.add(float64(a.Prompt.Tokens-chosen.Aggregate.CachedTokens), now)
-	p.notePrompt(chosen.ID, req.Prompt, now)
+	p.recordPrompt(chosen.ID, req.Prompt, now)
 	return chosen, true
 }
 
@@ -125,11 +125,11 @@
 func (p *State) DecodeEnginesLimited(a PlacementRequest, now time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.limits.book.Any() {
+	if !p.limits.announcements.Any() {
 		return false
 	}
 	req := p.request(a, now)
-	return p.stages.AllLimited(req, p.candidates(a, req))
+	return p.engineScheduler.AllLimited(req, p.candidates(a, req))
 }
 
 // PickBackup chooses the engine that a run on another one is copied to; the zero
@@ -138,7 +138,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	req := p.request(a, now)
-	chosen, ok := p.stages.PickBackup(req, running, p.candidates(a, req), p.rng)
+	chosen, ok := p.engineScheduler.PickBackup(req, running, p.candidates(a, req), p.rng)
 	if !ok {
 		return Upstream{}
 	}
@@ -164,9 +164,9 @@
 // placePrompt charges a prompt to the engine that processes it. The lock is held.
 func (p *State) placePrompt(s placement.Prefill, turn placement.QueueOrder, now time.Duration) {
 	w := &p.nodes[s.Engine.ID].work
-	w.own += s.BusyTime
+	w.backlog += s.BusyTime
 	if turn == placement.QueueDeferred {
-		w.yielding += s.BusyTime
+		w.deferredBacklog += s.BusyTime
 	}
-	w.use.add(s.BusyTime.Seconds(), now)
+	w.utilization.add(s.BusyTime.Seconds(), now)
 }
--- a/internal/upstreamstate/rate_test.go
+++ b/internal/upstreamstate/rate_test.go
@@ -8,15 +8,15 @@
 func TestARateFollowsWhatIsPlaced(t *testing.T) {
 	var r rate
 	now := time.Duration(0)
-	const step = rateOver / 40
+	const step = rateTimeConstant / 40
 	for range 400 { // 0.3 of the time
 		now += step
 		r.add(0.3*step.Seconds(), now)
 	}
-	if got := r.now(now); got < 0.29 || got > 0.31 {
+	if got := r.valueAt(now); got < 0.29 || got > 0.31 {
 		t.Errorf("rate %g, want 0.3", got)
 	}
-	if got := r.now(now + 5*rateOver); got > 0.01 {
+	if got := r.valueAt(now + 5*rateTimeConstant); got > 0.01 {
 		t.Errorf("rate %g long after the last", got)
 	}
 }
--- a/internal/upstreamstate/reports.go
+++ b/internal/upstreamstate/reports.go
@@ -48,15 +48,15 @@
 
 // idle tells that there is nothing worth telling of.
 func (l EngineLoad) idle() bool {
-	return l.Backlog <= 0 && l.Requests <= 0 && l.Utilization <= leastUse
+	return l.Backlog <= 0 && l.Requests <= 0 && l.Utilization <= minUtilization
 }
 
-// none is no load at all on an upstream.
-func none(hash uint32) EngineLoad { return EngineLoad{Engine: hash} }
+// zeroLoad is no load at all on an upstream.
+func zeroLoad(hash uint32) EngineLoad { return EngineLoad{Engine: hash} }
 
-// leastUse is the use below which an idle engine is not reported: it would fade
+// minUtilization is the use below which an idle engine is not reported: it would fade
 // for long.
-const leastUse = 0.01
+const minUtilization = 0.01
 
 // Report is what one instance, or all of some zones, tell others.
 type Report struct {
@@ -86,17 +86,17 @@
 	Limits []quota.UpstreamLimit
 }
 
-// partLoads is how many loads one part of a report has: about half a datagram.
-const partLoads = 128
+// maxSplitLoads is how many loads one part of a report has: about half a datagram.
+const maxSplitLoads = 128
 
 // Split splits a report that names many engines. The parts are told one by one, so
 // none of them is whole: what is named no more counts for a while still.
 func (r Report) Split() []Report {
-	if len(r.Loads) <= partLoads {
+	if len(r.Loads) <= maxSplitLoads {
 		return []Report{r}
 	}
 	var parts []Report
-	for loads := range slices.Chunk(r.Loads, partLoads) {
+	for loads := range slices.Chunk(r.Loads, maxSplitLoads) {
 		parts = append(parts, Report{Loads: loads})
 	}
 	parts[0].Placed, parts[0].Unreachable, parts[0].Unavailable, parts[0].Times = r.Placed, r.Unreachable, r.Unavailable, r.Times
@@ -111,12 +111,12 @@
 func (p *State) OwnReport(now time.Duration) Report {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	report := Report{Complete: true, Placed: p.placed, Unreachable: p.goneList(p.gone.here, now), Unavailable: awayList(p.away.here, now)}
+	report := Report{Complete: true, Placed: p.placed, Unreachable: p.unreachableList(p.unreachable.own, now), Unavailable: unavailableList(p.unavailable.own, now)}
 	p.placed = nil
-	p.lapseLimits(now)
-	report.Limits = p.limits.book.DueOwn(now)
+	p.expireLimits(now)
+	report.Limits = p.limits.announcements.DueOwn(now)
 	for n := range p.busy {
-		load := n.own(now)
+		load := n.ownLoad(now)
 		if load.idle() {
 			delete(p.busy, n)
 			continue
@@ -131,22 +131,22 @@
 func (p *State) Learned() map[uint32]estimate.Snapshot {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.learned()
+	return p.learnedTimes()
 }
 
-// placedAtMost bounds the parts that are kept until a report tells of them.
-const placedAtMost = 512
+// maxPendingPlaced bounds the parts that are kept until a report tells of them.
+const maxPendingPlaced = 512
 
 // ZoneReport tells other zones what this instance and those beside it have under
 // way, as far as that changed, and what they placed since the last one.
 func (p *State) ZoneReport(now time.Duration) Report {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.told.lapse(now)
-	report := Report{Placed: p.zonePlaced, Unreachable: p.goneList(p.gone.beside, now), Unavailable: awayList(p.away.beside, now)}
+	p.peers.expire(now)
+	report := Report{Placed: p.zonePlaced, Unreachable: p.unreachableList(p.unreachable.sameZone, now), Unavailable: unavailableList(p.unavailable.sameZone, now)}
 	p.zonePlaced = nil
-	report.Limits = p.limits.book.DueZone(now)
-	report.Loads = p.due(&p.zone, now, func(n *node) EngineLoad { return n.here(now) })
+	report.Limits = p.limits.announcements.DueZone(now)
+	report.Loads = p.due(&p.zoneSent, now, func(n *node) EngineLoad { return n.zoneLoad(now) })
 	return report
 }
 
@@ -155,12 +155,12 @@
 func (p *State) OtherZonesReport(now time.Duration) Report {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.told.lapse(now)
-	report := Report{Placed: p.beyondPlaced, Unreachable: p.goneList(p.gone.beyond, now), Unavailable: awayList(p.away.beyond, now)}
-	p.beyondPlaced = nil
-	report.Limits = p.limits.book.DueOtherZones(now)
-	report.Loads = p.due(&p.beyond, now, func(n *node) EngineLoad {
-		load := n.told.beyond.at(now)
+	p.peers.expire(now)
+	report := Report{Placed: p.otherZonesPlaced, Unreachable: p.unreachableList(p.unreachable.otherZones, now), Unavailable: unavailableList(p.unavailable.otherZones, now)}
+	p.otherZonesPlaced = nil
+	report.Limits = p.limits.announcements.DueOtherZones(now)
+	report.Loads = p.due(&p.otherZonesSent, now, func(n *node) EngineLoad {
+		load := n.peers.otherZones.at(now)
 		load.Engine = n.hash
 		return load
 	})
@@ -168,17 +168,17 @@
 }
 
 // due lists the loads that a ledger's receivers are to be told of. The lock is held.
-func (p *State) due(l *ledger, now time.Duration, of func(*node) EngineLoad) []EngineLoad {
+func (p *State) due(l *sentLoads, now time.Duration, of func(*node) EngineLoad) []EngineLoad {
 	var loads []EngineLoad
 	for _, n := range p.nodes {
 		load := of(n)
 		if load.idle() {
-			load = none(n.hash)
+			load = zeroLoad(n.hash)
 		}
 		if l.due(load, now) {
 			loads = append(loads, load)
 		}
-		if len(loads) == toldAtMost {
+		if len(loads) == maxReportLoads {
 			break
 		}
 	}
@@ -189,28 +189,28 @@
 func (p *State) ApplyReport(source string, report Report, now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.told.lapse(now)
-	p.told.take(source, report, now)
+	p.peers.expire(now)
+	p.peers.apply(source, report, now)
 	for _, placed := range report.Placed {
-		p.parts.note(placed, now)
+		p.parts.record(placed, now)
 	}
-	p.hear(report.Times)
+	p.mergeTimes(report.Times)
 	beside := strings.HasPrefix(source, InstanceSourcePrefix)
-	p.hearWords(report, beside, now)
-	p.hearLimits(report.Limits, beside, now)
+	p.mergeNotices(report, beside, now)
+	p.applyLimits(report.Limits, beside, now)
 	if beside {
 		p.zonePlaced = newest(append(p.zonePlaced, report.Placed...))
 	} else {
-		p.beyondPlaced = newest(append(p.beyondPlaced, report.Placed...))
+		p.otherZonesPlaced = newest(append(p.otherZonesPlaced, report.Placed...))
 	}
 }
 
 // newest keeps the newest of the parts that wait to be told of.
-func newest(placed []PlacedPart) []PlacedPart { return placed[max(0, len(placed)-placedAtMost):] }
+func newest(placed []PlacedPart) []PlacedPart { return placed[max(0, len(placed)-maxPendingPlaced):] }
 
 // DropSource forgets what a source told.
 func (p *State) DropSource(source string, now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.told.drop(source, now)
+	p.peers.drop(source, now)
 }
--- a/internal/upstreamstate/statement.go
+++ b/internal/upstreamstate/statement.go
@@ -19,12 +19,12 @@
 	ParseErrors []error
 }
 
-// restTable is until when upstreams want nothing from this instance.
-type restTable map[uint32]time.Duration
+// backoffTable is until when upstreams want nothing from this instance.
+type backoffTable map[uint32]time.Duration
 
-// note takes an upstream's wish, and tells whether the rest is longer by it. What it asked for
+// extend takes an upstream's wish, and tells whether the rest is longer by it. What it asked for
 // before stands.
-func (t restTable) note(hash uint32, until time.Duration) bool {
+func (t backoffTable) extend(hash uint32, until time.Duration) bool {
 	if until <= t[hash] {
 		return false
 	}
@@ -41,7 +41,7 @@
 	defer p.mu.Unlock()
 	hash := from.Incarnation()
 	n, listed := p.nodes[from.ID]
-	if listed && n.hash != hash || !p.limits.rests.note(hash, now+d) {
+	if listed && n.hash != hash || !p.limits.backoffs.extend(hash, now+d) {
 		return false
 	}
 	if listed {
@@ -55,11 +55,11 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var over []string
-	for hash, until := range p.limits.rests {
+	for hash, until := range p.limits.backoffs {
 		if now < until {
 			continue
 		}
-		delete(p.limits.rests, hash)
+		delete(p.limits.backoffs, hash)
 		if n, ok := p.byHash[hash]; ok {
 			over = append(over, n.ID)
 		}
@@ -72,5 +72,5 @@
 func (p *State) BackoffLeft(hash uint32, now time.Duration) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return max(0, p.limits.rests[hash]-now)
+	return max(0, p.limits.backoffs[hash]-now)
 }
--- a/internal/upstreamstate/told.go
+++ b/internal/upstreamstate/told.go
@@ -11,166 +11,166 @@
 
 // Times for which what others told counts.
 const (
-	// sourceLasts is how long a source's word counts once it is silent. A source
+	// sourceTTL is how long a source's word counts once it is silent. A source
 	// with nothing new tells so each 0.4 s, so three reports may be lost.
-	sourceLasts = 1700 * time.Millisecond
-	// entryLasts is how long the load of one engine counts that its source names
+	sourceTTL = 1700 * time.Millisecond
+	// loadTTL is how long the load of one engine counts that its source names
 	// no more: more than three of the times after which it is told again (retellAfter).
-	entryLasts = 3300 * time.Millisecond
-	// lapseEvery is how late it may be noticed that a word counts no longer.
-	lapseEvery = 200 * time.Millisecond
+	loadTTL = 3300 * time.Millisecond
+	// expireEvery is how late it may be noticed that a word counts no longer.
+	expireEvery = 200 * time.Millisecond
 )
 
-// toldLoads is what the other instances have on the upstreams, as the sources of
+// peerLoads is what the other instances have on the upstreams, as the sources of
 // reports told. The sums are kept up as reports come, so that a choice costs the
 // same however many sources there are.
-type toldLoads struct {
+type peerLoads struct {
 	sources map[string]*source
-	byHash  map[uint32]*toldLoad
-	// lapseAt is when to look for words that count no longer.
-	lapseAt time.Duration
+	byHash  map[uint32]*peerLoad
+	// nextExpiry is when to look for words that count no longer.
+	nextExpiry time.Duration
 }
 
-// toldLoad is what other instances have on one upstream.
-type toldLoad struct {
-	// beside is of the instances of this zone, beyond of those of other zones.
-	beside, beyond total
+// peerLoad is what other instances have on one upstream.
+type peerLoad struct {
+	// sameZone is of the instances of this zone, otherZones of those of other zones.
+	sameZone, otherZones loadSum
 }
 
 // source is one instance of this zone, or another zone.
 type source struct {
-	beside bool
-	at     time.Duration
-	round  uint64 // counts its reports
-	loads  map[uint32]heard
+	sameZone bool
+	at       time.Duration
+	round    uint64 // counts its reports
+	loads    map[uint32]receivedLoad
 }
 
-// heard is a source's load on an upstream, as of when it was told.
-type heard struct {
+// receivedLoad is a source's load on an upstream, as of when it was told.
+type receivedLoad struct {
 	EngineLoad
 	at    time.Duration
 	round uint64
 }
 
-func newToldLoads() toldLoads {
-	return toldLoads{sources: map[string]*source{}, byHash: map[uint32]*toldLoad{}}
+func newPeerLoads() peerLoads {
+	return peerLoads{sources: map[string]*source{}, byHash: map[uint32]*peerLoad{}}
 }
 
 // of returns what others have on an upstream.
-func (t *toldLoads) of(hash uint32) *toldLoad {
+func (t *peerLoads) of(hash uint32) *peerLoad {
 	l, ok := t.byHash[hash]
 	if !ok {
-		l = &toldLoad{}
+		l = &peerLoad{}
 		t.byHash[hash] = l
 	}
 	return l
 }
 
-// take takes a report's loads.
-func (t *toldLoads) take(from string, report Report, now time.Duration) {
+// apply takes a report's loads.
+func (t *peerLoads) apply(from string, report Report, now time.Duration) {
 	s, ok := t.sources[from]
 	if !ok {
-		s = &source{beside: strings.HasPrefix(from, InstanceSourcePrefix), loads: map[uint32]heard{}}
+		s = &source{sameZone: strings.HasPrefix(from, InstanceSourcePrefix), loads: map[uint32]receivedLoad{}}
 		t.sources[from] = s
 	}
 	s.at = now
 	s.round++
 	for _, l := range report.Loads {
-		t.put(s, l, now)
+		t.set(s, l, now)
 	}
 	if !report.Complete {
 		return
 	}
 	for hash, h := range s.loads {
 		if h.round != s.round {
-			t.put(s, none(hash), now)
+			t.set(s, zeroLoad(hash), now)
 		}
 	}
 }
 
-// put has a source's load on an upstream take the place of the one before.
-func (t *toldLoads) put(s *source, l EngineLoad, now time.Duration) {
+// set has a source's load on an upstream take the place of the one before.
+func (t *peerLoads) set(s *source, l EngineLoad, now time.Duration) {
 	sum := t.sum(s, l.Engine)
 	if before, ok := s.loads[l.Engine]; ok {
-		sum.take(before, now)
+		sum.subtract(before, now)
 	}
-	if l == none(l.Engine) {
+	if l == zeroLoad(l.Engine) {
 		delete(s.loads, l.Engine)
 		return
 	}
-	s.loads[l.Engine] = heard{EngineLoad: l, at: now, round: s.round}
+	s.loads[l.Engine] = receivedLoad{EngineLoad: l, at: now, round: s.round}
 	sum.add(l, now)
 }
 
 // sum is where the loads of a source on an upstream are added up.
-func (t *toldLoads) sum(s *source, hash uint32) *total {
+func (t *peerLoads) sum(s *source, hash uint32) *loadSum {
 	l := t.of(hash)
-	if s.beside {
-		return &l.beside
+	if s.sameZone {
+		return &l.sameZone
 	}
-	return &l.beyond
+	return &l.otherZones
 }
 
-// lapse forgets the sources that have not reported for long, and the loads that
+// expire forgets the sources that have not reported for long, and the loads that
 // were not told again.
-func (t *toldLoads) lapse(now time.Duration) {
-	if now < t.lapseAt {
+func (t *peerLoads) expire(now time.Duration) {
+	if now < t.nextExpiry {
 		return
 	}
-	t.lapseAt = now + lapseEvery
+	t.nextExpiry = now + expireEvery
 	for name, s := range t.sources {
-		if now-s.at > sourceLasts {
+		if now-s.at > sourceTTL {
 			t.drop(name, now)
 			continue
 		}
 		for hash, h := range s.loads {
-			if now-h.at > entryLasts {
-				t.put(s, none(hash), now)
+			if now-h.at > loadTTL {
+				t.set(s, zeroLoad(hash), now)
 			}
 		}
 	}
 }
 
 // drop forgets a source.
-func (t *toldLoads) drop(name string, now time.Duration) {
+func (t *peerLoads) drop(name string, now time.Duration) {
 	s, ok := t.sources[name]
 	if !ok {
 		return
 	}
 	for hash := range s.loads {
-		t.put(s, none(hash), now)
+		t.set(s, zeroLoad(hash), now)
 	}
 	delete(t.sources, name)
 }
 
-// total is a sum of loads on one upstream. Rates fade alike whenever they were
+// loadSum is a sum of loads on one upstream. Rates fade alike whenever they were
 // told, so that their sum fades as each of them does.
-type total struct {
-	ahead, yielding time.Duration
-	requests        int
-	use, inflow     rate
+type loadSum struct {
+	backlog, deferredBacklog time.Duration
+	requests                 int
+	utilization, inflow      rate
 }
 
-func (t *total) add(l EngineLoad, now time.Duration) {
-	t.ahead += l.Backlog
-	t.yielding += l.DeferredBacklog
+func (t *loadSum) add(l EngineLoad, now time.Duration) {
+	t.backlog += l.Backlog
+	t.deferredBacklog += l.DeferredBacklog
 	t.requests += l.Requests
-	t.use.put(t.use.now(now)+l.Utilization, now)
-	t.inflow.put(t.inflow.now(now)+l.Inflow, now)
+	t.utilization.set(t.utilization.valueAt(now)+l.Utilization, now)
+	t.inflow.set(t.inflow.valueAt(now)+l.Inflow, now)
 }
 
-// take takes a load off that was added when it was told.
-func (t *total) take(h heard, now time.Duration) {
-	t.ahead -= h.Backlog
-	t.yielding -= h.DeferredBacklog
+// subtract takes a load off that was added when it was told.
+func (t *loadSum) subtract(h receivedLoad, now time.Duration) {
+	t.backlog -= h.Backlog
+	t.deferredBacklog -= h.DeferredBacklog
 	t.requests -= h.Requests
-	t.use.put(max(0, t.use.now(now)-faded(h.Utilization, now-h.at)), now)
-	t.inflow.put(max(0, t.inflow.now(now)-faded(h.Inflow, now-h.at)), now)
+	t.utilization.set(max(0, t.utilization.valueAt(now)-decayed(h.Utilization, now-h.at)), now)
+	t.inflow.set(max(0, t.inflow.valueAt(now)-decayed(h.Inflow, now-h.at)), now)
 }
 
 // at is the sum at a time.
-func (t *total) at(now time.Duration) EngineLoad {
+func (t *loadSum) at(now time.Duration) EngineLoad {
 	return EngineLoad{
-		Backlog: t.ahead, DeferredBacklog: t.yielding, Requests: t.requests, Utilization: t.use.now(now), Inflow: t.inflow.now(now),
+		Backlog: t.backlog, DeferredBacklog: t.deferredBacklog, Requests: t.requests, Utilization: t.utilization.valueAt(now), Inflow: t.inflow.valueAt(now),
 	}
 }
--- a/internal/upstreamstate/upstreamstate.go
+++ b/internal/upstreamstate/upstreamstate.go
@@ -74,9 +74,9 @@
 // safe for use by several goroutines.
 type State struct {
 	settings Settings
-	// stages and calls choose engines and the upstreams of plain services.
-	stages *placement.DisaggregatedScheduler
-	calls  *placement.Scheduler
+	// engineScheduler and calls choose engines and the upstreams of plain services.
+	engineScheduler  *placement.DisaggregatedScheduler
+	serviceScheduler *placement.Scheduler
 
 	mu      sync.Mutex // protects all below
 	table   *routes.Table
@@ -92,21 +92,21 @@
 	loads *load.Table
 	// models are what the engines of each service take.
 	models map[string]*estimate.Model
-	told   toldLoads
-	// gone are the upstreams that instances could not reach, away those that take no
+	peers  peerLoads
+	// unreachable are the upstreams that instances could not reach, unavailable those that take no
 	// requests for a time.
-	gone, away words
-	limits     limits
+	unreachable, unavailable notices
+	limits                   limits
 	// parts are the prompt parts that the engines are believed to have.
 	parts partTable
 	// placed are the parts that were placed here since this instance's last report,
-	// zonePlaced here and beside since the zone's last one, beyondPlaced in other
+	// zonePlaced here and beside since the zone's last one, otherZonesPlaced in other
 	// zones since these were last passed on.
-	placed, zonePlaced, beyondPlaced []PlacedPart
-	// zone and beyond are what the last reports of the zone, and of the other zones
+	placed, zonePlaced, otherZonesPlaced []PlacedPart
+	// zoneSent and otherZonesSent are what the last reports of the zoneSent, and of the other zones
 	// together, told.
-	zone, beyond ledger
-	rng          *rand.Rand
+	zoneSent, otherZonesSent sentLoads
+	rng                      *rand.Rand
 	// candidateBuf is kept from one choice to the next.
 	candidateBuf []placement.Candidate
 }
@@ -122,11 +122,11 @@
 		s.OnChange = func() {}
 	}
 	return &State{
-		settings: s, stages: placement.NewDisaggregatedScheduler(), calls: placement.NewAggregateServiceScheduler(),
+		settings: s, engineScheduler: placement.NewDisaggregatedScheduler(), serviceScheduler: placement.NewAggregateServiceScheduler(),
 		table: routes.NewTable(0, nil, nil, routes.Limits{}),
 		nodes: map[string]*node{}, byHash: map[uint32]*node{}, byService: map[string][]*node{}, busy: map[*node]bool{},
-		loads: loads, models: map[string]*estimate.Model{}, told: newToldLoads(), parts: newPartTable(),
-		gone: newWords(), away: newWords(), limits: newLimits(), zone: newLedger(), beyond: newLedger(),
+		loads: loads, models: map[string]*estimate.Model{}, peers: newPeerLoads(), parts: newPartTable(),
+		unreachable: newNotices(), unavailable: newNotices(), limits: newLimits(), zoneSent: newSentLoads(), otherZonesSent: newSentLoads(),
 		rng: rand.New(rand.NewPCG(s.Seed, s.Seed)),
 	}
 }
@@ -157,31 +157,31 @@
 	defer p.mu.Unlock()
 	n, ok := p.nodes[u.ID]
 	if ok && n.StartedAt != u.StartedAt {
-		p.limits.book.Forget(n.hash)
-		delete(p.limits.spent, n.hash)
-		delete(p.limits.rests, n.hash)
-		p.forget(n)
+		p.limits.announcements.Forget(n.hash)
+		delete(p.limits.exhausted, n.hash)
+		delete(p.limits.backoffs, n.hash)
+		p.removeNode(n)
 		p.loads.Reset(u.ID)
 		ok = false
 	}
 	if !ok {
 		n = &node{hash: u.Incarnation(), load: p.loads.Upstream(u.ID)}
-		n.told = p.told.of(n.hash)
+		n.peers = p.peers.of(n.hash)
 		p.nodes[u.ID], p.byHash[n.hash] = n, n
 	}
 	if n.Service != u.Service {
-		p.leave(n)
+		p.removeFromService(n)
 		p.byService[u.Service] = append(p.byService[u.Service], n)
 	}
 	if n.Role != u.Role {
-		p.away.forget(n.hash) // the order is carried out
+		p.unavailable.remove(n.hash) // the order is carried out
 	}
 	n.Upstream, n.engine = u, engineOf(u)
-	n.Draining = u.Draining || p.limits.book.Draining(n.hash)
+	n.Draining = u.Draining || p.limits.announcements.Draining(n.hash)
 }
 
-// leave takes an upstream off its service's list. The lock is held.
-func (p *State) leave(n *node) {
+// removeFromService takes an upstream off its service's list. The lock is held.
+func (p *State) removeFromService(n *node) {
 	list := p.byService[n.Service]
 	if i := slices.Index(list, n); i >= 0 {
 		p.byService[n.Service] = slices.Delete(list, i, i+1)
@@ -196,18 +196,18 @@
 	if !ok {
 		return
 	}
-	p.forget(n)
+	p.removeNode(n)
 	p.loads.Drop(id)
 }
 
-// forget drops what is known of one start of an upstream. The lock is held.
-func (p *State) forget(n *node) {
-	p.leave(n)
+// removeNode drops what is known of one start of an upstream. The lock is held.
+func (p *State) removeNode(n *node) {
+	p.removeFromService(n)
 	delete(p.nodes, n.ID)
 	delete(p.busy, n)
 	delete(p.byHash, n.hash)
-	p.gone.forget(n.hash)
-	p.away.forget(n.hash)
+	p.unreachable.remove(n.hash)
+	p.unavailable.remove(n.hash)
 }
 
 // hash names an upstream in reports. The lock is held.
@@ -261,13 +261,13 @@
 func (p *State) Engines(now time.Duration) map[string][]Engine {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.told.lapse(now)
+	p.peers.expire(now)
 	lists := map[string][]Engine{}
 	for _, n := range p.nodes {
 		if n.Role == "" || n.Draining {
 			continue
 		}
-		lists[n.Service] = append(lists[n.Service], Engine{Upstream: n.Upstream, Load: n.all(now)})
+		lists[n.Service] = append(lists[n.Service], Engine{Upstream: n.Upstream, Load: n.totalLoad(now)})
 	}
 	return lists
 }
@@ -277,5 +277,5 @@
 func (p *State) MarkUnavailable(id string, until time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.sendAway(id, until)
+	p.markUnavailable(id, until)
 }
--- a/internal/upstreamstate/upstreamstate_test.go
+++ b/internal/upstreamstate/upstreamstate_test.go
@@ -62,20 +62,20 @@
 	p.PlaceOn("e", "r1", time.Second)
 	p.MarkUnavailable("e", time.Minute)
 	p.UpdateUpstream(engine) // told again: nothing is forgotten
-	if n := p.nodes["e"]; n.toldTo(time.Second).Requests != 10 || !p.takesNone(n, time.Second) {
-		t.Fatalf("forgotten without a new start: %+v", n.toldTo(time.Second))
+	if n := p.nodes["e"]; n.aggregateLoad(time.Second).Requests != 10 || !p.suspect(n, time.Second) {
+		t.Fatalf("forgotten without a new start: %+v", n.aggregateLoad(time.Second))
 	}
 	engine.StartedAt = 5000
 	p.UpdateUpstream(engine)
 	n := p.nodes["e"]
-	if engine.Incarnation() == before || n.own(time.Second).Requests != 0 || n.toldTo(time.Second).Requests != 0 || p.takesNone(n, time.Second) {
-		t.Errorf("has %+v of before, left out: %t", n.toldTo(time.Second), p.takesNone(n, time.Second))
+	if engine.Incarnation() == before || n.ownLoad(time.Second).Requests != 0 || n.aggregateLoad(time.Second).Requests != 0 || p.suspect(n, time.Second) {
+		t.Errorf("has %+v of before, left out: %t", n.aggregateLoad(time.Second), p.suspect(n, time.Second))
 	}
 	if p.HasPlacement(PlacedPart{Engine: n.hash, Part: 7}) {
 		t.Error("is believed to have a part of before")
 	}
 	p.RequestDone("e", "r1", time.Second) // of before
-	if p.nodes["e"].own(time.Second).Requests != 0 {
+	if p.nodes["e"].ownLoad(time.Second).Requests != 0 {
 		t.Error("a request of before is taken off the new start")
 	}
 	if len(p.byService["llm"]) != 1 || len(p.byHash) != 1 {
@@ -113,7 +113,7 @@
 		t.Errorf("%d requests counted", n)
 	}
 	p.OwnReport(time.Minute)
-	if len(p.told.sources) != 0 {
+	if len(p.peers.sources) != 0 {
 		t.Error("the source is still held")
 	}
 }
@@ -203,7 +203,7 @@
 	callsWithout(t, other, chosen.ID, time.Second)
 	beyond.ApplyReport("zone a", other.ZoneReport(0), 0)
 	callsWithout(t, beyond, chosen.ID, time.Second)
-	callsWithout(t, beyond, chosen.ID, movedFor-time.Millisecond)
+	callsWithout(t, beyond, chosen.ID, addressReassignedFor-time.Millisecond)
 }
 
 // TestAnEngineIsAwayUntilItsRoleHasChanged: its word counts whatever was heard from it,
@@ -216,7 +216,7 @@
 	silent := func() bool {
 		other.mu.Lock()
 		defer other.mu.Unlock()
-		return other.takesNone(other.nodes["dec-1"], time.Second)
+		return other.suspect(other.nodes["dec-1"], time.Second)
 	}
 	if !silent() {
 		t.Error("it takes requests while it changes")
--- a/internal/upstreamstate/work.go
+++ b/internal/upstreamstate/work.go
@@ -9,15 +9,15 @@
 
 // workload is what this instance has on one upstream, and what it heard of it.
 type workload struct {
-	// own is the predicted time of this instance's prompts there, yielding the
+	// backlog is the predicted time of this instance's prompts there, deferredBacklog the
 	// part of it that yields to other prompts.
-	own, yielding time.Duration
-	// use is the work of the prompts that this instance placed there lately, inflow
+	backlog, deferredBacklog time.Duration
+	// utilization is the work of the prompts that this instance placed there lately, inflow
 	// are the tokens that its requests put into the cache.
-	use, inflow rate
-	// heardAt is when the upstream last answered anything; heard tells that it did.
-	heardAt time.Duration
-	heard   bool
+	utilization, inflow rate
+	// answeredAt is when the upstream last answered anything; heard tells that it did.
+	answeredAt time.Duration
+	answered   bool
 	// reported is what it said with its newest answer.
 	reported   Load
 	reportedAt time.Duration
@@ -38,9 +38,9 @@
 	if !ok {
 		return
 	}
-	n.work.own = max(0, n.work.own-work)
+	n.work.backlog = max(0, n.work.backlog-work)
 	if turn == placement.QueueDeferred {
-		n.work.yielding = max(0, n.work.yielding-work)
+		n.work.deferredBacklog = max(0, n.work.deferredBacklog-work)
 	}
 	p.changed(n)
 }
@@ -77,16 +77,16 @@
 	defer p.mu.Unlock()
 	switch v {
 	case load.CallUnreachable:
-		p.noteGone(id, now)
+		p.noteUnreachable(id, now)
 	case load.CallAddressReassigned:
-		p.sendAway(id, now+movedFor)
+		p.markUnavailable(id, now+addressReassignedFor)
 	}
 	n, ok := p.nodes[id]
 	if !ok {
 		return false // its entry is gone
 	}
 	if v != load.CallUnreachable && v != load.CallAddressReassigned {
-		n.work.heardAt, n.work.heard = now, true
+		n.work.answeredAt, n.work.answered = now, true
 		return p.loads.RecordCall(id, v, now)
 	}
 	first := p.loads.RecordCall(id, v, now)
@@ -98,5 +98,5 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n, ok := p.nodes[id]
-	return ok && n.work.heard && n.work.heardAt > since
+	return ok && n.work.answered && n.work.answeredAt > since
 }
