--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -183,8 +183,8 @@
 	return report
 }
 
-// Learned returns what this instance has learned of the engines.
-func (r *Relay) Learned() map[uint32]estimate.Snapshot { return r.picture.Learned() }
+// LearnedTimes returns what this instance has learned of the engines.
+func (r *Relay) LearnedTimes() map[uint32]estimate.Snapshot { return r.picture.LearnedTimes() }
 
 // ApplyReport takes the report of another instance, or of a whole zone.
 func (r *Relay) ApplyReport(source string, report upstreamstate.Report) {
--- a/internal/upstreamstate/reports.go
+++ b/internal/upstreamstate/reports.go
@@ -128,7 +128,7 @@
 
 // Learned returns what this instance has learned of the engines, by a hash of the
 // service, for the others.
-func (p *State) Learned() map[uint32]estimate.Snapshot {
+func (p *State) LearnedTimes() map[uint32]estimate.Snapshot {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.learnedTimes()
