--- a/internal/control/leasehandover.go
+++ b/internal/control/leasehandover.go
@@ -32,7 +32,7 @@
 	}
 	if p.closing == closingBack && p.sending == 0 && p.machine.Released() {
 		p.closing = closingNot
-		p.machine.Resume()
+		p.machine.ResumeWatching()
 	}
 }
 
@@ -89,7 +89,7 @@
 	now := bootclock.Now()
 	for _, p := range l.machines {
 		rank := l.ownRank(p.pool, live)
-		p.machine.SetPlace(l.daemon.settings.Lease.ranks().Place(rank))
+		p.machine.SetWatchPolicy(l.daemon.settings.Lease.ranks().WatchPolicy(rank))
 		if rank == 0 && !p.first {
 			p.firstSince = now
 		}
@@ -223,7 +223,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if p, ok := l.machines[req.Msg.Pool]; ok {
-		p.machine.Hint()
+		p.machine.RequestRead()
 	}
 	return connect.NewResponse(&sfv1.FreedResponse{}), nil
 }
--- a/internal/gossip/delta_test.go
+++ b/internal/gossip/delta_test.go
@@ -63,10 +63,10 @@
 		t.Fatal(err)
 	}
 	other := &config.Config{Version: 1, Organisations: []config.Organisation{{Name: "b"}}}
-	if _, err := ApplyAll(other, [][]byte{data}, Sum(next.Encode())); !errors.Is(err, ErrBase) {
+	if _, err := ApplyAll(other, [][]byte{data}, Sum(next.Encode())); !errors.Is(err, ErrBaseMismatch) {
 		t.Errorf("another version 1: %v", err)
 	}
-	if _, err := ApplyAll(&config.Config{}, [][]byte{data}, Sum(next.Encode())); !errors.Is(err, ErrBase) {
+	if _, err := ApplyAll(&config.Config{}, [][]byte{data}, Sum(next.Encode())); !errors.Is(err, ErrBaseMismatch) {
 		t.Errorf("version 0: %v", err)
 	}
 }
@@ -74,13 +74,13 @@
 func TestHolderGivesDeltasSinceAVersion(t *testing.T) {
 	h := NewHolder()
 	for v := int64(1); v <= 5; v++ {
-		h.Learn(&config.Config{Version: v, Organisations: []config.Organisation{{Name: "a", Share: float64(v)}}})
+		h.SetIfNewer(&config.Config{Version: v, Organisations: []config.Organisation{{Name: "a", Share: float64(v)}}})
 	}
-	update := h.Since(3)
+	update := h.UpdateSince(3)
 	if len(update.Deltas) != 2 || update.Document != nil {
 		t.Errorf("since 3: %d deltas, %d bytes of document", len(update.Deltas), len(update.Document))
 	}
-	if update := h.Since(0); update.Document == nil {
+	if update := h.UpdateSince(0); update.Document == nil {
 		t.Error("since 0: no document")
 	}
 }
--- a/internal/gossip/model_test.go
+++ b/internal/gossip/model_test.go
@@ -15,7 +15,7 @@
 // Settings of the model.
 var (
 	modelFresh  = freshness.Settings{FreshFor: 5 * time.Second, AcceptWithin: 4 * time.Second, ReadLag: 500 * time.Millisecond}
-	modelSpread = gossip.Settings{PollEvery: time.Second, TableReads: 100, ExchangeEvery: 500 * time.Millisecond, Fanout: 2}
+	modelSpread = gossip.Settings{PollEvery: time.Second, TableReadsPerSecond: 100, ExchangeEvery: 500 * time.Millisecond, Fanout: 2}
 )
 
 const modelStep = 50 * time.Millisecond
@@ -86,7 +86,7 @@
 		}
 	}
 	d.fresh.SetMembers(ids)
-	d.machine.ListChanged(peers)
+	d.machine.SetPeers(peers)
 }
 
 func (w *world) clock(d *node) time.Duration { return w.now + d.offset }
@@ -142,7 +142,7 @@
 		w.known[version] = w.now
 	}
 	d.fresh.SetHeld(version)
-	w.carryOut(d, d.machine.Learned(version))
+	w.carryOut(d, d.machine.OnNewVersion(version))
 }
 
 func (w *world) carryOut(d *node, actions []gossip.Action) {
@@ -159,7 +159,7 @@
 			head := w.staleHead()
 			return func() {
 				d.fresh.HeadRead(sent, head)
-				d.machine.TableAnswered(w.clock(d), head)
+				d.machine.OnHeadRead(w.clock(d), head)
 			}
 		})
 	case gossip.Load:
@@ -172,15 +172,15 @@
 			digest := to.fresh.Digest(w.clock(to), true)
 			return func() {
 				d.fresh.MergeAnswer(sent, w.clock(d), to.id, digest)
-				w.carryOut(d, d.machine.PeerAnswered(w.clock(d), to.id, digest.Version))
+				w.carryOut(d, d.machine.OnPeerAnswer(w.clock(d), to.id, digest.Version))
 			}
 		})
 	case gossip.Offer:
 		to, version := w.byID(a.Peer), d.held
 		w.ask(d, to, func() func() {
 			to.fresh.NoteVersion(version)
-			answer := to.machine.PeerOffered(w.clock(to), version)
-			return func() { w.carryOut(d, d.machine.PeerAnswered(w.clock(d), to.id, answer)) }
+			answer := to.machine.OnOffer(w.clock(to), version)
+			return func() { w.carryOut(d, d.machine.OnPeerAnswer(w.clock(d), to.id, answer)) }
 		})
 	case gossip.Send:
 		to, version := w.byID(a.Peer), d.held
--- a/internal/rolekeeper/lease.go
+++ b/internal/rolekeeper/lease.go
@@ -17,8 +17,8 @@
 
 // ranks settles who watches the lease: three instances, the others leave the
 // store alone.
-func (k *Keeper) ranks() lease.Ranks {
-	return lease.Ranks{Watchers: 3, ReadEvery: k.settings.Lease / 2, Delay: k.settings.Lease / 10}
+func (k *Keeper) ranks() lease.RankSettings {
+	return lease.RankSettings{Watchers: 3, ReadEvery: k.settings.Lease / 2, RankDelay: k.settings.Lease / 10}
 }
 
 func (k *Keeper) place() {
@@ -27,7 +27,7 @@
 	if slices.Contains(candidates, k.settings.Instance) {
 		rank = lease.Rank(Lease, k.settings.Instance, candidates)
 	}
-	k.machine.SetPlace(ranks.Place(rank))
+	k.machine.SetWatchPolicy(ranks.WatchPolicy(rank))
 	k.watches = rank < ranks.Watchers
 }
 
@@ -67,7 +67,7 @@
 		for _, d := range k.duties {
 			d.Taken()
 		}
-		k.log.Info("roles: lease taken", "epoch", grant.Epoch, "first", grant.First, "resumed", grant.Resumed, "returned", grant.Returned)
+		k.log.Info("roles: lease taken", "epoch", grant.Epoch, "first", grant.First, "resumed", grant.Resumed, "returned", grant.TableRestored)
 		return
 	}
 	k.log.Info("roles: lease lost or given up")
@@ -77,7 +77,7 @@
 // copy and nobody else had the lease, this process knows more than the store does: it goes on with
 // that, and has the wanted splits written again.
 func (k *Keeper) begin(grant lease.Grant) {
-	if !grant.Returned || !grant.Resumed {
+	if !grant.TableRestored || !grant.Resumed {
 		k.pending, k.services = map[string]pending{}, map[string]*duty{}
 		return
 	}
