--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -31,13 +31,13 @@
 	if e.rng.Float64() < wrong/2 { // a wait that nobody told of
 		took *= 1 + 2*e.rng.Float64()
 	}
-	return Prefill{Fresh: fresh, Cached: cached, Took: time.Duration(took)}
+	return Prefill{Uncached: fresh, Cached: cached, Elapsed: time.Duration(took)}
 }
 
 func (e engine) stream(batch float64) Stream {
 	tokens := 50 + e.rng.IntN(4000)
 	step := float64(e.step) + batch*float64(e.perRequest)
-	return Stream{Stepped: tokens, Took: time.Duration(step * float64(tokens)), Batch: batch}
+	return Stream{Tokens: tokens, Elapsed: time.Duration(step * float64(tokens)), BatchSize: batch}
 }
 
 func near(got, want, part float64) bool { return got > want*(1-part) && got < want*(1+part) }
@@ -58,11 +58,11 @@
 		for n, part := range map[int]float64{16: 0.15, 64: 0.12} {
 			m := New(prior)
 			for range n {
-				m.Prefilled(e.prefill(0.2))
+				m.RecordPrefill(e.prefill(0.2))
 			}
 			const fresh, cached = 2900, 6300
 			want := fresh*e.token + pairs(fresh, cached)*e.pair + roundTrip + e.besides
-			got := m.predict(Prefill{Fresh: fresh, Cached: cached})
+			got := m.predict(Prefill{Uncached: fresh, Cached: cached})
 			if !near(float64(got), want, part) {
 				t.Errorf("%s, %d prompts: %s, want %s", name, n, got, time.Duration(want))
 			}
@@ -73,9 +73,9 @@
 func TestPromptsThatWaitedTellNothing(t *testing.T) {
 	m := New(DefaultPrior())
 	for range 100 {
-		m.Prefilled(Prefill{Fresh: 1000, Ahead: time.Second, Took: time.Second})
+		m.RecordPrefill(Prefill{Uncached: 1000, PredictedWait: time.Second, Elapsed: time.Second})
 	}
-	if token, _, _ := m.Prompt(); token != DefaultPrior().TokenTime {
+	if token, _, _ := m.PromptTimes(); token != DefaultPrior().TokenTime {
 		t.Errorf("%g ns a token", token)
 	}
 }
@@ -84,9 +84,9 @@
 	e := engine{step: 637 * time.Microsecond, perRequest: 8500 * time.Nanosecond, rng: rand.New(rand.NewPCG(1, 2))}
 	m := New(DefaultPrior())
 	for i := range 64 {
-		m.Streamed(e.stream(float64(5 + i%40)))
+		m.RecordStream(e.stream(float64(5 + i%40)))
 	}
-	alone, perRequest := m.Step()
+	alone, perRequest := m.StepTimes()
 	full := alone + 64*perRequest
 	if want := e.step + 64*e.perRequest; !near(float64(full), float64(want), 0.1) {
 		t.Errorf("a step of 64 requests takes %s, want %s (%s, %s)", full, want, alone, perRequest)
@@ -98,12 +98,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := New(DefaultPrior())
 		for range rapid.IntRange(0, 40).Draw(t, "prompts") {
-			m.Prefilled(Prefill{
-				Fresh: rapid.IntRange(0, 100000).Draw(t, "fresh"), Cached: rapid.IntRange(0, 100000).Draw(t, "cached"),
-				Took: time.Duration(rapid.Int64Range(0, int64(10*time.Second)).Draw(t, "took")),
+			m.RecordPrefill(Prefill{
+				Uncached: rapid.IntRange(0, 100000).Draw(t, "fresh"), Cached: rapid.IntRange(0, 100000).Draw(t, "cached"),
+				Elapsed: time.Duration(rapid.Int64Range(0, int64(10*time.Second)).Draw(t, "took")),
 			})
 		}
-		if token, pair, _ := m.Prompt(); !(token > 0) || !(pair > 0) {
+		if token, pair, _ := m.PromptTimes(); !(token > 0) || !(pair > 0) {
 			t.Fatalf("%g, %g", token, pair)
 		}
 	})
@@ -117,17 +117,17 @@
 		rng: rand.New(rand.NewPCG(1, 2)),
 	}
 	old, young := New(prior), New(prior)
-	young.Hear(old.Learned())
+	young.Merge(old.Snapshot())
 	if young.PromptsKnown() || young.StepsKnown() {
 		t.Error("known from an instance that has seen nothing")
 	}
 	for i := range 64 {
-		old.Prefilled(e.prefill(0.2))
-		old.Streamed(e.stream(float64(i)))
+		old.RecordPrefill(e.prefill(0.2))
+		old.RecordStream(e.stream(float64(i)))
 	}
-	young.Hear(old.Learned())
-	token, _, _ := young.Prompt()
-	step, perRequest := young.Step()
+	young.Merge(old.Snapshot())
+	token, _, _ := young.PromptTimes()
+	step, perRequest := young.StepTimes()
 	if !young.PromptsKnown() || !young.StepsKnown() || !near(token, e.token, 0.2) {
 		t.Errorf("%g ns a token, want %g", token, e.token)
 	}
--- a/internal/gossip/model_test.go
+++ b/internal/gossip/model_test.go
@@ -15,7 +15,7 @@
 // Settings of the model.
 var (
 	modelFresh  = freshness.Settings{FreshFor: 5 * time.Second, AcceptWithin: 4 * time.Second, ReadLag: 500 * time.Millisecond}
-	modelSpread = gossip.Settings{PollEvery: time.Second, TableReads: 100, ExchangeEvery: 500 * time.Millisecond, Fanout: 2}
+	modelSpread = gossip.Settings{PollEvery: time.Second, TableReadsPerSecond: 100, ExchangeEvery: 500 * time.Millisecond, Fanout: 2}
 )
 
 const modelStep = 50 * time.Millisecond
@@ -85,8 +85,8 @@
 			peers = append(peers, other.id)
 		}
 	}
-	d.fresh.Listed(ids)
-	d.machine.ListChanged(peers)
+	d.fresh.SetMembers(ids)
+	d.machine.SetPeers(peers)
 }
 
 func (w *world) clock(d *node) time.Duration { return w.now + d.offset }
@@ -141,8 +141,8 @@
 	if _, ok := w.known[version]; !ok {
 		w.known[version] = w.now
 	}
-	d.fresh.Holds(version)
-	w.carryOut(d, d.machine.Learned(version))
+	d.fresh.SetHeld(version)
+	w.carryOut(d, d.machine.OnNewVersion(version))
 }
 
 func (w *world) carryOut(d *node, actions []gossip.Action) {
@@ -159,7 +159,7 @@
 			head := w.staleHead()
 			return func() {
 				d.fresh.HeadRead(sent, head)
-				d.machine.TableAnswered(w.clock(d), head)
+				d.machine.OnHeadRead(w.clock(d), head)
 			}
 		})
 	case gossip.Load:
@@ -168,19 +168,19 @@
 		to := w.byID(a.Peer)
 		version := d.held
 		w.ask(d, to, func() func() {
-			to.fresh.Heard(version)
+			to.fresh.NoteVersion(version)
 			digest := to.fresh.Digest(w.clock(to), true)
 			return func() {
-				d.fresh.Answered(sent, w.clock(d), to.id, digest)
-				w.carryOut(d, d.machine.PeerAnswered(w.clock(d), to.id, digest.Version))
+				d.fresh.MergeAnswer(sent, w.clock(d), to.id, digest)
+				w.carryOut(d, d.machine.OnPeerAnswer(w.clock(d), to.id, digest.Version))
 			}
 		})
 	case gossip.Offer:
 		to, version := w.byID(a.Peer), d.held
 		w.ask(d, to, func() func() {
-			to.fresh.Heard(version)
-			answer := to.machine.PeerOffered(w.clock(to), version)
-			return func() { w.carryOut(d, d.machine.PeerAnswered(w.clock(d), to.id, answer)) }
+			to.fresh.NoteVersion(version)
+			answer := to.machine.OnOffer(w.clock(to), version)
+			return func() { w.carryOut(d, d.machine.OnPeerAnswer(w.clock(d), to.id, answer)) }
 		})
 	case gossip.Send:
 		to, version := w.byID(a.Peer), d.held
@@ -212,7 +212,7 @@
 	d.fresh.Prepare(w.clock(d), version)
 	count := func() {
 		answered++
-		if answered == freshness.Needed(len(w.nodes)) {
+		if answered == freshness.Majority(len(w.nodes)) {
 			w.commit(d, version, started)
 		}
 	}
@@ -283,11 +283,11 @@
 	}
 	next := d.held + 1
 	since, exists := w.committed[next]
-	if status.By == "all" {
+	if status.Rule == "all" {
 		since, exists = w.known[next]
 	}
 	if exists && w.now > since+modelFresh.FreshFor {
-		w.t.Fatalf("%s serves version %d, by %s, %s after version %d was accepted", d.id, d.held, status.By, w.now-since, next)
+		w.t.Fatalf("%s serves version %d, by %s, %s after version %d was accepted", d.id, d.held, status.Rule, w.now-since, next)
 	}
 }
 
--- a/internal/instance/register.go
+++ b/internal/instance/register.go
@@ -38,7 +38,7 @@
 	}
 	registered := false
 	for pause.For(ctx, lookEvery) {
-		if in.peers.PassesFor() < registerAfter {
+		if in.peers.HubDuration() < registerAfter {
 			continue
 		}
 		if !registered {
@@ -81,5 +81,5 @@
 		}
 		list = append(list, p)
 	}
-	in.peers.Meet(list)
+	in.peers.AddPeers(list)
 }
--- a/internal/model/reports.go
+++ b/internal/model/reports.go
@@ -71,14 +71,14 @@
 	report := from.picture.OwnReport(r.now)
 	for _, to := range r.instances {
 		if to != from && to.zone == from.zone {
-			r.send(to, upstreamstate.BesidePrefix+from.name, report)
+			r.send(to, upstreamstate.InstanceSourcePrefix+from.name, report)
 		}
 	}
 }
 
 // tellBeyond has a hub tell its zone of the other zones.
 func (r *run) tellBeyond(hub *instance) {
-	report := hub.picture.BeyondReport(r.now)
+	report := hub.picture.OtherZonesReport(r.now)
 	for _, to := range r.instances {
 		if to != hub && to.zone == hub.zone {
 			r.send(to, "zones", report)
@@ -102,7 +102,7 @@
 			left = append(left, d)
 			continue
 		}
-		d.to.picture.TakeReport(d.source, d.report, r.now)
+		d.to.picture.ApplyReport(d.source, d.report, r.now)
 	}
 	r.underway = left
 }
--- a/internal/peers/link_test.go
+++ b/internal/peers/hublink_test.go
@@ -48,7 +48,7 @@
 			if i%18 < prefillOf18 {
 				role = config.RolePrefill
 			}
-			n.loads.Learn(upstreamstate.Upstream{
+			n.loads.UpdateUpstream(upstreamstate.Upstream{
 				ID: fmt.Sprintf("engine-%d", i), Service: "llm", Address: "a", Zone: fmt.Sprintf("z%d", i%zones), Role: role,
 			})
 		}
@@ -81,22 +81,22 @@
 // another one generates.
 func (b *busyFleet) place(n *virtualNode) {
 	b.requests++
-	ask := upstreamstate.Ask{ID: fmt.Sprint("r", b.requests), Service: "llm", Objective: time.Second, Left: 2 * time.Second}
+	ask := upstreamstate.PlacementRequest{ID: fmt.Sprint("r", b.requests), Service: "llm", Objective: time.Second, RemainingWait: 2 * time.Second}
 	ask.Prompt = placement.Prompt{Tokens: 9200, MaxOutput: 2, Parts: []placement.Part{
 		{ID: fmt.Sprint("part-", b.rng.IntN(2000)), Tokens: 6300}, {ID: "own", Tokens: 2900},
 	}}
-	start, turn, ok := n.loads.PickStart(ask, n.loads.now())
+	start, turn, ok := n.loads.PickPrefill(ask, n.loads.now())
 	if !ok {
 		return
 	}
 	b.at(promptFor, func() {
 		n.loads.PromptDone(start.Engine.ID, start.BusyTime, turn)
-		n.loads.End(start.Engine.ID, ask.ID, n.loads.now())
+		n.loads.RequestDone(start.Engine.ID, ask.ID, n.loads.now())
 		chosen, ok := n.loads.PickDecode(ask, "z0", n.loads.now())
 		if !ok {
 			return
 		}
-		b.at(answerFor, func() { n.loads.End(chosen.ID, ask.ID, n.loads.now()) })
+		b.at(answerFor, func() { n.loads.RequestDone(chosen.ID, ask.ID, n.loads.now()) })
 	})
 }
 
@@ -154,7 +154,7 @@
 		From: &sfv1.ReplicaPeer{Name: "other", Address: "127.0.0.1:1", Zone: "a"},
 	}
 	refuses := func() bool {
-		n.reports.take(context.Background(), newer)
+		n.reports.handleDatagram(context.Background(), newer)
 		return n.relay.Impaired()
 	}
 	if refuses() {
@@ -163,7 +163,7 @@
 	if !holdsWithin(10*time.Second, refuses) {
 		t.Error("it goes on sending")
 	}
-	n.Take(news(9), 0)
+	n.ApplyRows(news(9), 0)
 	if !holdsWithin(10*time.Second, func() bool { return !refuses() }) {
 		t.Error("it does not serve though it has all rows")
 	}
--- a/internal/peers/limit_test.go
+++ b/internal/peers/limit_test.go
@@ -26,7 +26,7 @@
 	// limitUsed is the part of its limit that an upstream gets where more is asked for.
 	limitUsed = 0.9
 	// coordinatedIn is how long a fleet that started takes until somebody grants.
-	coordinatedIn = mayCoordinateFrom + 2*time.Second
+	coordinatedIn = coordinateAfter + 2*time.Second
 )
 
 // limitedUpstream is an upstream that may announce a limit.
@@ -68,7 +68,7 @@
 	f := &limitedFleet{virtualFleet: newVirtualFleet(instances, zones, 0.01, seed), zones: zones}
 	for i, rate := range rates {
 		f.upstreams = append(f.upstreams, &limitedUpstream{
-			Upstream: upstreamstate.Upstream{ID: fmt.Sprint("app-", i), Service: "app", Address: "a", Zone: fmt.Sprint("z", i%zones), Born: 1},
+			Upstream: upstreamstate.Upstream{ID: fmt.Sprint("app-", i), Service: "app", Address: "a", Zone: fmt.Sprint("z", i%zones), StartedAt: 1},
 			rate:     rate,
 		})
 	}
@@ -81,7 +81,7 @@
 func (f *limitedFleet) list() {
 	for _, n := range f.nodes {
 		for _, u := range f.upstreams {
-			n.loads.Learn(u.Upstream)
+			n.loads.UpdateUpstream(u.Upstream)
 		}
 	}
 }
@@ -121,32 +121,32 @@
 	n := c.node
 	for {
 		now := n.loads.now()
-		chosen, ok := n.loads.PickCall(upstreamstate.Ask{ID: c.id, Service: "app", Excluded: c.excluded}, now)
+		chosen, ok := n.loads.PickServiceUpstream(upstreamstate.PlacementRequest{ID: c.id, Service: "app", Excluded: c.excluded}, now)
 		if !ok {
 			f.refused++
 			return
 		}
-		n.loads.End(chosen.ID, c.id, now)
+		n.loads.RequestDone(chosen.ID, c.id, now)
 		u := f.upstreams[slices.IndexFunc(f.upstreams, func(u *limitedUpstream) bool { return u.ID == chosen.ID })]
 		word, firstHand, _ := n.loads.Limit(chosen.Incarnation(), now)
-		if !word.Limits() {
+		if !word.Limited() {
 			f.arrives(c, u)
 			return
 		}
 		f.asked++
-		ask := quota.Ask{Word: word, FirstHand: firstHand, From: uint64(n.exchange.id)}
+		ask := quota.GrantRequest{Limit: word, FirstHand: firstHand, From: uint64(n.exchange.id)}
 		switch coordinator := n.exchange.coordinator(); coordinator {
 		case n.exchange.self.Address:
 			if f.decided(c, u, n.loads.DecideGrant(ask)) {
 				return
 			}
 		case "":
-			f.decided(c, u, quota.Verdict{RetryIn: quota.NoWordRetry})
+			f.decided(c, u, quota.Verdict{RetryIn: quota.NoCoordinatorRetry})
 		default:
-			c.asks, c.until = u, f.now+limitAskTimeout
-			c.ask, c.answer = n.limitAsks.begin()
-			c.resend = func() { n.sendLimitAsk(c.ask, ask, coordinator) }
-			c.again = f.now + askLimitAgain
+			c.asks, c.until = u, f.now+grantRequestTimeout
+			c.ask, c.answer = n.grantRequests.register()
+			c.resend = func() { n.sendGrantRequest(c.ask, ask, coordinator) }
+			c.again = f.now + grantResendDelay
 			c.resend()
 			f.open = append(f.open, c)
 			return
@@ -161,7 +161,7 @@
 		return true
 	}
 	c.excluded[u.ID] = true
-	c.node.loads.Spent(u.Incarnation(), 0, c.node.loads.now()+max(v.RetryIn, time.Millisecond))
+	c.node.loads.MarkExhausted(u.Incarnation(), 0, c.node.loads.now()+max(v.RetryIn, time.Millisecond))
 	return false
 }
 
@@ -181,7 +181,7 @@
 			f.open = append(f.open, c)
 			continue
 		}
-		verdict, came := quota.Verdict{RetryIn: quota.NoWordRetry}, false
+		verdict, came := quota.Verdict{RetryIn: quota.NoCoordinatorRetry}, false
 		if f.now < c.until {
 			select {
 			case verdict = <-c.answer:
@@ -196,7 +196,7 @@
 			}
 		}
 		if !came {
-			c.node.limitAsks.end(c.ask)
+			c.node.grantRequests.cancel(c.ask)
 		}
 		if !f.decided(c, c.asks, verdict) {
 			f.attempt(c)
@@ -320,7 +320,7 @@
 func (f *limitedFleet) coordinatorOf(t *testing.T) int {
 	t.Helper()
 	for i, n := range f.nodes {
-		if n.up && n.loads.grants.Coordinates(n.loads.now()) {
+		if n.up && n.loads.grants.Active(n.loads.now()) {
 			return i
 		}
 	}
@@ -362,7 +362,7 @@
 		},
 		allHubs: func(_ *testing.T, f *limitedFleet) {
 			for _, n := range f.nodes {
-				n.up = !n.exchange.Passes()
+				n.up = !n.exchange.IsHub()
 			}
 		},
 		standsStill: func(t *testing.T, f *limitedFleet) {
@@ -482,7 +482,7 @@
 	u.rate = 1
 	f.serve(60, limitKnownIn+limitWindow, everywhere)
 	u.rate = quota.Unlimited
-	u.Born++
+	u.StartedAt++
 	f.list()
 	from := f.now
 	f.serve(60, time.Second, everywhere)
@@ -494,24 +494,24 @@
 // TestAQuestionThatComesTwiceIsDecidedOnce guards against a grant that is lost with the datagram that
 // brings it, and against two grants for one send.
 func TestAQuestionThatComesTwiceIsDecidedOnce(t *testing.T) {
-	v, decided := newVerdicts(), 0
+	v, decided := newVerdictCache(), 0
 	decide := func() quota.Verdict {
 		decided++
 		return quota.Verdict{Granted: decided == 1}
 	}
-	one := question{from: 1, id: 7}
+	one := grantRequestKey{from: 1, id: 7}
 	for range 3 {
-		if !v.of(one, askLimitAgain, decide).Granted {
+		if !v.verdict(one, grantResendDelay, decide).Granted {
 			t.Error("another verdict on the same question")
 		}
 	}
-	for _, other := range []question{{from: 2, id: 7}, {from: 1, id: 8}} {
-		if v.of(other, askLimitAgain, decide).Granted {
+	for _, other := range []grantRequestKey{{from: 2, id: 7}, {from: 1, id: 8}} {
+		if v.verdict(other, grantResendDelay, decide).Granted {
 			t.Errorf("%+v has the verdict of another question", other)
 		}
 	}
-	v.of(question{from: 3}, 5*limitAskTimeout, decide)
-	if len(v.given) != 1 {
-		t.Errorf("%d verdicts are kept", len(v.given))
+	v.verdict(grantRequestKey{from: 3}, 5*grantRequestTimeout, decide)
+	if len(v.entries) != 1 {
+		t.Errorf("%d verdicts are kept", len(v.entries))
 	}
 }
--- a/internal/peers/messages.go
+++ b/internal/peers/messages.go
@@ -14,47 +14,47 @@
 	"sassafrasfield/internal/usage"
 )
 
-// thousandths is the unit of parts of an engine's time in a report.
-const thousandths = 1000
+// utilizationScale is the unit of parts of an engine's time in a report.
+const utilizationScale = 1000
 
 // sourceOf names the source of an instance's reports.
 func sourceOf(id fanout.ID) string {
-	return upstreamstate.BesidePrefix + strconv.FormatUint(uint64(id), 16)
+	return upstreamstate.InstanceSourcePrefix + strconv.FormatUint(uint64(id), 16)
 }
 
-func ownToMessage(o fanout.Own) *sfv1.InstanceReport {
+func ownToMessage(o fanout.InstanceReport) *sfv1.InstanceReport {
 	return &sfv1.InstanceReport{
 		Source: uint64(o.Source), Boot: o.Boot, Sequence: o.Sequence, Reading: o.Reading, Report: reportToMessage(o.Report),
 	}
 }
 
-func ownFromMessage(m *sfv1.InstanceReport) fanout.Own {
+func ownFromMessage(m *sfv1.InstanceReport) fanout.InstanceReport {
 	report := reportFromMessage(m.GetReport())
 	report.Boot = m.GetBoot()
-	return fanout.Own{
+	return fanout.InstanceReport{
 		Source: fanout.ID(m.GetSource()), Boot: m.GetBoot(), Sequence: m.GetSequence(), Reading: m.GetReading(), Report: report,
 	}
 }
 
 func reportToMessage(report upstreamstate.Report) *sfv1.EngineReport {
-	m := &sfv1.EngineReport{Whole: report.Whole, Gone: report.Gone}
+	m := &sfv1.EngineReport{Whole: report.Complete, Gone: report.Unreachable}
 	for _, load := range report.Loads {
 		m.Loads = append(m.Loads, &sfv1.EngineLoad{
-			Engine: load.Engine, PrefillMs: uint32(load.Ahead.Milliseconds()), Requests: uint32(load.Requests),
-			Use: uint32(load.Use * thousandths), YieldingMs: uint32(load.Yielding.Milliseconds()),
+			Engine: load.Engine, PrefillMs: uint32(load.Backlog.Milliseconds()), Requests: uint32(load.Requests),
+			Use: uint32(load.Utilization * utilizationScale), YieldingMs: uint32(load.DeferredBacklog.Milliseconds()),
 			Inflow: uint32(load.Inflow),
 		})
 	}
 	for _, p := range report.Placed {
 		m.Placed = append(m.Placed, p.Engine, p.Part)
 	}
-	for _, a := range report.Away {
+	for _, a := range report.Unavailable {
 		m.Away = append(m.Away, &sfv1.AwayUpstream{Upstream: a.Upstream, ForMs: uint32(a.For.Milliseconds())})
 	}
-	for service, sends := range report.Spilled {
+	for service, sends := range report.RetryOverflow {
 		m.Spilled = append(m.Spilled, &sfv1.Spilled{Service: service, Sends: float32(sends)})
 	}
-	for _, e := range report.Ends {
+	for _, e := range report.Crashes {
 		m.Ends = append(m.Ends, &sfv1.UpstreamEnd{Content: uint64(e.Content), Upstream: e.Upstream})
 	}
 	for _, c := range report.Usage {
@@ -63,37 +63,37 @@
 	m.Limits = limitsToMessages(report.Limits)
 	for service, l := range report.Times {
 		m.Times = append(m.Times, &sfv1.EngineTimes{
-			Service: service, Speed: float32(l.Speed), Overhead: float32(l.Overhead), Prompts: uint32(l.Prompts),
-			Step: float32(l.Step), PerRequest: float32(l.PerRequest), Streams: uint32(l.Streams),
+			Service: service, Speed: float32(l.PromptTimeRatio), Overhead: float32(l.Overhead), Prompts: uint32(l.PromptCount),
+			Step: float32(l.Step), PerRequest: float32(l.StepPerRequest), Streams: uint32(l.StreamCount),
 		})
 	}
 	return m
 }
 
 func reportFromMessage(m *sfv1.EngineReport) upstreamstate.Report {
-	report := upstreamstate.Report{Whole: m.GetWhole(), Gone: m.GetGone()}
+	report := upstreamstate.Report{Complete: m.GetWhole(), Unreachable: m.GetGone()}
 	for _, l := range m.GetLoads() {
 		report.Loads = append(report.Loads, upstreamstate.EngineLoad{
-			Engine: l.GetEngine(), Ahead: time.Duration(l.GetPrefillMs()) * time.Millisecond, Requests: int(l.GetRequests()),
-			Use: float64(l.GetUse()) / thousandths, Yielding: time.Duration(l.GetYieldingMs()) * time.Millisecond,
+			Engine: l.GetEngine(), Backlog: time.Duration(l.GetPrefillMs()) * time.Millisecond, Requests: int(l.GetRequests()),
+			Utilization: float64(l.GetUse()) / utilizationScale, DeferredBacklog: time.Duration(l.GetYieldingMs()) * time.Millisecond,
 			Inflow: float64(l.GetInflow()),
 		})
 	}
 	placed := m.GetPlaced()
 	for i := 0; i+1 < len(placed); i += 2 {
-		report.Placed = append(report.Placed, upstreamstate.Placed{Engine: placed[i], Part: placed[i+1]})
+		report.Placed = append(report.Placed, upstreamstate.PlacedPart{Engine: placed[i], Part: placed[i+1]})
 	}
 	for _, spilled := range m.GetSpilled() {
-		if report.Spilled == nil {
-			report.Spilled = map[uint32]float64{}
+		if report.RetryOverflow == nil {
+			report.RetryOverflow = map[uint32]float64{}
 		}
-		report.Spilled[spilled.GetService()] = float64(spilled.GetSends())
+		report.RetryOverflow[spilled.GetService()] = float64(spilled.GetSends())
 	}
 	for _, a := range m.GetAway() {
-		report.Away = append(report.Away, upstreamstate.Away{Upstream: a.GetUpstream(), For: time.Duration(a.GetForMs()) * time.Millisecond})
+		report.Unavailable = append(report.Unavailable, upstreamstate.UnavailableUpstream{Upstream: a.GetUpstream(), For: time.Duration(a.GetForMs()) * time.Millisecond})
 	}
 	for _, e := range m.GetEnds() {
-		report.Ends = append(report.Ends, quarantine.End{Content: quarantine.Content(e.GetContent()), Upstream: e.GetUpstream()})
+		report.Crashes = append(report.Crashes, quarantine.Crash{Content: quarantine.Content(e.GetContent()), Upstream: e.GetUpstream()})
 	}
 	for _, c := range m.GetUsage() {
 		report.Usage = append(report.Usage, usage.Count{
@@ -103,17 +103,17 @@
 	report.Limits = limitsFromMessages(m.GetLimits())
 	for _, t := range m.GetTimes() {
 		if report.Times == nil {
-			report.Times = map[uint32]estimate.Learned{}
+			report.Times = map[uint32]estimate.Snapshot{}
 		}
-		report.Times[t.GetService()] = estimate.Learned{
-			Speed: float64(t.GetSpeed()), Overhead: time.Duration(t.GetOverhead()), Prompts: int(t.GetPrompts()),
-			Step: time.Duration(t.GetStep()), PerRequest: time.Duration(t.GetPerRequest()), Streams: int(t.GetStreams()),
+		report.Times[t.GetService()] = estimate.Snapshot{
+			PromptTimeRatio: float64(t.GetSpeed()), Overhead: time.Duration(t.GetOverhead()), PromptCount: int(t.GetPrompts()),
+			Step: time.Duration(t.GetStep()), StepPerRequest: time.Duration(t.GetPerRequest()), StreamCount: int(t.GetStreams()),
 		}
 	}
 	return report
 }
 
-func limitsToMessages(words []quota.Word) []*sfv1.UpstreamLimit {
+func limitsToMessages(words []quota.UpstreamLimit) []*sfv1.UpstreamLimit {
 	var messages []*sfv1.UpstreamLimit
 	for _, w := range words {
 		messages = append(messages, limitToMessage(w))
@@ -121,20 +121,20 @@
 	return messages
 }
 
-func limitsFromMessages(messages []*sfv1.UpstreamLimit) []quota.Word {
-	var words []quota.Word
+func limitsFromMessages(messages []*sfv1.UpstreamLimit) []quota.UpstreamLimit {
+	var words []quota.UpstreamLimit
 	for _, m := range messages {
 		words = append(words, limitFromMessage(m))
 	}
 	return words
 }
 
-func limitToMessage(w quota.Word) *sfv1.UpstreamLimit {
-	return &sfv1.UpstreamLimit{Upstream: w.Upstream, Rate: w.Rate, Leaving: w.Leaving, AgeMs: uint32(w.Age.Milliseconds())}
+func limitToMessage(w quota.UpstreamLimit) *sfv1.UpstreamLimit {
+	return &sfv1.UpstreamLimit{Upstream: w.Upstream, Rate: w.Rate, Leaving: w.Draining, AgeMs: uint32(w.Age.Milliseconds())}
 }
 
-func limitFromMessage(m *sfv1.UpstreamLimit) quota.Word {
-	return quota.Word{Upstream: m.GetUpstream(), Rate: m.GetRate(), Leaving: m.GetLeaving(), Age: time.Duration(m.GetAgeMs()) * time.Millisecond}
+func limitFromMessage(m *sfv1.UpstreamLimit) quota.UpstreamLimit {
+	return quota.UpstreamLimit{Upstream: m.GetUpstream(), Rate: m.GetRate(), Draining: m.GetLeaving(), Age: time.Duration(m.GetAgeMs()) * time.Millisecond}
 }
 
 func toMessage(p Peer) *sfv1.ReplicaPeer {
@@ -157,7 +157,7 @@
 	messages := make([]*sfv1.ReplicaRow, len(rows))
 	for i, row := range rows {
 		messages[i] = &sfv1.ReplicaRow{
-			Table: row.Table, Key: row.Key.Key, Value: row.Value, Revision: row.Revision, Deleted: row.Deleted, Lost: row.Lost,
+			Table: row.Table, Key: row.Key.Key, Value: row.Value, Revision: row.Revision, Deleted: row.Deleted, Lost: row.MissingAfterRestore,
 		}
 	}
 	return messages
@@ -168,7 +168,7 @@
 	for i, m := range messages {
 		rows[i] = replica.Row{
 			Key:   replica.Key{Table: m.GetTable(), Key: m.GetKey()},
-			Value: m.GetValue(), Revision: m.GetRevision(), Deleted: m.GetDeleted(), Lost: m.GetLost(),
+			Value: m.GetValue(), Revision: m.GetRevision(), Deleted: m.GetDeleted(), MissingAfterRestore: m.GetLost(),
 		}
 	}
 	return rows
--- a/internal/relay/apart.go
+++ b/internal/relay/apart.go
@@ -70,7 +70,7 @@
 }
 
 // dueCrashes returns the crashes that are due in one kind of report.
-func (q *quarantineState) dueCrashes(due func(*quarantine.Table, time.Duration) []quarantine.End) []quarantine.End {
+func (q *quarantineState) dueCrashes(due func(*quarantine.Table, time.Duration) []quarantine.Crash) []quarantine.Crash {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.table.Empty() {
@@ -103,11 +103,11 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	quarantined = apply(q.table)
-	if quarantined && q.table.Seen(content) { // otherwise the instances that observed a crash persist it
-		q.requestPersist(content, q.table.Times(content))
+	if quarantined && q.table.SawCrash(content) { // otherwise the instances that observed a crash persist it
+		q.requestPersist(content, q.table.TimesQuarantined(content))
 	}
-	q.quarantined.Update(int64(q.table.Count(bootclock.Now())))
-	return quarantined, q.table.Ends(content)
+	q.quarantined.Update(int64(q.table.CountQuarantined(bootclock.Now())))
+	return quarantined, q.table.Crashes(content)
 }
 
 // requestPersist has the number of a content's quarantines persisted for all instances. The caller
@@ -132,7 +132,7 @@
 	content := x.content()
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.table.Apart(content, bootclock.Now())
+	return q.table.Quarantined(content, bootclock.Now())
 }
 
 // refuseQuarantined returns the refusal of a request whose content is quarantined, and nil for
@@ -151,7 +151,7 @@
 	q, content := r.quarantine, x.content()
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.table.Served(content, bootclock.Now()) {
+	if q.table.RecordServed(content, bootclock.Now()) {
 		q.requestPersist(content, 0)
 		r.log.Info("relay: content served, and not to blame", "request", x.req.ID, "content", content)
 	}
@@ -181,7 +181,7 @@
 		return
 	}
 	for _, request := range requests {
-		quarantined, crashes := r.RecordCrash(quarantine.End{Content: request.content, Upstream: to.Incarnation()})
+		quarantined, crashes := r.RecordCrash(quarantine.Crash{Content: request.content, Upstream: to.Incarnation()})
 		r.quarantine.crashes.Inc(1)
 		r.log.Info("relay: upstream ended", "upstream", to.ID, "request", request.requestID, "content", request.content, "ends", crashes, "apart", quarantined)
 	}
@@ -213,14 +213,14 @@
 
 // RecordCrash records a crash that this instance observed. It returns whether the content is
 // quarantined by it and how many crashes count against the content.
-func (r *Relay) RecordCrash(crash quarantine.End) (quarantined bool, crashes int) {
-	return r.quarantine.record(crash.Content, func(t *quarantine.Table) bool { return t.Note(crash, bootclock.Now()) })
+func (r *Relay) RecordCrash(crash quarantine.Crash) (quarantined bool, crashes int) {
+	return r.quarantine.record(crash.Content, func(t *quarantine.Table) bool { return t.RecordCrash(crash, bootclock.Now()) })
 }
 
 // applyCrashes merges the crashes that other instances reported.
-func (r *Relay) applyCrashes(crashes []quarantine.End, sameZone bool) {
+func (r *Relay) applyCrashes(crashes []quarantine.Crash, sameZone bool) {
 	for _, crash := range crashes {
-		quarantined, count := r.quarantine.record(crash.Content, func(t *quarantine.Table) bool { return t.Hear(crash, sameZone, bootclock.Now()) })
+		quarantined, count := r.quarantine.record(crash.Content, func(t *quarantine.Table) bool { return t.ReceiveCrash(crash, sameZone, bootclock.Now()) })
 		if quarantined {
 			r.log.Info("relay: content quarantined after reports of other instances", "content", crash.Content, "ends", count)
 		}
@@ -234,11 +234,11 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := bootclock.Now()
-	if !q.table.SetApart(content, times, now) {
+	if !q.table.Quarantine(content, times, now) {
 		q.requestPersist(content, 0)
 		r.log.Info("relay: content was served recently, quarantine rejected", "content", content)
 	}
-	q.quarantined.Update(int64(q.table.Count(now)))
+	q.quarantined.Update(int64(q.table.CountQuarantined(now)))
 }
 
 // Release ends the quarantine of a content whose persisted state was removed.
@@ -247,7 +247,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.table.Release(content)
-	q.quarantined.Update(int64(q.table.Count(bootclock.Now())))
+	q.quarantined.Update(int64(q.table.CountQuarantined(bootclock.Now())))
 }
 
 // PersistAgain has this instance persist once more how often a content was quarantined.
@@ -255,7 +255,7 @@
 	q := r.quarantine
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if times := q.table.Times(content); times > 0 {
+	if times := q.table.TimesQuarantined(content); times > 0 {
 		q.requestPersist(content, times)
 	}
 }
@@ -291,12 +291,12 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := bootclock.Now()
-	q.table.Lapse(now)
-	q.quarantined.Update(int64(q.table.Count(now)))
+	q.table.Expire(now)
+	q.quarantined.Update(int64(q.table.CountQuarantined(now)))
 	if !release {
 		return
 	}
-	for _, content := range q.table.Lapsed(now) {
+	for _, content := range q.table.Expired(now) {
 		q.requestPersist(content, 0)
 	}
 }
--- a/internal/relay/apart_test.go
+++ b/internal/relay/apart_test.go
@@ -37,7 +37,7 @@
 func waitForCrashes(r *Relay, content quarantine.Content, ends int) {
 	for {
 		r.quarantine.mu.Lock()
-		n := r.quarantine.table.Ends(content)
+		n := r.quarantine.table.Crashes(content)
 		r.quarantine.mu.Unlock()
 		if n >= ends {
 			return
@@ -122,16 +122,16 @@
 	first, second, third := newFake(t, crashingSender()), newFake(t, crashingSender()), newFake(t, crashingSender())
 	content := call("/once/1").Content()
 	for n, r := range []*Relay{first, second} {
-		end := quarantine.End{Content: content, Upstream: upstreamstate.Upstream{ID: string(rune('a' + n))}.Incarnation()}
+		end := quarantine.Crash{Content: content, Upstream: upstreamstate.Upstream{ID: string(rune('a' + n))}.Incarnation()}
 		r.RecordCrash(end)
 	}
 	for _, from := range []*Relay{first, second} {
-		ends := from.OwnReport().Ends
+		ends := from.OwnReport().Crashes
 		if len(ends) != 1 {
 			t.Fatalf("%d crashes are reported", len(ends))
 		}
 		for _, to := range []*Relay{first, second, third} {
-			to.ApplyReport(upstreamstate.BesidePrefix+"x", upstreamstate.Report{Ends: ends})
+			to.ApplyReport(upstreamstate.InstanceSourcePrefix+"x", upstreamstate.Report{Crashes: ends})
 		}
 	}
 	for n, r := range []*Relay{first, second, third} {
@@ -165,7 +165,7 @@
 	r := newFake(t, &fakeSender{})
 	req := call("/unsafe/1")
 	long := bootclock.Now() - time.Minute // its first quarantine has expired
-	r.quarantine.table.SetApart(req.Content(), 1, long)
+	r.quarantine.table.Quarantine(req.Content(), 1, long)
 	if _, err := serve(r, req); err != nil {
 		t.Fatalf("refused after its quarantine expired: %v", err)
 	}
--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -55,11 +55,11 @@
 	if err := r.checkSend(c.exchange); err != nil {
 		return attempt.Result{Status: attempt.NoUpstream, Err: err}
 	}
-	upstream, ok := r.upstreams.PickCall(c.placementRequest(r.now()), r.now())
+	upstream, ok := r.upstreams.PickServiceUpstream(c.placementRequest(r.now()), r.now())
 	if !ok {
 		return attempt.Result{Status: attempt.NoUpstream}
 	}
-	defer func() { r.upstreams.End(upstream.ID, c.req.ID, r.now()) }()
+	defer func() { r.upstreams.RequestDone(upstream.ID, c.req.ID, r.now()) }()
 	answer, err := r.sendCall(ctx, c.exchange, upstream)
 	if err != nil {
 		r.recordFailure(ctx, c.exchange, upstream.ID, err)
@@ -117,7 +117,7 @@
 		return bufferedAnswer{}, WrapReadError(err)
 	}
 	if reply.Status < http.StatusInternalServerError {
-		r.upstreams.Judge(to.ID, load.CallSucceeded, r.now())
+		r.upstreams.RecordCall(to.ID, load.CallSucceeded, r.now())
 	}
 	return bufferedAnswer{reply: reply, head: head, complete: len(head) < maxBufferedBytes}, nil
 }
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -44,14 +44,14 @@
 }
 
 // placementRequest returns the input for choosing an upstream.
-func (x *exchange) placementRequest(now time.Duration) upstreamstate.Ask {
-	request := upstreamstate.Ask{
+func (x *exchange) placementRequest(now time.Duration) upstreamstate.PlacementRequest {
+	request := upstreamstate.PlacementRequest{
 		ID: x.req.ID, Service: x.service, Excluded: x.attempts.Excluded(),
-		Objective: x.route.Objective - (now - x.arrived), Left: x.remaining(now),
+		Objective: x.route.Objective - (now - x.arrived), RemainingWait: x.remaining(now),
 		Priority: x.identity.Priority(x.route),
 	}
 	if waitBudget := x.route.Patience; waitBudget > 0 {
-		request.Left = min(request.Left, waitBudget-(now-x.arrived))
+		request.RemainingWait = min(request.RemainingWait, waitBudget-(now-x.arrived))
 	}
 	if x.req.Prompt != nil {
 		request.Prompt = *x.req.Prompt
--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -123,7 +123,7 @@
 // prompt processed. The status Done means that this succeeded.
 func (g *generation) prepare(ctx context.Context) attempt.Result {
 	r := g.relay
-	start, turn, ok := r.upstreams.PickStart(g.placementRequest(r.now()), r.now())
+	start, turn, ok := r.upstreams.PickPrefill(g.placementRequest(r.now()), r.now())
 	if !ok {
 		return attempt.Result{Status: attempt.NoUpstream, Err: errors.WithMessage(ErrNotSent, "no engine for the prompt")}
 	}
@@ -135,7 +135,7 @@
 	}
 	if !r.reserve(ctx, g) {
 		r.upstreams.PromptDone(start.Engine.ID, start.BusyTime, turn)
-		r.upstreams.End(start.Engine.ID, g.req.ID, r.now())
+		r.upstreams.RequestDone(start.Engine.ID, g.req.ID, r.now())
 		return attempt.Result{Status: attempt.NoUpstream, Err: errors.WithMessage(ErrLimited, "no room for the answer")}
 	}
 	kv, err := r.prefill(ctx, g, start)
@@ -151,7 +151,7 @@
 func (r *Relay) prefill(ctx context.Context, g *generation, start placement.Prefill) (KV, error) {
 	engine, prefillTime := r.upstreams.Upstream(start.Engine.ID), start.BusyTime
 	defer r.upstreams.PromptDone(engine.ID, prefillTime, g.turn)
-	defer func() { r.upstreams.End(engine.ID, g.req.ID, r.now()) }()
+	defer func() { r.upstreams.RequestDone(engine.ID, g.req.ID, r.now()) }()
 	g.exchange.prefill = engine.ID
 	g.attempts.Prepared()
 	started := r.now()
@@ -166,15 +166,15 @@
 		return KV{}, err
 	}
 	r.recordAnswer(engine.ID, reported)
-	r.upstreams.Judge(engine.ID, load.CallSucceeded, r.now())
+	r.upstreams.RecordCall(engine.ID, load.CallSucceeded, r.now())
 	r.meters.prefills.Inc(1)
 	elapsed := r.now() - started
 	observe("prefill", elapsed)
 	observe("prefill_predicted", queueTime+prefillTime)
 	if start.Source.ID == "" && start.UncachedTokens <= g.prompt.Tokens-g.prompt.SharedTokens() {
 		// shared parts that are not assumed to be cached may be cached all the same
-		r.upstreams.Prefilled(g.service, estimate.Prefill{
-			Fresh: start.UncachedTokens, Cached: g.prompt.Tokens - start.UncachedTokens, Ahead: queueTime, Took: elapsed,
+		r.upstreams.RecordPrefill(g.service, estimate.Prefill{
+			Uncached: start.UncachedTokens, Cached: g.prompt.Tokens - start.UncachedTokens, PredictedWait: queueTime, Elapsed: elapsed,
 		})
 	}
 	r.log.Info("relay: prefilled", "request", g.req.ID, "engine", engine.ID, "tokens", g.prompt.Tokens,
@@ -197,7 +197,7 @@
 			return
 		case <-timer.C:
 		}
-		if !r.upstreams.HeardSince(id, since) {
+		if !r.upstreams.AnsweredSince(id, since) {
 			cancel()
 			return
 		}
@@ -209,7 +209,7 @@
 // run has an engine generate, and forwards its events.
 func (r *Relay) run(ctx context.Context, g *generation, start placement.Prefill) attempt.Result {
 	engine := r.upstreams.Upstream(start.Engine.ID)
-	defer func() { r.upstreams.End(start.Engine.ID, g.req.ID, r.now()) }()
+	defer func() { r.upstreams.RequestDone(start.Engine.ID, g.req.ID, r.now()) }()
 	promptDone := sync.OnceFunc(func() { r.upstreams.PromptDone(start.Engine.ID, start.BusyTime, placement.QueueNormal) })
 	defer promptDone()
 	if err := r.checkSend(g.exchange); err != nil { // the prefill may have taken a while
@@ -242,7 +242,7 @@
 		return r.handleEngineFailure(ctx, g, engine, reply)
 	}
 	if !g.direct && !g.headerSent {
-		r.upstreams.Began(g.service, g.prompt.Tokens-start.Engine.Aggregate.CachedTokens, r.now()-started)
+		r.upstreams.RecordHandOver(g.service, g.prompt.Tokens-start.Engine.Aggregate.CachedTokens, r.now()-started)
 	}
 	r.log.Info("relay: generates", "request", g.req.ID, "engine", engine.ID, "direct", g.direct, "tokens", g.prompt.Tokens,
 		"running", reply.Load.Running, "waiting", reply.Load.Waiting, "after", r.now()-started,
@@ -293,11 +293,11 @@
 	g.lastEvent = forwarder.lastEvent
 	switch {
 	case err == nil:
-		r.upstreams.Judge(engine.ID, load.CallSucceeded, r.now())
+		r.upstreams.RecordCall(engine.ID, load.CallSucceeded, r.now())
 		observe("stream", r.now()-started)
 		if fromStart {
-			r.upstreams.Streamed(g.service, engine.ID, forwarder.events.Count(), estimate.Stream{
-				Took: r.now() - streamStarted, Slot: r.now() - started,
+			r.upstreams.RecordStream(g.service, engine.ID, forwarder.events.Count(), estimate.Stream{
+				Elapsed: r.now() - streamStarted, SlotTime: r.now() - started,
 			}, r.now())
 		}
 		return attempt.Result{Status: attempt.Done}
--- a/internal/relay/generate_test.go
+++ b/internal/relay/generate_test.go
@@ -180,7 +180,7 @@
 	holder, other := newFake(t, f), newFake(t, g)
 	for _, id := range []string{"dec-1", "dec-2"} { // two of eight may be unavailable
 		holder.MarkUnavailable(id, time.Minute)
-		holder.upstreams.Judge(id, load.CallSucceeded, holder.now()) // the requests there have ended
+		holder.upstreams.RecordCall(id, load.CallSucceeded, holder.now()) // the requests there have ended
 	}
 	other.ApplyReport("instance holder", holder.OwnReport())
 	for _, r := range []*Relay{holder, other} {
@@ -196,8 +196,8 @@
 func TestIsolatedInstanceReportsNoUnreachableUpstreams(t *testing.T) {
 	r := newFake(t, &fakeSender{})
 	for i, want := range []int{1, 2, 0} { // of eight upstreams
-		r.upstreams.Judge([]string{"app-1", "app-2", "dec-1"}[i], load.CallUnreachable, r.now())
-		if n := len(r.OwnReport().Gone); n != want {
+		r.upstreams.RecordCall([]string{"app-1", "app-2", "dec-1"}[i], load.CallUnreachable, r.now())
+		if n := len(r.OwnReport().Unreachable); n != want {
 			t.Errorf("%d reported with %d unreachable, want %d", n, i+1, want)
 		}
 	}
--- a/internal/relay/leaving_test.go
+++ b/internal/relay/leaving_test.go
@@ -14,8 +14,8 @@
 )
 
 // drainingStatement returns an upstream's announcement that it is draining.
-func drainingStatement() upstreamstate.Statement {
-	return upstreamstate.Statement{Announcement: &quota.Announcement{Leaving: true}}
+func drainingStatement() upstreamstate.UpstreamStatus {
+	return upstreamstate.UpstreamStatus{Announcement: &quota.Announcement{Draining: true}}
 }
 
 // sendKind is a kind of request whose sends must observe what upstreams announce.
@@ -51,7 +51,7 @@
 }
 
 // announce has upstreams make a statement in earlier answers.
-func announce(r *Relay, word upstreamstate.Statement, ids ...string) {
+func announce(r *Relay, word upstreamstate.UpstreamStatus, ids ...string) {
 	for _, id := range ids {
 		r.applyStatement(r.upstreams.Upstream(id), word)
 	}
@@ -103,9 +103,9 @@
 		sender := &fakeSender{}
 		var r *Relay
 		left := ""
-		asked := &fakeCoordinator{decide: func(a quota.Ask) quota.Verdict {
+		asked := &fakeCoordinator{decide: func(a quota.GrantRequest) quota.Verdict {
 			if left == "" { // the first one starts draining while its grant is requested
-				left = r.upstreams.NameOf(a.Word.Upstream)
+				left = r.upstreams.UpstreamID(a.Limit.Upstream)
 				r.applyStatement(r.upstreams.Upstream(left), drainingStatement())
 			}
 			return quota.Verdict{Granted: true}
@@ -184,7 +184,7 @@
 	left := ""
 	sender.prefill = func(_ int, s Send) (KV, error) {
 		for _, a := range asked.requests {
-			if id := r.upstreams.NameOf(a.Word.Upstream); strings.HasPrefix(id, "dec") {
+			if id := r.upstreams.UpstreamID(a.Limit.Upstream); strings.HasPrefix(id, "dec") {
 				left = id
 			}
 		}
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -69,7 +69,7 @@
 	if !r.acquireGrant(ctx, req, send) {
 		return ErrLimited
 	}
-	if r.upstreams.Leaves(send.To) && !send.continuesAtCopy() {
+	if r.upstreams.IsDraining(send.To) && !send.continuesAtCopy() {
 		r.recordWithheld(req, send, ErrDraining)
 		return ErrDraining
 	}
@@ -82,7 +82,7 @@
 
 // BackingOff reports whether an upstream accepts nothing from this instance now.
 func (r *Relay) BackingOff(u upstreamstate.Upstream) bool {
-	return r.upstreams.Resting(u.Incarnation(), r.now()) > 0
+	return r.upstreams.BackoffLeft(u.Incarnation(), r.now()) > 0
 }
 
 // recordWithheld records that a request is not sent to the upstream that was chosen for it.
@@ -93,7 +93,7 @@
 
 // SetGrantRequester sets the function that requests a grant for a send to a rate-limited upstream
 // from the instance that coordinates the grants.
-func (r *Relay) SetGrantRequester(request func(context.Context, quota.Ask) quota.Verdict) {
+func (r *Relay) SetGrantRequester(request func(context.Context, quota.GrantRequest) quota.Verdict) {
 	r.requestGrant.Store(&request)
 }
 
@@ -108,16 +108,16 @@
 	}
 	upstream, now := send.To.Incarnation(), r.now()
 	limit, firstHand, _ := r.upstreams.Limit(upstream, now)
-	if !limit.Limits() {
+	if !limit.Limited() {
 		return true
 	}
-	if r.upstreams.IsSpent(upstream, send.Priority, now) && !send.Continues {
+	if r.upstreams.IsExhausted(upstream, send.Priority, now) && !send.Continues {
 		r.meters.limits.declined.Inc(1)
 		return false
 	}
-	verdict := quota.Verdict{RetryIn: quota.NoWordRetry}
+	verdict := quota.Verdict{RetryIn: quota.NoCoordinatorRetry}
 	if request := r.requestGrant.Load(); request != nil {
-		verdict = (*request)(ctx, quota.Ask{Word: limit, FirstHand: firstHand, Priority: send.Priority, Continues: send.Continues})
+		verdict = (*request)(ctx, quota.GrantRequest{Limit: limit, FirstHand: firstHand, Priority: send.Priority, Continues: send.Continues})
 	}
 	r.log.Info("relay: send to a limited upstream", "request", req.ID, "upstream", send.To.ID, "per_second", limit.Rate,
 		"limit_age", limit.Age, "granted", verdict.Granted, "retry_in", verdict.RetryIn, "took", r.now()-now)
@@ -126,14 +126,14 @@
 		return true
 	}
 	r.meters.limits.declined.Inc(1)
-	r.upstreams.Spent(upstream, send.Priority, r.now()+max(verdict.RetryIn, minGrantRetry))
+	r.upstreams.MarkExhausted(upstream, send.Priority, r.now()+max(verdict.RetryIn, minGrantRetry))
 	return false
 }
 
 // reserve requests room at an engine that generates if all of these are rate-limited. Otherwise
 // prompts would be processed whose answers find no room afterwards.
 func (r *Relay) reserve(ctx context.Context, g *generation) bool {
-	if g.reserved != "" || !r.upstreams.GeneratorsLimited(g.placementRequest(r.now()), r.now()) {
+	if g.reserved != "" || !r.upstreams.DecodeEnginesLimited(g.placementRequest(r.now()), r.now()) {
 		return true
 	}
 	for range r.upstreams.Count(g.service) {
@@ -142,7 +142,7 @@
 			return false
 		}
 		granted := r.acquireGrant(ctx, g.req, g.newSend(r.upstreams.Upstream(engine.ID), r.now()))
-		r.upstreams.End(engine.ID, g.req.ID, r.now())
+		r.upstreams.RequestDone(engine.ID, g.req.ID, r.now())
 		if granted {
 			g.reserved = engine.ID
 			return true
@@ -154,11 +154,11 @@
 // refuseUnavailable returns the refusal of a request that no upstream of its service accepts, as
 // they announced, and nil if announcements are not the cause.
 func (r *Relay) refuseUnavailable(x *exchange) error {
-	if r.upstreams.AllLeave(x.service) {
+	if r.upstreams.AllDraining(x.service) {
 		r.meters.limits.refusedDraining.Inc(1)
 		return &Refusal{Outcome: NotRun, Reason: "all upstreams leave", RetryIn: r.retryIn(x)}
 	}
-	delay, backingOff, found := r.upstreams.AllowanceIn(x.placementRequest(r.now()), r.now())
+	delay, backingOff, found := r.upstreams.AvailableIn(x.placementRequest(r.now()), r.now())
 	switch {
 	case !found:
 		return nil
@@ -173,16 +173,16 @@
 // grants holds the grants that this instance gives out while it coordinates them for all instances.
 type grants struct {
 	mu    sync.Mutex // protects state
-	state *quota.Grants
+	state *quota.Coordinator
 }
 
-func newGrants() *grants { return &grants{state: quota.NewGrants()} }
+func newGrants() *grants { return &grants{state: quota.NewCoordinator()} }
 
 // SetGrantShare sets the part of upstreams' limits that this instance gives out; 0 for none.
 func (r *Relay) SetGrantShare(share float64) {
 	r.grants.mu.Lock()
 	before := r.grants.state.Share()
-	r.grants.state.Keep(share, r.now())
+	r.grants.state.SetShare(share, r.now())
 	r.grants.mu.Unlock()
 	if share != before {
 		r.log.Info("relay: coordinates upstreams' limits", "share", share, "before", before)
@@ -190,7 +190,7 @@
 }
 
 // DecideGrant decides on one send of this or another instance to a rate-limited upstream.
-func (r *Relay) DecideGrant(ask quota.Ask) quota.Verdict {
+func (r *Relay) DecideGrant(ask quota.GrantRequest) quota.Verdict {
 	r.grants.mu.Lock()
 	verdict := r.grants.state.Decide(r.upstreams, ask, r.now())
 	r.grants.mu.Unlock()
@@ -204,17 +204,17 @@
 }
 
 // Limits returns what is known of upstreams' limits.
-func (r *Relay) Limits() []quota.Word { return r.upstreams.Limits(r.now()) }
+func (r *Relay) Limits() []quota.UpstreamLimit { return r.upstreams.Limits(r.now()) }
 
 // ApplyLimits merges what an instance of this or another zone knows of upstreams' limits.
-func (r *Relay) ApplyLimits(words []quota.Word, sameZone bool) {
-	r.upstreams.HearLimits(words, sameZone, r.now())
+func (r *Relay) ApplyLimits(words []quota.UpstreamLimit, sameZone bool) {
+	r.upstreams.ApplyLimits(words, sameZone, r.now())
 	r.logLimitChanges()
 }
 
 // applyStatement applies what an upstream states about itself in an answer.
-func (r *Relay) applyStatement(from upstreamstate.Upstream, statement upstreamstate.Statement) {
-	for _, err := range statement.Unread {
+func (r *Relay) applyStatement(from upstreamstate.Upstream, statement upstreamstate.UpstreamStatus) {
+	for _, err := range statement.ParseErrors {
 		r.meters.limits.unparsed.Inc(1)
 		r.log.Info("relay: cannot parse upstream's announcement", "upstream", from.ID, "error", err)
 	}
@@ -222,15 +222,15 @@
 		r.upstreams.Announced(from, *statement.Announcement, r.now())
 		r.logLimitChanges()
 	}
-	if statement.Rest > 0 && r.upstreams.RestFor(from, statement.Rest, r.now()) {
+	if statement.Backoff > 0 && r.upstreams.BackOff(from, statement.Backoff, r.now()) {
 		r.meters.limits.backoffs.Inc(1)
-		r.log.Info("relay: upstream asks for rest", "upstream", from.ID, "for", statement.Rest)
+		r.log.Info("relay: upstream asks for rest", "upstream", from.ID, "for", statement.Backoff)
 	}
 }
 
 // logEndedBackoffs logs each backoff that has ended.
 func (r *Relay) logEndedBackoffs() {
-	for _, id := range r.upstreams.RestsOver(r.now()) {
+	for _, id := range r.upstreams.EndedBackoffs(r.now()) {
 		r.log.Info("relay: upstream's rest is over", "upstream", id)
 	}
 }
@@ -240,16 +240,16 @@
 func (r *Relay) logLimitChanges() {
 	for _, change := range r.upstreams.LimitChanges() {
 		attrs := []any{
-			"upstream", r.upstreams.NameOf(change.Upstream), "per_second", change.Rate, "before", change.Before,
-			"source", change.Scope.String(), "age", change.Age,
+			"upstream", r.upstreams.UpstreamID(change.Upstream), "per_second", change.Rate, "before", change.OldRate,
+			"source", change.Source.String(), "age", change.Age,
 		}
-		if change.Leaves {
+		if change.StartsDraining {
 			r.meters.limits.draining.Inc(1)
 			r.log.Info("relay: upstream says that it leaves", attrs...)
 		}
 		switch {
-		case change.Rate == change.Before:
-		case math.IsInf(change.Before, 1):
+		case change.Rate == change.OldRate:
+		case math.IsInf(change.OldRate, 1):
 			r.meters.limits.learned.Inc(1)
 			r.log.Info("relay: upstream limits its requests", attrs...)
 		case math.IsInf(change.Rate, 1):
--- a/internal/relay/limits_test.go
+++ b/internal/relay/limits_test.go
@@ -17,13 +17,13 @@
 // fakeCoordinator answers grant requests from a script.
 type fakeCoordinator struct {
 	// decide answers them; nil grants all.
-	decide func(quota.Ask) quota.Verdict
+	decide func(quota.GrantRequest) quota.Verdict
 
 	mu       sync.Mutex // protects asks
-	requests []quota.Ask
+	requests []quota.GrantRequest
 }
 
-func (c *fakeCoordinator) request(_ context.Context, a quota.Ask) quota.Verdict {
+func (c *fakeCoordinator) request(_ context.Context, a quota.GrantRequest) quota.Verdict {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.requests = append(c.requests, a)
@@ -54,8 +54,8 @@
 }
 
 // limitStatement returns an upstream's announcement of the requests per second that it accepts.
-func limitStatement(rate float64) upstreamstate.Statement {
-	return upstreamstate.Statement{Announcement: &quota.Announcement{Limited: true, Rate: rate}}
+func limitStatement(rate float64) upstreamstate.UpstreamStatus {
+	return upstreamstate.UpstreamStatus{Announcement: &quota.Announcement{Limited: true, Rate: rate}}
 }
 
 var (
@@ -140,7 +140,7 @@
 func TestExhaustedUpstreamIsSkippedWithoutRetry(t *testing.T) {
 	for _, path := range []string{"/unsafe/1", "/safe/1", "/once/1"} {
 		sender := &fakeSender{}
-		asked := &fakeCoordinator{decide: func(a quota.Ask) quota.Verdict {
+		asked := &fakeCoordinator{decide: func(a quota.GrantRequest) quota.Verdict {
 			return quota.Verdict{RetryIn: time.Minute}
 		}}
 		r := limitedRelay(t, sender, asked, "app-1", "app-2", "pre-1", "dec-1", "dec-2")
@@ -182,7 +182,7 @@
 		"engines that generate, resumed": {"/resumable/1", allEngines[2:]},
 	} {
 		sender := &fakeSender{}
-		r := limitedRelay(t, sender, &fakeCoordinator{decide: func(quota.Ask) quota.Verdict {
+		r := limitedRelay(t, sender, &fakeCoordinator{decide: func(quota.GrantRequest) quota.Verdict {
 			return quota.Verdict{RetryIn: room}
 		}}, c.limited...)
 		for range 2 { // the second one requests no grant
@@ -216,10 +216,10 @@
 	asked := &fakeCoordinator{}
 	sender := &fakeSender{run: cutFirst}
 	r := limitedRelay(t, sender, asked, allEngines...)
-	asked.decide = func(a quota.Ask) quota.Verdict {
+	asked.decide = func(a quota.GrantRequest) quota.Verdict {
 		if len(asked.requests) == 2 { // the answer has begun; the limits are exhausted for all other requests from now on
 			for _, id := range allEngines {
-				r.upstreams.Spent(incarnationOf(id), 0, time.Minute)
+				r.upstreams.MarkExhausted(incarnationOf(id), 0, time.Minute)
 			}
 		}
 		return quota.Verdict{Granted: len(asked.requests) <= 2 || a.Continues}
@@ -263,7 +263,7 @@
 	if _, err := serve(r, call("/safe/1")); outcomeOf(t, err) != NotRun || sender.count() > 0 {
 		t.Errorf("%v, %d sends", err, sender.count())
 	}
-	if verdict := r.DecideGrant(quota.Ask{Word: quota.Word{Upstream: 1, Rate: 2}}); verdict.Granted {
+	if verdict := r.DecideGrant(quota.GrantRequest{Limit: quota.UpstreamLimit{Upstream: 1, Rate: 2}}); verdict.Granted {
 		t.Error("an instance that does not coordinate granted")
 	}
 }
@@ -274,11 +274,11 @@
 	r := limitedRelay(t, &fakeSender{}, asked, "app-1")
 	before := r.upstreams.Upstream("app-1")
 	again := before
-	again.Born = 7
+	again.StartedAt = 7
 	r.UpdateUpstream(again)
 	r.applyStatement(before, limitStatement(1))
 	w, _, known := r.upstreams.Limit(again.Incarnation(), r.now())
-	if w.Limits() || known {
+	if w.Limited() || known {
 		t.Errorf("it is limited to %+v", w)
 	}
 }
@@ -287,10 +287,10 @@
 func TestUnparsableAnnouncementChangesNothing(t *testing.T) {
 	r := limitedRelay(t, &fakeSender{}, &fakeCoordinator{}, "app-1")
 	for _, id := range []string{"app-1", "app-2"} {
-		r.applyStatement(r.upstreams.Upstream(id), upstreamstate.Statement{Unread: []error{errors.New("no rate")}})
+		r.applyStatement(r.upstreams.Upstream(id), upstreamstate.UpstreamStatus{ParseErrors: []error{errors.New("no rate")}})
 	}
 	for id, limits := range map[string]bool{"app-1": true, "app-2": false} {
-		if w, _, _ := r.upstreams.Limit(incarnationOf(id), r.now()); w.Limits() != limits {
+		if w, _, _ := r.upstreams.Limit(incarnationOf(id), r.now()); w.Limited() != limits {
 			t.Errorf("%s: %+v", id, w)
 		}
 	}
--- a/internal/relay/link.go
+++ b/internal/relay/link.go
@@ -52,7 +52,7 @@
 // recordAnswer records the beginning of an upstream's answer, and the load that it reports.
 func (r *Relay) recordAnswer(upstream string, load upstreamstate.Load) {
 	now := r.now()
-	r.upstreams.Reported(upstream, load, now)
+	r.upstreams.SetReportedLoad(upstream, load, now)
 	r.link.update(func(s *ownlink.Link) { s.Answered(upstream, now) })
 }
 
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -76,7 +76,7 @@
 	sender     Sender
 	log        *slog.Logger
 	start      time.Time
-	upstreams  *upstreamstate.Picture
+	upstreams  *upstreamstate.State
 	budgets    *budgets
 	pool       *retryPool
 	quarantine *quarantineState
@@ -86,7 +86,7 @@
 	grants     *grants
 	// requestGrant requests a grant for a send to a rate-limited upstream from the instance that
 	// coordinates the grants; nil if unset.
-	requestGrant atomic.Pointer[func(context.Context, quota.Ask) quota.Verdict]
+	requestGrant atomic.Pointer[func(context.Context, quota.GrantRequest) quota.Verdict]
 	// requestRetry requests a retry from the instance that keeps the zone's retry pool; nil if
 	// unset.
 	requestRetry atomic.Pointer[func(context.Context, uint32) bool]
@@ -108,7 +108,7 @@
 	sender.SetStatementHandler(r.applyStatement)
 	r.budgets = newBudgets(s.Budget, newRetryMeters(), r.requestFromPool)
 	r.upstreams = upstreamstate.New(upstreamstate.Settings{
-		Zone: s.Zone, Placement: s.Placement, Prior: s.Prior, Outliers: s.Outliers, Changed: r.notifyChanged,
+		Zone: s.Zone, Placement: s.Placement, Prior: s.Prior, Outliers: s.Outliers, OnChange: r.notifyChanged,
 	})
 	return r
 }
@@ -135,10 +135,10 @@
 func (r *Relay) SetBudget(s BudgetSettings) { r.budgets.set(s) }
 
 // UpdateUpstream stores an upstream's newest entry.
-func (r *Relay) UpdateUpstream(u upstreamstate.Upstream) { r.upstreams.Learn(u) }
+func (r *Relay) UpdateUpstream(u upstreamstate.Upstream) { r.upstreams.UpdateUpstream(u) }
 
 // RemoveUpstream removes an upstream.
-func (r *Relay) RemoveUpstream(id string) { r.upstreams.Forget(id) }
+func (r *Relay) RemoveUpstream(id string) { r.upstreams.RemoveUpstream(id) }
 
 // Engines returns the model engines that accept requests, by service.
 func (r *Relay) Engines() map[string][]upstreamstate.Engine { return r.upstreams.Engines(r.now()) }
@@ -151,7 +151,7 @@
 
 // Upstreams returns the upstreams of a service, including those that are draining.
 func (r *Relay) Upstreams(service string) []upstreamstate.Upstream {
-	return r.upstreams.Members(service)
+	return r.upstreams.Upstreams(service)
 }
 
 // EngineTimes returns the processing times of a service's engines.
@@ -159,13 +159,15 @@
 
 // MarkUnavailable has all instances exclude an upstream for the time d in which it accepts no
 // requests, or until its role has changed.
-func (r *Relay) MarkUnavailable(id string, d time.Duration) { r.upstreams.SendAway(id, r.now()+d) }
+func (r *Relay) MarkUnavailable(id string, d time.Duration) {
+	r.upstreams.MarkUnavailable(id, r.now()+d)
+}
 
 // OwnReport returns this instance's report to the other instances.
 func (r *Relay) OwnReport() upstreamstate.Report {
 	r.logEndedBackoffs()
 	report := r.upstreams.OwnReport(r.now())
-	report.Spilled, report.Ends = r.budgets.overflow(), r.quarantine.dueCrashes((*quarantine.Table).OwnEnds)
+	report.RetryOverflow, report.Crashes = r.budgets.overflow(), r.quarantine.dueCrashes((*quarantine.Table).DueOwn)
 	report.Usage = r.usage.dueTotals((*usage.Tally).TellOwn)
 	return report
 }
@@ -174,30 +176,30 @@
 func (r *Relay) ZoneReport() upstreamstate.Report {
 	r.depositOwn()
 	report := r.upstreams.ZoneReport(r.now())
-	report.Ends = r.quarantine.dueCrashes((*quarantine.Table).ZoneEnds)
+	report.Crashes = r.quarantine.dueCrashes((*quarantine.Table).DueZone)
 	report.Usage = r.usage.dueTotals((*usage.Tally).TellZone)
 	return report
 }
 
 // OtherZonesReport returns the report on the other zones to the instances of this zone.
 func (r *Relay) OtherZonesReport() upstreamstate.Report {
-	report := r.upstreams.BeyondReport(r.now())
-	report.Ends = r.quarantine.dueCrashes((*quarantine.Table).BeyondEnds)
+	report := r.upstreams.OtherZonesReport(r.now())
+	report.Crashes = r.quarantine.dueCrashes((*quarantine.Table).DueOtherZones)
 	return report
 }
 
-// Learned returns what this instance has learned about the engines, by a hash of the service.
-func (r *Relay) Learned() map[uint32]estimate.Learned { return r.upstreams.Learned() }
+// LearnedTimes returns what this instance has learned about the engines, by a hash of the service.
+func (r *Relay) LearnedTimes() map[uint32]estimate.Snapshot { return r.upstreams.LearnedTimes() }
 
 // ApplyReport merges the report of another instance or of a whole zone.
 func (r *Relay) ApplyReport(source string, report upstreamstate.Report) {
 	now := r.now()
-	r.upstreams.TakeReport(source, report, now)
+	r.upstreams.ApplyReport(source, report, now)
 	r.logLimitChanges()
-	r.pool.deposit(source, report.Spilled, now)
+	r.pool.deposit(source, report.RetryOverflow, now)
 	r.link.reportReceived(now)
 	r.usage.apply(source, report)
-	r.applyCrashes(report.Ends, strings.HasPrefix(source, upstreamstate.BesidePrefix))
+	r.applyCrashes(report.Crashes, strings.HasPrefix(source, upstreamstate.InstanceSourcePrefix))
 }
 
 // ownSource identifies this instance as a source of its own pool.
@@ -207,7 +209,9 @@
 func (r *Relay) depositOwn() { r.pool.deposit(ownSource, r.budgets.overflow(), r.now()) }
 
 // HasPlacement reports whether a prompt part is known to have been placed on an engine.
-func (r *Relay) HasPlacement(placed upstreamstate.Placed) bool { return r.upstreams.Knows(placed) }
+func (r *Relay) HasPlacement(placed upstreamstate.PlacedPart) bool {
+	return r.upstreams.HasPlacement(placed)
+}
 
 // recentRequestWindow is how long after a request HasRecentRequests reports true.
 const recentRequestWindow = 2 * time.Second
@@ -322,7 +326,7 @@
 		return
 	}
 	result := verdictFor(ctx, err)
-	ejected := r.upstreams.Judge(id, result, r.now())
+	ejected := r.upstreams.RecordCall(id, result, r.now())
 	r.log.Info("relay: send failed", "request", x.req.ID, "upstream", id, "try", x.attempts.Sends(),
 		"ejected", ejected, "error", err, "after", r.now()-x.arrived, "content", x.content())
 }
--- a/internal/relay/rest_test.go
+++ b/internal/relay/rest_test.go
@@ -13,8 +13,8 @@
 )
 
 // backoffStatement returns an upstream's request to receive nothing for a time.
-func backoffStatement(d time.Duration) upstreamstate.Statement {
-	return upstreamstate.Statement{Rest: d}
+func backoffStatement(d time.Duration) upstreamstate.UpstreamStatus {
+	return upstreamstate.UpstreamStatus{Backoff: d}
 }
 
 // TestNoSendReachesUpstreamBackingOff guards against a kind of send that ignores an upstream's
@@ -48,9 +48,9 @@
 		sender := &fakeSender{}
 		var r *Relay
 		rests := ""
-		asked := &fakeCoordinator{decide: func(a quota.Ask) quota.Verdict {
+		asked := &fakeCoordinator{decide: func(a quota.GrantRequest) quota.Verdict {
 			if rests == "" {
-				rests = r.upstreams.NameOf(a.Word.Upstream)
+				rests = r.upstreams.UpstreamID(a.Limit.Upstream)
 				r.applyStatement(r.upstreams.Upstream(rests), backoffStatement(time.Minute))
 			}
 			return quota.Verdict{Granted: true}
--- a/internal/rolekeeper/rolekeeper_test.go
+++ b/internal/rolekeeper/rolekeeper_test.go
@@ -124,7 +124,7 @@
 	defer f.mu.Unlock()
 	for i := range f.engines {
 		if f.engines[i].ID == id {
-			f.engines[i].Born++
+			f.engines[i].StartedAt++
 		}
 	}
 }
@@ -265,7 +265,7 @@
 func TestTheSplitFollowsTheUse(t *testing.T) {
 	f, table := newFakeFleet(9), newTable()
 	f.serving = true
-	f.load(upstreamstate.EngineLoad{Requests: 60, Use: 0.05})
+	f.load(upstreamstate.EngineLoad{Requests: 60, Utilization: 0.05})
 	stop := run(t, "one", table, f)
 	waitFor(func() bool { return f.prefill() == 6 })
 	waitFor(func() bool { return wantedOf(t, table) < 6 })
@@ -405,8 +405,8 @@
 		grant lease.Grant
 		keeps bool
 	}{
-		{lease.Grant{Resumed: true, Returned: true}, true},
-		{lease.Grant{Returned: true}, false}, // another one may have moved it since
+		{lease.Grant{Resumed: true, TableRestored: true}, true},
+		{lease.Grant{TableRestored: true}, false}, // another one may have moved it since
 		{lease.Grant{Resumed: true}, false},
 	} {
 		k := &Keeper{services: map[string]*duty{"llm": {target: target, kept: target}}, pending: map[string]pending{"e": {}}}
--- a/internal/upstreamstate/bench_test.go
+++ b/internal/upstreamstate/bench_test.go
@@ -21,7 +21,7 @@
 )
 
 // largePicture knows engines of which 13 in 18 process prompts, in six zones.
-func largePicture(engines int) *Picture {
+func largePicture(engines int) *State {
 	p := New(Settings{
 		Zone: "z0", Placement: placement.DefaultSettings(), Prior: estimate.DefaultPrior(), Outliers: load.DefaultOutlierRules(), Seed: 1,
 	})
@@ -33,7 +33,7 @@
 		if i%18 < 13 {
 			role = config.RolePrefill
 		}
-		p.Learn(Upstream{ID: "engine-" + strconv.Itoa(i), Service: "llm", Address: "a", Zone: zoneOf(i), Role: role})
+		p.UpdateUpstream(Upstream{ID: "engine-" + strconv.Itoa(i), Service: "llm", Address: "a", Zone: zoneOf(i), Role: role})
 	}
 	return p
 }
@@ -46,13 +46,13 @@
 	var r Report
 	for i := range 4 {
 		engine := hashOf("engine-" + strconv.Itoa((source*7+i*13)%engines))
-		r.Loads = append(r.Loads, EngineLoad{Engine: engine, Requests: 1, Ahead: 30 * time.Millisecond, Use: 0.1})
-		r.Placed = append(r.Placed, Placed{Engine: engine, Part: hashOf("part-" + strconv.Itoa((source+i)%500))})
+		r.Loads = append(r.Loads, EngineLoad{Engine: engine, Requests: 1, Backlog: 30 * time.Millisecond, Utilization: 0.1})
+		r.Placed = append(r.Placed, PlacedPart{Engine: engine, Part: hashOf("part-" + strconv.Itoa((source+i)%500))})
 	}
 	return r
 }
 
-func sourceName(i int) string { return BesidePrefix + strconv.Itoa(i) }
+func sourceName(i int) string { return InstanceSourcePrefix + strconv.Itoa(i) }
 
 func benchPrompt(i int) placement.Prompt {
 	return placement.Prompt{Tokens: 17000, MaxOutput: 600, Parts: []placement.Part{
@@ -65,20 +65,20 @@
 func benchPlacement(b *testing.B, engines, sources int, reports bool) {
 	p := largePicture(engines)
 	for i := range sources {
-		p.TakeReport(sourceName(i), sourceReport(i, engines), 0)
+		p.ApplyReport(sourceName(i), sourceReport(i, engines), 0)
 	}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		if reports {
-			p.TakeReport(sourceName(i%sources), sourceReport(i%sources, engines), 0)
+			p.ApplyReport(sourceName(i%sources), sourceReport(i%sources, engines), 0)
 		}
-		ask := Ask{ID: "r", Service: "llm", Prompt: benchPrompt(i), Objective: time.Second, Left: 6 * time.Second}
-		start, turn, ok := p.PickStart(ask, 0)
+		ask := PlacementRequest{ID: "r", Service: "llm", Prompt: benchPrompt(i), Objective: time.Second, RemainingWait: 6 * time.Second}
+		start, turn, ok := p.PickPrefill(ask, 0)
 		if !ok {
 			b.Fatal("no engine")
 		}
 		p.PromptDone(start.Engine.ID, start.BusyTime, turn)
-		p.End(start.Engine.ID, "r", 0)
+		p.RequestDone(start.Engine.ID, "r", 0)
 	}
 }
 
@@ -108,7 +108,7 @@
 			p := largePicture(78)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				p.TakeReport(sourceName(i%sources), sourceReport(i%sources, 78), 0)
+				p.ApplyReport(sourceName(i%sources), sourceReport(i%sources, 78), 0)
 			}
 		})
 	}
@@ -118,7 +118,7 @@
 	for _, engines := range benchEngines {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
 			p := largePicture(engines)
-			p.PickStart(Ask{ID: "r", Service: "llm", Prompt: benchPrompt(1), Objective: time.Second, Left: time.Second}, 0)
+			p.PickPrefill(PlacementRequest{ID: "r", Service: "llm", Prompt: benchPrompt(1), Objective: time.Second, RemainingWait: time.Second}, 0)
 			b.ReportAllocs()
 			for b.Loop() {
 				p.OwnReport(0)
--- a/internal/upstreamstate/learn.go
+++ b/internal/upstreamstate/learn.go
@@ -20,7 +20,7 @@
 }
 
 // model returns what is known of a service's engines. The lock is held.
-func (p *Picture) model(service string) *estimate.Model {
+func (p *State) model(service string) *estimate.Model {
 	m, ok := p.models[service]
 	if !ok {
 		m = estimate.New(p.settings.Prior)
@@ -30,19 +30,19 @@
 }
 
 // Times returns what the engines of a service take.
-func (p *Picture) Times(service string) Times {
+func (p *State) Times(service string) Times {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.times(service)
 }
 
 // times is Times. The lock is held.
-func (p *Picture) times(service string) Times {
+func (p *State) times(service string) Times {
 	m := p.model(service)
 	t := Times{}
-	t.TokenTime, t.PairTime, t.Overhead = m.Prompt()
-	t.HandOver, t.SlotTime = m.HandOver(), m.Slot()
-	t.Step, t.StepPerRequest = m.Step()
+	t.TokenTime, t.PairTime, t.Overhead = m.PromptTimes()
+	t.HandOver, t.SlotTime = m.HandOver(), m.SlotTime()
+	t.Step, t.StepPerRequest = m.StepTimes()
 	t.Known = m.PromptsKnown() && m.StepsKnown()
 	limits := p.table.Services[service].Engine
 	if limits == nil {
@@ -54,62 +54,62 @@
 }
 
 // costs are what placement weighs for a service. The lock is held.
-func (p *Picture) costs(service string) placement.Costs {
+func (p *State) costs(service string) placement.Costs {
 	return placement.Costs{EngineTimes: p.times(service).EngineTimes, Settings: p.settings.Placement}
 }
 
-// Prefilled takes note of a prompt that an engine has processed, without a fetch.
-func (p *Picture) Prefilled(service string, done estimate.Prefill) {
+// RecordPrefill takes note of a prompt that an engine has processed, without a fetch.
+func (p *State) RecordPrefill(service string, done estimate.Prefill) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.model(service).Prefilled(done)
+	p.model(service).RecordPrefill(done)
 }
 
-// Began takes note of how long a decode engine took to begin with a processed
+// RecordHandOver takes note of how long a decode engine took to begin with a processed
 // prompt of so many tokens.
-func (p *Picture) Began(service string, tokens int, took time.Duration) {
+func (p *State) RecordHandOver(service string, tokens int, took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	fetch := time.Duration(float64(tokens) * p.times(service).FetchTime)
-	p.model(service).Began(max(0, took-fetch))
+	p.model(service).RecordHandOver(max(0, took-fetch))
 }
 
-// Streamed takes note of an answer that an engine has generated whole, in so many
+// RecordStream takes note of an answer that an engine has generated whole, in so many
 // events.
-func (p *Picture) Streamed(service, engine string, events int, done estimate.Stream, now time.Duration) {
+func (p *State) RecordStream(service, engine string, events int, done estimate.Stream, now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	eventTokens := 1
 	if limits := p.table.Services[service].Engine; limits != nil {
 		eventTokens = max(1, limits.EventTokens)
 	}
-	done.Stepped = (events - 1) * eventTokens
+	done.Tokens = (events - 1) * eventTokens
 	if n, ok := p.nodes[engine]; ok {
-		done.Batch = float64(n.toldTo(now).Requests)
+		done.BatchSize = float64(n.aggregateLoad(now).Requests)
 	}
-	p.model(service).Streamed(done)
+	p.model(service).RecordStream(done)
 }
 
-// learned is what this instance has learned of the engines, by a hash of the
+// learnedTimes is what this instance has learnedTimes of the engines, by a hash of the
 // service. The lock is held.
-func (p *Picture) learned() map[uint32]estimate.Learned {
-	all := map[uint32]estimate.Learned{}
+func (p *State) learnedTimes() map[uint32]estimate.Snapshot {
+	all := map[uint32]estimate.Snapshot{}
 	for service, m := range p.models {
-		if l := m.Learned(); l.Prompts > 0 || l.Streams > 0 {
+		if l := m.Snapshot(); l.PromptCount > 0 || l.StreamCount > 0 {
 			all[hashOf(service)] = l
 		}
 	}
 	return all
 }
 
-// hear takes what another instance has learned. The lock is held.
-func (p *Picture) hear(times map[uint32]estimate.Learned) {
+// mergeTimes takes what another instance has learned. The lock is held.
+func (p *State) mergeTimes(times map[uint32]estimate.Snapshot) {
 	if len(times) == 0 {
 		return
 	}
 	for service := range p.byService {
 		if l, ok := times[hashOf(service)]; ok {
-			p.model(service).Hear(l)
+			p.model(service).Merge(l)
 		}
 	}
 }
--- a/internal/upstreamstate/statement.go
+++ b/internal/upstreamstate/statement.go
@@ -6,25 +6,25 @@
 	"sassafrasfield/internal/quota"
 )
 
-// Statement is what an upstream says of itself with an answer.
-type Statement struct {
+// UpstreamStatus is what an upstream says of itself with an answer.
+type UpstreamStatus struct {
 	// Load is what it has under way.
 	Load Load
 	// Announcement is for all instances; nil where it cannot be read.
 	Announcement *quota.Announcement
-	// Rest is for how long the upstream wants nothing from this instance; 0 for no such
+	// Backoff is for how long the upstream wants nothing from this instance; 0 for no such
 	// wish.
-	Rest time.Duration
-	// Unread are the errors of what cannot be read. It says nothing.
-	Unread []error
+	Backoff time.Duration
+	// ParseErrors are the errors of what cannot be read. It says nothing.
+	ParseErrors []error
 }
 
-// restTable is until when upstreams want nothing from this instance.
-type restTable map[uint32]time.Duration
+// backoffTable is until when upstreams want nothing from this instance.
+type backoffTable map[uint32]time.Duration
 
-// note takes an upstream's wish, and tells whether the rest is longer by it. What it asked for
+// extend takes an upstream's wish, and tells whether the rest is longer by it. What it asked for
 // before stands.
-func (t restTable) note(hash uint32, until time.Duration) bool {
+func (t backoffTable) extend(hash uint32, until time.Duration) bool {
 	if until <= t[hash] {
 		return false
 	}
@@ -32,16 +32,16 @@
 	return true
 }
 
-// RestFor takes it that an upstream wants nothing from this instance for a time, and tells
+// BackOff takes it that an upstream wants nothing from this instance for a time, and tells
 // whether it is left alone for longer by that. Afterwards it gets one request at first, and ever
 // more as they go well. An answer of a start of it that is over says nothing of the one that is
 // there now.
-func (p *Picture) RestFor(from Upstream, d, now time.Duration) bool {
+func (p *State) BackOff(from Upstream, d, now time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	hash := from.Incarnation()
 	n, listed := p.nodes[from.ID]
-	if listed && n.hash != hash || !p.limits.rests.note(hash, now+d) {
+	if listed && n.hash != hash || !p.limits.backoffs.extend(hash, now+d) {
 		return false
 	}
 	if listed {
@@ -50,16 +50,16 @@
 	return true
 }
 
-// RestsOver returns the ids of the listed upstreams whose rest has ended since the last call.
-func (p *Picture) RestsOver(now time.Duration) []string {
+// EndedBackoffs returns the ids of the listed upstreams whose rest has ended since the last call.
+func (p *State) EndedBackoffs(now time.Duration) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var over []string
-	for hash, until := range p.limits.rests {
+	for hash, until := range p.limits.backoffs {
 		if now < until {
 			continue
 		}
-		delete(p.limits.rests, hash)
+		delete(p.limits.backoffs, hash)
 		if n, ok := p.byHash[hash]; ok {
 			over = append(over, n.ID)
 		}
@@ -67,10 +67,10 @@
 	return over
 }
 
-// Resting is for how much longer an upstream wants nothing from this instance; 0 for one that
+// BackoffLeft is for how much longer an upstream wants nothing from this instance; 0 for one that
 // takes requests.
-func (p *Picture) Resting(hash uint32, now time.Duration) time.Duration {
+func (p *State) BackoffLeft(hash uint32, now time.Duration) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return max(0, p.limits.rests[hash]-now)
+	return max(0, p.limits.backoffs[hash]-now)
 }
