--- a/internal/instance/instance_test.go
+++ b/internal/instance/instance_test.go
@@ -30,7 +30,7 @@
 // silentSender has upstreams that say nothing of themselves. Nothing is sent to them.
 type silentSender struct{ relay.Sender }
 
-func (silentSender) SetStatementHandler(func(upstreamstate.Upstream, upstreamstate.UpstreamStatus)) {}
+func (silentSender) SetStatusHandler(func(upstreamstate.Upstream, upstreamstate.UpstreamStatus)) {}
 
 func newInstance() *Instance { return newInstanceWith(silentSender{}) }
 
--- a/internal/instance/orders_test.go
+++ b/internal/instance/orders_test.go
@@ -19,7 +19,7 @@
 	hear func(upstreamstate.Upstream, upstreamstate.UpstreamStatus)
 }
 
-func (h *hearing) SetStatementHandler(hear func(upstreamstate.Upstream, upstreamstate.UpstreamStatus)) {
+func (h *hearing) SetStatusHandler(hear func(upstreamstate.Upstream, upstreamstate.UpstreamStatus)) {
 	h.hear = hear
 }
 
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -228,7 +228,7 @@
 	return relay.KV{}, upstreamstate.Load{}, relay.ErrNoValidAnswer
 }
 
-func (*heldSender) SetStatementHandler(func(upstreamstate.Upstream, upstreamstate.UpstreamStatus)) {}
+func (*heldSender) SetStatusHandler(func(upstreamstate.Upstream, upstreamstate.UpstreamStatus)) {}
 
 func (*heldSender) Crashed(context.Context, upstreamstate.Upstream, string) (bool, error) {
 	return false, nil
--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -47,7 +47,7 @@
 	healthPath string
 }
 
-func (f *fakeSender) SetStatementHandler(hear func(upstreamstate.Upstream, upstreamstate.UpstreamStatus)) {
+func (f *fakeSender) SetStatusHandler(hear func(upstreamstate.Upstream, upstreamstate.UpstreamStatus)) {
 	f.handleStatement = hear
 }
 
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -105,7 +105,7 @@
 		pool: newRetryPool(), quarantine: newQuarantineState(), usage: newUsageCounter(s.UsageWindow), link: newLink(), meters: newMeters(), grants: newGrants(), changed: make(chan struct{}, 1),
 	}
 	r.sender = admittingSender{Sender: sender, relay: r}
-	sender.SetStatementHandler(r.applyStatement)
+	sender.SetStatusHandler(r.applyStatement)
 	r.budgets = newBudgets(s.Budget, newRetryMeters(), r.requestFromPool)
 	r.upstreams = upstreamstate.New(upstreamstate.Settings{
 		Zone: s.Zone, Placement: s.Placement, Prior: s.Prior, Outliers: s.Outliers, OnChange: r.notifyChanged,
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -150,9 +150,9 @@
 // Sender is the adapter to the upstreams. Cancelling the context stops the upstream's work on a
 // request.
 type Sender interface {
-	// SetStatementHandler sets the function to call with what upstreams state about themselves in
+	// SetStatusHandler sets the function to call with what upstreams state about themselves in
 	// any answer, whatever was requested. It is called once, before all other methods.
-	SetStatementHandler(hear func(from upstreamstate.Upstream, s upstreamstate.UpstreamStatus))
+	SetStatusHandler(hear func(from upstreamstate.Upstream, s upstreamstate.UpstreamStatus))
 	// Send runs a request on an upstream and returns when its answer begins.
 	Send(ctx context.Context, req *Request, s Send) (*Reply, error)
 	// Prefill makes an engine process the prompt of a request and keep the KV cache.
