--- a/internal/upstreamstate/bench_test.go
+++ b/internal/upstreamstate/bench_test.go
@@ -13,19 +13,20 @@
 	"sassafrasfield/internal/routes"
 )
 
-// Sizes of the benchmarks: the first customers' fleet, the largest one that is
-// served, and two on the way to the target of docs/CAPACITY.md.
+// Sizes of the benchmarks: the first customers' fleet, the largest fleet served today, and two
+// sizes on the way to the target of docs/CAPACITY.md.
 var (
 	benchEngines = []int{18, 78, 600, 3000}
 	benchSources = []int{9, 195, 400}
 )
 
-// largePicture knows engines of which 13 in 18 process prompts, in six zones.
-func largePicture(engines int) *State {
-	p := New(Settings{
+// newLargeState knows the given number of engines in six zones; 13 in 18 of them are prefill
+// engines.
+func newLargeState(engines int) *State {
+	s := New(Settings{
 		Zone: "z0", Placement: placement.DefaultSettings(), Prior: estimate.DefaultPrior(), Outliers: load.DefaultOutlierRules(), Seed: 1,
 	})
-	p.SetRoutes(routes.NewTable(1, nil, []routes.Service{{Name: "llm", Engine: &routes.EngineLimits{
+	s.SetRoutes(routes.NewTable(1, nil, []routes.Service{{Name: "llm", Engine: &routes.EngineLimits{
 		Slots: 64, KVTokens: 440000, TransferTime: 760, EventTokens: 1,
 	}}}, routes.Limits{}), 0)
 	for i := range engines {
@@ -33,14 +34,14 @@
 		if i%18 < 13 {
 			role = config.RolePrefill
 		}
-		p.UpdateUpstream(Upstream{ID: "engine-" + strconv.Itoa(i), Service: "llm", Address: "a", Zone: zoneOf(i), Role: role})
+		s.UpdateUpstream(Upstream{ID: "engine-" + strconv.Itoa(i), Service: "llm", Address: "a", Zone: zoneOf(i), Role: role})
 	}
-	return p
+	return s
 }
 
 func zoneOf(i int) string { return "z" + strconv.Itoa(i%6) }
 
-// sourceReport is what one of many instances has under way: a few requests, and
+// sourceReport is the report of one of many instances: a few requests in progress and the prompt
 // parts that it placed.
 func sourceReport(source, engines int) Report {
 	var r Report
@@ -60,25 +61,25 @@
 	}}
 }
 
-// benchPlacement places prompts; with reports, another instance tells of its load
-// before each.
+// benchPlacement places prompts. With reports set, a report of another instance is applied before
+// each placement.
 func benchPlacement(b *testing.B, engines, sources int, reports bool) {
-	p := largePicture(engines)
+	s := newLargeState(engines)
 	for i := range sources {
-		p.ApplyReport(sourceName(i), sourceReport(i, engines), 0)
+		s.ApplyReport(sourceName(i), sourceReport(i, engines), 0)
 	}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		if reports {
-			p.ApplyReport(sourceName(i%sources), sourceReport(i%sources, engines), 0)
+			s.ApplyReport(sourceName(i%sources), sourceReport(i%sources, engines), 0)
 		}
-		ask := PlacementRequest{ID: "r", Service: "llm", Prompt: benchPrompt(i), Objective: time.Second, RemainingWait: 6 * time.Second}
-		start, turn, ok := p.PickPrefill(ask, 0)
+		request := PlacementRequest{ID: "r", Service: "llm", Prompt: benchPrompt(i), Objective: time.Second, RemainingWait: 6 * time.Second}
+		prefill, order, ok := s.PickPrefill(request, 0)
 		if !ok {
 			b.Fatal("no engine")
 		}
-		p.PromptDone(start.Engine.ID, start.BusyTime, turn)
-		p.RequestDone(start.Engine.ID, "r", 0)
+		s.PromptDone(prefill.Engine.ID, prefill.BusyTime, order)
+		s.RequestDone(prefill.Engine.ID, "r", 0)
 	}
 }
 
@@ -105,10 +106,10 @@
 func BenchmarkTakeReport(b *testing.B) {
 	for _, sources := range benchSources {
 		b.Run(fmt.Sprintf("sources=%d", sources), func(b *testing.B) {
-			p := largePicture(78)
+			s := newLargeState(78)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				p.ApplyReport(sourceName(i%sources), sourceReport(i%sources, 78), 0)
+				s.ApplyReport(sourceName(i%sources), sourceReport(i%sources, 78), 0)
 			}
 		})
 	}
@@ -117,11 +118,11 @@
 func BenchmarkOwnReport(b *testing.B) {
 	for _, engines := range benchEngines {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
-			p := largePicture(engines)
-			p.PickPrefill(PlacementRequest{ID: "r", Service: "llm", Prompt: benchPrompt(1), Objective: time.Second, RemainingWait: time.Second}, 0)
+			s := newLargeState(engines)
+			s.PickPrefill(PlacementRequest{ID: "r", Service: "llm", Prompt: benchPrompt(1), Objective: time.Second, RemainingWait: time.Second}, 0)
 			b.ReportAllocs()
 			for b.Loop() {
-				p.OwnReport(0)
+				s.OwnReport(0)
 			}
 		})
 	}
--- a/internal/upstreamstate/gone.go
+++ b/internal/upstreamstate/gone.go
@@ -3,27 +3,28 @@
 import "time"
 
 const (
-	// unreachableFor is for how long the word counts that an upstream could not be reached:
-	// a crashed one loses its entry within about four seconds, and is told of anew
-	// by whoever tries it.
+	// unreachableFor is how long a notice that an upstream could not be reached is valid. A crashed
+	// upstream loses its entry within about four seconds; until then, each instance that tries it
+	// sends a new notice.
 	unreachableFor = 1500 * time.Millisecond
-	// addressReassignedFor is for how long an upstream is left out whose address another one has:
-	// its entry may be there still for as long as the platform's store is away, and
-	// whoever tries it then tells anew.
+	// addressReassignedFor is how long an upstream is marked unavailable after another upstream was
+	// found at its address. Its entry may remain for as long as the platform's store is
+	// unavailable; each instance that tries it after this time sends a new notice.
 	addressReassignedFor = 15 * time.Second
 )
 
-// unreachableLimitDivisor is the part of the upstreams beyond which an instance that cannot
-// reach them doubts its own network, and tells of none.
+// unreachableLimitDivisor bounds the upstreams reported as unreachable to one in this many of all
+// upstreams. An instance that cannot reach more than that assumes that its own network is at fault
+// and reports none.
 const unreachableLimitDivisor = 3
 
-// expiryTable has upstreams by their hashes, each with the end of a word's time.
+// expiryTable maps hashes of upstreams to the times at which the notices about them expire.
 type expiryTable map[uint32]time.Duration
 
-// active tells whether a word on an upstream counts.
+// active reports whether a notice about an upstream is still valid.
 func (t expiryTable) active(hash uint32, now time.Duration) bool { return now < t[hash] }
 
-// unexpired has those whose word still counts, and drops the others.
+// unexpired returns the upstreams with a valid notice and removes the others.
 func (t expiryTable) unexpired(now time.Duration) []uint32 {
 	var list []uint32
 	for hash, until := range t {
@@ -36,10 +37,10 @@
 	return list
 }
 
-// notices are what the instances told of upstreams, by who told it.
+// notices are what the instances reported about upstreams, by the origin of the report.
 type notices struct {
-	// received are those of other instances; own are this one's, sameZone those of its
-	// zone with this one's, and otherZones those of other zones.
+	// received are the notices of all other instances, own those of this instance, sameZone those
+	// of all instances of this zone including this one, and otherZones those of other zones.
 	received, own, sameZone, otherZones expiryTable
 }
 
@@ -47,37 +48,37 @@
 	return notices{received: expiryTable{}, own: expiryTable{}, sameZone: expiryTable{}, otherZones: expiryTable{}}
 }
 
-// addOwn takes this instance's own word.
-func (w *notices) addOwn(hash uint32, until time.Duration) {
-	w.own[hash], w.sameZone[hash] = until, until
+// addOwn adds a notice of this instance.
+func (n *notices) addOwn(hash uint32, until time.Duration) {
+	n.own[hash], n.sameZone[hash] = until, until
 }
 
-// addReceived takes another instance's word.
-func (w *notices) addReceived(hash uint32, until time.Duration, beside bool) {
-	w.received[hash] = until
-	if beside {
-		w.sameZone[hash] = until
+// addReceived adds a notice of another instance.
+func (n *notices) addReceived(hash uint32, until time.Duration, sameZone bool) {
+	n.received[hash] = until
+	if sameZone {
+		n.sameZone[hash] = until
 	} else {
-		w.otherZones[hash] = until
+		n.otherZones[hash] = until
 	}
 }
 
-// remove drops the words on an upstream.
-func (w *notices) remove(hash uint32) {
-	for _, t := range []expiryTable{w.received, w.own, w.sameZone, w.otherZones} {
+// remove removes all notices about an upstream.
+func (n *notices) remove(hash uint32) {
+	for _, t := range []expiryTable{n.received, n.own, n.sameZone, n.otherZones} {
 		delete(t, hash)
 	}
 }
 
-// UnavailableUpstream is an upstream that takes no requests for a time, whatever was heard from it:
-// it carries an order out, or another one has its address.
+// UnavailableUpstream is an upstream that accepts no requests for a time, even if it answers: it is
+// carrying out an order, or another upstream has its address.
 type UnavailableUpstream struct {
-	// Upstream is a hash of its incarnation.
+	// Upstream is the hash of the upstream's incarnation.
 	Upstream uint32
 	For      time.Duration
 }
 
-// unavailableList is what a table of upstreams that take no requests has to tell.
+// unavailableList lists the unexpired entries of a table of unavailable upstreams.
 func unavailableList(t expiryTable, now time.Duration) []UnavailableUpstream {
 	var list []UnavailableUpstream
 	for _, hash := range t.unexpired(now) {
@@ -86,48 +87,47 @@
 	return list
 }
 
-// unreachableList is what a table of upstreams that could not be reached has to tell;
-// nothing when they are too many to be believed. The lock is held.
-func (p *State) unreachableList(t expiryTable, now time.Duration) []uint32 {
+// unreachableList lists the unexpired entries of a table of unreachable upstreams. It returns nil
+// when there are too many of them to be plausible. The lock is held.
+func (s *State) unreachableList(t expiryTable, now time.Duration) []uint32 {
 	list := t.unexpired(now)
-	if len(list) > len(p.nodes)/unreachableLimitDivisor {
+	if len(list) > len(s.nodes)/unreachableLimitDivisor {
 		return nil
 	}
 	return list
 }
 
-// noteUnreachable records that an upstream could not be reached from here. The lock is
-// held.
-func (p *State) noteUnreachable(id string, now time.Duration) {
-	p.unreachable.addOwn(p.hash(id), now+unreachableFor)
-	p.settings.OnChange()
+// noteUnreachable records that this instance could not reach an upstream. The lock is held.
+func (s *State) noteUnreachable(id string, now time.Duration) {
+	s.unreachable.addOwn(s.hash(id), now+unreachableFor)
+	s.settings.OnChange()
 }
 
-// markUnavailable records that an upstream takes no requests for a time. The lock is held.
-func (p *State) markUnavailable(id string, until time.Duration) {
-	p.unavailable.addOwn(p.hash(id), until)
-	p.settings.OnChange()
+// markUnavailable records that an upstream accepts no requests until a time. The lock is held.
+func (s *State) markUnavailable(id string, until time.Duration) {
+	s.unavailable.addOwn(s.hash(id), until)
+	s.settings.OnChange()
 }
 
-// mergeNotices takes what another instance, or other zones, told of upstreams that do not
-// answer or take no requests. The lock is held.
-func (p *State) mergeNotices(report Report, beside bool, now time.Duration) {
+// applyNotices applies the unreachable and unavailable upstreams reported by another instance or by
+// other zones. The lock is held.
+func (s *State) applyNotices(report Report, sameZone bool, now time.Duration) {
 	for _, hash := range report.Unreachable {
-		p.unreachable.addReceived(hash, now+unreachableFor, beside)
+		s.unreachable.addReceived(hash, now+unreachableFor, sameZone)
 	}
-	for _, a := range report.Unavailable {
-		p.unavailable.addReceived(a.Upstream, now+a.For, beside)
+	for _, u := range report.Unavailable {
+		s.unavailable.addReceived(u.Upstream, now+u.For, sameZone)
 	}
 }
 
-// suspect tells whether an upstream should be left out: it takes no requests for a
-// time, or another instance could not reach it lately and this one has not heard from
-// it since about then. The lock is held.
-func (p *State) suspect(n *node, now time.Duration) bool {
-	if p.unavailable.own.active(n.hash, now) || p.unavailable.received.active(n.hash, now) {
+// suspect reports whether an upstream should not be chosen. That is the case while it is marked
+// unavailable, or if another instance could not reach it recently and this one has received no
+// answer from it since about then. The lock is held.
+func (s *State) suspect(n *node, now time.Duration) bool {
+	if s.unavailable.own.active(n.hash, now) || s.unavailable.received.active(n.hash, now) {
 		return true
 	}
-	if !p.unreachable.received.active(n.hash, now) {
+	if !s.unreachable.received.active(n.hash, now) {
 		return false
 	}
 	return !n.work.answered || now-n.work.answeredAt > unreachableFor/2
--- a/internal/upstreamstate/learn.go
+++ b/internal/upstreamstate/learn.go
@@ -7,44 +7,44 @@
 	"sassafrasfield/internal/placement"
 )
 
-// Times are what the engines of a service take, learned or configured.
+// Times are the processing times and capacities of a service's engines, learned or configured.
 type Times struct {
 	placement.EngineTimes
-	// Step is the time of a step of generation, StepPerRequest what each request
-	// that takes part adds.
+	// Step is the duration of a generation step without requests, StepPerRequest what each request
+	// in the batch adds.
 	Step, StepPerRequest time.Duration
-	// Known tells that the times are learned, and not assumed.
+	// Known is true when the times are learned, and false while they are assumed.
 	Known bool
-	// RoleChange is how long an engine is away when its role changes.
+	// RoleChange is how long an engine is unavailable while its role changes.
 	RoleChange time.Duration
 }
 
-// model returns what is known of a service's engines. The lock is held.
-func (p *State) model(service string) *estimate.Model {
-	m, ok := p.models[service]
+// model returns the estimates for a service's engines. The lock is held.
+func (s *State) model(service string) *estimate.Model {
+	m, ok := s.models[service]
 	if !ok {
-		m = estimate.New(p.settings.Prior)
-		p.models[service] = m
+		m = estimate.New(s.settings.Prior)
+		s.models[service] = m
 	}
 	return m
 }
 
-// Times returns what the engines of a service take.
-func (p *State) Times(service string) Times {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.times(service)
+// Times returns the times of a service's engines.
+func (s *State) Times(service string) Times {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.times(service)
 }
 
-// times is Times. The lock is held.
-func (p *State) times(service string) Times {
-	m := p.model(service)
+// times is Times with the lock held.
+func (s *State) times(service string) Times {
+	m := s.model(service)
 	t := Times{}
 	t.TokenTime, t.PairTime, t.Overhead = m.PromptTimes()
 	t.HandOver, t.SlotTime = m.HandOver(), m.SlotTime()
 	t.Step, t.StepPerRequest = m.StepTimes()
 	t.Known = m.PromptsKnown() && m.StepsKnown()
-	limits := p.table.Services[service].Engine
+	limits := s.routeTable.Services[service].Engine
 	if limits == nil {
 		return t
 	}
@@ -53,63 +53,63 @@
 	return t
 }
 
-// costs are what placement weighs for a service. The lock is held.
-func (p *State) costs(service string) placement.Costs {
-	return placement.Costs{EngineTimes: p.times(service).EngineTimes, Settings: p.settings.Placement}
+// costs returns the costs that placement uses for a service. The lock is held.
+func (s *State) costs(service string) placement.Costs {
+	return placement.Costs{EngineTimes: s.times(service).EngineTimes, Settings: s.settings.Placement}
 }
 
-// RecordPrefill takes note of a prompt that an engine has processed, without a fetch.
-func (p *State) RecordPrefill(service string, done estimate.Prefill) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.model(service).RecordPrefill(done)
+// RecordPrefill records the time of a prompt that an engine processed without fetching KV cache.
+func (s *State) RecordPrefill(service string, observed estimate.Prefill) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.model(service).RecordPrefill(observed)
 }
 
-// RecordHandOver takes note of how long a decode engine took to begin with a processed
-// prompt of so many tokens.
-func (p *State) RecordHandOver(service string, tokens int, took time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	fetch := time.Duration(float64(tokens) * p.times(service).FetchTime)
-	p.model(service).RecordHandOver(max(0, took-fetch))
+// RecordHandOver records the time from a send with a processed prompt to the first token at the
+// decode engine. The prompt has the given number of tokens.
+func (s *State) RecordHandOver(service string, tokens int, elapsed time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	fetch := time.Duration(float64(tokens) * s.times(service).FetchTime)
+	s.model(service).RecordHandOver(max(0, elapsed-fetch))
 }
 
-// RecordStream takes note of an answer that an engine has generated whole, in so many
+// RecordStream records an answer that an engine generated completely, in the given number of
 // events.
-func (p *State) RecordStream(service, engine string, events int, done estimate.Stream, now time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (s *State) RecordStream(service, engine string, events int, observed estimate.Stream, now time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	eventTokens := 1
-	if limits := p.table.Services[service].Engine; limits != nil {
+	if limits := s.routeTable.Services[service].Engine; limits != nil {
 		eventTokens = max(1, limits.EventTokens)
 	}
-	done.Tokens = (events - 1) * eventTokens
-	if n, ok := p.nodes[engine]; ok {
-		done.BatchSize = float64(n.aggregateLoad(now).Requests)
+	observed.Tokens = (events - 1) * eventTokens
+	if n, ok := s.nodes[engine]; ok {
+		observed.BatchSize = float64(n.aggregateLoad(now).Requests)
 	}
-	p.model(service).RecordStream(done)
+	s.model(service).RecordStream(observed)
 }
 
-// learnedTimes is what this instance has learnedTimes of the engines, by a hash of the
-// service. The lock is held.
-func (p *State) learnedTimes() map[uint32]estimate.Snapshot {
+// learnedTimes returns the estimates that this instance learned itself, by a hash of the service.
+// The lock is held.
+func (s *State) learnedTimes() map[uint32]estimate.Snapshot {
 	all := map[uint32]estimate.Snapshot{}
-	for service, m := range p.models {
-		if l := m.Snapshot(); l.PromptCount > 0 || l.StreamCount > 0 {
-			all[hashOf(service)] = l
+	for service, m := range s.models {
+		if snapshot := m.Snapshot(); snapshot.PromptCount > 0 || snapshot.StreamCount > 0 {
+			all[hashOf(service)] = snapshot
 		}
 	}
 	return all
 }
 
-// mergeTimes takes what another instance has learned. The lock is held.
-func (p *State) mergeTimes(times map[uint32]estimate.Snapshot) {
+// mergeTimes merges the estimates that another instance learned. The lock is held.
+func (s *State) mergeTimes(times map[uint32]estimate.Snapshot) {
 	if len(times) == 0 {
 		return
 	}
-	for service := range p.byService {
-		if l, ok := times[hashOf(service)]; ok {
-			p.model(service).Merge(l)
+	for service := range s.byService {
+		if snapshot, ok := times[hashOf(service)]; ok {
+			s.model(service).Merge(snapshot)
 		}
 	}
 }
--- a/internal/upstreamstate/ledger.go
+++ b/internal/upstreamstate/ledger.go
@@ -5,40 +5,39 @@
 	"time"
 )
 
-// How what changes is told.
+// Settings of the incremental reports.
 const (
-	// resendAfter is when a load is told again that has not changed: whoever missed
-	// it, or is new, has it then.
+	// resendAfter is when an unchanged load is sent again, so that receivers that missed it or have
+	// just started get it.
 	resendAfter = time.Second
-	// zeroRepeats is how often it is told that nothing is left on an upstream, as a
-	// datagram may be lost.
+	// zeroRepeats is how often a load of zero is sent, as a datagram may be lost.
 	zeroRepeats = 3
-	// maxReportLoads bounds the loads in one report: about four datagrams. What is left
-	// is told with the next ones.
+	// maxReportLoads bounds the loads in one report, which is about four datagrams. The others
+	// follow in the next reports.
 	maxReportLoads = 800
-	// minUtilizationChange and leastInflowChange are the changes of the rates, beyond how
-	// they fade, that are told: 1% of an engine's time, and 1,000 tokens a second.
+	// minUtilizationChange and minInflowChange are the smallest changes of the rates, besides their
+	// decay, that are sent: 1% of an engine's time and 1,000 tokens a second.
 	minUtilizationChange = 0.01
 	minInflowChange      = 1000
 )
 
-// sentLoads is what was told to a group of receivers, so that the next report to them
-// has what changed since alone.
+// sentLoads are the loads last sent to a group of receivers, so that the next report to them
+// contains only the changes.
 type sentLoads struct {
 	loads map[uint32]sentLoad
 }
 
-// sentLoad is a load as it was told.
+// sentLoad is a load as it was last sent.
 type sentLoad struct {
 	EngineLoad
 	at time.Duration
-	// zeros is how often it was told that nothing is left.
+	// zeros is how often a load of zero was sent.
 	zeros int
 }
 
 func newSentLoads() sentLoads { return sentLoads{loads: map[uint32]sentLoad{}} }
 
-// due tells whether a load is to be told now, and notes that it is.
+// due reports whether a load is to be sent now, and if so records it as sent.
 func (l *sentLoads) due(load EngineLoad, now time.Duration) bool {
 	before, known := l.loads[load.Engine]
 	if load.idle() {
@@ -51,7 +50,7 @@
 	return true
 }
 
-// dueZero notes that nothing is left on an upstream, and tells whether to tell it.
+// dueZero records a load of zero as sent and reports whether it is to be sent now.
 func (l *sentLoads) dueZero(before sentLoad, load EngineLoad, now time.Duration) bool {
 	if before.zeros >= zeroRepeats {
 		delete(l.loads, load.Engine)
@@ -61,8 +60,8 @@
 	return true
 }
 
-// differs tells whether a load is another one than was told, but for the rates'
-// fading, which the receivers know of.
+// differs reports whether a load differs from the one sent by more than the decay of its rates,
+// which the receivers compute themselves.
 func (e sentLoad) differs(load EngineLoad, now time.Duration) bool {
 	if e.Backlog != load.Backlog || e.DeferredBacklog != load.DeferredBacklog || e.Requests != load.Requests {
 		return true
--- a/internal/upstreamstate/limits.go
+++ b/internal/upstreamstate/limits.go
@@ -9,33 +9,35 @@
 	"sassafrasfield/internal/quota"
 )
 
-// limits are what upstreams announced, which of them have nothing left, and which want rest.
+// limits are the announcements of the upstreams, with the upstreams whose limit is exhausted and
+// those that asked for a backoff.
 type limits struct {
 	announcements *quota.Table
 	exhausted     exhaustedTable
 	backoffs      backoffTable
-	// changes wait to be logged.
+	// changes are the changes not logged yet.
 	changes []quota.Change
 }
 
-// availableAt is when an upstream takes a request of a priority again; not after now where it
-// takes one now.
+// availableAt returns when an upstream accepts a request of a priority again. The result is not
+// after the current time if it accepts one now.
 func (l limits) availableAt(hash uint32, priority int) time.Duration {
 	return max(l.exhausted.until(hash, priority), l.backoffs[hash])
 }
 
-// any tells whether any upstream may not take requests.
+// any reports whether any upstream may be refusing requests.
 func (l limits) any() bool { return l.announcements.Any() || len(l.backoffs) > 0 }
 
 func newLimits() limits {
 	return limits{announcements: quota.NewTable(), exhausted: exhaustedTable{}, backoffs: backoffTable{}}
 }
 
-// exhaustedTable is until when upstreams have nothing left for requests of a priority and for less
-// urgent ones, by what requests for a grant were told.
+// exhaustedTable maps upstreams and priorities to the time until which the limit is exhausted for
+// requests of that priority and for less urgent ones. The times come from the replies to requests
+// for a grant.
 type exhaustedTable map[uint32]map[int]time.Duration
 
-// set takes what a request of a priority was told.
+// set records the reply to a request of a priority.
 func (t exhaustedTable) set(hash uint32, priority int, until time.Duration) {
 	if t[hash] == nil {
 		t[hash] = map[int]time.Duration{}
@@ -43,19 +45,19 @@
 	t[hash][priority] = until
 }
 
-// until is when an upstream has room for a request of a priority again; not after now where
-// it has room.
+// until returns when an upstream has capacity for a request of a priority again. The result is not
+// after the current time if it has capacity now.
 func (t exhaustedTable) until(hash uint32, priority int) time.Duration {
 	latest := time.Duration(0)
-	for told, until := range t[hash] {
-		if told <= priority {
+	for exhaustedPriority, until := range t[hash] {
+		if exhaustedPriority <= priority {
 			latest = max(latest, until)
 		}
 	}
 	return latest
 }
 
-// expire drops what counts no longer.
+// expire removes the entries that have passed.
 func (t exhaustedTable) expire(now time.Duration) {
 	for hash, byPriority := range t {
 		maps.DeleteFunc(byPriority, func(_ int, until time.Duration) bool { return now >= until })
@@ -65,145 +67,147 @@
 	}
 }
 
-// Announced takes what an upstream's answer says to all instances. An answer of a start of it
-// that is over says nothing of the one that is there now.
-func (p *State) Announced(from Upstream, a quota.Announcement, now time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+// Announced applies an announcement from an upstream's answer to this instance. It is ignored if it
+// comes from an earlier incarnation of the upstream.
+func (s *State) Announced(from Upstream, a quota.Announcement, now time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	hash := from.Incarnation()
-	if n, ok := p.nodes[from.ID]; ok && n.hash != hash {
+	if n, ok := s.nodes[from.ID]; ok && n.hash != hash {
 		return
 	}
-	change, changed := p.limits.announcements.ApplyAnnouncement(hash, a, now)
-	p.noteLimitChange(change, changed)
+	change, changed := s.limits.announcements.ApplyAnnouncement(hash, a, now)
+	s.noteLimitChange(change, changed)
 	if changed {
-		p.settings.OnChange()
+		s.settings.OnChange()
 	}
 }
 
-// applyLimits takes what others told of upstreams' announcements. The lock is held.
-func (p *State) applyLimits(words []quota.UpstreamLimit, beside bool, now time.Duration) {
-	scope := quota.OtherZone
-	if beside {
-		scope = quota.SameZone
+// applyLimits applies the announcements that others received from upstreams. The lock is held.
+func (s *State) applyLimits(announced []quota.UpstreamLimit, sameZone bool, now time.Duration) {
+	source := quota.OtherZone
+	if sameZone {
+		source = quota.SameZone
 	}
-	for _, w := range words {
-		change, changed := p.limits.announcements.ApplyReport(w, scope, now)
-		p.noteLimitChange(change, changed)
+	for _, l := range announced {
+		change, changed := s.limits.announcements.ApplyReport(l, source, now)
+		s.noteLimitChange(change, changed)
 	}
 }
 
-// Limits returns what is known of the announcements of all upstreams.
-func (p *State) Limits(now time.Duration) []quota.UpstreamLimit {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.limits.announcements.All(now)
+// Limits returns the known announcements of all upstreams.
+func (s *State) Limits(now time.Duration) []quota.UpstreamLimit {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.limits.announcements.All(now)
 }
 
-// ApplyLimits takes what an instance of this zone, or of another one, knows of all upstreams.
-func (p *State) ApplyLimits(words []quota.UpstreamLimit, beside bool, now time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.applyLimits(words, beside, now)
+// ApplyLimits applies the announcements known to an instance of this zone or of another one.
+func (s *State) ApplyLimits(announced []quota.UpstreamLimit, sameZone bool, now time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.applyLimits(announced, sameZone, now)
 }
 
-// ApplyLimit takes what an instance that asks for a grant was told by the upstream.
-func (p *State) ApplyLimit(w quota.UpstreamLimit, now time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.applyLimits([]quota.UpstreamLimit{w}, true, now)
+// ApplyLimit applies the announcement that an instance sent with its request for a grant.
+func (s *State) ApplyLimit(l quota.UpstreamLimit, now time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.applyLimits([]quota.UpstreamLimit{l}, true, now)
 }
 
-// noteLimitChange keeps a change to be logged. What was told to wait for by the limit before
-// counts no longer. The lock is held.
-func (p *State) noteLimitChange(c quota.Change, changed bool) {
+// noteLimitChange keeps a change to be logged. When the rate changed, the times at which the old
+// limit would have had capacity again are dropped. The lock is held.
+func (s *State) noteLimitChange(c quota.Change, changed bool) {
 	if !changed {
 		return
 	}
 	if c.Rate != c.OldRate {
-		delete(p.limits.exhausted, c.Upstream)
+		delete(s.limits.exhausted, c.Upstream)
 	}
-	if n, ok := p.byHash[c.Upstream]; ok && c.StartsDraining {
+	if n, ok := s.byHash[c.Upstream]; ok && c.StartsDraining {
 		n.Draining = true
 	}
-	p.limits.changes = append(p.limits.changes, c)
+	s.limits.changes = append(s.limits.changes, c)
 }
 
 // LimitChanges returns the changes of announcements since the last call.
-func (p *State) LimitChanges() []quota.Change {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	changes := p.limits.changes
-	p.limits.changes = nil
+func (s *State) LimitChanges() []quota.Change {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	changes := s.limits.changes
+	s.limits.changes = nil
 	return changes
 }
 
-// Limit returns what is known of an upstream's limit, whether the upstream told this instance
-// itself, and whether anything is known of one.
-func (p *State) Limit(hash uint32, now time.Duration) (w quota.UpstreamLimit, firstHand, known bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.limits.announcements.Lookup(hash, now)
+// Limit returns the announced limit of an upstream, whether this instance received it from the
+// upstream itself, and whether any announcement is known.
+func (s *State) Limit(hash uint32, now time.Duration) (l quota.UpstreamLimit, firstHand, known bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.limits.announcements.Lookup(hash, now)
 }
 
-// MarkExhausted takes it that an upstream with a limit has nothing left for a time, for requests of a
+// MarkExhausted records that the limit of an upstream is exhausted until a time, for requests of a
 // priority and for less urgent ones.
-func (p *State) MarkExhausted(hash uint32, priority int, until time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.limits.exhausted.set(hash, priority, until)
+func (s *State) MarkExhausted(hash uint32, priority int, until time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.limits.exhausted.set(hash, priority, until)
 }
 
-// IsExhausted tells whether an upstream has nothing left for a request of a priority.
-func (p *State) IsExhausted(hash uint32, priority int, now time.Duration) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return now < p.limits.exhausted.until(hash, priority)
+// IsExhausted reports whether the limit of an upstream is exhausted for a request of a priority.
+func (s *State) IsExhausted(hash uint32, priority int, now time.Duration) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return now < s.limits.exhausted.until(hash, priority)
 }
 
-// IsDraining tells whether a start of an upstream leaves, as far as is known now.
-func (p *State) IsDraining(u Upstream) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	n, ok := p.byHash[u.Incarnation()]
+// IsDraining reports whether this incarnation of an upstream is known to be draining.
+func (s *State) IsDraining(u Upstream) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	n, ok := s.byHash[u.Incarnation()]
 	return ok && n.Draining
 }
 
-// AllDraining tells whether a service has upstreams, and all of them leave.
-func (p *State) AllDraining(service string) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	list := p.byService[service]
+// AllDraining reports whether a service has upstreams and all of them are draining.
+func (s *State) AllDraining(service string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	list := s.byService[service]
 	return len(list) > 0 && !slices.ContainsFunc(list, func(n *node) bool { return !n.Draining })
 }
 
-// AvailableIn returns when the first of the upstreams that take no request now, by their limit
-// or as they rest, takes one again; false when there are none. Resting tells that it rests.
-func (p *State) AvailableIn(a PlacementRequest, now time.Duration) (in time.Duration, resting, found bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+// AvailableIn returns when the first of the upstreams that accept no request now, due to their
+// limit or a backoff, accepts one again. Found is false when there are none; backingOff tells that
+// the wait is due to a backoff.
+func (s *State) AvailableIn(r PlacementRequest, now time.Duration) (in time.Duration, backingOff, found bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	in = time.Duration(math.MaxInt64)
-	for _, n := range p.byService[a.Service] {
-		until := p.limits.availableAt(n.hash, a.Priority)
+	for _, n := range s.byService[r.Service] {
+		until := s.limits.availableAt(n.hash, r.Priority)
 		if n.Draining || until <= now || until-now >= in {
 			continue
 		}
-		in, resting, found = until-now, until == p.limits.backoffs[n.hash], true
+		in, backingOff, found = until-now, until == s.limits.backoffs[n.hash], true
 	}
-	return in, resting, found
+	return in, backingOff, found
 }
 
-// expireLimits forgets what counts no longer. The lock is held.
-func (p *State) expireLimits(now time.Duration) {
-	p.limits.exhausted.expire(now)
-	p.limits.announcements.Expire(func(hash uint32) bool { return p.byHash[hash] != nil }, now)
+// expireLimits removes expired entries. The lock is held.
+func (s *State) expireLimits(now time.Duration) {
+	s.limits.exhausted.expire(now)
+	s.limits.announcements.Expire(func(hash uint32) bool { return s.byHash[hash] != nil }, now)
 }
 
-// UpstreamID returns the id of the upstream with a hash; empty when it is not listed.
-func (p *State) UpstreamID(hash uint32) string {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if n, ok := p.byHash[hash]; ok {
+// UpstreamID returns the id of the upstream with the given incarnation hash; empty when it is not
+// listed.
+func (s *State) UpstreamID(hash uint32) string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if n, ok := s.byHash[hash]; ok {
 		return n.ID
 	}
 	return ""
--- a/internal/upstreamstate/node.go
+++ b/internal/upstreamstate/node.go
@@ -7,23 +7,24 @@
 	"sassafrasfield/internal/load"
 )
 
-// node is an upstream with all that is known of it, so that a choice among many
-// looks nothing up by their ids. The picture's lock protects it.
+// node is an upstream with everything known about it, so that a choice among many upstreams needs
+// no lookups by id. The mutex of the State protects it.
 type node struct {
 	Upstream
-	// hash names it in reports.
+	// hash identifies the incarnation in reports.
 	hash uint32
-	// engine is how placement sees its configuration; nil for one of a plain service.
+	// engine is the engine's configuration in the form that placement uses; nil for an upstream of
+	// a plain service.
 	engine *config.Engine
-	// load is this instance's own part, in the picture's table.
+	// load is the load from this instance, an entry of the load table.
 	load *load.Upstream
 	work workload
-	// peers is what the other instances have there.
+	// peers is the load from the other instances.
 	peers *peerLoad
 }
 
-// engineOf is how placement sees an upstream's configuration; nil for one of a
-// plain service.
+// engineOf returns an upstream's configuration in the form that placement uses; nil for an upstream
+// of a plain service.
 func engineOf(u Upstream) *config.Engine {
 	if u.Role == "" {
 		return nil
@@ -33,7 +34,7 @@
 	}
 }
 
-// ownLoad is what this instance has on the upstream.
+// ownLoad returns the load from this instance.
 func (n *node) ownLoad(now time.Duration) EngineLoad {
 	return EngineLoad{
 		Engine: n.hash, Requests: n.load.Streams, Backlog: n.work.backlog, DeferredBacklog: n.work.deferredBacklog,
@@ -41,14 +42,14 @@
 	}
 }
 
-// zoneLoad is what the instances of this zone together have on the upstream.
+// zoneLoad returns the load from all instances of this zone.
 func (n *node) zoneLoad(now time.Duration) EngineLoad {
 	l := n.ownLoad(now)
 	l.add(n.peers.sameZone.at(now))
 	return l
 }
 
-// totalLoad is what totalLoad instances together have on the upstream.
+// totalLoad returns the load from all instances.
 func (n *node) totalLoad(now time.Duration) EngineLoad {
 	l := n.zoneLoad(now)
 	l.add(n.peers.otherZones.at(now))
--- a/internal/upstreamstate/parts.go
+++ b/internal/upstreamstate/parts.go
@@ -7,24 +7,24 @@
 	"sassafrasfield/internal/placement"
 )
 
-// Bounds of how long an engine is believed to have a part cached that nobody used.
+// Bounds of how long an engine is assumed to keep an unused part cached.
 const (
-	// maxPartLifetime bounds it where hardly anything comes in.
+	// maxPartLifetime is the bound for engines with hardly any inflow.
 	maxPartLifetime = time.Minute
-	// partsMemoryShare is the part of an engine's memory that the prompts' parts have;
-	// requests that run and what waits to be fetched take the rest.
+	// partsMemoryShare is the share of an engine's KV memory that holds prompt parts. Running
+	// requests and KV cache waiting to be fetched use the rest.
 	partsMemoryShare = 0.7
 )
 
-// partTable is when each shared part was last placed on each engine, by all
-// instances as far as they told. It is kept by part, as a prompt has few of them
-// and few engines have one.
+// partTable records when each shared part was last placed on each engine, by this instance or by
+// others as far as they reported it. It is indexed by part, as a prompt has few parts and few
+// engines hold the same one.
 type partTable struct {
 	holders map[uint32][]holder
-	sweepAt time.Duration // when to drop old entries next
+	sweepAt time.Duration // when to remove expired entries next
 }
 
-// holder is an engine that a part was placed on.
+// holder is an engine on which a part was placed.
 type holder struct {
 	engine uint32
 	at     time.Duration
@@ -32,19 +32,19 @@
 
 func newPartTable() partTable { return partTable{holders: map[uint32][]holder{}} }
 
-func (t *partTable) record(p PlacedPart, now time.Duration) {
+func (t *partTable) record(placed PlacedPart, now time.Duration) {
 	t.removeExpired(now)
-	list := t.holders[p.Part]
+	list := t.holders[placed.Part]
 	for i := range list {
-		if list[i].engine == p.Engine {
+		if list[i].engine == placed.Engine {
 			list[i].at = now
 			return
 		}
 	}
-	t.holders[p.Part] = append(list, holder{engine: p.Engine, at: now})
+	t.holders[placed.Part] = append(list, holder{engine: placed.Engine, at: now})
 }
 
-// removeExpired drops what no engine is believed to have any more.
+// removeExpired removes the parts that no engine is assumed to have any more.
 func (t *partTable) removeExpired(now time.Duration) {
 	if now < t.sweepAt {
 		return
@@ -58,40 +58,40 @@
 	}
 }
 
-// cached counts the leading tokens of a prompt that each engine is believed to have;
-// lasts tells for how long an engine has a part that nobody used.
-func (t *partTable) cached(prompt placement.Prompt, lasts func(engine uint32) time.Duration, now time.Duration) map[uint32]int {
+// cached counts the leading tokens of a prompt that each engine is assumed to have cached. The
+// lifetime function returns how long an engine keeps an unused part.
+func (t *partTable) cached(prompt placement.Prompt, lifetime func(engine uint32) time.Duration, now time.Duration) map[uint32]int {
 	tokens := map[uint32]int{}
-	before := 0 // tokens of the parts so far
+	leading := 0 // tokens of the parts before this one
 	for i := 0; i < len(prompt.Parts)-1; i++ {
 		for _, h := range t.holders[hashOf(prompt.Parts[i].ID)] {
-			if tokens[h.engine] == before && now-h.at <= lasts(h.engine) {
-				tokens[h.engine] = min(before+prompt.Parts[i].Tokens, prompt.Tokens)
+			if tokens[h.engine] == leading && now-h.at <= lifetime(h.engine) {
+				tokens[h.engine] = min(leading+prompt.Parts[i].Tokens, prompt.Tokens)
 			}
 		}
-		before += prompt.Parts[i].Tokens
+		leading += prompt.Parts[i].Tokens
 	}
 	return tokens
 }
 
-// partLifetime is how long an engine with so much memory keeps a part that nobody
-// uses: until as many tokens have come in as it keeps, as the parts that were used
-// longest ago yield first. The inflow is in tokens a second.
-func partLifetime(memory int, inflow float64) time.Duration {
-	if memory == 0 || inflow <= 0 {
+// partLifetime returns how long an engine keeps an unused part. The parts used longest ago are
+// evicted first, so it is the time in which the inflow fills the memory for parts. Memory is in
+// tokens, inflow in tokens a second.
+func partLifetime(cacheTokens int, inflow float64) time.Duration {
+	if cacheTokens == 0 || inflow <= 0 {
 		return maxPartLifetime
 	}
-	return min(maxPartLifetime, time.Duration(partsMemoryShare*float64(memory)/inflow*float64(time.Second)))
+	return min(maxPartLifetime, time.Duration(partsMemoryShare*float64(cacheTokens)/inflow*float64(time.Second)))
 }
 
-// cached counts the leading tokens of a request's prompt that each engine is
-// believed to have. The lock is held.
-func (p *State) cached(req *placement.Request) map[uint32]int {
+// cached counts the leading tokens of a request's prompt that each engine is assumed to have
+// cached. The lock is held.
+func (s *State) cached(req *placement.Request) map[uint32]int {
 	if len(req.Prompt.Parts) < 2 {
 		return nil
 	}
-	return p.parts.cached(req.Prompt, func(engine uint32) time.Duration {
-		n, ok := p.byHash[engine]
+	return s.parts.cached(req.Prompt, func(engine uint32) time.Duration {
+		n, ok := s.byHash[engine]
 		if !ok {
 			return 0
 		}
@@ -99,20 +99,20 @@
 	}, req.Now)
 }
 
-// recordPrompt records that a prompt was placed on an engine, here and for the
-// next reports. The lock is held.
-func (p *State) recordPrompt(engine string, prompt placement.Prompt, now time.Duration) {
+// recordPrompt records the parts of a prompt placed on an engine, locally and for the next reports.
+// The lock is held.
+func (s *State) recordPrompt(engine string, prompt placement.Prompt, now time.Duration) {
 	for i := 0; i < len(prompt.Parts)-1; i++ {
-		placed := PlacedPart{Engine: p.hash(engine), Part: hashOf(prompt.Parts[i].ID)}
-		p.parts.record(placed, now)
-		p.placed = newest(append(p.placed, placed))
-		p.zonePlaced = newest(append(p.zonePlaced, placed))
+		placed := PlacedPart{Engine: s.hash(engine), Part: hashOf(prompt.Parts[i].ID)}
+		s.parts.record(placed, now)
+		s.placed = newest(append(s.placed, placed))
+		s.zonePlaced = newest(append(s.zonePlaced, placed))
 	}
 }
 
-// HasPlacement tells whether a part was placed on an engine, as far as is known here.
-func (p *State) HasPlacement(placed PlacedPart) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return slices.ContainsFunc(p.parts.holders[placed.Part], func(h holder) bool { return h.engine == placed.Engine })
+// HasPlacement reports whether a part is known to have been placed on an engine.
+func (s *State) HasPlacement(placed PlacedPart) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return slices.ContainsFunc(s.parts.holders[placed.Part], func(h holder) bool { return h.engine == placed.Engine })
 }
--- a/internal/upstreamstate/rate.go
+++ b/internal/upstreamstate/rate.go
@@ -5,30 +5,29 @@
 	"time"
 )
 
-// rateTimeConstant is the time over which what was placed fades from a rate: shorter than
-// the bursts of three seconds that the split of the roles and the order of prompts
-// have to follow.
+// rateTimeConstant is the time constant of the decay of a rate. It is shorter than bursts of three
+// seconds, which the split of the roles and the queue order of prompts have to follow.
 const rateTimeConstant = time.Second
 
-// rate is an amount placed in a time, smoothed; in engines' time, 1 is as much as
-// one engine can do.
+// rate is a smoothed amount per time. For the utilization of an engine, 1 is what one engine can
+// process.
 type rate struct {
-	value float64 // a second
+	value float64 // per second
 	at    time.Duration
 }
 
-// add counts an amount that is placed now.
+// add adds an amount placed now.
 func (r *rate) add(amount float64, now time.Duration) {
 	r.set(r.valueAt(now)+amount/rateTimeConstant.Seconds(), now)
 }
 
-// set sets the rate a second.
+// set sets the rate per second.
 func (r *rate) set(value float64, now time.Duration) { r.value, r.at = value, now }
 
-// valueAt returns the rate a second.
+// valueAt returns the rate per second.
 func (r *rate) valueAt(now time.Duration) float64 { return decayed(r.value, now-r.at) }
 
-// decayed is what is left of a rate after a time in which nothing was placed.
+// decayed returns a rate after a time without additions.
 func decayed(value float64, since time.Duration) float64 {
 	if value == 0 || since <= 0 {
 		return value
--- a/internal/upstreamstate/rate_test.go
+++ b/internal/upstreamstate/rate_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-func TestARateFollowsWhatIsPlaced(t *testing.T) {
+func TestRateFollowsInput(t *testing.T) {
 	var r rate
 	now := time.Duration(0)
 	const step = rateTimeConstant / 40
-	for range 400 { // 0.3 of the time
+	for range 400 { // utilization 0.3
 		now += step
 		r.add(0.3*step.Seconds(), now)
 	}
@@ -17,6 +17,6 @@
 		t.Errorf("rate %g, want 0.3", got)
 	}
 	if got := r.valueAt(now + 5*rateTimeConstant); got > 0.01 {
-		t.Errorf("rate %g long after the last", got)
+		t.Errorf("rate %g long after the last addition", got)
 	}
 }
--- a/internal/upstreamstate/reports.go
+++ b/internal/upstreamstate/reports.go
@@ -13,25 +13,24 @@
 	"sassafrasfield/internal/usage"
 )
 
-// EngineLoad is one instance's part of an engine's load, or of the calls that an
-// upstream of a plain service has.
+// EngineLoad is the load from one instance or several, on an engine or on an upstream of a plain
+// service.
 type EngineLoad struct {
-	// Engine is a hash of the upstream's incarnation.
+	// Engine is the hash of the upstream's incarnation.
 	Engine uint32
-	// Backlog is the predicted time of the prompts that wait there.
+	// Backlog is the predicted processing time of the prompts that wait there.
 	Backlog time.Duration
-	// DeferredBacklog is the part of Ahead that yields to other prompts.
+	// DeferredBacklog is the part of Backlog that has low priority.
 	DeferredBacklog time.Duration
-	// Requests that generate there.
+	// Requests is the number of requests there.
 	Requests int
-	// Utilization is the part of the engine's time that the prompts take which were
-	// placed there lately.
+	// Utilization is the share of the engine's time that recently placed prompts take.
 	Utilization float64
-	// Inflow are the tokens a second that lately came into the engine's cache.
+	// Inflow is the recent number of tokens a second that entered the engine's cache.
 	Inflow float64
 }
 
-// add adds another instance's part.
+// add adds the load from another instance.
 func (l *EngineLoad) add(other EngineLoad) {
 	l.Backlog += other.Backlog
 	l.DeferredBacklog += other.DeferredBacklog
@@ -40,85 +39,88 @@
 	l.Inflow += other.Inflow
 }
 
-// PlacedPart tells that a shared prompt part went to an engine, which has it cached
-// from then on. Both are hashes.
+// PlacedPart tells that a shared prompt part was sent to an engine, which caches it. Both are
+// hashes.
 type PlacedPart struct {
 	Engine, Part uint32
 }
 
-// idle tells that there is nothing worth telling of.
+// idle reports whether the load is too small to be reported.
 func (l EngineLoad) idle() bool {
 	return l.Backlog <= 0 && l.Requests <= 0 && l.Utilization <= minUtilization
 }
 
-// zeroLoad is no load at all on an upstream.
+// zeroLoad returns a load of zero on an upstream.
 func zeroLoad(hash uint32) EngineLoad { return EngineLoad{Engine: hash} }
 
-// minUtilization is the use below which an idle engine is not reported: it would fade
-// for long.
+// minUtilization is the utilization below which an idle engine is not reported. The decay towards
+// zero would otherwise be reported for a long time.
 const minUtilization = 0.01
 
-// Report is what one instance, or all of some zones, tell others.
+// Report is what one instance, or all instances of one or several zones, send to others.
 type Report struct {
-	// Complete: the source has nothing under way on the engines that Loads does not
-	// name. Else their loads are as they were told before.
+	// Complete means that the source has no load on engines that Loads does not list. Otherwise
+	// their loads are unchanged since the last report.
 	Complete bool
 	Loads    []EngineLoad
-	// Placed since the last report.
+	// Placed are the parts placed since the last report.
 	Placed []PlacedPart
-	// Unreachable are hashes of the upstreams that could not be reached lately.
+	// Unreachable are the hashes of upstreams that could not be reached recently.
 	Unreachable []uint32
-	// Unavailable are the upstreams that take no requests for a time.
+	// Unavailable are the upstreams that accept no requests for a time.
 	Unavailable []UnavailableUpstream
-	// Times are what the sender learned of the engines, by a hash of the service;
-	// nil while they are not due.
+	// Times are the estimates that the sender learned about the engines, by a hash of the service;
+	// nil when they are not due.
 	Times map[uint32]estimate.Snapshot
-	// RetryOverflow is what an instance's requests paid for of its zone's pool of further
-	// sends, in sends since its start, by a hash of the service.
+	// RetryOverflow is the retry credit that an instance's requests earned beyond its own budget
+	// and paid into its zone's retry pool, in sends since the instance's start, by a hash of the
+	// service.
 	RetryOverflow map[uint32]float64
-	// Boot is another number with each start of the source's process; 0 for a zone.
+	// Boot is a random number that changes with each start of the source's process; 0 for a zone.
 	Boot uint32
-	// Usage are totals of requests that began to run.
+	// Usage are totals of the requests that began to run.
 	Usage []usage.Count
-	// Crashes are those of upstreams under a request's content that are to be known to all.
+	// Crashes are the crashes of upstreams while serving a request's content that all instances
+	// should know.
 	Crashes []quarantine.Crash
-	// Limits of upstreams, as far as they are due.
+	// Limits are the announcements of upstreams that are due.
 	Limits []quota.UpstreamLimit
 }
 
-// maxSplitLoads is how many loads one part of a report has: about half a datagram.
+// maxSplitLoads is the number of loads in each report that Split returns: about half a datagram.
 const maxSplitLoads = 128
 
-// Split splits a report that names many engines. The parts are told one by one, so
-// none of them is whole: what is named no more counts for a while still.
+// Split splits a report with many engines. The resulting reports are sent one by one, so none of
+// them is complete. The receivers therefore keep the loads of engines that are no longer listed
+// until these expire.
 func (r Report) Split() []Report {
 	if len(r.Loads) <= maxSplitLoads {
 		return []Report{r}
 	}
-	var parts []Report
+	var reports []Report
 	for loads := range slices.Chunk(r.Loads, maxSplitLoads) {
-		parts = append(parts, Report{Loads: loads})
+		reports = append(reports, Report{Loads: loads})
 	}
-	parts[0].Placed, parts[0].Unreachable, parts[0].Unavailable, parts[0].Times = r.Placed, r.Unreachable, r.Unavailable, r.Times
-	parts[0].RetryOverflow, parts[0].Crashes, parts[0].Usage, parts[0].Limits = r.RetryOverflow, r.Crashes, r.Usage, r.Limits
-	return parts
+	reports[0].Placed, reports[0].Unreachable, reports[0].Unavailable, reports[0].Times = r.Placed, r.Unreachable, r.Unavailable, r.Times
+	reports[0].RetryOverflow, reports[0].Crashes, reports[0].Usage, reports[0].Limits = r.RetryOverflow, r.Crashes, r.Usage, r.Limits
+	return reports
 }
 
 func hashOf(id string) uint32 { return uint32(xxhash.Sum64String(id)) }
 
-// OwnReport returns what this instance has under way on the upstreams, and what
-// it has placed there since the last report.
-func (p *State) OwnReport(now time.Duration) Report {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	report := Report{Complete: true, Placed: p.placed, Unreachable: p.unreachableList(p.unreachable.own, now), Unavailable: unavailableList(p.unavailable.own, now)}
-	p.placed = nil
-	p.expireLimits(now)
-	report.Limits = p.limits.announcements.DueOwn(now)
-	for n := range p.busy {
+// OwnReport returns the load from this instance on the upstreams and the parts placed since the
+// last report.
+func (s *State) OwnReport(now time.Duration) Report {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	report := Report{Complete: true, Placed: s.placed, Unreachable: s.unreachableList(s.unreachable.own, now), Unavailable: unavailableList(s.unavailable.own, now)}
+	s.placed = nil
+	s.expireLimits(now)
+	report.Limits = s.limits.announcements.DueOwn(now)
+	for n := range s.busy {
 		load := n.ownLoad(now)
 		if load.idle() {
-			delete(p.busy, n)
+			delete(s.busy, n)
 			continue
 		}
 		report.Loads = append(report.Loads, load)
@@ -126,40 +128,39 @@
 	return report
 }
 
-// Learned returns what this instance has learned of the engines, by a hash of the
-// service, for the others.
-func (p *State) LearnedTimes() map[uint32]estimate.Snapshot {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.learnedTimes()
+// LearnedTimes returns the estimates that this instance learned itself, by a hash of the service.
+func (s *State) LearnedTimes() map[uint32]estimate.Snapshot {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.learnedTimes()
 }
 
-// maxPendingPlaced bounds the parts that are kept until a report tells of them.
+// maxPendingPlaced bounds the placed parts that are kept until the next report.
 const maxPendingPlaced = 512
 
-// ZoneReport tells other zones what this instance and those beside it have under
-// way, as far as that changed, and what they placed since the last one.
-func (p *State) ZoneReport(now time.Duration) Report {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.peers.expire(now)
-	report := Report{Placed: p.zonePlaced, Unreachable: p.unreachableList(p.unreachable.sameZone, now), Unavailable: unavailableList(p.unavailable.sameZone, now)}
-	p.zonePlaced = nil
-	report.Limits = p.limits.announcements.DueZone(now)
-	report.Loads = p.due(&p.zoneSent, now, func(n *node) EngineLoad { return n.zoneLoad(now) })
+// ZoneReport returns the report of this zone to other zones: the changed loads and the parts placed
+// since the last one.
+func (s *State) ZoneReport(now time.Duration) Report {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.peers.expire(now)
+	report := Report{Placed: s.zonePlaced, Unreachable: s.unreachableList(s.unreachable.sameZone, now), Unavailable: unavailableList(s.unavailable.sameZone, now)}
+	s.zonePlaced = nil
+	report.Limits = s.limits.announcements.DueZone(now)
+	report.Loads = s.due(&s.zoneSent, now, func(n *node) EngineLoad { return n.zoneLoad(now) })
 	return report
 }
 
-// OtherZonesReport tells the instances beside this one what those of all other zones
-// have under way, as far as that changed, and what they placed since the last one.
-func (p *State) OtherZonesReport(now time.Duration) Report {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.peers.expire(now)
-	report := Report{Placed: p.otherZonesPlaced, Unreachable: p.unreachableList(p.unreachable.otherZones, now), Unavailable: unavailableList(p.unavailable.otherZones, now)}
-	p.otherZonesPlaced = nil
-	report.Limits = p.limits.announcements.DueOtherZones(now)
-	report.Loads = p.due(&p.otherZonesSent, now, func(n *node) EngineLoad {
+// OtherZonesReport returns the report on all other zones to the instances of this zone: the changed
+// loads and the parts placed since the last one.
+func (s *State) OtherZonesReport(now time.Duration) Report {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.peers.expire(now)
+	report := Report{Placed: s.otherZonesPlaced, Unreachable: s.unreachableList(s.unreachable.otherZones, now), Unavailable: unavailableList(s.unavailable.otherZones, now)}
+	s.otherZonesPlaced = nil
+	report.Limits = s.limits.announcements.DueOtherZones(now)
+	report.Loads = s.due(&s.otherZonesSent, now, func(n *node) EngineLoad {
 		load := n.peers.otherZones.at(now)
 		load.Engine = n.hash
 		return load
@@ -167,10 +168,10 @@
 	return report
 }
 
-// due lists the loads that a ledger's receivers are to be told of. The lock is held.
-func (p *State) due(l *sentLoads, now time.Duration, of func(*node) EngineLoad) []EngineLoad {
+// due lists the loads that are to be sent to a group of receivers. The lock is held.
+func (s *State) due(l *sentLoads, now time.Duration, of func(*node) EngineLoad) []EngineLoad {
 	var loads []EngineLoad
-	for _, n := range p.nodes {
+	for _, n := range s.nodes {
 		load := of(n)
 		if load.idle() {
 			load = zeroLoad(n.hash)
@@ -185,32 +186,32 @@
 	return loads
 }
 
-// ApplyReport takes the report of another instance, or of other zones.
-func (p *State) ApplyReport(source string, report Report, now time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.peers.expire(now)
-	p.peers.apply(source, report, now)
+// ApplyReport applies the report of another instance or of other zones.
+func (s *State) ApplyReport(source string, report Report, now time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.peers.expire(now)
+	s.peers.apply(source, report, now)
 	for _, placed := range report.Placed {
-		p.parts.record(placed, now)
+		s.parts.record(placed, now)
 	}
-	p.mergeTimes(report.Times)
-	beside := strings.HasPrefix(source, InstanceSourcePrefix)
-	p.mergeNotices(report, beside, now)
-	p.applyLimits(report.Limits, beside, now)
-	if beside {
-		p.zonePlaced = newest(append(p.zonePlaced, report.Placed...))
+	s.mergeTimes(report.Times)
+	sameZone := strings.HasPrefix(source, InstanceSourcePrefix)
+	s.applyNotices(report, sameZone, now)
+	s.applyLimits(report.Limits, sameZone, now)
+	if sameZone {
+		s.zonePlaced = newest(append(s.zonePlaced, report.Placed...))
 	} else {
-		p.otherZonesPlaced = newest(append(p.otherZonesPlaced, report.Placed...))
+		s.otherZonesPlaced = newest(append(s.otherZonesPlaced, report.Placed...))
 	}
 }
 
-// newest keeps the newest of the parts that wait to be told of.
+// newest keeps the newest of the parts that wait for a report.
 func newest(placed []PlacedPart) []PlacedPart { return placed[max(0, len(placed)-maxPendingPlaced):] }
 
-// DropSource forgets what a source told.
-func (p *State) DropSource(source string, now time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.peers.drop(source, now)
+// DropSource drops the loads that a source reported.
+func (s *State) DropSource(source string, now time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.peers.drop(source, now)
 }
--- a/internal/upstreamstate/statement.go
+++ b/internal/upstreamstate/statement.go
@@ -6,24 +6,24 @@
 	"sassafrasfield/internal/quota"
 )
 
-// UpstreamStatus is what an upstream says of itself with an answer.
+// UpstreamStatus is what an upstream reports about itself in an answer.
 type UpstreamStatus struct {
-	// Load is what it has under way.
+	// Load is its current load.
 	Load Load
-	// Announcement is for all instances; nil where it cannot be read.
+	// Announcement is for all instances; nil if it cannot be parsed.
 	Announcement *quota.Announcement
-	// Backoff is for how long the upstream wants nothing from this instance; 0 for no such
-	// wish.
+	// Backoff is how long this instance should send nothing to the upstream; 0 if the upstream asks
+	// for none.
 	Backoff time.Duration
-	// ParseErrors are the errors of what cannot be read. It says nothing.
+	// ParseErrors are the errors of values that cannot be parsed and are ignored.
 	ParseErrors []error
 }
 
-// backoffTable is until when upstreams want nothing from this instance.
+// backoffTable maps upstreams to the times until which this instance sends them nothing.
 type backoffTable map[uint32]time.Duration
 
-// extend takes an upstream's wish, and tells whether the rest is longer by it. What it asked for
-// before stands.
+// extend applies a requested backoff and reports whether it extends the current one. A shorter
+// request does not shorten an earlier one.
 func (t backoffTable) extend(hash uint32, until time.Duration) bool {
 	if until <= t[hash] {
 		return false
@@ -32,45 +32,45 @@
 	return true
 }
 
-// BackOff takes it that an upstream wants nothing from this instance for a time, and tells
-// whether it is left alone for longer by that. Afterwards it gets one request at first, and ever
-// more as they go well. An answer of a start of it that is over says nothing of the one that is
-// there now.
-func (p *State) BackOff(from Upstream, d, now time.Duration) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+// BackOff applies an upstream's request that this instance send it nothing for a time, and reports
+// whether this extends its backoff. Afterwards the upstream first gets one request at a time, and
+// more as they succeed. The request is ignored if it comes from an earlier incarnation of the
+// upstream.
+func (s *State) BackOff(from Upstream, d, now time.Duration) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	hash := from.Incarnation()
-	n, listed := p.nodes[from.ID]
-	if listed && n.hash != hash || !p.limits.backoffs.extend(hash, now+d) {
+	n, listed := s.nodes[from.ID]
+	if listed && n.hash != hash || !s.limits.backoffs.extend(hash, now+d) {
 		return false
 	}
 	if listed {
-		p.loads.BackOff(n.ID, now+d)
+		s.loads.BackOff(n.ID, now+d)
 	}
 	return true
 }
 
-// EndedBackoffs returns the ids of the listed upstreams whose rest has ended since the last call.
-func (p *State) EndedBackoffs(now time.Duration) []string {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	var over []string
-	for hash, until := range p.limits.backoffs {
+// EndedBackoffs returns the ids of the listed upstreams whose backoff has ended since the last
+// call.
+func (s *State) EndedBackoffs(now time.Duration) []string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	var ended []string
+	for hash, until := range s.limits.backoffs {
 		if now < until {
 			continue
 		}
-		delete(p.limits.backoffs, hash)
-		if n, ok := p.byHash[hash]; ok {
-			over = append(over, n.ID)
+		delete(s.limits.backoffs, hash)
+		if n, ok := s.byHash[hash]; ok {
+			ended = append(ended, n.ID)
 		}
 	}
-	return over
+	return ended
 }
 
-// BackoffLeft is for how much longer an upstream wants nothing from this instance; 0 for one that
-// takes requests.
-func (p *State) BackoffLeft(hash uint32, now time.Duration) time.Duration {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return max(0, p.limits.backoffs[hash]-now)
+// BackoffLeft returns the rest of an upstream's backoff; 0 if it accepts requests.
+func (s *State) BackoffLeft(hash uint32, now time.Duration) time.Duration {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return max(0, s.limits.backoffs[hash]-now)
 }
--- a/internal/upstreamstate/told.go
+++ b/internal/upstreamstate/told.go
@@ -5,39 +5,39 @@
 	"time"
 )
 
-// InstanceSourcePrefix begins the names of report sources that are instances of the
-// same zone. Other sources are zones.
+// InstanceSourcePrefix starts the names of report sources that are instances of the same zone.
+// Other sources are zones.
 const InstanceSourcePrefix = "instance "
 
-// Times for which what others told counts.
+// Lifetimes of reported data.
 const (
-	// sourceTTL is how long a source's word counts once it is silent. A source
-	// with nothing new tells so each 0.4 s, so three reports may be lost.
+	// sourceTTL is how long the data of a silent source are kept. A source without changes still
+	// reports every 0.4 s, so three reports may be lost.
 	sourceTTL = 1700 * time.Millisecond
-	// loadTTL is how long the load of one engine counts that its source names
-	// no more: more than three of the times after which it is told again (retellAfter).
+	// loadTTL is how long a load is kept that its source no longer reports. It is more than three
+	// times the interval at which unchanged loads are sent again (resendAfter).
 	loadTTL = 3300 * time.Millisecond
-	// expireEvery is how late it may be noticed that a word counts no longer.
+	// expireEvery is the interval between checks for expired data.
 	expireEvery = 200 * time.Millisecond
 )
 
-// peerLoads is what the other instances have on the upstreams, as the sources of
-// reports told. The sums are kept up as reports come, so that a choice costs the
-// same however many sources there are.
+// peerLoads are the loads from the other instances on the upstreams, by source of the reports. The
+// sums are updated with each report, so that the cost of a choice does not depend on the number of
+// sources.
 type peerLoads struct {
 	sources map[string]*source
 	byHash  map[uint32]*peerLoad
-	// nextExpiry is when to look for words that count no longer.
+	// nextExpiry is when to check for expired data next.
 	nextExpiry time.Duration
 }
 
-// peerLoad is what other instances have on one upstream.
+// peerLoad is the load from other instances on one upstream.
 type peerLoad struct {
-	// sameZone is of the instances of this zone, otherZones of those of other zones.
+	// sameZone is from the instances of this zone, otherZones from those of other zones.
 	sameZone, otherZones loadSum
 }
 
-// source is one instance of this zone, or another zone.
+// source is one instance of this zone, or one or several other zones.
 type source struct {
 	sameZone bool
 	at       time.Duration
@@ -45,7 +45,7 @@
 	loads    map[uint32]receivedLoad
 }
 
-// receivedLoad is a source's load on an upstream, as of when it was told.
+// receivedLoad is a source's load on an upstream, as received at a time.
 type receivedLoad struct {
 	EngineLoad
 	at    time.Duration
@@ -56,7 +56,7 @@
 	return peerLoads{sources: map[string]*source{}, byHash: map[uint32]*peerLoad{}}
 }
 
-// of returns what others have on an upstream.
+// of returns the load from other instances on an upstream.
 func (t *peerLoads) of(hash uint32) *peerLoad {
 	l, ok := t.byHash[hash]
 	if !ok {
@@ -66,7 +66,7 @@
 	return l
 }
 
-// apply takes a report's loads.
+// apply applies the loads of a report.
 func (t *peerLoads) apply(from string, report Report, now time.Duration) {
 	s, ok := t.sources[from]
 	if !ok {
@@ -88,7 +88,7 @@
 	}
 }
 
-// set has a source's load on an upstream take the place of the one before.
+// set replaces a source's load on an upstream.
 func (t *peerLoads) set(s *source, l EngineLoad, now time.Duration) {
 	sum := t.sum(s, l.Engine)
 	if before, ok := s.loads[l.Engine]; ok {
@@ -102,7 +102,7 @@
 	sum.add(l, now)
 }
 
-// sum is where the loads of a source on an upstream are added up.
+// sum returns the sum that includes a source's load on an upstream.
 func (t *peerLoads) sum(s *source, hash uint32) *loadSum {
 	l := t.of(hash)
 	if s.sameZone {
@@ -111,8 +111,8 @@
 	return &l.otherZones
 }
 
-// expire forgets the sources that have not reported for long, and the loads that
-// were not told again.
+// expire removes the sources that have not reported for sourceTTL, and the loads that were not sent
+// again within loadTTL.
 func (t *peerLoads) expire(now time.Duration) {
 	if now < t.nextExpiry {
 		return
@@ -131,7 +131,7 @@
 	}
 }
 
-// drop forgets a source.
+// drop removes a source.
 func (t *peerLoads) drop(name string, now time.Duration) {
 	s, ok := t.sources[name]
 	if !ok {
@@ -143,8 +143,8 @@
 	delete(t.sources, name)
 }
 
-// loadSum is a sum of loads on one upstream. Rates fade alike whenever they were
-// told, so that their sum fades as each of them does.
+// loadSum is a sum of loads on one upstream. All rates decay by the same factor regardless of when
+// they were reported, so their sum decays by that factor too.
 type loadSum struct {
 	backlog, deferredBacklog time.Duration
 	requests                 int
@@ -159,16 +159,16 @@
 	t.inflow.set(t.inflow.valueAt(now)+l.Inflow, now)
 }
 
-// subtract takes a load off that was added when it was told.
-func (t *loadSum) subtract(h receivedLoad, now time.Duration) {
-	t.backlog -= h.Backlog
-	t.deferredBacklog -= h.DeferredBacklog
-	t.requests -= h.Requests
-	t.utilization.set(max(0, t.utilization.valueAt(now)-decayed(h.Utilization, now-h.at)), now)
-	t.inflow.set(max(0, t.inflow.valueAt(now)-decayed(h.Inflow, now-h.at)), now)
+// subtract removes a load that was added when it was received.
+func (t *loadSum) subtract(l receivedLoad, now time.Duration) {
+	t.backlog -= l.Backlog
+	t.deferredBacklog -= l.DeferredBacklog
+	t.requests -= l.Requests
+	t.utilization.set(max(0, t.utilization.valueAt(now)-decayed(l.Utilization, now-l.at)), now)
+	t.inflow.set(max(0, t.inflow.valueAt(now)-decayed(l.Inflow, now-l.at)), now)
 }
 
-// at is the sum at a time.
+// at returns the sum at a time.
 func (t *loadSum) at(now time.Duration) EngineLoad {
 	return EngineLoad{
 		Backlog: t.backlog, DeferredBacklog: t.deferredBacklog, Requests: t.requests, Utilization: t.utilization.valueAt(now), Inflow: t.inflow.valueAt(now),
--- a/internal/upstreamstate/upstreamstate.go
+++ b/internal/upstreamstate/upstreamstate.go
@@ -1,14 +1,13 @@
-// Package upstreamstate is an instance's picture of the upstreams: who there is, what all
-// instances have under way on each, what each has cached, what each takes, and who
-// could not be reached. Placement is decided on it (package placement), and what
-// requests meet is noted in it. The instances tell one another their parts of it in
-// reports.
+// Package upstreamstate holds what an instance knows about the upstreams: which ones exist, the
+// load that all instances put on each, what each has cached, how long its work takes, and which
+// ones could not be reached. Package route chooses an upstream from these data, and the outcomes of
+// requests are recorded here. Instances exchange their parts of the data in reports.
 //
-// It has no clock, no I/O and no goroutine: times are passed in, on the instance's
-// monotonic clock. So package model plays the same code in virtual time.
+// The package has no clock, no I/O and no goroutine. Times are passed in, on the instance's
+// monotonic clock, so package model can run the same code in virtual time.
 //
-// Callers: relay (requests), peers (reports), rolekeeper by way of instance (the
-// engines' use), model.
+// Callers are relay (requests), peers (reports), rolekeeper through instance (utilization of the
+// engines) and model.
 package upstreamstate
 
 import (
@@ -25,22 +24,22 @@
 	"sassafrasfield/internal/routes"
 )
 
-// Upstream is an engine or a plain service's process.
+// Upstream is an engine or a process of a plain service.
 type Upstream struct {
 	ID, Service, Address, Zone string
-	// StartedAt is the Unix millisecond of the process's start, by its own clock; 0 where the
-	// platform does not tell it. A process may start again under the id that it had.
+	// StartedAt is the start of the process in Unix milliseconds, by its own clock; 0 if the
+	// platform does not report it. A process may restart under the same id.
 	StartedAt int64
-	// Draining upstreams take no new requests, by their entry or by their answers.
+	// Draining upstreams accept no new requests, according to their entry or their announcements.
 	Draining bool
-	// Spot upstreams may be taken back by the platform, all of a zone at once.
+	// Spot upstreams may be reclaimed by the platform, all those of a zone at once.
 	Spot  bool
 	Slots int
 	// Role is empty for a plain service.
 	Role config.Role
 }
 
-// Incarnation is a hash of this start of the upstream.
+// Incarnation returns a hash that identifies this run of the upstream's process.
 func (u Upstream) Incarnation() uint32 {
 	if u.StartedAt == 0 {
 		return hashOf(u.ID)
@@ -48,70 +47,69 @@
 	return hashOf(u.ID + "@" + strconv.FormatInt(u.StartedAt, 10))
 }
 
-// Load is what an upstream says of its load with an answer.
+// Load is the load that an upstream reports in an answer.
 type Load struct {
 	Known                   bool
 	Running, Waiting, Slots int
 }
 
-// Settings of a Picture.
+// Settings of a State.
 type Settings struct {
 	// Zone of this instance.
 	Zone string
-	// Placement is what is weighed against the engines' times.
+	// Placement has the weights that placement combines with the engines' times.
 	Placement placement.Settings
-	// Prior is what is assumed of engines that nothing was observed of.
+	// Prior is assumed for engines without observations.
 	Prior    estimate.Prior
 	Outliers load.OutlierRules
-	// Seed of the draws that spread requests; 0 for any.
+	// Seed of the random choices that spread requests; 0 for a random seed.
 	Seed uint64
-	// OnChange is called when the next report of this instance would differ from the
-	// last one. It must not call the picture, and not block. Nil for nothing.
+	// OnChange is called when the next report of this instance would differ from the last one. It
+	// must neither call the State nor block. It may be nil.
 	OnChange func()
 }
 
-// State is the configuration in force and what is known of the upstreams. It is
-// safe for use by several goroutines.
+// State holds the current configuration and what is known about the upstreams. It is safe for
+// concurrent use.
 type State struct {
 	settings Settings
-	// engineScheduler and calls choose engines and the upstreams of plain services.
+	// engineScheduler chooses engines, serviceScheduler the upstreams of plain services.
 	engineScheduler  *placement.DisaggregatedScheduler
 	serviceScheduler *placement.Scheduler
 
-	mu      sync.Mutex // protects all below
-	table   *routes.Table
-	tableAt time.Duration
-	// nodes are the upstreams by id, byHash by the hash that reports name them with,
-	// and byService those of each service.
+	mu           sync.Mutex // protects all below
+	routeTable   *routes.Table
+	routeTableAt time.Duration
+	// nodes has the upstreams by id, byHash by the hash of their incarnation as used in reports,
+	// and byService by service.
 	nodes     map[string]*node
 	byHash    map[uint32]*node
 	byService map[string][]*node
-	// busy are the upstreams on which this instance has something under way, or had
-	// a short while ago.
+	// busy are the upstreams on which this instance has load, or had until recently.
 	busy  map[*node]bool
 	loads *load.Table
-	// models are what the engines of each service take.
+	// models has the learned times of the engines, by service.
 	models map[string]*estimate.Model
 	peers  peerLoads
-	// unreachable are the upstreams that instances could not reach, unavailable those that take no
-	// requests for a time.
+	// unreachable has the upstreams that instances could not reach, unavailable those that accept
+	// no requests for a time.
 	unreachable, unavailable notices
 	limits                   limits
-	// parts are the prompt parts that the engines are believed to have.
+	// parts are the prompt parts that the engines are assumed to have cached.
 	parts partTable
-	// placed are the parts that were placed here since this instance's last report,
-	// zonePlaced here and beside since the zone's last one, otherZonesPlaced in other
-	// zones since these were last passed on.
+	// placed has the parts that this instance placed since its last report, and zonePlaced those
+	// that this zone placed since its last report. otherZonesPlaced has those that other zones
+	// placed, until they are passed on.
 	placed, zonePlaced, otherZonesPlaced []PlacedPart
-	// zoneSent and otherZonesSent are what the last reports of the zoneSent, and of the other zones
-	// together, told.
+	// zoneSent are the loads last sent in zone reports, otherZonesSent those last sent in reports
+	// on the other zones.
 	zoneSent, otherZonesSent sentLoads
 	rng                      *rand.Rand
-	// candidateBuf is kept from one choice to the next.
+	// candidateBuf is reused for the candidates of each choice.
 	candidateBuf []placement.Candidate
 }
 
-// New returns a picture that knows no routes and no upstreams.
+// New returns a State without routes and upstreams.
 func New(s Settings) *State {
 	loads := load.NewTable()
 	loads.Outliers = s.Outliers
@@ -123,147 +121,148 @@
 	}
 	return &State{
 		settings: s, engineScheduler: placement.NewDisaggregatedScheduler(), serviceScheduler: placement.NewAggregateServiceScheduler(),
-		table: routes.NewTable(0, nil, nil, routes.Limits{}),
-		nodes: map[string]*node{}, byHash: map[uint32]*node{}, byService: map[string][]*node{}, busy: map[*node]bool{},
+		routeTable: routes.NewTable(0, nil, nil, routes.Limits{}),
+		nodes:      map[string]*node{}, byHash: map[uint32]*node{}, byService: map[string][]*node{}, busy: map[*node]bool{},
 		loads: loads, models: map[string]*estimate.Model{}, peers: newPeerLoads(), parts: newPartTable(),
 		unreachable: newNotices(), unavailable: newNotices(), limits: newLimits(), zoneSent: newSentLoads(), otherZonesSent: newSentLoads(),
 		rng: rand.New(rand.NewPCG(s.Seed, s.Seed)),
 	}
 }
 
-// SetRoutes puts a version of the configuration in force unless it is older, and
-// tells whether it did.
-func (p *State) SetRoutes(t *routes.Table, now time.Duration) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if t.Version <= p.table.Version {
+// SetRoutes applies a version of the configuration and reports whether it did. A version that is
+// not newer than the current one is ignored.
+func (s *State) SetRoutes(t *routes.Table, now time.Duration) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if t.Version <= s.routeTable.Version {
 		return false
 	}
-	p.table, p.tableAt = t, now
+	s.routeTable, s.routeTableAt = t, now
 	return true
 }
 
-// Routes returns the version in force and its age.
-func (p *State) Routes(now time.Duration) (*routes.Table, time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.table, now - p.tableAt
+// Routes returns the current version and its age.
+func (s *State) Routes(now time.Duration) (*routes.Table, time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.routeTable, now - s.routeTableAt
 }
 
-// UpdateUpstream takes an upstream's newest entry. One that has started again under its id has
-// nothing and knows nothing of before, so that all that is known of it is dropped.
-func (p *State) UpdateUpstream(u Upstream) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	n, ok := p.nodes[u.ID]
+// UpdateUpstream applies the newest entry of an upstream. If the upstream restarted under its id,
+// everything known about it is dropped, because the new process has no requests, cache or state of
+// the old one.
+func (s *State) UpdateUpstream(u Upstream) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	n, ok := s.nodes[u.ID]
 	if ok && n.StartedAt != u.StartedAt {
-		p.limits.announcements.Forget(n.hash)
-		delete(p.limits.exhausted, n.hash)
-		delete(p.limits.backoffs, n.hash)
-		p.removeNode(n)
-		p.loads.Reset(u.ID)
+		s.limits.announcements.Forget(n.hash)
+		delete(s.limits.exhausted, n.hash)
+		delete(s.limits.backoffs, n.hash)
+		s.removeNode(n)
+		s.loads.Reset(u.ID)
 		ok = false
 	}
 	if !ok {
-		n = &node{hash: u.Incarnation(), load: p.loads.Upstream(u.ID)}
-		n.peers = p.peers.of(n.hash)
-		p.nodes[u.ID], p.byHash[n.hash] = n, n
+		n = &node{hash: u.Incarnation(), load: s.loads.Upstream(u.ID)}
+		n.peers = s.peers.of(n.hash)
+		s.nodes[u.ID], s.byHash[n.hash] = n, n
 	}
 	if n.Service != u.Service {
-		p.removeFromService(n)
-		p.byService[u.Service] = append(p.byService[u.Service], n)
+		s.removeFromService(n)
+		s.byService[u.Service] = append(s.byService[u.Service], n)
 	}
 	if n.Role != u.Role {
-		p.unavailable.remove(n.hash) // the order is carried out
+		s.unavailable.remove(n.hash) // the order was carried out
 	}
 	n.Upstream, n.engine = u, engineOf(u)
-	n.Draining = u.Draining || p.limits.announcements.Draining(n.hash)
+	n.Draining = u.Draining || s.limits.announcements.Draining(n.hash)
 }
 
-// removeFromService takes an upstream off its service's list. The lock is held.
-func (p *State) removeFromService(n *node) {
-	list := p.byService[n.Service]
+// removeFromService removes an upstream from the list of its service. The lock is held.
+func (s *State) removeFromService(n *node) {
+	list := s.byService[n.Service]
 	if i := slices.Index(list, n); i >= 0 {
-		p.byService[n.Service] = slices.Delete(list, i, i+1)
+		s.byService[n.Service] = slices.Delete(list, i, i+1)
 	}
 }
 
-// RemoveUpstream drops an upstream that is gone.
-func (p *State) RemoveUpstream(id string) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	n, ok := p.nodes[id]
+// RemoveUpstream removes an upstream that no longer exists.
+func (s *State) RemoveUpstream(id string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	n, ok := s.nodes[id]
 	if !ok {
 		return
 	}
-	p.removeNode(n)
-	p.loads.Drop(id)
+	s.removeNode(n)
+	s.loads.Drop(id)
 }
 
-// removeNode drops what is known of one start of an upstream. The lock is held.
-func (p *State) removeNode(n *node) {
-	p.removeFromService(n)
-	delete(p.nodes, n.ID)
-	delete(p.busy, n)
-	delete(p.byHash, n.hash)
-	p.unreachable.remove(n.hash)
-	p.unavailable.remove(n.hash)
+// removeNode removes what is known about one incarnation of an upstream. The lock is held.
+func (s *State) removeNode(n *node) {
+	s.removeFromService(n)
+	delete(s.nodes, n.ID)
+	delete(s.busy, n)
+	delete(s.byHash, n.hash)
+	s.unreachable.remove(n.hash)
+	s.unavailable.remove(n.hash)
 }
 
-// hash names an upstream in reports. The lock is held.
-func (p *State) hash(id string) uint32 {
-	if n, ok := p.nodes[id]; ok {
+// hash returns the hash that identifies an upstream in reports. The lock is held.
+func (s *State) hash(id string) uint32 {
+	if n, ok := s.nodes[id]; ok {
 		return n.hash
 	}
 	return hashOf(id)
 }
 
-// Upstream returns an upstream's entry; the zero value when it is gone.
-func (p *State) Upstream(id string) Upstream {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.upstream(id)
+// Upstream returns an upstream's entry; the zero value if it was removed.
+func (s *State) Upstream(id string) Upstream {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.upstream(id)
 }
 
-// upstream is Upstream. The lock is held.
-func (p *State) upstream(id string) Upstream {
-	if n, ok := p.nodes[id]; ok {
+// upstream is Upstream with the lock held.
+func (s *State) upstream(id string) Upstream {
+	if n, ok := s.nodes[id]; ok {
 		return n.Upstream
 	}
 	return Upstream{}
 }
 
-// Upstreams returns the upstreams of a service, those that are leaving too.
-func (p *State) Upstreams(service string) []Upstream {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	list := make([]Upstream, 0, len(p.byService[service]))
-	for _, n := range p.byService[service] {
+// Upstreams returns the upstreams of a service, including the draining ones.
+func (s *State) Upstreams(service string) []Upstream {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	list := make([]Upstream, 0, len(s.byService[service]))
+	for _, n := range s.byService[service] {
 		list = append(list, n.Upstream)
 	}
 	return list
 }
 
-// Count returns how many upstreams there are of a service.
-func (p *State) Count(service string) int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return len(p.byService[service])
+// Count returns the number of upstreams of a service.
+func (s *State) Count(service string) int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return len(s.byService[service])
 }
 
-// Engine is a model engine with what all instances together have on it.
+// Engine is a model engine with its load from all instances.
 type Engine struct {
 	Upstream
 	Load EngineLoad
 }
 
-// Engines returns the model engines that take requests, by service.
-func (p *State) Engines(now time.Duration) map[string][]Engine {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.peers.expire(now)
+// Engines returns the model engines that accept requests, by service.
+func (s *State) Engines(now time.Duration) map[string][]Engine {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.peers.expire(now)
 	lists := map[string][]Engine{}
-	for _, n := range p.nodes {
+	for _, n := range s.nodes {
 		if n.Role == "" || n.Draining {
 			continue
 		}
@@ -272,10 +271,10 @@
 	return lists
 }
 
-// MarkUnavailable has all instances leave an upstream out for a time in which it takes no
-// requests, or until its role has changed.
-func (p *State) MarkUnavailable(id string, until time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.markUnavailable(id, until)
+// MarkUnavailable excludes an upstream from placement on all instances until a time, or until its
+// role has changed.
+func (s *State) MarkUnavailable(id string, until time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.markUnavailable(id, until)
 }
--- a/internal/upstreamstate/upstreamstate_test.go
+++ b/internal/upstreamstate/upstreamstate_test.go
@@ -11,13 +11,13 @@
 	"sassafrasfield/internal/routes"
 )
 
-// newPicture knows two prefill and three decode engines and three upstreams of a
-// plain service.
-func newPicture() *State {
-	p := New(Settings{
+// newTestState returns a State with two prefill engines, three decode engines and three upstreams of
+// a plain service.
+func newTestState() *State {
+	s := New(Settings{
 		Zone: "a", Placement: placement.DefaultSettings(), Prior: estimate.DefaultPrior(), Outliers: load.DefaultOutlierRules(), Seed: 1,
 	})
-	p.SetRoutes(routes.NewTable(1, []routes.Route{{
+	s.SetRoutes(routes.NewTable(1, []routes.Route{{
 		Name: "generate", Kind: routes.Generation, MaxPause: 200 * time.Millisecond,
 		Shares: []routes.Share{{Service: "llm", Weight: 1}},
 	}}, []routes.Service{{Name: "llm", Engine: &routes.EngineLimits{
@@ -27,20 +27,20 @@
 		"pre-1": config.RolePrefill, "pre-2": config.RolePrefill,
 		"dec-1": config.RoleDecode, "dec-2": config.RoleDecode, "dec-3": config.RoleDecode,
 	} {
-		p.UpdateUpstream(Upstream{ID: id, Service: "llm", Address: id, Zone: "a", Role: role})
+		s.UpdateUpstream(Upstream{ID: id, Service: "llm", Address: id, Zone: "a", Role: role})
 	}
 	for _, id := range []string{"app-1", "app-2", "app-3"} {
-		p.UpdateUpstream(Upstream{ID: id, Service: "app", Address: id, Zone: "a"})
+		s.UpdateUpstream(Upstream{ID: id, Service: "app", Address: id, Zone: "a"})
 	}
-	return p
+	return s
 }
 
-// toldOf is what placement is told of an upstream.
-func toldOf(t *testing.T, p *State, id string, a PlacementRequest, now time.Duration) placement.AggregateLoad {
+// aggregateLoadOf returns the load of an upstream as placement receives it.
+func aggregateLoadOf(t *testing.T, s *State, id string, r PlacementRequest, now time.Duration) placement.AggregateLoad {
 	t.Helper()
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for _, c := range p.candidates(a, p.request(a, now)) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, c := range s.candidates(r, s.request(r, now)) {
 		if c.ID == id {
 			return c.Aggregate
 		}
@@ -49,180 +49,180 @@
 	return placement.AggregateLoad{}
 }
 
-// TestAnUpstreamThatStartedAgainIsANewOne, under the id that it had: it has nothing under
-// way, no parts, and no word on it from before counts.
-func TestAnUpstreamThatStartedAgainIsANewOne(t *testing.T) {
-	p := New(Settings{Zone: "a"})
+// TestRestartedUpstreamStartsWithNoState checks a restart under the same id: the new incarnation
+// has no requests and no parts, and earlier notices do not apply to it.
+func TestRestartedUpstreamStartsWithNoState(t *testing.T) {
+	s := New(Settings{Zone: "a"})
 	engine := Upstream{ID: "e", Service: "llm", Zone: "a", Role: config.RoleDecode, StartedAt: 1000}
-	p.UpdateUpstream(engine)
+	s.UpdateUpstream(engine)
 	before := engine.Incarnation()
-	p.ApplyReport("zone b", Report{
+	s.ApplyReport("zone b", Report{
 		Loads: []EngineLoad{{Engine: before, Requests: 9}}, Placed: []PlacedPart{{Engine: before, Part: 7}}, Unreachable: []uint32{before},
 	}, time.Second)
-	p.PlaceOn("e", "r1", time.Second)
-	p.MarkUnavailable("e", time.Minute)
-	p.UpdateUpstream(engine) // told again: nothing is forgotten
-	if n := p.nodes["e"]; n.aggregateLoad(time.Second).Requests != 10 || !p.suspect(n, time.Second) {
-		t.Fatalf("forgotten without a new start: %+v", n.aggregateLoad(time.Second))
+	s.PlaceOn("e", "r1", time.Second)
+	s.MarkUnavailable("e", time.Minute)
+	s.UpdateUpstream(engine) // the same entry again: nothing is dropped
+	if n := s.nodes["e"]; n.aggregateLoad(time.Second).Requests != 10 || !s.suspect(n, time.Second) {
+		t.Fatalf("state dropped without a restart: %+v", n.aggregateLoad(time.Second))
 	}
 	engine.StartedAt = 5000
-	p.UpdateUpstream(engine)
-	n := p.nodes["e"]
-	if engine.Incarnation() == before || n.ownLoad(time.Second).Requests != 0 || n.aggregateLoad(time.Second).Requests != 0 || p.suspect(n, time.Second) {
-		t.Errorf("has %+v of before, left out: %t", n.aggregateLoad(time.Second), p.suspect(n, time.Second))
+	s.UpdateUpstream(engine)
+	n := s.nodes["e"]
+	if engine.Incarnation() == before || n.ownLoad(time.Second).Requests != 0 || n.aggregateLoad(time.Second).Requests != 0 || s.suspect(n, time.Second) {
+		t.Errorf("new incarnation has load %+v, suspect: %t", n.aggregateLoad(time.Second), s.suspect(n, time.Second))
 	}
-	if p.HasPlacement(PlacedPart{Engine: n.hash, Part: 7}) {
-		t.Error("is believed to have a part of before")
+	if s.HasPlacement(PlacedPart{Engine: n.hash, Part: 7}) {
+		t.Error("assumed to have a part cached by the old incarnation")
 	}
-	p.RequestDone("e", "r1", time.Second) // of before
-	if p.nodes["e"].ownLoad(time.Second).Requests != 0 {
-		t.Error("a request of before is taken off the new start")
+	s.RequestDone("e", "r1", time.Second) // of the old incarnation
+	if s.nodes["e"].ownLoad(time.Second).Requests != 0 {
+		t.Error("a request of the old incarnation was removed from the new one")
 	}
-	if len(p.byService["llm"]) != 1 || len(p.byHash) != 1 {
-		t.Errorf("%d upstreams of the service, %d by hash", len(p.byService["llm"]), len(p.byHash))
+	if len(s.byService["llm"]) != 1 || len(s.byHash) != 1 {
+		t.Errorf("%d upstreams of the service and %d by hash, want 1", len(s.byService["llm"]), len(s.byHash))
 	}
 }
 
-func TestAnUpstreamThatOthersCannotReachIsAvoided(t *testing.T) {
-	p := newPicture()
-	call := PlacementRequest{ID: "r", Service: "app"}
-	first, ok := p.PickServiceUpstream(call, 0)
+func TestUpstreamUnreachableFromOthersIsAvoided(t *testing.T) {
+	s := newTestState()
+	request := PlacementRequest{ID: "r", Service: "app"}
+	first, ok := s.PickServiceUpstream(request, 0)
 	if !ok {
 		t.Fatal("no upstream")
 	}
-	p.RecordCall(first.ID, load.CallSucceeded, 0)
-	p.RequestDone(first.ID, "r", 0)
-	const later = time.Minute // it answered long ago
-	p.ApplyReport("zone b", Report{Unreachable: []uint32{hashOf(first.ID)}}, later)
+	s.RecordCall(first.ID, load.CallSucceeded, 0)
+	s.RequestDone(first.ID, "r", 0)
+	const longAfter = time.Minute // long after its last answer
+	s.ApplyReport("zone b", Report{Unreachable: []uint32{hashOf(first.ID)}}, longAfter)
 	for range 10 {
-		next, _ := p.PickServiceUpstream(call, later)
+		next, _ := s.PickServiceUpstream(request, longAfter)
 		if next.ID == first.ID {
 			t.Fatalf("%s was chosen again", next.ID)
 		}
-		p.RequestDone(next.ID, "r", later)
+		s.RequestDone(next.ID, "r", longAfter)
 	}
 }
 
-func TestTheLoadOfASourceThatFallsSilentIsForgotten(t *testing.T) {
-	p := newPicture()
-	p.ApplyReport("zone b", Report{Loads: []EngineLoad{{Engine: hashOf("dec-1"), Requests: 9}}}, 0)
-	if n := toldOf(t, p, "dec-1", PlacementRequest{Service: "llm"}, 0).Requests; n != 9 {
-		t.Errorf("%d requests counted, nine were told of", n)
+func TestLoadsOfSilentSourceExpire(t *testing.T) {
+	s := newTestState()
+	s.ApplyReport("zone b", Report{Loads: []EngineLoad{{Engine: hashOf("dec-1"), Requests: 9}}}, 0)
+	if n := aggregateLoadOf(t, s, "dec-1", PlacementRequest{Service: "llm"}, 0).Requests; n != 9 {
+		t.Errorf("%d requests counted, want the nine reported", n)
 	}
-	if n := toldOf(t, p, "dec-1", PlacementRequest{Service: "llm"}, time.Minute).Requests; n != 0 {
-		t.Errorf("%d requests counted", n)
+	if n := aggregateLoadOf(t, s, "dec-1", PlacementRequest{Service: "llm"}, time.Minute).Requests; n != 0 {
+		t.Errorf("%d requests counted after the source fell silent, want none", n)
 	}
-	p.OwnReport(time.Minute)
-	if len(p.peers.sources) != 0 {
-		t.Error("the source is still held")
+	s.OwnReport(time.Minute)
+	if len(s.peers.sources) != 0 {
+		t.Error("the silent source is still stored")
 	}
 }
 
-var long = placement.Prompt{Tokens: 9000, MaxOutput: 600, Parts: []placement.Part{{ID: "shared", Tokens: 6000}, {ID: "own", Tokens: 3000}}}
+var longPrompt = placement.Prompt{Tokens: 9000, MaxOutput: 600, Parts: []placement.Part{{ID: "shared", Tokens: 6000}, {ID: "own", Tokens: 3000}}}
 
-// TestPlainCallsAreToldOf: behind many instances, each sees few of the calls that an
-// upstream of a plain service has.
-func TestPlainCallsAreToldOf(t *testing.T) {
-	p, other := newPicture(), newPicture()
-	chosen, _ := p.PickServiceUpstream(PlacementRequest{ID: "r", Service: "app"}, 0)
-	other.ApplyReport(InstanceSourcePrefix+"one", p.OwnReport(0), 0)
-	if n := toldOf(t, other, chosen.ID, PlacementRequest{Service: "app"}, 0).Requests; n != 1 {
-		t.Errorf("%d calls told of, want one", n)
+// TestPlainServiceRequestsAreReported: with many instances, each one sees only a few of the
+// requests on an upstream of a plain service, so placement needs the reports of the others.
+func TestPlainServiceRequestsAreReported(t *testing.T) {
+	s, other := newTestState(), newTestState()
+	chosen, _ := s.PickServiceUpstream(PlacementRequest{ID: "r", Service: "app"}, 0)
+	other.ApplyReport(InstanceSourcePrefix+"one", s.OwnReport(0), 0)
+	if n := aggregateLoadOf(t, other, chosen.ID, PlacementRequest{Service: "app"}, 0).Requests; n != 1 {
+		t.Errorf("%d requests reported, want one", n)
 	}
 	for range 10 {
 		next, _ := other.PickServiceUpstream(PlacementRequest{ID: "q", Service: "app"}, 0)
 		if next.ID == chosen.ID {
-			t.Fatal("the busy upstream was chosen while others idle")
+			t.Fatal("the busy upstream was chosen while others were idle")
 		}
 		other.RequestDone(next.ID, "q", 0)
 	}
 }
 
-// TestAPartIsBelievedGoneOnceAsMuchCameIn: an engine with memory for 370,000 tokens
-// into which 100,000 a second come has lost a part that was used three seconds ago.
-func TestAPartIsBelievedGoneOnceAsMuchCameIn(t *testing.T) {
+// TestCachedPartExpiresWithInflow: an engine with memory for 370,000 tokens and an inflow of
+// 100,000 a second has evicted a part that was last used three seconds ago.
+func TestCachedPartExpiresWithInflow(t *testing.T) {
 	for _, c := range []struct {
 		inflow float64
 		after  time.Duration
 		cached int
 	}{{0, 30 * time.Second, 6000}, {100000, 2 * time.Second, 6000}, {100000, 3 * time.Second, 0}} {
-		p := newPicture()
-		p.ApplyReport("zone b", Report{Placed: []PlacedPart{{Engine: hashOf("pre-1"), Part: hashOf("shared")}}}, 0)
-		p.ApplyReport("zone b", Report{Loads: []EngineLoad{{Engine: hashOf("pre-1"), Inflow: c.inflow}}}, c.after)
-		ask := PlacementRequest{Service: "llm", Prompt: long}
-		if got := toldOf(t, p, "pre-1", ask, c.after).CachedTokens; got != c.cached {
-			t.Errorf("%g tokens a second, after %s: %d believed cached, want %d", c.inflow, c.after, got, c.cached)
+		s := newTestState()
+		s.ApplyReport("zone b", Report{Placed: []PlacedPart{{Engine: hashOf("pre-1"), Part: hashOf("shared")}}}, 0)
+		s.ApplyReport("zone b", Report{Loads: []EngineLoad{{Engine: hashOf("pre-1"), Inflow: c.inflow}}}, c.after)
+		request := PlacementRequest{Service: "llm", Prompt: longPrompt}
+		if got := aggregateLoadOf(t, s, "pre-1", request, c.after).CachedTokens; got != c.cached {
+			t.Errorf("inflow of %g tokens a second, after %s: %d tokens assumed cached, want %d", c.inflow, c.after, got, c.cached)
 		}
 	}
 }
 
-// TestAPromptIsChargedUntilItIsDone has two instances; one hears of the other's.
-func TestAPromptIsChargedUntilItIsDone(t *testing.T) {
-	p, other := newPicture(), newPicture()
-	start, turn, ok := p.PickPrefill(PlacementRequest{ID: "r", Service: "llm", Prompt: long, Objective: time.Second, RemainingWait: 2 * time.Second}, 0)
-	if !ok || start.Direct() || start.BusyTime <= 0 || turn != placement.QueueNormal {
-		t.Fatalf("%+v, %s, %t", start, turn, ok)
-	}
-	other.ApplyReport(InstanceSourcePrefix+"one", p.OwnReport(0), 0)
-	if got := toldOf(t, other, start.Engine.ID, PlacementRequest{Service: "llm"}, 0).Backlog; got != start.BusyTime {
-		t.Errorf("%s ahead, want %s", got, start.BusyTime)
-	}
-	p.PromptDone(start.Engine.ID, start.BusyTime, turn)
-	p.RequestDone(start.Engine.ID, "r", 0)
-	other.ApplyReport(InstanceSourcePrefix+"one", p.OwnReport(0), 0)
-	if got := toldOf(t, other, start.Engine.ID, PlacementRequest{Service: "llm"}, 0).Backlog; got != 0 {
-		t.Errorf("%s ahead of nothing", got)
+// TestPromptWorkIsCountedUntilDone has two instances; the second receives the reports of the first.
+func TestPromptWorkIsCountedUntilDone(t *testing.T) {
+	s, other := newTestState(), newTestState()
+	prefill, order, ok := s.PickPrefill(PlacementRequest{ID: "r", Service: "llm", Prompt: longPrompt, Objective: time.Second, RemainingWait: 2 * time.Second}, 0)
+	if !ok || prefill.Direct() || prefill.BusyTime <= 0 || order != placement.QueueNormal {
+		t.Fatalf("%+v, %s, %t", prefill, order, ok)
+	}
+	other.ApplyReport(InstanceSourcePrefix+"one", s.OwnReport(0), 0)
+	if got := aggregateLoadOf(t, other, prefill.Engine.ID, PlacementRequest{Service: "llm"}, 0).Backlog; got != prefill.BusyTime {
+		t.Errorf("backlog %s, want %s", got, prefill.BusyTime)
+	}
+	s.PromptDone(prefill.Engine.ID, prefill.BusyTime, order)
+	s.RequestDone(prefill.Engine.ID, "r", 0)
+	other.ApplyReport(InstanceSourcePrefix+"one", s.OwnReport(0), 0)
+	if got := aggregateLoadOf(t, other, prefill.Engine.ID, PlacementRequest{Service: "llm"}, 0).Backlog; got != 0 {
+		t.Errorf("backlog %s after the prompt was done", got)
 	}
 }
 
-// callsWithout places calls and fails when one goes to an upstream.
-func callsWithout(t *testing.T, p *State, id string, now time.Duration) {
+// callsAvoid places requests and fails the test if one goes to the upstream with the given id.
+func callsAvoid(t *testing.T, s *State, id string, now time.Duration) {
 	t.Helper()
 	for range 10 {
-		next, ok := p.PickServiceUpstream(PlacementRequest{ID: "q", Service: "app"}, now)
+		next, ok := s.PickServiceUpstream(PlacementRequest{ID: "q", Service: "app"}, now)
 		if !ok || next.ID == id {
 			t.Fatalf("%q was chosen at %s", next.ID, now)
 		}
-		p.RequestDone(next.ID, "q", now)
+		s.RequestDone(next.ID, "q", now)
 	}
 }
 
-// TestAnUpstreamWhoseAddressAnotherHasIsLeftOutByAll. Pattern: while the platform's
-// store is away, upstreams leave and others get their addresses, so entries name
-// upstreams that are gone. Grounds: 234 requests in eight seconds of a day were refused,
-// as each of 195 instances had to meet each of 20 such upstreams twice by itself.
-func TestAnUpstreamWhoseAddressAnotherHasIsLeftOutByAll(t *testing.T) {
-	p, other, beyond := newPicture(), newPicture(), newPicture()
-	chosen, _ := p.PickServiceUpstream(PlacementRequest{ID: "r", Service: "app"}, 0)
-	other.RecordCall(chosen.ID, load.CallSucceeded, 0) // it answered there just now
-	beyond.RecordCall(chosen.ID, load.CallSucceeded, 0)
-	p.RecordCall(chosen.ID, load.CallAddressReassigned, 0)
-	p.RequestDone(chosen.ID, "r", 0)
-	callsWithout(t, p, chosen.ID, time.Second)
-	other.ApplyReport(InstanceSourcePrefix+"one", p.OwnReport(0), 0)
-	callsWithout(t, other, chosen.ID, time.Second)
-	beyond.ApplyReport("zone a", other.ZoneReport(0), 0)
-	callsWithout(t, beyond, chosen.ID, time.Second)
-	callsWithout(t, beyond, chosen.ID, addressReassignedFor-time.Millisecond)
+// TestUpstreamWithReassignedAddressIsAvoidedEverywhere: while the platform's store is unavailable,
+// upstreams shut down and others get their addresses, so entries name upstreams that no longer
+// exist. Without sharing this, 234 requests were refused within eight seconds, as each of 195
+// instances had to fail twice on each of 20 such upstreams by itself.
+func TestUpstreamWithReassignedAddressIsAvoidedEverywhere(t *testing.T) {
+	s, other, otherZone := newTestState(), newTestState(), newTestState()
+	chosen, _ := s.PickServiceUpstream(PlacementRequest{ID: "r", Service: "app"}, 0)
+	other.RecordCall(chosen.ID, load.CallSucceeded, 0) // it has just answered there
+	otherZone.RecordCall(chosen.ID, load.CallSucceeded, 0)
+	s.RecordCall(chosen.ID, load.CallAddressReassigned, 0)
+	s.RequestDone(chosen.ID, "r", 0)
+	callsAvoid(t, s, chosen.ID, time.Second)
+	other.ApplyReport(InstanceSourcePrefix+"one", s.OwnReport(0), 0)
+	callsAvoid(t, other, chosen.ID, time.Second)
+	otherZone.ApplyReport("zone a", other.ZoneReport(0), 0)
+	callsAvoid(t, otherZone, chosen.ID, time.Second)
+	callsAvoid(t, otherZone, chosen.ID, addressReassignedFor-time.Millisecond)
 }
 
-// TestAnEngineIsAwayUntilItsRoleHasChanged: its word counts whatever was heard from it,
-// and ends with the change.
-func TestAnEngineIsAwayUntilItsRoleHasChanged(t *testing.T) {
-	p, other := newPicture(), newPicture()
-	p.MarkUnavailable("dec-1", time.Minute)
+// TestEngineIsUnavailableUntilRoleChanges checks that the engine stays unavailable even if it
+// answers, until its role has changed.
+func TestEngineIsUnavailableUntilRoleChanges(t *testing.T) {
+	s, other := newTestState(), newTestState()
+	s.MarkUnavailable("dec-1", time.Minute)
 	other.RecordCall("dec-1", load.CallSucceeded, 0)
-	other.ApplyReport(InstanceSourcePrefix+"one", p.OwnReport(0), 0)
-	silent := func() bool {
+	other.ApplyReport(InstanceSourcePrefix+"one", s.OwnReport(0), 0)
+	suspect := func() bool {
 		other.mu.Lock()
 		defer other.mu.Unlock()
 		return other.suspect(other.nodes["dec-1"], time.Second)
 	}
-	if !silent() {
-		t.Error("it takes requests while it changes")
+	if !suspect() {
+		t.Error("available while its role changes")
 	}
 	other.UpdateUpstream(Upstream{ID: "dec-1", Service: "llm", Address: "dec-1", Zone: "a", Role: config.RolePrefill})
-	if silent() {
-		t.Error("it takes none though its role has changed")
+	if suspect() {
+		t.Error("still unavailable after its role has changed")
 	}
 }
--- a/internal/upstreamstate/work.go
+++ b/internal/upstreamstate/work.go
@@ -7,96 +7,96 @@
 	"sassafrasfield/internal/placement"
 )
 
-// workload is what this instance has on one upstream, and what it heard of it.
+// workload is this instance's work on one upstream and what it received from it.
 type workload struct {
-	// backlog is the predicted time of this instance's prompts there, deferredBacklog the
-	// part of it that yields to other prompts.
+	// backlog is the predicted time of this instance's prompts there, deferredBacklog the part of
+	// it with low priority.
 	backlog, deferredBacklog time.Duration
-	// utilization is the work of the prompts that this instance placed there lately, inflow
-	// are the tokens that its requests put into the cache.
+	// utilization is the processing time of the prompts that this instance recently placed there,
+	// inflow the tokens that its requests add to the cache.
 	utilization, inflow rate
-	// answeredAt is when the upstream last answered anything; heard tells that it did.
+	// answeredAt is when the upstream last answered anything, answered whether it ever did.
 	answeredAt time.Duration
 	answered   bool
-	// reported is what it said with its newest answer.
+	// reported is the load that its newest answer reported.
 	reported   Load
 	reportedAt time.Duration
 }
 
-// changed notes that this instance has something else under way on an upstream than
-// it told. The lock is held.
-func (p *State) changed(n *node) {
-	p.busy[n] = true
-	p.settings.OnChange()
+// changed records that this instance's load on an upstream differs from the reported one. The lock
+// is held.
+func (s *State) changed(n *node) {
+	s.busy[n] = true
+	s.settings.OnChange()
 }
 
-// PromptDone takes the prompt work of a request off an engine.
-func (p *State) PromptDone(id string, work time.Duration, turn placement.QueueOrder) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	n, ok := p.nodes[id]
+// PromptDone removes the prompt work of a request from an engine.
+func (s *State) PromptDone(id string, busyTime time.Duration, order placement.QueueOrder) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	n, ok := s.nodes[id]
 	if !ok {
 		return
 	}
-	n.work.backlog = max(0, n.work.backlog-work)
-	if turn == placement.QueueDeferred {
-		n.work.deferredBacklog = max(0, n.work.deferredBacklog-work)
+	n.work.backlog = max(0, n.work.backlog-busyTime)
+	if order == placement.QueueDeferred {
+		n.work.deferredBacklog = max(0, n.work.deferredBacklog-busyTime)
 	}
-	p.changed(n)
+	s.changed(n)
 }
 
-// RequestDone takes a request off an upstream.
-func (p *State) RequestDone(id, request string, now time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.loads.End(id, request, now)
-	n, ok := p.nodes[id]
+// RequestDone removes a request from an upstream.
+func (s *State) RequestDone(id, request string, now time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.loads.End(id, request, now)
+	n, ok := s.nodes[id]
 	if !ok {
-		p.loads.Drop(id)
+		s.loads.Drop(id)
 		return
 	}
-	p.changed(n)
+	s.changed(n)
 }
 
-// SetReportedLoad takes an upstream's word on its load.
-func (p *State) SetReportedLoad(id string, l Load, now time.Duration) {
+// SetReportedLoad records the load that an upstream reported.
+func (s *State) SetReportedLoad(id string, l Load, now time.Duration) {
 	if !l.Known {
 		return
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if n, ok := p.nodes[id]; ok {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if n, ok := s.nodes[id]; ok {
 		n.work.reported, n.work.reportedAt = l, now
 	}
 }
 
-// RecordCall records what a send told of an upstream, and reports whether it is
-// ejected by it. One that cannot be reached is ejected at once.
-func (p *State) RecordCall(id string, v load.CallResult, now time.Duration) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	switch v {
+// RecordCall records the result of a call to an upstream, and reports whether the upstream is
+// ejected because of it. One that cannot be reached is ejected at once.
+func (s *State) RecordCall(id string, result load.CallResult, now time.Duration) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	switch result {
 	case load.CallUnreachable:
-		p.noteUnreachable(id, now)
+		s.noteUnreachable(id, now)
 	case load.CallAddressReassigned:
-		p.markUnavailable(id, now+addressReassignedFor)
+		s.markUnavailable(id, now+addressReassignedFor)
 	}
-	n, ok := p.nodes[id]
+	n, ok := s.nodes[id]
 	if !ok {
-		return false // its entry is gone
+		return false // its entry was removed
 	}
-	if v != load.CallUnreachable && v != load.CallAddressReassigned {
+	if result != load.CallUnreachable && result != load.CallAddressReassigned {
 		n.work.answeredAt, n.work.answered = now, true
-		return p.loads.RecordCall(id, v, now)
+		return s.loads.RecordCall(id, result, now)
 	}
-	first := p.loads.RecordCall(id, v, now)
-	return p.loads.RecordCall(id, v, now) || first
+	first := s.loads.RecordCall(id, result, now)
+	return s.loads.RecordCall(id, result, now) || first
 }
 
-// AnsweredSince tells whether an upstream has answered anything since a time.
-func (p *State) AnsweredSince(id string, since time.Duration) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	n, ok := p.nodes[id]
+// AnsweredSince reports whether an upstream has answered anything since a time.
+func (s *State) AnsweredSince(id string, since time.Duration) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	n, ok := s.nodes[id]
 	return ok && n.work.answered && n.work.answeredAt > since
 }
