--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -14,20 +14,20 @@
 	"sassafrasfield/internal/upstreamstate"
 )
 
-// wholeBytes is how much of an answer is held before the caller gets any, so
-// that a broken one can still be asked for elsewhere. Longer ones are passed on
-// as they come.
-const wholeBytes = 256 << 10
+// maxBufferedBytes is how much of an answer is buffered before the caller receives any, so that a
+// truncated one can still be requested from another upstream. The rest of a longer answer is
+// forwarded as it arrives.
+const maxBufferedBytes = 256 << 10
 
-// answer is a reply of which the first part has been read.
-type answer struct {
+// bufferedAnswer is a reply of which the first part has been read.
+type bufferedAnswer struct {
 	reply *Reply
-	first []byte
-	// whole tells that first is all of it.
-	whole bool
+	head  []byte
+	// complete is set if head is the whole body.
+	complete bool
 }
 
-// serviceCall is the way of a request to a plain service's upstreams. It implements
+// serviceCall is the path of a request to the upstreams of a plain service. It implements
 // attempt.Call.
 type serviceCall struct {
 	*exchange
@@ -38,114 +38,115 @@
 // serveCall sends a request to one upstream after another, as far as its kind
 // allows.
 func (r *Relay) serveCall(ctx context.Context, x *exchange, w http.ResponseWriter) error {
-	result, _ := x.tries.Run(ctx, x.budget, r.now, &serviceCall{exchange: x, relay: r, w: w})
+	result, _ := x.attempts.Run(ctx, x.budget, r.now, &serviceCall{exchange: x, relay: r, w: w})
 	if result.Status == attempt.Done {
 		return result.Err
 	}
-	return r.giveUp(ctx, x)
+	return r.finalError(ctx, x)
 }
 
-// Started implements attempt.Call: no part of an answer is given to the caller
-// before it is known that no other upstream will be asked.
+// Started implements attempt.Call. It is false, because the caller receives no part of an answer
+// before it is decided that no other upstream will be tried.
 func (c *serviceCall) Started() bool { return false }
 
 // Try implements attempt.Call.
 func (c *serviceCall) Try(ctx context.Context) attempt.Result {
 	r := c.relay
-	if err := r.bar(c.exchange); err != nil {
+	if err := r.checkSend(c.exchange); err != nil {
 		return attempt.Result{Status: attempt.NoUpstream, Err: err}
 	}
-	upstream, ok := r.picture.PickServiceUpstream(c.ask(r.now()), r.now())
+	upstream, ok := r.upstreams.PickServiceUpstream(c.placementRequest(r.now()), r.now())
 	if !ok {
 		return attempt.Result{Status: attempt.NoUpstream}
 	}
-	defer func() { r.picture.RequestDone(upstream.ID, c.req.ID, r.now()) }()
-	got, err := r.callOnce(ctx, c.exchange, upstream)
+	defer func() { r.upstreams.RequestDone(upstream.ID, c.req.ID, r.now()) }()
+	answer, err := r.sendCall(ctx, c.exchange, upstream)
 	if err != nil {
-		r.blame(ctx, c.exchange, upstream.ID, err)
-		return failure(upstream.ID, err)
+		r.recordFailure(ctx, c.exchange, upstream.ID, err)
+		return failedAttempt(upstream.ID, err)
 	}
-	if r.shouldAskAnother(ctx, c.exchange, got) {
-		got.reply.Body.Close()
-		return failure(upstream.ID, errors.Errorf("relay: the upstream answered %d", got.reply.Status))
+	if r.shouldRetryElsewhere(ctx, c.exchange, answer) {
+		answer.reply.Body.Close()
+		return failedAttempt(upstream.ID, errors.Errorf("relay: the upstream answered %d", answer.reply.Status))
 	}
-	return attempt.Result{Status: attempt.Done, Err: deliver(c.w, c.exchange, got)}
+	return attempt.Result{Status: attempt.Done, Err: deliver(c.w, c.exchange, answer)}
 }
 
-// shouldAskAnother tells whether a failure that the upstream answered with
-// should be tried elsewhere.
-func (r *Relay) shouldAskAnother(ctx context.Context, x *exchange, got answer) bool {
-	if got.reply.Status < http.StatusInternalServerError || x.route.Kind != routes.Idempotent {
+// shouldRetryElsewhere reports whether a failure status of the upstream should be retried at
+// another one.
+func (r *Relay) shouldRetryElsewhere(ctx context.Context, x *exchange, answer bufferedAnswer) bool {
+	if answer.reply.Status < http.StatusInternalServerError || x.route.Kind != routes.Idempotent {
 		return false
 	}
-	if !x.tries.MayRunElsewhere() || ctx.Err() != nil || r.picture.Count(x.service) < 2 {
+	if !x.attempts.MayRunElsewhere() || ctx.Err() != nil || r.upstreams.Count(x.service) < 2 {
 		return false
 	}
-	return x.tries.Prepay(ctx, x.budget, r.now())
+	return x.attempts.Prepay(ctx, x.budget, r.now())
 }
 
-// tryTime is how long an idempotent call may take on one upstream: the route's
-// objective, at most half of the time left, so that another one has a chance.
-func (r *Relay) tryTime(x *exchange) time.Duration {
-	left := x.left(r.now())
-	if x.route.Kind != routes.Idempotent || !x.tries.MayRunElsewhere() {
-		return left
+// attemptTimeout returns how long an idempotent call may take on one upstream: the route's
+// objective, but at least a third and at most half of the remaining time, so that another upstream
+// can still be tried.
+func (r *Relay) attemptTimeout(x *exchange) time.Duration {
+	remaining := x.remaining(r.now())
+	if x.route.Kind != routes.Idempotent || !x.attempts.MayRunElsewhere() {
+		return remaining
 	}
-	return min(left/2, max(x.route.Objective, left/3))
+	return min(remaining/2, max(x.route.Objective, remaining/3))
 }
 
-func (r *Relay) callOnce(ctx context.Context, x *exchange, to upstreamstate.Upstream) (answer, error) {
-	if err := x.sent(to.ID); err != nil {
-		return answer{}, err
+func (r *Relay) sendCall(ctx context.Context, x *exchange, to upstreamstate.Upstream) (bufferedAnswer, error) {
+	if err := x.noteSent(to.ID); err != nil {
+		return bufferedAnswer{}, err
 	}
 	sentAt := r.now()
-	sending, cancel := context.WithTimeout(ctx, r.tryTime(x))
-	reply, err := r.sender.Send(sending, x.req, x.send(to, r.now()))
+	sendCtx, cancel := context.WithTimeout(ctx, r.attemptTimeout(x))
+	reply, err := r.sender.Send(sendCtx, x.req, x.newSend(to, r.now()))
 	if err == nil || errors.Is(err, ErrCutOff) { // it ran, though its answer may be lost
-		r.noteBegan(x, sentAt)
+		r.countUsage(x, sentAt)
 	}
 	if err != nil {
 		cancel()
-		return answer{}, err
+		return bufferedAnswer{}, err
 	}
-	reply.Body = endingBody{reply.Body, cancel}
-	r.noteAnswer(to.ID, reply.Load)
-	first, err := io.ReadAll(io.LimitReader(reply.Body, wholeBytes))
+	reply.Body = cancellingBody{reply.Body, cancel}
+	r.recordAnswer(to.ID, reply.Load)
+	head, err := io.ReadAll(io.LimitReader(reply.Body, maxBufferedBytes))
 	if err != nil {
 		reply.Body.Close()
-		return answer{}, WrapReadError(err)
+		return bufferedAnswer{}, WrapReadError(err)
 	}
 	if reply.Status < http.StatusInternalServerError {
-		r.picture.RecordCall(to.ID, load.CallSucceeded, r.now())
+		r.upstreams.RecordCall(to.ID, load.CallSucceeded, r.now())
 	}
-	return answer{reply: reply, first: first, whole: len(first) < wholeBytes}, nil
+	return bufferedAnswer{reply: reply, head: head, complete: len(head) < maxBufferedBytes}, nil
 }
 
-// endingBody ends its context when it is closed.
-type endingBody struct {
+// cancellingBody cancels its context when it is closed.
+type cancellingBody struct {
 	io.ReadCloser
 	cancel context.CancelFunc
 }
 
 // Close implements io.Closer.
-func (b endingBody) Close() error {
+func (b cancellingBody) Close() error {
 	defer b.cancel()
 	return b.ReadCloser.Close()
 }
 
-// deliver gives an answer to the caller.
-func deliver(w http.ResponseWriter, x *exchange, got answer) error {
-	defer got.reply.Body.Close()
-	x.tries.Answered()
-	writeHeader(w, x, got.reply)
-	if _, err := w.Write(got.first); err != nil {
+// deliver writes an answer to the caller.
+func deliver(w http.ResponseWriter, x *exchange, answer bufferedAnswer) error {
+	defer answer.reply.Body.Close()
+	x.attempts.Answered()
+	writeHeader(w, x, answer.reply)
+	if _, err := w.Write(answer.head); err != nil {
 		return ErrCallerDisconnected
 	}
-	if !got.whole {
-		if _, err := io.Copy(w, got.reply.Body); err != nil {
+	if !answer.complete {
+		if _, err := io.Copy(w, answer.reply.Body); err != nil {
 			return errors.WithMessage(ErrAnswerAborted, err.Error())
 		}
 	}
-	x.tries.Finished()
+	x.attempts.Finished()
 	return nil
 }
