--- a/internal/relay/apikey_test.go
+++ b/internal/relay/apikey_test.go
@@ -53,23 +53,23 @@
 		owner    string
 		priority int
 	}{
-		"known":                      {withKey(call("/unsafe/1"), gateKey), true, "gate", 3},
-		"its priority goes first":    {withKey(call("/unsafe/1"), millKey), true, "mill", 0},
-		"a generation":               {withKey(longPrompt("/once/1"), millKey), true, "mill", 0},
-		"unknown":                    {withKey(call("/unsafe/1"), "x"), false, "", 0},
-		"none":                       {call("/unsafe/1"), false, "", 0},
-		"a generation without a key": {longPrompt("/once/1"), false, "", 0},
-		"public, none":               {call("/safe/1"), true, "", 3},
-		"public, unknown":            {withKey(call("/safe/1"), "x"), true, "", 3},
-		"public, known":              {withKey(call("/safe/1"), gateKey), true, "gate", 3},
+		"known":                       {withKey(call("/unsafe/1"), gateKey), true, "gate", 3},
+		"the organisation's priority": {withKey(call("/unsafe/1"), millKey), true, "mill", 0},
+		"a generation":                {withKey(longPrompt("/once/1"), millKey), true, "mill", 0},
+		"unknown":                     {withKey(call("/unsafe/1"), "x"), false, "", 0},
+		"none":                        {call("/unsafe/1"), false, "", 0},
+		"a generation without a key":  {longPrompt("/once/1"), false, "", 0},
+		"public, none":                {call("/safe/1"), true, "", 3},
+		"public, unknown":             {withKey(call("/safe/1"), "x"), true, "", 3},
+		"public, known":               {withKey(call("/safe/1"), gateKey), true, "gate", 3},
 	} {
 		f := &fakeSender{}
 		r := newFake(t, f)
 		withKeys(r, 2, millKey, gateKey)
 		_, err := serve(r, c.req)
 		if !c.served {
-			if word := outcomeOf(t, err); word != Unauthenticated || f.count() != 0 {
-				t.Errorf("%s: outcome %d after %d sends", name, word, f.count())
+			if outcome := outcomeOf(t, err); outcome != Unauthenticated || f.count() != 0 {
+				t.Errorf("%s: outcome %d after %d sends", name, outcome, f.count())
 			}
 			continue
 		}
--- a/internal/relay/backoff_test.go
+++ b/internal/relay/backoff_test.go
@@ -12,28 +12,28 @@
 	"sassafrasfield/internal/upstreamstate"
 )
 
-// backoffStatement returns an upstream's request to receive nothing for a time.
-func backoffStatement(d time.Duration) upstreamstate.UpstreamStatus {
+// backoffStatus returns an upstream's request to receive nothing for a time.
+func backoffStatus(d time.Duration) upstreamstate.UpstreamStatus {
 	return upstreamstate.UpstreamStatus{Backoff: d}
 }
 
 // TestNoSendReachesUpstreamBackingOff guards against a kind of send that ignores an upstream's
 // backoff.
 func TestNoSendReachesUpstreamBackingOff(t *testing.T) {
-	resting := []string{"app-1", "pre-1", "dec-1"}
+	backingOff := []string{"app-1", "pre-1", "dec-1"}
 	for name, kind := range sendKinds {
 		for n := range 20 {
 			sender := kind.sender()
 			r := newFake(t, sender)
 			withLargeBudget(r)
-			announce(r, backoffStatement(time.Minute), resting...)
+			announce(r, backoffStatus(time.Minute), backingOff...)
 			req := kind.req()
 			req.ID = fmt.Sprint("r", n)
 			if _, err := serve(r, req); err != nil {
 				t.Errorf("%s: %v", name, err)
 			}
 			for _, id := range sender.destinations() {
-				if slices.Contains(resting, id) {
+				if slices.Contains(backingOff, id) {
 					t.Errorf("%s reached %s, which is backing off", name, id)
 				}
 			}
@@ -47,20 +47,20 @@
 	for _, req := range []*Request{call("/unsafe/1"), longPrompt("/once/1"), shortOnce()} {
 		sender := &fakeSender{}
 		var r *Relay
-		rests := ""
-		asked := &fakeCoordinator{decide: func(a quota.GrantRequest) quota.Verdict {
-			if rests == "" {
-				rests = r.upstreams.UpstreamID(a.Limit.Upstream)
-				r.applyStatement(r.upstreams.Upstream(rests), backoffStatement(time.Minute))
+		backingOff := ""
+		coordinator := &fakeCoordinator{decide: func(request quota.GrantRequest) quota.Verdict {
+			if backingOff == "" {
+				backingOff = r.upstreams.UpstreamID(request.Limit.Upstream)
+				r.applyStatus(r.upstreams.Upstream(backingOff), backoffStatus(time.Minute))
 			}
 			return quota.Verdict{Granted: true}
 		}}
-		r = limitedRelay(t, sender, asked, append(allApps, allEngines...)...)
+		r = limitedRelay(t, sender, coordinator, append(allApps, allEngines...)...)
 		if _, err := serve(r, req); err != nil {
 			t.Errorf("%s: %v", req.Path, err)
 		}
-		if slices.Contains(sender.destinations(), rests) {
-			t.Errorf("%s reached %s, which had requested a backoff", req.Path, rests)
+		if slices.Contains(sender.destinations(), backingOff) {
+			t.Errorf("%s reached %s, which had requested a backoff", req.Path, backingOff)
 		}
 	}
 }
@@ -71,7 +71,7 @@
 	sender := &fakeSender{}
 	r := newFake(t, sender)
 	sender.run = func(n int, s Send) (*Reply, error) {
-		announce(r, backoffStatement(time.Minute), s.Backup.ID)
+		announce(r, backoffStatus(time.Minute), s.Backup.ID)
 		return cutFirst(n, s)
 	}
 	if _, err := serve(r, shortOnce()); !errors.Is(err, ErrAnswerAborted) || sender.count() != 1 {
@@ -83,30 +83,30 @@
 // backing off, against retry delays that are too short, and against all callers retrying at the
 // same time.
 func TestRetryDelayIfAllUpstreamsBackOff(t *testing.T) {
-	for _, make := range []func() *Request{requestTo(call, "/safe/1"), requestTo(call, "/unsafe/1"), requestTo(longPrompt, "/once/1")} {
+	for _, newRequest := range []func() *Request{requestTo(call, "/safe/1"), requestTo(call, "/unsafe/1"), requestTo(longPrompt, "/once/1")} {
 		sender := &fakeSender{}
 		r := newFake(t, sender)
 		for i, id := range append(allApps, allEngines...) {
-			announce(r, backoffStatement(time.Duration(i+2)*time.Second), id)
+			announce(r, backoffStatus(time.Duration(i+2)*time.Second), id)
 		}
 		first := 2 * time.Second // the first of the plain upstreams
-		if make().Prompt != nil {
+		if newRequest().Prompt != nil {
 			first = 5 * time.Second // the first engine
 		}
-		told := map[time.Duration]bool{}
+		delays := map[time.Duration]bool{}
 		for range 10 {
-			_, err := serve(r, make())
+			_, err := serve(r, newRequest())
 			var refusal *Refusal
 			if !errors.As(err, &refusal) || refusal.Outcome != NotRun || refusal.Reason != "upstreams asked for rest" {
 				t.Fatalf("%+v", err)
 			}
-			if in := refusal.RetryIn; in < first-time.Second || in > 2*first {
-				t.Errorf("%s: retry in %s, the first upstream is back in %s", make().Path, in, first)
+			if delay := refusal.RetryIn; delay < first-time.Second || delay > 2*first {
+				t.Errorf("%s: retry in %s, the first upstream is back in %s", newRequest().Path, delay, first)
 			}
-			told[refusal.RetryIn] = true
+			delays[refusal.RetryIn] = true
 		}
-		if len(told) < 5 {
-			t.Errorf("callers are told to retry at the same time: %v", told)
+		if len(delays) < 5 {
+			t.Errorf("callers are told to retry at the same time: %v", delays)
 		}
 		if sender.count() > 0 {
 			t.Errorf("%d sends", sender.count())
@@ -120,7 +120,7 @@
 	sender := &fakeSender{}
 	r := newFake(t, sender)
 	u := r.upstreams.Upstream("app-1")
-	announce(r, backoffStatement(time.Minute), "app-1", "pre-1")
+	announce(r, backoffStatus(time.Minute), "app-1", "pre-1")
 	r.hasCrashed(u)
 	if sender.healthPath != "" {
 		t.Errorf("health request to %s", sender.healthPath)
--- a/internal/relay/budget_test.go
+++ b/internal/relay/budget_test.go
@@ -68,9 +68,9 @@
 }
 
 // partition cuts some instances off from all others. Each of them then acts as its zone's hub.
-func (s *retrySimulation) partition(part float64) {
+func (s *retrySimulation) partition(fraction float64) {
 	for i := range s.instances {
-		if s.rng.Float64() < part {
+		if s.rng.Float64() < fraction {
 			s.partitioned[i] = true
 			s.pools[i] = newRetryPool()
 		}
@@ -110,12 +110,12 @@
 	for _, w := range s.weights {
 		total += w
 	}
-	const lookEvery = 10 // steps: half a second
+	const updateEvery = 10 // steps: half a second
 	for s.now = from; s.now < to; s.now += simulationStep {
-		if s.now >= knownFrom && int(s.now/simulationStep)%lookEvery == 0 {
+		if s.now >= knownFrom && int(s.now/simulationStep)%updateEvery == 0 {
 			s.updatePools()
 		}
-		requests, extra := 0, 0
+		requests, retries := 0, 0
 		for i, b := range s.budgets {
 			for range s.arrivals(perSecond * s.weights[i] / total) {
 				budget := b.forService("desk", s.now)
@@ -123,12 +123,12 @@
 				requests++
 				for range 2 {
 					if budget.Spend(context.Background(), false, s.now) {
-						extra++
+						retries++
 					}
 				}
 			}
 		}
-		s.requests, s.retries = append(s.requests, requests), append(s.retries, extra)
+		s.requests, s.retries = append(s.requests, requests), append(s.retries, retries)
 	}
 }
 
@@ -144,20 +144,20 @@
 
 // worstWindow returns by how much the retries of any window exceed what its requests allow, and the
 // largest part of its allowance that a window used.
-func (s *retrySimulation) worstWindow() (beyond, used float64) {
+func (s *retrySimulation) worstWindow() (excess, used float64) {
 	steps := int(s.bounds.Window / simulationStep)
-	beyond = -s.bounds.Slack
+	excess = -s.bounds.Slack
 	for from := 0; from+steps <= len(s.retries); from++ {
-		requests, extra := 0, 0
+		requests, retries := 0, 0
 		for i := from; i < from+steps; i++ {
 			requests += s.requests[i]
-			extra += s.retries[i]
+			retries += s.retries[i]
 		}
 		allowed := s.bounds.Share*float64(requests) + s.bounds.Slack
-		beyond = max(beyond, float64(extra)-allowed)
-		used = max(used, float64(extra)/allowed)
+		excess = max(excess, float64(retries)-allowed)
+		used = max(used, float64(retries)/allowed)
 	}
-	return beyond, used
+	return excess, used
 }
 
 func TestBudgetHoldsWhenAllInstancesAreReplaced(t *testing.T) {
@@ -169,10 +169,10 @@
 		s.serve(400, 0, 20*time.Second, 3*time.Second)
 		s.start()
 		s.serve(400, 20*time.Second, 32*time.Second, 23*time.Second)
-		beyond, used := s.worstWindow()
+		excess, used := s.worstWindow()
 		t.Logf("%d instances: at most %.2f of a window used", c.instances, used)
-		if beyond > 0 || used < 0.6 {
-			t.Errorf("%d instances: %.0f retries more than allowed; at most %.2f of a window used", c.instances, beyond, used)
+		if excess > 0 || used < 0.6 {
+			t.Errorf("%d instances: %.0f retries more than allowed; at most %.2f of a window used", c.instances, excess, used)
 		}
 	}
 }
@@ -189,8 +189,8 @@
 		s.serve(perSecond, 0, replaced, 3*time.Second)
 		s.start()
 		s.serve(perSecond, replaced, 16*time.Second, replaced+3*time.Second)
-		if beyond, _ := s.worstWindow(); beyond > 0 {
-			t.Fatalf("%.1f retries more than allowed", beyond)
+		if excess, _ := s.worstWindow(); excess > 0 {
+			t.Fatalf("%.1f retries more than allowed", excess)
 		}
 	})
 }
@@ -204,15 +204,15 @@
 		bounds := BudgetSettings{Share: 0.2, Slack: 50 + 2*float64(instances), Window: 10 * time.Second}
 		s := newRetrySimulation(bounds, instances, zones, rapid.Uint64().Draw(t, "seed"))
 		perSecond := rapid.Float64Range(1, 600).Draw(t, "requests a second")
-		cutAt := time.Duration(rapid.IntRange(1, 14).Draw(t, "cut off at")) * time.Second
-		healedAt := cutAt + time.Duration(rapid.IntRange(1, 12).Draw(t, "for"))*time.Second
-		s.serve(perSecond, 0, cutAt, 3*time.Second)
+		partitionedAt := time.Duration(rapid.IntRange(1, 14).Draw(t, "cut off at")) * time.Second
+		healedAt := partitionedAt + time.Duration(rapid.IntRange(1, 12).Draw(t, "for"))*time.Second
+		s.serve(perSecond, 0, partitionedAt, 3*time.Second)
 		s.partition(rapid.Float64Range(0, 1).Draw(t, "part that is cut off"))
-		s.serve(perSecond, cutAt, healedAt, 3*time.Second)
+		s.serve(perSecond, partitionedAt, healedAt, 3*time.Second)
 		s.heal()
 		s.serve(perSecond, healedAt, 30*time.Second, 3*time.Second)
-		if beyond, _ := s.worstWindow(); beyond > 0 {
-			t.Fatalf("%.1f retries more than allowed", beyond)
+		if excess, _ := s.worstWindow(); excess > 0 {
+			t.Fatalf("%.1f retries more than allowed", excess)
 		}
 	})
 }
@@ -225,7 +225,7 @@
 func TestPoolServesFailuresAtFewInstances(t *testing.T) {
 	const instances, zones, failing = 195, 6, 124
 	s := newRetrySimulation(BudgetSettings{Share: 0.2, Slack: 430, Window: 10 * time.Second}, instances, zones, 7)
-	quiet := func(from, to time.Duration) { // requests that all succeed
+	serveSuccessfully := func(from, to time.Duration) { // requests that all succeed
 		for s.now = from; s.now < to; s.now += simulationStep {
 			if s.now%(10*simulationStep) == 0 {
 				s.updatePools()
@@ -237,20 +237,20 @@
 			}
 		}
 	}
-	quiet(0, 20*time.Second)
-	alone, both := 0, 0
+	serveSuccessfully(0, 20*time.Second)
+	withOne, withTwo := 0, 0
 	for i := range failing {
 		first := s.budgets[i].forService("desk", s.now).SpendLocal(false, s.now)
 		second := s.budgets[i].forService("desk", s.now).Spend(context.Background(), false, s.now)
 		if first {
-			alone++
+			withOne++
 		}
 		if first && second {
-			both++
+			withTwo++
 		}
 	}
-	t.Logf("of %d instances with two failures, %d have a retry of their own, %d get a second one from the pools", failing, alone, both)
-	if alone < failing/2 || both < failing/4 {
-		t.Errorf("%d and %d of %d", alone, both, failing)
+	t.Logf("of %d instances with two failures, %d have a retry of their own, %d get a second one from the pools", failing, withOne, withTwo)
+	if withOne < failing/2 || withTwo < failing/4 {
+		t.Errorf("%d and %d of %d", withOne, withTwo, failing)
 	}
 }
--- a/internal/relay/call_test.go
+++ b/internal/relay/call_test.go
@@ -47,8 +47,8 @@
 	r := newFake(t, f)
 	withLargeBudget(r)
 	_, err := serve(r, call("/unsafe/1"))
-	if word := outcomeOf(t, err); word != Unknown || f.runs != 1 {
-		t.Errorf("outcome %v after %d runs", word, f.runs)
+	if outcome := outcomeOf(t, err); outcome != Unknown || f.runs != 1 {
+		t.Errorf("outcome %v after %d runs", outcome, f.runs)
 	}
 }
 
@@ -86,8 +86,8 @@
 	r.SetBudget(BudgetSettings{})
 	r.budgets.forService("app", 0).SpendLocal(false, 0)
 	_, err := serve(r, call("/safe/1"))
-	if word := outcomeOf(t, err); word != NotRun || f.runs != 1 {
-		t.Errorf("outcome %v after %d sends", word, f.runs)
+	if outcome := outcomeOf(t, err); outcome != NotRun || f.runs != 1 {
+		t.Errorf("outcome %v after %d sends", outcome, f.runs)
 	}
 }
 
@@ -99,8 +99,8 @@
 	}
 	r.RemoveUpstream("app-3")
 	_, err := serve(r, call("/safe/1"))
-	if word := outcomeOf(t, err); word != NotRun || f.count() != 0 {
-		t.Errorf("outcome %v after %d sends", word, f.count())
+	if outcome := outcomeOf(t, err); outcome != NotRun || f.count() != 0 {
+		t.Errorf("outcome %v after %d sends", outcome, f.count())
 	}
 }
 
@@ -136,7 +136,7 @@
 	r := newFake(t, f)
 	r.Close()
 	_, err := serve(r, call("/unsafe/1"))
-	if word := outcomeOf(t, err); word != NotRun || f.count() != 0 {
-		t.Errorf("outcome %v after %d sends", word, f.count())
+	if outcome := outcomeOf(t, err); outcome != NotRun || f.count() != 0 {
+		t.Errorf("outcome %v after %d sends", outcome, f.count())
 	}
 }
--- a/internal/relay/draining_test.go
+++ b/internal/relay/draining_test.go
@@ -13,8 +13,8 @@
 	"sassafrasfield/internal/upstreamstate"
 )
 
-// drainingStatement returns an upstream's announcement that it is draining.
-func drainingStatement() upstreamstate.UpstreamStatus {
+// drainingStatus returns an upstream's announcement that it is draining.
+func drainingStatus() upstreamstate.UpstreamStatus {
 	return upstreamstate.UpstreamStatus{Announcement: &quota.Announcement{Draining: true}}
 }
 
@@ -32,28 +32,28 @@
 
 func plainReply() *Reply { return reply(200, strings.NewReader("a")) }
 
-func requestTo(make func(string) *Request, path string) func() *Request {
-	return func() *Request { return make(path) }
+func requestTo(newRequest func(string) *Request, path string) func() *Request {
+	return func() *Request { return newRequest(path) }
 }
 
 // sendKinds covers all kinds of sends to upstreams.
 var sendKinds = map[string]sendKind{
-	"a call":                    {workingSender, requestTo(call, "/unsafe/1")},
-	"a call that is repeated":   {senderRunning(failFirst(ErrNoValidAnswer, plainReply)), requestTo(call, "/safe/1")},
-	"a call that is refused":    {senderRunning(failFirst(ErrRefused, plainReply)), requestTo(call, "/unsafe/1")},
-	"a prompt and its answer":   {workingSender, requestTo(longPrompt, "/once/1")},
-	"a prompt processed anew":   {senderRunning(failFirst(ErrRefused, wholeEvents)), requestTo(longPrompt, "/once/1")},
-	"a prompt that fails":       {func() *fakeSender { return &fakeSender{prefill: failFirstPrompt} }, requestTo(longPrompt, "/resumable/1")},
-	"an answer that goes on":    {senderRunning(cutFirst), requestTo(longPrompt, "/resumable/1")},
-	"an answer from its copy":   {senderRunning(cutFirst), shortOnce},
-	"a short prompt, directly":  {workingSender, shortOnce},
-	"an answer asked for again": {workingSender, resumedPrompt},
+	"a call":                          {workingSender, requestTo(call, "/unsafe/1")},
+	"a call that is retried":          {senderRunning(failFirst(ErrNoValidAnswer, plainReply)), requestTo(call, "/safe/1")},
+	"a call that is refused":          {senderRunning(failFirst(ErrRefused, plainReply)), requestTo(call, "/unsafe/1")},
+	"a prompt and its answer":         {workingSender, requestTo(longPrompt, "/once/1")},
+	"a prompt processed again":        {senderRunning(failFirst(ErrRefused, wholeEvents)), requestTo(longPrompt, "/once/1")},
+	"a prompt that fails":             {func() *fakeSender { return &fakeSender{prefill: failFirstPrompt} }, requestTo(longPrompt, "/resumable/1")},
+	"a resumed answer":                {senderRunning(cutFirst), requestTo(longPrompt, "/resumable/1")},
+	"an answer continued at its copy": {senderRunning(cutFirst), shortOnce},
+	"a short prompt, directly":        {workingSender, shortOnce},
+	"a resumption by the caller":      {workingSender, resumedPrompt},
 }
 
-// announce has upstreams make a statement in earlier answers.
-func announce(r *Relay, word upstreamstate.UpstreamStatus, ids ...string) {
+// announce has upstreams include a status in earlier answers.
+func announce(r *Relay, status upstreamstate.UpstreamStatus, ids ...string) {
 	for _, id := range ids {
-		r.applyStatement(r.upstreams.Upstream(id), word)
+		r.applyStatus(r.upstreams.Upstream(id), status)
 	}
 }
 
@@ -62,33 +62,33 @@
 func (f *fakeSender) destinations() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var list []string
-	for _, one := range f.calls {
-		list = append(list, one.to)
-		if one.send.Backup.ID != "" {
-			list = append(list, one.send.Backup.ID)
+	var ids []string
+	for _, c := range f.calls {
+		ids = append(ids, c.to)
+		if c.send.Backup.ID != "" {
+			ids = append(ids, c.send.Backup.ID)
 		}
 	}
-	return list
+	return ids
 }
 
 // TestNoSendReachesDrainingUpstream guards against a kind of send that ignores the announcement
 // that an upstream is draining.
 func TestNoSendReachesDrainingUpstream(t *testing.T) {
-	leaving := []string{"app-1", "pre-1", "dec-1"}
+	draining := []string{"app-1", "pre-1", "dec-1"}
 	for name, kind := range sendKinds {
 		for n := range 20 {
 			sender := kind.sender()
 			r := newFake(t, sender)
 			withLargeBudget(r)
-			announce(r, drainingStatement(), leaving...)
+			announce(r, drainingStatus(), draining...)
 			req := kind.req()
 			req.ID = fmt.Sprint("r", n)
 			if _, err := serve(r, req); err != nil {
 				t.Errorf("%s: %v", name, err)
 			}
 			for _, id := range sender.destinations() {
-				if slices.Contains(leaving, id) {
+				if slices.Contains(draining, id) {
 					t.Errorf("%s reached %s, which is draining", name, id)
 				}
 			}
@@ -102,20 +102,20 @@
 	for _, req := range []*Request{call("/unsafe/1"), longPrompt("/once/1"), shortOnce()} {
 		sender := &fakeSender{}
 		var r *Relay
-		left := ""
-		asked := &fakeCoordinator{decide: func(a quota.GrantRequest) quota.Verdict {
-			if left == "" { // the first one starts draining while its grant is requested
-				left = r.upstreams.UpstreamID(a.Limit.Upstream)
-				r.applyStatement(r.upstreams.Upstream(left), drainingStatement())
+		draining := ""
+		coordinator := &fakeCoordinator{decide: func(request quota.GrantRequest) quota.Verdict {
+			if draining == "" { // the first one starts draining while its grant is requested
+				draining = r.upstreams.UpstreamID(request.Limit.Upstream)
+				r.applyStatus(r.upstreams.Upstream(draining), drainingStatus())
 			}
 			return quota.Verdict{Granted: true}
 		}}
-		r = limitedRelay(t, sender, asked, append(allApps, allEngines...)...)
+		r = limitedRelay(t, sender, coordinator, append(allApps, allEngines...)...)
 		if _, err := serve(r, req); err != nil {
 			t.Errorf("%s: %v", req.Path, err)
 		}
-		if slices.Contains(sender.destinations(), left) {
-			t.Errorf("%s reached %s, which had announced that it is draining", req.Path, left)
+		if slices.Contains(sender.destinations(), draining) {
+			t.Errorf("%s reached %s, which had announced that it is draining", req.Path, draining)
 		}
 	}
 }
@@ -126,7 +126,7 @@
 	sender := &fakeSender{}
 	r := newFake(t, sender)
 	sender.prefill = func(_ int, s Send) (KV, error) {
-		announce(r, drainingStatement(), "dec-1", "dec-2")
+		announce(r, drainingStatus(), "dec-1", "dec-2")
 		return KV{Engine: s.To, Handle: "h"}, nil
 	}
 	if _, err := serve(r, longPrompt("/once/1")); err != nil {
@@ -144,7 +144,7 @@
 	r := newFake(t, sender)
 	sender.run = func(n int, s Send) (*Reply, error) {
 		if n == 1 {
-			announce(r, drainingStatement(), s.Backup.ID)
+			announce(r, drainingStatus(), s.Backup.ID)
 		}
 		return cutFirst(n, s)
 	}
@@ -162,15 +162,15 @@
 	for _, req := range []*Request{call("/safe/1"), call("/unsafe/1"), longPrompt("/once/1")} {
 		sender := &fakeSender{}
 		r := newFake(t, sender)
-		announce(r, drainingStatement(), append(allApps, allEngines...)...)
-		began := time.Now()
+		announce(r, drainingStatus(), append(allApps, allEngines...)...)
+		started := time.Now()
 		_, err := serve(r, req)
 		var refusal *Refusal
 		if !errors.As(err, &refusal) || refusal.Outcome != NotRun || refusal.RetryIn <= 0 || refusal.Reason != "all upstreams leave" {
 			t.Errorf("%s: %+v", req.Path, err)
 		}
-		if took := time.Since(began); sender.count() > 0 || took > req.WaitBudget/2 {
-			t.Errorf("%s: %d sends, refused after %s", req.Path, sender.count(), took)
+		if elapsed := time.Since(started); sender.count() > 0 || elapsed > req.WaitBudget/2 {
+			t.Errorf("%s: %d sends, refused after %s", req.Path, sender.count(), elapsed)
 		}
 	}
 }
@@ -179,22 +179,22 @@
 // room reserved for it, though that is draining.
 func TestReservedEngineThatDrainsIsNotUsed(t *testing.T) {
 	sender := &fakeSender{}
-	asked := &fakeCoordinator{}
-	r := limitedRelay(t, sender, asked, allEngines...)
-	left := ""
+	coordinator := &fakeCoordinator{}
+	r := limitedRelay(t, sender, coordinator, allEngines...)
+	draining := ""
 	sender.prefill = func(_ int, s Send) (KV, error) {
-		for _, a := range asked.requests {
-			if id := r.upstreams.UpstreamID(a.Limit.Upstream); strings.HasPrefix(id, "dec") {
-				left = id
+		for _, request := range coordinator.requests {
+			if id := r.upstreams.UpstreamID(request.Limit.Upstream); strings.HasPrefix(id, "dec") {
+				draining = id
 			}
 		}
-		announce(r, drainingStatement(), left)
+		announce(r, drainingStatus(), draining)
 		return KV{Engine: s.To, Handle: "h"}, nil
 	}
 	if _, err := serve(r, longPrompt("/once/1")); err != nil {
 		t.Fatal(err)
 	}
-	if left == "" || slices.Contains(sender.destinations(), left) {
-		t.Errorf("%q is draining, sent to %v", left, sender.destinations())
+	if draining == "" || slices.Contains(sender.destinations(), draining) {
+		t.Errorf("%q is draining, sent to %v", draining, sender.destinations())
 	}
 }
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -37,8 +37,8 @@
 	ahead, predicted time.Duration
 	// counted is set once the request was counted as one that began to run.
 	counted bool
-	// turn is the queue order of that prompt on its engine.
-	turn placement.QueueOrder
+	// queueOrder is when that prompt was to be processed on its engine.
+	queueOrder placement.QueueOrder
 	// content returns the identifier of what is requested. It is computed once.
 	content func() quarantine.Content
 }
@@ -80,8 +80,8 @@
 	return attempt.Result{Status: attempt.Lost, Upstream: upstream, Err: err}
 }
 
-// verdictFor returns what an error says about the upstream.
-func verdictFor(ctx context.Context, err error) load.CallResult {
+// callResultFor returns what an error says about the upstream.
+func callResultFor(ctx context.Context, err error) load.CallResult {
 	switch {
 	case errors.Is(err, ErrNotSent):
 		return load.CallUnreachable
--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -32,7 +32,7 @@
 	run     func(n int, s Send) (*Reply, error)
 	prefill func(n int, s Send) (KV, error)
 
-	handleStatement func(upstreamstate.Upstream, upstreamstate.UpstreamStatus)
+	handleStatus func(upstreamstate.Upstream, upstreamstate.UpstreamStatus)
 
 	mu       sync.Mutex // protects the fields below
 	calls    []sent
@@ -47,8 +47,8 @@
 	healthPath string
 }
 
-func (f *fakeSender) SetStatusHandler(hear func(upstreamstate.Upstream, upstreamstate.UpstreamStatus)) {
-	f.handleStatement = hear
+func (f *fakeSender) SetStatusHandler(handle func(upstreamstate.Upstream, upstreamstate.UpstreamStatus)) {
+	f.handleStatus = handle
 }
 
 func (f *fakeSender) Send(_ context.Context, _ *Request, s Send) (*Reply, error) {
@@ -116,8 +116,8 @@
 	text io.Reader
 }
 
-func (c truncatedReader) Read(p []byte) (int, error) {
-	n, err := c.text.Read(p)
+func (r truncatedReader) Read(p []byte) (int, error) {
+	n, err := r.text.Read(p)
 	if err == io.EOF {
 		return n, io.ErrUnexpectedEOF
 	}
--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -123,18 +123,18 @@
 // prompt processed. The status Done means that this succeeded.
 func (g *generation) prepare(ctx context.Context) attempt.Result {
 	r := g.relay
-	start, turn, ok := r.upstreams.PickPrefill(g.placementRequest(r.now()), r.now())
+	start, queueOrder, ok := r.upstreams.PickPrefill(g.placementRequest(r.now()), r.now())
 	if !ok {
 		return attempt.Result{Status: attempt.NoUpstream, Err: errors.WithMessage(ErrNotSent, "no engine for the prompt")}
 	}
-	g.ahead, g.predicted, g.turn = start.Engine.Aggregate.Backlog, start.BusyTime, turn
+	g.ahead, g.predicted, g.queueOrder = start.Engine.Aggregate.Backlog, start.BusyTime, queueOrder
 	if g.direct = start.Direct(); g.direct {
 		r.meters.direct.Inc(1)
 		g.start = start
 		return attempt.Result{Status: attempt.Done}
 	}
 	if !r.reserve(ctx, g) {
-		r.upstreams.PromptDone(start.Engine.ID, start.BusyTime, turn)
+		r.upstreams.PromptDone(start.Engine.ID, start.BusyTime, queueOrder)
 		r.upstreams.RequestDone(start.Engine.ID, g.req.ID, r.now())
 		return attempt.Result{Status: attempt.NoUpstream, Err: errors.WithMessage(ErrLimited, "no room for the answer")}
 	}
@@ -150,7 +150,7 @@
 // prefill has the prompt processed on the chosen engine.
 func (r *Relay) prefill(ctx context.Context, g *generation, start placement.Prefill) (KV, error) {
 	engine, prefillTime := r.upstreams.Upstream(start.Engine.ID), start.BusyTime
-	defer r.upstreams.PromptDone(engine.ID, prefillTime, g.turn)
+	defer r.upstreams.PromptDone(engine.ID, prefillTime, g.queueOrder)
 	defer func() { r.upstreams.RequestDone(engine.ID, g.req.ID, r.now()) }()
 	g.exchange.prefill = engine.ID
 	g.attempts.Prepared()
@@ -160,7 +160,7 @@
 	defer cancel()
 	go r.cancelWhenSilent(ctx, engine.ID, queueTime+prefillTime+r.settings.PrefillIdleTimeout, cancel)
 	send := g.newSend(engine, started)
-	send.Deferred, send.FetchFrom = g.turn == placement.QueueDeferred, r.upstreams.Upstream(start.Source.ID).Address
+	send.Deferred, send.FetchFrom = g.queueOrder == placement.QueueDeferred, r.upstreams.Upstream(start.Source.ID).Address
 	kv, reported, err := r.sender.Prefill(ctx, g.req, send)
 	if err != nil {
 		return KV{}, err
@@ -179,7 +179,7 @@
 	}
 	r.log.Info("relay: prefilled", "request", g.req.ID, "engine", engine.ID, "tokens", g.prompt.Tokens,
 		"shared", g.prompt.SharedTokens(), "cached", start.Engine.Aggregate.CachedTokens, "source", start.Source.ID, "ahead", queueTime,
-		"turn", g.turn, "yielding", start.Engine.Aggregate.DeferredBacklog, "use", start.Engine.Aggregate.Utilization, "predicted", prefillTime, "took", elapsed,
+		"turn", g.queueOrder, "yielding", start.Engine.Aggregate.DeferredBacklog, "use", start.Engine.Aggregate.Utilization, "predicted", prefillTime, "took", elapsed,
 		"running", reported.Running, "waiting", reported.Waiting)
 	return kv, nil
 }
--- a/internal/relay/generate_test.go
+++ b/internal/relay/generate_test.go
@@ -48,7 +48,7 @@
 	}
 	w, err := serve(newFake(t, f), longPrompt("/resumable/1"))
 	if !errors.Is(err, ErrAnswerAborted) {
-		t.Fatalf("%v after %q; want ErrBroken", err, w.Body.String())
+		t.Fatalf("%v after %q; want ErrAnswerAborted", err, w.Body.String())
 	}
 }
 
@@ -74,7 +74,7 @@
 	r := newFake(t, f)
 	withLargeBudget(r)
 	if _, err := serve(r, longPrompt("/once/1")); !errors.Is(err, ErrAnswerAborted) {
-		t.Fatalf("%v; want ErrBroken", err)
+		t.Fatalf("%v; want ErrAnswerAborted", err)
 	}
 	if f.runs != 1 {
 		t.Errorf("%d runs", f.runs)
@@ -86,8 +86,8 @@
 	r := newFake(t, f)
 	withLargeBudget(r)
 	_, err := serve(r, longPrompt("/once/1"))
-	if word := outcomeOf(t, err); word != Unknown || f.runs != 1 {
-		t.Errorf("outcome %v after %d runs", word, f.runs)
+	if outcome := outcomeOf(t, err); outcome != Unknown || f.runs != 1 {
+		t.Errorf("outcome %v after %d runs", outcome, f.runs)
 	}
 }
 
@@ -152,9 +152,9 @@
 }
 
 func TestDisconnectedCallerIsNotAnswered(t *testing.T) {
-	ctx, leave := context.WithCancel(context.Background())
+	ctx, disconnect := context.WithCancel(context.Background())
 	f := &fakeSender{run: func(int, Send) (*Reply, error) {
-		leave()
+		disconnect()
 		return nil, ErrNoValidAnswer
 	}}
 	r := newFake(t, f)
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -190,9 +190,9 @@
 }
 
 // DecideGrant decides on one send of this or another instance to a rate-limited upstream.
-func (r *Relay) DecideGrant(ask quota.GrantRequest) quota.Verdict {
+func (r *Relay) DecideGrant(request quota.GrantRequest) quota.Verdict {
 	r.grants.mu.Lock()
-	verdict := r.grants.state.Decide(r.upstreams, ask, r.now())
+	verdict := r.grants.state.Decide(r.upstreams, request, r.now())
 	r.grants.mu.Unlock()
 	r.logLimitChanges()
 	if verdict.Granted {
@@ -207,24 +207,24 @@
 func (r *Relay) Limits() []quota.UpstreamLimit { return r.upstreams.Limits(r.now()) }
 
 // ApplyLimits merges what an instance of this or another zone knows of upstreams' limits.
-func (r *Relay) ApplyLimits(words []quota.UpstreamLimit, sameZone bool) {
-	r.upstreams.ApplyLimits(words, sameZone, r.now())
+func (r *Relay) ApplyLimits(limits []quota.UpstreamLimit, sameZone bool) {
+	r.upstreams.ApplyLimits(limits, sameZone, r.now())
 	r.logLimitChanges()
 }
 
-// applyStatement applies what an upstream states about itself in an answer.
-func (r *Relay) applyStatement(from upstreamstate.Upstream, statement upstreamstate.UpstreamStatus) {
-	for _, err := range statement.ParseErrors {
+// applyStatus applies what an upstream states about itself in an answer.
+func (r *Relay) applyStatus(from upstreamstate.Upstream, status upstreamstate.UpstreamStatus) {
+	for _, err := range status.ParseErrors {
 		r.meters.limits.unparsed.Inc(1)
 		r.log.Info("relay: cannot parse upstream's announcement", "upstream", from.ID, "error", err)
 	}
-	if statement.Announcement != nil {
-		r.upstreams.Announced(from, *statement.Announcement, r.now())
+	if status.Announcement != nil {
+		r.upstreams.Announced(from, *status.Announcement, r.now())
 		r.logLimitChanges()
 	}
-	if statement.Backoff > 0 && r.upstreams.BackOff(from, statement.Backoff, r.now()) {
+	if status.Backoff > 0 && r.upstreams.BackOff(from, status.Backoff, r.now()) {
 		r.meters.limits.backoffs.Inc(1)
-		r.log.Info("relay: upstream asks for rest", "upstream", from.ID, "for", statement.Backoff)
+		r.log.Info("relay: upstream asks for rest", "upstream", from.ID, "for", status.Backoff)
 	}
 }
 
--- a/internal/relay/limits_test.go
+++ b/internal/relay/limits_test.go
@@ -19,18 +19,18 @@
 	// decide answers them; nil grants all.
 	decide func(quota.GrantRequest) quota.Verdict
 
-	mu       sync.Mutex // protects asks
+	mu       sync.Mutex // protects requests
 	requests []quota.GrantRequest
 }
 
-func (c *fakeCoordinator) request(_ context.Context, a quota.GrantRequest) quota.Verdict {
+func (c *fakeCoordinator) request(_ context.Context, request quota.GrantRequest) quota.Verdict {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.requests = append(c.requests, a)
+	c.requests = append(c.requests, request)
 	if c.decide == nil {
 		return quota.Verdict{Granted: true}
 	}
-	return c.decide(a)
+	return c.decide(request)
 }
 
 // count returns how many requests it received.
@@ -42,19 +42,19 @@
 
 // limitedRelay returns a relay in front of upstreams of which the given ones have announced a
 // limit.
-func limitedRelay(t *testing.T, sender *fakeSender, c *fakeCoordinator, limited ...string) *Relay {
+func limitedRelay(t *testing.T, sender *fakeSender, coordinator *fakeCoordinator, limited ...string) *Relay {
 	t.Helper()
 	r := newFake(t, sender)
 	withLargeBudget(r)
-	r.SetGrantRequester(c.request)
+	r.SetGrantRequester(coordinator.request)
 	for _, id := range limited {
-		r.applyStatement(r.upstreams.Upstream(id), limitStatement(2))
+		r.applyStatus(r.upstreams.Upstream(id), limitStatus(2))
 	}
 	return r
 }
 
-// limitStatement returns an upstream's announcement of the requests per second that it accepts.
-func limitStatement(rate float64) upstreamstate.UpstreamStatus {
+// limitStatus returns an upstream's announcement of the requests per second that it accepts.
+func limitStatus(rate float64) upstreamstate.UpstreamStatus {
 	return upstreamstate.UpstreamStatus{Announcement: &quota.Announcement{Limited: true, Rate: rate}}
 }
 
@@ -74,24 +74,24 @@
 		req    *Request
 		sends  int
 	}{
-		"a call":                    {&fakeSender{}, call("/unsafe/1"), 1},
-		"a call that is repeated":   {&fakeSender{run: failFirst(ErrNoValidAnswer, func() *Reply { return reply(200, strings.NewReader("a")) })}, call("/safe/1"), 2},
-		"a call that is refused":    {&fakeSender{run: failFirst(ErrRefused, func() *Reply { return reply(200, strings.NewReader("a")) })}, call("/unsafe/1"), 2},
-		"a prompt and its answer":   {&fakeSender{}, longPrompt("/once/1"), 2},
-		"a prompt processed anew":   {&fakeSender{run: failFirst(ErrRefused, wholeEvents)}, longPrompt("/once/1"), 4},
-		"a prompt that fails":       {&fakeSender{prefill: failFirstPrompt}, longPrompt("/once/1"), 3},
-		"an answer that goes on":    {&fakeSender{run: cutFirst}, longPrompt("/resumable/1"), 4},
-		"an answer from its copy":   {&fakeSender{run: cutFirst}, shortOnce(), 2},
-		"a short prompt, directly":  {&fakeSender{}, shortOnce(), 1},
-		"an answer asked for again": {&fakeSender{}, resumedPrompt(), 2},
+		"a call":                          {&fakeSender{}, call("/unsafe/1"), 1},
+		"a call that is retried":          {&fakeSender{run: failFirst(ErrNoValidAnswer, func() *Reply { return reply(200, strings.NewReader("a")) })}, call("/safe/1"), 2},
+		"a call that is refused":          {&fakeSender{run: failFirst(ErrRefused, func() *Reply { return reply(200, strings.NewReader("a")) })}, call("/unsafe/1"), 2},
+		"a prompt and its answer":         {&fakeSender{}, longPrompt("/once/1"), 2},
+		"a prompt processed again":        {&fakeSender{run: failFirst(ErrRefused, wholeEvents)}, longPrompt("/once/1"), 4},
+		"a prompt that fails":             {&fakeSender{prefill: failFirstPrompt}, longPrompt("/once/1"), 3},
+		"a resumed answer":                {&fakeSender{run: cutFirst}, longPrompt("/resumable/1"), 4},
+		"an answer continued at its copy": {&fakeSender{run: cutFirst}, shortOnce(), 2},
+		"a short prompt, directly":        {&fakeSender{}, shortOnce(), 1},
+		"a resumption by the caller":      {&fakeSender{}, resumedPrompt(), 2},
 	} {
-		asked := &fakeCoordinator{}
-		r := limitedRelay(t, c.sender, asked, append(allApps, allEngines...)...)
+		coordinator := &fakeCoordinator{}
+		r := limitedRelay(t, c.sender, coordinator, append(allApps, allEngines...)...)
 		if _, err := serve(r, c.req); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
-		if sends := c.sender.count(); sends != asked.count() || sends != c.sends {
-			t.Errorf("%s: %d sends, want %d, with %d grant requests", name, sends, c.sends, asked.count())
+		if sends := c.sender.count(); sends != coordinator.count() || sends != c.sends {
+			t.Errorf("%s: %d sends, want %d, with %d grant requests", name, sends, c.sends, coordinator.count())
 		}
 	}
 }
@@ -140,10 +140,10 @@
 func TestExhaustedUpstreamIsSkippedWithoutRetry(t *testing.T) {
 	for _, path := range []string{"/unsafe/1", "/safe/1", "/once/1"} {
 		sender := &fakeSender{}
-		asked := &fakeCoordinator{decide: func(a quota.GrantRequest) quota.Verdict {
+		coordinator := &fakeCoordinator{decide: func(request quota.GrantRequest) quota.Verdict {
 			return quota.Verdict{RetryIn: time.Minute}
 		}}
-		r := limitedRelay(t, sender, asked, "app-1", "app-2", "pre-1", "dec-1", "dec-2")
+		r := limitedRelay(t, sender, coordinator, "app-1", "app-2", "pre-1", "dec-1", "dec-2")
 		r.SetBudget(BudgetSettings{Window: time.Second})
 		r.SetPoolRequester(func(context.Context, uint32) bool { return false })
 		for n := range 20 {
@@ -156,12 +156,12 @@
 				t.Fatalf("%s: %v", path, err)
 			}
 		}
-		for _, one := range sender.calls {
-			if one.to != "app-3" && one.to != "pre-2" && one.to != "dec-3" {
-				t.Errorf("%s reached %s", path, one.to)
+		for _, c := range sender.calls {
+			if c.to != "app-3" && c.to != "pre-2" && c.to != "dec-3" {
+				t.Errorf("%s reached %s", path, c.to)
 			}
 		}
-		if n := asked.count(); n > 3 {
+		if n := coordinator.count(); n > 3 {
 			t.Errorf("%s: %d grant requests, though the first verdicts said when to retry", path, n)
 		}
 	}
@@ -190,7 +190,7 @@
 			if strings.HasPrefix(name, "calls") {
 				req.Prompt = nil
 			}
-			began := time.Now()
+			started := time.Now()
 			_, err := serve(r, req)
 			var refusal *Refusal
 			if !errors.As(err, &refusal) || refusal.Outcome != NotRun || refusal.Reason != "the upstreams' limits leave no room" {
@@ -199,8 +199,8 @@
 			if refusal.RetryIn < room/2 || refusal.RetryIn > 2*room {
 				t.Errorf("%s: retry in %s, there is room in %s", name, refusal.RetryIn, room)
 			}
-			if took := time.Since(began); took > room {
-				t.Errorf("%s: refused after %s", name, took)
+			if elapsed := time.Since(started); elapsed > room {
+				t.Errorf("%s: refused after %s", name, elapsed)
 			}
 		}
 		if n := sender.count(); n > 0 {
@@ -213,22 +213,22 @@
 // is marked as such, since those take precedence, and that it is made even if the limit is known to
 // be exhausted for other requests.
 func TestResumedAnswerRequestsGrantAsContinuation(t *testing.T) {
-	asked := &fakeCoordinator{}
+	coordinator := &fakeCoordinator{}
 	sender := &fakeSender{run: cutFirst}
-	r := limitedRelay(t, sender, asked, allEngines...)
-	asked.decide = func(a quota.GrantRequest) quota.Verdict {
-		if len(asked.requests) == 2 { // the answer has begun; the limits are exhausted for all other requests from now on
+	r := limitedRelay(t, sender, coordinator, allEngines...)
+	coordinator.decide = func(request quota.GrantRequest) quota.Verdict {
+		if len(coordinator.requests) == 2 { // the answer has begun; no limit has room for other requests from now on
 			for _, id := range allEngines {
 				r.upstreams.MarkExhausted(incarnationOf(id), 0, time.Minute)
 			}
 		}
-		return quota.Verdict{Granted: len(asked.requests) <= 2 || a.Continues}
+		return quota.Verdict{Granted: len(coordinator.requests) <= 2 || request.Continues}
 	}
 	w, err := serve(r, shortOnce())
 	if err != nil || !strings.Contains(w.Body.String(), "data: b") {
 		t.Errorf("%v, %q", err, w.Body)
 	}
-	if last := asked.requests[len(asked.requests)-1]; !last.Continues {
+	if last := coordinator.requests[len(coordinator.requests)-1]; !last.Continues {
 		t.Errorf("%+v", last)
 	}
 }
@@ -237,17 +237,17 @@
 func TestLimitsInRefusalsAreApplied(t *testing.T) {
 	sender := &fakeSender{}
 	sender.run = func(_ int, s Send) (*Reply, error) {
-		sender.handleStatement(s.To, limitStatement(1))
+		sender.handleStatus(s.To, limitStatus(1))
 		return nil, ErrRefused
 	}
-	asked := &fakeCoordinator{}
-	r := limitedRelay(t, sender, asked)
+	coordinator := &fakeCoordinator{}
+	r := limitedRelay(t, sender, coordinator)
 	for range 2 {
 		if _, err := serve(r, call("/unsafe/1")); outcomeOf(t, err) != NotRun {
 			t.Error(err)
 		}
 	}
-	if asked.count() == 0 {
+	if coordinator.count() == 0 {
 		t.Error("no grant was requested for sends to upstreams whose refusals announced limits")
 	}
 }
@@ -258,7 +258,7 @@
 	sender := &fakeSender{}
 	r := newFake(t, sender)
 	for _, id := range allApps {
-		r.applyStatement(r.upstreams.Upstream(id), limitStatement(2))
+		r.applyStatus(r.upstreams.Upstream(id), limitStatus(2))
 	}
 	if _, err := serve(r, call("/safe/1")); outcomeOf(t, err) != NotRun || sender.count() > 0 {
 		t.Errorf("%v, %d sends", err, sender.count())
@@ -270,16 +270,16 @@
 
 // TestRestartedUpstreamHasNoLimit: answers from before the restart arrive late.
 func TestRestartedUpstreamHasNoLimit(t *testing.T) {
-	asked := &fakeCoordinator{}
-	r := limitedRelay(t, &fakeSender{}, asked, "app-1")
+	coordinator := &fakeCoordinator{}
+	r := limitedRelay(t, &fakeSender{}, coordinator, "app-1")
 	before := r.upstreams.Upstream("app-1")
-	again := before
-	again.StartedAt = 7
-	r.UpdateUpstream(again)
-	r.applyStatement(before, limitStatement(1))
-	w, _, known := r.upstreams.Limit(again.Incarnation(), r.now())
-	if w.Limited() || known {
-		t.Errorf("it is limited to %+v", w)
+	restarted := before
+	restarted.StartedAt = 7
+	r.UpdateUpstream(restarted)
+	r.applyStatus(before, limitStatus(1))
+	limit, _, known := r.upstreams.Limit(restarted.Incarnation(), r.now())
+	if limit.Limited() || known {
+		t.Errorf("it is limited to %+v", limit)
 	}
 }
 
@@ -287,11 +287,11 @@
 func TestUnparsableAnnouncementChangesNothing(t *testing.T) {
 	r := limitedRelay(t, &fakeSender{}, &fakeCoordinator{}, "app-1")
 	for _, id := range []string{"app-1", "app-2"} {
-		r.applyStatement(r.upstreams.Upstream(id), upstreamstate.UpstreamStatus{ParseErrors: []error{errors.New("no rate")}})
+		r.applyStatus(r.upstreams.Upstream(id), upstreamstate.UpstreamStatus{ParseErrors: []error{errors.New("no rate")}})
 	}
-	for id, limits := range map[string]bool{"app-1": true, "app-2": false} {
-		if w, _, _ := r.upstreams.Limit(incarnationOf(id), r.now()); w.Limited() != limits {
-			t.Errorf("%s: %+v", id, w)
+	for id, limited := range map[string]bool{"app-1": true, "app-2": false} {
+		if limit, _, _ := r.upstreams.Limit(incarnationOf(id), r.now()); limit.Limited() != limited {
+			t.Errorf("%s: %+v", id, limit)
 		}
 	}
 }
--- a/internal/relay/quarantine_test.go
+++ b/internal/relay/quarantine_test.go
@@ -27,19 +27,19 @@
 }
 
 // allChecked reports whether the crash checks of all upstreams that cut requests off have ended.
-func (c *quarantineState) allChecked() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return len(c.interrupted) == 0
+func (q *quarantineState) allChecked() bool {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return len(q.interrupted) == 0
 }
 
 // waitForCrashes waits until a number of crashes count against a content.
-func waitForCrashes(r *Relay, content quarantine.Content, ends int) {
+func waitForCrashes(r *Relay, content quarantine.Content, crashes int) {
 	for {
 		r.quarantine.mu.Lock()
 		n := r.quarantine.table.Crashes(content)
 		r.quarantine.mu.Unlock()
-		if n >= ends {
+		if n >= crashes {
 			return
 		}
 		time.Sleep(time.Millisecond)
@@ -122,24 +122,24 @@
 	first, second, third := newFake(t, crashingSender()), newFake(t, crashingSender()), newFake(t, crashingSender())
 	content := call("/once/1").Content()
 	for n, r := range []*Relay{first, second} {
-		end := quarantine.Crash{Content: content, Upstream: upstreamstate.Upstream{ID: string(rune('a' + n))}.Incarnation()}
-		r.RecordCrash(end)
+		crash := quarantine.Crash{Content: content, Upstream: upstreamstate.Upstream{ID: string(rune('a' + n))}.Incarnation()}
+		r.RecordCrash(crash)
 	}
 	for _, from := range []*Relay{first, second} {
-		ends := from.OwnReport().Crashes
-		if len(ends) != 1 {
-			t.Fatalf("%d crashes are reported", len(ends))
+		crashes := from.OwnReport().Crashes
+		if len(crashes) != 1 {
+			t.Fatalf("%d crashes are reported", len(crashes))
 		}
 		for _, to := range []*Relay{first, second, third} {
-			to.ApplyReport(upstreamstate.InstanceSourcePrefix+"x", upstreamstate.Report{Crashes: ends})
+			to.ApplyReport(upstreamstate.InstanceSourcePrefix+"x", upstreamstate.Report{Crashes: crashes})
 		}
 	}
 	for n, r := range []*Relay{first, second, third} {
 		if _, err := serve(r, call("/once/1")); outcomeOf(t, err) != NotRun {
 			t.Errorf("instance %d: %v", n, err)
 		}
-		if kept := len(r.Unpersisted()); (kept == 1) != (r != third) {
-			t.Errorf("instance %d has %d quarantines to persist", n, kept)
+		if unpersisted := len(r.Unpersisted()); (unpersisted == 1) != (r != third) {
+			t.Errorf("instance %d has %d quarantines to persist", n, unpersisted)
 		}
 	}
 }
@@ -164,26 +164,26 @@
 func TestServedContentIsReleasedForAll(t *testing.T) {
 	r := newFake(t, &fakeSender{})
 	req := call("/unsafe/1")
-	long := bootclock.Now() - time.Minute // its first quarantine has expired
-	r.quarantine.table.Quarantine(req.Content(), 1, long)
+	expired := bootclock.Now() - time.Minute // its first quarantine has expired
+	r.quarantine.table.Quarantine(req.Content(), 1, expired)
 	if _, err := serve(r, req); err != nil {
 		t.Fatalf("refused after its quarantine expired: %v", err)
 	}
-	unkept := r.Unpersisted()
-	if times, ok := unkept[req.Content()]; !ok || times != 0 {
-		t.Errorf("%v is to be persisted; want its release", unkept)
+	unpersisted := r.Unpersisted()
+	if times, ok := unpersisted[req.Content()]; !ok || times != 0 {
+		t.Errorf("%v is to be persisted; want its release", unpersisted)
 	}
-	r.MarkPersisted(unkept)
+	r.MarkPersisted(unpersisted)
 	r.Quarantine(req.Content(), 1) // a wrong decision of another instance
-	if unkept := r.Unpersisted(); len(unkept) != 1 {
+	if unpersisted := r.Unpersisted(); len(unpersisted) != 1 {
 		t.Error("the wrong quarantine is not released")
 	}
 	if _, err := serve(r, req); err != nil {
 		t.Errorf("refused by a wrong quarantine: %v", err)
 	}
 	r.MarkPersisted(r.Unpersisted())
-	if left := r.Unpersisted(); len(left) != 0 {
-		t.Errorf("%v is to be persisted again", left)
+	if remaining := r.Unpersisted(); len(remaining) != 0 {
+		t.Errorf("%v is to be persisted again", remaining)
 	}
 }
 
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -105,7 +105,7 @@
 		pool: newRetryPool(), quarantine: newQuarantineState(), usage: newUsageCounter(s.UsageWindow), link: newLink(), meters: newMeters(), grants: newGrants(), changed: make(chan struct{}, 1),
 	}
 	r.sender = admittingSender{Sender: sender, relay: r}
-	sender.SetStatusHandler(r.applyStatement)
+	sender.SetStatusHandler(r.applyStatus)
 	r.budgets = newBudgets(s.Budget, newRetryMeters(), r.requestFromPool)
 	r.upstreams = upstreamstate.New(upstreamstate.Settings{
 		Zone: s.Zone, Placement: s.Placement, Prior: s.Prior, Outliers: s.Outliers, OnChange: r.notifyChanged,
@@ -325,7 +325,7 @@
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return
 	}
-	result := verdictFor(ctx, err)
+	result := callResultFor(ctx, err)
 	ejected := r.upstreams.RecordCall(id, result, r.now())
 	r.log.Info("relay: send failed", "request", x.req.ID, "upstream", id, "try", x.attempts.Sends(),
 		"ejected", ejected, "error", err, "after", r.now()-x.arrived, "content", x.content())
--- a/internal/relay/usage_test.go
+++ b/internal/relay/usage_test.go
@@ -33,17 +33,17 @@
 // TestRequestIsCountedOnceWhenItRuns checks that a request is counted once, however many upstreams
 // ran it, and not at all if none did.
 func TestRequestIsCountedOnceWhenItRuns(t *testing.T) {
-	good := func() *Reply { return events("id: 1\ndata: a\n\n") }
+	answer := func() *Reply { return events("id: 1\ndata: a\n\n") }
 	for name, c := range map[string]struct {
 		req  *Request
 		run  func(n int, s Send) (*Reply, error)
 		want uint32
 	}{
-		"a call":            {call("/unsafe/1"), func(int, Send) (*Reply, error) { return good(), nil }, 1},
-		"a generation":      {longPrompt("/once/1"), func(int, Send) (*Reply, error) { return good(), nil }, 1},
+		"a call":            {call("/unsafe/1"), func(int, Send) (*Reply, error) { return answer(), nil }, 1},
+		"a generation":      {longPrompt("/once/1"), func(int, Send) (*Reply, error) { return answer(), nil }, 1},
 		"refused by all":    {call("/safe/1"), func(int, Send) (*Reply, error) { return nil, ErrRefused }, 0},
-		"reached nobody":    {call("/safe/1"), func(int, Send) (*Reply, error) { return nil, ErrNotSent }, 0},
-		"refused, then run": {call("/safe/1"), refusedOnce(good), 1},
+		"sent to nobody":    {call("/safe/1"), func(int, Send) (*Reply, error) { return nil, ErrNotSent }, 0},
+		"refused, then run": {call("/safe/1"), refusedOnce(answer), 1},
 		"the upstream's failure": {call("/unsafe/1"), func(int, Send) (*Reply, error) {
 			return reply(http.StatusInternalServerError, strings.NewReader("")), nil
 		}, 1},
@@ -58,13 +58,13 @@
 			}
 			return events("id: 2\ndata: b\n\n"), nil
 		}, 1},
-		"goes on at its copy": {call("/once/1"), func(n int, _ Send) (*Reply, error) {
+		"continued at its copy": {call("/once/1"), func(n int, _ Send) (*Reply, error) {
 			if n == 1 {
 				return truncated("id: 1\ndata: a\n\n"), nil
 			}
 			return events("id: 2\ndata: b\n\n"), nil
 		}, 1},
-		"nobody's": {call("/safe/1"), func(int, Send) (*Reply, error) { return good(), nil }, 0},
+		"nobody's": {call("/safe/1"), func(int, Send) (*Reply, error) { return answer(), nil }, 0},
 	} {
 		r := newCounting(t, &fakeSender{run: c.run})
 		req := c.req
@@ -102,22 +102,22 @@
 // TestUsageReachesOtherZones: an instance reports to its zone's hub, and that to the hub of another
 // zone. A report that arrives twice changes nothing.
 func TestUsageReachesOtherZones(t *testing.T) {
-	one, hub, far := newCounting(t, &fakeSender{}), newCounting(t, &fakeSender{}), newCounting(t, &fakeSender{})
-	for _, r := range []*Relay{one, hub, far} {
+	instance, hub, otherHub := newCounting(t, &fakeSender{}), newCounting(t, &fakeSender{}), newCounting(t, &fakeSender{})
+	for _, r := range []*Relay{instance, hub, otherHub} {
 		if _, err := serve(r, withKey(call("/unsafe/1"), millKey)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	own := one.OwnReport()
+	own := instance.OwnReport()
 	for range 2 {
 		hub.ApplyReport(upstreamstate.InstanceSourcePrefix+"one", own)
 	}
 	zone := hub.ZoneReport()
 	for range 2 {
-		far.ApplyReport("zone b", zone)
+		otherHub.ApplyReport("zone b", zone)
 	}
-	if a, b := countOf(hub, "mill"), countOf(far, "mill"); a != 2 || b != 3 {
-		t.Errorf("%d requests are known at the hub, want 2; %d at the other zone's, want 3", a, b)
+	if atHub, atOtherHub := countOf(hub, "mill"), countOf(otherHub, "mill"); atHub != 2 || atOtherHub != 3 {
+		t.Errorf("%d requests are known at the hub, want 2; %d at the other zone's, want 3", atHub, atOtherHub)
 	}
 }
 
