--- a/internal/rolekeeper/lease.go
+++ b/internal/rolekeeper/lease.go
@@ -18,7 +18,7 @@
 // ranks settles who watches the lease: three instances, the others leave the
 // store alone.
 func (k *Keeper) ranks() lease.RankSettings {
-	return lease.RankSettings{Watchers: 3, ReadEvery: k.settings.Lease / 2, RankDelay: k.settings.Lease / 10}
+	return lease.RankSettings{Watchers: 3, ReadEvery: k.settings.LeaseTerm / 2, RankDelay: k.settings.LeaseTerm / 10}
 }
 
 func (k *Keeper) place() {
@@ -101,5 +101,5 @@
 // before the first, or when this process had the lease last: that it need not wait after
 // an outage of the store has a report come in time that is due meanwhile.
 func (k *Keeper) settled(grant lease.Grant) bool {
-	return grant.First || grant.Resumed || bootclock.Now()-k.heldSince >= k.settings.Lease
+	return grant.First || grant.Resumed || bootclock.Now()-k.heldSince >= k.settings.LeaseTerm
 }
--- a/internal/rolekeeper/rolekeeper.go
+++ b/internal/rolekeeper/rolekeeper.go
@@ -53,8 +53,8 @@
 type Settings struct {
 	// Instance gives the orders under its name.
 	Instance string
-	// Lease is the time in which two holders must not take turns.
-	Lease time.Duration
+	// LeaseTerm is the time in which two holders must not take turns.
+	LeaseTerm time.Duration
 	// Every is the time between looks.
 	Every time.Duration
 	// AtOnce bounds the engines that change while requests are served.
@@ -142,7 +142,7 @@
 	self := s.Instance + "/" + uuid.NewString()
 	return &Keeper{
 		settings: s, table: table, orderer: orderer, view: view, duties: duties, log: log,
-		machine: lease.New(self, leaseSettings(s.Lease), uuid.NewString),
+		machine: lease.New(self, leaseSettings(s.LeaseTerm), uuid.NewString),
 		pending: map[string]pending{}, announced: map[string]announced{}, services: map[string]*duty{}, use: map[string]roles.Workload{},
 	}
 }
