--- a/internal/rolekeeper/rolekeeper.go
+++ b/internal/rolekeeper/rolekeeper.go
@@ -55,8 +55,8 @@
 	Instance string
 	// LeaseTerm is the time in which two holders must not take turns.
 	LeaseTerm time.Duration
-	// Every is the time between looks.
-	Every time.Duration
+	// CheckEvery is the time between looks.
+	CheckEvery time.Duration
 	// AtOnce bounds the engines that change while requests are served.
 	AtOnce int
 	// Announce is the time from the word to all instances that an engine takes no
@@ -164,7 +164,7 @@
 		k.drive(ctx)
 		k.measure()
 		if now := bootclock.Now(); k.held && now >= next {
-			next = now + k.settings.Every
+			next = now + k.settings.CheckEvery
 			k.look(ctx)
 			k.doDuties(ctx)
 		}
