--- a/internal/rolekeeper/rolekeeper.go
+++ b/internal/rolekeeper/rolekeeper.go
@@ -57,8 +57,8 @@
 	LeaseTerm time.Duration
 	// CheckEvery is the time between looks.
 	CheckEvery time.Duration
-	// AtOnce bounds the engines that change while requests are served.
-	AtOnce int
+	// MaxConcurrentChanges bounds the engines that change while requests are served.
+	MaxConcurrentChanges int
 	// Announce is the time from the word to all instances that an engine takes no
 	// requests to its order: what they send meanwhile would be refused. Words reach
 	// all within 0.4 s where no datagram is lost.
