--- a/internal/rolekeeper/orders.go
+++ b/internal/rolekeeper/orders.go
@@ -96,7 +96,7 @@
 		"wanted_prefill", d.target.PrefillCount(len(list)), "changes", len(changes), "at_once", most)
 	for _, change := range changes {
 		at := slices.IndexFunc(engines, func(e upstreamstate.Engine) bool { return e.ID == change.Engine })
-		if k.view.Serving() && k.settings.Announce > 0 {
+		if k.view.Serving() && k.settings.AnnounceDelay > 0 {
 			k.announce(engines[at].Upstream, change.To)
 			continue
 		}
@@ -109,7 +109,7 @@
 	now := bootclock.Now()
 	k.pending[engine.ID] = pending{to: to, at: now, incarnation: engine.Incarnation()}
 	k.announced[engine.ID] = announced{engine: engine, to: to, at: now}
-	k.view.SendAway(engine.ID, k.settings.Announce+k.awayFor(engine.Service))
+	k.view.SendAway(engine.ID, k.settings.AnnounceDelay+k.awayFor(engine.Service))
 	k.log.Info("roles: order announced", "engine", engine.ID, "to", to)
 }
 
@@ -129,7 +129,7 @@
 	now := bootclock.Now()
 	grant, held := k.machine.Held(now)
 	for id, a := range k.announced {
-		if now-a.at < k.settings.Announce {
+		if now-a.at < k.settings.AnnounceDelay {
 			continue
 		}
 		delete(k.announced, id)
--- a/internal/rolekeeper/rolekeeper.go
+++ b/internal/rolekeeper/rolekeeper.go
@@ -59,10 +59,10 @@
 	CheckEvery time.Duration
 	// MaxConcurrentChanges bounds the engines that change while requests are served.
 	MaxConcurrentChanges int
-	// Announce is the time from the word to all instances that an engine takes no
+	// AnnounceDelay is the time from the word to all instances that an engine takes no
 	// requests to its order: what they send meanwhile would be refused. Words reach
 	// all within 0.4 s where no datagram is lost.
-	Announce time.Duration
+	AnnounceDelay time.Duration
 	// Confirm is how many looks on end must find the split wrong before an
 	// order is given: engines that restart are missing for a few seconds.
 	Confirm int
