--- a/internal/rolekeeper/orders.go
+++ b/internal/rolekeeper/orders.go
@@ -153,7 +153,7 @@
 // given.
 func (k *Keeper) confirm(d *duty, engines int) int {
 	if k.view.Serving() {
-		return k.settings.Confirm
+		return k.settings.ConfirmChecks
 	}
 	if d.engines != engines {
 		d.engines, d.wrong = engines, 1
--- a/internal/rolekeeper/rolekeeper.go
+++ b/internal/rolekeeper/rolekeeper.go
@@ -63,9 +63,9 @@
 	// requests to its order: what they send meanwhile would be refused. Words reach
 	// all within 0.4 s where no datagram is lost.
 	AnnounceDelay time.Duration
-	// Confirm is how many looks on end must find the split wrong before an
+	// ConfirmChecks is how many looks on end must find the split wrong before an
 	// order is given: engines that restart are missing for a few seconds.
-	Confirm int
+	ConfirmChecks int
 	// Target is the split of a deployment that has not served yet; from then on
 	// it follows what the engines are used for, as Balance says.
 	Target  roles.Target
--- a/internal/rolekeeper/use.go
+++ b/internal/rolekeeper/use.go
@@ -65,7 +65,7 @@
 	if before == after {
 		return
 	}
-	d.target, d.wrong = target, k.settings.Confirm // what was measured over seconds needs no further looks
+	d.target, d.wrong = target, k.settings.ConfirmChecks // what was measured over seconds needs no further looks
 	k.log.Info("roles: the wanted split follows the use", "service", service, "engines", len(engines), "prefill", prefill,
 		"wanted_before", before, "wanted", after, "prompts", use.PrefillLoad, "generations", use.Generations, "direct", use.DirectPrefillLoad)
 	k.use[service] = use.AfterSplitChange()
