--- a/internal/rolekeeper/rolekeeper.go
+++ b/internal/rolekeeper/rolekeeper.go
@@ -66,9 +66,9 @@
 	// ConfirmChecks is how many looks on end must find the split wrong before an
 	// order is given: engines that restart are missing for a few seconds.
 	ConfirmChecks int
-	// Target is the split of a deployment that has not served yet; from then on
+	// InitialTarget is the split of a deployment that has not served yet; from then on
 	// it follows what the engines are used for, as Balance says.
-	Target  roles.Target
+	InitialTarget  roles.Target
 	Balance roles.SplitPolicy
 }
 
--- a/internal/rolekeeper/target.go
+++ b/internal/rolekeeper/target.go
@@ -36,7 +36,7 @@
 }
 
 func (k *Keeper) readTarget(ctx context.Context, service string) (roles.Target, error) {
-	target := k.settings.Target
+	target := k.settings.InitialTarget
 	row, err := k.table.Get(ctx, targetKey(service))
 	if errors.Is(err, platform.ErrNotFound) {
 		return target, nil
