--- a/internal/rolekeeper/orders.go
+++ b/internal/rolekeeper/orders.go
@@ -163,7 +163,7 @@
 
 // atOnce is how many of so many engines may change while requests are served.
 func (k *Keeper) atOnce(engines int) int {
-	return max(k.settings.MaxConcurrentChanges, int(k.settings.Balance.MaxPrefillDecrease*float64(engines)))
+	return max(k.settings.MaxConcurrentChanges, int(k.settings.SplitPolicy.MaxPrefillDecrease*float64(engines)))
 }
 
 // asPlanned are the engines with the roles that they have or were ordered to
--- a/internal/rolekeeper/rolekeeper.go
+++ b/internal/rolekeeper/rolekeeper.go
@@ -69,7 +69,7 @@
 	// InitialTarget is the split of a deployment that has not served yet; from then on
 	// it follows what the engines are used for, as Balance says.
 	InitialTarget  roles.Target
-	Balance roles.SplitPolicy
+	SplitPolicy roles.SplitPolicy
 }
 
 // View is what the keeper needs to know of the data path.
--- a/internal/rolekeeper/rolekeeper_test.go
+++ b/internal/rolekeeper/rolekeeper_test.go
@@ -180,7 +180,7 @@
 	balance := roles.DefaultSplitPolicy()
 	balance.SmoothingTime, balance.EvidenceThreshold = term, 0.05
 	keeper := New(Settings{
-		Instance: name, LeaseTerm: term, CheckEvery: 20 * time.Millisecond, MaxConcurrentChanges: 2, ConfirmChecks: 2, AnnounceDelay: f.announce, InitialTarget: roles.Target{PrefillShare: 11.0 / 18, MinDecode: 2}, Balance: balance,
+		Instance: name, LeaseTerm: term, CheckEvery: 20 * time.Millisecond, MaxConcurrentChanges: 2, ConfirmChecks: 2, AnnounceDelay: f.announce, InitialTarget: roles.Target{PrefillShare: 11.0 / 18, MinDecode: 2}, SplitPolicy: balance,
 	}, table, f, f, nil, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
--- a/internal/rolekeeper/use.go
+++ b/internal/rolekeeper/use.go
@@ -32,7 +32,7 @@
 		if !k.view.Times(service).Known {
 			continue // its use would be measured in times of other engines
 		}
-		k.use[service] = k.use[service].Add(seen(engines), since, k.settings.Balance.SmoothingTime)
+		k.use[service] = k.use[service].Add(seen(engines), since, k.settings.SplitPolicy.SmoothingTime)
 	}
 }
 
@@ -47,7 +47,7 @@
 
 // balance is the balance with what the engines of a service take.
 func (k *Keeper) balance(service string) roles.SplitPolicy {
-	b, times := k.settings.Balance, k.view.Times(service)
+	b, times := k.settings.SplitPolicy, k.view.Times(service)
 	b.StepMillis, b.StepMillisPerRequest = milliseconds(times.Step), milliseconds(times.StepPerRequest)
 	b.Slots = times.Slots
 	return b
