--- a/internal/rolekeeper/orders.go
+++ b/internal/rolekeeper/orders.go
@@ -199,9 +199,9 @@
 		return errNotHeld
 	}
 	k.pending[engine.ID] = pending{to: to, at: bootclock.Now(), incarnation: engine.Incarnation()}
-	err = k.orderer.Order(ctx, engine, Order{To: to, Holder: k.settings.Instance, Epoch: grant.Epoch, Orders: state.Orders})
+	err = k.orderer.Order(ctx, engine, Order{To: to, Holder: k.settings.Instance, Epoch: grant.Epoch, Orders: state.AcceptedOrders})
 	k.log.Info("roles: order", "engine", engine.ID, "zone", engine.Zone, "to", to, "epoch", grant.Epoch,
-		"orders", state.Orders, "error", err)
+		"orders", state.AcceptedOrders, "error", err)
 	if err == nil {
 		k.view.SendAway(engine.ID, k.awayFor(engine.Service))
 	}
--- a/internal/rolekeeper/rolekeeper.go
+++ b/internal/rolekeeper/rolekeeper.go
@@ -28,8 +28,8 @@
 	Role config.Role
 	// Busy: it carries an order out.
 	Busy bool
-	// Orders is how many it has accepted since its start.
-	Orders int64
+	// AcceptedOrders is how many it has accepted since its start.
+	AcceptedOrders int64
 }
 
 // Order asks an engine to take a role.
