--- a/internal/rolekeeper/orders.go
+++ b/internal/rolekeeper/orders.go
@@ -199,7 +199,7 @@
 		return errNotHeld
 	}
 	k.pending[engine.ID] = pending{to: to, at: bootclock.Now(), incarnation: engine.Incarnation()}
-	err = k.orderer.Order(ctx, engine, Order{To: to, Holder: k.settings.Instance, Epoch: grant.Epoch, Orders: state.AcceptedOrders})
+	err = k.orderer.Order(ctx, engine, Order{To: to, Holder: k.settings.Instance, Epoch: grant.Epoch, AcceptedOrders: state.AcceptedOrders})
 	k.log.Info("roles: order", "engine", engine.ID, "zone", engine.Zone, "to", to, "epoch", grant.Epoch,
 		"orders", state.AcceptedOrders, "error", err)
 	if err == nil {
--- a/internal/rolekeeper/rolekeeper.go
+++ b/internal/rolekeeper/rolekeeper.go
@@ -38,9 +38,9 @@
 	Holder string
 	// Epoch is the fencing number.
 	Epoch int64
-	// Orders is the engine's count that the order counts on; with another one
+	// AcceptedOrders is the engine's count that the order counts on; with another one
 	// it has no effect, however late it arrives.
-	Orders int64
+	AcceptedOrders int64
 }
 
 // Orderer is the adapter to the engines' control interface.
