--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -242,8 +242,8 @@
 // Times implements rolekeeper.View.
 func (in *Instance) Times(service string) upstreamstate.Times { return in.relay.EngineTimes(service) }
 
-// SendAway implements rolekeeper.View.
-func (in *Instance) SendAway(engine string, d time.Duration) { in.relay.MarkUnavailable(engine, d) }
+// MarkUnavailable implements rolekeeper.View.
+func (in *Instance) MarkUnavailable(engine string, d time.Duration) { in.relay.MarkUnavailable(engine, d) }
 
 // Serving implements rolekeeper.View.
 func (in *Instance) Serving() bool { return in.relay.HasRecentRequests() }
--- a/internal/rolekeeper/orders.go
+++ b/internal/rolekeeper/orders.go
@@ -109,7 +109,7 @@
 	now := bootclock.Now()
 	k.pending[engine.ID] = pending{to: to, at: now, incarnation: engine.Incarnation()}
 	k.announced[engine.ID] = announced{engine: engine, to: to, at: now}
-	k.view.SendAway(engine.ID, k.settings.AnnounceDelay+k.awayFor(engine.Service))
+	k.view.MarkUnavailable(engine.ID, k.settings.AnnounceDelay+k.awayFor(engine.Service))
 	k.log.Info("roles: order announced", "engine", engine.ID, "to", to)
 }
 
@@ -203,7 +203,7 @@
 	k.log.Info("roles: order", "engine", engine.ID, "zone", engine.Zone, "to", to, "epoch", grant.Epoch,
 		"orders", state.AcceptedOrders, "error", err)
 	if err == nil {
-		k.view.SendAway(engine.ID, k.awayFor(engine.Service))
+		k.view.MarkUnavailable(engine.ID, k.awayFor(engine.Service))
 	}
 	return err
 }
--- a/internal/rolekeeper/rolekeeper.go
+++ b/internal/rolekeeper/rolekeeper.go
@@ -78,8 +78,8 @@
 	Engines() map[string][]upstreamstate.Engine
 	// Times are what the engines of a service take.
 	Times(service string) upstreamstate.Times
-	// SendAway has all instances leave an engine out for a time.
-	SendAway(engine string, d time.Duration)
+	// MarkUnavailable has all instances leave an engine out for a time.
+	MarkUnavailable(engine string, d time.Duration)
 	// Serving tells whether requests came lately.
 	Serving() bool
 	// Candidates are the names of the live instances that may hold the lease, as far
--- a/internal/rolekeeper/rolekeeper_test.go
+++ b/internal/rolekeeper/rolekeeper_test.go
@@ -143,7 +143,7 @@
 	return upstreamstate.Times{Known: true, Step: 4550 * time.Microsecond, StepPerRequest: 181 * time.Microsecond, RoleChange: term / 10}
 }
 
-func (f *fakeFleet) SendAway(engine string, _ time.Duration) {
+func (f *fakeFleet) MarkUnavailable(engine string, _ time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.away = append(f.away, engine)
