--- a/internal/rolekeeper/lease.go
+++ b/internal/rolekeeper/lease.go
@@ -65,7 +65,7 @@
 	if held {
 		k.begin(grant)
 		for _, d := range k.duties {
-			d.Taken()
+			d.Reset()
 		}
 		k.log.Info("roles: lease taken", "epoch", grant.Epoch, "first", grant.First, "resumed", grant.Resumed, "returned", grant.TableRestored)
 		return
--- a/internal/rolekeeper/rolekeeper.go
+++ b/internal/rolekeeper/rolekeeper.go
@@ -89,8 +89,8 @@
 
 // Duty is done by whoever holds the lease, besides the roles. It is used by one goroutine.
 type Duty interface {
-	// Taken forgets what was known under an earlier lease.
-	Taken()
+	// Reset forgets what was known under an earlier lease.
+	Reset()
 	// Do does what is due, under a grant that lasts for as long as the context. It is
 	// called at each look, once the calls of an earlier holder have arrived.
 	Do(ctx context.Context, grant lease.Grant)
