--- a/internal/instance/duties.go
+++ b/internal/instance/duties.go
@@ -20,7 +20,7 @@
 			in.relay.Usage, in.relay.TimeOfDay, logging.Part(in.log, "usage")))
 	}
 	if in.adapter.Scaler != nil {
-		list = append(list, scaling.NewScaler(in.settings.Self.Name, rolekeeper.Lease, in.settings.Scaling, in.adapter.Table,
+		list = append(list, scaling.NewScaler(in.settings.Self.Name, rolekeeper.LeaseName, in.settings.Scaling, in.adapter.Table,
 			in.adapter.Scaler, in, logging.Part(in.log, "scaling")))
 	}
 	return list
--- a/internal/rolekeeper/lease.go
+++ b/internal/rolekeeper/lease.go
@@ -25,7 +25,7 @@
 	candidates, ranks := k.view.Candidates(), k.ranks()
 	rank := ranks.Watchers // leaves the lease alone
 	if slices.Contains(candidates, k.settings.Instance) {
-		rank = lease.Rank(Lease, k.settings.Instance, candidates)
+		rank = lease.Rank(LeaseName, k.settings.Instance, candidates)
 	}
 	k.machine.SetWatchPolicy(ranks.WatchPolicy(rank))
 	k.watches = rank < ranks.Watchers
@@ -36,7 +36,7 @@
 	action := k.machine.Tick(bootclock.Now())
 	switch action.Kind {
 	case lease.Read:
-		row, revision, err := leaserows.Read(ctx, k.table, Lease)
+		row, revision, err := leaserows.Read(ctx, k.table, LeaseName)
 		if err != nil {
 			k.log.Debug("roles: the lease could not be read", "error", err)
 			k.machine.OnReadFailed(bootclock.Now())
@@ -44,7 +44,7 @@
 			k.machine.OnRead(bootclock.Now(), row, revision)
 		}
 	case lease.Write:
-		outcome, revision, err := leaserows.Write(ctx, k.table, Lease, action)
+		outcome, revision, err := leaserows.Write(ctx, k.table, LeaseName, action)
 		if err != nil {
 			k.log.Info("roles: the lease was not written", "epoch", action.Row.Epoch, "error", err)
 		}
--- a/internal/rolekeeper/rolekeeper.go
+++ b/internal/rolekeeper/rolekeeper.go
@@ -134,8 +134,8 @@
 	wrong, engines int
 }
 
-// Lease names the lease; one is enough for the duties of one deployment.
-const Lease = "roles"
+// LeaseName names the lease; one is enough for the duties of one deployment.
+const LeaseName = "roles"
 
 // New returns a keeper.
 func New(s Settings, table platform.Table, orderer Orderer, view View, duties []Duty, log *slog.Logger) *Keeper {
--- a/internal/rolekeeper/rolekeeper_test.go
+++ b/internal/rolekeeper/rolekeeper_test.go
@@ -424,7 +424,7 @@
 // epochOf is the newest takeover's, by the table.
 func epochOf(t *testing.T, table *fakeTable) int64 {
 	t.Helper()
-	row, err := table.Get(context.Background(), leaserows.EpochKey(Lease))
+	row, err := table.Get(context.Background(), leaserows.EpochKey(LeaseName))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/rolekeeper/target.go
+++ b/internal/rolekeeper/target.go
@@ -62,7 +62,7 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	_, err = k.table.Commit(ctx, platform.Txn{
-		Checks: []platform.Check{{Key: leaserows.EpochKey(Lease), Revision: grant.EpochRevision}},
+		Checks: []platform.Check{{Key: leaserows.EpochKey(LeaseName), Revision: grant.EpochRevision}},
 		Writes: []platform.Write{{Key: targetKey(service), Value: value}},
 	})
 	if err != nil {
