--- a/internal/control/watcher.go
+++ b/internal/control/watcher.go
@@ -22,7 +22,7 @@
 	settings RolloutSettings
 
 	mu       sync.Mutex // protects all below
-	engines  rollout.Silence
+	engines  rollout.UnreachableTimer
 	listed   map[string]listedInstance
 	routings map[string]seenRouting
 	orders   map[string]time.Duration
@@ -47,7 +47,7 @@
 	return &watcher{
 		settings: s,
 		routings: map[string]seenRouting{},
-		engines:  rollout.Silence{MaxGap: gap},
+		engines:  rollout.UnreachableTimer{MaxGap: gap},
 		listed:   map[string]listedInstance{},
 		orders:   map[string]time.Duration{},
 	}
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -70,7 +70,7 @@
 	orders    map[string]order.Row
 	orderIDs  int
 	// What the holder remembers, and a new one does not.
-	silentEngines Silence
+	silentEngines UnreachableTimer
 	known         map[string]knownRouting
 }
 
@@ -97,7 +97,7 @@
 // newHolder forgets what a holder remembers.
 func (w *world) newHolder() {
 	w.known = map[string]knownRouting{}
-	w.silentEngines = Silence{MaxGap: time.Minute}
+	w.silentEngines = UnreachableTimer{MaxGap: time.Minute}
 }
 
 // mayPlace tells whether an instance would send new work to an engine.
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -254,7 +254,7 @@
 }
 
 func TestSilenceCountsOnlyAskedTime(t *testing.T) {
-	s := Silence{MaxGap: 2 * time.Second}
+	s := UnreachableTimer{MaxGap: 2 * time.Second}
 	s.Missed("a", 0)
 	if d := s.Missed("a", time.Second); d != time.Second {
 		t.Errorf("silent for %v", d)
--- a/internal/rollout/silence.go
+++ b/internal/rollout/silence.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Silence measures for how long something was asked and did not answer. Time
+// UnreachableTimer measures for how long something was asked and did not answer. Time
 // in which nobody asked, because the process was frozen or held no lease, does
 // not count: a gap between two questions that is longer than MaxGap starts the
 // count again. It is not safe for use by several goroutines.
-type Silence struct {
+type UnreachableTimer struct {
 	// MaxGap between two questions of one silence.
 	MaxGap time.Duration
 	misses map[string]miss
@@ -18,13 +18,13 @@
 }
 
 // Answered ends the silence of id.
-func (s *Silence) Answered(id string) {
+func (s *UnreachableTimer) Answered(id string) {
 	delete(s.misses, id)
 }
 
 // Missed takes note that id did not answer at now, and returns how long that
 // has been so.
-func (s *Silence) Missed(id string, now time.Duration) time.Duration {
+func (s *UnreachableTimer) Missed(id string, now time.Duration) time.Duration {
 	if s.misses == nil {
 		s.misses = map[string]miss{}
 	}
