--- a/internal/control/observe.go
+++ b/internal/control/observe.go
@@ -66,7 +66,7 @@
 	if err != nil || !response.Msg.EntryKnown {
 		return view
 	}
-	view.Known = true
+	view.Answered = true
 	view.Version = response.Msg.EntryVersion
 	for _, s := range response.Msg.Streams {
 		view.Streams[s.Engine] = int(s.Streams)
--- a/internal/rollout/bounds.go
+++ b/internal/rollout/bounds.go
@@ -117,9 +117,9 @@
 	}
 	for _, i := range v.Instances {
 		switch {
-		case !i.Known && seen.RoutingAge < v.Limits.SilentAfter:
+		case !i.Answered && seen.RoutingAge < v.Limits.SilentAfter:
 			return fmt.Sprintf("instance %s does not answer", i.ID)
-		case !i.Known:
+		case !i.Answered:
 			// By now it has the version, or takes no new work; what it still
 			// runs shows in the engine's own count. That it was silent before
 			// proves nothing: it may have been heard by others in between.
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -199,7 +199,7 @@
 
 func (w *world) instanceView(name string) InstanceView {
 	i := w.instances[name]
-	view := InstanceView{ID: name, Version: i.doc.Version, Known: !i.cut, Streams: map[string]int{}}
+	view := InstanceView{ID: name, Version: i.doc.Version, Answered: !i.cut, Streams: map[string]int{}}
 	if i.cut {
 		return view
 	}
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -23,8 +23,8 @@
 // InstanceView is what an instance reported of itself.
 type InstanceView struct {
 	ID string
-	// Known is true when the instance's entry answered in this round.
-	Known bool
+	// Answered is true when the instance's entry answered in this round.
+	Answered bool
 	// Version in force in its entry.
 	Version int64
 	// Streams of its entry for each engine.
