--- a/internal/control/watcher.go
+++ b/internal/control/watcher.go
@@ -93,7 +93,7 @@
 	if reachable {
 		w.engines.Answered(id)
 	} else {
-		view.Silent = w.engines.Missed(id, now)
+		view.UnansweredFor = w.engines.Missed(id, now)
 	}
 	at, sent := w.orders[id]
 	view.RecentlyOrdered = sent && now-at < w.settings.ResendAfter
--- a/internal/rollout/decider.go
+++ b/internal/rollout/decider.go
@@ -188,7 +188,7 @@
 // unreachable marks an engine that was silent for long as draining, so that it
 // gets no new work, and lets one that should leave go.
 func (d *decider) unreachable(e *config.Engine, seen EngineView) {
-	if seen.Silent < d.Limits.UnreachableAfter {
+	if seen.UnansweredFor < d.Limits.UnreachableAfter {
 		d.wait(e, "does not answer")
 		return
 	}
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -217,7 +217,7 @@
 	}
 	age := w.now - w.known[id].at
 	if e.unreachable {
-		return EngineView{Silent: w.silentEngines.Missed(id, w.now), RoutingAge: age}
+		return EngineView{UnansweredFor: w.silentEngines.Missed(id, w.now), RoutingAge: age}
 	}
 	w.silentEngines.Answered(id)
 	return EngineView{Reachable: true, RoutingAge: age, Status: engine.Status{
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -35,8 +35,8 @@
 type EngineView struct {
 	Reachable bool
 	Status    engine.Status
-	// Silent is how long it was asked without an answer; see Silence.
-	Silent time.Duration
+	// UnansweredFor is how long it was asked without an answer; see Silence.
+	UnansweredFor time.Duration
 	// RoutingAge is how long the holder has known the version that set the
 	// engine's routing, on its own clock.
 	RoutingAge time.Duration
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -195,15 +195,15 @@
 
 func TestSilentEngineLeavesRoutingAfterAWhile(t *testing.T) {
 	v := poolOf(0, "a", "b")
-	v.Engines["a"] = EngineView{Silent: time.Second}
+	v.Engines["a"] = EngineView{UnansweredFor: time.Second}
 	if c := onlyChange(t, v); c != nil {
 		t.Fatalf("marked out at once: %+v", c)
 	}
-	v.Engines["a"] = EngineView{Silent: 6 * time.Second}
+	v.Engines["a"] = EngineView{UnansweredFor: 6 * time.Second}
 	if c := onlyChange(t, v); c == nil || c.Reason != ReasonUnreachable {
 		t.Fatalf("not marked out: %+v", c)
 	}
-	v.Engines["b"] = EngineView{Silent: 6 * time.Second}
+	v.Engines["b"] = EngineView{UnansweredFor: 6 * time.Second}
 	if c := onlyChange(t, v); c != nil {
 		t.Fatalf("a holder that reaches no engine emptied the pool: %+v", c)
 	}
