--- a/internal/rollout/bounds.go
+++ b/internal/rollout/bounds.go
@@ -117,7 +117,7 @@
 	}
 	for _, i := range v.Instances {
 		switch {
-		case !i.Answered && seen.RoutingAge < v.Limits.SilentAfter:
+		case !i.Answered && seen.RoutingAge < v.Limits.InstanceTimeout:
 			return fmt.Sprintf("instance %s does not answer", i.ID)
 		case !i.Answered:
 			// By now it has the version, or takes no new work; what it still
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -181,7 +181,7 @@
 func (w *world) observe(between func()) View {
 	v := View{
 		Config: w.doc, Pool: modelPool, Engines: map[string]EngineView{}, Orders: map[string]order.Row{},
-		Limits: Limits{SilentAfter: modelSilent, UnreachableAfter: modelUnreachable, MaxLoads: 1},
+		Limits: Limits{InstanceTimeout: modelSilent, UnreachableAfter: modelUnreachable, MaxLoads: 1},
 	}
 	for id, row := range w.orders {
 		v.Orders[id] = row
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -47,11 +47,11 @@
 
 // Limits bound the pace of a rollout.
 type Limits struct {
-	// SilentAfter is how long after a version was accepted an instance that does
+	// InstanceTimeout is how long after a version was accepted an instance that does
 	// not answer counts as taking no new work by an older one. It must exceed
 	// the time after which an entry without heartbeats refuses, plus the time
 	// for which a daemon that is cut off holds an old version.
-	SilentAfter time.Duration
+	InstanceTimeout time.Duration
 	// UnreachableAfter is how long an engine must have been silent to be marked
 	// out of routing.
 	UnreachableAfter time.Duration
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -148,7 +148,7 @@
 func poolOf(floor int, ids ...string) View {
 	doc := &config.Config{Version: 5, Pools: []config.Pool{{Name: "p", Model: "m", MinServing: floor}}}
 	v := View{Config: doc, Pool: "p", Engines: map[string]EngineView{}, Orders: map[string]order.Row{}}
-	v.Limits = Limits{SilentAfter: 10 * time.Second, UnreachableAfter: 5 * time.Second}
+	v.Limits = Limits{InstanceTimeout: 10 * time.Second, UnreachableAfter: 5 * time.Second}
 	v.Instances = []InstanceView{{ID: "i", Answered: true, Version: 5}}
 	for _, id := range ids {
 		doc.Engines = append(doc.Engines, config.Engine{
