--- a/internal/control/observe.go
+++ b/internal/control/observe.go
@@ -30,7 +30,7 @@
 func (d *Daemon) look(ctx context.Context, doc *config.Config, pool string, orders map[string]order.Row) rollout.View {
 	view := rollout.View{
 		Config: doc, Pool: pool, Orders: orders,
-		Limits: d.limits(ctx, doc, pool), Leaving: d.leavingEngines(),
+		Limits: d.limits(ctx, doc, pool), ShuttingDown: d.leavingEngines(),
 	}
 	engines := doc.PoolEngines(pool)
 	view.Engines = d.observeEngines(ctx, engines)
--- a/internal/rollout/bounds.go
+++ b/internal/rollout/bounds.go
@@ -53,7 +53,7 @@
 // has what routing trusts it to have.
 func (v View) serves(e *config.Engine) bool {
 	seen := v.Engines[e.ID]
-	return e.Routing == config.RoutingServing && !v.Leaving[e.ID] &&
+	return e.Routing == config.RoutingServing && !v.ShuttingDown[e.ID] &&
 		seen.Reachable && !e.Loaded.Disruptive(seen.Status.State)
 }
 
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -69,8 +69,8 @@
 	Instances []InstanceView
 	Engines   map[string]EngineView
 	Orders    map[string]order.Row
-	// Leaving are engines that leave by the platform's word.
-	Leaving map[string]bool
+	// ShuttingDown are engines that leave by the platform's word.
+	ShuttingDown map[string]bool
 }
 
 // Action is one thing to do: CloseOrder, SendOrder or Mark.
