--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -100,7 +100,7 @@
 
 func (d *Daemon) carryOut(ctx context.Context, pool string, auth authority, view rollout.View, action rollout.Action) error {
 	switch a := action.(type) {
-	case rollout.Mark:
+	case rollout.UpdateRouting:
 		return d.mark(ctx, pool, auth, view, a)
 	case rollout.SendOrder:
 		return d.order(ctx, pool, auth, view, a)
@@ -140,7 +140,7 @@
 
 // mark appends a version with the changes whose engine is still as the
 // decision saw it.
-func (d *Daemon) mark(ctx context.Context, pool string, auth authority, view rollout.View, mark rollout.Mark) error {
+func (d *Daemon) mark(ctx context.Context, pool string, auth authority, view rollout.View, mark rollout.UpdateRouting) error {
 	head, doc, err := d.versions.NewestFrom(ctx, d.holder.Current())
 	if err != nil {
 		return err
--- a/internal/rollout/decider.go
+++ b/internal/rollout/decider.go
@@ -34,7 +34,7 @@
 func (d *decider) actions() []Action {
 	actions := append(d.closes, d.orders...)
 	if len(d.changes) > 0 {
-		actions = append(actions, Mark{Changes: d.changes})
+		actions = append(actions, UpdateRouting{Changes: d.changes})
 	}
 	return actions
 }
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -242,12 +242,12 @@
 		row := w.orders[a.Engine].Next(1, a.Engine, a.Want, fmt.Sprint(w.orderIDs))
 		w.orders[a.Engine] = row
 		w.take(a.Engine, row)
-	case Mark:
+	case UpdateRouting:
 		w.mark(v, a)
 	}
 }
 
-func (w *world) mark(v View, mark Mark) {
+func (w *world) mark(v View, mark UpdateRouting) {
 	next := w.doc.Clone()
 	next.Version++
 	for _, c := range mark.Changes {
@@ -263,7 +263,7 @@
 }
 
 // servingAfter counts the engines that serve once a mark is made.
-func (v View) servingAfter(mark Mark) int {
+func (v View) servingAfter(mark UpdateRouting) int {
 	n := 0
 	for _, e := range v.Config.PoolEngines(v.Pool) {
 		if v.serves(e) {
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -103,8 +103,8 @@
 	Reason  Reason
 }
 
-// Mark writes one version with all changes.
-type Mark struct {
+// UpdateRouting writes one version with all changes.
+type UpdateRouting struct {
 	Changes []Change
 }
 
@@ -119,7 +119,7 @@
 	Engine string
 }
 
-func (Mark) action()       {}
+func (UpdateRouting) action()       {}
 func (SendOrder) action()  {}
 func (CloseOrder) action() {}
 
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -166,7 +166,7 @@
 	if len(actions) == 0 {
 		return nil
 	}
-	mark, ok := actions[0].(Mark)
+	mark, ok := actions[0].(UpdateRouting)
 	if !ok || len(actions) != 1 || len(mark.Changes) != 1 {
 		t.Fatalf("decided %+v", actions)
 	}
@@ -243,12 +243,12 @@
 		v.Config.Engines[i].Want = mixed("2")
 	}
 	v.Limits.MaxLoads = 2
-	mark := Next(v)[0].(Mark)
+	mark := Next(v)[0].(UpdateRouting)
 	if len(mark.Changes) != 2 {
 		t.Errorf("%d engines drained for 2 loads at once", len(mark.Changes))
 	}
 	v.Limits.MaxLoads = 0
-	if mark = Next(v)[0].(Mark); len(mark.Changes) != MaxOut(len(ids)) {
+	if mark = Next(v)[0].(UpdateRouting); len(mark.Changes) != MaxOut(len(ids)) {
 		t.Errorf("%d engines of %d drained at once", len(mark.Changes), len(ids))
 	}
 }
