--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -91,7 +91,7 @@
 // settled tells whether the configuration has nothing left to do for a pool.
 func settled(doc *config.Config, pool string) bool {
 	for _, e := range doc.PoolEngines(pool) {
-		if !rollout.Arrived(e) {
+		if !rollout.Converged(e) {
 			return false
 		}
 	}
--- a/internal/plan/build.go
+++ b/internal/plan/build.go
@@ -68,7 +68,7 @@
 // engine adds the step of one engine, if the intent changes it.
 func (b *builder) engine(e *config.Engine) {
 	before := b.from.Engine(e.ID)
-	if !changed(before, e) || rollout.Arrived(e) {
+	if !changed(before, e) || rollout.Converged(e) {
 		return
 	}
 	step := Step{Pool: e.Pool, Engine: e.ID}
--- a/internal/plan/progress.go
+++ b/internal/plan/progress.go
@@ -62,7 +62,7 @@
 	switch {
 	case step.Kind == KindConfigure || e == nil:
 		return StepDone
-	case p.State == StateConfirmed && e.Plan != p.ID, rollout.Arrived(e):
+	case p.State == StateConfirmed && e.Plan != p.ID, rollout.Converged(e):
 		return StepDone
 	case e.Routing == config.RoutingServing:
 		return StepWaiting
--- a/internal/rollout/decider.go
+++ b/internal/rollout/decider.go
@@ -168,7 +168,7 @@
 
 // restore returns an engine that has what it should to routing.
 func (d *decider) restore(e *config.Engine) {
-	if Arrived(e) && e.Plan == "" {
+	if Converged(e) && e.Plan == "" {
 		return
 	}
 	want := e.Want
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -159,14 +159,14 @@
 	if c.Loaded != nil {
 		e.Loaded = *c.Loaded
 	}
-	if Arrived(e) {
+	if Converged(e) {
 		e.Plan = ""
 	}
 }
 
-// Arrived tells whether the configuration has nothing left to do for an
+// Converged tells whether the configuration has nothing left to do for an
 // engine.
-func Arrived(e *config.Engine) bool {
+func Converged(e *config.Engine) bool {
 	if e.Leave {
 		return e.Routing == config.RoutingOut
 	}
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -133,7 +133,7 @@
 	}
 	for _, e := range w.doc.PoolEngines(modelPool) {
 		heldByFloor := e.Routing == config.RoutingServing && len(w.doc.Engines)-leaving <= modelFloor
-		if !Arrived(e) && !heldByFloor {
+		if !Converged(e) && !heldByFloor {
 			w.t.Fatalf("%s did not arrive: %+v, engine %+v", e.ID, e, w.engines[e.ID])
 		}
 	}
