--- a/internal/control/confirm.go
+++ b/internal/control/confirm.go
@@ -141,7 +141,7 @@
 	if len(now.Refusals) > 0 {
 		return nil, refused("%s", strings.Join(now.Refusals, "; "))
 	}
-	if !now.Same(p) {
+	if !now.SameSteps(p) {
 		return nil, refused("the engines' state has changed since the plan was built, and its steps with it; declare the intent again")
 	}
 	return target, verdict{}
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -115,8 +115,8 @@
 	return p, errors.Wrap(json.Unmarshal(data, p), "plan: decode")
 }
 
-// Same tells whether two plans do the same to the same engines.
-func (p *Plan) Same(other *Plan) bool {
+// SameSteps tells whether two plans do the same to the same engines.
+func (p *Plan) SameSteps(other *Plan) bool {
 	return slices.EqualFunc(p.Steps, other.Steps, func(a, b Step) bool {
 		return a.Kind == b.Kind && a.Engine == b.Engine
 	})
