--- a/internal/control/confirm.go
+++ b/internal/control/confirm.go
@@ -105,7 +105,7 @@
 		return o.ifNewest(ctx, v, head, p, revision)
 	}
 	target.Version, target.Intent = head.Version+1, base.Intent+1
-	p.Stamp(target)
+	p.ClaimEngines(target)
 	accepted := *p
 	accepted.State, accepted.Version, accepted.ConfirmedBy = plan.StateConfirmed, target.Version, req.Operator
 	entry := versions.Entry{Author: req.Operator, Summary: p.Name, PlanID: p.ID}
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -122,10 +122,10 @@
 	})
 }
 
-// Stamp makes the plan's engines its own in the document that its confirmation
+// ClaimEngines makes the plan's engines its own in the document that its confirmation
 // creates. Until they have arrived, or the plan is cancelled, an intent that
 // would change them contradicts it.
-func (p *Plan) Stamp(doc *config.Config) {
+func (p *Plan) ClaimEngines(doc *config.Config) {
 	for _, step := range p.Steps {
 		if e := doc.Engine(step.Engine); e != nil {
 			e.Plan = p.ID
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -130,7 +130,7 @@
 	wantVersion(to, "2", "a", "b", "c")
 	p := Build(from, to, Costs{})
 	p.ID, p.State, p.Version = "x", StateConfirmed, 8
-	p.Stamp(to)
+	p.ClaimEngines(to)
 	to.Version = 8
 	to.Engine("a").Loaded, to.Engine("a").Plan = state("2"), ""
 	to.Engine("b").Routing = config.RoutingDraining
