--- a/internal/control/operator.go
+++ b/internal/control/operator.go
@@ -129,7 +129,7 @@
 	} else {
 		response.HeadVersion, response.IntentVersion = head.Version, head.Intent
 	}
-	for _, id := range plan.Running(doc) {
+	for _, id := range plan.RunningIDs(doc) {
 		p, _, err := o.load(ctx, id)
 		if err != nil {
 			return nil, err
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -133,8 +133,8 @@
 	}
 }
 
-// Running names the plans that still have engines to change, in order.
-func Running(doc *config.Config) []string {
+// RunningIDs names the plans that still have engines to change, in order.
+func RunningIDs(doc *config.Config) []string {
 	var ids []string
 	for i := range doc.Engines {
 		if id := doc.Engines[i].Plan; id != "" && !slices.Contains(ids, id) {
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -140,7 +140,7 @@
 	if !p.Cancel(to) {
 		t.Fatal("nothing to cancel")
 	}
-	if !to.Engine("b").Want.Equal(state("2")) || !to.Engine("c").Want.Equal(state("1")) || len(Running(to)) != 0 {
+	if !to.Engine("b").Want.Equal(state("2")) || !to.Engine("c").Want.Equal(state("1")) || len(RunningIDs(to)) != 0 {
 		t.Errorf("engines %+v", to.Engines)
 	}
 	if got := p.ProgressIn(to); got.State != "cancelled" || !slices.Equal(got.Steps, []StepState{StepDone, StepRunning, StepCancelled}) {
