--- a/internal/control/operator.go
+++ b/internal/control/operator.go
@@ -66,7 +66,7 @@
 	rate, _ := o.daemon.weightRate(ctx) // 0 when it is not known
 	return plan.Costs{
 		ChangeSeconds: changeSeconds, LoadSeconds: loadSeconds,
-		WeightRate: rate, LoadTime: o.daemon.settings.Rollout.LoadTime,
+		WeightRate: rate, TargetLoadTime: o.daemon.settings.Rollout.LoadTime,
 	}
 }
 
--- a/internal/plan/build.go
+++ b/internal/plan/build.go
@@ -17,9 +17,9 @@
 	LoadSeconds   float64
 	// WeightRate is the weight store's rate in bytes a second; 0 is unknown.
 	WeightRate float64
-	// LoadTime is within which an engine should get its weights; it bounds the
+	// TargetLoadTime is within which an engine should get its weights; it bounds the
 	// loads at once, see rollout.ParallelLoads.
-	LoadTime time.Duration
+	TargetLoadTime time.Duration
 }
 
 // Build compares two configurations and returns the steps between them.
@@ -117,7 +117,7 @@
 	if model == nil || model.WeightBytes == 0 || b.costs.WeightRate == 0 {
 		return 1
 	}
-	loads := rollout.ParallelLoads(b.costs.WeightRate, model.WeightBytes, b.costs.LoadTime, 1)
+	loads := rollout.ParallelLoads(b.costs.WeightRate, model.WeightBytes, b.costs.TargetLoadTime, 1)
 	return max(1, min(loads, b.capacityOf(pool).parallel, b.count(e.Pool, KindChange)))
 }
 
