--- a/internal/control/watcher.go
+++ b/internal/control/watcher.go
@@ -111,7 +111,7 @@
 func (d *Daemon) limits(ctx context.Context, doc *config.Config, pool string) rollout.Limits {
 	s := d.settings.Rollout
 	return rollout.Limits{
-		InstanceTimeout:      s.SilentAfter,
+		InstanceTimeout:  s.SilentAfter,
 		UnreachableAfter: s.UnreachableAfter,
 		MaxLoads:         d.maxLoads(ctx, doc, pool),
 	}
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -243,7 +243,9 @@
 func (in *Instance) Times(service string) upstreamstate.Times { return in.relay.EngineTimes(service) }
 
 // MarkUnavailable implements rolekeeper.View.
-func (in *Instance) MarkUnavailable(engine string, d time.Duration) { in.relay.MarkUnavailable(engine, d) }
+func (in *Instance) MarkUnavailable(engine string, d time.Duration) {
+	in.relay.MarkUnavailable(engine, d)
+}
 
 // Serving implements rolekeeper.View.
 func (in *Instance) Serving() bool { return in.relay.HasRecentRequests() }
--- a/internal/rolekeeper/rolekeeper.go
+++ b/internal/rolekeeper/rolekeeper.go
@@ -68,8 +68,8 @@
 	ConfirmChecks int
 	// InitialTarget is the split of a deployment that has not served yet; from then on
 	// it follows what the engines are used for, as Balance says.
-	InitialTarget  roles.Target
-	SplitPolicy roles.SplitPolicy
+	InitialTarget roles.Target
+	SplitPolicy   roles.SplitPolicy
 }
 
 // View is what the keeper needs to know of the data path.
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -119,9 +119,9 @@
 	Engine string
 }
 
-func (UpdateRouting) action()       {}
-func (SendOrder) action()  {}
-func (CloseOrder) action() {}
+func (UpdateRouting) action() {}
+func (SendOrder) action()     {}
+func (CloseOrder) action()    {}
 
 // Decision is what may be done now, and why the rest has to wait.
 type Decision struct {
