--- a/internal/scaling/scaler.go
+++ b/internal/scaling/scaler.go
@@ -102,7 +102,7 @@
 	return k
 }
 
-// Taken implements rolekeeper.Duty.
+// Reset implements rolekeeper.Duty.
 func (k *Scaler) Taken() {
 	k.services, k.orders = map[string]*service{}, map[EngineGroup]lastOrder{}
 }
--- a/internal/usagereport/reporter.go
+++ b/internal/usagereport/reporter.go
@@ -91,7 +91,7 @@
 	return &Reporter{settings: s, table: table, sender: sender, total: total, now: now, log: log, first: usage.WindowAt(now(), s.Length)}
 }
 
-// Taken implements rolekeeper.Duty.
+// Reset implements rolekeeper.Duty.
 func (r *Reporter) Taken() { r.loaded = false }
 
 // Do implements rolekeeper.Duty: it fixes the counts of the windows that are complete, and
