--- a/internal/scaling/scaler.go
+++ b/internal/scaling/scaler.go
@@ -98,12 +98,12 @@
 // require that the instance holds the named lease.
 func NewScaler(instance, leaseName string, s Settings, table platform.Table, sender Sender, view View, log *slog.Logger) *Scaler {
 	k := &Scaler{instance: instance, lease: leaseName, settings: s, table: table, sender: sender, view: view, log: log}
-	k.Taken()
+	k.Reset()
 	return k
 }
 
 // Reset implements rolekeeper.Duty.
-func (k *Scaler) Taken() {
+func (k *Scaler) Reset() {
 	k.services, k.orders = map[string]*service{}, map[EngineGroup]lastOrder{}
 }
 
--- a/internal/usagereport/reporter.go
+++ b/internal/usagereport/reporter.go
@@ -92,7 +92,7 @@
 }
 
 // Reset implements rolekeeper.Duty.
-func (r *Reporter) Taken() { r.loaded = false }
+func (r *Reporter) Reset() { r.loaded = false }
 
 // Do implements rolekeeper.Duty: it fixes the counts of the windows that are complete, and
 // sends those that were not sent.
--- a/internal/usagereport/reporter_test.go
+++ b/internal/usagereport/reporter_test.go
@@ -157,7 +157,7 @@
 func (r *rig) takeOver(i int) {
 	r.epoch++
 	r.grants[i] = r.table.takeOver(r.epoch)
-	r.list[i].Taken()
+	r.list[i].Reset()
 }
 
 func (r *rig) began(w usage.Window) {
