--- a/internal/control/confirm.go
+++ b/internal/control/confirm.go
@@ -105,7 +105,7 @@
 		return o.ifNewest(ctx, v, head, p, revision)
 	}
 	target.Version, target.Intent = head.Version+1, base.Intent+1
-	p.Stamp(target)
+	p.ClaimEngines(target)
 	accepted := *p
 	accepted.State, accepted.Version, accepted.ConfirmedBy = plan.StateConfirmed, target.Version, req.Operator
 	entry := versions.Entry{Author: req.Operator, Summary: p.Name, PlanID: p.ID}
@@ -141,7 +141,7 @@
 	if len(now.Refusals) > 0 {
 		return nil, refused("%s", strings.Join(now.Refusals, "; "))
 	}
-	if !now.Same(p) {
+	if !now.SameSteps(p) {
 		return nil, refused("the engines' state has changed since the plan was built, and its steps with it; declare the intent again")
 	}
 	return target, verdict{}
--- a/internal/rolekeeper/orders.go
+++ b/internal/rolekeeper/orders.go
@@ -96,7 +96,7 @@
 		"wanted_prefill", d.target.PrefillCount(len(list)), "changes", len(changes), "at_once", most)
 	for _, change := range changes {
 		at := slices.IndexFunc(engines, func(e upstreamstate.Engine) bool { return e.ID == change.Engine })
-		if k.view.Serving() && k.settings.Announce > 0 {
+		if k.view.Serving() && k.settings.AnnounceDelay > 0 {
 			k.announce(engines[at].Upstream, change.To)
 			continue
 		}
@@ -109,7 +109,7 @@
 	now := bootclock.Now()
 	k.pending[engine.ID] = pending{to: to, at: now, incarnation: engine.Incarnation()}
 	k.announced[engine.ID] = announced{engine: engine, to: to, at: now}
-	k.view.SendAway(engine.ID, k.settings.Announce+k.awayFor(engine.Service))
+	k.view.MarkUnavailable(engine.ID, k.settings.AnnounceDelay+k.awayFor(engine.Service))
 	k.log.Info("roles: order announced", "engine", engine.ID, "to", to)
 }
 
@@ -129,7 +129,7 @@
 	now := bootclock.Now()
 	grant, held := k.machine.Held(now)
 	for id, a := range k.announced {
-		if now-a.at < k.settings.Announce {
+		if now-a.at < k.settings.AnnounceDelay {
 			continue
 		}
 		delete(k.announced, id)
@@ -153,7 +153,7 @@
 // given.
 func (k *Keeper) confirm(d *duty, engines int) int {
 	if k.view.Serving() {
-		return k.settings.Confirm
+		return k.settings.ConfirmChecks
 	}
 	if d.engines != engines {
 		d.engines, d.wrong = engines, 1
@@ -163,7 +163,7 @@
 
 // atOnce is how many of so many engines may change while requests are served.
 func (k *Keeper) atOnce(engines int) int {
-	return max(k.settings.AtOnce, int(k.settings.Balance.MaxPrefillDecrease*float64(engines)))
+	return max(k.settings.MaxConcurrentChanges, int(k.settings.SplitPolicy.MaxPrefillDecrease*float64(engines)))
 }
 
 // asPlanned are the engines with the roles that they have or were ordered to
@@ -199,11 +199,11 @@
 		return errNotHeld
 	}
 	k.pending[engine.ID] = pending{to: to, at: bootclock.Now(), incarnation: engine.Incarnation()}
-	err = k.orderer.Order(ctx, engine, Order{To: to, Holder: k.settings.Instance, Epoch: grant.Epoch, Orders: state.Orders})
+	err = k.orderer.Order(ctx, engine, Order{To: to, Holder: k.settings.Instance, Epoch: grant.Epoch, AcceptedOrders: state.AcceptedOrders})
 	k.log.Info("roles: order", "engine", engine.ID, "zone", engine.Zone, "to", to, "epoch", grant.Epoch,
-		"orders", state.Orders, "error", err)
+		"orders", state.AcceptedOrders, "error", err)
 	if err == nil {
-		k.view.SendAway(engine.ID, k.awayFor(engine.Service))
+		k.view.MarkUnavailable(engine.ID, k.awayFor(engine.Service))
 	}
 	return err
 }
--- a/internal/rolekeeper/rolekeeper.go
+++ b/internal/rolekeeper/rolekeeper.go
@@ -28,8 +28,8 @@
 	Role config.Role
 	// Busy: it carries an order out.
 	Busy bool
-	// Orders is how many it has accepted since its start.
-	Orders int64
+	// AcceptedOrders is how many it has accepted since its start.
+	AcceptedOrders int64
 }
 
 // Order asks an engine to take a role.
@@ -38,9 +38,9 @@
 	Holder string
 	// Epoch is the fencing number.
 	Epoch int64
-	// Orders is the engine's count that the order counts on; with another one
+	// AcceptedOrders is the engine's count that the order counts on; with another one
 	// it has no effect, however late it arrives.
-	Orders int64
+	AcceptedOrders int64
 }
 
 // Orderer is the adapter to the engines' control interface.
@@ -53,23 +53,23 @@
 type Settings struct {
 	// Instance gives the orders under its name.
 	Instance string
-	// Lease is the time in which two holders must not take turns.
-	Lease time.Duration
-	// Every is the time between looks.
-	Every time.Duration
-	// AtOnce bounds the engines that change while requests are served.
-	AtOnce int
-	// Announce is the time from the word to all instances that an engine takes no
+	// LeaseTerm is the time in which two holders must not take turns.
+	LeaseTerm time.Duration
+	// CheckEvery is the time between looks.
+	CheckEvery time.Duration
+	// MaxConcurrentChanges bounds the engines that change while requests are served.
+	MaxConcurrentChanges int
+	// AnnounceDelay is the time from the word to all instances that an engine takes no
 	// requests to its order: what they send meanwhile would be refused. Words reach
 	// all within 0.4 s where no datagram is lost.
-	Announce time.Duration
-	// Confirm is how many looks on end must find the split wrong before an
+	AnnounceDelay time.Duration
+	// ConfirmChecks is how many looks on end must find the split wrong before an
 	// order is given: engines that restart are missing for a few seconds.
-	Confirm int
-	// Target is the split of a deployment that has not served yet; from then on
+	ConfirmChecks int
+	// InitialTarget is the split of a deployment that has not served yet; from then on
 	// it follows what the engines are used for, as Balance says.
-	Target  roles.Target
-	Balance roles.SplitPolicy
+	InitialTarget roles.Target
+	SplitPolicy   roles.SplitPolicy
 }
 
 // View is what the keeper needs to know of the data path.
@@ -78,8 +78,8 @@
 	Engines() map[string][]upstreamstate.Engine
 	// Times are what the engines of a service take.
 	Times(service string) upstreamstate.Times
-	// SendAway has all instances leave an engine out for a time.
-	SendAway(engine string, d time.Duration)
+	// MarkUnavailable has all instances leave an engine out for a time.
+	MarkUnavailable(engine string, d time.Duration)
 	// Serving tells whether requests came lately.
 	Serving() bool
 	// Candidates are the names of the live instances that may hold the lease, as far
@@ -89,8 +89,8 @@
 
 // Duty is done by whoever holds the lease, besides the roles. It is used by one goroutine.
 type Duty interface {
-	// Taken forgets what was known under an earlier lease.
-	Taken()
+	// Reset forgets what was known under an earlier lease.
+	Reset()
 	// Do does what is due, under a grant that lasts for as long as the context. It is
 	// called at each look, once the calls of an earlier holder have arrived.
 	Do(ctx context.Context, grant lease.Grant)
@@ -134,15 +134,15 @@
 	wrong, engines int
 }
 
-// Lease names the lease; one is enough for the duties of one deployment.
-const Lease = "roles"
+// LeaseName names the lease; one is enough for the duties of one deployment.
+const LeaseName = "roles"
 
 // New returns a keeper.
 func New(s Settings, table platform.Table, orderer Orderer, view View, duties []Duty, log *slog.Logger) *Keeper {
 	self := s.Instance + "/" + uuid.NewString()
 	return &Keeper{
 		settings: s, table: table, orderer: orderer, view: view, duties: duties, log: log,
-		machine: lease.New(self, leaseSettings(s.Lease), uuid.NewString),
+		machine: lease.New(self, leaseSettings(s.LeaseTerm), uuid.NewString),
 		pending: map[string]pending{}, announced: map[string]announced{}, services: map[string]*duty{}, use: map[string]roles.Workload{},
 	}
 }
@@ -164,7 +164,7 @@
 		k.drive(ctx)
 		k.measure()
 		if now := bootclock.Now(); k.held && now >= next {
-			next = now + k.settings.Every
+			next = now + k.settings.CheckEvery
 			k.look(ctx)
 			k.doDuties(ctx)
 		}
--- a/internal/rolekeeper/rolekeeper_test.go
+++ b/internal/rolekeeper/rolekeeper_test.go
@@ -143,7 +143,7 @@
 	return upstreamstate.Times{Known: true, Step: 4550 * time.Microsecond, StepPerRequest: 181 * time.Microsecond, RoleChange: term / 10}
 }
 
-func (f *fakeFleet) SendAway(engine string, _ time.Duration) {
+func (f *fakeFleet) MarkUnavailable(engine string, _ time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.away = append(f.away, engine)
@@ -180,7 +180,7 @@
 	balance := roles.DefaultSplitPolicy()
 	balance.SmoothingTime, balance.EvidenceThreshold = term, 0.05
 	keeper := New(Settings{
-		Instance: name, Lease: term, Every: 20 * time.Millisecond, AtOnce: 2, Confirm: 2, Announce: f.announce, Target: roles.Target{PrefillShare: 11.0 / 18, MinDecode: 2}, Balance: balance,
+		Instance: name, LeaseTerm: term, CheckEvery: 20 * time.Millisecond, MaxConcurrentChanges: 2, ConfirmChecks: 2, AnnounceDelay: f.announce, InitialTarget: roles.Target{PrefillShare: 11.0 / 18, MinDecode: 2}, SplitPolicy: balance,
 	}, table, f, f, nil, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -424,7 +424,7 @@
 // epochOf is the newest takeover's, by the table.
 func epochOf(t *testing.T, table *fakeTable) int64 {
 	t.Helper()
-	row, err := table.Get(context.Background(), leaserows.EpochKey(Lease))
+	row, err := table.Get(context.Background(), leaserows.EpochKey(LeaseName))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/rolekeeper/use.go
+++ b/internal/rolekeeper/use.go
@@ -32,7 +32,7 @@
 		if !k.view.Times(service).Known {
 			continue // its use would be measured in times of other engines
 		}
-		k.use[service] = k.use[service].Add(seen(engines), since, k.settings.Balance.SmoothingTime)
+		k.use[service] = k.use[service].Add(seen(engines), since, k.settings.SplitPolicy.SmoothingTime)
 	}
 }
 
@@ -47,7 +47,7 @@
 
 // balance is the balance with what the engines of a service take.
 func (k *Keeper) balance(service string) roles.SplitPolicy {
-	b, times := k.settings.Balance, k.view.Times(service)
+	b, times := k.settings.SplitPolicy, k.view.Times(service)
 	b.StepMillis, b.StepMillisPerRequest = milliseconds(times.Step), milliseconds(times.StepPerRequest)
 	b.Slots = times.Slots
 	return b
@@ -65,7 +65,7 @@
 	if before == after {
 		return
 	}
-	d.target, d.wrong = target, k.settings.Confirm // what was measured over seconds needs no further looks
+	d.target, d.wrong = target, k.settings.ConfirmChecks // what was measured over seconds needs no further looks
 	k.log.Info("roles: the wanted split follows the use", "service", service, "engines", len(engines), "prefill", prefill,
 		"wanted_before", before, "wanted", after, "prompts", use.PrefillLoad, "generations", use.Generations, "direct", use.DirectPrefillLoad)
 	k.use[service] = use.AfterSplitChange()
--- a/internal/rollout/decider.go
+++ b/internal/rollout/decider.go
@@ -34,7 +34,7 @@
 func (d *decider) actions() []Action {
 	actions := append(d.closes, d.orders...)
 	if len(d.changes) > 0 {
-		actions = append(actions, Mark{Changes: d.changes})
+		actions = append(actions, UpdateRouting{Changes: d.changes})
 	}
 	return actions
 }
@@ -168,7 +168,7 @@
 
 // restore returns an engine that has what it should to routing.
 func (d *decider) restore(e *config.Engine) {
-	if Arrived(e) && e.Plan == "" {
+	if Converged(e) && e.Plan == "" {
 		return
 	}
 	want := e.Want
@@ -188,7 +188,7 @@
 // unreachable marks an engine that was silent for long as draining, so that it
 // gets no new work, and lets one that should leave go.
 func (d *decider) unreachable(e *config.Engine, seen EngineView) {
-	if seen.Silent < d.Limits.UnreachableAfter {
+	if seen.UnansweredFor < d.Limits.UnreachableAfter {
 		d.wait(e, "does not answer")
 		return
 	}
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -70,7 +70,7 @@
 	orders    map[string]order.Row
 	orderIDs  int
 	// What the holder remembers, and a new one does not.
-	silentEngines Silence
+	silentEngines UnreachableTimer
 	known         map[string]knownRouting
 }
 
@@ -97,7 +97,7 @@
 // newHolder forgets what a holder remembers.
 func (w *world) newHolder() {
 	w.known = map[string]knownRouting{}
-	w.silentEngines = Silence{MaxGap: time.Minute}
+	w.silentEngines = UnreachableTimer{MaxGap: time.Minute}
 }
 
 // mayPlace tells whether an instance would send new work to an engine.
@@ -181,7 +181,7 @@
 func (w *world) observe(between func()) View {
 	v := View{
 		Config: w.doc, Pool: modelPool, Engines: map[string]EngineView{}, Orders: map[string]order.Row{},
-		Limits: Limits{SilentAfter: modelSilent, UnreachableAfter: modelUnreachable, MaxLoads: 1},
+		Limits: Limits{InstanceTimeout: modelSilent, UnreachableAfter: modelUnreachable, MaxLoads: 1},
 	}
 	for id, row := range w.orders {
 		v.Orders[id] = row
@@ -199,7 +199,7 @@
 
 func (w *world) instanceView(name string) InstanceView {
 	i := w.instances[name]
-	view := InstanceView{ID: name, Version: i.doc.Version, Known: !i.cut, Streams: map[string]int{}}
+	view := InstanceView{ID: name, Version: i.doc.Version, Answered: !i.cut, Streams: map[string]int{}}
 	if i.cut {
 		return view
 	}
@@ -217,7 +217,7 @@
 	}
 	age := w.now - w.known[id].at
 	if e.unreachable {
-		return EngineView{Silent: w.silentEngines.Missed(id, w.now), RoutingAge: age}
+		return EngineView{UnansweredFor: w.silentEngines.Missed(id, w.now), RoutingAge: age}
 	}
 	w.silentEngines.Answered(id)
 	return EngineView{Reachable: true, RoutingAge: age, Status: engine.Status{
@@ -242,12 +242,12 @@
 		row := w.orders[a.Engine].Next(1, a.Engine, a.Want, fmt.Sprint(w.orderIDs))
 		w.orders[a.Engine] = row
 		w.take(a.Engine, row)
-	case Mark:
+	case UpdateRouting:
 		w.mark(v, a)
 	}
 }
 
-func (w *world) mark(v View, mark Mark) {
+func (w *world) mark(v View, mark UpdateRouting) {
 	next := w.doc.Clone()
 	next.Version++
 	for _, c := range mark.Changes {
@@ -263,7 +263,7 @@
 }
 
 // servingAfter counts the engines that serve once a mark is made.
-func (v View) servingAfter(mark Mark) int {
+func (v View) servingAfter(mark UpdateRouting) int {
 	n := 0
 	for _, e := range v.Config.PoolEngines(v.Pool) {
 		if v.serves(e) {
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -133,7 +133,7 @@
 	}
 	for _, e := range w.doc.PoolEngines(modelPool) {
 		heldByFloor := e.Routing == config.RoutingServing && len(w.doc.Engines)-leaving <= modelFloor
-		if !Arrived(e) && !heldByFloor {
+		if !Converged(e) && !heldByFloor {
 			w.t.Fatalf("%s did not arrive: %+v, engine %+v", e.ID, e, w.engines[e.ID])
 		}
 	}
@@ -148,8 +148,8 @@
 func poolOf(floor int, ids ...string) View {
 	doc := &config.Config{Version: 5, Pools: []config.Pool{{Name: "p", Model: "m", MinServing: floor}}}
 	v := View{Config: doc, Pool: "p", Engines: map[string]EngineView{}, Orders: map[string]order.Row{}}
-	v.Limits = Limits{SilentAfter: 10 * time.Second, UnreachableAfter: 5 * time.Second}
-	v.Instances = []InstanceView{{ID: "i", Known: true, Version: 5}}
+	v.Limits = Limits{InstanceTimeout: 10 * time.Second, UnreachableAfter: 5 * time.Second}
+	v.Instances = []InstanceView{{ID: "i", Answered: true, Version: 5}}
 	for _, id := range ids {
 		doc.Engines = append(doc.Engines, config.Engine{
 			ID: id, Pool: "p", Want: mixed("1"), Loaded: mixed("1"), Routing: config.RoutingServing, RoutingSince: 1,
@@ -166,7 +166,7 @@
 	if len(actions) == 0 {
 		return nil
 	}
-	mark, ok := actions[0].(Mark)
+	mark, ok := actions[0].(UpdateRouting)
 	if !ok || len(actions) != 1 || len(mark.Changes) != 1 {
 		t.Fatalf("decided %+v", actions)
 	}
@@ -195,15 +195,15 @@
 
 func TestSilentEngineLeavesRoutingAfterAWhile(t *testing.T) {
 	v := poolOf(0, "a", "b")
-	v.Engines["a"] = EngineView{Silent: time.Second}
+	v.Engines["a"] = EngineView{UnansweredFor: time.Second}
 	if c := onlyChange(t, v); c != nil {
 		t.Fatalf("marked out at once: %+v", c)
 	}
-	v.Engines["a"] = EngineView{Silent: 6 * time.Second}
+	v.Engines["a"] = EngineView{UnansweredFor: 6 * time.Second}
 	if c := onlyChange(t, v); c == nil || c.Reason != ReasonUnreachable {
 		t.Fatalf("not marked out: %+v", c)
 	}
-	v.Engines["b"] = EngineView{Silent: 6 * time.Second}
+	v.Engines["b"] = EngineView{UnansweredFor: 6 * time.Second}
 	if c := onlyChange(t, v); c != nil {
 		t.Fatalf("a holder that reaches no engine emptied the pool: %+v", c)
 	}
@@ -243,18 +243,18 @@
 		v.Config.Engines[i].Want = mixed("2")
 	}
 	v.Limits.MaxLoads = 2
-	mark := Next(v)[0].(Mark)
+	mark := Next(v)[0].(UpdateRouting)
 	if len(mark.Changes) != 2 {
 		t.Errorf("%d engines drained for 2 loads at once", len(mark.Changes))
 	}
 	v.Limits.MaxLoads = 0
-	if mark = Next(v)[0].(Mark); len(mark.Changes) != MaxOut(len(ids)) {
+	if mark = Next(v)[0].(UpdateRouting); len(mark.Changes) != MaxOut(len(ids)) {
 		t.Errorf("%d engines of %d drained at once", len(mark.Changes), len(ids))
 	}
 }
 
 func TestSilenceCountsOnlyAskedTime(t *testing.T) {
-	s := Silence{MaxGap: 2 * time.Second}
+	s := UnreachableTimer{MaxGap: 2 * time.Second}
 	s.Missed("a", 0)
 	if d := s.Missed("a", time.Second); d != time.Second {
 		t.Errorf("silent for %v", d)
--- a/internal/usagereport/reporter.go
+++ b/internal/usagereport/reporter.go
@@ -91,8 +91,8 @@
 	return &Reporter{settings: s, table: table, sender: sender, total: total, now: now, log: log, first: usage.WindowAt(now(), s.Length)}
 }
 
-// Taken implements rolekeeper.Duty.
-func (r *Reporter) Taken() { r.loaded = false }
+// Reset implements rolekeeper.Duty.
+func (r *Reporter) Reset() { r.loaded = false }
 
 // Do implements rolekeeper.Duty: it fixes the counts of the windows that are complete, and
 // sends those that were not sent.
