--- a/internal/peers/fleet_test.go
+++ b/internal/peers/fleet_test.go
@@ -89,7 +89,7 @@
 // GrantRetry gives whatever is asked for.
 func (l *virtualLoads) GrantRetry(uint32) bool { l.granted++; return true }
 
-// Limits and HearLimits are not played: these instances do not pull.
+// Limits and ApplyLimits are not played: these instances do not pull.
 func (l *virtualLoads) Limits() []quota.UpstreamLimit           { return nil }
 func (l *virtualLoads) ApplyLimits([]quota.UpstreamLimit, bool) {}
 
--- a/internal/peers/reports.go
+++ b/internal/peers/reports.go
@@ -34,7 +34,7 @@
 	// Changed has a value when the others should be told of news.
 	Changed() <-chan struct{}
 	// OwnReport is what this instance has, ZoneReport what its zone has, and
-	// BeyondReport what all other zones have.
+	// OtherZonesReport what all other zones have.
 	OwnReport() upstreamstate.Report
 	ZoneReport() upstreamstate.Report
 	OtherZonesReport() upstreamstate.Report
@@ -46,7 +46,7 @@
 	SetBehind(behind bool)
 	Limits
 	// SetGrantShare takes the part of upstreams' limits that this instance gives out; 0 for
-	// none. GrantLimited decides on one send to such an upstream.
+	// none. DecideGrant decides on one send to such an upstream.
 	SetGrantShare(share float64)
 	DecideGrant(ask quota.GrantRequest) quota.Verdict
 	// GrantRetry gives a further send to a service away, from the pool that this instance
