--- a/internal/relay/link.go
+++ b/internal/relay/link.go
@@ -56,8 +56,8 @@
 	r.link.update(func(s *ownlink.Link) { s.Answered(upstream, now) })
 }
 
-// Trouble returns why this instance forwards nothing; empty if it is not impaired.
-func (r *Relay) Trouble() ownlink.Trouble {
+// Impairment returns why this instance forwards nothing; empty if it is not impaired.
+func (r *Relay) Impairment() ownlink.Trouble {
 	r.link.mu.Lock()
 	defer r.link.mu.Unlock()
 	return r.link.state.Trouble(r.now())
@@ -70,7 +70,7 @@
 
 // Impaired reports whether this instance's requests reach no upstream because of its own link, or
 // whether it cannot know which upstreams are draining.
-func (r *Relay) Impaired() bool { return r.Trouble() != "" }
+func (r *Relay) Impaired() bool { return r.Impairment() != "" }
 
 // retryElsewhereIn returns when a caller should retry, at another instance.
 func (r *Relay) retryElsewhereIn(waitBudget time.Duration) time.Duration {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -272,7 +272,7 @@
 	if table.Version == 0 {
 		return nil, &Refusal{Outcome: NotRun, Reason: "no configuration yet", RetryIn: r.startupRetryIn(req.WaitBudget)}
 	}
-	if reason := r.Trouble(); reason != "" {
+	if reason := r.Impairment(); reason != "" {
 		r.meters.saturated.Inc(1)
 		return nil, refuseImpaired(reason, r.retryElsewhereIn(req.WaitBudget))
 	}
--- a/internal/relay/sendcheck.go
+++ b/internal/relay/sendcheck.go
@@ -31,7 +31,7 @@
 		return errQuarantined
 	}
 	if x.status == 0 {
-		if reason := r.Trouble(); reason != "" {
+		if reason := r.Impairment(); reason != "" {
 			return impairedError{reason}
 		}
 	}
