--- a/internal/estimate/line.go
+++ b/internal/estimate/line.go
@@ -17,76 +17,75 @@
 
 func (c coefficients) at(x float64) float64 { return c.slope*x + c.base }
 
-// line estimates a line from the newest observations, by least squares with weights
-// that fall to nothing for those far off (Tukey's biweight), sooner for those that
-// took too long than for those that were too short: what an instance does not know
-// of lengthens times. It is bound to its prior as if by priorWeight observations. The
-// slope is above zero, the base not below it.
+// line fits a line to the newest observations by weighted least squares. The weights fall to zero
+// for outliers (Tukey's biweight). Times that are too long are cut off sooner than times that are
+// too short, because conditions unknown to the instance only lengthen times. The prior has the
+// weight of priorWeight observations. The slope is positive and the base is not negative.
 type line struct {
 	prior coefficients
-	// heardSlope and heardBase are what others told, which is the prior once there
-	// is any.
-	heardSlope, heardBase mean
-	samples               []sample
-	next                  int
-	fitted                coefficients
-	// unfitted counts the observations, and words of others, since fitted.
+	// receivedSlope and receivedBase are the means of what other instances reported. They replace
+	// the prior once there are any.
+	receivedSlope, receivedBase mean
+	samples                     []sample
+	next                        int
+	fitted                      coefficients
+	// unfitted counts the observations and the reports of others since the last fit.
 	unfitted int
 }
 
 const (
-	// keepSamples is how many observations are kept: with a few a second, those of
-	// some ten seconds.
-	keepSamples = 64
-	// refitAt is how many new observations have a line that has many fitted anew.
+	// maxSamples is the number of observations kept: about ten seconds' worth at a few a second.
+	maxSamples = 64
+	// refitAt is the number of new observations after which a line with many observations is fitted
+	// again.
 	refitAt = 4
 	// priorWeight is the number of observations that the prior counts as.
 	priorWeight = 0.5
-	// rounds of weighting; the coefficients settle within five.
+	// rounds of reweighting; the coefficients settle within five.
 	rounds = 5
-	// cutAt is where an observation counts nothing, in standard deviations as the
-	// median of the residuals has them: the usual constant of the biweight for those
-	// that are too short, half of it for those that are too long.
-	cutAt     = 4.685
-	cutLongAt = cutAt / 2
-	// normalMAD turns a median of absolute residuals into a standard deviation.
+	// cutoffShort and cutoffLong are the residuals from which an observation has no weight, in
+	// standard deviations estimated from the median of the residuals. For times that are too short
+	// it is the usual constant of the biweight, for times that are too long half of it.
+	cutoffShort = 4.685
+	cutoffLong  = cutoffShort / 2
+	// normalMAD converts a median of absolute residuals to a standard deviation.
 	normalMAD = 1.4826
-	// startAt is the quantile of the observations that the fit starts from: below
-	// the median, as times err to the long side.
-	startAt = 0.4
-	// leastDeviation is the least standard deviation, as a part of the observations'
-	// median: times that agree to less do so by chance.
-	leastDeviation = 0.02
-	// leastScale bounds how much faster than the prior engines may be: it keeps
-	// times above zero whatever is observed.
-	leastScale = 1e-3
+	// startQuantile is the quantile of the observations with which the fit starts. It is below the
+	// median because errors mostly lengthen times.
+	startQuantile = 0.4
+	// minDeviation is the smallest standard deviation, as a fraction of the observations' median.
+	// Times that agree more closely do so by chance.
+	minDeviation = 0.02
+	// minScale bounds how much faster than the prior engines may be. It keeps times above zero
+	// whatever is observed.
+	minScale = 1e-3
 )
 
 func (l *line) add(s sample) {
 	l.unfitted++
-	if len(l.samples) < keepSamples {
+	if len(l.samples) < maxSamples {
 		l.samples = append(l.samples, s)
 		return
 	}
 	l.samples[l.next] = s
-	l.next = (l.next + 1) % keepSamples
+	l.next = (l.next + 1) % maxSamples
 }
 
-// estimate returns the line.
+// estimate returns the fitted line, or the prior without observations.
 func (l *line) estimate() coefficients {
 	if len(l.samples) == 0 {
 		return l.prior
 	}
-	if l.unfitted >= refitAt || l.unfitted > 0 && len(l.samples) < keepSamples/2 {
+	if l.unfitted >= refitAt || l.unfitted > 0 && len(l.samples) < maxSamples/2 {
 		l.fitted, l.unfitted = l.fit(), 0
 	}
 	return l.fitted
 }
 
-// fit begins with the prior scaled to the observations, which outliers do not move,
-// and weights these anew in each round.
+// fit starts from the prior scaled to the observations, which is robust to outliers, and recomputes
+// the weights in each round.
 func (l *line) fit() coefficients {
-	start := l.scaled()
+	start := l.scaledPrior()
 	c := start
 	for range rounds {
 		c = l.solve(c, start)
@@ -94,19 +93,21 @@
 	return c
 }
 
-// scaled is the prior times what the observations are of it.
-func (l *line) scaled() coefficients {
+// scaledPrior returns the prior times the startQuantile of the ratios of observed to predicted
+// values.
+func (l *line) scaledPrior() coefficients {
 	ratios := []float64{1}
 	for _, s := range l.samples {
 		if predicted := l.prior.at(s.x); predicted > 0 {
 			ratios = append(ratios, s.y/predicted)
 		}
 	}
-	scale := max(leastScale, quantile(ratios, startAt))
+	scale := max(minScale, quantile(ratios, startQuantile))
 	return coefficients{slope: scale * l.prior.slope, base: scale * l.prior.base}
 }
 
-// solve returns the weighted least squares around c, pulled towards the start.
+// solve returns the weighted least-squares solution with weights from the residuals of c,
+// regularized towards start.
 func (l *line) solve(c, start coefficients) coefficients {
 	deviation := l.deviation(c)
 	var w, wx, wy, wxx, wxy, xx float64
@@ -126,7 +127,7 @@
 	if det := wxx*w - wx*wx; det > 0 {
 		base = max(0, (wy*wxx-wxy*wx)/det)
 	}
-	return coefficients{slope: max(leastScale*l.prior.slope, (wxy-base*wx)/wxx), base: base}
+	return coefficients{slope: max(minScale*l.prior.slope, (wxy-base*wx)/wxx), base: base}
 }
 
 func (l *line) deviation(c coefficients) float64 {
@@ -135,14 +136,15 @@
 		residuals[i] = math.Abs(s.y - c.at(s.x))
 		sizes[i] = s.y
 	}
-	return max(normalMAD*quantile(residuals, 0.5), leastDeviation*quantile(sizes, 0.5))
+	return max(normalMAD*quantile(residuals, 0.5), minDeviation*quantile(sizes, 0.5))
 }
 
-// weightOf is what an observation counts, by how much longer it is than predicted.
+// weightOf returns the weight of an observation. The residual is positive if it is longer than
+// predicted.
 func weightOf(residual, deviation float64) float64 {
-	cut := cutAt * deviation
+	cut := cutoffShort * deviation
 	if residual > 0 {
-		cut = cutLongAt * deviation
+		cut = cutoffLong * deviation
 	}
 	if deviation <= 0 || math.Abs(residual) >= cut {
 		return 0
--- a/internal/estimate/share.go
+++ b/internal/estimate/share.go
@@ -2,24 +2,25 @@
 
 import "time"
 
-// Snapshot is what one instance has learned of a service's engines, for the others.
+// Snapshot has the estimates that one instance learned about a service's engines, for other
+// instances.
 type Snapshot struct {
-	// PromptTimeRatio is the time of a prompt's tokens, against the prior's, and Overhead the
-	// time besides; Prompts is how many prompts tell so.
+	// PromptTimeRatio is the ratio of the token times to the prior's, and Overhead the constant
+	// part of a prompt's time. PromptCount is the number of prompts that they are based on.
 	PromptTimeRatio float64
 	Overhead        time.Duration
 	PromptCount     int
-	// Step is the time of a step of generation and StepPerRequest what each request
-	// adds; Streams is how many answers tell so.
+	// Step is the duration of a generation step without requests and StepPerRequest what each
+	// request adds. StreamCount is the number of answers that they are based on.
 	Step, StepPerRequest time.Duration
 	StreamCount          int
 }
 
-// knownFrom is the number of observations from which an estimate is one of the
-// engines and not of the prior (TestThePriorYields).
-const knownFrom = 16
+// minKnownSamples is the number of observations from which an estimate describes the engines and
+// not the prior (see TestObservationsOverridePrior).
+const minKnownSamples = 16
 
-// Snapshot returns what this instance has learned by itself.
+// Snapshot returns the estimates that this instance learned.
 func (m *Model) Snapshot() Snapshot {
 	prompt, step := m.prompts.estimate(), m.steps.estimate()
 	return Snapshot{
@@ -28,29 +29,30 @@
 	}
 }
 
-// Merge takes what another instance has learned: it takes the place of the prior,
-// for an instance that has just started or serves little.
-func (m *Model) Merge(l Snapshot) {
-	if l.PromptCount >= knownFrom && l.PromptTimeRatio > 0 && l.Overhead >= 0 {
-		m.prompts.hear(coefficients{slope: l.PromptTimeRatio, base: float64(l.Overhead)})
+// Merge merges the estimates of another instance into the prior, for an instance that has just
+// started or serves few requests. Estimates from fewer than minKnownSamples observations are
+// ignored.
+func (m *Model) Merge(s Snapshot) {
+	if s.PromptCount >= minKnownSamples && s.PromptTimeRatio > 0 && s.Overhead >= 0 {
+		m.prompts.merge(coefficients{slope: s.PromptTimeRatio, base: float64(s.Overhead)})
 	}
-	if l.StreamCount >= knownFrom && l.Step >= 0 && l.StepPerRequest > 0 {
-		m.steps.hear(coefficients{slope: float64(l.StepPerRequest), base: float64(l.Step)})
+	if s.StreamCount >= minKnownSamples && s.Step >= 0 && s.StepPerRequest > 0 {
+		m.steps.merge(coefficients{slope: float64(s.StepPerRequest), base: float64(s.Step)})
 	}
 }
 
-// PromptsKnown tells whether the times of prompts are learned, here or by others.
+// PromptsKnown reports whether the prompt times are learned, by this instance or others.
 func (m *Model) PromptsKnown() bool { return m.prompts.known() }
 
-// StepsKnown tells whether the time of a step is learned, here or by others.
+// StepsKnown reports whether the step times are learned, by this instance or others.
 func (m *Model) StepsKnown() bool { return m.steps.known() }
 
-// hear takes the line of another instance into the mean that is the prior.
-func (l *line) hear(c coefficients) {
+// merge adds the line of another instance to the means that serve as the prior.
+func (l *line) merge(c coefficients) {
 	l.unfitted += refitAt
-	l.heardSlope.add(c.slope)
-	l.heardBase.add(c.base)
-	l.prior = coefficients{slope: l.heardSlope.value, base: l.heardBase.value}
+	l.receivedSlope.add(c.slope)
+	l.receivedBase.add(c.base)
+	l.prior = coefficients{slope: l.receivedSlope.value, base: l.receivedBase.value}
 }
 
-func (l *line) known() bool { return len(l.samples) >= knownFrom || l.heardSlope.n > 0 }
+func (l *line) known() bool { return len(l.samples) >= minKnownSamples || l.receivedSlope.n > 0 }
