--- a/internal/control/watcher.go
+++ b/internal/control/watcher.go
@@ -22,7 +22,7 @@
 	settings RolloutSettings
 
 	mu       sync.Mutex // protects all below
-	engines  rollout.Silence
+	engines  rollout.UnreachableTimer
 	listed   map[string]listedInstance
 	routings map[string]seenRouting
 	orders   map[string]time.Duration
@@ -47,7 +47,7 @@
 	return &watcher{
 		settings: s,
 		routings: map[string]seenRouting{},
-		engines:  rollout.Silence{MaxGap: gap},
+		engines:  rollout.UnreachableTimer{MaxGap: gap},
 		listed:   map[string]listedInstance{},
 		orders:   map[string]time.Duration{},
 	}
@@ -93,7 +93,7 @@
 	if reachable {
 		w.engines.Answered(id)
 	} else {
-		view.Silent = w.engines.Missed(id, now)
+		view.UnansweredFor = w.engines.Missed(id, now)
 	}
 	at, sent := w.orders[id]
 	view.RecentlyOrdered = sent && now-at < w.settings.ResendAfter
@@ -111,7 +111,7 @@
 func (d *Daemon) limits(ctx context.Context, doc *config.Config, pool string) rollout.Limits {
 	s := d.settings.Rollout
 	return rollout.Limits{
-		SilentAfter:      s.SilentAfter,
+		InstanceTimeout:  s.SilentAfter,
 		UnreachableAfter: s.UnreachableAfter,
 		MaxLoads:         d.maxLoads(ctx, doc, pool),
 	}
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -115,17 +115,17 @@
 	return p, errors.Wrap(json.Unmarshal(data, p), "plan: decode")
 }
 
-// Same tells whether two plans do the same to the same engines.
-func (p *Plan) Same(other *Plan) bool {
+// SameSteps tells whether two plans do the same to the same engines.
+func (p *Plan) SameSteps(other *Plan) bool {
 	return slices.EqualFunc(p.Steps, other.Steps, func(a, b Step) bool {
 		return a.Kind == b.Kind && a.Engine == b.Engine
 	})
 }
 
-// Stamp makes the plan's engines its own in the document that its confirmation
+// ClaimEngines makes the plan's engines its own in the document that its confirmation
 // creates. Until they have arrived, or the plan is cancelled, an intent that
 // would change them contradicts it.
-func (p *Plan) Stamp(doc *config.Config) {
+func (p *Plan) ClaimEngines(doc *config.Config) {
 	for _, step := range p.Steps {
 		if e := doc.Engine(step.Engine); e != nil {
 			e.Plan = p.ID
@@ -133,8 +133,8 @@
 	}
 }
 
-// Running names the plans that still have engines to change, in order.
-func Running(doc *config.Config) []string {
+// RunningIDs names the plans that still have engines to change, in order.
+func RunningIDs(doc *config.Config) []string {
 	var ids []string
 	for i := range doc.Engines {
 		if id := doc.Engines[i].Plan; id != "" && !slices.Contains(ids, id) {
--- a/internal/rolekeeper/lease.go
+++ b/internal/rolekeeper/lease.go
@@ -18,14 +18,14 @@
 // ranks settles who watches the lease: three instances, the others leave the
 // store alone.
 func (k *Keeper) ranks() lease.RankSettings {
-	return lease.RankSettings{Watchers: 3, ReadEvery: k.settings.Lease / 2, RankDelay: k.settings.Lease / 10}
+	return lease.RankSettings{Watchers: 3, ReadEvery: k.settings.LeaseTerm / 2, RankDelay: k.settings.LeaseTerm / 10}
 }
 
 func (k *Keeper) place() {
 	candidates, ranks := k.view.Candidates(), k.ranks()
 	rank := ranks.Watchers // leaves the lease alone
 	if slices.Contains(candidates, k.settings.Instance) {
-		rank = lease.Rank(Lease, k.settings.Instance, candidates)
+		rank = lease.Rank(LeaseName, k.settings.Instance, candidates)
 	}
 	k.machine.SetWatchPolicy(ranks.WatchPolicy(rank))
 	k.watches = rank < ranks.Watchers
@@ -36,7 +36,7 @@
 	action := k.machine.Tick(bootclock.Now())
 	switch action.Kind {
 	case lease.Read:
-		row, revision, err := leaserows.Read(ctx, k.table, Lease)
+		row, revision, err := leaserows.Read(ctx, k.table, LeaseName)
 		if err != nil {
 			k.log.Debug("roles: the lease could not be read", "error", err)
 			k.machine.OnReadFailed(bootclock.Now())
@@ -44,7 +44,7 @@
 			k.machine.OnRead(bootclock.Now(), row, revision)
 		}
 	case lease.Write:
-		outcome, revision, err := leaserows.Write(ctx, k.table, Lease, action)
+		outcome, revision, err := leaserows.Write(ctx, k.table, LeaseName, action)
 		if err != nil {
 			k.log.Info("roles: the lease was not written", "epoch", action.Row.Epoch, "error", err)
 		}
@@ -65,7 +65,7 @@
 	if held {
 		k.begin(grant)
 		for _, d := range k.duties {
-			d.Taken()
+			d.Reset()
 		}
 		k.log.Info("roles: lease taken", "epoch", grant.Epoch, "first", grant.First, "resumed", grant.Resumed, "returned", grant.TableRestored)
 		return
@@ -101,5 +101,5 @@
 // before the first, or when this process had the lease last: that it need not wait after
 // an outage of the store has a report come in time that is due meanwhile.
 func (k *Keeper) settled(grant lease.Grant) bool {
-	return grant.First || grant.Resumed || bootclock.Now()-k.heldSince >= k.settings.Lease
+	return grant.First || grant.Resumed || bootclock.Now()-k.heldSince >= k.settings.LeaseTerm
 }
