--- a/internal/upstreamstate/bench_test.go
+++ b/internal/upstreamstate/bench_test.go
@@ -20,7 +20,7 @@
 	benchSources = []int{9, 195, 400}
 )
 
-// newLargeState knows the given number of engines in six zones; 13 in 18 of them are prefill
+// newLargeState returns a State with the given number of engines in six zones; 13 in 18 of them are prefill
 // engines.
 func newLargeState(engines int) *State {
 	s := New(Settings{
@@ -103,7 +103,7 @@
 	}
 }
 
-func BenchmarkTakeReport(b *testing.B) {
+func BenchmarkApplyReport(b *testing.B) {
 	for _, sources := range benchSources {
 		b.Run(fmt.Sprintf("sources=%d", sources), func(b *testing.B) {
 			s := newLargeState(78)
--- a/internal/upstreamstate/draining_test.go
+++ b/internal/upstreamstate/draining_test.go
@@ -7,9 +7,9 @@
 	"sassafrasfield/internal/quota"
 )
 
-// TestDrainingAppliesToOneIncarnation guards against two failures. A draining upstream must not get
-// requests again because its entry does not say so, is rewritten or returns. After a restart it
-// must get requests again.
+// TestDrainingAppliesToOneIncarnation checks that a draining upstream gets no requests even if its
+// entry does not say so, is rewritten or is restored, and that it gets requests again after a
+// restart.
 func TestDrainingAppliesToOneIncarnation(t *testing.T) {
 	s := newTestState()
 	u := s.Upstreams("app")[0]
--- a/internal/upstreamstate/parts.go
+++ b/internal/upstreamstate/parts.go
@@ -75,8 +75,8 @@
 }
 
 // partLifetime returns how long an engine keeps an unused part. The parts used longest ago are
-// evicted first, so it is the time in which the inflow fills the memory for parts. Memory is in
-// tokens, inflow in tokens a second.
+// evicted first, so it is the time in which the inflow fills the memory for parts. cacheTokens is
+// the size of the engine's KV cache, and the inflow is in tokens a second.
 func partLifetime(cacheTokens int, inflow float64) time.Duration {
 	if cacheTokens == 0 || inflow <= 0 {
 		return maxPartLifetime
--- a/internal/upstreamstate/peerloads.go
+++ b/internal/upstreamstate/peerloads.go
@@ -81,8 +81,8 @@
 	if !report.Complete {
 		return
 	}
-	for hash, h := range s.loads {
-		if h.round != s.round {
+	for hash, received := range s.loads {
+		if received.round != s.round {
 			t.set(s, zeroLoad(hash), now)
 		}
 	}
@@ -91,8 +91,8 @@
 // set replaces a source's load on an upstream.
 func (t *peerLoads) set(s *source, l EngineLoad, now time.Duration) {
 	sum := t.sum(s, l.Engine)
-	if before, ok := s.loads[l.Engine]; ok {
-		sum.subtract(before, now)
+	if previous, ok := s.loads[l.Engine]; ok {
+		sum.subtract(previous, now)
 	}
 	if l == zeroLoad(l.Engine) {
 		delete(s.loads, l.Engine)
@@ -123,8 +123,8 @@
 			t.drop(name, now)
 			continue
 		}
-		for hash, h := range s.loads {
-			if now-h.at > loadTTL {
+		for hash, received := range s.loads {
+			if now-received.at > loadTTL {
 				t.set(s, zeroLoad(hash), now)
 			}
 		}
--- a/internal/upstreamstate/place.go
+++ b/internal/upstreamstate/place.go
@@ -22,7 +22,7 @@
 	Priority int
 }
 
-// request converts a placement request to the form that package route uses. The lock is held.
+// request converts a placement request to the form that package placement uses. The lock is held.
 func (s *State) request(r PlacementRequest, now time.Duration) *placement.Request {
 	return &placement.Request{
 		Zone: s.settings.Zone, Prompt: r.Prompt, Excluded: r.Excluded, Now: now,
@@ -31,7 +31,7 @@
 	}
 }
 
-// candidates returns the upstreams of the request's service in the form that package route uses.
+// candidates returns the upstreams of the request's service in the form that package placement uses.
 // The result is valid until the next choice. The lock is held.
 func (s *State) candidates(r PlacementRequest, req *placement.Request) []placement.Candidate {
 	s.peers.expire(req.Now)
--- a/internal/upstreamstate/reports.go
+++ b/internal/upstreamstate/reports.go
@@ -39,7 +39,7 @@
 	l.Inflow += other.Inflow
 }
 
-// PlacedPart tells that a shared prompt part was sent to an engine, which caches it. Both are
+// PlacedPart is a shared prompt part and the engine that it was sent to, which caches it. Both are
 // hashes.
 type PlacedPart struct {
 	Engine, Part uint32
--- a/internal/upstreamstate/upstreamstate.go
+++ b/internal/upstreamstate/upstreamstate.go
@@ -1,6 +1,6 @@
 // Package upstreamstate holds what an instance knows about the upstreams: which ones exist, the
 // load that all instances put on each, what each has cached, how long its work takes, and which
-// ones could not be reached. Package route chooses an upstream from these data, and the outcomes of
+// ones could not be reached. Package placement chooses an upstream from these data, and the outcomes of
 // requests are recorded here. Instances exchange their parts of the data in reports.
 //
 // The package has no clock, no I/O and no goroutine. Times are passed in, on the instance's
