--- a/internal/upstreamstate/work.go
+++ b/internal/upstreamstate/work.go
@@ -7,13 +7,13 @@
 	"sassafrasfield/internal/placement"
 )
 
-// workload is this instance's work on one upstream and what it received from it.
+// workload is this instance's work on one upstream, and what the upstream's answers showed.
 type workload struct {
 	// backlog is the predicted time of this instance's prompts there, deferredBacklog the part of
 	// it with low priority.
 	backlog, deferredBacklog time.Duration
-	// utilization is the processing time of the prompts that this instance recently placed there,
-	// inflow the tokens that its requests add to the cache.
+	// utilization is the rate of processing time of the prompts that this instance places there,
+	// inflow the rate of tokens that its requests add to the cache.
 	utilization, inflow rate
 	// answeredAt is when the upstream last answered anything, answered whether it ever did.
 	answeredAt time.Duration
