--- a/internal/peers/fleet_test.go
+++ b/internal/peers/fleet_test.go
@@ -432,7 +432,7 @@
 		f.run(settleIn)
 		told := f.nodes[c.instances/2].loads
 		u := told.Upstream("e")
-		told.Announced(u, quota.Announcement{Draining: true}, told.now())
+		told.ApplyAnnouncement(u, quota.Announcement{Draining: true}, told.now())
 		f.run(within)
 		unaware := 0
 		for _, n := range f.nodes {
--- a/internal/peers/limit_test.go
+++ b/internal/peers/limit_test.go
@@ -169,7 +169,7 @@
 func (f *limitedFleet) arrives(c *limitedCall, u *limitedUpstream) {
 	u.arrivals = append(u.arrivals, f.now)
 	announced := quota.Announcement{Limited: !math.IsInf(u.rate, 1), Rate: u.rate}
-	c.node.loads.Announced(u.Upstream, announced, c.node.loads.now())
+	c.node.loads.ApplyAnnouncement(u.Upstream, announced, c.node.loads.now())
 }
 
 // poll takes the verdicts that came.
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -219,7 +219,7 @@
 		r.log.Info("relay: cannot parse upstream's announcement", "upstream", from.ID, "error", err)
 	}
 	if status.Announcement != nil {
-		r.upstreams.Announced(from, *status.Announcement, r.now())
+		r.upstreams.ApplyAnnouncement(from, *status.Announcement, r.now())
 		r.logLimitChanges()
 	}
 	if status.Backoff > 0 && r.upstreams.BackOff(from, status.Backoff, r.now()) {
--- a/internal/upstreamstate/draining_test.go
+++ b/internal/upstreamstate/draining_test.go
@@ -15,7 +15,7 @@
 	u := s.Upstreams("app")[0]
 	u.StartedAt = 1
 	s.UpdateUpstream(u)
-	s.Announced(u, quota.Announcement{Draining: true}, 0)
+	s.ApplyAnnouncement(u, quota.Announcement{Draining: true}, 0)
 	checkDraining := func(when string, want bool) {
 		t.Helper()
 		if now := s.Upstream(u.ID); now.Draining != want || s.IsDraining(now) != want {
@@ -23,7 +23,7 @@
 		}
 	}
 	checkDraining("after its announcement", true)
-	s.Announced(u, quota.Announcement{}, time.Second)
+	s.ApplyAnnouncement(u, quota.Announcement{}, time.Second)
 	checkDraining("after an answer without the announcement", true)
 	s.UpdateUpstream(u)
 	checkDraining("after its entry was rewritten", true)
@@ -38,7 +38,7 @@
 	restarted.StartedAt = 2
 	s.UpdateUpstream(restarted)
 	checkDraining("after its restart", false)
-	s.Announced(u, quota.Announcement{Draining: true}, time.Minute)
+	s.ApplyAnnouncement(u, quota.Announcement{Draining: true}, time.Minute)
 	checkDraining("after a late answer of the old incarnation", false)
 }
 
@@ -47,7 +47,7 @@
 func TestDrainingReachesAllZones(t *testing.T) {
 	direct, hub, farHub, far, newcomer := newTestState(), newTestState(), newTestState(), newTestState(), newTestState()
 	u := direct.Upstreams("app")[0]
-	direct.Announced(u, quota.Announcement{Draining: true}, 0)
+	direct.ApplyAnnouncement(u, quota.Announcement{Draining: true}, 0)
 	hub.ApplyReport(InstanceSourcePrefix+"one", direct.OwnReport(0), 0)
 	farHub.ApplyReport("zone a", hub.ZoneReport(0), 0)
 	far.ApplyReport("zones", farHub.OtherZonesReport(0), 0)
--- a/internal/upstreamstate/limits.go
+++ b/internal/upstreamstate/limits.go
@@ -67,9 +67,9 @@
 	}
 }
 
-// Announced applies an announcement from an upstream's answer to this instance. It is ignored if it
+// ApplyAnnouncement applies an announcement from an upstream's answer to this instance. It is ignored if it
 // comes from an earlier incarnation of the upstream.
-func (s *State) Announced(from Upstream, a quota.Announcement, now time.Duration) {
+func (s *State) ApplyAnnouncement(from Upstream, a quota.Announcement, now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	hash := from.Incarnation()
--- a/internal/upstreamstate/limits_test.go
+++ b/internal/upstreamstate/limits_test.go
@@ -12,7 +12,7 @@
 func TestExhaustedLimitAppliesToLessUrgentRequests(t *testing.T) {
 	s := newTestState()
 	all := s.Upstreams("app")
-	s.Announced(all[0], quota.Announcement{Limited: true, Rate: 2}, 0)
+	s.ApplyAnnouncement(all[0], quota.Announcement{Limited: true, Rate: 2}, 0)
 	for _, u := range all {
 		s.MarkExhausted(u.Incarnation(), 3, 2*time.Second)
 	}
@@ -49,7 +49,7 @@
 	u := direct.Upstreams("app")[0]
 	for step, rate := range []float64{2, 1} {
 		now := time.Duration(step) * time.Second
-		direct.Announced(u, quota.Announcement{Limited: true, Rate: rate}, now)
+		direct.ApplyAnnouncement(u, quota.Announcement{Limited: true, Rate: rate}, now)
 		hub.ApplyReport(InstanceSourcePrefix+"one", direct.OwnReport(now), now)
 		farHub.ApplyReport("zone a", hub.ZoneReport(now), now)
 		far.ApplyReport("zones", farHub.OtherZonesReport(now), now)
@@ -72,7 +72,7 @@
 	first, order, _ := s.PickPrefill(request, 0)
 	s.PromptDone(first.Engine.ID, first.BusyTime, order)
 	s.RequestDone(first.Engine.ID, "r", 0)
-	s.Announced(s.Upstream(first.Engine.ID), quota.Announcement{Limited: true, Rate: 2}, 0)
+	s.ApplyAnnouncement(s.Upstream(first.Engine.ID), quota.Announcement{Limited: true, Rate: 2}, 0)
 	s.MarkExhausted(s.Upstream(first.Engine.ID).Incarnation(), 0, time.Minute)
 	next, _, ok := s.PickPrefill(request, 0)
 	if !ok || next.Engine.ID == first.Engine.ID {
