--- a/internal/control/operator.go
+++ b/internal/control/operator.go
@@ -66,7 +66,7 @@
 	rate, _ := o.daemon.weightRate(ctx) // 0 when it is not known
 	return plan.Costs{
 		ChangeSeconds: changeSeconds, LoadSeconds: loadSeconds,
-		WeightRate: rate, LoadTime: o.daemon.settings.Rollout.LoadTime,
+		WeightRate: rate, TargetLoadTime: o.daemon.settings.Rollout.LoadTime,
 	}
 }
 
@@ -129,7 +129,7 @@
 	} else {
 		response.HeadVersion, response.IntentVersion = head.Version, head.Intent
 	}
-	for _, id := range plan.Running(doc) {
+	for _, id := range plan.RunningIDs(doc) {
 		p, _, err := o.load(ctx, id)
 		if err != nil {
 			return nil, err
--- a/internal/peers/fleet_test.go
+++ b/internal/peers/fleet_test.go
@@ -89,7 +89,7 @@
 // GrantRetry gives whatever is asked for.
 func (l *virtualLoads) GrantRetry(uint32) bool { l.granted++; return true }
 
-// Limits and HearLimits are not played: these instances do not pull.
+// Limits and ApplyLimits are not played: these instances do not pull.
 func (l *virtualLoads) Limits() []quota.UpstreamLimit           { return nil }
 func (l *virtualLoads) ApplyLimits([]quota.UpstreamLimit, bool) {}
 
@@ -432,7 +432,7 @@
 		f.run(startupTime)
 		told := f.nodes[c.instances/2].loads
 		u := told.Upstream("e")
-		told.Announced(u, quota.Announcement{Draining: true}, told.now())
+		told.ApplyAnnouncement(u, quota.Announcement{Draining: true}, told.now())
 		f.run(within)
 		unaware := 0
 		for _, n := range f.nodes {
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -228,8 +228,7 @@
 	return relay.KV{}, upstreamstate.Load{}, relay.ErrNoValidAnswer
 }
 
-func (*blockingSender) SetStatementHandler(func(upstreamstate.Upstream, upstreamstate.UpstreamStatus)) {
-}
+func (*blockingSender) SetStatusHandler(func(upstreamstate.Upstream, upstreamstate.UpstreamStatus)) {}
 
 func (*blockingSender) Crashed(context.Context, upstreamstate.Upstream, string) (bool, error) {
 	return false, nil
--- a/internal/peers/reports.go
+++ b/internal/peers/reports.go
@@ -34,19 +34,19 @@
 	// Changed has a value when the others should be told of news.
 	Changed() <-chan struct{}
 	// OwnReport is what this instance has, ZoneReport what its zone has, and
-	// BeyondReport what all other zones have.
+	// OtherZonesReport what all other zones have.
 	OwnReport() upstreamstate.Report
 	ZoneReport() upstreamstate.Report
 	OtherZonesReport() upstreamstate.Report
-	// Learned is what this instance has learned of the engines.
-	Learned() map[uint32]estimate.Snapshot
+	// LearnedTimes is what this instance has learned of the engines.
+	LearnedTimes() map[uint32]estimate.Snapshot
 	// ApplyReport takes the report of a source.
 	ApplyReport(source string, report upstreamstate.Report)
 	// SetBehind takes whether others are known to have rows that this instance lacks.
 	SetBehind(behind bool)
 	Limits
 	// SetGrantShare takes the part of upstreams' limits that this instance gives out; 0 for
-	// none. GrantLimited decides on one send to such an upstream.
+	// none. DecideGrant decides on one send to such an upstream.
 	SetGrantShare(share float64)
 	DecideGrant(ask quota.GrantRequest) quota.Verdict
 	// GrantRetry gives a further send to a service away, from the pool that this instance
@@ -168,7 +168,7 @@
 func (r *Reporter) ownReports(times bool) []*sfv1.InstanceReport {
 	report := r.loads.OwnReport()
 	if times {
-		report.Times = r.loads.Learned()
+		report.Times = r.loads.LearnedTimes()
 	}
 	var messages []*sfv1.InstanceReport
 	for _, part := range report.Split() {
@@ -195,7 +195,7 @@
 	}
 	report := r.loads.ZoneReport()
 	if times {
-		report.Times = r.loads.Learned()
+		report.Times = r.loads.LearnedTimes()
 	}
 	message := r.newDatagram(sfv1.Datagram_KIND_ZONE)
 	message.Beyond = reportToMessage(report)
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -130,7 +130,7 @@
 	wantVersion(to, "2", "a", "b", "c")
 	p := Build(from, to, Costs{})
 	p.ID, p.State, p.Version = "x", StateConfirmed, 8
-	p.Stamp(to)
+	p.ClaimEngines(to)
 	to.Version = 8
 	to.Engine("a").Loaded, to.Engine("a").Plan = state("2"), ""
 	to.Engine("b").Routing = config.RoutingDraining
@@ -140,7 +140,7 @@
 	if !p.Cancel(to) {
 		t.Fatal("nothing to cancel")
 	}
-	if !to.Engine("b").Want.Equal(state("2")) || !to.Engine("c").Want.Equal(state("1")) || len(Running(to)) != 0 {
+	if !to.Engine("b").Want.Equal(state("2")) || !to.Engine("c").Want.Equal(state("1")) || len(RunningIDs(to)) != 0 {
 		t.Errorf("engines %+v", to.Engines)
 	}
 	if got := p.ProgressIn(to); got.State != "cancelled" || !slices.Equal(got.Steps, []StepState{StepDone, StepRunning, StepCancelled}) {
--- a/internal/relay/limits_test.go
+++ b/internal/relay/limits_test.go
@@ -14,46 +14,47 @@
 	"sassafrasfield/internal/upstreamstate"
 )
 
-// coordinator answers the questions for grants by script.
-type coordinator struct {
+// fakeCoordinator answers grant requests from a script.
+type fakeCoordinator struct {
 	// decide answers them; nil grants all.
 	decide func(quota.GrantRequest) quota.Verdict
 
-	mu   sync.Mutex // protects asks
-	asks []quota.GrantRequest
+	mu       sync.Mutex // protects requests
+	requests []quota.GrantRequest
 }
 
-func (c *coordinator) ask(_ context.Context, a quota.GrantRequest) quota.Verdict {
+func (c *fakeCoordinator) request(_ context.Context, request quota.GrantRequest) quota.Verdict {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.asks = append(c.asks, a)
+	c.requests = append(c.requests, request)
 	if c.decide == nil {
 		return quota.Verdict{Granted: true}
 	}
-	return c.decide(a)
+	return c.decide(request)
 }
 
-// count is how often it was asked.
-func (c *coordinator) count() int {
+// count returns how many requests it received.
+func (c *fakeCoordinator) count() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.asks)
+	return len(c.requests)
 }
 
-// limitedRelay is a relay before upstreams that have announced a limit, as far as named.
-func limitedRelay(t *testing.T, sender *fakeSender, c *coordinator, limited ...string) *Relay {
+// limitedRelay returns a relay in front of upstreams of which the given ones have announced a
+// limit.
+func limitedRelay(t *testing.T, sender *fakeSender, coordinator *fakeCoordinator, limited ...string) *Relay {
 	t.Helper()
 	r := newFake(t, sender)
-	plentiful(r)
-	r.SetGrantRequester(c.ask)
+	withLargeBudget(r)
+	r.SetGrantRequester(coordinator.request)
 	for _, id := range limited {
-		r.hear(r.picture.Upstream(id), limitOf(2))
+		r.applyStatus(r.upstreams.Upstream(id), limitStatus(2))
 	}
 	return r
 }
 
-// limitOf is an upstream's word on the requests a second that it takes.
-func limitOf(rate float64) upstreamstate.UpstreamStatus {
+// limitStatus returns an upstream's announcement of the requests per second that it accepts.
+func limitStatus(rate float64) upstreamstate.UpstreamStatus {
 	return upstreamstate.UpstreamStatus{Announcement: &quota.Announcement{Limited: true, Rate: rate}}
 }
 
@@ -62,34 +63,35 @@
 	allEngines = []string{"pre-1", "pre-2", "dec-1", "dec-2", "dec-3"}
 )
 
-func hashOfUpstream(id string) uint32 { return upstreamstate.Upstream{ID: id}.Incarnation() }
+func incarnationOf(id string) uint32 { return upstreamstate.Upstream{ID: id}.Incarnation() }
 
-// TestEachSendToALimitedUpstreamIsAskedFor: first sends and repeated ones, prompts alone and
-// processed anew, answers that go on elsewhere or at the engine with the copy of the run.
-func TestEachSendToALimitedUpstreamIsAskedFor(t *testing.T) {
+// TestEachSendToLimitedUpstreamRequestsGrant covers first sends and retries, prefills alone and
+// repeated ones, and answers that are resumed on another engine or on the one with the copy of the
+// run.
+func TestEachSendToLimitedUpstreamRequestsGrant(t *testing.T) {
 	for name, c := range map[string]struct {
 		sender *fakeSender
 		req    *Request
 		sends  int
 	}{
-		"a call":                    {&fakeSender{}, call("/unsafe/1"), 1},
-		"a call that is repeated":   {&fakeSender{run: failFirst(ErrNoValidAnswer, func() *Reply { return reply(200, strings.NewReader("a")) })}, call("/safe/1"), 2},
-		"a call that is refused":    {&fakeSender{run: failFirst(ErrRefused, func() *Reply { return reply(200, strings.NewReader("a")) })}, call("/unsafe/1"), 2},
-		"a prompt and its answer":   {&fakeSender{}, longPrompt("/once/1"), 2},
-		"a prompt processed anew":   {&fakeSender{run: failFirst(ErrRefused, wholeEvents)}, longPrompt("/once/1"), 4},
-		"a prompt that fails":       {&fakeSender{prefill: failFirstPrompt}, longPrompt("/once/1"), 3},
-		"an answer that goes on":    {&fakeSender{run: cutFirst}, longPrompt("/resumable/1"), 4},
-		"an answer from its copy":   {&fakeSender{run: cutFirst}, shortOnce(), 2},
-		"a short prompt, directly":  {&fakeSender{}, shortOnce(), 1},
-		"an answer asked for again": {&fakeSender{}, resumedPrompt(), 2},
+		"a call":                          {&fakeSender{}, call("/unsafe/1"), 1},
+		"a call that is retried":          {&fakeSender{run: failFirst(ErrNoValidAnswer, func() *Reply { return reply(200, strings.NewReader("a")) })}, call("/safe/1"), 2},
+		"a call that is refused":          {&fakeSender{run: failFirst(ErrRefused, func() *Reply { return reply(200, strings.NewReader("a")) })}, call("/unsafe/1"), 2},
+		"a prompt and its answer":         {&fakeSender{}, longPrompt("/once/1"), 2},
+		"a prompt processed again":        {&fakeSender{run: failFirst(ErrRefused, wholeEvents)}, longPrompt("/once/1"), 4},
+		"a prompt that fails":             {&fakeSender{prefill: failFirstPrompt}, longPrompt("/once/1"), 3},
+		"a resumed answer":                {&fakeSender{run: cutFirst}, longPrompt("/resumable/1"), 4},
+		"an answer continued at its copy": {&fakeSender{run: cutFirst}, shortOnce(), 2},
+		"a short prompt, directly":        {&fakeSender{}, shortOnce(), 1},
+		"a resumption by the caller":      {&fakeSender{}, resumedPrompt(), 2},
 	} {
-		asked := &coordinator{}
-		r := limitedRelay(t, c.sender, asked, append(allApps, allEngines...)...)
+		coordinator := &fakeCoordinator{}
+		r := limitedRelay(t, c.sender, coordinator, append(allApps, allEngines...)...)
 		if _, err := serve(r, c.req); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
-		if sends := c.sender.count(); sends != asked.count() || sends != c.sends {
-			t.Errorf("%s: %d sends, want %d, with %d questions", name, sends, c.sends, asked.count())
+		if sends := c.sender.count(); sends != coordinator.count() || sends != c.sends {
+			t.Errorf("%s: %d sends, want %d, with %d grant requests", name, sends, c.sends, coordinator.count())
 		}
 	}
 }
@@ -106,10 +108,10 @@
 	}
 }
 
-// cutFirst breaks the first answer off.
+// cutFirst cuts the first answer off.
 func cutFirst(n int, _ Send) (*Reply, error) {
 	if n == 1 {
-		return cutAfter("id: 1\ndata: a\n\n"), nil
+		return truncated("id: 1\ndata: a\n\n"), nil
 	}
 	return events("id: 2\ndata: b\n\n"), nil
 }
@@ -133,15 +135,15 @@
 	return req
 }
 
-// TestWhatOneUpstreamHasNoRoomForGoesToAnother: at once, and it is no repeat that a budget pays
-// for.
-func TestWhatOneUpstreamHasNoRoomForGoesToAnother(t *testing.T) {
+// TestExhaustedUpstreamIsSkippedWithoutRetry checks that another upstream is tried at once if one
+// has no room, and that this uses no retry budget.
+func TestExhaustedUpstreamIsSkippedWithoutRetry(t *testing.T) {
 	for _, path := range []string{"/unsafe/1", "/safe/1", "/once/1"} {
 		sender := &fakeSender{}
-		asked := &coordinator{decide: func(a quota.GrantRequest) quota.Verdict {
+		coordinator := &fakeCoordinator{decide: func(request quota.GrantRequest) quota.Verdict {
 			return quota.Verdict{RetryIn: time.Minute}
 		}}
-		r := limitedRelay(t, sender, asked, "app-1", "app-2", "pre-1", "dec-1", "dec-2")
+		r := limitedRelay(t, sender, coordinator, "app-1", "app-2", "pre-1", "dec-1", "dec-2")
 		r.SetBudget(BudgetSettings{Window: time.Second})
 		r.SetPoolRequester(func(context.Context, uint32) bool { return false })
 		for n := range 20 {
@@ -154,20 +156,20 @@
 				t.Fatalf("%s: %v", path, err)
 			}
 		}
-		for _, one := range sender.calls {
-			if one.to != "app-3" && one.to != "pre-2" && one.to != "dec-3" {
-				t.Errorf("%s reached %s", path, one.to)
+		for _, c := range sender.calls {
+			if c.to != "app-3" && c.to != "pre-2" && c.to != "dec-3" {
+				t.Errorf("%s reached %s", path, c.to)
 			}
 		}
-		if n := asked.count(); n > 3 {
-			t.Errorf("%s: asked %d times, though the first answers said when to ask again", path, n)
+		if n := coordinator.count(); n > 3 {
+			t.Errorf("%s: %d grant requests, though the first verdicts said when to retry", path, n)
 		}
 	}
 }
 
-// TestWhatNoUpstreamHasRoomForIsRefusedAtOnce: as not run, with the time after which there is
-// room again; no prompt is processed for it.
-func TestWhatNoUpstreamHasRoomForIsRefusedAtOnce(t *testing.T) {
+// TestRequestIsRefusedIfAllLimitsAreExhausted checks that the refusal says that nothing ran and
+// when there is room again, and that no prompt is processed for it.
+func TestRequestIsRefusedIfAllLimitsAreExhausted(t *testing.T) {
 	const room = 700 * time.Millisecond
 	for name, c := range map[string]struct {
 		path    string
@@ -180,25 +182,25 @@
 		"engines that generate, resumed": {"/resumable/1", allEngines[2:]},
 	} {
 		sender := &fakeSender{}
-		r := limitedRelay(t, sender, &coordinator{decide: func(quota.GrantRequest) quota.Verdict {
+		r := limitedRelay(t, sender, &fakeCoordinator{decide: func(quota.GrantRequest) quota.Verdict {
 			return quota.Verdict{RetryIn: room}
 		}}, c.limited...)
-		for range 2 { // the second one asks nobody
+		for range 2 { // the second one requests no grant
 			req := longPrompt(c.path)
 			if strings.HasPrefix(name, "calls") {
 				req.Prompt = nil
 			}
-			began := time.Now()
+			started := time.Now()
 			_, err := serve(r, req)
 			var refusal *Refusal
 			if !errors.As(err, &refusal) || refusal.Outcome != NotRun || refusal.Reason != "the upstreams' limits leave no room" {
 				t.Fatalf("%s: %v", name, err)
 			}
 			if refusal.RetryIn < room/2 || refusal.RetryIn > 2*room {
-				t.Errorf("%s: come back in %s, there is room in %s", name, refusal.RetryIn, room)
+				t.Errorf("%s: retry in %s, there is room in %s", name, refusal.RetryIn, room)
 			}
-			if took := time.Since(began); took > room {
-				t.Errorf("%s: refused after %s", name, took)
+			if elapsed := time.Since(started); elapsed > room {
+				t.Errorf("%s: refused after %s", name, elapsed)
 			}
 		}
 		if n := sender.count(); n > 0 {
@@ -207,56 +209,58 @@
 	}
 }
 
-// TestAnAnswerThatHasBegunIsAskedForAsSuch: it goes before others, and is not held back by what
-// these were told.
-func TestAnAnswerThatHasBegunIsAskedForAsSuch(t *testing.T) {
-	asked := &coordinator{}
+// TestResumedAnswerRequestsGrantAsContinuation checks that the grant request for a resumed answer
+// is marked as such, since those take precedence, and that it is made even if the limit is known to
+// be exhausted for other requests.
+func TestResumedAnswerRequestsGrantAsContinuation(t *testing.T) {
+	coordinator := &fakeCoordinator{}
 	sender := &fakeSender{run: cutFirst}
-	r := limitedRelay(t, sender, asked, allEngines...)
-	asked.decide = func(a quota.GrantRequest) quota.Verdict {
-		if len(asked.asks) == 2 { // the answer began; all others find nothing from now on
+	r := limitedRelay(t, sender, coordinator, allEngines...)
+	coordinator.decide = func(request quota.GrantRequest) quota.Verdict {
+		if len(coordinator.requests) == 2 { // the answer has begun; no limit has room for other requests from now on
 			for _, id := range allEngines {
-				r.picture.MarkExhausted(hashOfUpstream(id), 0, time.Minute)
+				r.upstreams.MarkExhausted(incarnationOf(id), 0, time.Minute)
 			}
 		}
-		return quota.Verdict{Granted: len(asked.asks) <= 2 || a.Continues}
+		return quota.Verdict{Granted: len(coordinator.requests) <= 2 || request.Continues}
 	}
 	w, err := serve(r, shortOnce())
 	if err != nil || !strings.Contains(w.Body.String(), "data: b") {
 		t.Errorf("%v, %q", err, w.Body)
 	}
-	if last := asked.asks[len(asked.asks)-1]; !last.Continues {
+	if last := coordinator.requests[len(coordinator.requests)-1]; !last.Continues {
 		t.Errorf("%+v", last)
 	}
 }
 
-// TestRefusalsTellLimitsToo: an upstream in need refuses, and says what it takes.
-func TestRefusalsTellLimitsToo(t *testing.T) {
+// TestLimitsInRefusalsAreApplied: an overloaded upstream announces its limit with a refusal.
+func TestLimitsInRefusalsAreApplied(t *testing.T) {
 	sender := &fakeSender{}
 	sender.run = func(_ int, s Send) (*Reply, error) {
-		sender.hear(s.To, limitOf(1))
+		sender.handleStatus(s.To, limitStatus(1))
 		return nil, ErrRefused
 	}
-	asked := &coordinator{}
-	r := limitedRelay(t, sender, asked)
+	coordinator := &fakeCoordinator{}
+	r := limitedRelay(t, sender, coordinator)
 	for range 2 {
-		if _, err := serve(r, call("/unsafe/1")); wordOf(t, err) != NotRun {
+		if _, err := serve(r, call("/unsafe/1")); outcomeOf(t, err) != NotRun {
 			t.Error(err)
 		}
 	}
-	if asked.count() == 0 {
-		t.Error("nobody was asked for a send to upstreams whose refusals named limits")
+	if coordinator.count() == 0 {
+		t.Error("no grant was requested for sends to upstreams whose refusals announced limits")
 	}
 }
 
-// TestWithoutACoordinatorALimitedUpstreamGetsNothing: nobody knows what others send.
-func TestWithoutACoordinatorALimitedUpstreamGetsNothing(t *testing.T) {
+// TestLimitedUpstreamReceivesNothingWithoutCoordinator: without one, it is unknown what other
+// instances send.
+func TestLimitedUpstreamReceivesNothingWithoutCoordinator(t *testing.T) {
 	sender := &fakeSender{}
 	r := newFake(t, sender)
 	for _, id := range allApps {
-		r.hear(r.picture.Upstream(id), limitOf(2))
+		r.applyStatus(r.upstreams.Upstream(id), limitStatus(2))
 	}
-	if _, err := serve(r, call("/safe/1")); wordOf(t, err) != NotRun || sender.count() > 0 {
+	if _, err := serve(r, call("/safe/1")); outcomeOf(t, err) != NotRun || sender.count() > 0 {
 		t.Errorf("%v, %d sends", err, sender.count())
 	}
 	if verdict := r.DecideGrant(quota.GrantRequest{Limit: quota.UpstreamLimit{Upstream: 1, Rate: 2}}); verdict.Granted {
@@ -264,30 +268,30 @@
 	}
 }
 
-// TestAnUpstreamThatStartsAgainHasNoLimit: answers of the start before come late.
-func TestAnUpstreamThatStartsAgainHasNoLimit(t *testing.T) {
-	asked := &coordinator{}
-	r := limitedRelay(t, &fakeSender{}, asked, "app-1")
-	before := r.picture.Upstream("app-1")
-	again := before
-	again.StartedAt = 7
-	r.UpdateUpstream(again)
-	r.hear(before, limitOf(1))
-	w, _, known := r.picture.Limit(again.Incarnation(), r.now())
-	if w.Limited() || known {
-		t.Errorf("it is kept to %+v", w)
+// TestRestartedUpstreamHasNoLimit: answers from before the restart arrive late.
+func TestRestartedUpstreamHasNoLimit(t *testing.T) {
+	coordinator := &fakeCoordinator{}
+	r := limitedRelay(t, &fakeSender{}, coordinator, "app-1")
+	before := r.upstreams.Upstream("app-1")
+	restarted := before
+	restarted.StartedAt = 7
+	r.UpdateUpstream(restarted)
+	r.applyStatus(before, limitStatus(1))
+	limit, _, known := r.upstreams.Limit(restarted.Incarnation(), r.now())
+	if limit.Limited() || known {
+		t.Errorf("it is limited to %+v", limit)
 	}
 }
 
-// TestAWordThatCannotBeReadChangesNothing: neither that there is a limit nor that there is none.
-func TestAWordThatCannotBeReadChangesNothing(t *testing.T) {
-	r := limitedRelay(t, &fakeSender{}, &coordinator{}, "app-1")
+// TestUnparsableAnnouncementChangesNothing: it neither sets nor removes a limit.
+func TestUnparsableAnnouncementChangesNothing(t *testing.T) {
+	r := limitedRelay(t, &fakeSender{}, &fakeCoordinator{}, "app-1")
 	for _, id := range []string{"app-1", "app-2"} {
-		r.hear(r.picture.Upstream(id), upstreamstate.UpstreamStatus{ParseErrors: []error{errors.New("no rate")}})
+		r.applyStatus(r.upstreams.Upstream(id), upstreamstate.UpstreamStatus{ParseErrors: []error{errors.New("no rate")}})
 	}
-	for id, limits := range map[string]bool{"app-1": true, "app-2": false} {
-		if w, _, _ := r.picture.Limit(hashOfUpstream(id), r.now()); w.Limited() != limits {
-			t.Errorf("%s: %+v", id, w)
+	for id, limited := range map[string]bool{"app-1": true, "app-2": false} {
+		if limit, _, _ := r.upstreams.Limit(incarnationOf(id), r.now()); limit.Limited() != limited {
+			t.Errorf("%s: %+v", id, limit)
 		}
 	}
 }
--- a/internal/rolekeeper/target.go
+++ b/internal/rolekeeper/target.go
@@ -36,7 +36,7 @@
 }
 
 func (k *Keeper) readTarget(ctx context.Context, service string) (roles.Target, error) {
-	target := k.settings.Target
+	target := k.settings.InitialTarget
 	row, err := k.table.Get(ctx, targetKey(service))
 	if errors.Is(err, platform.ErrNotFound) {
 		return target, nil
@@ -62,7 +62,7 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	_, err = k.table.Commit(ctx, platform.Txn{
-		Checks: []platform.Check{{Key: leaserows.EpochKey(Lease), Revision: grant.EpochRevision}},
+		Checks: []platform.Check{{Key: leaserows.EpochKey(LeaseName), Revision: grant.EpochRevision}},
 		Writes: []platform.Write{{Key: targetKey(service), Value: value}},
 	})
 	if err != nil {
