--- a/internal/relay/backoff_test.go
+++ b/internal/relay/backoff_test.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// TestBackoffDuringGrantRequestIsObserved guards against sending a request to the upstream chosen
-// for it, though that requested a backoff meanwhile.
+// TestBackoffDuringGrantRequestIsObserved guards against sending a request to an upstream that
+// requested a backoff after it was chosen.
 func TestBackoffDuringGrantRequestIsObserved(t *testing.T) {
 	for _, req := range []*Request{call("/unsafe/1"), longPrompt("/once/1"), shortOnce()} {
 		sender := &fakeSender{}
--- a/internal/relay/draining_test.go
+++ b/internal/relay/draining_test.go
@@ -96,8 +96,8 @@
 	}
 }
 
-// TestDrainAnnouncedDuringGrantRequestIsObserved guards against sending a request to the upstream
-// chosen for it, though that announced meanwhile that it is draining.
+// TestDrainAnnouncedDuringGrantRequestIsObserved guards against sending a request to an upstream
+// that announced that it is draining after it was chosen.
 func TestDrainAnnouncedDuringGrantRequestIsObserved(t *testing.T) {
 	for _, req := range []*Request{call("/unsafe/1"), longPrompt("/once/1"), shortOnce()} {
 		sender := &fakeSender{}
@@ -175,8 +175,8 @@
 	}
 }
 
-// TestReservedEngineThatDrainsIsNotUsed guards against generating the answer on the engine that has
-// room reserved for it, though that is draining.
+// TestReservedEngineThatDrainsIsNotUsed guards against generating the answer on an engine that is
+// draining, although room is reserved there.
 func TestReservedEngineThatDrainsIsNotUsed(t *testing.T) {
 	sender := &fakeSender{}
 	coordinator := &fakeCoordinator{}
--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -39,7 +39,7 @@
 	backup upstreamstate.Upstream
 }
 
-// generate delivers a generated answer to the caller, from as many engines as that takes and as the
+// generate delivers a generated answer to the caller, from as many engines as needed and as the
 // route allows.
 func (r *Relay) generate(ctx context.Context, x *exchange, w http.ResponseWriter) error {
 	g := &generation{exchange: x, relay: r, w: w, lastEvent: x.req.LastEvent}
--- a/internal/relay/limits_test.go
+++ b/internal/relay/limits_test.go
@@ -217,7 +217,7 @@
 	sender := &fakeSender{run: cutFirst}
 	r := limitedRelay(t, sender, coordinator, allEngines...)
 	coordinator.decide = func(request quota.GrantRequest) quota.Verdict {
-		if len(coordinator.requests) == 2 { // the answer has begun; no limit has room for other requests from now on
+		if len(coordinator.requests) == 2 { // the answer has begun; other requests find no room from now on
 			for _, id := range allEngines {
 				r.upstreams.MarkExhausted(incarnationOf(id), 0, time.Minute)
 			}
--- a/internal/relay/meters.go
+++ b/internal/relay/meters.go
@@ -67,11 +67,11 @@
 		r.log.Info("relay: done", "request", req.ID, "outcome", outcome)
 		return
 	}
-	took := r.now() - x.arrived
-	observe(x.route.Kind.String(), took)
+	elapsed := r.now() - x.arrived
+	observe(x.route.Kind.String(), elapsed)
 	r.log.Info("relay: done", "request", req.ID, "outcome", outcome, "route", x.route.Name, "kind", x.route.Kind.String(),
 		"config", x.version, "config_age", x.age.Round(time.Millisecond), "upstream", x.upstream, "prefill", x.prefill,
-		"ahead", x.ahead, "predicted", x.predicted, "sends", x.attempts.Sends(), "runs", x.attempts.Runs(), "status", x.status, "took", took, "cause", lastFailure(x))
+		"ahead", x.ahead, "predicted", x.predicted, "sends", x.attempts.Sends(), "runs", x.attempts.Runs(), "status", x.status, "took", elapsed, "cause", lastFailure(x))
 }
 
 func lastFailure(x *exchange) string {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -61,7 +61,7 @@
 		Placement:          placement.DefaultSettings(),
 		Prior:              estimate.DefaultPrior(),
 		MaxSends:           4,
-		PrefillIdleTimeout: 1200 * time.Millisecond, // longer than a busy engine's queue, shorter than most deadlines
+		PrefillIdleTimeout: 1200 * time.Millisecond, // longer than a busy engine's queue, below most deadlines
 		StreamIdleTimeout:  1200 * time.Millisecond, // callers disconnect after two seconds without an event
 		RetryIn:            150 * time.Millisecond,  // about the processing time of one long prompt
 		// Of 79 instances that start at once, half have the configuration after 0.55 s, the last after 0.9 s.
@@ -113,7 +113,7 @@
 	return r
 }
 
-// notifyChanged implements upstreamstate.Settings.Changed.
+// notifyChanged implements upstreamstate.Settings.OnChange.
 func (r *Relay) notifyChanged() {
 	select {
 	case r.changed <- struct{}{}:
@@ -157,7 +157,7 @@
 // EngineTimes returns the processing times of a service's engines.
 func (r *Relay) EngineTimes(service string) upstreamstate.Times { return r.upstreams.Times(service) }
 
-// MarkUnavailable has all instances exclude an upstream for the time d in which it accepts no
+// MarkUnavailable has all instances exclude an upstream for the time d, in which it accepts no
 // requests, or until its role has changed.
 func (r *Relay) MarkUnavailable(id string, d time.Duration) {
 	r.upstreams.MarkUnavailable(id, r.now()+d)
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -9,7 +9,7 @@
 // instance's own reports.
 //
 // Adapters convert requests and answers on both sides; see Sender for the upstreams' side. The
-// decisions are made by packages outcome, retry, load, route and routes.
+// decisions are made by packages outcome, retry, load, placement and routes.
 package relay
 
 import (
@@ -95,8 +95,7 @@
 // upstream can finish that run, so that it does not count as new work.
 func (s Send) continuesAtCopy() bool { return s.Continues && s.KV.Engine.ID == s.To.ID }
 
-// Reply is an upstream's answer to a request that it ran. Its body must be
-// closed.
+// Reply is an upstream's answer to a request that it ran. Its body must be closed.
 type Reply struct {
 	Status int
 	// Header holds the upstream's fields that are passed to the caller.
@@ -152,7 +151,7 @@
 type Sender interface {
 	// SetStatusHandler sets the function to call with what upstreams state about themselves in
 	// any answer, whatever was requested. It is called once, before all other methods.
-	SetStatusHandler(hear func(from upstreamstate.Upstream, s upstreamstate.UpstreamStatus))
+	SetStatusHandler(handle func(from upstreamstate.Upstream, status upstreamstate.UpstreamStatus))
 	// Send runs a request on an upstream and returns when its answer begins.
 	Send(ctx context.Context, req *Request, s Send) (*Reply, error)
 	// Prefill makes an engine process the prompt of a request and keep the KV cache.
@@ -160,7 +159,7 @@
 	// Free drops a KV cache that will not be fetched.
 	Free(ctx context.Context, kv KV) error
 	// Crashed reports whether an upstream's process has ended: its machine responds, but no process
-	// listens at its address, or that of another upstream does. The latter is checked with a
+	// listens at its address, or the process of another upstream does. The latter is checked with a
 	// request to the health path if the service has one. An error means that the state could not be
 	// determined.
 	Crashed(ctx context.Context, to upstreamstate.Upstream, healthPath string) (bool, error)
--- a/internal/relay/sendcheck.go
+++ b/internal/relay/sendcheck.go
@@ -9,8 +9,8 @@
 // errKeyRevoked: the organisation's key was revoked while the request was in progress.
 var errKeyRevoked = errors.New("relay: the API key was revoked")
 
-// impairedError: requests do not reach upstreams because of this instance's own link, or the instance
-// cannot know which upstreams are draining.
+// impairedError: requests do not reach upstreams because of this instance's own link, or the
+// instance cannot know which upstreams are draining.
 type impairedError struct {
 	reason ownlink.Trouble
 }
