--- a/internal/peers/batch.go
+++ b/internal/peers/batch.go
@@ -7,22 +7,23 @@
 	sfv1 "sassafrasfield/internal/gen/sf/v1"
 )
 
-// batch is what an instance that passes reports on sends to its zone next. It grows as long
-// as the link bears it.
+// batch is the next message of a hub to the instances of its zone. Reports are added to it as
+// long as the link's allowance permits.
 type batch struct {
 	reports *Reporter
 	message *sfv1.Datagram
 	to      []string
-	bytes   int // of the message
+	bytes   int // size of the message
 }
 
-// sendBatch sends a batch to the instances of the zone: the platform's rows and who there is
-// each time, and as much of the loads as the link bears. The reports of single instances and
-// what the other zones have come first by turns, so that neither waits for good.
+// sendBatch sends a batch to the instances of the zone. Each batch has the new rows and the
+// status of the fleet, and as many reports as the link's allowance permits. The reports of this
+// zone's instances and the report on the other zones come first in alternate batches, so that
+// neither waits forever.
 func (r *Reporter) sendBatch(times bool) {
-	word := r.exchange.nextBatchHeader()
+	header := r.exchange.nextBatchHeader()
 	message := r.newDatagram(sfv1.Datagram_KIND_BATCH)
-	message.Peers, message.Instances, message.Readers = peersToMessages(word.peers), uint32(word.instances), uint32(word.readers)
+	message.Peers, message.Instances, message.Readers = peersToMessages(header.peers), uint32(header.instances), uint32(header.readers)
 	message.Coordinator = r.exchange.coordinator()
 	r.addRows(message)
 	b := &batch{reports: r, message: message, to: r.exchange.zoneAddresses(), bytes: proto.Size(message)}
@@ -36,12 +37,12 @@
 	r.allowance.Spend(r.send(message, b.to))
 }
 
-// hasRoom tells whether the link bears more than the batch has.
+// hasRoom reports whether the link's allowance permits more than the batch has.
 func (b *batch) hasRoom() bool {
 	return b.reports.allowance.Allows(b.bytes*len(b.to), b.reports.exchange.now())
 }
 
-// addOtherZones adds what the other zones have.
+// addOtherZones adds the report on the other zones.
 func (b *batch) addOtherZones() {
 	if !b.hasRoom() {
 		return
@@ -50,7 +51,7 @@
 	b.bytes += proto.Size(b.message.Beyond)
 }
 
-// addReports adds this instance's report, and those of the others that wait.
+// addReports adds this instance's report and the pending reports of the others.
 func (b *batch) addReports(times bool) {
 	if !b.hasRoom() {
 		return
@@ -72,11 +73,11 @@
 	b.bytes += proto.Size(report)
 }
 
-// maxRowsBytes bounds the rows that a batch brings: an upstream's entry has some 300
-// bytes. More are pulled.
+// maxRowsBytes bounds the rows in a batch: the row of an upstream has some 300 bytes. Receivers
+// pull the rows if there are more.
 const maxRowsBytes = 2048
 
-// addRows has a batch bring the rows that changed since the last one.
+// addRows adds the rows that changed since the last batch.
 func (r *Reporter) addRows(message *sfv1.Datagram) {
 	since := r.lastRevisions
 	r.lastRevisions = message.GetRevisions()
--- a/internal/peers/grants.go
+++ b/internal/peers/grants.go
@@ -12,24 +12,25 @@
 )
 
 const (
-	// coordinateAfter is how long a process has run when it may coordinate the grants:
-	// until then it may not have heard of those who do.
+	// coordinateAfter is how long a process must have run before it may coordinate the grants:
+	// until then it may not know the instances that do.
 	coordinateAfter = 1500 * time.Millisecond
-	// grantRequestTimeout bounds a question to the coordinator, which may be in another zone, a
-	// round trip of some 2 ms away, and takes up to 20 ms when it is busy.
+	// grantRequestTimeout bounds a request to the coordinator, which may be in another zone. A
+	// round trip there takes some 2 ms, and a busy coordinator answers within 20 ms.
 	grantRequestTimeout = 80 * time.Millisecond
-	// grantResendDelay is when a question without a word is sent once more: it or its answer may
-	// be lost, and a grant that nobody hears of is one request less for the upstream.
+	// grantResendDelay is when a request without an answer is sent once more. The request or its
+	// answer may be lost, and a lost grant is one request less for the upstream.
 	grantResendDelay = 30 * time.Millisecond
-	// minorityShare is how much of their part those give out who reach the fewer instances:
-	// what their upstreams may get at once comes on top of the rates.
+	// minorityShare is the factor on the share of the limits that a coordinator grants which
+	// reaches half of the instances or fewer. It is below 1 because upstreams may get a burst on
+	// top of their rates.
 	minorityShare = 0.8
 )
 
-// The hub that ranks first of those of all zones coordinates the grants. Hubs know it from
-// the zones' reports, all others from their hub's batches.
+// Of the hubs of all zones, the one that ranks first coordinates the grants. Hubs know it from the
+// reports of the other zones, all other instances from the batches of their hub.
 
-// mayCoordinate tells whether this instance could coordinate the grants.
+// mayCoordinate reports whether this instance may coordinate the grants.
 func (e *Exchange) mayCoordinate() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -41,14 +42,14 @@
 	return now >= coordinateAfter && e.isHub(now)
 }
 
-// coordinates tells whether this instance coordinates the grants. The lock is held.
+// coordinates reports whether this instance coordinates the grants. The lock is held.
 func (e *Exchange) coordinates(now time.Duration) bool {
 	_, id := e.firstHub(now)
 	return e.canCoordinate(now) && e.id > id
 }
 
-// firstHub is the hub of another zone that ranks first of those that may coordinate; nil for
-// none. The lock is held.
+// firstHub returns the hub that ranks first among the hubs of other zones that may coordinate,
+// and its ID; nil for none. The lock is held.
 func (e *Exchange) firstHub(now time.Duration) (*peerState, fanout.ID) {
 	var first *peerState
 	var rank fanout.ID
@@ -60,8 +61,8 @@
 	return first, rank
 }
 
-// coordinator is the address of the instance that coordinates the grants, as far as it is
-// known here; empty for none.
+// coordinator returns the address of the instance that coordinates the grants, as known here;
+// empty for none.
 func (e *Exchange) coordinator() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -78,10 +79,11 @@
 	}
 }
 
-// grantShare is the part of upstreams' limits that this instance gives out; 0 when another
-// one does. Whoever reaches most of the instances gives out all, so that the death of a few
-// costs nothing. Those who are cut off with fewer give out less than their part, so that all
-// sides together stay below one and a half times the limits.
+// grantShare returns the share of the upstreams' limits that this instance grants; 0 if another
+// one coordinates. A coordinator that reaches most of the instances grants the full limits, so
+// that the failure of a few instances costs nothing. One that is cut off with a minority grants
+// less than the share of the instances it reaches, so that the parts of a split fleet together
+// stay below one and a half times the limits.
 func (e *Exchange) grantShare() float64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -102,8 +104,8 @@
 	return minorityShare * float64(reached) / float64(all)
 }
 
-// RequestGrant asks the coordinator for one send to an upstream with a limit. Without a word in
-// time there is none.
+// RequestGrant requests one send to an upstream with a limit from the coordinator. It returns a
+// refusal if no answer comes in time.
 func (r *Reporter) RequestGrant(ctx context.Context, ask quota.GrantRequest) quota.Verdict {
 	ask.From = uint64(r.exchange.id)
 	coordinator := r.exchange.coordinator()
@@ -116,17 +118,17 @@
 	id, answer := r.grantRequests.register()
 	defer r.grantRequests.cancel(id)
 	r.sendGrantRequest(id, ask, coordinator)
-	timer, again := time.NewTimer(grantRequestTimeout), time.NewTimer(grantResendDelay)
+	timer, resend := time.NewTimer(grantRequestTimeout), time.NewTimer(grantResendDelay)
 	defer timer.Stop()
-	defer again.Stop()
+	defer resend.Stop()
 	for {
 		select {
 		case verdict := <-answer:
 			return verdict
-		case <-again.C:
+		case <-resend.C:
 			r.sendGrantRequest(id, ask, coordinator)
 		case <-timer.C:
-			r.exchange.log.Info("peers: no word from the coordinator of the grants", "coordinator", coordinator)
+			r.exchange.log.Info("peers: no answer from the coordinator of the grants", "coordinator", coordinator)
 			return quota.Verdict{RetryIn: quota.NoCoordinatorRetry}
 		case <-ctx.Done():
 			return quota.Verdict{RetryIn: quota.NoCoordinatorRetry}
@@ -142,34 +144,34 @@
 	r.send(message, []string{to})
 }
 
-// handleGrantRequest answers a question for a send to an upstream with a limit.
-func (r *Reporter) handleGrantRequest(m *sfv1.LimitAsk, k *peerState) {
+// handleGrantRequest answers a request for a send to an upstream with a limit.
+func (r *Reporter) handleGrantRequest(m *sfv1.LimitAsk, peer *peerState) {
 	ask := quota.GrantRequest{
-		From: uint64(k.ID()), Limit: limitFromMessage(m.GetLimit()), FirstHand: m.GetFirstHand(), Priority: int(m.GetPriority()), Continues: m.GetContinues(),
+		From: uint64(peer.ID()), Limit: limitFromMessage(m.GetLimit()), FirstHand: m.GetFirstHand(), Priority: int(m.GetPriority()), Continues: m.GetContinues(),
 	}
-	verdict := r.verdicts.verdict(grantRequestKey{k.ID(), m.GetId()}, r.exchange.now(), func() quota.Verdict { return r.loads.DecideGrant(ask) })
+	verdict := r.verdicts.verdict(grantRequestKey{peer.ID(), m.GetId()}, r.exchange.now(), func() quota.Verdict { return r.loads.DecideGrant(ask) })
 	reply := r.newDatagram(sfv1.Datagram_KIND_LIMIT_VERDICT)
 	reply.LimitVerdict = &sfv1.LimitVerdict{Id: m.GetId(), Granted: verdict.Granted, RetryMs: uint32(verdict.RetryIn.Milliseconds())}
-	r.send(reply, []string{k.Address})
+	r.send(reply, []string{peer.Address})
 }
 
-// grantRequestKey names one for a send to an upstream with a limit.
+// grantRequestKey identifies a request for a send to an upstream with a limit.
 type grantRequestKey struct {
 	from fanout.ID
 	id   uint64
 }
 
-// cachedVerdict is a verdict on a question, as of when it was cachedVerdict.
+// cachedVerdict is a verdict and when it was given.
 type cachedVerdict struct {
 	verdict quota.Verdict
 	at      time.Duration
 }
 
-// verdictCache are those that were given lately, so that a question which comes twice is decided once.
+// verdictCache holds the recent verdicts, so that a request that arrives twice is decided once.
 type verdictCache struct {
 	mu      sync.Mutex // protects all below
 	entries map[grantRequestKey]cachedVerdict
-	// sweepAt is when to look for those that no question can ask for any more.
+	// sweepAt is when to remove the verdicts that are too old to be requested again.
 	sweepAt time.Duration
 }
 
@@ -177,7 +179,8 @@
 	return &verdictCache{entries: map[grantRequestKey]cachedVerdict{}}
 }
 
-// verdict returns the verdict on a question, which is decided unless that was done lately.
+// verdict returns the verdict on a request, and calls decide unless the request was decided
+// recently.
 func (v *verdictCache) verdict(q grantRequestKey, now time.Duration, decide func() quota.Verdict) quota.Verdict {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/peers/members.go
+++ b/internal/peers/members.go
@@ -9,52 +9,52 @@
 	"sassafrasfield/internal/gen/sf/v1/sfv1connect"
 )
 
-// hubTimeout is for how long a zone's hub counts after its last word: three of its
-// reports may be lost.
+// hubTimeout is how long the hub of a zone counts as alive after its last report: three reports
+// may be lost.
 const hubTimeout = 700 * time.Millisecond
 
-// addPeer takes note of a peer, which it returns; nil for this instance itself.
+// addPeer adds or updates a peer and returns its state; nil for this instance itself.
 func (e *Exchange) addPeer(p Peer) *peerState {
 	if p.Address == "" || p.Address == e.self.Address {
 		return nil
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	k, ok := e.peers[p.Address]
+	peer, ok := e.peers[p.Address]
 	if !ok {
-		k = &peerState{client: sfv1connect.NewReplicaServiceClient(e.client, "http://"+p.Address), addedAt: e.now()}
-		k.Address = p.Address
-		e.peers[p.Address] = k
+		peer = &peerState{client: sfv1connect.NewReplicaServiceClient(e.client, "http://"+p.Address), addedAt: e.now()}
+		peer.Address = p.Address
+		e.peers[p.Address] = peer
 		e.log.Info("peers: new peer", "peer", p.Name, "address", p.Address, "known", len(e.peers))
 	}
-	if p.Name != "" && k.Peer != p {
-		e.forgetID(k)
-		k.Peer = p
-		k.source = sourceOf(p.ID())
-		e.byID[p.ID()] = k
+	if p.Name != "" && peer.Peer != p {
+		e.forgetID(peer)
+		peer.Peer = p
+		peer.source = sourceOf(p.ID())
+		e.byID[p.ID()] = peer
 		if p.Zone == e.self.Zone {
 			e.roster.Introduce(p.ID(), e.now())
 		}
 	}
-	return k
+	return peer
 }
 
-// AddPeers takes note of peers that are listed elsewhere.
+// AddPeers adds peers that are listed elsewhere.
 func (e *Exchange) AddPeers(list []Peer) {
 	for _, p := range list {
 		e.addPeer(p)
 	}
 }
 
-// InstanceCount returns the number of instances there were lately, this one included, as far
-// as it is known here.
+// InstanceCount returns the recent peak of the number of instances known here, including this
+// one.
 func (e *Exchange) InstanceCount() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return max(e.recentCount.value, len(e.peers)+1)
 }
 
-// currentCount is how many instances there are now. The lock is held.
+// currentCount returns the number of instances now. The lock is held.
 func (e *Exchange) currentCount(now time.Duration) int {
 	total := e.roster.KnownCount()
 	for _, z := range e.zones {
@@ -66,11 +66,11 @@
 	return total
 }
 
-// countRetention is for how long a count holds that fell since: instances that are cut off
-// have their part of what all share still.
+// countRetention is how long a count is kept after the number of instances fell. Instances that
+// are cut off from this one still use their share of the common budgets.
 const countRetention = forgetAfter
 
-// recentPeak is the highest of the values of a time.
+// recentPeak is the highest of the values of the last countRetention.
 type recentPeak struct {
 	value int
 	at    time.Duration
@@ -82,25 +82,24 @@
 	}
 }
 
-// IsHub tells whether this instance passes the reports of its zone on.
+// IsHub reports whether this instance is its zone's hub, which relays the reports of the zone.
 func (e *Exchange) IsHub() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.isHub(e.now())
 }
 
-// isHub is Passes. The lock is held.
+// isHub is IsHub. The lock is held.
 func (e *Exchange) isHub(now time.Duration) bool {
-	passes := e.roster.ShouldRelay(now)
-	if passes != e.wasHub {
-		e.wasHub, e.hubSince = passes, now
-		e.log.Info("peers: passing reports on", "passes", passes, "rank", e.roster.Rank(now), "known", e.roster.KnownCount())
+	isHub := e.roster.ShouldRelay(now)
+	if isHub != e.wasHub {
+		e.wasHub, e.hubSince = isHub, now
+		e.log.Info("peers: hub role changed", "passes", isHub, "rank", e.roster.Rank(now), "known", e.roster.KnownCount())
 	}
-	return passes
+	return isHub
 }
 
-// HubDuration is for how long this instance has passed the reports of its zone on; 0
-// when it does not.
+// HubDuration returns how long this instance has been its zone's hub; 0 if it is not the hub.
 func (e *Exchange) HubDuration() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -111,16 +110,15 @@
 	return now - e.hubSince
 }
 
-// ZoneInstanceCount counts the live instances of this zone, this one included.
+// ZoneInstanceCount returns the number of live instances of this zone, including this one.
 func (e *Exchange) ZoneInstanceCount() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.roster.AliveCount(e.now())
 }
 
-// Hubs lists the instances that pass reports on, by name, as far as it is known here.
-// An instance that has just started takes itself for one until it hears of others, and
-// does not name itself.
+// Hubs lists the names of the hubs known here. An instance that has just started takes itself for
+// a hub until it receives reports of others, so it does not list itself during that time.
 func (e *Exchange) Hubs() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -138,18 +136,18 @@
 	return names
 }
 
-// sweep forgets the peers that were silent for long, but for the seeds.
+// sweep removes the peers that have been silent for longer than forgetAfter, except the seeds.
 func (e *Exchange) sweep() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.now()
-	for address, k := range e.peers {
-		silent := now - max(k.lastSeen, k.addedAt)
+	for address, peer := range e.peers {
+		silent := now - max(peer.lastSeen, peer.addedAt)
 		if silent <= forgetAfter || slices.Contains(e.seeds, address) {
 			continue
 		}
-		e.forget(k)
-		e.log.Info("peers: forgotten", "peer", k.Name, "address", address, "silent", silent)
+		e.forget(peer)
+		e.log.Info("peers: silent peer removed", "peer", peer.Name, "address", address, "silent", silent)
 	}
 	for zone, z := range e.zones {
 		if now-z.at > forgetAfter {
@@ -159,59 +157,59 @@
 	e.recentCount.note(e.currentCount(now), now)
 }
 
-// forget drops a peer. The lock is held.
-func (e *Exchange) forget(k *peerState) {
-	delete(e.peers, k.Address)
-	e.forgetID(k)
+// forget removes a peer. The lock is held.
+func (e *Exchange) forget(peer *peerState) {
+	delete(e.peers, peer.Address)
+	e.forgetID(peer)
 }
 
-// forgetID drops what is known of a peer by its id, which its name and link make. The lock
+// forgetID removes what is stored under a peer's ID, which depends on its name and link. The lock
 // is held.
-func (e *Exchange) forgetID(k *peerState) {
-	id := k.ID()
-	if e.byID[id] == k {
+func (e *Exchange) forgetID(peer *peerState) {
+	id := peer.ID()
+	if e.byID[id] == peer {
 		delete(e.byID, id)
 		e.roster.Forget(id)
 		e.inbox.Forget(id)
 	}
 }
 
-// maxContacts bounds the peers that are named at once.
+// maxContacts bounds the number of peers of the requester's zone in one reply.
 const maxContacts = 64
 
-// contacts lists the instances of a zone, and one or two of each other zone, for
-// whoever asks; this one included. The lock is held.
+// contacts lists live instances of a zone, and one or two of each other zone, for an instance of
+// that zone. The list includes this instance. The lock is held.
 func (e *Exchange) contacts(zone string) []Peer {
 	list, now := []Peer{e.self}, e.now()
-	for _, k := range e.peers {
-		if k.Zone == zone && k.Name != "" && e.isAlive(k, now) && len(list) < maxContacts {
-			list = append(list, k.Peer)
+	for _, peer := range e.peers {
+		if peer.Zone == zone && peer.Name != "" && e.isAlive(peer, now) && len(list) < maxContacts {
+			list = append(list, peer.Peer)
 		}
 	}
 	for other := range e.otherZones() {
 		if other == zone {
 			continue
 		}
-		for _, k := range e.contactsOf(other, now) {
-			list = append(list, k.Peer)
+		for _, peer := range e.contactsOf(other, now) {
+			list = append(list, peer.Peer)
 		}
 	}
 	return list
 }
 
-// isAlive tells whether a peer gave a sign lately, or is new. The lock is held.
-func (e *Exchange) isAlive(k *peerState, now time.Duration) bool {
-	if k.Zone == e.self.Zone {
-		return e.roster.Alive(k.ID(), now)
+// isAlive reports whether a peer gave a sign of life recently or is new. The lock is held.
+func (e *Exchange) isAlive(peer *peerState, now time.Duration) bool {
+	if peer.Zone == e.self.Zone {
+		return e.roster.Alive(peer.ID(), now)
 	}
-	return k.failures == 0 && now-max(k.lastSeen, k.addedAt) <= otherZoneAliveTimeout
+	return peer.failures == 0 && now-max(peer.lastSeen, peer.addedAt) <= otherZoneAliveTimeout
 }
 
-// otherZoneAliveTimeout is for how long a peer of another zone counts as alive, of which only its
-// own zone hears often.
+// otherZoneAliveTimeout is how long a peer of another zone counts as alive after its last sign of
+// life. Only its own zone receives its reports often.
 const otherZoneAliveTimeout = 5 * time.Second
 
-// otherSeeds are the addresses of the seeds. The lock is held.
+// otherSeeds returns the addresses of the seeds other than this instance. The lock is held.
 func (e *Exchange) otherSeeds() []string {
 	var list []string
 	for _, address := range e.seeds {
@@ -222,49 +220,49 @@
 	return list
 }
 
-// otherZones are the zones of the known peers, but for this instance's. The lock is
-// held.
+// otherZones returns the known peers of the other zones, by zone. The lock is held.
 func (e *Exchange) otherZones() map[string][]*peerState {
 	zones := map[string][]*peerState{}
-	for _, k := range e.peers {
-		if k.Zone != "" && k.Zone != e.self.Zone {
-			zones[k.Zone] = append(zones[k.Zone], k)
+	for _, peer := range e.peers {
+		if peer.Zone != "" && peer.Zone != e.self.Zone {
+			zones[peer.Zone] = append(zones[peer.Zone], peer)
 		}
 	}
 	return zones
 }
 
-// contactsOf are whom to tell what concerns another zone: its hub, or any two
-// instances while no hub is heard. The lock is held.
+// contactsOf returns the peers to which reports for another zone are sent: its hub, or while no
+// hub is known to be alive, its last hub and random instances, two in all. The lock is held.
 func (e *Exchange) contactsOf(zone string, now time.Duration) []*peerState {
-	word, heard := e.zones[zone]
-	if heard && now-word.at <= hubTimeout {
-		return []*peerState{word.hub}
+	status, known := e.zones[zone]
+	if known && now-status.at <= hubTimeout {
+		return []*peerState{status.hub}
 	}
 	var list []*peerState
-	if heard {
-		list = append(list, word.hub)
+	if known {
+		list = append(list, status.hub)
 	}
-	for _, k := range e.peers {
-		if k.Zone == zone && (!heard || k != word.hub) {
-			list = append(list, k)
+	for _, peer := range e.peers {
+		if peer.Zone == zone && (!known || peer != status.hub) {
+			list = append(list, peer)
 		}
 	}
-	const asked = 2
+	const maxContacted = 2
 	rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
-	return list[:min(asked, len(list))]
+	return list[:min(maxContacted, len(list))]
 }
 
 // introductionsPerBatch is how many peers a batch names.
 const introductionsPerBatch = 2
 
-// nextIntroductions lists some peers by turns, so that each instance of the zone knows all
-// others of it, and the other zones' hubs, after a while. The lock is held.
+// nextIntroductions returns the peers that the next batch names, in rotation. So after a while
+// each instance of the zone knows all others of the zone, and the hubs of the other zones. The
+// lock is held.
 func (e *Exchange) nextIntroductions(now time.Duration) []Peer {
 	var list []Peer
-	for _, k := range e.peers {
-		if k.Zone == e.self.Zone && e.roster.Alive(k.ID(), now) {
-			list = append(list, k.Peer)
+	for _, peer := range e.peers {
+		if peer.Zone == e.self.Zone && e.roster.Alive(peer.ID(), now) {
+			list = append(list, peer.Peer)
 		}
 	}
 	for _, z := range e.zones {
--- a/internal/peers/messages.go
+++ b/internal/peers/messages.go
@@ -14,10 +14,10 @@
 	"sassafrasfield/internal/usage"
 )
 
-// utilizationScale is the unit of parts of an engine's time in a report.
+// utilizationScale is the number of units in a utilization of 1 in a report.
 const utilizationScale = 1000
 
-// sourceOf names the source of an instance's reports.
+// sourceOf returns the source name of an instance's reports.
 func sourceOf(id fanout.ID) string {
 	return upstreamstate.InstanceSourcePrefix + strconv.FormatUint(uint64(id), 16)
 }
@@ -113,20 +113,20 @@
 	return report
 }
 
-func limitsToMessages(words []quota.UpstreamLimit) []*sfv1.UpstreamLimit {
+func limitsToMessages(limits []quota.UpstreamLimit) []*sfv1.UpstreamLimit {
 	var messages []*sfv1.UpstreamLimit
-	for _, w := range words {
+	for _, w := range limits {
 		messages = append(messages, limitToMessage(w))
 	}
 	return messages
 }
 
 func limitsFromMessages(messages []*sfv1.UpstreamLimit) []quota.UpstreamLimit {
-	var words []quota.UpstreamLimit
+	var limits []quota.UpstreamLimit
 	for _, m := range messages {
-		words = append(words, limitFromMessage(m))
+		limits = append(limits, limitFromMessage(m))
 	}
-	return words
+	return limits
 }
 
 func limitToMessage(w quota.UpstreamLimit) *sfv1.UpstreamLimit {
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,15 +1,19 @@
-// Package peers connects the instances of the system with one another. A few of
-// them follow the platform's store; what they hear goes to all others, so that
-// the store's calls do not grow with the instances, and an instance that the
-// store turns away follows all the same. They also tell one another what they
-// have under way on the engines.
+// Package peers connects the instances of the system with one another. A few instances follow the
+// platform's store and pass its rows on to all others. So the load on the store does not grow
+// with the number of instances, and an instance that the store rejects still gets the rows. The
+// instances also report to one another what they have in progress on the engines.
 //
-// Reports go in datagrams, on the ways that package fanout decides on: each instance
-// tells its zone's hub, the hub passes the reports of all on in batches, and tells the
-// hubs of the other zones what its zone has together. A datagram names the revisions
-// that its sender has; whoever has less pulls the rest from the sender. So a lost
-// datagram costs the time to the next one, and neither datagrams nor bytes between
-// zones grow with the square of the instances.
+// Reports are sent in datagrams, along the paths that package fanout decides on: each instance
+// reports to the hub of its zone. The hub relays the reports of its zone to all instances of the
+// zone in batches, and sends a summary of the zone to the hubs of the other zones. A datagram
+// names the revisions that its sender has. A receiver with older revisions pulls the missing rows
+// from the sender by a call. So a lost datagram delays an update only until the next one, and
+// neither the number of datagrams nor the bytes between zones grow with the square of the number
+// of instances.
+//
+// Inputs are the rows (Rows) and the load (LoadState) of this instance, and the calls and
+// datagrams of its peers. Outputs are the same interfaces, which receive what the peers sent, and
+// the calls and datagrams to the peers.
 package peers
 
 import (
@@ -31,70 +35,72 @@
 	// Address is host:port of its ReplicaService, and of its datagrams.
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
-	// LinkMbps is what its link carries, in Mbit/s; 0 where that is not known.
+	// LinkMbps is the bandwidth of its link in Mbit/s, 0 if unknown.
 	LinkMbps float64 `json:"link_mbps"`
 }
 
-// ID is what names it in reports, and ranks it.
+// ID returns the ID that names the instance in reports and determines its rank.
 func (p Peer) ID() fanout.ID { return fanout.IDOf(p.Name, p.LinkMbps) }
 
-// Rows is the copy of the platform's rows that is kept in step.
+// Rows is this instance's copy of the platform's rows, which the exchange keeps up to date.
 type Rows interface {
-	// Revisions are the highest ones that are held, by table.
+	// Revisions returns the highest known revision of each table.
 	Revisions() map[string]int64
-	// Since returns the rows above revisions, and for how much longer
-	// deletions are not believed.
+	// Since returns the rows above revisions, and for how much longer mass deletions are
+	// withheld.
 	Since(revisions map[string]int64) ([]replica.Row, time.Duration)
-	// ApplyRows gets rows that came from a peer.
+	// ApplyRows applies rows from a peer. Hold is for how much longer the peer withholds mass
+	// deletions.
 	ApplyRows(rows []replica.Row, hold time.Duration)
-	// LoadedTables lists the tables that are known, Inform takes those that a peer knows
-	// which gave all its rows.
+	// LoadedTables lists the tables of which all rows are known. MarkTablesLoaded records the
+	// loaded tables of a peer that sent all its rows.
 	LoadedTables() []string
 	MarkTablesLoaded(tables []string)
-	// Reading tells whether this instance follows the store, and it answers.
+	// Reading reports whether this instance follows the store and the store answers.
 	Reading() bool
 }
 
-// Bounds of the exchange.
+// Timeouts and limits of the exchange.
 const (
-	// callTimeout bounds each call; a round trip between zones takes 2 ms.
+	// callTimeout bounds each call. A round trip between zones takes 2 ms.
 	callTimeout = 500 * time.Millisecond
-	// forgetAfter is for how long a peer may give no sign before it is
-	// forgotten.
+	// forgetAfter is how long a peer may be silent before it is removed.
 	forgetAfter = 30 * time.Second
-	// statusTimeout is for how long a word on who follows the store counts.
+	// statusTimeout is how long a received status counts: who follows the store, which hubs there
+	// are and which revisions others have.
 	statusTimeout = 1700 * time.Millisecond
-	// shunAtMost bounds the pause after failures, which doubles from excludeFirst.
+	// excludeFirst is the time for which a peer is excluded after a failed call. It doubles with
+	// each failure, up to excludeMax.
 	excludeFirst = 500 * time.Millisecond
 	excludeMax   = 4 * time.Second
 )
 
-// peerState is a peer with what is peerState of it.
+// peerState is a peer and what this instance knows about it.
 type peerState struct {
 	Peer
 	client        sfv1connect.ReplicaServiceClient
 	failures      int
 	excludedUntil time.Duration
-	// addedAt is when it became known, lastSeen when it last gave a sign.
+	// addedAt is when the peer became known, lastSeen when it last gave a sign of life.
 	addedAt, lastSeen time.Duration
-	// reading is its word, as of readAt, that it follows the store.
+	// reading is whether the peer reported at readingAt that it follows the store.
 	reading   bool
 	readingAt time.Duration
-	source    string // of its reports
+	source    string // source name of its reports
 }
 
-// zoneStatus is what another zone's hub last told.
+// zoneStatus is the last status that the hub of another zone sent.
 type zoneStatus struct {
 	hub       *peerState
 	at        time.Duration
 	instances int
 	reading   bool
-	// mayCoordinate: the hub has run for long enough to coordinate the grants.
+	// mayCoordinate is whether the hub has run long enough to coordinate the grants.
 	mayCoordinate bool
 }
 
-// Exchange keeps the instances in touch. It is safe for use by several
-// goroutines.
+// Exchange keeps the peers of this instance and exchanges rows and reports with them. It is safe
+// for concurrent use.
 type Exchange struct {
 	self   Peer
 	id     fanout.ID
@@ -102,40 +108,42 @@
 	rows   Rows
 	client *http.Client
 	log    *slog.Logger
-	// clock is the exchange's, from its start on.
+	// clock returns the time since the exchange started.
 	clock func() time.Duration
-	// rowsChanged wakes the reports.
+	// rowsChanged wakes the Reporter to announce new rows.
 	rowsChanged chan struct{}
 
 	mu     sync.Mutex // protects all below
-	limits Limits     // nil until there are reports
+	limits Limits     // nil until NewReporter sets it
 	peers  map[string]*peerState
 	byID   map[fanout.ID]*peerState
 	roster *fanout.Roster
 	inbox  *fanout.Inbox
-	// zones are the words of the other zones' hubs.
+	// zones holds the last status of each other zone.
 	zones map[string]zoneStatus
-	// lastBatch is what the newest lastBatch told besides reports.
+	// lastBatch is the status that came with the newest batch.
 	lastBatch batchStatus
-	// recentCount is how many instances there were lately.
+	// recentCount is the recent peak of the number of instances.
 	recentCount recentPeak
-	// pulling are the peers that rows are being pulled from.
+	// pulling holds the addresses of the peers from which rows are being pulled.
 	pulling map[string]bool
-	// tooFewReadersSince is since when too tooFewReadersSince instances were heard to follow the store.
+	// tooFewReadersSince is since when too few instances have reported that they follow the
+	// store; 0 if enough do.
 	tooFewReadersSince time.Duration
-	// introduceIndex is the peer that the next batch begins to name.
+	// introduceIndex is the index of the peer that the last batch named last.
 	introduceIndex int
-	// peerRevisions are what others told of the platform's tables; lacking: some of it was
-	// not here when it was last looked at, since lackingAt.
+	// peerRevisions holds the highest revision of each table that others reported. wasBehind is
+	// whether this instance lacked some of these rows at the last check, behindSince since when.
 	peerRevisions map[string]peerRevision
 	wasBehind     bool
 	behindSince   time.Duration
-	// wasHub: this instance passed reports on when it was last looked at.
+	// wasHub is whether this instance was its zone's hub at the last check, hubSince when that
+	// last changed.
 	wasHub   bool
 	hubSince time.Duration
 }
 
-// batchStatus is what a hub told of all zones.
+// batchStatus is the status of all zones that a hub sends with a batch.
 type batchStatus struct {
 	at                 time.Duration
 	instances, readers int
@@ -143,7 +151,7 @@
 	coordinator string
 }
 
-// New returns an exchange.
+// New returns an exchange that knows the peers at the addresses in seeds.
 func New(self Peer, seeds []string, rows Rows, log *slog.Logger) *Exchange {
 	start := time.Now()
 	return newExchange(self, seeds, rows, log, func() time.Duration { return time.Since(start) })
@@ -163,16 +171,17 @@
 	return e
 }
 
-// now is the time on the exchange's clock.
+// now returns the time on the exchange's clock.
 func (e *Exchange) now() time.Duration { return e.clock() }
 
-// NotifyRows has the reports tell of new rows at once.
+// NotifyRows has the Reporter announce new rows at once.
 func (e *Exchange) NotifyRows() {
 	select {
 	case e.rowsChanged <- struct{}{}:
-	default: // it is woken already
+	default: // a wakeup is already pending
 	}
 }
 
-// ErrNoPeer: no peer could be asked.
-var ErrNoPeer = errors.New("peers: nobody to ask")
+// ErrNoPeer is returned by Pull when there is no peer to pull from, or all peers are excluded
+// after failures.
+var ErrNoPeer = errors.New("peers: no peer to pull from")
--- a/internal/peers/pull.go
+++ b/internal/peers/pull.go
@@ -13,24 +13,24 @@
 	"sassafrasfield/internal/gen/sf/v1/sfv1connect"
 )
 
-// compressMinBytes is the size of an answer from which it is compressed: what changed in
-// a moment is not, all rows are, as the links of small instances bound how fast many
-// others start.
+// compressMinBytes is the size from which replies are compressed. A reply with a few changed rows
+// is not compressed, but one with all rows is, because the links of small instances limit how
+// fast many others can start.
 const compressMinBytes = 8 << 10
 
-// Handler serves the peers' calls.
+// Handler returns the path and the handler of the peers' calls.
 func (e *Exchange) Handler() (string, http.Handler) {
 	return sfv1connect.NewReplicaServiceHandler(&service{exchange: e}, connect.WithCompressMinBytes(compressMinBytes))
 }
 
-// Pull asks any peer for the rows that this instance lacks.
+// Pull requests the rows that this instance lacks from a random peer that is not excluded.
 func (e *Exchange) Pull(ctx context.Context) error {
 	e.mu.Lock()
 	now := e.now()
 	var list []*peerState
-	for _, k := range e.peers {
-		if now >= k.excludedUntil {
-			list = append(list, k)
+	for _, peer := range e.peers {
+		if now >= peer.excludedUntil {
+			list = append(list, peer)
 		}
 	}
 	e.mu.Unlock()
@@ -40,12 +40,12 @@
 	return e.pullFrom(ctx, list[rand.IntN(len(list))])
 }
 
-func (e *Exchange) pullFrom(ctx context.Context, k *peerState) error {
+func (e *Exchange) pullFrom(ctx context.Context, peer *peerState) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	request := &sfv1.PullRequest{From: toMessage(e.self), Since: e.rows.Revisions(), WantsPeers: e.needsPeers()}
-	reply, err := k.client.Pull(ctx, connect.NewRequest(request))
-	e.recordCall(k, err)
+	reply, err := peer.client.Pull(ctx, connect.NewRequest(request))
+	e.recordCall(peer, err)
 	if err != nil {
 		return errors.Wrap(err, "peers: pull")
 	}
@@ -53,7 +53,7 @@
 		e.addPeer(fromMessage(p))
 	}
 	if limits := e.currentLimits(); limits != nil {
-		limits.ApplyLimits(limitsFromMessages(reply.Msg.GetLimits()), k.Zone == e.self.Zone)
+		limits.ApplyLimits(limitsFromMessages(reply.Msg.GetLimits()), peer.Zone == e.self.Zone)
 	}
 	hold := time.Duration(reply.Msg.GetHoldMs()) * time.Millisecond
 	e.rows.ApplyRows(rowsFromMessages(reply.Msg.GetRows()), hold)
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// setLimits has upstreams' limits come with the rows, and be given with them.
+// setLimits sets the upstreams' limits, which are sent and received with the rows of a pull.
 func (e *Exchange) setLimits(l Limits) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -74,8 +74,8 @@
 	return e.limits
 }
 
-// needsPeers tells whether this instance needs to know more of the others: no batches
-// come, and none are sent to more than a few.
+// needsPeers reports whether this instance should ask for more peers: it receives no batches and
+// knows only a few instances of its zone.
 func (e *Exchange) needsPeers() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -83,40 +83,41 @@
 	return !e.roster.ReceivesBatches(e.now()) && e.roster.KnownCount() <= few
 }
 
-// startPull pulls from a peer unless that is under way.
-func (e *Exchange) startPull(ctx context.Context, k *peerState) {
+// startPull starts a pull from a peer, unless one is in progress or the peer is excluded.
+func (e *Exchange) startPull(ctx context.Context, peer *peerState) {
 	e.mu.Lock()
-	if e.pulling[k.Address] || e.now() < k.excludedUntil {
+	if e.pulling[peer.Address] || e.now() < peer.excludedUntil {
 		e.mu.Unlock()
 		return
 	}
-	e.pulling[k.Address] = true
+	e.pulling[peer.Address] = true
 	e.mu.Unlock()
 	go func() {
-		if err := e.pullFrom(ctx, k); err != nil {
-			e.log.Debug("peers: pull", "peer", k.Name, "error", err)
+		if err := e.pullFrom(ctx, peer); err != nil {
+			e.log.Debug("peers: pull failed", "peer", peer.Name, "error", err)
 		}
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		delete(e.pulling, k.Address)
+		delete(e.pulling, peer.Address)
 	}()
 }
 
-// recordCall notes how a call to a peer went.
-func (e *Exchange) recordCall(k *peerState, err error) {
+// recordCall records the result of a call to a peer, which is excluded for a while after a
+// failure.
+func (e *Exchange) recordCall(peer *peerState, err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.now()
 	if err == nil {
-		if k.failures > 0 {
-			e.log.Info("peers: answers again", "peer", k.Name, "address", k.Address, "failures", k.failures)
+		if peer.failures > 0 {
+			e.log.Info("peers: peer is reachable again", "peer", peer.Name, "address", peer.Address, "failures", peer.failures)
 		}
-		k.failures, k.excludedUntil, k.lastSeen = 0, 0, now
+		peer.failures, peer.excludedUntil, peer.lastSeen = 0, 0, now
 		return
 	}
-	if k.failures == 0 {
-		e.log.Info("peers: does not answer", "peer", k.Name, "address", k.Address, "error", err)
+	if peer.failures == 0 {
+		e.log.Info("peers: peer is unreachable", "peer", peer.Name, "address", peer.Address, "error", err)
 	}
-	k.failures++
-	k.excludedUntil = now + min(excludeMax, excludeFirst<<min(k.failures-1, 8))
+	peer.failures++
+	peer.excludedUntil = now + min(excludeMax, excludeFirst<<min(peer.failures-1, 8))
 }
--- a/internal/peers/readers.go
+++ b/internal/peers/readers.go
@@ -6,34 +6,36 @@
 	"sassafrasfield/internal/fanout"
 )
 
-// How many instances follow the store.
+// Constants that decide how many instances follow the store. An instance that does is called a
+// reader.
 const (
-	// readers is how many of the zones' hubs should: the loss of two still leaves
-	// one, and each call to the store is paid for.
+	// readers is how many of the zones' hubs should follow the store: the loss of two still
+	// leaves one, and each call to the store costs money.
 	readers = 3
-	// readersNeeded is how many others must tell that they do, before an
-	// instance that should not leaves the store alone.
+	// readersNeeded is how many others must report that they follow the store for an instance
+	// that ranks lower not to follow it.
 	readersNeeded = 2
-	// settleTime is the time from an instance's start in which it leaves the store's
-	// feed to others, though it has not heard of any: reports need about half of it.
+	// settleTime is the time after its start in which an instance leaves the store's feed to
+	// others, although it has not received their reports yet. Reports need about half of it.
 	settleTime = time.Second
-	// readerTurnInterval is how much longer each next one in rank waits before it tries to
-	// follow the store because too few others do, and readersTries how many steps it
-	// tries. So when the store fails for all, a few of each zone ask it at a time and
-	// not all of a large fleet, and when it turns some away, others have their turn.
+	// readerTurnInterval is how much later each next instance in rank tries to follow the store
+	// while too few others do. readerTurnIntervals is the number of intervals for which it tries.
+	// So when the store fails for all, only a few instances of each zone call it at a time, and
+	// not all of a large fleet. When the store rejects some instances, others get to try.
 	readerTurnInterval  = 400 * time.Millisecond
 	readerTurnIntervals = 2
 )
 
-// ReaderExpiry is how long the others take to hear that an instance has no answers
-// from the store any more: until its last word that it has counts no longer.
+// ReaderExpiry is how long it takes at most until the other instances stop counting an instance
+// as a reader after the store has stopped answering it: its last report that it follows the store
+// has then expired.
 const ReaderExpiry = statusTimeout + 100*time.Millisecond
 
-// ShouldReadStore tells whether this instance should follow the store itself: the
-// instances that rank first do. While too few others are heard to do so, the next ones
-// try by turns, and who succeeds goes on.
+// ShouldReadStore reports whether this instance should follow the store itself. The instances
+// that rank first should. While too few others report that they do, the next ones in rank try in
+// turn, and those that succeed continue.
 func (e *Exchange) ShouldReadStore() bool {
-	reads := e.rows.Reading()
+	reading := e.rows.Reading()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.now()
@@ -51,20 +53,20 @@
 	if e.tooFewReadersSince == 0 {
 		e.tooFewReadersSince = now
 	}
-	return reads || e.hasReaderTurn(rank, now)
+	return reading || e.hasReaderTurn(rank, now)
 }
 
-// hasReaderTurn tells whether it is the turn of an instance of a rank to try to follow the
-// store. The lock is held.
+// hasReaderTurn reports whether an instance of a rank is to try to follow the store now. The lock
+// is held.
 func (e *Exchange) hasReaderTurn(rank int, now time.Duration) bool {
 	steps := readers + e.roster.KnownCount() + readerTurnIntervals
-	at := int((now-e.tooFewReadersSince)/readerTurnInterval) % steps
-	mine := rank - readers + 1
-	return at >= mine && at < mine+readerTurnIntervals
+	step := int((now-e.tooFewReadersSince)/readerTurnInterval) % steps
+	first := rank - readers + 1
+	return step >= first && step < first+readerTurnIntervals
 }
 
-// readerRank ranks the instances as readers: the zones' hubs first, then the others by
-// their rank in each zone. The lock is held.
+// readerRank returns the rank of this instance as a reader: the zones' hubs come first, then the
+// other instances by their rank in their zone. The lock is held.
 func (e *Exchange) readerRank(now time.Duration) int {
 	if !e.isHub(now) {
 		return readers + e.roster.Rank(now)
@@ -78,52 +80,52 @@
 	return rank
 }
 
-// otherReaders counts the instances that told lately that they follow the store, and
-// the zones that did. The lock is held.
+// otherReaders counts the other instances of this zone that reported recently that they follow
+// the store, and the other zones that have such an instance. The lock is held.
 func (e *Exchange) otherReaders(now time.Duration) int {
-	heard, beyond := 0, 0
-	for _, k := range e.byID {
-		if k.Zone == e.self.Zone && k.reading && now-k.readingAt <= statusTimeout {
-			heard++
+	sameZone, otherZones := 0, 0
+	for _, peer := range e.byID {
+		if peer.Zone == e.self.Zone && peer.reading && now-peer.readingAt <= statusTimeout {
+			sameZone++
 		}
 	}
 	for _, z := range e.zones {
 		if z.reading && now-z.at <= statusTimeout {
-			beyond++
+			otherZones++
 		}
 	}
 	if now-e.lastBatch.at <= statusTimeout {
-		beyond = max(beyond, e.lastBatch.readers)
+		otherZones = max(otherZones, e.lastBatch.readers)
 	}
-	return heard + beyond
+	return sameZone + otherZones
 }
 
-// HasOtherReaders tells whether another instance follows the store now, and it
-// answers.
+// HasOtherReaders reports whether another instance follows the store now and the store answers
+// it.
 func (e *Exchange) HasOtherReaders() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.otherReaders(e.now()) > 0
 }
 
-// zoneHasReader tells whether any instance of this zone follows the store. The lock is
-// held.
+// zoneHasReader reports whether any instance of this zone follows the store; self is whether this
+// instance does. The lock is held.
 func (e *Exchange) zoneHasReader(now time.Duration, self bool) bool {
 	if self {
 		return true
 	}
-	for _, k := range e.byID {
-		if k.Zone == e.self.Zone && k.reading && now-k.readingAt <= statusTimeout {
+	for _, peer := range e.byID {
+		if peer.Zone == e.self.Zone && peer.reading && now-peer.readingAt <= statusTimeout {
 			return true
 		}
 	}
 	return false
 }
 
-// recordReport notes an instance's word on itself. The lock is held.
+// recordReport records the status in an instance's report on itself. The lock is held.
 func (e *Exchange) recordReport(o fanout.InstanceReport, now time.Duration) {
 	e.roster.MarkAlive(o.Source, now)
-	if k, ok := e.byID[o.Source]; ok {
-		k.lastSeen, k.reading, k.readingAt = now, o.Reading, now
+	if peer, ok := e.byID[o.Source]; ok {
+		peer.lastSeen, peer.reading, peer.readingAt = now, o.Reading, now
 	}
 }
--- a/internal/peers/receive.go
+++ b/internal/peers/receive.go
@@ -12,10 +12,10 @@
 	sfv1 "sassafrasfield/internal/gen/sf/v1"
 )
 
-// otherZonesSource names the source of what all other zones have together.
+// otherZonesSource is the source name of the report on all other zones.
 const otherZonesSource = "zones"
 
-// readRetryPause is the pause after the datagrams could not be read.
+// readRetryPause is the pause after a failed read from the socket.
 const readRetryPause = 100 * time.Millisecond
 
 func (r *Reporter) listen(ctx context.Context, conn *net.UDPConn) {
@@ -26,23 +26,23 @@
 			return
 		}
 		if err != nil {
-			r.exchange.log.Info("peers: reports cannot be read", "error", err)
+			r.exchange.log.Info("peers: datagrams cannot be read", "error", err)
 			time.Sleep(readRetryPause)
 			continue
 		}
 		message := &sfv1.Datagram{}
 		if err := proto.Unmarshal(buffer[:n], message); err != nil {
-			r.exchange.log.Info("peers: a report cannot be read", "error", err)
+			r.exchange.log.Info("peers: invalid datagram", "error", err)
 			continue
 		}
 		r.handleDatagram(ctx, message)
 	}
 }
 
-// handleDatagram takes a datagram.
+// handleDatagram handles a received datagram.
 func (r *Reporter) handleDatagram(ctx context.Context, message *sfv1.Datagram) {
-	k := r.exchange.addPeer(fromMessage(message.GetFrom()))
-	if k == nil {
+	peer := r.exchange.addPeer(fromMessage(message.GetFrom()))
+	if peer == nil {
 		return
 	}
 	for _, p := range message.GetPeers() {
@@ -51,31 +51,31 @@
 	inZone := message.GetFrom().GetZone() == r.exchange.self.Zone
 	switch message.GetKind() {
 	case sfv1.Datagram_KIND_OWN:
-		r.handleOwnReport(message, k, inZone)
+		r.handleOwnReport(message, peer, inZone)
 	case sfv1.Datagram_KIND_ASK:
-		r.handleRetryRequest(message, k)
+		r.handleRetryRequest(message, peer)
 	case sfv1.Datagram_KIND_GRANT:
 		r.retryRequests.resolve(message.GetAsk().GetId(), message.GetAsk().GetGranted())
 	case sfv1.Datagram_KIND_LIMIT_ASK:
-		r.handleGrantRequest(message.GetLimitAsk(), k)
+		r.handleGrantRequest(message.GetLimitAsk(), peer)
 	case sfv1.Datagram_KIND_LIMIT_VERDICT:
 		r.grantRequests.resolve(message.GetLimitVerdict().GetId(), verdictFromMessage(message.GetLimitVerdict()))
 	case sfv1.Datagram_KIND_BATCH:
 		if !inZone {
 			return
 		}
-		r.handleBatch(message, k)
+		r.handleBatch(message, peer)
 	case sfv1.Datagram_KIND_ZONE:
-		if inZone || !r.handleZoneReport(message, k) {
+		if inZone || !r.handleZoneReport(message, peer) {
 			return
 		}
 	}
-	r.handleRows(ctx, message, k)
+	r.handleRows(ctx, message, peer)
 }
 
-// handleRows takes the rows that a datagram brings, and pulls those that it only tells
-// of.
-func (r *Reporter) handleRows(ctx context.Context, message *sfv1.Datagram, k *peerState) {
+// handleRows applies the rows in a datagram. If the datagram only names newer revisions, it
+// starts a pull from the sender.
+func (r *Reporter) handleRows(ctx context.Context, message *sfv1.Datagram, peer *peerState) {
 	rows := r.exchange.rows
 	r.exchange.applyRevisions(message.GetRevisions())
 	if !isBehind(rows.Revisions(), message.GetRevisions()) {
@@ -85,39 +85,38 @@
 		rows.ApplyRows(rowsFromMessages(message.GetRows()), time.Duration(message.GetHoldMs())*time.Millisecond)
 		return
 	}
-	r.exchange.startPull(ctx, k)
+	r.exchange.startPull(ctx, peer)
 }
 
-// handleOwnReport takes an instance's report on itself. One that tells the wrong instance
-// is told of better ones.
-func (r *Reporter) handleOwnReport(message *sfv1.Datagram, k *peerState, inZone bool) {
+// handleOwnReport handles an instance's report on itself. A sender that should report to other
+// instances gets their addresses.
+func (r *Reporter) handleOwnReport(message *sfv1.Datagram, peer *peerState, inZone bool) {
 	if inZone {
 		r.applyReports(message.GetReports(), true)
 	}
-	if contacts := r.exchange.betterContacts(k); len(contacts) > 0 {
+	if contacts := r.exchange.betterContacts(peer); len(contacts) > 0 {
 		reply := r.newDatagram(sfv1.Datagram_KIND_CONTACTS)
 		reply.Peers = peersToMessages(contacts)
-		r.send(reply, []string{k.Address})
+		r.send(reply, []string{peer.Address})
 	}
 }
 
-// applyReports takes the reports of instances of this zone; keep has the next batch
-// pass them on.
-func (r *Reporter) applyReports(messages []*sfv1.InstanceReport, keep bool) {
+// applyReports applies the reports of instances of this zone. With relay set, the next batch
+// relays them.
+func (r *Reporter) applyReports(messages []*sfv1.InstanceReport, relay bool) {
 	for _, m := range messages {
 		own := ownFromMessage(m)
-		if own.Source != r.exchange.id && r.exchange.acceptReport(own, keep) {
+		if own.Source != r.exchange.id && r.exchange.acceptReport(own, relay) {
 			r.loads.ApplyReport(sourceOf(own.Source), own.Report)
 		}
 	}
 }
 
-// handleBatch takes what the zone's hub passes on. Of several hubs the one that ranks
-// first has the word on the other zones.
-func (r *Reporter) handleBatch(message *sfv1.Datagram, k *peerState) {
+// handleBatch handles a batch from a hub of this zone.
+func (r *Reporter) handleBatch(message *sfv1.Datagram, peer *peerState) {
 	r.applyReports(message.GetReports(), false)
-	word := batchStatus{instances: int(message.GetInstances()), readers: int(message.GetReaders()), coordinator: message.GetCoordinator()}
-	if !r.exchange.acceptBatchStatus(k, word) {
+	status := batchStatus{instances: int(message.GetInstances()), readers: int(message.GetReaders()), coordinator: message.GetCoordinator()}
+	if !r.exchange.acceptBatchStatus(peer, status) {
 		return
 	}
 	if message.GetBeyond() != nil {
@@ -125,14 +124,14 @@
 	}
 }
 
-// handleZoneReport takes the report of another zone, or gives it to those that pass reports
-// on, and tells whether it is taken here.
-func (r *Reporter) handleZoneReport(message *sfv1.Datagram, k *peerState) bool {
+// handleZoneReport handles the report of another zone and returns whether this instance applied
+// it. An instance that is not the hub forwards the report to those that relay reports.
+func (r *Reporter) handleZoneReport(message *sfv1.Datagram, peer *peerState) bool {
 	zone := message.GetFrom().GetZone()
-	word := zoneStatus{
-		hub: k, instances: int(message.GetInstances()), reading: message.GetReaders() > 0, mayCoordinate: message.GetMayCoordinate(),
+	status := zoneStatus{
+		hub: peer, instances: int(message.GetInstances()), reading: message.GetReaders() > 0, mayCoordinate: message.GetMayCoordinate(),
 	}
-	if !r.exchange.acceptZoneStatus(zone, word) {
+	if !r.exchange.acceptZoneStatus(zone, status) {
 		if !message.GetForwarded() {
 			message.Forwarded = true
 			r.send(message, r.exchange.receivers())
@@ -145,7 +144,7 @@
 
 func zoneSource(zone string) string { return "zone " + zone }
 
-// isBehind tells whether any of the other's revisions is above the own.
+// isBehind reports whether any revision in other is above the own one.
 func isBehind(own, other map[string]int64) bool {
 	for table, revision := range other {
 		if revision > own[table] {
@@ -155,8 +154,9 @@
 	return false
 }
 
-// acceptReport notes an instance's report, and tells whether it is news.
-func (e *Exchange) acceptReport(o fanout.InstanceReport, keep bool) bool {
+// acceptReport records an instance's report, and returns whether it is newer than the previous
+// ones.
+func (e *Exchange) acceptReport(o fanout.InstanceReport, relay bool) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !e.inbox.Accept(o) {
@@ -164,56 +164,57 @@
 	}
 	now := e.now()
 	e.recordReport(o, now)
-	if keep {
+	if relay {
 		e.inbox.Enqueue(o, now)
 	}
 	return true
 }
 
-// acceptBatchStatus notes a batch, and tells whether its sender has the word on other zones.
-func (e *Exchange) acceptBatchStatus(k *peerState, word batchStatus) bool {
+// acceptBatchStatus records the status in a batch, and returns whether to apply the batch's
+// report on the other zones.
+func (e *Exchange) acceptBatchStatus(peer *peerState, status batchStatus) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	now, id := e.now(), k.ID()
-	k.lastSeen = now
+	now, id := e.now(), peer.ID()
+	peer.lastSeen = now
 	e.roster.BatchReceived(id, now)
 	if e.isHub(now) {
-		return false // this instance hears of them itself
+		return false // a hub receives the reports of the other zones itself
 	}
-	word.at = now
-	e.lastBatch = word
+	status.at = now
+	e.lastBatch = status
 	return true
 }
 
-// acceptZoneStatus notes the report of another zone's hub, and tells whether this instance
-// is to take it.
-func (e *Exchange) acceptZoneStatus(zone string, word zoneStatus) bool {
+// acceptZoneStatus records the report of another zone's hub, and returns whether this instance
+// should apply it.
+func (e *Exchange) acceptZoneStatus(zone string, status zoneStatus) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.now()
 	if !e.isHub(now) {
 		return false
 	}
-	word.hub.lastSeen, word.at = now, now
-	e.zones[zone] = word
+	status.hub.lastSeen, status.at = now, now
+	e.zones[zone] = status
 	return true
 }
 
-// hubState tells whether this instance passes reports on, and whether batches reach it.
-func (e *Exchange) hubState() (passes, hears bool) {
+// hubState returns whether this instance is the hub, and whether it receives batches.
+func (e *Exchange) hubState() (isHub, receivesBatches bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.now()
 	return e.isHub(now), e.roster.ReceivesBatches(now)
 }
 
-// betterContacts lists whom a peer should tell its reports instead of this instance; none
-// when it is one of them.
-func (e *Exchange) betterContacts(k *peerState) []Peer {
+// betterContacts lists the instances to which a peer should send its reports instead of this one;
+// none if this instance is the right receiver.
+func (e *Exchange) betterContacts(peer *peerState) []Peer {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if k.Zone != e.self.Zone {
-		return e.contacts(k.Zone)
+	if peer.Zone != e.self.Zone {
+		return e.contacts(peer.Zone)
 	}
 	now := e.now()
 	if e.isHub(now) || e.roster.Rank(now) <= 1 {
@@ -221,30 +222,30 @@
 	}
 	var list []Peer
 	for _, id := range e.roster.Receivers(now) {
-		if better, ok := e.byID[id]; ok && better != k {
+		if better, ok := e.byID[id]; ok && better != peer {
 			list = append(list, better.Peer)
 		}
 	}
 	return list
 }
 
-// contactsFor lists the instances of a zone, and some of each other zone.
+// contactsFor lists the live instances of a zone, and some of each other zone.
 func (e *Exchange) contactsFor(zone string) []Peer {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.contacts(zone)
 }
 
-// receivers are the addresses of those who are told this instance's reports: the
-// seeds too while no batches come.
+// receivers returns the addresses to which this instance sends its reports. They include the
+// seeds while it receives no batches.
 func (e *Exchange) receivers() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.now()
 	var list []string
 	for _, id := range e.roster.Receivers(now) {
-		if k, ok := e.byID[id]; ok {
-			list = append(list, k.Address)
+		if peer, ok := e.byID[id]; ok {
+			list = append(list, peer.Address)
 		}
 	}
 	if e.roster.ReceivesBatches(now) {
@@ -253,41 +254,42 @@
 	return append(list, e.otherSeeds()...)
 }
 
-// seedAddresses are the addresses of the seeds, but for this instance's own.
+// seedAddresses returns the addresses of the seeds other than this instance.
 func (e *Exchange) seedAddresses() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.otherSeeds()
 }
 
-// zoneAddresses are the addresses of the instances of this zone.
+// zoneAddresses returns the addresses of the instances of this zone.
 func (e *Exchange) zoneAddresses() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var list []string
-	for _, k := range e.byID {
-		if k.Zone == e.self.Zone {
-			list = append(list, k.Address)
+	for _, peer := range e.byID {
+		if peer.Zone == e.self.Zone {
+			list = append(list, peer.Address)
 		}
 	}
 	return list
 }
 
-// otherZoneAddresses are the addresses of those who are told this zone's reports.
+// otherZoneAddresses returns the addresses to which this zone's reports are sent.
 func (e *Exchange) otherZoneAddresses() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.now()
 	var list []string
 	for zone := range e.otherZones() {
-		for _, k := range e.contactsOf(zone, now) {
-			list = append(list, k.Address)
+		for _, peer := range e.contactsOf(zone, now) {
+			list = append(list, peer.Address)
 		}
 	}
 	return list
 }
 
-// zoneCounts is how many instances this zone has, and readers of the store.
+// zoneCounts returns the number of instances of this zone, and 1 reader if any of them follows
+// the store.
 func (e *Exchange) zoneCounts() (instances, readers uint32) {
 	self := e.rows.Reading()
 	e.mu.Lock()
@@ -298,27 +300,27 @@
 	return uint32(e.roster.KnownCount()), readers
 }
 
-// batchHeader is what a batch tells besides reports.
+// batchHeader is what a batch has besides rows and reports.
 type batchHeader struct {
 	peers              []Peer
 	instances, readers int
 }
 
-// nextBatchHeader returns what the next batch tells besides reports.
+// nextBatchHeader returns the header of the next batch.
 func (e *Exchange) nextBatchHeader() batchHeader {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.now()
-	word := batchHeader{peers: e.nextIntroductions(now), instances: e.currentCount(now)}
+	header := batchHeader{peers: e.nextIntroductions(now), instances: e.currentCount(now)}
 	for _, z := range e.zones {
 		if z.reading && now-z.at <= statusTimeout {
-			word.readers++
+			header.readers++
 		}
 	}
-	return word
+	return header
 }
 
-// pendingReports returns the reports that are passed on now.
+// pendingReports returns the pending reports to relay now, as long as they fit.
 func (e *Exchange) pendingReports(fits func(fanout.InstanceReport) bool) []fanout.InstanceReport {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/peers/reports.go
+++ b/internal/peers/reports.go
@@ -21,72 +21,76 @@
 )
 
 const (
-	// maxDatagramBytes bounds a datagram; what is more goes into further ones, as far as it
-	// can be split. longestDatagram is what UDP takes.
+	// maxDatagramBytes is the size above which a message is split into several datagrams, as far
+	// as it can be split. maxUDPDatagram is the largest datagram that UDP carries.
 	maxDatagramBytes = 4096
 	maxUDPDatagram   = 64 << 10
-	// sweepInterval is the time between looks for peers that are gone.
+	// sweepInterval is the time between checks for silent peers.
 	sweepInterval = time.Second
 )
 
-// LoadState is what the instances have under way; relay.Relay implements it.
+// LoadState holds the load of the engines as known to this instance; relay.Relay implements it.
 type LoadState interface {
-	// Changed has a value when the others should be told of news.
+	// Changed has a value when this instance's report has changed and should be sent.
 	Changed() <-chan struct{}
-	// OwnReport is what this instance has, ZoneReport what its zone has, and
-	// OtherZonesReport what all other zones have.
+	// OwnReport returns the report of this instance, ZoneReport the summary of its zone, and
+	// OtherZonesReport the summary of all other zones.
 	OwnReport() upstreamstate.Report
 	ZoneReport() upstreamstate.Report
 	OtherZonesReport() upstreamstate.Report
-	// LearnedTimes is what this instance has learned of the engines.
+	// LearnedTimes returns the engine timings that this instance has estimated, by service.
 	LearnedTimes() map[uint32]estimate.Snapshot
-	// ApplyReport takes the report of a source.
+	// ApplyReport applies the report of a source.
 	ApplyReport(source string, report upstreamstate.Report)
-	// SetBehind takes whether others are known to have rows that this instance lacks.
+	// SetBehind sets whether others are known to have rows that this instance lacks.
 	SetBehind(behind bool)
 	Limits
-	// SetGrantShare takes the part of upstreams' limits that this instance gives out; 0 for
-	// none. DecideGrant decides on one send to such an upstream.
+	// SetGrantShare sets the share of the upstreams' limits that this instance grants as the
+	// coordinator; 0 if another one coordinates. DecideGrant decides on one send to an upstream
+	// with a limit.
 	SetGrantShare(share float64)
 	DecideGrant(ask quota.GrantRequest) quota.Verdict
-	// GrantRetry gives a further send to a service away, from the pool that this instance
-	// keeps for its zone; false when there is none.
+	// GrantRetry takes one further send to a service from the retry pool that this instance keeps
+	// for its zone, and returns false if none is left.
 	GrantRetry(service uint32) bool
 }
 
-// Limits are those of upstreams that an instance knows. One that has just started takes them
-// from the peer that gives it the platform's rows, before it serves.
+// Limits holds the limits of upstreams as known to this instance. An instance that has just
+// started gets them with the platform's rows from a peer, before it serves.
 type Limits interface {
 	Limits() []quota.UpstreamLimit
-	// ApplyLimits takes those of an instance of this zone, or of another one.
-	ApplyLimits(words []quota.UpstreamLimit, beside bool)
+	// ApplyLimits applies limits from an instance of this zone or of another zone.
+	ApplyLimits(limits []quota.UpstreamLimit, sameZone bool)
 }
 
-// Reporter sends and takes the reports.
+// Reporter sends the reports of an exchange and handles the received datagrams.
 type Reporter struct {
 	exchange *Exchange
 	loads    LoadState
 	conn     atomic.Pointer[net.UDPConn]
 	// write sends a datagram.
 	write func(data []byte, to netip.AddrPort) error
-	// retryRequests wait for the zone's pool, limitAsks for the coordinator of the grants.
+	// retryRequests are the open requests to the hub's retry pool, grantRequests those to the
+	// coordinator of the grants.
 	retryRequests *pendingRequests[bool]
 	grantRequests *pendingRequests[quota.Verdict]
-	// verdicts are those that this instance gave as the coordinator.
+	// verdicts holds the recent verdicts of this instance as the coordinator.
 	verdicts *verdictCache
 	pace     *fanout.Pacer
-	// allowance bounds the bytes of what an instance that passes reports on tells; Run
-	// alone uses it.
+	// allowance bounds the bytes that a hub sends, so that reports do not saturate its link. Only
+	// Run uses it.
 	allowance *fanout.Allowance
-	// lastRevisions are the revisions that the last batch had; zonesLast: it began with the reports
-	// of this zone's instances, and ended with what the other zones have.
+	// lastRevisions are the revisions in the last batch. otherZonesLast is whether the last batch
+	// was filled with the reports of this zone's instances first, and with the report on the
+	// other zones last.
 	lastRevisions  map[string]int64
 	otherZonesLast bool
-	// boot and sequence tell this process's reports from one another.
+	// boot and sequence identify a report: boot is a random number of this process, sequence
+	// counts its reports.
 	boot, sequence uint32
 }
 
-// NewReporter returns the reports of an exchange.
+// NewReporter returns the reporter of an exchange.
 func NewReporter(e *Exchange, l LoadState) *Reporter {
 	r := &Reporter{
 		exchange: e, loads: l, retryRequests: newPendingRequests[bool](), grantRequests: newPendingRequests[quota.Verdict](), verdicts: newVerdictCache(), pace: fanout.NewPacer(e.now()),
@@ -97,7 +101,7 @@
 	return r
 }
 
-// errNotListening: the reports have not begun.
+// errNotListening is returned for datagrams that are sent before Run listens.
 var errNotListening = errors.New("peers: not listening yet")
 
 func (r *Reporter) writeTo(data []byte, to netip.AddrPort) error {
@@ -109,7 +113,7 @@
 	return err
 }
 
-// Run tells and listens until the context ends.
+// Run sends reports and handles datagrams until the context ends.
 func (r *Reporter) Run(ctx context.Context) error {
 	address, err := net.ResolveUDPAddr("udp", r.exchange.self.Address)
 	if err != nil {
@@ -143,12 +147,12 @@
 	}
 }
 
-// sendDue sends what is due, and returns the time until something may be due again.
+// sendDue sends what is due and returns the time until something may be due again.
 func (r *Reporter) sendDue(urgent bool) time.Duration {
 	r.loads.SetBehind(r.exchange.isBehind())
 	r.loads.SetGrantShare(r.exchange.grantShare())
-	passes, hears := r.exchange.hubState()
-	due, wait := r.pace.Next(r.exchange.now(), passes, hears, urgent)
+	isHub, receivesBatches := r.exchange.hubState()
+	due, wait := r.pace.Next(r.exchange.now(), isHub, receivesBatches, urgent)
 	if due.OwnReport {
 		r.sendOwnReport(due.EngineTimes)
 	}
@@ -164,7 +168,7 @@
 	return wait
 }
 
-// ownReports returns this instance's next report, in parts where it is long.
+// ownReports returns this instance's next report, split into parts if it is long.
 func (r *Reporter) ownReports(times bool) []*sfv1.InstanceReport {
 	report := r.loads.OwnReport()
 	if times {
@@ -180,14 +184,14 @@
 	return messages
 }
 
-// sendOwnReport sends this instance's report to those that pass it on.
+// sendOwnReport sends this instance's report to the instances that relay it.
 func (r *Reporter) sendOwnReport(times bool) {
 	message := r.newDatagram(sfv1.Datagram_KIND_OWN)
 	message.Reports = r.ownReports(times)
 	r.send(message, r.exchange.receivers())
 }
 
-// sendZoneReport sends what the zone has to the other zones.
+// sendZoneReport sends the summary of this zone to the other zones.
 func (r *Reporter) sendZoneReport(times bool) {
 	to := r.exchange.otherZoneAddresses()
 	if len(to) == 0 {
@@ -208,7 +212,8 @@
 	return &sfv1.Datagram{Kind: kind, From: toMessage(r.exchange.self), Revisions: r.exchange.rows.Revisions()}
 }
 
-// send sends a message in as many datagrams as it takes, and returns their bytes.
+// send sends a message in as many datagrams as needed and returns their total size in bytes,
+// counted once per receiver.
 func (r *Reporter) send(message *sfv1.Datagram, to []string) int {
 	if len(to) == 0 {
 		return 0
@@ -217,7 +222,7 @@
 	for _, part := range splitDatagram(message) {
 		data, err := proto.Marshal(part)
 		if err != nil {
-			r.exchange.log.Error("peers: report not sent", "error", err)
+			r.exchange.log.Error("peers: report could not be encoded", "error", err)
 			continue
 		}
 		sentBytes(message.GetKind()).Inc(int64(len(data) * len(to)))
@@ -227,14 +232,16 @@
 	return bytes
 }
 
-// sentBytes counts the bytes of datagrams by their kind, those to each receiver.
+// sentBytes returns the counter of the bytes sent in datagrams of a kind, counted once per
+// receiver.
 func sentBytes(kind sfv1.Datagram_Kind) metrics.Counter {
-	word := strings.ToLower(strings.TrimPrefix(kind.String(), "KIND_"))
-	return metrics.GetOrRegisterCounter("peers.sent_bytes."+word, metrics.DefaultRegistry)
+	name := strings.ToLower(strings.TrimPrefix(kind.String(), "KIND_"))
+	return metrics.GetOrRegisterCounter("peers.sent_bytes."+name, metrics.DefaultRegistry)
 }
 
-// splitDatagram returns messages that each fit into a datagram. The first one has what is
-// told besides reports and loads.
+// splitDatagram splits a message into messages that each fit into a datagram. Reports, loads and
+// placed parts are distributed over them. Each has the fields that cloneHeader copies, and the
+// first one has the rest.
 func splitDatagram(message *sfv1.Datagram) []*sfv1.Datagram {
 	if proto.Size(message) <= maxDatagramBytes {
 		return []*sfv1.Datagram{message}
@@ -255,14 +262,14 @@
 		return append(splitDatagram(head), splitDatagram(tail)...)
 	}
 	if placed := message.GetBeyond().GetPlaced(); len(placed) > 2 {
-		// What is cut off here is told when it is placed again.
+		// Dropped entries are sent again when the parts are placed again.
 		message.Beyond.Placed = placed[len(placed)/4*2:]
 		return splitDatagram(message)
 	}
 	return []*sfv1.Datagram{message}
 }
 
-// cloneHeader copies what each datagram of a message has.
+// cloneHeader copies the fields that each datagram of a message has.
 func cloneHeader(m *sfv1.Datagram) *sfv1.Datagram {
 	return &sfv1.Datagram{
 		Kind: m.Kind, From: m.From, Revisions: m.Revisions, Instances: m.Instances, Readers: m.Readers, Forwarded: m.Forwarded,
@@ -274,11 +281,11 @@
 	for _, address := range to {
 		to, err := netip.ParseAddrPort(address)
 		if err != nil {
-			r.exchange.log.Error("peers: address", "address", address, "error", err)
+			r.exchange.log.Error("peers: invalid address", "address", address, "error", err)
 			continue
 		}
 		if err := r.write(data, to); err != nil {
-			r.exchange.log.Debug("peers: report lost", "address", address, "error", err)
+			r.exchange.log.Debug("peers: report could not be sent", "address", address, "error", err)
 		}
 	}
 }
--- a/internal/peers/retryrequest.go
+++ b/internal/peers/retryrequest.go
@@ -8,11 +8,11 @@
 	sfv1 "sassafrasfield/internal/gen/sf/v1"
 )
 
-// retryRequestTimeout bounds a question to the zone's hub: a round trip in a zone takes 0.3 ms,
+// retryRequestTimeout bounds a request to the zone's hub. A round trip in a zone takes 0.3 ms,
 // and a busy instance with a fifth of a core answers within some 20 ms.
 const retryRequestTimeout = 50 * time.Millisecond
 
-// pendingRequests are the questions of one kind that wait for an answer.
+// pendingRequests are the requests of one kind that wait for an answer.
 type pendingRequests[Answer any] struct {
 	mu      sync.Mutex // protects all below
 	next    uint64
@@ -38,17 +38,18 @@
 	delete(a.waiting, id)
 }
 
-// resolve takes an answer. One that comes late, or twice, counts for nothing.
-func (a *pendingRequests[Answer]) resolve(id uint64, with Answer) {
+// resolve delivers an answer. Late and repeated answers are ignored.
+func (a *pendingRequests[Answer]) resolve(id uint64, value Answer) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if answer, ok := a.waiting[id]; ok {
 		delete(a.waiting, id)
-		answer <- with
+		answer <- value
 	}
 }
 
-// RequestRetry asks the zone's hub for a further send to a service, which is named by its hash.
+// RequestRetry requests one further send to a service from the retry pool of the zone's hub.
+// Service is a hash of its name.
 func (r *Reporter) RequestRetry(ctx context.Context, service uint32) bool {
 	hub, self := r.exchange.hubAddress()
 	if self {
@@ -68,23 +69,22 @@
 	case granted := <-answer:
 		return granted
 	case <-timer.C:
-		r.exchange.log.Debug("peers: no word from the pool", "hub", hub)
+		r.exchange.log.Debug("peers: no answer from the retry pool", "hub", hub)
 		return false
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// handleRetryRequest answers a question for a further send.
-func (r *Reporter) handleRetryRequest(message *sfv1.Datagram, k *peerState) {
+// handleRetryRequest answers a request for a further send.
+func (r *Reporter) handleRetryRequest(message *sfv1.Datagram, peer *peerState) {
 	reply := r.newDatagram(sfv1.Datagram_KIND_GRANT)
 	ask := message.GetAsk()
 	reply.Ask = &sfv1.PoolAsk{Id: ask.GetId(), Service: ask.GetService(), Granted: r.exchange.IsHub() && r.loads.GrantRetry(ask.GetService())}
-	r.send(reply, []string{k.Address})
+	r.send(reply, []string{peer.Address})
 }
 
-// hubAddress is the address of the instance that passes this zone's reports on; self tells
-// that it is this one.
+// hubAddress returns the address of this zone's hub; self is whether this instance is the hub.
 func (e *Exchange) hubAddress() (address string, self bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -92,8 +92,8 @@
 	if e.isHub(now) {
 		return "", true
 	}
-	if k, ok := e.byID[e.roster.Hub(now)]; ok {
-		return k.Address, false
+	if peer, ok := e.byID[e.roster.Hub(now)]; ok {
+		return peer.Address, false
 	}
 	return "", false
 }
--- a/internal/peers/revisions.go
+++ b/internal/peers/revisions.go
@@ -2,50 +2,51 @@
 
 import "time"
 
-// peerRevision is a table's highest revision that others told lately.
+// peerRevision is the highest revision of a table that others reported recently.
 type peerRevision struct {
 	revision int64
 	at       time.Duration
 }
 
-// applyRevisions takes the revisions that a datagram names.
-func (e *Exchange) applyRevisions(told map[string]int64) {
+// applyRevisions records the revisions that a datagram names.
+func (e *Exchange) applyRevisions(received map[string]int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.now()
-	for table, revision := range told {
-		if word := e.peerRevisions[table]; revision >= word.revision || now-word.at > statusTimeout {
+	for table, revision := range received {
+		if last := e.peerRevisions[table]; revision >= last.revision || now-last.at > statusTimeout {
 			e.peerRevisions[table] = peerRevision{revision: revision, at: now}
 		}
 	}
 }
 
-// isBehind tells whether others have told lately that they have rows which this instance
-// lacks: it hears of them, and could not get them yet.
+// isBehind reports whether others have reported recently that they have rows which this instance
+// lacks: it receives their datagrams, but has not been able to pull the rows yet.
 func (e *Exchange) isBehind() bool {
 	own := e.rows.Revisions()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.now()
-	lacks := false
-	for table, word := range e.peerRevisions {
-		lacks = lacks || word.revision > own[table] && now-word.at <= statusTimeout
+	behind := false
+	for table, last := range e.peerRevisions {
+		behind = behind || last.revision > own[table] && now-last.at <= statusTimeout
 	}
-	e.recordBehind(lacks, now)
-	return lacks
+	e.recordBehind(behind, now)
+	return behind
 }
 
-// behindLogThreshold is how long an instance lacks rows before it is worth a line: most come
-// within some milliseconds.
+// behindLogThreshold is how long an instance must have lacked rows for the recovery to be logged:
+// most rows arrive within a few milliseconds.
 const behindLogThreshold = 500 * time.Millisecond
 
-// recordBehind logs that this instance has caught up after long. The lock is held.
-func (e *Exchange) recordBehind(lacks bool, now time.Duration) {
-	if lacks && !e.wasBehind {
+// recordBehind records whether this instance lacks rows, and logs when it has caught up after a
+// long time. The lock is held.
+func (e *Exchange) recordBehind(behind bool, now time.Duration) {
+	if behind && !e.wasBehind {
 		e.behindSince = now
 	}
-	if late := now - e.behindSince; e.wasBehind && !lacks && late >= behindLogThreshold {
-		e.log.Info("peers: caught up with the others", "after", late)
+	if elapsed := now - e.behindSince; e.wasBehind && !behind && elapsed >= behindLogThreshold {
+		e.log.Info("peers: caught up with the others", "after", elapsed)
 	}
-	e.wasBehind = lacks
+	e.wasBehind = behind
 }
--- a/internal/peers/service.go
+++ b/internal/peers/service.go
@@ -8,7 +8,7 @@
 	sfv1 "sassafrasfield/internal/gen/sf/v1"
 )
 
-// service answers the peers' calls.
+// service handles the peers' calls.
 type service struct {
 	exchange *Exchange
 }
