--- a/internal/lease/model_test.go
+++ b/internal/lease/model_test.go
@@ -10,7 +10,8 @@
 	"sassafrasfield/internal/order"
 )
 
-// settings of the model; the clocks' rates differ by less than the margin.
+// modelSettings are the settings of the model. Over a term, the clocks differ by
+// less than the margin.
 var modelSettings = lease.Settings{
 	Term: 3 * time.Second, RenewEvery: time.Second, RetryEvery: 200 * time.Millisecond, Margin: 300 * time.Millisecond,
 }
@@ -28,7 +29,7 @@
 	revision int64
 }
 
-// table keeps each state, so that a read can be as stale as it likes.
+// table keeps all states of its rows, so that a read can be arbitrarily stale.
 type table struct {
 	revision int64
 	rows     map[string][]cell
@@ -56,7 +57,7 @@
 	return t.revision, true
 }
 
-// call is a read or a write on its way. One that was given up stays in the
+// call is a read or a write under way. One that its caller gave up stays in the
 // network and may arrive late.
 type call struct {
 	read   string // the key; empty for a write
@@ -69,29 +70,29 @@
 	ok       bool
 }
 
-// model engine: refuses lower fencing numbers or ignores them.
+// modelEngine is an engine that refuses lower fencing numbers, or ignores fencing.
 type modelEngine struct {
-	fencing config.Fencing
-	status  engine.Status
-	took    []engine.Order
+	fencing  config.Fencing
+	status   engine.Status
+	accepted []engine.Order
 }
 
-func (e *modelEngine) take(o engine.Order) {
+func (e *modelEngine) accept(o engine.Order) {
 	if e.fencing == config.FencingRefuse && o.Fence < e.status.LastFence {
 		return
 	}
-	e.took = append(e.took, o)
+	e.accepted = append(e.accepted, o)
 	e.status.LastOrder, e.status.LastFence, e.status.State = o.ID, o.Fence, o.Want
 }
 
-// sentOrder is an order on its way to an engine.
+// sentOrder is an order under way to an engine.
 type sentOrder struct {
 	from  *process
 	to    int
 	order engine.Order
 }
 
-// steps of an order.
+// Steps of an order.
 const (
 	idle = iota
 	reading
@@ -104,13 +105,14 @@
 	closing
 )
 
-// process is one sf-control: a lease machine and the path of one order.
+// process is one sf-control process: a lease state machine and the state of one
+// order.
 type process struct {
 	name    string
 	machine *lease.Lease
 	offset  time.Duration
 	rate    float64
-	// frozenUntil is in the world's time.
+	// frozenUntil is in the time of the model, not on the process's clock.
 	frozenUntil time.Duration
 
 	leaseCall, orderCall *call
@@ -122,7 +124,7 @@
 	killAt time.Duration
 }
 
-// world is all of the model.
+// world is the whole model: the table, the network, the engines and the processes.
 type world struct {
 	now       time.Duration
 	table     *table
@@ -145,7 +147,7 @@
 	return w
 }
 
-// start returns a fresh run of a process.
+// start returns a new run of a process.
 func (w *world) start(i int, rate float64) *process {
 	w.runs++
 	name := fmt.Sprintf("p%d/run%d", i, w.runs)
@@ -163,12 +165,12 @@
 
 func (w *world) frozen(p *process) bool { return w.now < p.frozenUntil }
 
-// clock is a process's own.
+// clock returns the time on a process's own clock.
 func (w *world) clock(p *process) time.Duration {
 	return p.offset + time.Duration(float64(w.now)*p.rate)
 }
 
-// advance lets time pass, and the kernel timers fire.
+// advance lets time pass and fires the kernel timers that are due.
 func (w *world) advance(by time.Duration) {
 	w.now += by
 	for i, p := range w.processes {
@@ -182,16 +184,17 @@
 	}
 }
 
-// kill replaces a process by a fresh run. Its sockets are reset: what an
-// engine that ignores fencing numbers has not read is gone. An engine that
-// refuses old ones may yet get it.
+// kill replaces a process by a new run. Its sockets are reset: an order that an
+// engine that ignores fencing numbers has not read yet is dropped. An engine that
+// refuses old numbers may still receive it.
 func (w *world) kill(i int) {
 	p := w.processes[i]
 	w.reset(p)
 	w.processes[i] = w.start(i, p.rate)
 }
 
-// reset drops what a process has under way to engines that ignore fencing.
+// reset drops the orders of a process that are under way to engines that ignore
+// fencing.
 func (w *world) reset(p *process) {
 	var left []sentOrder
 	for _, s := range w.orders {
@@ -202,7 +205,7 @@
 	w.orders = left
 }
 
-// tickLease asks the machine what to do.
+// tickLease calls Tick and sends the call that it returns.
 func (w *world) tickLease(p *process) {
 	action := p.machine.Tick(w.clock(p))
 	switch action.Kind {
@@ -222,7 +225,8 @@
 	return c
 }
 
-// serve executes a call that is in the network.
+// serve executes call i of the network. A read returns the row as it was the given
+// number of states ago.
 func (w *world) serve(i, stale int) {
 	c := w.network[i]
 	w.network = append(w.network[:i], w.network[i+1:]...)
@@ -234,7 +238,8 @@
 	c.revision, c.ok = w.table.commit(c.checks, c.writes)
 }
 
-// finishLease gives a machine the outcome of its call; lost when the reply is.
+// finishLease gives a state machine the outcome of its call. The parameter lost
+// means that the reply was lost.
 func (w *world) finishLease(p *process, lost bool) {
 	c := p.leaseCall
 	if c == nil || !c.served && !lost {
--- a/internal/lease/modelorders_test.go
+++ b/internal/lease/modelorders_test.go
@@ -7,53 +7,53 @@
 	"sassafrasfield/internal/order"
 )
 
-// stepOrder takes one step on the path of an order, as control/orders.go and
-// control/deliver.go do it. A process can be frozen before each.
+// stepOrder does the next step of an order, as control/orders.go and
+// control/deliver.go do. A process can be frozen before each step.
 func (w *world) stepOrder(p *process, target int) {
 	now := w.clock(p)
 	switch p.step {
 	case idle:
-		w.begin(p, target)
+		w.beginOrder(p, target)
 	case reading:
-		w.decide(p)
+		w.decideOrder(p)
 	case journalling:
 		w.finishJournal(p, journalled)
 	case closing:
 		w.finishJournal(p, idle)
 	case journalled:
 		grant, held := p.machine.Held(now)
-		p.advanceIf(held && grant.Epoch == p.grant.Epoch, checked)
+		p.continueIf(held && grant.Epoch == p.grant.Epoch, checked)
 		p.grant = grant
 	case checked:
 		p.killAt = p.grant.Until
 		p.step = armed
 	case armed:
-		p.advanceIf(now < p.grant.Until-sendGuard, sending)
+		p.continueIf(now < p.grant.Until-sendGuard, sending)
 	case sending:
 		w.orders = append(w.orders, sentOrder{from: p, to: p.target, order: p.row.Message()})
 		p.step = sent
 	case sent:
 		if now >= p.grant.Until-sendGuard {
-			w.breakOff(p)
+			w.abortSend(p)
 		}
 	}
 }
 
-// advanceIf goes on, or gives the order up and disarms the timer.
-func (p *process) advanceIf(ok bool, step int) {
+// continueIf goes on to a step, or gives up the order and disarms the timer.
+func (p *process) continueIf(ok bool, step int) {
 	p.step = step
 	if !ok {
 		p.step, p.killAt = idle, 0
 	}
 }
 
-// breakOff resets the connection of an order, then disarms the timer.
-func (w *world) breakOff(p *process) {
+// abortSend resets the connection of an order, then disarms the timer.
+func (w *world) abortSend(p *process) {
 	w.reset(p)
 	p.step, p.killAt = idle, 0
 }
 
-func (w *world) begin(p *process, target int) {
+func (w *world) beginOrder(p *process, target int) {
 	grant, held := p.machine.Held(w.clock(p))
 	if !held {
 		return
@@ -65,8 +65,8 @@
 
 func orderKey(target int) string { return fmt.Sprintf("order%d", target) }
 
-// decide closes the open order, sends it again, or begins a new one.
-func (w *world) decide(p *process) {
+// decideOrder closes the open order, sends it again, or starts a new one.
+func (w *world) decideOrder(p *process) {
 	if !p.orderCall.served {
 		return
 	}
@@ -93,29 +93,29 @@
 	if !p.orderCall.served {
 		return
 	}
-	p.advanceIf(p.orderCall.ok, next)
+	p.continueIf(p.orderCall.ok, next)
 	p.orderCall = nil
 }
 
-// giveUpOrder has a call of the order path end without a known outcome.
-func (w *world) giveUpOrder(p *process) {
+// failOrderCall ends a process's call for an order without a known outcome.
+func (w *world) failOrderCall(p *process) {
 	if p.step == reading || p.step == journalling || p.step == closing {
 		p.step, p.orderCall = idle, nil
 	}
 }
 
-// arrive has an engine take an order; the reply may be lost.
+// arrive delivers an order to its engine; the reply may be lost.
 func (w *world) arrive(i int, replyLost bool) {
 	s := w.orders[i]
 	w.orders = append(w.orders[:i:i], w.orders[i+1:]...)
-	w.engines[s.to].take(s.order)
+	w.engines[s.to].accept(s.order)
 	if !replyLost && s.from.step == sent && s.from.row.Fence() == s.order.Fence {
 		s.from.step, s.from.killAt = idle, 0
 	}
 }
 
-// duplicate leaves a late copy of an order in the network, for an engine that
-// refuses old fencing numbers.
+// duplicate leaves a late copy of an order in the network if its engine refuses
+// old fencing numbers.
 func (w *world) duplicate(i int) {
 	if s := w.orders[i]; w.engines[s.to].fencing == config.FencingRefuse {
 		w.orders = append(w.orders, s)
--- a/internal/lease/outcome.go
+++ b/internal/lease/outcome.go
@@ -6,71 +6,73 @@
 	"sassafrasfield/internal/platform"
 )
 
-// Outcome of a write.
+// Outcome is the outcome of a write.
 type Outcome int
 
 // Outcomes of a write.
 const (
-	// Committed writes took effect.
+	// Committed means that the write took effect.
 	Committed Outcome = iota
-	// Conflicted writes did not: the row has another revision.
+	// Conflicted means that it did not: the row has another revision.
 	Conflicted
-	// Unavailable writes did not: the table did not take the call.
+	// Unavailable means that it did not: the table did not accept the call.
 	Unavailable
-	// Unknown writes may have taken effect, or may yet.
+	// Unknown means that the write may have taken effect, or may still do so.
 	Unknown
 )
 
-// maxDoubts bounds the writes in doubt that are remembered. The row of one that
-// was forgotten is taken over anew, with a new epoch.
-const maxDoubts = 32
+// maxInDoubt bounds the number of writes in doubt that are remembered. If a
+// forgotten write took effect, its row is taken over again with a new epoch.
+const maxInDoubt = 32
 
-// OnRead takes the row that a read returned at now. Revision is 0 when there is
-// no row.
+// OnRead processes the row that a read returned at now. If there is no row, the
+// counter of the revision is 0.
 func (l *Lease) OnRead(now time.Duration, row Row, revision int64) {
-	l.busy = false
-	if revision < l.floor {
-		l.nextTry = now + l.settings.RetryEvery
+	l.callPending = false
+	if revision < l.minRevision {
+		l.nextTryAt = now + l.settings.RetryEvery
 		return
 	}
 	l.readSoon = false
-	l.lastRead = now
+	l.lastReadAt = now
 	if l.known && platform.EraOf(revision) > platform.EraOf(l.revision) {
-		defer l.goneBack()
+		defer l.markRestored()
 	}
 	if l.known && revision == l.revision {
-		// That a write in doubt is not seen proves nothing: the read may be
-		// stale and the write may yet arrive. Tick tries it again.
-		l.repeated = true
+		// The absence of a write in doubt proves nothing: the read may be stale,
+		// and the write may still arrive. Tick writes again.
+		l.revisionConfirmed = true
 		return
 	}
-	l.adopt(now, row, revision)
-	l.settle(revision)
+	l.setRow(now, row, revision)
+	l.resolveInDoubt(revision)
 }
 
-// adopt takes a row as the newest state.
-func (l *Lease) adopt(now time.Duration, row Row, revision int64) {
+// setRow makes a row and its revision the newest known state.
+func (l *Lease) setRow(now time.Duration, row Row, revision int64) {
 	if !l.known {
-		l.firstRead = now
+		l.firstReadAt = now
 	}
 	l.row, l.revision, l.known = row, revision, true
-	l.floor = revision
-	l.since, l.repeated, l.returned = now, false, false
-	l.topEpoch = max(l.topEpoch, row.Epoch)
+	l.minRevision = revision
+	l.revisionSeenAt, l.revisionConfirmed, l.tableRestored = now, false, false
+	l.maxEpoch = max(l.maxEpoch, row.Epoch)
 }
 
-// goneBack notes that the row is that of an older copy. The lease is taken anew, as
-// the epoch's row may be lost.
-func (l *Lease) goneBack() { l.returned, l.grant = true, nil }
+// markRestored records that the row comes from an older copy of the table. It
+// drops the grant, so that the lease is taken over again: the epoch row may be
+// missing after the restore.
+func (l *Lease) markRestored() { l.tableRestored, l.grant = true, nil }
 
-// settle decides the writes in doubt by a row with a newer revision than they
-// checked: one of them wrote it, or none takes effect any more.
-func (l *Lease) settle(revision int64) {
-	doubts := l.doubts
-	l.doubts = nil
-	for _, doubt := range doubts {
-		if doubt.row.WriteID == l.row.WriteID {
-			l.accept(doubt, revision)
+// resolveInDoubt resolves the writes in doubt after a read of a newer revision
+// than they checked: either one of them wrote the row, or none can take effect
+// any more.
+func (l *Lease) resolveInDoubt(revision int64) {
+	inDoubt := l.inDoubt
+	l.inDoubt = nil
+	for _, write := range inDoubt {
+		if write.row.WriteID == l.row.WriteID {
+			l.applyWrite(write, revision)
 			return
 		}
 	}
@@ -79,70 +81,70 @@
 	}
 }
 
-// accept makes a write that took effect the state of the lease. The term
-// counts from before the write was sent.
-func (l *Lease) accept(a attempt, revision int64) {
+// applyWrite updates the grant after a write that took effect. The term counts
+// from before the write was sent.
+func (l *Lease) applyWrite(a attempt, revision int64) {
 	if a.row.Holder != l.self {
 		l.grant = nil
 		return
 	}
 	if a.newEpoch {
-		l.epochRevision, l.takeover = revision, a
+		l.epochRevision, l.lastTakeover = revision, a
 		if !a.resumed {
-			l.takenAt = a.at
+			l.acquiredAt = a.at
 		}
 	}
-	l.lastRenewal, l.heldUntil = a.at, a.at+l.settings.Term
+	l.lastRenewalAt, l.heldUntil = a.at, a.at+l.settings.Term
 	l.grant = &Grant{
 		Epoch: a.row.Epoch, EpochRevision: l.epochRevision, Until: l.heldUntil,
-		Resumed: l.takeover.resumed, First: l.takeover.first, TableRestored: l.takeover.returned,
+		Resumed: l.lastTakeover.resumed, First: l.lastTakeover.first, TableRestored: l.lastTakeover.tableRestored,
 	}
 }
 
-// OnReadFailed takes a read that gave nothing.
+// OnReadFailed processes a read that failed at now.
 func (l *Lease) OnReadFailed(now time.Duration) {
-	l.busy = false
-	l.nextTry = now + l.settings.RetryEvery
+	l.callPending = false
+	l.nextTryAt = now + l.settings.RetryEvery
 }
 
-// OnWrite takes the outcome of a write that ended at now; revision is the
-// row's new one when it was committed.
+// OnWrite processes the outcome of a write that ended at now; revision is the
+// row's new revision if the write was committed.
 func (l *Lease) OnWrite(now time.Duration, outcome Outcome, revision int64) {
-	l.busy = false
+	l.callPending = false
 	switch outcome {
 	case Committed:
-		l.doubts = nil
+		l.inDoubt = nil
 		l.readSoon = false
-		l.lastRead = now
-		l.adopt(now, l.sent.row, revision)
-		l.accept(l.sent, revision)
+		l.lastReadAt = now
+		l.setRow(now, l.inFlight.row, revision)
+		l.applyWrite(l.inFlight, revision)
 	case Conflicted:
-		l.conflicted()
+		l.onConflict()
 	case Unavailable:
-		l.nextTry = now + l.settings.RetryEvery
+		l.nextTryAt = now + l.settings.RetryEvery
 	case Unknown:
-		l.doubt(now)
+		l.addInDoubt(now)
 	}
 }
 
-// conflicted notes that the row has a newer revision than was checked: by a
-// write in doubt or by another process.
-func (l *Lease) conflicted() {
-	l.floor = l.revision + 1
+// onConflict records that the row has a newer revision than the write checked,
+// written by a write in doubt or by another process.
+func (l *Lease) onConflict() {
+	l.minRevision = l.revision + 1
 	l.readSoon = true
-	if len(l.doubts) == 0 {
+	if len(l.inDoubt) == 0 {
 		l.grant = nil
 	}
 }
 
-// doubt keeps the write until it is settled, and has the row read.
-func (l *Lease) doubt(now time.Duration) {
-	if len(l.doubts) > 0 {
-		l.nextTry = now + l.settings.RetryEvery
+// addInDoubt keeps the write until it is resolved, and requests a read.
+func (l *Lease) addInDoubt(now time.Duration) {
+	if len(l.inDoubt) > 0 {
+		l.nextTryAt = now + l.settings.RetryEvery
 	}
-	l.doubts = append(l.doubts, l.sent)
-	if len(l.doubts) > maxDoubts {
-		l.doubts = l.doubts[1:]
+	l.inDoubt = append(l.inDoubt, l.inFlight)
+	if len(l.inDoubt) > maxInDoubt {
+		l.inDoubt = l.inDoubt[1:]
 	}
 	l.readSoon = true
 }
--- a/internal/lease/place.go
+++ b/internal/lease/place.go
@@ -6,26 +6,26 @@
 	"sassafrasfield/internal/rendezvous"
 )
 
-// RankSettings settle how closely the instances watch the leases.
+// RankSettings determine how closely each instance watches the leases.
 type RankSettings struct {
-	// Watchers is how many of the instances that rank highest for a pool watch
-	// its lease at all.
+	// Watchers is how many of the highest-ranked instances for a pool watch its
+	// lease.
 	Watchers int
-	// ReadEvery is the time between reads of the first choice and the two
-	// after it; each next one takes twice as long as the one before.
+	// ReadEvery is the time between reads of the first choice and of the next two
+	// ranks. It doubles with each further rank.
 	ReadEvery time.Duration
-	// RankDelay is how much longer each rank waits than the one before it, before
-	// it takes a lease over.
+	// RankDelay is how much longer each rank waits before a takeover than the
+	// rank before it.
 	RankDelay time.Duration
 }
 
-// frequent is how many ranks after the first read at the full rate.
-const frequent = 2
+// lastFullRateRank is the last rank that reads at the full rate.
+const lastFullRateRank = 2
 
-// Rank returns the place of an instance among the live ones for a pool: 0 is
-// the first choice. It is rendezvous hashing: pools spread evenly, and an
-// instance that comes or goes moves only the pools it ranks first for. An
-// instance that the list lacks is counted as one more; it may be new.
+// Rank returns the rank of an instance among the live ones for a pool; 0 is the
+// first choice. It uses rendezvous hashing, so pools spread evenly, and an
+// instance that joins or leaves moves only the pools for which it ranks first.
+// An instance that the list lacks is ranked as an additional one; it may be new.
 func Rank(pool, self string, live []string) int {
 	rank := 0
 	for _, id := range live {
@@ -36,12 +36,12 @@
 	return rank
 }
 
-// WatchPolicy returns how closely the instance of a rank watches.
+// WatchPolicy returns how closely the instance with a rank watches the lease.
 func (r RankSettings) WatchPolicy(rank int) WatchPolicy {
 	if rank >= r.Watchers {
 		return WatchPolicy{}
 	}
-	doublings := max(0, rank-frequent)
+	doublings := max(0, rank-lastFullRateRank)
 	return WatchPolicy{
 		Watch:         true,
 		ReadEvery:     r.ReadEvery << doublings,
--- a/internal/leaserows/leaserows.go
+++ b/internal/leaserows/leaserows.go
@@ -1,5 +1,6 @@
-// Package leaserows keeps leases in the platform's table: it reads a lease's
-// row and writes what a lease machine asks for.
+// Package leaserows stores leases in the platform's table. It reads a lease's
+// row and carries out the writes that the state machine of package lease
+// returns.
 package leaserows
 
 import (
@@ -12,17 +13,18 @@
 	"sassafrasfield/internal/platform"
 )
 
-// ErrUnreadable: a row holds no lease. Compare with errors.Is.
+// ErrUnreadable reports that the content of a row is not a lease. Compare with
+// errors.Is.
 var ErrUnreadable = errors.New("lease: decode")
 
-// Key is the key of a pool's lease row.
+// Key returns the key of a pool's lease row.
 func Key(pool string) string { return "lease/" + pool }
 
-// EpochKey is the key of the row that is written by takeovers alone.
+// EpochKey returns the key of a pool's epoch row, which only takeovers write.
 func EpochKey(pool string) string { return "epoch/" + pool }
 
-// Read returns a lease's row and its revision; a row that is not there is
-// empty and has a revision with a counter of 0.
+// Read returns a lease's row and its revision. For an absent row it returns an
+// empty row, and a revision with a counter of 0.
 func Read(ctx context.Context, table platform.Table, pool string) (lease.Row, int64, error) {
 	var content lease.Row
 	row, err := table.Get(ctx, Key(pool))
@@ -38,16 +40,16 @@
 	return content, row.Revision, nil
 }
 
-// Write carries a machine's write out. The error tells why the outcome is not
-// Committed.
+// Write carries out a Write action of the state machine. The error says why the
+// outcome is not Committed.
 func Write(ctx context.Context, table platform.Table, pool string, action lease.Action) (lease.Outcome, int64, error) {
 	revision, err := table.Commit(ctx, txn(pool, action))
 	return outcomeOf(err), revision, err
 }
 
-// txn is the transaction of a write. A takeover writes the epoch row too: its
-// revision stands until the next takeover, so that whatever depends on the
-// epoch can check it.
+// txn returns the transaction of a write. A takeover also writes the epoch row.
+// The revision of that row is unchanged until the next takeover, so that writes
+// that depend on the epoch can check it.
 func txn(pool string, action lease.Action) platform.Txn {
 	value, err := json.Marshal(action.Row)
 	if err != nil {
