--- a/internal/control/observe.go
+++ b/internal/control/observe.go
@@ -30,7 +30,7 @@
 func (d *Daemon) look(ctx context.Context, doc *config.Config, pool string, orders map[string]order.Row) rollout.View {
 	view := rollout.View{
 		Config: doc, Pool: pool, Orders: orders,
-		Limits: d.limits(ctx, doc, pool), Leaving: d.leavingEngines(),
+		Limits: d.limits(ctx, doc, pool), ShuttingDown: d.leavingEngines(),
 	}
 	engines := doc.PoolEngines(pool)
 	view.Engines = d.observeEngines(ctx, engines)
@@ -66,7 +66,7 @@
 	if err != nil || !response.Msg.EntryKnown {
 		return view
 	}
-	view.Known = true
+	view.Answered = true
 	view.Version = response.Msg.EntryVersion
 	for _, s := range response.Msg.Streams {
 		view.Streams[s.Engine] = int(s.Streams)
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -23,8 +23,8 @@
 // InstanceView is what an instance reported of itself.
 type InstanceView struct {
 	ID string
-	// Known is true when the instance's entry answered in this round.
-	Known bool
+	// Answered is true when the instance's entry answered in this round.
+	Answered bool
 	// Version in force in its entry.
 	Version int64
 	// Streams of its entry for each engine.
@@ -35,8 +35,8 @@
 type EngineView struct {
 	Reachable bool
 	Status    engine.Status
-	// Silent is how long it was asked without an answer; see Silence.
-	Silent time.Duration
+	// UnansweredFor is how long it was asked without an answer; see Silence.
+	UnansweredFor time.Duration
 	// RoutingAge is how long the holder has known the version that set the
 	// engine's routing, on its own clock.
 	RoutingAge time.Duration
@@ -47,11 +47,11 @@
 
 // Limits bound the pace of a rollout.
 type Limits struct {
-	// SilentAfter is how long after a version was accepted an instance that does
+	// InstanceTimeout is how long after a version was accepted an instance that does
 	// not answer counts as taking no new work by an older one. It must exceed
 	// the time after which an entry without heartbeats refuses, plus the time
 	// for which a daemon that is cut off holds an old version.
-	SilentAfter time.Duration
+	InstanceTimeout time.Duration
 	// UnreachableAfter is how long an engine must have been silent to be marked
 	// out of routing.
 	UnreachableAfter time.Duration
@@ -69,8 +69,8 @@
 	Instances []InstanceView
 	Engines   map[string]EngineView
 	Orders    map[string]order.Row
-	// Leaving are engines that leave by the platform's word.
-	Leaving map[string]bool
+	// ShuttingDown are engines that leave by the platform's word.
+	ShuttingDown map[string]bool
 }
 
 // Action is one thing to do: CloseOrder, SendOrder or Mark.
@@ -103,8 +103,8 @@
 	Reason  Reason
 }
 
-// Mark writes one version with all changes.
-type Mark struct {
+// UpdateRouting writes one version with all changes.
+type UpdateRouting struct {
 	Changes []Change
 }
 
@@ -119,9 +119,9 @@
 	Engine string
 }
 
-func (Mark) action()       {}
-func (SendOrder) action()  {}
-func (CloseOrder) action() {}
+func (UpdateRouting) action() {}
+func (SendOrder) action()     {}
+func (CloseOrder) action()    {}
 
 // Decision is what may be done now, and why the rest has to wait.
 type Decision struct {
@@ -159,14 +159,14 @@
 	if c.Loaded != nil {
 		e.Loaded = *c.Loaded
 	}
-	if Arrived(e) {
+	if Converged(e) {
 		e.Plan = ""
 	}
 }
 
-// Arrived tells whether the configuration has nothing left to do for an
+// Converged tells whether the configuration has nothing left to do for an
 // engine.
-func Arrived(e *config.Engine) bool {
+func Converged(e *config.Engine) bool {
 	if e.Leave {
 		return e.Routing == config.RoutingOut
 	}
