--- a/internal/gossip/delta.go
+++ b/internal/gossip/delta.go
@@ -10,56 +10,60 @@
 	"sassafrasfield/internal/config"
 )
 
-// ErrBaseMismatch: a delta is for another version than the one held, or its result is
-// not the version that it names. The whole document has to be sent.
-var ErrBaseMismatch = errors.New("spread: the delta does not fit the version held")
+// ErrBaseMismatch reports that a delta was made for another version than the one
+// held, or that the result of the deltas has another checksum than expected. The
+// whole document must be sent.
+var ErrBaseMismatch = errors.New("spread: delta does not apply to the version held")
 
-// Delta is what changed from one version to another.
+// Delta is the difference between two versions of the configuration.
 type Delta struct {
 	Base    int64 `json:"base"`
 	Version int64 `json:"version"`
 	Intent  int64 `json:"intent"`
 
-	Models        objects[config.Model]        `json:"models,omitzero"`
-	Pools         objects[config.Pool]         `json:"pools,omitzero"`
-	Engines       objects[config.Engine]       `json:"engines,omitzero"`
-	Services      objects[config.Service]      `json:"services,omitzero"`
-	Organisations objects[config.Organisation] `json:"organisations,omitzero"`
+	Models        listChanges[config.Model]        `json:"models,omitzero"`
+	Pools         listChanges[config.Pool]         `json:"pools,omitzero"`
+	Engines       listChanges[config.Engine]       `json:"engines,omitzero"`
+	Services      listChanges[config.Service]      `json:"services,omitzero"`
+	Organisations listChanges[config.Organisation] `json:"organisations,omitzero"`
 }
 
-// objects are the changes to one list of the document.
-type objects[T any] struct {
-	// Set replaces objects with the same name, and adds others at the end.
+// listChanges are the changes to one list of the document.
+type listChanges[T any] struct {
+	// Set replaces the objects with the same names, and appends the others.
 	Set     []T      `json:"set,omitempty"`
 	Removed []string `json:"removed,omitempty"`
 }
 
-// IsZero tells whether nothing changed.
-func (o objects[T]) IsZero() bool { return len(o.Set) == 0 && len(o.Removed) == 0 }
+// IsZero reports whether nothing changed.
+func (c listChanges[T]) IsZero() bool { return len(c.Set) == 0 && len(c.Removed) == 0 }
 
-// Names of the objects in their lists.
+// The following functions return the name of an object, which is unique in its
+// list.
 func modelName(m *config.Model) string               { return m.Name }
 func poolName(p *config.Pool) string                 { return p.Name }
 func engineID(e *config.Engine) string               { return e.ID }
 func serviceName(s *config.Service) string           { return s.Name }
 func organisationName(o *config.Organisation) string { return o.Name }
 
-// Diff returns what changed, or false when a delta can't express it.
+// Diff returns the delta from base to next. It returns false if a delta can't
+// express the difference, for example a new order of a list.
 func Diff(base, next *config.Config) (Delta, bool) {
 	d := Delta{
 		Base: base.Version, Version: next.Version, Intent: next.Intent,
-		Models:        diff(base.Models, next.Models, modelName),
-		Pools:         diff(base.Pools, next.Pools, poolName),
-		Engines:       diff(base.Engines, next.Engines, engineID),
-		Services:      diff(base.Services, next.Services, serviceName),
-		Organisations: diff(base.Organisations, next.Organisations, organisationName),
+		Models:        diffList(base.Models, next.Models, modelName),
+		Pools:         diffList(base.Pools, next.Pools, poolName),
+		Engines:       diffList(base.Engines, next.Engines, engineID),
+		Services:      diffList(base.Services, next.Services, serviceName),
+		Organisations: diffList(base.Organisations, next.Organisations, organisationName),
 	}
-	made, err := d.Apply(base)
-	return d, err == nil && sameOrder(made, next)
+	result, err := d.Apply(base)
+	return d, err == nil && sameOrder(result, next)
 }
 
-// sameOrder tells whether the lists of two documents have the same names in the
-// same order. The objects that a delta makes are equal otherwise.
+// sameOrder reports whether the lists of two documents have the same names in the
+// same order. Diff need not compare the objects themselves: a delta contains each
+// object that differs.
 func sameOrder(a, b *config.Config) bool {
 	return sameNames(a.Models, b.Models, modelName) &&
 		sameNames(a.Pools, b.Pools, poolName) &&
@@ -80,45 +84,45 @@
 	return true
 }
 
-func diff[T any](base, next []T, name func(*T) string) objects[T] {
-	var out objects[T]
-	before := map[string]*T{}
+func diffList[T any](base, next []T, name func(*T) string) listChanges[T] {
+	var changes listChanges[T]
+	remaining := map[string]*T{}
 	for i := range base {
-		before[name(&base[i])] = &base[i]
+		remaining[name(&base[i])] = &base[i]
 	}
 	for i := range next {
 		id := name(&next[i])
-		old, ok := before[id]
+		old, ok := remaining[id]
 		if !ok || !reflect.DeepEqual(*old, next[i]) {
-			out.Set = append(out.Set, next[i])
+			changes.Set = append(changes.Set, next[i])
 		}
-		delete(before, id)
+		delete(remaining, id)
 	}
 	for i := range base {
-		if id := name(&base[i]); before[id] != nil {
-			out.Removed = append(out.Removed, id)
+		if id := name(&base[i]); remaining[id] != nil {
+			changes.Removed = append(changes.Removed, id)
 		}
 	}
-	return out
+	return changes
 }
 
-// Apply returns the version that the delta makes of its base. The result
-// shares objects with the base.
+// Apply applies the delta to its base and returns the resulting version. The
+// result shares objects with the base.
 func (d Delta) Apply(base *config.Config) (*config.Config, error) {
 	if base.Version != d.Base {
 		return nil, ErrBaseMismatch
 	}
 	next := *base
 	next.Version, next.Intent = d.Version, d.Intent
-	next.Models = apply(base.Models, d.Models, modelName)
-	next.Pools = apply(base.Pools, d.Pools, poolName)
-	next.Engines = apply(base.Engines, d.Engines, engineID)
-	next.Services = apply(base.Services, d.Services, serviceName)
-	next.Organisations = apply(base.Organisations, d.Organisations, organisationName)
+	next.Models = applyList(base.Models, d.Models, modelName)
+	next.Pools = applyList(base.Pools, d.Pools, poolName)
+	next.Engines = applyList(base.Engines, d.Engines, engineID)
+	next.Services = applyList(base.Services, d.Services, serviceName)
+	next.Organisations = applyList(base.Organisations, d.Organisations, organisationName)
 	return &next, nil
 }
 
-func apply[T any](base []T, changes objects[T], name func(*T) string) []T {
+func applyList[T any](base []T, changes listChanges[T], name func(*T) string) []T {
 	if changes.IsZero() {
 		return base
 	}
@@ -148,11 +152,12 @@
 	return out
 }
 
-// Sum is a checksum of an encoded document.
+// Sum returns the checksum of an encoded document.
 func Sum(encoded []byte) uint64 { return xxhash.Sum64(encoded) }
 
-// ApplyAll applies encoded deltas in order, and checks the result's sum. Its
-// error is ErrBase when the whole document is needed.
+// ApplyAll applies encoded deltas in order and verifies the checksum of the
+// result. Deltas to versions that base already includes are skipped. The error is
+// ErrBaseMismatch if the whole document is needed.
 func ApplyAll(base *config.Config, deltas [][]byte, sum uint64) (*config.Config, error) {
 	doc := base
 	for _, data := range deltas {
--- a/internal/gossip/delta_test.go
+++ b/internal/gossip/delta_test.go
@@ -28,9 +28,9 @@
 	return doc
 }
 
-// TestDeltaMakesTheSameDocument: what a delta expresses it makes exactly; the
-// rest is told.
-func TestDeltaMakesTheSameDocument(t *testing.T) {
+// TestDeltaReproducesTheDocument checks that a delta, unless Diff says that none
+// is possible, reproduces the next document exactly.
+func TestDeltaReproducesTheDocument(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		base, next := drawDocument(t, 1), drawDocument(t, 2)
 		d, ok := Diff(base, next)
@@ -41,17 +41,17 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		made, err := ApplyAll(base, [][]byte{data}, Sum(next.Encode()))
+		result, err := ApplyAll(base, [][]byte{data}, Sum(next.Encode()))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if string(made.Encode()) != string(next.Encode()) {
-			t.Fatalf("made %s, want %s", made.Encode(), next.Encode())
+		if string(result.Encode()) != string(next.Encode()) {
+			t.Fatalf("the delta results in %s, want %s", result.Encode(), next.Encode())
 		}
 	})
 }
 
-func TestDeltaOnAnotherBaseIsRefused(t *testing.T) {
+func TestDeltaOnAnotherBaseIsRejected(t *testing.T) {
 	base := &config.Config{Version: 1, Organisations: []config.Organisation{{Name: "a"}}}
 	next := &config.Config{Version: 2, Organisations: []config.Organisation{{Name: "a", Share: 2}}}
 	d, ok := Diff(base, next)
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestHolderGivesDeltasSinceAVersion(t *testing.T) {
+func TestHolderReturnsDeltasSinceAVersion(t *testing.T) {
 	h := NewHolder()
 	for v := int64(1); v <= 5; v++ {
 		h.SetIfNewer(&config.Config{Version: v, Organisations: []config.Organisation{{Name: "a", Share: float64(v)}}})
@@ -85,8 +85,8 @@
 	}
 }
 
-// TestDeltaCoversTheDocument: a list that is added to the document has to be
-// added to Delta too; until then each update falls back to the whole document.
+// TestDeltaCoversTheDocument guards against a list that was added to the document
+// but not to Delta. Each update would then fall back to the whole document.
 func TestDeltaCoversTheDocument(t *testing.T) {
 	delta, document := reflect.TypeFor[Delta](), reflect.TypeFor[config.Config]()
 	for i := range document.NumField() {
--- a/internal/gossip/holder.go
+++ b/internal/gossip/holder.go
@@ -1,8 +1,10 @@
-// Package gossip decides how configuration versions reach every instance: each
-// sf-control process reads the head of the table now and then, tells a few
-// peers of what it learns, and compares versions with a random peer. The
-// decisions are pure (Machine, Leaving, Delta); Holder keeps the newest
-// version. A version never falls.
+// Package gossip decides how configuration versions reach every instance. Each
+// sf-control process periodically reads the head of the table, offers each new
+// version to a few peers, and compares versions with a random peer. Machine,
+// DrainingSet and Delta do no I/O: their inputs are the time and the answers of
+// the table and of peers, and their outputs are the actions that the daemon
+// carries out, the set of draining upstreams, and changes between versions.
+// Holder keeps the newest version. The version held never decreases.
 package gossip
 
 import (
@@ -14,29 +16,30 @@
 	"sassafrasfield/internal/config"
 )
 
-// deltasKept bounds the deltas that a holder keeps for peers that are behind.
-const deltasKept = 32
+// maxDeltas bounds the deltas that a holder keeps for peers with an older version.
+const maxDeltas = 32
 
-// keptDelta is an encoded Delta.
-type keptDelta struct {
+// encodedDelta is an encoded Delta.
+type encodedDelta struct {
 	base int64
 	data []byte
 }
 
-// Holder holds the newest configuration that this process knows. A version
-// never falls. It is safe for use by several goroutines.
+// Holder holds the newest configuration that this process knows. The version held
+// never decreases. A Holder is safe for concurrent use.
 type Holder struct {
 	mu sync.Mutex // protects all below
 	// doc is never changed once it is held.
 	doc *config.Config
-	// encoded is doc as JSON, made when it is first asked for; nil before.
+	// encoded is doc as JSON; nil until it is first needed.
 	encoded []byte
 	// deltas lead from older versions to doc without a gap, oldest first.
-	deltas  []keptDelta
+	deltas []encodedDelta
+	// changed is closed and replaced with each new version.
 	changed chan struct{}
 }
 
-// NewHolder returns a holder that holds version 0.
+// NewHolder returns a holder of version 0.
 func NewHolder() *Holder {
 	return &Holder{doc: &config.Config{}, changed: make(chan struct{})}
 }
@@ -62,16 +65,17 @@
 	return h.encoded
 }
 
-// Update brings a peer to a version: by deltas, or by the whole document.
+// Update is what a peer needs to reach a version: either deltas or the whole
+// document.
 type Update struct {
 	Version  int64
 	Deltas   [][]byte
 	Document []byte
-	// Sum of the document that the deltas make.
+	// Sum is the checksum of the resulting document.
 	Sum uint64
 }
 
-// UpdateSince returns the update for a peer that holds a version.
+// UpdateSince returns the update for a peer that holds the given version.
 func (h *Holder) UpdateSince(version int64) Update {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -87,8 +91,9 @@
 	return update
 }
 
-// keepDelta keeps what changes with the next document. The mutex is held.
-func (h *Holder) keepDelta(next *config.Config) {
+// appendDelta adds the delta to the next document. If a delta can't express the
+// change, it drops all deltas. The caller holds the mutex.
+func (h *Holder) appendDelta(next *config.Config) {
 	if h.doc.Version == 0 {
 		return
 	}
@@ -101,28 +106,28 @@
 	if err != nil {
 		panic(errors.Wrap(err, "spread: delta")) // plain data always marshals
 	}
-	h.deltas = append(h.deltas, keptDelta{base: d.Base, data: data})
-	if len(h.deltas) > deltasKept {
+	h.deltas = append(h.deltas, encodedDelta{base: d.Base, data: data})
+	if len(h.deltas) > maxDeltas {
 		h.deltas = h.deltas[1:]
 	}
 }
 
-// SetIfNewer takes a configuration, from whichever source, and tells whether it was
-// newer than the one held.
+// SetIfNewer replaces the configuration if doc is newer than the one held, and
+// reports whether it was. The source of doc does not matter.
 func (h *Holder) SetIfNewer(doc *config.Config) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if doc.Version <= h.doc.Version {
 		return false
 	}
-	h.keepDelta(doc)
+	h.appendDelta(doc)
 	h.doc, h.encoded = doc, nil
 	close(h.changed)
 	h.changed = make(chan struct{})
 	return true
 }
 
-// Changed returns a channel that is closed when a newer version is learned.
+// Changed returns a channel that is closed when a newer version is set.
 func (h *Holder) Changed() <-chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/gossip/leaving.go
+++ b/internal/gossip/leaving.go
@@ -2,58 +2,62 @@
 
 import "time"
 
-// DrainingSet knows which upstreams are leaving by the platform's word, from the
-// instance list or from peers. It is pure, and not safe for use by several
-// goroutines.
+// DrainingSet is the set of upstreams that the platform announced as draining, in
+// the instance list or through peers. It does no I/O, and is not safe for
+// concurrent use.
 type DrainingSet struct {
-	// listLag is how old the instance list may be: a list without the word
-	// takes it back only when it was read that long after the word.
+	// listLag is the maximum age of the instance list: a list that no longer has
+	// an upstream as draining revokes an announcement only if the list was
+	// requested at least that long after the announcement.
 	listLag time.Duration
-	// listed is when the last list that answered was asked for.
-	listed time.Duration
-	said   map[string]time.Duration
+	// lastListAt is when the last list that was answered was requested.
+	lastListAt time.Duration
+	// announcedAt is when each upstream was last announced as draining.
+	announcedAt map[string]time.Duration
 }
 
-// NewDrainingSet returns a set without any upstream.
+// NewDrainingSet returns an empty set.
 func NewDrainingSet(listLag time.Duration) *DrainingSet {
-	return &DrainingSet{listLag: listLag, said: map[string]time.Duration{}}
+	return &DrainingSet{listLag: listLag, announcedAt: map[string]time.Duration{}}
 }
 
-// MergeList takes the ids that the instance list calls leaving; the list was
-// asked for at a time.
-func (l *DrainingSet) MergeList(at time.Duration, ids []string) {
-	l.listed = at
-	for id, said := range l.said {
-		if l.overruled(said) {
-			delete(l.said, id)
+// MergeList merges an instance list that was requested at the given time. The ids
+// are those of the upstreams that it has as draining.
+func (s *DrainingSet) MergeList(at time.Duration, ids []string) {
+	s.lastListAt = at
+	for id, announcedAt := range s.announcedAt {
+		if s.isOutdated(announcedAt) {
+			delete(s.announcedAt, id)
 		}
 	}
 	for _, id := range ids {
-		l.Merge(id, at)
+		s.Merge(id, at)
 	}
 }
 
-// Merge takes the platform's word from a peer: said at a time, or later.
-func (l *DrainingSet) Merge(id string, at time.Duration) {
-	if l.overruled(at) {
+// Merge merges an announcement of the platform that a peer passed on. It was made
+// at the given time or later.
+func (s *DrainingSet) Merge(id string, at time.Duration) {
+	if s.isOutdated(at) {
 		return
 	}
-	if said, ok := l.said[id]; !ok || at > said {
-		l.said[id] = at
+	if announcedAt, ok := s.announcedAt[id]; !ok || at > announcedAt {
+		s.announcedAt[id] = at
 	}
 }
 
-// overruled tells whether the last list is newer than a word that it lacks.
-func (l *DrainingSet) overruled(said time.Duration) bool {
-	return l.listed >= said+l.listLag
+// isOutdated reports whether the last list is newer than an announcement of that
+// time, so that only the list counts.
+func (s *DrainingSet) isOutdated(announcedAt time.Duration) bool {
+	return s.lastListAt >= announcedAt+s.listLag
 }
 
-// Ages returns the time since the platform's last word for each upstream that
-// is leaving.
-func (l *DrainingSet) Ages(now time.Duration) map[string]time.Duration {
-	ages := make(map[string]time.Duration, len(l.said))
-	for id, said := range l.said {
-		ages[id] = now - said
+// Ages returns the time since the platform's last announcement for each draining
+// upstream.
+func (s *DrainingSet) Ages(now time.Duration) map[string]time.Duration {
+	ages := make(map[string]time.Duration, len(s.announcedAt))
+	for id, announcedAt := range s.announcedAt {
+		ages[id] = now - announcedAt
 	}
 	return ages
 }
--- a/internal/gossip/machine.go
+++ b/internal/gossip/machine.go
@@ -6,43 +6,44 @@
 	"time"
 )
 
-// Settings of the spread.
+// Settings are the settings of a Machine.
 type Settings struct {
-	// PollEvery is the least mean time between reads of the head.
+	// PollEvery is the minimum mean time between a daemon's reads of the head.
 	PollEvery time.Duration
-	// TableReadsPerSecond is how many reads of the head a second all daemons together
-	// may cost the table. With many instances each polls less often.
+	// TableReadsPerSecond bounds the reads of the head by all daemons together.
+	// With many instances, each one polls less often.
 	TableReadsPerSecond float64
 	// ExchangeEvery is the mean time between exchanges with a random peer.
 	ExchangeEvery time.Duration
-	// Fanout is how many peers are told of a version that is learned.
+	// Fanout is how many peers a new version is offered to.
 	Fanout int
 }
 
-// manyInstances is from where on one exchange a tick brings the news of a
-// majority too slowly while the table is down.
-const manyInstances = 64
+// largeFleetPeers is the number of peers from which one exchange at a time is too
+// slow to collect the answers of a majority while the table is down.
+const largeFleetPeers = 64
 
-// Action is what the daemon should do. It is one of the types below; each of
-// them names a peer by its control address, where it has one.
+// Action is what the daemon must do. It is one of the types below. The field Peer
+// is the peer's control address.
 type Action interface{ action() }
 
 type (
-	// PollHead reads the head of the table; TableAnswered takes the version.
+	// PollHead reads the head of the table; pass its version to OnHeadRead.
 	PollHead struct{}
 	// Load reads a version from the table.
 	Load struct{ Version int64 }
-	// Exchange asks a peer what it knows; PeerAnswered takes the version.
+	// Exchange compares the state with a peer; pass the version that the peer
+	// answers with to OnPeerAnswer.
 	Exchange struct{ Peer string }
-	// Offer tells a peer the number of the version held; PeerAnswered takes the
-	// version that the peer answers with.
+	// Offer sends a peer the number of the version held; pass the version that the
+	// peer answers with to OnPeerAnswer.
 	Offer struct{ Peer string }
-	// Send brings a peer, which has an older version, the one held.
+	// Send sends the version held to a peer that has the older PeerVersion.
 	Send struct {
 		Peer        string
 		PeerVersion int64
 	}
-	// Fetch asks a peer for the version that it holds.
+	// Fetch requests from a peer the version that it holds.
 	Fetch struct{ Peer string }
 )
 
@@ -53,105 +54,107 @@
 func (Send) action()     {}
 func (Fetch) action()    {}
 
-// Machine decides whom to ask and whom to tell. It is pure: the caller passes
-// the time of a monotonic clock, and carries the actions out. It is not safe
-// for use by several goroutines.
+// Machine decides which peers to exchange versions with, and when to read the
+// table. It is a pure state machine: the caller passes the time of a monotonic
+// clock and carries out the actions. It is not safe for concurrent use.
 //
-// A version reaches most daemons by Offer: each daemon tells a few peers once
-// when it learns of it. It reaches the rest by Exchange: each tick compares
-// the version with that of one random peer, in both directions. So a change
-// costs each daemon a fixed number of messages, whatever their number.
+// A version reaches most daemons by Offer: each daemon offers a new version once
+// to a few peers. It reaches the rest by Exchange: daemons periodically compare
+// versions with one random peer, in both directions. The number of messages that
+// a change costs each daemon is therefore independent of the number of daemons.
 type Machine struct {
 	settings Settings
 	rng      *rand.Rand
 	peers    []string
 	version  int64
-	// pollAt and exchangeAt are when the next of them is due.
+	// pollAt and exchangeAt are when the next poll and exchange are due.
 	pollAt, exchangeAt time.Duration
-	// fetching is the version that is being fetched or loaded, and until when
-	// no other source is asked for it.
+	// fetching is the version that was last requested from a peer, or that an
+	// offering peer was answered to send. No other peer is asked for it until
+	// fetchingUntil.
 	fetching      int64
 	fetchingUntil time.Duration
-	// seenHead is the version that the head was read to have, and loadAt when
-	// to load it if no peer has brought it.
-	seenHead int64
-	loadAt   time.Duration
+	// headVersion is the highest version of the head that was read. loadAt is when
+	// to load it from the table if no peer has sent it by then.
+	headVersion int64
+	loadAt      time.Duration
 }
 
-// NewMachine returns a machine that holds version 0 and knows no peer.
+// NewMachine returns a machine with version 0 and no peers.
 func NewMachine(settings Settings, rng *rand.Rand) *Machine {
 	return &Machine{settings: settings, rng: rng}
 }
 
-// Version is the newest version that was learned.
+// Version returns the newest version that OnNewVersion was called with.
 func (m *Machine) Version() int64 { return m.version }
 
-// SetPeers takes the control addresses of the peers, self excluded.
+// SetPeers sets the control addresses of the peers, without this daemon's own.
 func (m *Machine) SetPeers(peers []string) {
 	m.peers = slices.Clone(peers)
 }
 
-// OnNewVersion takes a version that is held now, from whichever source. Peers are
-// told of it, unless it is none that is newer.
+// OnNewVersion processes that the daemon holds a version now, whatever its source.
+// If the version is newer than before, it returns offers to a few peers.
 func (m *Machine) OnNewVersion(version int64) []Action {
 	if version <= m.version {
 		return nil
 	}
 	m.version = version
 	var actions []Action
-	for _, peer := range m.choose(m.settings.Fanout) {
+	for _, peer := range m.randomPeers(m.settings.Fanout) {
 		actions = append(actions, Offer{Peer: peer})
 	}
 	return actions
 }
 
-// Tick returns what is due, and when to call again. Hurried asks for the news
-// of a majority, which takes more exchanges among many instances.
-func (m *Machine) Tick(now time.Duration, hurried bool) ([]Action, time.Duration) {
-	actions := m.tickTable(now)
+// Tick returns the actions that are due, and when to call it again. The parameter
+// needMajority means that the answers of a majority of peers may soon be needed,
+// which takes more exchanges in a large fleet.
+func (m *Machine) Tick(now time.Duration, needMajority bool) ([]Action, time.Duration) {
+	actions := m.tableActions(now)
 	if now >= m.exchangeAt {
 		n := 1
-		if hurried && len(m.peers) >= manyInstances {
+		if needMajority && len(m.peers) >= largeFleetPeers {
 			n = 2
 		}
-		for _, peer := range m.choose(n) {
+		for _, peer := range m.randomPeers(n) {
 			actions = append(actions, Exchange{Peer: peer})
 		}
 		m.exchangeAt = now + m.jitter(m.settings.ExchangeEvery)
 	}
 	next := min(m.pollAt, m.exchangeAt)
-	if m.seenHead > m.version {
+	if m.headVersion > m.version {
 		next = min(next, m.loadAt)
 	}
 	return actions, next
 }
 
-func (m *Machine) tickTable(now time.Duration) []Action {
+func (m *Machine) tableActions(now time.Duration) []Action {
 	var actions []Action
 	if now >= m.pollAt {
 		actions = append(actions, PollHead{})
 		m.pollAt = now + m.jitter(m.pollPeriod())
 	}
-	if m.seenHead > m.version && now >= m.loadAt {
-		actions = append(actions, Load{Version: m.seenHead})
+	if m.headVersion > m.version && now >= m.loadAt {
+		actions = append(actions, Load{Version: m.headVersion})
 		m.loadAt = now + fetchTimeout
 	}
 	return actions
 }
 
-// pollPeriod is the mean time between this daemon's reads of the head.
+// pollPeriod returns the mean time between this daemon's reads of the head.
 func (m *Machine) pollPeriod() time.Duration {
 	share := time.Duration(float64(len(m.peers)+1) / m.settings.TableReadsPerSecond * float64(time.Second))
 	return max(m.settings.PollEvery, share)
 }
 
-// jitter spreads a period over half to one and a half of it.
+// jitter returns a random time between 0.5 and 1.5 periods.
 func (m *Machine) jitter(period time.Duration) time.Duration {
 	return period/2 + time.Duration(m.rng.Int64N(int64(period)))
 }
 
-// choose picks up to n peers at random.
-func (m *Machine) choose(n int) []string {
+// randomPeers returns up to n peers at random.
+func (m *Machine) randomPeers(n int) []string {
 	n = min(n, len(m.peers))
 	chosen := make([]string, 0, n)
 	for _, i := range m.rng.Perm(len(m.peers))[:n] {
@@ -160,48 +163,49 @@
 	return chosen
 }
 
-// OnHeadRead takes the version of the head; one below the version held is a
-// stale read. A document is large and peers bring it compressed, so the table
-// is asked for it only when they have not after a while.
+// OnHeadRead processes the version of the head. A version below the one held is a
+// stale read and is ignored. A document is large, and peers send it compressed;
+// it is therefore loaded from the table only if no peer has sent it after a random
+// delay of up to fetchTimeout.
 func (m *Machine) OnHeadRead(now time.Duration, head int64) {
-	if head <= m.version || head <= m.seenHead {
+	if head <= m.version || head <= m.headVersion {
 		return
 	}
-	m.seenHead, m.loadAt = head, now
+	m.headVersion, m.loadAt = head, now
 	if m.version > 0 && len(m.peers) > 0 {
 		m.loadAt = now + time.Duration(m.rng.Int64N(int64(fetchTimeout)))
 	}
 }
 
-// OnPeerAnswer takes the version that a peer answered an Exchange or an Offer
+// OnPeerAnswer processes the version that a peer answered an Exchange or an Offer
 // with.
 func (m *Machine) OnPeerAnswer(now time.Duration, peer string, version int64) []Action {
 	switch {
 	case version < m.version:
 		return []Action{Send{Peer: peer, PeerVersion: version}}
-	case m.want(now, version):
+	case m.startFetch(now, version):
 		return []Action{Fetch{Peer: peer}}
 	}
 	return nil
 }
 
-// OnOffer takes the number of a version that a peer told of, and returns
-// the version to answer with: the one held, or one that is on its way here, so
-// that only one peer sends it.
+// OnOffer processes the number of a version that a peer offered, and returns the
+// version to answer with. This is the version held, or the offered one if another
+// peer is already sending it, so that only one peer sends it.
 func (m *Machine) OnOffer(now time.Duration, version int64) int64 {
-	if m.want(now, version) {
+	if m.startFetch(now, version) {
 		return m.version
 	}
 	return max(m.version, min(m.fetching, version))
 }
 
-// fetchTimeout is how long one source is waited for before another is asked
-// for the same version.
+// fetchTimeout is how long to wait for a version from one source before another
+// source is asked for it.
 const fetchTimeout = 500 * time.Millisecond
 
-// want tells whether to ask for a version: it is newer, and was not asked for
-// just now.
-func (m *Machine) want(now time.Duration, version int64) bool {
+// startFetch reports whether to fetch a version: it must be newer than the one
+// held, and not requested within fetchTimeout. If so, it records the fetch.
+func (m *Machine) startFetch(now time.Duration, version int64) bool {
 	if version <= m.version || version <= m.fetching && now < m.fetchingUntil {
 		return false
 	}
--- a/internal/gossip/machine_test.go
+++ b/internal/gossip/machine_test.go
@@ -16,10 +16,10 @@
 	return m
 }
 
-func TestVersionNeverFalls(t *testing.T) {
+func TestVersionNeverDecreases(t *testing.T) {
 	m := newTestMachine("p", "q", "r", "s")
 	if actions := m.OnNewVersion(7); len(actions) != 3 {
-		t.Errorf("%d peers are told, want 3", len(actions))
+		t.Errorf("version offered to %d peers, want 3", len(actions))
 	}
 	if actions := m.OnNewVersion(6); actions != nil || m.Version() != 7 {
 		t.Errorf("version %d, %v", m.Version(), actions)
@@ -28,39 +28,39 @@
 	actions, _ := m.Tick(time.Hour, false)
 	for _, action := range actions {
 		if load, ok := action.(Load); ok {
-			t.Errorf("a stale head is loaded: %+v", load)
+			t.Errorf("the version of a stale head is loaded: %+v", load)
 		}
 	}
 	if actions := m.OnPeerAnswer(0, "p", 6); len(actions) != 1 || actions[0] != (Send{Peer: "p", PeerVersion: 6}) {
-		t.Errorf("a peer that is behind: %v", actions)
+		t.Errorf("answer of a peer with an older version: actions %v", actions)
 	}
 }
 
-func TestHolderNeverFalls(t *testing.T) {
+func TestHolderVersionNeverDecreases(t *testing.T) {
 	h := NewHolder()
 	if !h.SetIfNewer(&config.Config{Version: 2}) || h.SetIfNewer(&config.Config{Version: 1}) {
-		t.Error("want version 2 taken and version 1 not")
+		t.Error("want version 2 accepted and version 1 rejected")
 	}
 	if v := h.Current().Version; v != 2 {
 		t.Errorf("version %d is held, want 2", v)
 	}
 }
 
-func TestOnePeerSendsAVersion(t *testing.T) {
+func TestOnlyOnePeerSendsAVersion(t *testing.T) {
 	m := newTestMachine("p", "q")
 	m.OnNewVersion(1)
 	if answer := m.OnOffer(0, 2); answer != 1 {
-		t.Errorf("the first that offers is answered %d, want 1", answer)
+		t.Errorf("first offer: answer %d, want 1", answer)
 	}
 	if answer := m.OnOffer(fetchTimeout/2, 2); answer != 2 {
-		t.Errorf("the second is answered %d, want 2", answer)
+		t.Errorf("second offer: answer %d, want 2", answer)
 	}
 	if answer := m.OnOffer(2*fetchTimeout, 2); answer != 1 {
-		t.Errorf("one after the first did not send is answered %d, want 1", answer)
+		t.Errorf("offer after the first peer timed out: answer %d, want 1", answer)
 	}
 }
 
-func TestPollsFitTheTable(t *testing.T) {
+func TestPollRateStaysWithinTableReads(t *testing.T) {
 	m := newTestMachine(make([]string, 399)...)
 	polls := 0
 	for now := time.Duration(0); now < 1000*time.Second; {
@@ -77,16 +77,16 @@
 	}
 }
 
-func TestLeavingIsTakenBackByALaterListAlone(t *testing.T) {
-	l := NewDrainingSet(10 * time.Second)
-	l.Merge("e", 20*time.Second)
-	l.MergeList(29*time.Second, nil) // may be older than the word
-	if len(l.Ages(30*time.Second)) != 1 {
-		t.Error("a list that may be older took the word back")
+func TestDrainingIsRevokedOnlyByALaterList(t *testing.T) {
+	s := NewDrainingSet(10 * time.Second)
+	s.Merge("e", 20*time.Second)
+	s.MergeList(29*time.Second, nil) // may be older than the announcement
+	if len(s.Ages(30*time.Second)) != 1 {
+		t.Error("a list that may be older revoked the announcement")
 	}
-	l.MergeList(30*time.Second, nil)
-	l.Merge("e", 20*time.Second) // a peer's old word
-	if len(l.Ages(31*time.Second)) != 0 {
-		t.Error("an old word came back")
+	s.MergeList(30*time.Second, nil)
+	s.Merge("e", 20*time.Second) // an old announcement from a peer
+	if len(s.Ages(31*time.Second)) != 0 {
+		t.Error("an old announcement was merged after a newer list")
 	}
 }
--- a/internal/gossip/model_test.go
+++ b/internal/gossip/model_test.go
@@ -15,7 +15,7 @@
 // Settings of the model.
 var (
 	modelFresh  = freshness.Settings{FreshFor: 5 * time.Second, AcceptWithin: 4 * time.Second, ReadLag: 500 * time.Millisecond}
-	modelSpread = gossip.Settings{PollEvery: time.Second, TableReadsPerSecond: 100, ExchangeEvery: 500 * time.Millisecond, Fanout: 2}
+	modelGossip = gossip.Settings{PollEvery: time.Second, TableReadsPerSecond: 100, ExchangeEvery: 500 * time.Millisecond, Fanout: 2}
 )
 
 const modelStep = 50 * time.Millisecond
@@ -32,8 +32,8 @@
 	noTable bool
 }
 
-// delivery is a message on its way; it is dropped when its receiver restarts.
-type delivery struct {
+// message is a message under way; it is dropped when its receiver restarts.
+type message struct {
 	at  time.Duration
 	to  *node
 	run int
@@ -49,16 +49,16 @@
 	cut       map[[2]string]bool
 	tableDown bool
 	head      int64
-	// committed and known are when the table, and the first daemon, had a
-	// version.
-	committed, known map[int64]time.Duration
-	flying           []delivery
+	// committed and firstLearned are when each version was first in the table, and
+	// first at a daemon.
+	committed, firstLearned map[int64]time.Duration
+	inFlight                []message
 }
 
 func newWorld(t *rapid.T, n int, seed uint64) *world {
 	w := &world{
 		t: t, rng: rand.New(rand.NewPCG(seed, 1)), cut: map[[2]string]bool{}, now: time.Hour,
-		committed: map[int64]time.Duration{}, known: map[int64]time.Duration{},
+		committed: map[int64]time.Duration{}, firstLearned: map[int64]time.Duration{},
 	}
 	for i := range n {
 		w.nodes = append(w.nodes, &node{id: fmt.Sprintf("i%d", i)})
@@ -67,17 +67,17 @@
 		w.start(d)
 	}
 	w.head = 1
-	w.committed[1], w.known[1] = w.now, w.now
+	w.committed[1], w.firstLearned[1] = w.now, w.now
 	return w
 }
 
-// start begins a run that knows nothing but the list.
+// start begins a new run, which knows only the instance list.
 func (w *world) start(d *node) {
 	d.run++
 	d.held, d.frozen = 0, false
 	d.offset = time.Duration(w.rng.Int64N(int64(time.Hour)))
 	d.fresh = freshness.New(d.id, modelFresh, w.clock(d))
-	d.machine = gossip.NewMachine(modelSpread, rand.New(rand.NewPCG(w.rng.Uint64(), 2)))
+	d.machine = gossip.NewMachine(modelGossip, rand.New(rand.NewPCG(w.rng.Uint64(), 2)))
 	var ids, peers []string
 	for _, other := range w.nodes {
 		ids = append(ids, other.id)
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// post delivers to a run of a daemon after a delay, unless the message is lost.
+// post delivers a message to a run of a daemon after a delay, unless it is lost.
 func (w *world) post(lost bool, to *node, run int, do func()) {
 	if lost || w.rng.IntN(20) == 0 {
 		return
@@ -109,53 +109,54 @@
 	if w.rng.IntN(10) == 0 {
 		delay = time.Duration(w.rng.Int64N(int64(3 * time.Second)))
 	}
-	w.flying = append(w.flying, delivery{at: w.now + delay, to: to, run: run, do: do})
+	w.inFlight = append(w.inFlight, message{at: w.now + delay, to: to, run: run, do: do})
 }
 
-// ask sends a question to a peer and brings its answer back.
-func (w *world) ask(from, to *node, question func() func()) {
-	asker := from.run
+// callPeer sends a request to a peer. The request runs at the peer and returns
+// the handler of its answer, which runs at the sender.
+func (w *world) callPeer(from, to *node, request func() func()) {
+	senderRun := from.run
 	w.post(w.cut[[2]string{from.id, to.id}], to, to.run, func() {
-		answer := question()
-		w.post(w.cut[[2]string{to.id, from.id}], from, asker, answer)
+		answer := request()
+		w.post(w.cut[[2]string{to.id, from.id}], from, senderRun, answer)
 	})
 }
 
-// askTable is the same with the table.
-func (w *world) askTable(from *node, question func() func()) {
+// callTable sends a request to the table, as callPeer does to a peer.
+func (w *world) callTable(from *node, request func() func()) {
 	if from.noTable || w.tableDown {
 		return
 	}
-	asker := from.run
+	senderRun := from.run
 	delay := time.Duration(w.rng.Int64N(int64(100 * time.Millisecond)))
-	w.flying = append(w.flying, delivery{at: w.now + delay, do: func() {
-		w.post(from.noTable || w.tableDown, from, asker, question())
+	w.inFlight = append(w.inFlight, message{at: w.now + delay, do: func() {
+		w.post(from.noTable || w.tableDown, from, senderRun, request())
 	}})
 }
 
-func (w *world) learn(d *node, version int64) {
+func (w *world) setVersion(d *node, version int64) {
 	if version <= d.held {
 		return
 	}
 	d.held = version
-	if _, ok := w.known[version]; !ok {
-		w.known[version] = w.now
+	if _, ok := w.firstLearned[version]; !ok {
+		w.firstLearned[version] = w.now
 	}
 	d.fresh.SetHeld(version)
-	w.carryOut(d, d.machine.OnNewVersion(version))
+	w.execute(d, d.machine.OnNewVersion(version))
 }
 
-func (w *world) carryOut(d *node, actions []gossip.Action) {
+func (w *world) execute(d *node, actions []gossip.Action) {
 	for _, action := range actions {
-		w.carryOutOne(d, action)
+		w.executeOne(d, action)
 	}
 }
 
-func (w *world) carryOutOne(d *node, action gossip.Action) {
+func (w *world) executeOne(d *node, action gossip.Action) {
 	sent := w.clock(d)
 	switch a := action.(type) {
 	case gossip.PollHead:
-		w.askTable(d, func() func() {
+		w.callTable(d, func() func() {
 			head := w.staleHead()
 			return func() {
 				d.fresh.HeadRead(sent, head)
@@ -163,38 +164,38 @@
 			}
 		})
 	case gossip.Load:
-		w.askTable(d, func() func() { return func() { w.learn(d, a.Version) } })
+		w.callTable(d, func() func() { return func() { w.setVersion(d, a.Version) } })
 	case gossip.Exchange:
 		to := w.byID(a.Peer)
 		version := d.held
-		w.ask(d, to, func() func() {
+		w.callPeer(d, to, func() func() {
 			to.fresh.NoteVersion(version)
 			digest := to.fresh.Digest(w.clock(to), true)
 			return func() {
 				d.fresh.MergeAnswer(sent, w.clock(d), to.id, digest)
-				w.carryOut(d, d.machine.OnPeerAnswer(w.clock(d), to.id, digest.Version))
+				w.execute(d, d.machine.OnPeerAnswer(w.clock(d), to.id, digest.Version))
 			}
 		})
 	case gossip.Offer:
 		to, version := w.byID(a.Peer), d.held
-		w.ask(d, to, func() func() {
+		w.callPeer(d, to, func() func() {
 			to.fresh.NoteVersion(version)
 			answer := to.machine.OnOffer(w.clock(to), version)
-			return func() { w.carryOut(d, d.machine.OnPeerAnswer(w.clock(d), to.id, answer)) }
+			return func() { w.execute(d, d.machine.OnPeerAnswer(w.clock(d), to.id, answer)) }
 		})
 	case gossip.Send:
 		to, version := w.byID(a.Peer), d.held
-		w.ask(d, to, func() func() { w.learn(to, version); return func() {} })
+		w.callPeer(d, to, func() func() { w.setVersion(to, version); return func() {} })
 	case gossip.Fetch:
 		to := w.byID(a.Peer)
-		w.ask(d, to, func() func() {
+		w.callPeer(d, to, func() func() {
 			version := to.held
-			return func() { w.learn(d, version) }
+			return func() { w.setVersion(d, version) }
 		})
 	}
 }
 
-// staleHead is the head as a read sees it: at most ReadLag old.
+// staleHead returns the head as a read returns it: at most ReadLag old.
 func (w *world) staleHead() int64 {
 	if w.rng.IntN(4) == 0 && w.head > 1 && w.now-w.committed[w.head] < modelFresh.ReadLag {
 		return w.head - 1
@@ -202,9 +203,9 @@
 	return w.head
 }
 
-// accept has a daemon prepare the version after the one held, and write it
+// acceptNext makes a daemon prepare the version after the one held, and write it
 // once a majority has answered.
-func (w *world) accept(d *node) {
+func (w *world) acceptNext(d *node) {
 	if d.held == 0 || d.frozen {
 		return
 	}
@@ -218,7 +219,7 @@
 	}
 	for _, to := range w.nodes {
 		if to != d {
-			w.ask(d, to, func() func() {
+			w.callPeer(d, to, func() func() {
 				to.fresh.Prepare(w.clock(to), version)
 				return count
 			})
@@ -228,14 +229,14 @@
 }
 
 func (w *world) commit(d *node, version int64, started time.Duration) {
-	w.askTable(d, func() func() {
+	w.callTable(d, func() func() {
 		late := w.now > started+modelFresh.AcceptWithin
 		if late || w.head != version-1 {
 			return func() {}
 		}
 		w.head = version
 		w.committed[version] = w.now
-		return func() { w.learn(d, version) }
+		return func() { w.setVersion(d, version) }
 	})
 }
 
@@ -247,35 +248,36 @@
 		for _, d := range w.nodes {
 			if !d.frozen {
 				actions, _ := d.machine.Tick(w.clock(d), true)
-				w.carryOut(d, actions)
+				w.execute(d, actions)
 			}
 			w.check(d)
 		}
 	}
 }
 
-// deliver runs what has arrived; a frozen daemon gets its messages later.
+// deliver delivers the messages that are due; a frozen daemon gets its messages
+// later.
 func (w *world) deliver() {
-	due := w.flying
-	w.flying = nil
+	due := w.inFlight
+	w.inFlight = nil
 	for _, m := range due {
 		switch {
 		case m.to != nil && m.to.run != m.run:
 		case m.at > w.now || m.to != nil && m.to.frozen:
-			w.flying = append(w.flying, m)
+			w.inFlight = append(w.inFlight, m)
 		default:
 			m.do()
 		}
 	}
 }
 
-// check holds the promises against one daemon that is asked for work now.
+// check checks the invariants for one daemon as if it received a request now.
 func (w *world) check(d *node) {
 	if d.frozen {
 		return
 	}
 	if d.machine.Version() != d.held {
-		w.t.Fatalf("%s: the machine has version %d, held is %d", d.id, d.machine.Version(), d.held)
+		w.t.Fatalf("%s: the machine has version %d, but the daemon holds %d", d.id, d.machine.Version(), d.held)
 	}
 	status := d.fresh.Status(w.clock(d))
 	if !status.Fresh {
@@ -284,10 +286,10 @@
 	next := d.held + 1
 	since, exists := w.committed[next]
 	if status.Rule == "all" {
-		since, exists = w.known[next]
+		since, exists = w.firstLearned[next]
 	}
 	if exists && w.now > since+modelFresh.FreshFor {
-		w.t.Fatalf("%s serves version %d, by %s, %s after version %d was accepted", d.id, d.held, status.Rule, w.now-since, next)
+		w.t.Fatalf("%s serves version %d, by rule %s, %s after version %d was accepted", d.id, d.held, status.Rule, w.now-since, next)
 	}
 }
 
@@ -299,18 +301,18 @@
 	}
 }
 
-// disturb makes one random fault, or ends one.
-func (w *world) disturb(t *rapid.T) {
+// randomEvent starts or ends a random fault, or accepts a version.
+func (w *world) randomEvent(t *rapid.T) {
 	d := w.nodes[rapid.IntRange(0, len(w.nodes)-1).Draw(t, "daemon")]
 	other := w.nodes[rapid.IntRange(0, len(w.nodes)-1).Draw(t, "other")]
 	link := [2]string{d.id, other.id}
 	switch rapid.SampledFrom([]string{"accept", "accept", "cut", "split", "table", "no table", "freeze", "restart", "heal"}).Draw(t, "event") {
 	case "accept":
-		w.accept(d)
+		w.acceptNext(d)
 	case "cut":
 		w.cut[link] = !w.cut[link]
 	case "split":
-		w.split(rapid.IntRange(0, len(w.nodes)).Draw(t, "side"), rapid.Bool().Draw(t, "table on the first side"))
+		w.partition(rapid.IntRange(0, len(w.nodes)).Draw(t, "side"), rapid.Bool().Draw(t, "table on the first side"))
 	case "table":
 		w.tableDown = !w.tableDown
 	case "no table":
@@ -324,8 +326,9 @@
 	}
 }
 
-// split parts the first n daemons from the others; one side keeps the table.
-func (w *world) split(n int, tableFirst bool) {
+// partition separates the first n daemons from the others; one side keeps its
+// connection to the table.
+func (w *world) partition(n int, tableFirst bool) {
 	for i, a := range w.nodes {
 		for j, b := range w.nodes {
 			w.cut[[2]string{a.id, b.id}] = (i < n) != (j < n)
@@ -334,21 +337,22 @@
 	}
 }
 
-// TestModelHolds runs random histories: no daemon serves a version longer than
-// FreshFor after the next one was accepted, and a healed network converges.
-func TestModelHolds(t *testing.T) {
+// TestRandomHistoriesKeepVersionsFresh checks in random histories that no daemon
+// serves a version for longer than FreshFor after the next one was accepted, and
+// that the daemons converge after all faults have ended.
+func TestRandomHistoriesKeepVersionsFresh(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t, rapid.IntRange(1, 5).Draw(t, "daemons"), rapid.Uint64().Draw(t, "seed"))
 		w.advance(time.Duration(rapid.IntRange(0, 15).Draw(t, "seconds before")) * time.Second)
 		for range rapid.IntRange(1, 40).Draw(t, "events") {
-			w.disturb(t)
+			w.randomEvent(t)
 			w.advance(time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond)
 		}
 		w.heal()
 		w.advance(20 * time.Second)
 		for _, d := range w.nodes {
 			if d.held != w.head || !d.fresh.Status(w.clock(d)).Fresh {
-				t.Fatalf("%s holds %d of %d: %+v", d.id, d.held, w.head, d.fresh.Status(w.clock(d)))
+				t.Fatalf("%s holds version %d, want %d: %+v", d.id, d.held, w.head, d.fresh.Status(w.clock(d)))
 			}
 		}
 	})
--- a/internal/gossip/process_bench_test.go
+++ b/internal/gossip/process_bench_test.go
@@ -18,7 +18,7 @@
 // ticksPerSecond of the times in /proc/<pid>/stat (USER_HZ on Linux).
 const ticksPerSecond = 100
 
-// BenchmarkControlProcess reads processor time and memory of nine real
+// BenchmarkControlProcess measures the processor time and memory of nine real
 // sf-control processes. Run it with -benchtime 1x.
 func BenchmarkControlProcess(b *testing.B) {
 	for _, engines := range []int{0, 400, 1900} {
@@ -50,10 +50,10 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		instance.Entry.Kill() // the spread alone is measured
+		instance.Entry.Kill() // measure only the distribution of configuration
 	}
 	change(ctx, b, fleet, engines)
-	time.Sleep(4 * time.Second) // the start is over
+	time.Sleep(4 * time.Second) // exclude the start from the measurement
 	before := processorSeconds(b, fleet)
 	end := time.Now().Add(window)
 	for perMinute > 0 && time.Now().Before(end) {
@@ -67,7 +67,7 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// change puts the next version into the table.
+// change writes the next version to the table.
 func change(ctx context.Context, b *testing.B, fleet *testfleet.Fleet, engines int) {
 	log := versions.Log{Table: fleet.PlatformClient()}
 	head, err := log.Head(ctx)
@@ -88,12 +88,12 @@
 	}
 }
 
-// processorSeconds adds the processor time of all sf-control processes.
+// processorSeconds returns the total processor time of all sf-control processes.
 func processorSeconds(b *testing.B, fleet *testfleet.Fleet) float64 {
 	ticks := 0.0
 	for _, i := range fleet.Instances {
 		fields := strings.Fields(procFile(b, i.Control, "stat"))
-		for _, field := range fields[13:15] { // utime and stime; the name has no blanks
+		for _, field := range fields[13:15] { // utime and stime; the process name contains no blanks
 			n, err := strconv.ParseFloat(field, 64)
 			if err != nil {
 				b.Fatal(err)
--- a/internal/gossip/process_test.go
+++ b/internal/gossip/process_test.go
@@ -27,9 +27,9 @@
 // callerKey is the API key of the one organisation.
 const callerKey = "key-of-agedim"
 
-// rig is three instances with links, and a service whose one upstream the
-// configuration names: v1 of the configuration names upstream "old", each
-// later one "new".
+// rig is a fleet of three instances with links that can be cut, and a service
+// with one upstream. Version 1 of the configuration names the upstream "old",
+// later versions name "new".
 type rig struct {
 	t      *testing.T
 	ctx    context.Context
@@ -73,7 +73,7 @@
 		r.must(err)
 	}
 	r.until("each instance knows its peers", func() bool { return r.links.Peers() == 6 })
-	r.put(1, "old")
+	r.commitVersion(1, "old")
 	for i, instance := range r.fleet.Instances {
 		r.untilServes(i, "old")
 		r.until("the instance counts in a majority", func() bool {
@@ -90,7 +90,8 @@
 	}
 }
 
-// until waits for a condition; it fails with the daemons' logs.
+// until waits for a condition. On a timeout, it logs the daemons' logs and fails
+// the test.
 func (r *rig) until(what string, condition func() bool) {
 	r.t.Helper()
 	if err := testfleet.Until(r.ctx, what, condition); err != nil {
@@ -115,8 +116,8 @@
 	return doc
 }
 
-// put writes a version into the table, as an accepted one.
-func (r *rig) put(version int64, upstream string) {
+// commitVersion writes a version to the table, as an accepted one.
+func (r *rig) commitVersion(version int64, upstream string) {
 	r.t.Helper()
 	log := versions.Log{Table: r.fleet.PlatformClient()}
 	head, err := log.Head(r.ctx)
@@ -124,9 +125,9 @@
 	r.must(log.Append(r.ctx, head, r.document(version, upstream), versions.Entry{Author: "test"}, platform.Txn{}))
 }
 
-// ask sends a request to an instance; who is the upstream that ran it, and
-// refused the reason when the instance refused.
-func (r *rig) ask(instance int) (who, refused string) {
+// request sends a request to an instance. It returns the upstream that ran the
+// request, or the reason if the instance refused it.
+func (r *rig) request(instance int) (upstream, refused string) {
 	client := http.Client{Timeout: 5 * time.Second}
 	req, err := http.NewRequestWithContext(r.ctx, http.MethodGet, "http://"+r.fleet.Instances[instance].EntryAddress+"/studio/x", nil)
 	r.must(err)
@@ -151,9 +152,9 @@
 
 func (r *rig) untilServes(instance int, upstream string) {
 	r.t.Helper()
-	r.until(fmt.Sprintf("instance %d serves by %s", instance+1, upstream), func() bool {
-		who, _ := r.ask(instance)
-		return who == upstream
+	r.until(fmt.Sprintf("instance %d serves with upstream %s", instance+1, upstream), func() bool {
+		got, _ := r.request(instance)
+		return got == upstream
 	})
 }
 
@@ -161,88 +162,95 @@
 	r.t.Helper()
 	last := ""
 	r.until(fmt.Sprintf("instance %d refuses: %s", instance+1, reason), func() bool {
-		_, last = r.ask(instance)
+		_, last = r.request(instance)
 		return strings.Contains(last, reason)
 	})
 	if !strings.Contains(last, `"outcome":"not_run"`) {
-		r.t.Errorf("the refusal does not say not run: %s", last)
+		r.t.Errorf("the refusal lacks the outcome not_run: %s", last)
 	}
 }
 
-// TestVersionReachesInstanceWithoutTable: peers bring the version.
+// TestVersionReachesInstanceWithoutTable checks that peers send a new version to an
+// instance that cannot reach the table.
 func TestVersionReachesInstanceWithoutTable(t *testing.T) {
 	r := newRig(t)
 	r.must(r.links.CutPlatform("inst-3"))
-	r.put(2, "new")
+	r.commitVersion(2, "new")
 	for i := range 3 {
 		r.untilServes(i, "new")
 	}
 }
 
-// TestVersionReachesInstanceWithoutPeers: the table brings the version, and it
-// is enough to serve.
+// TestVersionReachesInstanceWithoutPeers checks that an instance that cannot reach
+// its peers loads a new version from the table, and serves.
 func TestVersionReachesInstanceWithoutPeers(t *testing.T) {
 	for _, direction := range []testfleet.Direction{testfleet.ToUpstream, testfleet.FromUpstream} {
 		t.Run(string(direction), func(t *testing.T) {
 			r := newRig(t)
 			r.must(r.links.CutPeers("inst-3", direction))
-			r.put(2, "new")
+			r.commitVersion(2, "new")
 			r.untilServes(2, "new")
 		})
 	}
 }
 
-// TestInstanceWithoutTableAndPeersRefuses: it can't know of version 2.
+// TestInstanceWithoutTableAndPeersRefuses guards against an isolated instance that
+// serves an old version: it can't know that version 2 exists.
 func TestInstanceWithoutTableAndPeersRefuses(t *testing.T) {
 	r := newRig(t)
 	r.must(r.links.CutPlatform("inst-3"))
 	r.must(r.links.CutPeers("inst-3", testfleet.ToUpstream))
-	r.put(2, "new")
+	r.commitVersion(2, "new")
 	r.untilServes(0, "new")
 	r.untilRefuses(2, "may be out of date")
 	r.links.Heal()
 	r.untilServes(2, "new")
 }
 
-// TestInstanceThatHearsWithoutAskingRefuses: requests of peers may be old;
-// only answers prove something, and those are cut. A version still arrives.
-func TestInstanceThatHearsWithoutAskingRefuses(t *testing.T) {
+// TestInstanceThatOnlyReceivesRequestsRefuses guards against an instance that
+// treats requests from peers as proof that its version is current. Such requests
+// may be old; only answers are proof, and in this test they are cut. A new version
+// must still arrive once the links are restored.
+func TestInstanceThatOnlyReceivesRequestsRefuses(t *testing.T) {
 	r := newRig(t)
 	r.must(r.links.CutPlatform("inst-3"))
 	r.must(r.links.CutFrom("inst-3"))
 	r.untilRefuses(2, "may be out of date")
-	r.put(2, "new")
+	r.commitVersion(2, "new")
 	r.links.Heal()
 	r.untilServes(2, "new")
 }
 
-// TestTableDownForAllServesOn: a majority answers, and nobody can accept.
+// TestTableDownForAllServesOn checks that all instances keep serving while the
+// table is down for all: a majority answers, and no instance can accept a new
+// version.
 func TestTableDownForAllServesOn(t *testing.T) {
 	r := newRig(t)
 	r.must(r.fleet.PlatformFault(r.ctx, testservers.PlatformFaults{Down: true}))
 	ended := time.Now().Add(3 * time.Second) // fresh_for, and some more
-	r.until("the evidence from the table has ended", func() bool { return time.Now().After(ended) })
+	r.until("the evidence from the table has expired", func() bool { return time.Now().After(ended) })
 	for i := range 3 {
 		control := r.fleet.Instances[i].Control
 		r.until("freshness comes from the majority", func() bool { return strings.Contains(probe(r.fleet.Instances[i].ControlAt, "/readyz"), "by majority") })
 		if strings.Contains(control.Log(), "may be out of date") {
-			t.Errorf("inst-%d was not fresh in between:\n%s", i+1, control.Log())
+			t.Errorf("inst-%d was temporarily not fresh:\n%s", i+1, control.Log())
 		}
-		if who, refused := r.ask(i); who != "old" {
-			t.Errorf("instance %d: %q %s", i+1, who, refused)
+		if upstream, refused := r.request(i); upstream != "old" {
+			t.Errorf("instance %d: %q %s", i+1, upstream, refused)
 		}
 	}
 }
 
-// TestMinorityWithTableAcceptsNothing: a majority may be serving without the
-// table, and would not hear of the new version.
+// TestMinorityWithTableAcceptsNothing guards against a minority that accepts a
+// version through the table. A majority may be serving without the table, and
+// would not learn of the new version.
 func TestMinorityWithTableAcceptsNothing(t *testing.T) {
 	r := newRig(t)
 	r.must(r.links.CutPlatform("inst-2"))
 	r.must(r.links.CutPlatform("inst-3"))
 	r.must(r.links.CutPeers("inst-1", testfleet.ToUpstream))
 	for _, i := range []int{1, 2} {
-		r.until("the majority serves on", func() bool { return strings.Contains(probe(r.fleet.Instances[i].ControlAt, "/readyz"), "by majority") })
+		r.until("the majority keeps serving", func() bool { return strings.Contains(probe(r.fleet.Instances[i].ControlAt, "/readyz"), "by majority") })
 	}
 	outcome := r.confirm(0)
 	if outcome.Outcome != "refused" || !strings.Contains(outcome.Reason, "1 of 3 listed answer, 2 are needed") {
@@ -268,68 +276,71 @@
 	return confirmed.Msg
 }
 
-// TestFrozenInstanceNeverServesOldVersion: both daemons are stopped while a
-// version is accepted. Woken, they refuse or serve the new one.
+// TestFrozenInstanceNeverServesOldVersion stops both daemons of an instance while a
+// version is accepted. After they continue, they must refuse requests or serve the
+// new version.
 func TestFrozenInstanceNeverServesOldVersion(t *testing.T) {
 	r := newRig(t)
 	frozen := r.fleet.Instances[2]
 	frozen.Entry.Signal(syscall.SIGSTOP)
 	frozen.Control.Signal(syscall.SIGSTOP)
-	r.put(2, "new")
+	r.commitVersion(2, "new")
 	r.untilServes(0, "new")
 	untilOld := time.Now().Add(2 * time.Second) // fresh_for
-	r.until("the frozen instance's evidence has ended", func() bool { return time.Now().After(untilOld) })
+	r.until("the frozen instance's evidence has expired", func() bool { return time.Now().After(untilOld) })
 	answers := make(chan string, 20)
 	for range cap(answers) {
 		go func() {
-			who, _ := r.ask(2)
-			answers <- who
+			upstream, _ := r.request(2)
+			answers <- upstream
 		}()
 	}
 	frozen.Entry.Signal(syscall.SIGCONT)
 	frozen.Control.Signal(syscall.SIGCONT)
 	for range cap(answers) {
-		if who := <-answers; who == "old" {
-			t.Error("a request was served by the old version after the freeze")
+		if upstream := <-answers; upstream == "old" {
+			t.Error("a request was served with the old version after the freeze")
 		}
 	}
 	r.untilServes(2, "new")
 }
 
-// TestBufferedHeartbeatProvesNothing: sf-control's last heartbeat waits in the
-// socket of a stopped sf-entry while a version is accepted.
-func TestBufferedHeartbeatProvesNothing(t *testing.T) {
+// TestBufferedHeartbeatDoesNotProveFreshness guards against an sf-entry that was
+// stopped and serves an old version because of a buffered heartbeat: sf-control's
+// last heartbeat waits in its socket while a version is accepted.
+func TestBufferedHeartbeatDoesNotProveFreshness(t *testing.T) {
 	r := newRig(t)
 	frozen := r.fleet.Instances[2]
 	frozen.Entry.Signal(syscall.SIGSTOP)
 	sent := time.Now().Add(500 * time.Millisecond) // several of apply_every
 	r.until("a heartbeat was sent to the stopped entry", func() bool { return time.Now().After(sent) })
 	frozen.Control.Signal(syscall.SIGSTOP)
-	r.put(2, "new")
+	r.commitVersion(2, "new")
 	r.untilServes(0, "new")
 	ended := time.Now().Add(2 * time.Second) // fresh_for
-	r.until("the evidence has ended", func() bool { return time.Now().After(ended) })
+	r.until("the evidence has expired", func() bool { return time.Now().After(ended) })
 	frozen.Entry.Signal(syscall.SIGCONT)
 	for range 20 {
-		if who, _ := r.ask(2); who == "old" {
-			t.Fatal("a request was served by the old version on a buffered heartbeat")
+		if upstream, _ := r.request(2); upstream == "old" {
+			t.Fatal("a request was served with the old version because of a buffered heartbeat")
 		}
 	}
 	frozen.Control.Signal(syscall.SIGCONT)
 	r.untilServes(2, "new")
 }
 
-// TestStartWithTableDown: a restarted instance takes the version of its peers,
-// found by seeds; alone, it says why it isn't ready.
+// TestStartWithTableDown checks that an instance that starts while the table is down
+// gets the version from its peers, which it finds through seeds. An instance
+// without seeds must report why it is not ready.
 func TestStartWithTableDown(t *testing.T) {
 	r := newRig(t)
 	seeds := fmt.Sprintf("seeds = [%q, %q]\n", r.fleet.Instances[0].ControlAt, r.fleet.Instances[1].ControlAt)
 	r.must(r.fleet.PlatformFault(r.ctx, testservers.PlatformFaults{Down: true}))
-	lonely, err := r.links.AddInstance(r.ctx, "inst-4", "zona-4")
+	isolated, err := r.links.AddInstance(r.ctx, "inst-4", "zona-4")
 	r.must(err)
 	reason := ""
 	r.until("an instance without peers says why it is not ready", func() bool {
-		reason = probe(lonely.ControlAt, "/readyz")
+		reason = probe(isolated.ControlAt, "/readyz")
 		return strings.Contains(reason, "no configuration known yet") && strings.Contains(reason, "unavailable")
 	})
 	r.fleet.ControlTables += seeds
@@ -341,21 +352,22 @@
 	}
 }
 
-// probe returns what a daemon answers, or "".
+// probe returns a daemon's answer to a GET request, or "" on an error.
 func probe(address, path string) string {
 	res, err := http.Get("http://" + address + path)
 	if err != nil {
 		return ""
 	}
 	defer res.Body.Close()
-	body, _ := io.ReadAll(res.Body) // a broken answer is no reason
+	body, _ := io.ReadAll(res.Body) // a truncated answer does not fail the test
 	return string(body)
 }
 
-// TestStaleReadsNeverLowerVersion: the table answers as of before version 2.
+// TestStaleReadsNeverLowerVersion guards against a return to version 1 when the
+// table's stale reads are older than version 2. One instance is also restarted.
 func TestStaleReadsNeverLowerVersion(t *testing.T) {
 	r := newRig(t)
-	r.put(2, "new")
+	r.commitVersion(2, "new")
 	for i := range 3 {
 		r.untilServes(i, "new")
 	}
@@ -368,14 +380,15 @@
 	r.untilServes(2, "new")
 	for i, instance := range r.fleet.Instances {
 		if log := instance.Control.Log(); strings.LastIndex(log, "version=1") > strings.LastIndex(log, "version=2") {
-			t.Errorf("instance %d went back:\n%s", i+1, log)
+			t.Errorf("instance %d returned to version 1:\n%s", i+1, log)
 		}
 	}
 }
 
-// TestLeavingUpstreamGetsNoWorkWithListDown: one instance heard the platform's
-// word before the list went down for all.
-func TestLeavingUpstreamGetsNoWorkWithListDown(t *testing.T) {
+// TestDrainingUpstreamGetsNoRequestsWithListDown checks that an announcement of the
+// platform reaches all instances through peers: only one instance read it before
+// the instance list went down for all.
+func TestDrainingUpstreamGetsNoRequestsWithListDown(t *testing.T) {
 	r := newRig(t)
 	r.must(r.links.CutPlatform("inst-2"))
 	r.must(r.links.CutPlatform("inst-3"))
@@ -392,9 +405,9 @@
 	}
 }
 
-// TestSilentInstanceIsShown: sfctl instances shows a listed instance that does
-// not answer.
-func TestSilentInstanceIsShown(t *testing.T) {
+// TestUnresponsiveInstanceIsListed checks that the answer behind sfctl instances
+// contains a listed instance that does not answer, as unreachable.
+func TestUnresponsiveInstanceIsListed(t *testing.T) {
 	r := newRig(t)
 	r.fleet.Instances[2].Control.Signal(syscall.SIGSTOP)
 	defer r.fleet.Instances[2].Control.Signal(syscall.SIGCONT)
