--- a/internal/rolekeeper/duties.go
+++ b/internal/rolekeeper/duties.go
@@ -7,27 +7,28 @@
 	"sassafrasfield/internal/bootclock"
 )
 
-// Bounds of one duty's calls.
+// Time limits of the calls of a duty.
 const (
-	// dutyTime bounds what a duty does at one look, so that the lease is renewed in time.
-	dutyTime = 700 * time.Millisecond
-	// dutyMargin is kept of the term: a call that was sent within it has arrived when
-	// the next holder makes its first one, as that waits for the length of a lease.
+	// dutyTimeout limits one call of Duty.Do, so that the lease is renewed in time.
+	dutyTimeout = 700 * time.Millisecond
+	// dutyMargin is the end of the lease term in which a duty sends no calls. What it sent before has
+	// arrived when the next holder sends its first call, because that holder waits for the length of a
+	// lease term.
 	dutyMargin = 300 * time.Millisecond
 )
 
-// doDuties does the other duties of the lease's holder.
+// doDuties runs the other duties while this instance holds the lease.
 func (k *Keeper) doDuties(ctx context.Context) {
 	for _, d := range k.duties {
 		now := bootclock.Now()
-		grant, held := k.machine.Held(now)
-		left := grant.Until - now - dutyMargin
-		if !held || !k.settled(grant) || left <= 0 {
+		grant, held := k.lease.Held(now)
+		remaining := grant.Until - now - dutyMargin
+		if !held || !k.earlierOrdersArrived(grant) || remaining <= 0 {
 			return
 		}
-		doing, cancel := context.WithTimeout(ctx, min(dutyTime, left))
-		d.Do(doing, grant)
+		dutyCtx, cancel := context.WithTimeout(ctx, min(dutyTimeout, remaining))
+		d.Do(dutyCtx, grant)
 		cancel()
-		k.drive(ctx)
+		k.driveLease(ctx)
 	}
 }
--- a/internal/rolekeeper/lease.go
+++ b/internal/rolekeeper/lease.go
@@ -15,91 +15,92 @@
 	return lease.Settings{Term: term, RenewEvery: term / 2, RetryEvery: term / 10, Margin: term / 10}
 }
 
-// ranks settles who watches the lease: three instances, the others leave the
-// store alone.
-func (k *Keeper) ranks() lease.RankSettings {
+// rankSettings returns the settings that determine which instances watch the lease. Three do, so that the
+// others cause no load on the store.
+func (k *Keeper) rankSettings() lease.RankSettings {
 	return lease.RankSettings{Watchers: 3, ReadEvery: k.settings.LeaseTerm / 2, RankDelay: k.settings.LeaseTerm / 10}
 }
 
-func (k *Keeper) place() {
-	candidates, ranks := k.view.Candidates(), k.ranks()
-	rank := ranks.Watchers // leaves the lease alone
+// updateWatchPolicy sets how closely this instance watches the lease, by its rank among the candidates.
+func (k *Keeper) updateWatchPolicy() {
+	candidates, ranks := k.view.Candidates(), k.rankSettings()
+	rank := ranks.Watchers // does not watch the lease
 	if slices.Contains(candidates, k.settings.Instance) {
 		rank = lease.Rank(LeaseName, k.settings.Instance, candidates)
 	}
-	k.machine.SetWatchPolicy(ranks.WatchPolicy(rank))
-	k.watches = rank < ranks.Watchers
+	k.lease.SetWatchPolicy(ranks.WatchPolicy(rank))
+	k.watchesLease = rank < ranks.Watchers
 }
 
-// drive asks the lease machine what to do, and does it.
-func (k *Keeper) drive(ctx context.Context) {
-	action := k.machine.Tick(bootclock.Now())
+// driveLease carries out the next action of the lease's state machine.
+func (k *Keeper) driveLease(ctx context.Context) {
+	action := k.lease.Tick(bootclock.Now())
 	switch action.Kind {
 	case lease.Read:
 		row, revision, err := leaserows.Read(ctx, k.table, LeaseName)
 		if err != nil {
-			k.log.Debug("roles: the lease could not be read", "error", err)
-			k.machine.OnReadFailed(bootclock.Now())
+			k.log.Debug("roles: could not read the lease", "error", err)
+			k.lease.OnReadFailed(bootclock.Now())
 		} else {
-			k.machine.OnRead(bootclock.Now(), row, revision)
+			k.lease.OnRead(bootclock.Now(), row, revision)
 		}
 	case lease.Write:
 		outcome, revision, err := leaserows.Write(ctx, k.table, LeaseName, action)
 		if err != nil {
-			k.log.Info("roles: the lease was not written", "epoch", action.Row.Epoch, "error", err)
+			k.log.Info("roles: could not write the lease", "epoch", action.Row.Epoch, "error", err)
 		}
-		k.machine.OnWrite(bootclock.Now(), outcome, revision)
+		k.lease.OnWrite(bootclock.Now(), outcome, revision)
 	}
-	k.note()
+	k.updateHeld()
 }
 
-// note tells of the lease won and lost.
-func (k *Keeper) note() {
-	grant, held := k.machine.Held(bootclock.Now())
+// updateHeld checks whether this instance holds the lease, and handles and logs a change.
+func (k *Keeper) updateHeld() {
+	grant, held := k.lease.Held(bootclock.Now())
 	if held == k.held {
 		return
 	}
 	k.held = held
 	k.heldSince = bootclock.Now()
-	k.announced = map[string]announced{}
+	k.announcedOrders = map[string]announcedOrder{}
 	if held {
-		k.begin(grant)
+		k.resetState(grant)
 		for _, d := range k.duties {
 			d.Reset()
 		}
-		k.log.Info("roles: lease taken", "epoch", grant.Epoch, "first", grant.First, "resumed", grant.Resumed, "returned", grant.TableRestored)
+		k.log.Info("roles: lease acquired", "epoch", grant.Epoch, "first", grant.First, "resumed", grant.Resumed, "returned", grant.TableRestored)
 		return
 	}
-	k.log.Info("roles: lease lost or given up")
+	k.log.Info("roles: lease lost or released")
 }
 
-// begin forgets what was known under an earlier lease. Where the store came back from an older
-// copy and nobody else had the lease, this process knows more than the store does: it goes on with
-// that, and has the wanted splits written again.
-func (k *Keeper) begin(grant lease.Grant) {
+// resetState discards the state of an earlier lease. The exception is a store that was restored from an older
+// copy while no other process held the lease: then the state of this process is newer than the store's. It is
+// kept, and the targets are written again.
+func (k *Keeper) resetState(grant lease.Grant) {
 	if !grant.TableRestored || !grant.Resumed {
-		k.pending, k.services = map[string]pending{}, map[string]*duty{}
+		k.pendingOrders, k.services = map[string]pendingOrder{}, map[string]*serviceState{}
 		return
 	}
-	for _, d := range k.services {
-		d.kept = roles.Target{}
+	for _, s := range k.services {
+		s.stored = roles.Target{}
 	}
 }
 
-// release gives the lease up, if the store takes that soon.
+// release releases the lease. It stops trying after callTimeout.
 func (k *Keeper) release() {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	k.machine.Release()
-	for !k.machine.Released() && ctx.Err() == nil {
-		k.drive(ctx)
+	k.lease.Release()
+	for !k.lease.Released() && ctx.Err() == nil {
+		k.driveLease(ctx)
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// settled tells whether the orders of an earlier holder have all arrived. There is none
-// before the first, or when this process had the lease last: that it need not wait after
-// an outage of the store has a report come in time that is due meanwhile.
-func (k *Keeper) settled(grant lease.Grant) bool {
+// earlierOrdersArrived reports whether all orders of earlier holders have arrived, which takes the length of a
+// lease term at most. A process need not wait if it is the first holder, or was the last one: then there are no
+// orders of another holder. Without the wait, a report that is due after an outage of the store is sent in time.
+func (k *Keeper) earlierOrdersArrived(grant lease.Grant) bool {
 	return grant.First || grant.Resumed || bootclock.Now()-k.heldSince >= k.settings.LeaseTerm
 }
--- a/internal/rolekeeper/orders.go
+++ b/internal/rolekeeper/orders.go
@@ -14,48 +14,48 @@
 	"sassafrasfield/internal/upstreamstate"
 )
 
-// Timings of orders.
+// Timeouts of orders.
 const (
-	// callTimeout bounds each call to an engine.
+	// callTimeout limits each call to an engine or to the store.
 	callTimeout = 800 * time.Millisecond
-	// pendingFor is for how long an order without a visible effect is counted
-	// as done; late orders are carried out within twelve seconds.
-	pendingFor = 15 * time.Second
+	// pendingTimeout is how long an order without a visible effect is treated as carried out. Engines carry
+	// out late orders within twelve seconds.
+	pendingTimeout = 15 * time.Second
 )
 
-// pending is an order that the engine's entry does not show yet.
-type pending struct {
+// pendingOrder is an order whose effect the reported state of the engine does not show yet.
+type pendingOrder struct {
 	to config.Role
 	at time.Duration
-	// incarnation of the engine: one that starts again knows of no order.
+	// incarnation is the incarnation of the engine. A restarted engine has lost the order.
 	incarnation uint32
 }
 
-// announced is an order that waits until all instances leave its engine out.
-type announced struct {
+// announcedOrder is an order that is sent once all instances exclude its engine.
+type announcedOrder struct {
 	engine upstreamstate.Upstream
 	to     config.Role
 	at     time.Duration
 }
 
-// look compares the split with the wanted one and gives the orders it takes.
-func (k *Keeper) look(ctx context.Context) {
-	grant, held := k.machine.Held(bootclock.Now())
-	if !held || !k.settled(grant) {
+// checkSplits compares the split of each service with its target, and starts the orders that are needed.
+func (k *Keeper) checkSplits(ctx context.Context) {
+	grant, held := k.lease.Held(bootclock.Now())
+	if !held || !k.earlierOrdersArrived(grant) {
 		return
 	}
 	now := bootclock.Now()
-	k.lookedAt, k.sinceLook = now, min(now-k.lookedAt, awayAfter)
+	k.checkedAt, k.sinceCheck = now, min(now-k.checkedAt, maxMeasurementGap)
 	services := k.view.Engines()
-	k.forgetOrders(services)
+	k.dropStaleOrders(services)
 	for service, engines := range services {
-		k.lookAt(ctx, service, engines, grant)
+		k.checkService(ctx, service, engines, grant)
 	}
 }
 
-// forgetOrders drops the orders that count no more as under way: those that had
-// their effect, those that lapsed, and those to engines that are gone.
-func (k *Keeper) forgetOrders(services map[string][]upstreamstate.Engine) {
+// dropStaleOrders drops pending orders that have taken effect or timed out, and those to engines that were
+// removed or restarted.
+func (k *Keeper) dropStaleOrders(services map[string][]upstreamstate.Engine) {
 	listed := map[string]upstreamstate.Upstream{}
 	for _, engines := range services {
 		for _, e := range engines {
@@ -63,116 +63,116 @@
 		}
 	}
 	now := bootclock.Now()
-	for id, p := range k.pending {
+	for id, p := range k.pendingOrders {
 		engine, ok := listed[id]
-		if !ok || engine.Role == p.to || engine.Incarnation() != p.incarnation || now-p.at > pendingFor {
-			delete(k.pending, id)
-			delete(k.announced, id)
+		if !ok || engine.Role == p.to || engine.Incarnation() != p.incarnation || now-p.at > pendingTimeout {
+			delete(k.pendingOrders, id)
+			delete(k.announcedOrders, id)
 		}
 	}
 }
 
-func (k *Keeper) lookAt(ctx context.Context, service string, engines []upstreamstate.Engine, grant lease.Grant) {
-	list := k.asPlanned(engines)
-	d, ok := k.dutyOf(ctx, service)
+// checkService updates the target of a service, and starts orders once enough checks found a different split.
+func (k *Keeper) checkService(ctx context.Context, service string, engines []upstreamstate.Engine, grant lease.Grant) {
+	list := k.withOrderedRoles(engines)
+	s, ok := k.serviceState(ctx, service)
 	if !ok {
 		return
 	}
-	k.follow(service, d, seen(engines))
-	k.keep(ctx, service, d, grant)
-	most := len(list)
+	k.updateTarget(service, s, engineLoads(engines))
+	k.storeTarget(ctx, service, s, grant)
+	limit := len(list)
 	if k.view.Serving() {
-		most = k.atOnce(len(list)) - len(k.pending)
+		limit = k.maxConcurrentChanges(len(list)) - len(k.pendingOrders)
 	}
-	changes := d.target.Changes(list, most)
+	changes := s.target.Changes(list, limit)
 	if len(changes) == 0 {
-		d.wrong = 0
+		s.mismatches = 0
 		return
 	}
-	if d.wrong++; d.wrong < k.confirm(d, len(list)) {
+	if s.mismatches++; s.mismatches < k.requiredChecks(s, len(list)) {
 		return
 	}
 	k.log.Info("roles: the split differs", "service", service, "engines", len(list),
-		"wanted_prefill", d.target.PrefillCount(len(list)), "changes", len(changes), "at_once", most)
+		"wanted_prefill", s.target.PrefillCount(len(list)), "changes", len(changes), "at_once", limit)
 	for _, change := range changes {
-		at := slices.IndexFunc(engines, func(e upstreamstate.Engine) bool { return e.ID == change.Engine })
+		i := slices.IndexFunc(engines, func(e upstreamstate.Engine) bool { return e.ID == change.Engine })
 		if k.view.Serving() && k.settings.AnnounceDelay > 0 {
-			k.announce(engines[at].Upstream, change.To)
+			k.announce(engines[i].Upstream, change.To)
 			continue
 		}
-		k.tryOrder(ctx, engines[at].Upstream, change.To, grant)
+		k.sendOrderAndLog(ctx, engines[i].Upstream, change.To, grant)
 	}
 }
 
-// announce has all instances leave an engine out, and its order wait until they do.
+// announce makes all instances exclude an engine. Its order is sent after AnnounceDelay.
 func (k *Keeper) announce(engine upstreamstate.Upstream, to config.Role) {
 	now := bootclock.Now()
-	k.pending[engine.ID] = pending{to: to, at: now, incarnation: engine.Incarnation()}
-	k.announced[engine.ID] = announced{engine: engine, to: to, at: now}
-	k.view.MarkUnavailable(engine.ID, k.settings.AnnounceDelay+k.awayFor(engine.Service))
+	k.pendingOrders[engine.ID] = pendingOrder{to: to, at: now, incarnation: engine.Incarnation()}
+	k.announcedOrders[engine.ID] = announcedOrder{engine: engine, to: to, at: now}
+	k.view.MarkUnavailable(engine.ID, k.settings.AnnounceDelay+k.unavailableFor(engine.Service))
 	k.log.Info("roles: order announced", "engine", engine.ID, "to", to)
 }
 
-// awayMargin is for the engine's entry to tell of its new role.
-const awayMargin = time.Second
+// roleReportMargin is the time for the report of the engine's new role to arrive.
+const roleReportMargin = time.Second
 
-// awayFor is how long an engine that changes its role takes no requests, unless its
-// entry shows the new role before: its answers end first, most of them within twice
-// their mean.
-func (k *Keeper) awayFor(service string) time.Duration {
+// unavailableFor returns how long an engine that changes its role accepts no requests, unless it reports the new
+// role earlier. It finishes its running answers first, most of which end within twice their mean time.
+func (k *Keeper) unavailableFor(service string) time.Duration {
 	times := k.view.Times(service)
-	return times.RoleChange + 2*times.SlotTime + awayMargin
+	return times.RoleChange + 2*times.SlotTime + roleReportMargin
 }
 
-// giveAnnounced gives the orders that all instances know of.
-func (k *Keeper) giveAnnounced(ctx context.Context) {
+// sendAnnouncedOrders sends the orders whose announcement has reached all instances.
+func (k *Keeper) sendAnnouncedOrders(ctx context.Context) {
 	now := bootclock.Now()
-	grant, held := k.machine.Held(now)
-	for id, a := range k.announced {
+	grant, held := k.lease.Held(now)
+	for id, a := range k.announcedOrders {
 		if now-a.at < k.settings.AnnounceDelay {
 			continue
 		}
-		delete(k.announced, id)
+		delete(k.announcedOrders, id)
 		if held {
-			k.tryOrder(ctx, a.engine, a.to, grant)
+			k.sendOrderAndLog(ctx, a.engine, a.to, grant)
 		}
 	}
 }
 
-func (k *Keeper) tryOrder(ctx context.Context, engine upstreamstate.Upstream, to config.Role, grant lease.Grant) {
-	if err := k.order(ctx, engine, to, grant); err != nil {
+// sendOrderAndLog sends an order and logs a failure.
+func (k *Keeper) sendOrderAndLog(ctx context.Context, engine upstreamstate.Upstream, to config.Role, grant lease.Grant) {
+	if err := k.sendOrder(ctx, engine, to, grant); err != nil {
 		k.log.Info("roles: order failed", "engine", engine.ID, "to", to, "epoch", grant.Epoch, "error", err)
 	}
 }
 
-// settledLooks is how many looks on end must find the same number of engines
-// before the first orders of all: a list that is still filling has any split.
-const settledLooks = 2
+// stableChecks is the number of consecutive checks that must find the same number of engines before the first
+// orders. While the list of engines is still incomplete, its split is arbitrary.
+const stableChecks = 2
 
-// confirm is how many looks on end must find the split wrong before orders are
-// given.
-func (k *Keeper) confirm(d *duty, engines int) int {
+// requiredChecks returns the number of consecutive checks that must find a wrong split before orders are sent.
+func (k *Keeper) requiredChecks(s *serviceState, engines int) int {
 	if k.view.Serving() {
 		return k.settings.ConfirmChecks
 	}
-	if d.engines != engines {
-		d.engines, d.wrong = engines, 1
+	if s.engineCount != engines {
+		s.engineCount, s.mismatches = engines, 1
 	}
-	return settledLooks
+	return stableChecks
 }
 
-// atOnce is how many of so many engines may change while requests are served.
-func (k *Keeper) atOnce(engines int) int {
+// maxConcurrentChanges returns how many of a number of engines may change their roles at a time while requests are
+// served.
+func (k *Keeper) maxConcurrentChanges(engines int) int {
 	return max(k.settings.MaxConcurrentChanges, int(k.settings.SplitPolicy.MaxPrefillDecrease*float64(engines)))
 }
 
-// asPlanned are the engines with the roles that they have or were ordered to
-// take.
-func (k *Keeper) asPlanned(engines []upstreamstate.Engine) []roles.Engine {
+// withOrderedRoles returns the engines with the roles of their pending orders, or else the current ones.
+func (k *Keeper) withOrderedRoles(engines []upstreamstate.Engine) []roles.Engine {
 	var list []roles.Engine
 	for _, e := range engines {
 		role := e.Role
-		if p, ok := k.pending[e.ID]; ok {
+		if p, ok := k.pendingOrders[e.ID]; ok {
 			role = p.to
 		}
 		list = append(list, roles.Engine{ID: e.ID, Zone: e.Zone, Role: role})
@@ -180,10 +180,11 @@
 	return list
 }
 
-// errNotHeld: the lease ended before the order went out.
-var errNotHeld = errors.New("roles: the lease has ended")
+// errLeaseEnded is returned if the lease ended before the order was sent.
+var errLeaseEnded = errors.New("roles: lease ended before the order was sent")
 
-func (k *Keeper) order(ctx context.Context, engine upstreamstate.Upstream, to config.Role, grant lease.Grant) error {
+// sendOrder sends an order to an engine, unless the engine is carrying out another one or the lease has ended.
+func (k *Keeper) sendOrder(ctx context.Context, engine upstreamstate.Upstream, to config.Role, grant lease.Grant) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	state, err := k.orderer.State(ctx, engine)
@@ -191,19 +192,19 @@
 		return err
 	}
 	if state.Busy {
-		k.pending[engine.ID] = pending{to: to, at: bootclock.Now(), incarnation: engine.Incarnation()}
-		return errors.New("roles: the engine carries another order out")
+		k.pendingOrders[engine.ID] = pendingOrder{to: to, at: bootclock.Now(), incarnation: engine.Incarnation()}
+		return errors.New("roles: engine is carrying out another order")
 	}
-	now, held := k.machine.Held(bootclock.Now())
-	if !held || now.Epoch != grant.Epoch {
-		return errNotHeld
+	current, held := k.lease.Held(bootclock.Now())
+	if !held || current.Epoch != grant.Epoch {
+		return errLeaseEnded
 	}
-	k.pending[engine.ID] = pending{to: to, at: bootclock.Now(), incarnation: engine.Incarnation()}
+	k.pendingOrders[engine.ID] = pendingOrder{to: to, at: bootclock.Now(), incarnation: engine.Incarnation()}
 	err = k.orderer.Order(ctx, engine, Order{To: to, Holder: k.settings.Instance, Epoch: grant.Epoch, AcceptedOrders: state.AcceptedOrders})
-	k.log.Info("roles: order", "engine", engine.ID, "zone", engine.Zone, "to", to, "epoch", grant.Epoch,
+	k.log.Info("roles: order sent", "engine", engine.ID, "zone", engine.Zone, "to", to, "epoch", grant.Epoch,
 		"orders", state.AcceptedOrders, "error", err)
 	if err == nil {
-		k.view.MarkUnavailable(engine.ID, k.awayFor(engine.Service))
+		k.view.MarkUnavailable(engine.ID, k.unavailableFor(engine.Service))
 	}
 	return err
 }
--- a/internal/rolekeeper/rolekeeper.go
+++ b/internal/rolekeeper/rolekeeper.go
@@ -1,11 +1,11 @@
-// Package rolekeeper brings the engines of a service to the wanted split of
-// prefill and decode. One instance at a time does so, under a lease in the
-// platform's table. The wanted split is a count, compared with what the engines
-// report, so an order is never repeated because an instance started anew.
+// Package rolekeeper keeps the engines of each service at the target split between the prefill and decode roles.
+// It observes the engines through a View, and orders role changes through an Orderer. One instance at a time does
+// so: the holder of a lease in the platform's table, which also runs the other duties of the deployment. The
+// target is a number of engines that is compared with the reported roles. So the restart of an instance does not
+// repeat orders.
 //
-// Engines here do not look at fencing numbers. So a holder that takes a lease
-// over waits for the length of a lease before its first order: the last order
-// of the one before it has arrived by then.
+// These engines do not check fencing numbers. A process that takes over the lease therefore waits for the length
+// of a lease term before its first order. By then, the last order of the previous holder has arrived.
 package rolekeeper
 
 import (
@@ -23,80 +23,81 @@
 	"sassafrasfield/internal/upstreamstate"
 )
 
-// EngineState is what an engine says of itself.
+// EngineState is the state that an engine reports.
 type EngineState struct {
 	Role config.Role
-	// Busy: it carries an order out.
+	// Busy is true while the engine is carrying out an order.
 	Busy bool
-	// AcceptedOrders is how many it has accepted since its start.
+	// AcceptedOrders is the number of orders that the engine has accepted since its start.
 	AcceptedOrders int64
 }
 
-// Order asks an engine to take a role.
+// Order tells an engine to change to a role.
 type Order struct {
 	To     config.Role
 	Holder string
 	// Epoch is the fencing number.
 	Epoch int64
-	// AcceptedOrders is the engine's count that the order counts on; with another one
-	// it has no effect, however late it arrives.
+	// AcceptedOrders is the engine's count of accepted orders that the order expects. If the engine has
+	// another count, the order has no effect, however late it arrives.
 	AcceptedOrders int64
 }
 
-// Orderer is the adapter to the engines' control interface.
+// Orderer accesses the control interface of the engines.
 type Orderer interface {
 	State(ctx context.Context, engine upstreamstate.Upstream) (EngineState, error)
 	Order(ctx context.Context, engine upstreamstate.Upstream, o Order) error
 }
 
-// Settings of a Keeper.
+// Settings are the settings of a Keeper.
 type Settings struct {
-	// Instance gives the orders under its name.
+	// Instance is the name of this instance, which its orders carry.
 	Instance string
-	// LeaseTerm is the time in which two holders must not take turns.
+	// LeaseTerm is the term of the lease.
 	LeaseTerm time.Duration
-	// CheckEvery is the time between looks.
+	// CheckEvery is the time between two checks of the split.
 	CheckEvery time.Duration
-	// MaxConcurrentChanges bounds the engines that change while requests are served.
+	// MaxConcurrentChanges is the maximum number of engines that change their roles at a time while requests
+	// are served. The limit is higher where the share SplitPolicy.MaxPrefillDecrease of the engines is more.
 	MaxConcurrentChanges int
-	// AnnounceDelay is the time from the word to all instances that an engine takes no
-	// requests to its order: what they send meanwhile would be refused. Words reach
-	// all within 0.4 s where no datagram is lost.
+	// AnnounceDelay is the time between the announcement to all instances that an engine accepts no requests
+	// and the order to the engine. The engine would refuse requests that are sent to it after the order.
+	// Announcements reach all instances within 0.4 s if no datagram is lost.
 	AnnounceDelay time.Duration
-	// ConfirmChecks is how many looks on end must find the split wrong before an
-	// order is given: engines that restart are missing for a few seconds.
+	// ConfirmChecks is the number of consecutive checks that must find a wrong split before an order is
+	// sent. Engines that restart are missing for a few seconds.
 	ConfirmChecks int
-	// InitialTarget is the split of a deployment that has not served yet; from then on
-	// it follows what the engines are used for, as Balance says.
+	// InitialTarget is the target split of a deployment that has not served yet. Afterwards the target follows
+	// the workload of the engines, as SplitPolicy determines.
 	InitialTarget roles.Target
 	SplitPolicy   roles.SplitPolicy
 }
 
-// View is what the keeper needs to know of the data path.
+// View is the interface of the data path that the keeper uses.
 type View interface {
-	// Engines are the engines of all services that take requests, by service.
+	// Engines returns the engines of all services that accept requests, by service.
 	Engines() map[string][]upstreamstate.Engine
-	// Times are what the engines of a service take.
+	// Times returns the processing times of the engines of a service.
 	Times(service string) upstreamstate.Times
-	// MarkUnavailable has all instances leave an engine out for a time.
+	// MarkUnavailable makes all instances exclude an engine for a time.
 	MarkUnavailable(engine string, d time.Duration)
-	// Serving tells whether requests came lately.
+	// Serving reports whether requests arrived recently.
 	Serving() bool
-	// Candidates are the names of the live instances that may hold the lease, as far
-	// as it is known here.
+	// Candidates returns the names of the live instances that may hold the lease, as far as this instance
+	// knows them.
 	Candidates() []string
 }
 
-// Duty is done by whoever holds the lease, besides the roles. It is used by one goroutine.
+// Duty is a further task of the lease holder. It is used by one goroutine.
 type Duty interface {
-	// Reset forgets what was known under an earlier lease.
+	// Reset discards the state of an earlier lease.
 	Reset()
-	// Do does what is due, under a grant that lasts for as long as the context. It is
-	// called at each look, once the calls of an earlier holder have arrived.
+	// Do does what is due. The grant is valid until the context ends. Do is called at each check, once all
+	// calls of earlier holders have arrived.
 	Do(ctx context.Context, grant lease.Grant)
 }
 
-// Keeper does the duty.
+// Keeper maintains the roles of the engines and runs the other duties while it holds the lease.
 type Keeper struct {
 	settings Settings
 	table    platform.Table
@@ -105,36 +106,35 @@
 	duties   []Duty
 	log      *slog.Logger
 
-	machine *lease.Lease
-	held    bool
-	// heldSince is when this process took the lease.
-	heldSince time.Duration
-	pending   map[string]pending
-	// announced are the orders that the instances have been told of.
-	announced map[string]announced
-	services  map[string]*duty
-	// watches tells that this instance may be the next holder.
-	watches bool
-	// use is what the engines of each service are used for. Those who watch the
-	// lease measure it, so that the next holder knows.
-	use        map[string]roles.Workload
+	lease *lease.Lease
+	held  bool
+	// heldSince is when this process acquired or lost the lease.
+	heldSince     time.Duration
+	pendingOrders map[string]pendingOrder
+	// announcedOrders are the orders that were announced to the instances and not sent yet.
+	announcedOrders map[string]announcedOrder
+	services        map[string]*serviceState
+	// watchesLease is true if this instance may be the next holder.
+	watchesLease bool
+	// workloads are the measured workloads by service. The instances that watch the lease measure them too, so
+	// that the next holder has them.
+	workloads  map[string]roles.Workload
 	measuredAt time.Duration
-	// lookedAt is when the last look was, sinceLook the time from the one before
-	// to it.
-	lookedAt, sinceLook time.Duration
+	// checkedAt is the time of the last check, and sinceCheck the time between it and the one before.
+	checkedAt, sinceCheck time.Duration
 }
 
-// duty is what the holder knows of a service's engines.
-type duty struct {
-	// target is the wanted split, kept the one that the store has.
-	target, kept roles.Target
-	follower     roles.TargetTracker
-	// wrong counts the looks on end that found the split wrong, engines is how
-	// many there were.
-	wrong, engines int
+// serviceState is the lease holder's state of a service.
+type serviceState struct {
+	// target is the target split, and stored the one that the store has.
+	target, stored roles.Target
+	tracker        roles.TargetTracker
+	// mismatches counts the consecutive checks that found a wrong split. engineCount is the number of engines at
+	// the last mismatch while no requests were served.
+	mismatches, engineCount int
 }
 
-// LeaseName names the lease; one is enough for the duties of one deployment.
+// LeaseName is the name of the lease. One lease is enough for all duties of a deployment.
 const LeaseName = "roles"
 
 // New returns a keeper.
@@ -142,17 +142,17 @@
 	self := s.Instance + "/" + uuid.NewString()
 	return &Keeper{
 		settings: s, table: table, orderer: orderer, view: view, duties: duties, log: log,
-		machine: lease.New(self, leaseSettings(s.LeaseTerm), uuid.NewString),
-		pending: map[string]pending{}, announced: map[string]announced{}, services: map[string]*duty{}, use: map[string]roles.Workload{},
+		lease:         lease.New(self, leaseSettings(s.LeaseTerm), uuid.NewString),
+		pendingOrders: map[string]pendingOrder{}, announcedOrders: map[string]announcedOrder{}, services: map[string]*serviceState{}, workloads: map[string]roles.Workload{},
 	}
 }
 
-// Run works until the context ends, then gives the lease up.
+// Run runs the keeper until the context ends, then releases the lease.
 func (k *Keeper) Run(ctx context.Context) {
-	const tick = 100 * time.Millisecond // well below each of the lease's times
+	const tick = 100 * time.Millisecond // well below all times of the lease
 	ticker := time.NewTicker(tick)
 	defer ticker.Stop()
-	next := time.Duration(0)
+	nextCheck := time.Duration(0)
 	for {
 		select {
 		case <-ctx.Done():
@@ -160,14 +160,14 @@
 			return
 		case <-ticker.C:
 		}
-		k.place()
-		k.drive(ctx)
-		k.measure()
-		if now := bootclock.Now(); k.held && now >= next {
-			next = now + k.settings.CheckEvery
-			k.look(ctx)
+		k.updateWatchPolicy()
+		k.driveLease(ctx)
+		k.measureWorkloads()
+		if now := bootclock.Now(); k.held && now >= nextCheck {
+			nextCheck = now + k.settings.CheckEvery
+			k.checkSplits(ctx)
 			k.doDuties(ctx)
 		}
-		k.giveAnnounced(ctx)
+		k.sendAnnouncedOrders(ctx)
 	}
 }
--- a/internal/rolekeeper/rolekeeper_test.go
+++ b/internal/rolekeeper/rolekeeper_test.go
@@ -19,7 +19,7 @@
 	"sassafrasfield/internal/upstreamstate"
 )
 
-// fakeTable is a table in memory.
+// fakeTable is an in-memory table.
 type fakeTable struct {
 	mu       sync.Mutex // protects all below
 	rows     map[string]platform.Row
@@ -60,29 +60,29 @@
 	return f.revision, nil
 }
 
-// given is one order that an engine got.
-type given struct {
+// sentOrder is an order that an engine received.
+type sentOrder struct {
 	engine, holder string
 	at             time.Time
 }
 
-// fakeFleet is the engines, their orders and the view of them.
+// fakeFleet simulates the engines. It implements Orderer and View, and records the orders.
 type fakeFleet struct {
-	mu      sync.Mutex // protects all below
-	engines []upstreamstate.Engine
-	orders  []given
-	away    []string
-	// awayAt is when all were first told to leave an engine out.
-	awayAt  map[string]time.Time
-	serving bool
-	// announce is for how long they are told before an order.
-	announce time.Duration
-	// silent engines take an order and do not carry it out.
-	silent bool
+	mu       sync.Mutex // protects all below
+	engines  []upstreamstate.Engine
+	orders   []sentOrder
+	excluded []string
+	// excludedAt is when MarkUnavailable was first called for an engine.
+	excludedAt map[string]time.Time
+	serving    bool
+	// announceDelay is the keeper's Settings.AnnounceDelay.
+	announceDelay time.Duration
+	// ignoresOrders makes the engines accept orders without carrying them out.
+	ignoresOrders bool
 }
 
 func newFakeFleet(decode int) *fakeFleet {
-	f := &fakeFleet{awayAt: map[string]time.Time{}}
+	f := &fakeFleet{excludedAt: map[string]time.Time{}}
 	for i := range decode {
 		f.engines = append(f.engines, upstreamstate.Engine{Upstream: upstreamstate.Upstream{ID: string(rune('a' + i)), Zone: "z", Role: config.RoleDecode}})
 	}
@@ -96,9 +96,9 @@
 func (f *fakeFleet) Order(_ context.Context, engine upstreamstate.Upstream, o Order) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.orders = append(f.orders, given{engine: engine.ID, holder: o.Holder, at: time.Now()})
+	f.orders = append(f.orders, sentOrder{engine: engine.ID, holder: o.Holder, at: time.Now()})
 	for i := range f.engines {
-		if f.engines[i].ID == engine.ID && !f.silent {
+		if f.engines[i].ID == engine.ID && !f.ignoresOrders {
 			f.engines[i].Role = o.To
 		}
 	}
@@ -111,15 +111,15 @@
 	return map[string][]upstreamstate.Engine{"llm": append([]upstreamstate.Engine{}, f.engines...)}
 }
 
-// remove drops an engine from the list.
+// remove removes an engine from the list.
 func (f *fakeFleet) remove(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.engines = slices.DeleteFunc(f.engines, func(e upstreamstate.Engine) bool { return e.ID == id })
 }
 
-// startAgain has an engine's process start again under its id.
-func (f *fakeFleet) startAgain(id string) {
+// restart simulates the restart of an engine's process. It keeps its ID.
+func (f *fakeFleet) restart(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i := range f.engines {
@@ -129,8 +129,8 @@
 	}
 }
 
-// load puts the same load on each engine.
-func (f *fakeFleet) load(l upstreamstate.EngineLoad) {
+// setLoad sets the load of every engine.
+func (f *fakeFleet) setLoad(l upstreamstate.EngineLoad) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i := range f.engines {
@@ -138,7 +138,7 @@
 	}
 }
 
-// Times are those of the engines whose mixes the target's tests have.
+// Times returns the times of the engines on which the mixes in the tests of package roles were measured.
 func (f *fakeFleet) Times(string) upstreamstate.Times {
 	return upstreamstate.Times{Known: true, Step: 4550 * time.Microsecond, StepPerRequest: 181 * time.Microsecond, RoleChange: term / 10}
 }
@@ -146,9 +146,9 @@
 func (f *fakeFleet) MarkUnavailable(engine string, _ time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.away = append(f.away, engine)
-	if _, ok := f.awayAt[engine]; !ok {
-		f.awayAt[engine] = time.Now()
+	f.excluded = append(f.excluded, engine)
+	if _, ok := f.excludedAt[engine]; !ok {
+		f.excludedAt[engine] = time.Now()
 	}
 }
 
@@ -167,10 +167,10 @@
 	return n
 }
 
-func (f *fakeFleet) given() []given {
+func (f *fakeFleet) sent() []sentOrder {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]given{}, f.orders...)
+	return append([]sentOrder{}, f.orders...)
 }
 
 const term = 400 * time.Millisecond
@@ -180,7 +180,7 @@
 	balance := roles.DefaultSplitPolicy()
 	balance.SmoothingTime, balance.EvidenceThreshold = term, 0.05
 	keeper := New(Settings{
-		Instance: name, LeaseTerm: term, CheckEvery: 20 * time.Millisecond, MaxConcurrentChanges: 2, ConfirmChecks: 2, AnnounceDelay: f.announce, InitialTarget: roles.Target{PrefillShare: 11.0 / 18, MinDecode: 2}, SplitPolicy: balance,
+		Instance: name, LeaseTerm: term, CheckEvery: 20 * time.Millisecond, MaxConcurrentChanges: 2, ConfirmChecks: 2, AnnounceDelay: f.announceDelay, InitialTarget: roles.Target{PrefillShare: 11.0 / 18, MinDecode: 2}, SplitPolicy: balance,
 	}, table, f, f, nil, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -204,16 +204,16 @@
 
 func newTable() *fakeTable { return &fakeTable{rows: map[string]platform.Row{}} }
 
-func TestOneOfTwoInstancesBringsTheEnginesToTheSplit(t *testing.T) {
+func TestOneOfTwoInstancesEstablishesSplit(t *testing.T) {
 	f, table := newFakeFleet(9), newTable()
 	run(t, "one", table, f)
 	run(t, "two", table, f)
 	waitFor(func() bool { return f.prefill() == 6 }) // 11 of 18, of nine
 	time.Sleep(2 * term)
-	orders := f.given()
+	orders := f.sent()
 	f.mu.Lock()
-	if len(f.away) != 6 {
-		t.Errorf("%v are left out by the instances, of six that changed", f.away)
+	if len(f.excluded) != 6 {
+		t.Errorf("engines %v are excluded, want the six that changed", f.excluded)
 	}
 	f.mu.Unlock()
 	if len(orders) != 6 {
@@ -226,7 +226,7 @@
 	}
 }
 
-func TestTheNextHolderWaitsBeforeItsFirstOrder(t *testing.T) {
+func TestNextHolderWaitsBeforeFirstOrder(t *testing.T) {
 	f, table := newFakeFleet(9), newTable()
 	stop := run(t, "one", table, f)
 	waitFor(func() bool { return f.prefill() == 6 })
@@ -238,15 +238,14 @@
 	last := f.orders[len(f.orders)-1].at
 	f.mu.Unlock()
 	run(t, "two", table, f)
-	waitFor(func() bool { return len(f.given()) > 6 })
-	if gap := f.given()[6].at.Sub(last); gap < term {
-		t.Errorf("the next holder gave an order %s after the last one", gap)
+	waitFor(func() bool { return len(f.sent()) > 6 })
+	if gap := f.sent()[6].at.Sub(last); gap < term {
+		t.Errorf("the next holder sent an order %s after the last one", gap)
 	}
 }
 
-// wantedOf is how many of nine engines are to be in prefill, by the table; 9 while
-// it has nothing.
-func wantedOf(t *testing.T, table *fakeTable) int {
+// wantedPrefill returns how many of nine engines the stored target has in prefill. It returns 9 if none is stored.
+func wantedPrefill(t *testing.T, table *fakeTable) int {
 	t.Helper()
 	row, err := table.Get(context.Background(), targetKey("llm"))
 	if err != nil {
@@ -259,19 +258,19 @@
 	return target.PrefillCount(9)
 }
 
-// TestTheSplitFollowsTheUse has engines that generate more than they can, and
-// hardly any prompts. The next holder goes on with the split that was wanted, though
-// it has not measured anything and engines came back in another role.
-func TestTheSplitFollowsTheUse(t *testing.T) {
+// TestSplitFollowsWorkload simulates overloaded decode engines and hardly any prompts, so that the target moves
+// towards decode. The next holder continues with that target, although it has not measured a workload and the
+// engines returned in another role.
+func TestSplitFollowsWorkload(t *testing.T) {
 	f, table := newFakeFleet(9), newTable()
 	f.serving = true
-	f.load(upstreamstate.EngineLoad{Requests: 60, Utilization: 0.05})
+	f.setLoad(upstreamstate.EngineLoad{Requests: 60, Utilization: 0.05})
 	stop := run(t, "one", table, f)
 	waitFor(func() bool { return f.prefill() == 6 })
-	waitFor(func() bool { return wantedOf(t, table) < 6 })
+	waitFor(func() bool { return wantedPrefill(t, table) < 6 })
 	stop()
-	f.load(upstreamstate.EngineLoad{})
-	wanted := wantedOf(t, table)
+	f.setLoad(upstreamstate.EngineLoad{})
+	wanted := wantedPrefill(t, table)
 	f.mu.Lock()
 	for i := range f.engines {
 		f.engines[i].Role = config.RoleDecode
@@ -281,148 +280,147 @@
 	waitFor(func() bool { return f.prefill() == wanted })
 	time.Sleep(2 * term)
 	if n := f.prefill(); n != wanted {
-		t.Errorf("%d in prefill, %d were wanted", n, wanted)
+		t.Errorf("%d engines in prefill, want %d", n, wanted)
 	}
 }
 
-// TestAnEngineIsLeftOutBeforeItsOrder. Pattern: engines change their roles while 300
-// requests a second come. Grounds: on a day of 195 instances 66 requests whose prompts
-// were processed were refused by twelve such engines within two seconds: the others
-// heard of the orders 0.1 to 0.3 s after the engines did.
-func TestAnEngineIsLeftOutBeforeItsOrder(t *testing.T) {
+// TestEngineIsExcludedBeforeItsOrder: engines change their roles while 300 requests per second arrive. In a day's
+// run with 195 instances, twelve such engines refused 66 requests within two seconds, after the prompts of these
+// requests had been processed. The other instances were notified of the orders 0.1 to 0.3 s after the engines.
+func TestEngineIsExcludedBeforeItsOrder(t *testing.T) {
 	f := newFakeFleet(9)
-	f.serving, f.announce = true, term/4
+	f.serving, f.announceDelay = true, term/4
 	run(t, "one", newTable(), f)
 	waitFor(func() bool { return f.prefill() == 6 })
-	for _, o := range f.given() {
+	for _, o := range f.sent() {
 		f.mu.Lock()
-		told := o.at.Sub(f.awayAt[o.engine])
+		delay := o.at.Sub(f.excludedAt[o.engine])
 		f.mu.Unlock()
-		if told < f.announce {
-			t.Errorf("the order to %s came %s after the word to leave it out, want %s at least", o.engine, told, f.announce)
+		if delay < f.announceDelay {
+			t.Errorf("the order to %s was sent %s after the announcement, want at least %s", o.engine, delay, f.announceDelay)
 		}
 	}
 }
 
-func TestAnOrderWithoutEffectIsNotGivenAgain(t *testing.T) {
+func TestOrderWithoutEffectIsNotRepeated(t *testing.T) {
 	f := newFakeFleet(9)
-	f.silent = true
+	f.ignoresOrders = true
 	run(t, "one", newTable(), f)
-	waitFor(func() bool { return len(f.given()) == 6 })
+	waitFor(func() bool { return len(f.sent()) == 6 })
 	time.Sleep(term)
-	if n := len(f.given()); n != 6 {
-		t.Errorf("%d orders", n)
+	if n := len(f.sent()); n != 6 {
+		t.Errorf("%d orders, want 6", n)
 	}
 }
 
-func TestFewEnginesChangeAtOnceWhileServing(t *testing.T) {
+func TestConcurrentChangesAreLimitedWhileServing(t *testing.T) {
 	f := newFakeFleet(9)
-	f.silent, f.serving = true, true
+	f.ignoresOrders, f.serving = true, true
 	run(t, "one", newTable(), f)
-	waitFor(func() bool { return len(f.given()) == 2 })
+	waitFor(func() bool { return len(f.sent()) == 2 })
 	time.Sleep(term)
-	if n := len(f.given()); n != 2 {
-		t.Errorf("%d orders under way at once", n)
+	if n := len(f.sent()); n != 2 {
+		t.Errorf("%d concurrent orders", n)
 	}
 }
 
-// TestOrdersToEnginesThatAreGoneDoNotCount: two engines that vanished with an
-// order under way used up the orders that may be under way at once, and the
-// holder gave none until the lease changed hands.
-func TestOrdersToEnginesThatAreGoneDoNotCount(t *testing.T) {
+// TestOrdersToRemovedEnginesAreDropped guards against pending orders that are never dropped. Two engines were
+// removed with pending orders. These counted towards the maximum number of concurrent changes, so the holder sent
+// no more orders until another process acquired the lease.
+func TestOrdersToRemovedEnginesAreDropped(t *testing.T) {
 	f := newFakeFleet(9)
-	f.silent, f.serving = true, true
+	f.ignoresOrders, f.serving = true, true
 	run(t, "one", newTable(), f)
-	waitFor(func() bool { return len(f.given()) == 2 })
-	f.remove(f.given()[0].engine)
-	f.remove(f.given()[1].engine)
-	waitFor(func() bool { return len(f.given()) == 4 })
+	waitFor(func() bool { return len(f.sent()) == 2 })
+	f.remove(f.sent()[0].engine)
+	f.remove(f.sent()[1].engine)
+	waitFor(func() bool { return len(f.sent()) == 4 })
 }
 
-// TestOrdersToEnginesThatStartedAgainDoNotCount: they came back under their ids, in the
-// role of before, and know of no order.
-func TestOrdersToEnginesThatStartedAgainDoNotCount(t *testing.T) {
+// TestOrdersToRestartedEnginesAreDropped: restarted engines have the same ID and their former role, and have lost
+// their orders.
+func TestOrdersToRestartedEnginesAreDropped(t *testing.T) {
 	f := newFakeFleet(9)
-	f.silent, f.serving = true, true
+	f.ignoresOrders, f.serving = true, true
 	run(t, "one", newTable(), f)
-	waitFor(func() bool { return len(f.given()) == 2 })
-	f.startAgain(f.given()[0].engine)
-	f.startAgain(f.given()[1].engine)
-	waitFor(func() bool { return len(f.given()) == 4 })
+	waitFor(func() bool { return len(f.sent()) == 2 })
+	f.restart(f.sent()[0].engine)
+	f.restart(f.sent()[1].engine)
+	waitFor(func() bool { return len(f.sent()) == 4 })
 }
 
-func TestWithoutTheStoreNobodyGivesOrders(t *testing.T) {
+func TestNoOrdersWithoutStore(t *testing.T) {
 	f, table := newFakeFleet(9), newTable()
 	table.down = true
 	run(t, "one", table, f)
 	time.Sleep(term)
-	if n := len(f.given()); n != 0 {
+	if n := len(f.sent()); n != 0 {
 		t.Errorf("%d orders without a lease", n)
 	}
 }
 
-// copied is what the table has now.
-func (f *fakeTable) copied() (map[string]platform.Row, int64) {
+// snapshot returns a copy of the rows, and the revision of the table.
+func (f *fakeTable) snapshot() (map[string]platform.Row, int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return maps.Clone(f.rows), f.revision
 }
 
-// comeBack has the table come back from a copy, in a new era.
-func (f *fakeTable) comeBack(rows map[string]platform.Row, revision int64) {
+// restore replaces the content of the table by a copy, with the next restore generation.
+func (f *fakeTable) restore(rows map[string]platform.Row, revision int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	const era = 1
-	f.revision, f.rows = platform.RevisionOf(era, revision), map[string]platform.Row{}
+	const generation = 1
+	f.revision, f.rows = platform.RevisionOf(generation, revision), map[string]platform.Row{}
 	for key, row := range rows {
-		row.Revision = platform.RevisionOf(era, row.Revision)
+		row.Revision = platform.RevisionOf(generation, row.Revision)
 		f.rows[key] = row
 	}
 }
 
-// TestTheFencingNumberRisesThoughTheStoreLostIt guards against numbers that are given out again, since
-// the store came back from a copy that is older than a takeover.
-func TestTheFencingNumberRisesThoughTheStoreLostIt(t *testing.T) {
+// TestEpochRisesAfterRestore guards against reused fencing numbers after the store was restored from a copy that is
+// older than a takeover.
+func TestEpochRisesAfterRestore(t *testing.T) {
 	f, table := newFakeFleet(9), newTable()
 	stop := run(t, "one", table, f)
 	waitFor(func() bool { return f.prefill() == 6 })
-	rows, revision := table.copied()
+	rows, revision := table.snapshot()
 	stop()
 	run(t, "two", table, f)
-	waitFor(func() bool { return epochOf(t, table) == 2 })
-	table.comeBack(rows, revision)
-	waitFor(func() bool { return epochOf(t, table) > 1 })
-	if again := epochOf(t, table); again <= 2 {
-		t.Errorf("epoch %d after 2", again)
+	waitFor(func() bool { return storedEpoch(t, table) == 2 })
+	table.restore(rows, revision)
+	waitFor(func() bool { return storedEpoch(t, table) > 1 })
+	if epoch := storedEpoch(t, table); epoch <= 2 {
+		t.Errorf("epoch %d after 2", epoch)
 	}
 }
 
-// TestWhatTheStoreLostIsGoneOnWith guards against a wanted split that falls back to the one of the
-// store's copy: the holder keeps it, and writes it again.
-func TestWhatTheStoreLostIsGoneOnWith(t *testing.T) {
+// TestTargetIsKeptAfterRestore guards against a target that reverts to the one in the restored copy of the store.
+// The holder keeps its target and writes it again.
+func TestTargetIsKeptAfterRestore(t *testing.T) {
 	target := roles.Target{PrefillShare: 0.5, MinDecode: 2}
 	for _, c := range []struct {
 		grant lease.Grant
 		keeps bool
 	}{
 		{lease.Grant{Resumed: true, TableRestored: true}, true},
-		{lease.Grant{TableRestored: true}, false}, // another one may have moved it since
+		{lease.Grant{TableRestored: true}, false}, // another holder may have moved the target since
 		{lease.Grant{Resumed: true}, false},
 	} {
-		k := &Keeper{services: map[string]*duty{"llm": {target: target, kept: target}}, pending: map[string]pending{"e": {}}}
-		k.begin(c.grant)
+		k := &Keeper{services: map[string]*serviceState{"llm": {target: target, stored: target}}, pendingOrders: map[string]pendingOrder{"e": {}}}
+		k.resetState(c.grant)
 		d, known := k.services["llm"]
-		if known != c.keeps || len(k.pending) > 0 != c.keeps {
-			t.Errorf("%+v: known %t, %d orders under way", c.grant, known, len(k.pending))
+		if known != c.keeps || len(k.pendingOrders) > 0 != c.keeps {
+			t.Errorf("%+v: known %t, %d pending orders", c.grant, known, len(k.pendingOrders))
 		}
-		if known && (d.target != target || d.kept == d.target) {
-			t.Errorf("%+v: it is not written again: %+v", c.grant, d)
+		if known && (d.target != target || d.stored == d.target) {
+			t.Errorf("%+v: the target is not written again: %+v", c.grant, d)
 		}
 	}
 }
 
-// epochOf is the newest takeover's, by the table.
-func epochOf(t *testing.T, table *fakeTable) int64 {
+// storedEpoch returns the epoch of the newest takeover in the table.
+func storedEpoch(t *testing.T, table *fakeTable) int64 {
 	t.Helper()
 	row, err := table.Get(context.Background(), leaserows.EpochKey(LeaseName))
 	if err != nil {
--- a/internal/rolekeeper/target.go
+++ b/internal/rolekeeper/target.go
@@ -12,27 +12,25 @@
 	"sassafrasfield/internal/roles"
 )
 
-// targetKey is the key of the row with a service's wanted split. It is there once
-// the split has moved away from the one of the settings, so that the next holder
-// goes on with it.
+// targetKey returns the key of the row with the target split of a service. The row exists once the target has
+// moved away from Settings.InitialTarget, so that the next holder continues with it.
 func targetKey(service string) string { return "split/" + service }
 
-// dutyOf returns what is known of a service's engines; false while it cannot be
-// read.
-func (k *Keeper) dutyOf(ctx context.Context, service string) (*duty, bool) {
-	if d, ok := k.services[service]; ok {
-		return d, true
+// serviceState returns the state of a service, or false if its target could not be read.
+func (k *Keeper) serviceState(ctx context.Context, service string) (*serviceState, bool) {
+	if s, ok := k.services[service]; ok {
+		return s, true
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	target, err := k.readTarget(ctx, service)
 	if err != nil {
-		k.log.Info("roles: the wanted split could not be read, asked again at the next look", "service", service, "error", err)
+		k.log.Info("roles: could not read the target split; retrying at the next check", "service", service, "error", err)
 		return nil, false
 	}
-	d := &duty{target: target, kept: target}
-	k.services[service] = d
-	return d, true
+	s := &serviceState{target: target, stored: target}
+	k.services[service] = s
+	return s, true
 }
 
 func (k *Keeper) readTarget(ctx context.Context, service string) (roles.Target, error) {
@@ -44,19 +42,18 @@
 	if err != nil {
 		return target, err
 	}
-	return target, errors.Wrap(json.Unmarshal(row.Value, &target), "roles: decode the wanted split")
+	return target, errors.Wrap(json.Unmarshal(row.Value, &target), "roles: decode the target split")
 }
 
-// keep writes a target that has moved. It counts for this holder all the same
-// while the store does not take it; a later look tries again. Only the holder of
-// the lease's newest epoch may write.
-func (k *Keeper) keep(ctx context.Context, service string, d *duty, grant lease.Grant) {
-	if d.target == d.kept {
+// storeTarget writes a target that has moved. If the write fails, this holder uses the target nevertheless, and
+// a later check retries. The write requires that this holder has the newest epoch of the lease.
+func (k *Keeper) storeTarget(ctx context.Context, service string, s *serviceState, grant lease.Grant) {
+	if s.target == s.stored {
 		return
 	}
-	value, err := json.Marshal(d.target)
+	value, err := json.Marshal(s.target)
 	if err != nil {
-		k.log.Error("roles: the wanted split cannot be encoded", "service", service, "error", err)
+		k.log.Error("roles: could not encode the target split", "service", service, "error", err)
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
@@ -66,8 +63,8 @@
 		Writes: []platform.Write{{Key: targetKey(service), Value: value}},
 	})
 	if err != nil {
-		k.log.Info("roles: the wanted split was not kept, tried again at the next look", "service", service, "error", err)
+		k.log.Info("roles: could not store the target split; retrying at the next check", "service", service, "error", err)
 		return
 	}
-	d.kept = d.target
+	s.stored = s.target
 }
--- a/internal/rolekeeper/workload.go
+++ b/internal/rolekeeper/workload.go
@@ -9,35 +9,35 @@
 )
 
 const (
-	// measureEvery is the time between measurements. They are smoothed over
-	// seconds, and each goes over all engines.
-	measureEvery = 400 * time.Millisecond
-	// awayAfter is the time between two measurements, or looks, from which this
-	// process counts as having been away.
-	awayAfter = 3 * time.Second
+	// measureInterval is the time between two measurements. The measurements are smoothed over seconds, and each
+	// iterates over all engines.
+	measureInterval = 400 * time.Millisecond
+	// maxMeasurementGap is the longest time that one measurement or check stands for. After a longer gap, the
+	// process is assumed to have been suspended.
+	maxMeasurementGap = 3 * time.Second
 )
 
-// measure notes what the engines are used for while requests come.
-func (k *Keeper) measure() {
+// measureWorkloads adds the current load of the engines to the workloads while requests arrive.
+func (k *Keeper) measureWorkloads() {
 	now := bootclock.Now()
-	since := now - k.measuredAt
-	if since < measureEvery {
+	elapsed := now - k.measuredAt
+	if elapsed < measureInterval {
 		return
 	}
 	k.measuredAt = now
-	if !(k.watches || k.held) || !k.view.Serving() || since > awayAfter {
-		return // what was then is not known, or not of use here
+	if !(k.watchesLease || k.held) || !k.view.Serving() || elapsed > maxMeasurementGap {
+		return // the workload meanwhile is unknown, or this instance does not need it
 	}
 	for service, engines := range k.view.Engines() {
 		if !k.view.Times(service).Known {
-			continue // its use would be measured in times of other engines
+			continue // the load would be computed from the assumed times, not from those of the engines
 		}
-		k.use[service] = k.use[service].Add(seen(engines), since, k.settings.SplitPolicy.SmoothingTime)
+		k.workloads[service] = k.workloads[service].Add(engineLoads(engines), elapsed, k.settings.SplitPolicy.SmoothingTime)
 	}
 }
 
-// seen are the engines with what they have under way.
-func seen(engines []upstreamstate.Engine) []roles.Engine {
+// engineLoads returns the engines with their current load.
+func engineLoads(engines []upstreamstate.Engine) []roles.Engine {
 	list := make([]roles.Engine, len(engines))
 	for i, e := range engines {
 		list[i] = roles.Engine{ID: e.ID, Zone: e.Zone, Role: e.Role, Running: e.Load.Requests, PrefillUtilization: e.Load.Utilization}
@@ -45,28 +45,28 @@
 	return list
 }
 
-// balance is the balance with what the engines of a service take.
-func (k *Keeper) balance(service string) roles.SplitPolicy {
-	b, times := k.settings.SplitPolicy, k.view.Times(service)
-	b.StepMillis, b.StepMillisPerRequest = milliseconds(times.Step), milliseconds(times.StepPerRequest)
-	b.Slots = times.Slots
-	return b
+// splitPolicy returns the split policy with the measured times of a service's engines.
+func (k *Keeper) splitPolicy(service string) roles.SplitPolicy {
+	policy, times := k.settings.SplitPolicy, k.view.Times(service)
+	policy.StepMillis, policy.StepMillisPerRequest = milliseconds(times.Step), milliseconds(times.StepPerRequest)
+	policy.Slots = times.Slots
+	return policy
 }
 
 func milliseconds(d time.Duration) float64 { return d.Seconds() * 1e3 }
 
-// follow brings the target to what the engines are used for.
-func (k *Keeper) follow(service string, d *duty, engines []roles.Engine) {
+// updateTarget adjusts the target split of a service to its workload.
+func (k *Keeper) updateTarget(service string, s *serviceState, engines []roles.Engine) {
 	prefill := roles.CountPrefill(engines)
-	use := k.use[service]
-	follower, target := d.follower.Update(k.balance(service), d.target, use, prefill, len(engines), k.sinceLook)
-	d.follower = follower
-	before, after := d.target.PrefillCount(len(engines)), target.PrefillCount(len(engines))
+	workload := k.workloads[service]
+	tracker, target := s.tracker.Update(k.splitPolicy(service), s.target, workload, prefill, len(engines), k.sinceCheck)
+	s.tracker = tracker
+	before, after := s.target.PrefillCount(len(engines)), target.PrefillCount(len(engines))
 	if before == after {
 		return
 	}
-	d.target, d.wrong = target, k.settings.ConfirmChecks // what was measured over seconds needs no further looks
-	k.log.Info("roles: the wanted split follows the use", "service", service, "engines", len(engines), "prefill", prefill,
-		"wanted_before", before, "wanted", after, "prompts", use.PrefillLoad, "generations", use.Generations, "direct", use.DirectPrefillLoad)
-	k.use[service] = use.AfterSplitChange()
+	s.target, s.mismatches = target, k.settings.ConfirmChecks // measured over seconds, so no further checks are needed
+	k.log.Info("roles: target split changed with the workload", "service", service, "engines", len(engines), "prefill", prefill,
+		"wanted_before", before, "wanted", after, "prompts", workload.PrefillLoad, "generations", workload.Generations, "direct", workload.DirectPrefillLoad)
+	k.workloads[service] = workload.AfterSplitChange()
 }
