--- a/internal/rolekeeper/lease.go
+++ b/internal/rolekeeper/lease.go
@@ -98,9 +98,10 @@
 	}
 }
 
-// earlierOrdersArrived reports whether all orders of earlier holders have arrived, which takes the length of a
-// lease term at most. A process need not wait if it is the first holder, or was the last one: then there are no
-// orders of another holder. Without the wait, a report that is due after an outage of the store is sent in time.
+// earlierOrdersArrived reports whether all orders of earlier holders have arrived, which takes the length
+// of a lease term at most. A process need not wait if it is the first holder, or was the last one: then
+// there are no orders of another holder. Without the wait, a report that is due after an outage of the
+// store is sent in time.
 func (k *Keeper) earlierOrdersArrived(grant lease.Grant) bool {
 	return grant.First || grant.Resumed || bootclock.Now()-k.heldSince >= k.settings.LeaseTerm
 }
--- a/internal/rolekeeper/orders.go
+++ b/internal/rolekeeper/orders.go
@@ -117,8 +117,9 @@
 // roleReportMargin is the time for the report of the engine's new role to arrive.
 const roleReportMargin = time.Second
 
-// unavailableFor returns how long an engine that changes its role accepts no requests, unless it reports the new
-// role earlier. It finishes its running answers first, most of which end within twice their mean time.
+// unavailableFor returns how long an engine that changes its role accepts no requests, unless it reports
+// the new role earlier. It finishes its running answers first, most of which end within twice their mean
+// time.
 func (k *Keeper) unavailableFor(service string) time.Duration {
 	times := k.view.Times(service)
 	return times.RoleChange + 2*times.SlotTime + roleReportMargin
@@ -150,7 +151,8 @@
 // orders. While the list of engines is still incomplete, its split is arbitrary.
 const stableChecks = 2
 
-// requiredChecks returns the number of consecutive checks that must find a wrong split before orders are sent.
+// requiredChecks returns the number of consecutive checks that must find a wrong split before orders are
+// sent.
 func (k *Keeper) requiredChecks(s *serviceState, engines int) int {
 	if k.view.Serving() {
 		return k.settings.ConfirmChecks
@@ -161,8 +163,8 @@
 	return stableChecks
 }
 
-// maxConcurrentChanges returns how many of a number of engines may change their roles at a time while requests are
-// served.
+// maxConcurrentChanges returns how many of a number of engines may change their roles at a time while
+// requests are served.
 func (k *Keeper) maxConcurrentChanges(engines int) int {
 	return max(k.settings.MaxConcurrentChanges, int(k.settings.SplitPolicy.MaxPrefillDecrease*float64(engines)))
 }
@@ -183,7 +185,8 @@
 // errLeaseEnded is returned if the lease ended before the order was sent.
 var errLeaseEnded = errors.New("roles: lease ended before the order was sent")
 
-// sendOrder sends an order to an engine, unless the engine is carrying out another one or the lease has ended.
+// sendOrder sends an order to an engine, unless the engine is carrying out another one or the lease has
+// ended.
 func (k *Keeper) sendOrder(ctx context.Context, engine upstreamstate.Upstream, to config.Role, grant lease.Grant) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/internal/rolekeeper/rolekeeper.go
+++ b/internal/rolekeeper/rolekeeper.go
@@ -1,11 +1,12 @@
-// Package rolekeeper keeps the engines of each service at the target split between the prefill and decode roles.
-// It observes the engines through a View, and orders role changes through an Orderer. One instance at a time does
-// so: the holder of a lease in the platform's table, which also runs the other duties of the deployment. The
-// target is a number of engines that is compared with the reported roles. So the restart of an instance does not
-// repeat orders.
+// Package rolekeeper keeps the engines of each service at the target split between the prefill and decode
+// roles. It observes the engines through a View, and orders role changes through an Orderer. One instance
+// at a time does so: the holder of a lease in the platform's table, which also runs the other duties of the
+// deployment. The target is a number of engines that is compared with the reported roles. So the restart of
+// an instance does not repeat orders.
 //
-// These engines do not check fencing numbers. A process that takes over the lease therefore waits for the length
-// of a lease term before its first order. By then, the last order of the previous holder has arrived.
+// These engines do not check fencing numbers. A process that takes over the lease therefore waits for the
+// length of a lease term before its first order. By then, the last order of the previous holder has
+// arrived.
 package rolekeeper
 
 import (
@@ -67,8 +68,8 @@
 	// ConfirmChecks is the number of consecutive checks that must find a wrong split before an order is
 	// sent. Engines that restart are missing for a few seconds.
 	ConfirmChecks int
-	// InitialTarget is the target split of a deployment that has not served yet. Afterwards the target follows
-	// the workload of the engines, as SplitPolicy determines.
+	// InitialTarget is the target split of a deployment that has not served yet. Afterwards the target
+	// follows the workload of the engines, as SplitPolicy determines.
 	InitialTarget roles.Target
 	SplitPolicy   roles.SplitPolicy
 }
@@ -116,8 +117,8 @@
 	services        map[string]*serviceState
 	// watchesLease is true if this instance may be the next holder.
 	watchesLease bool
-	// workloads are the measured workloads by service. The instances that watch the lease measure them too, so
-	// that the next holder has them.
+	// workloads are the measured workloads by service. The instances that watch the lease measure them too,
+	// so that the next holder has them.
 	workloads  map[string]roles.Workload
 	measuredAt time.Duration
 	// checkedAt is the time of the last check, and sinceCheck the time between it and the one before.
@@ -129,8 +130,8 @@
 	// target is the target split, and stored the one that the store has.
 	target, stored roles.Target
 	tracker        roles.TargetTracker
-	// mismatches counts the consecutive checks that found a wrong split. engineCount is the number of engines at
-	// the last mismatch while no requests were served.
+	// mismatches counts the consecutive checks that found a wrong split. engineCount is the number of
+	// engines at the last mismatch while no requests were served.
 	mismatches, engineCount int
 }
 
--- a/internal/rolekeeper/rolekeeper_test.go
+++ b/internal/rolekeeper/rolekeeper_test.go
@@ -177,10 +177,10 @@
 
 func run(t *testing.T, name string, table platform.Table, f *fakeFleet) (stop func()) {
 	t.Helper()
-	balance := roles.DefaultSplitPolicy()
-	balance.SmoothingTime, balance.EvidenceThreshold = term, 0.05
+	policy := roles.DefaultSplitPolicy()
+	policy.SmoothingTime, policy.EvidenceThreshold = term, 0.05
 	keeper := New(Settings{
-		Instance: name, LeaseTerm: term, CheckEvery: 20 * time.Millisecond, MaxConcurrentChanges: 2, ConfirmChecks: 2, AnnounceDelay: f.announceDelay, InitialTarget: roles.Target{PrefillShare: 11.0 / 18, MinDecode: 2}, SplitPolicy: balance,
+		Instance: name, LeaseTerm: term, CheckEvery: 20 * time.Millisecond, MaxConcurrentChanges: 2, ConfirmChecks: 2, AnnounceDelay: f.announceDelay, InitialTarget: roles.Target{PrefillShare: 11.0 / 18, MinDecode: 2}, SplitPolicy: policy,
 	}, table, f, f, nil, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -244,7 +244,8 @@
 	}
 }
 
-// wantedPrefill returns how many of nine engines the stored target has in prefill. It returns 9 if none is stored.
+// wantedPrefill returns how many of nine engines the stored target has in prefill. It returns 9 if none is
+// stored.
 func wantedPrefill(t *testing.T, table *fakeTable) int {
 	t.Helper()
 	row, err := table.Get(context.Background(), targetKey("llm"))
@@ -258,9 +259,9 @@
 	return target.PrefillCount(9)
 }
 
-// TestSplitFollowsWorkload simulates overloaded decode engines and hardly any prompts, so that the target moves
-// towards decode. The next holder continues with that target, although it has not measured a workload and the
-// engines returned in another role.
+// TestSplitFollowsWorkload simulates overloaded decode engines and hardly any prompts, so that the target
+// moves towards decode. The next holder continues with that target, although it has not measured a workload
+// and the engines returned in another role.
 func TestSplitFollowsWorkload(t *testing.T) {
 	f, table := newFakeFleet(9), newTable()
 	f.serving = true
@@ -284,9 +285,10 @@
 	}
 }
 
-// TestEngineIsExcludedBeforeItsOrder: engines change their roles while 300 requests per second arrive. In a day's
-// run with 195 instances, twelve such engines refused 66 requests within two seconds, after the prompts of these
-// requests had been processed. The other instances were notified of the orders 0.1 to 0.3 s after the engines.
+// TestEngineIsExcludedBeforeItsOrder: engines change their roles while 300 requests per second arrive. In a
+// day's run with 195 instances, twelve such engines refused 66 requests within two seconds, after the
+// prompts of these requests had been processed. The other instances were notified of the orders 0.1 to 0.3
+// s after the engines.
 func TestEngineIsExcludedBeforeItsOrder(t *testing.T) {
 	f := newFakeFleet(9)
 	f.serving, f.announceDelay = true, term/4
@@ -324,9 +326,9 @@
 	}
 }
 
-// TestOrdersToRemovedEnginesAreDropped guards against pending orders that are never dropped. Two engines were
-// removed with pending orders. These counted towards the maximum number of concurrent changes, so the holder sent
-// no more orders until another process acquired the lease.
+// TestOrdersToRemovedEnginesAreDropped guards against pending orders that are never dropped. Two engines
+// were removed with pending orders. These counted towards the maximum number of concurrent changes, so the
+// holder sent no more orders until another process acquired the lease.
 func TestOrdersToRemovedEnginesAreDropped(t *testing.T) {
 	f := newFakeFleet(9)
 	f.ignoresOrders, f.serving = true, true
@@ -337,8 +339,8 @@
 	waitFor(func() bool { return len(f.sent()) == 4 })
 }
 
-// TestOrdersToRestartedEnginesAreDropped: restarted engines have the same ID and their former role, and have lost
-// their orders.
+// TestOrdersToRestartedEnginesAreDropped: restarted engines have the same ID and their former role, and
+// have lost their orders.
 func TestOrdersToRestartedEnginesAreDropped(t *testing.T) {
 	f := newFakeFleet(9)
 	f.ignoresOrders, f.serving = true, true
@@ -378,8 +380,8 @@
 	}
 }
 
-// TestEpochRisesAfterRestore guards against reused fencing numbers after the store was restored from a copy that is
-// older than a takeover.
+// TestEpochRisesAfterRestore guards against reused fencing numbers after the store was restored from a copy
+// that is older than a takeover.
 func TestEpochRisesAfterRestore(t *testing.T) {
 	f, table := newFakeFleet(9), newTable()
 	stop := run(t, "one", table, f)
@@ -395,8 +397,8 @@
 	}
 }
 
-// TestTargetIsKeptAfterRestore guards against a target that reverts to the one in the restored copy of the store.
-// The holder keeps its target and writes it again.
+// TestTargetIsKeptAfterRestore guards against a target that reverts to the one in the restored copy of the
+// store. The holder keeps its target and writes it again.
 func TestTargetIsKeptAfterRestore(t *testing.T) {
 	target := roles.Target{PrefillShare: 0.5, MinDecode: 2}
 	for _, c := range []struct {
@@ -409,12 +411,12 @@
 	} {
 		k := &Keeper{services: map[string]*serviceState{"llm": {target: target, stored: target}}, pendingOrders: map[string]pendingOrder{"e": {}}}
 		k.resetState(c.grant)
-		d, known := k.services["llm"]
+		s, known := k.services["llm"]
 		if known != c.keeps || len(k.pendingOrders) > 0 != c.keeps {
 			t.Errorf("%+v: known %t, %d pending orders", c.grant, known, len(k.pendingOrders))
 		}
-		if known && (d.target != target || d.stored == d.target) {
-			t.Errorf("%+v: the target is not written again: %+v", c.grant, d)
+		if known && (s.target != target || s.stored == s.target) {
+			t.Errorf("%+v: the target is not written again: %+v", c.grant, s)
 		}
 	}
 }
--- a/internal/rolekeeper/target.go
+++ b/internal/rolekeeper/target.go
@@ -45,8 +45,8 @@
 	return target, errors.Wrap(json.Unmarshal(row.Value, &target), "roles: decode the target split")
 }
 
-// storeTarget writes a target that has moved. If the write fails, this holder uses the target nevertheless, and
-// a later check retries. The write requires that this holder has the newest epoch of the lease.
+// storeTarget writes a target that has moved. If the write fails, this holder uses the target nevertheless,
+// and a later check retries. The write requires that this holder has the newest epoch of the lease.
 func (k *Keeper) storeTarget(ctx context.Context, service string, s *serviceState, grant lease.Grant) {
 	if s.target == s.stored {
 		return
--- a/internal/rolekeeper/workload.go
+++ b/internal/rolekeeper/workload.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// measureInterval is the time between two measurements. The measurements are smoothed over seconds, and each
-	// iterates over all engines.
+	// measureInterval is the time between two measurements. The measurements are smoothed over seconds, and
+	// each iterates over all engines.
 	measureInterval = 400 * time.Millisecond
 	// maxMeasurementGap is the longest time that one measurement or check stands for. After a longer gap, the
 	// process is assumed to have been suspended.
@@ -65,7 +65,7 @@
 	if before == after {
 		return
 	}
-	s.target, s.mismatches = target, k.settings.ConfirmChecks // measured over seconds, so no further checks are needed
+	s.target, s.mismatches = target, k.settings.ConfirmChecks // needs no further checks: measured over seconds
 	k.log.Info("roles: target split changed with the workload", "service", service, "engines", len(engines), "prefill", prefill,
 		"wanted_before", before, "wanted", after, "prompts", workload.PrefillLoad, "generations", workload.Generations, "direct", workload.DirectPrefillLoad)
 	k.workloads[service] = workload.AfterSplitChange()
