--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -61,7 +61,7 @@
 		Placement:          placement.DefaultSettings(),
 		Prior:              estimate.DefaultPrior(),
 		MaxSends:           4,
-		PrefillIdleTimeout: 1200 * time.Millisecond, // longer than a busy engine's queue, shorter than most deadlines
+		PrefillIdleTimeout: 1200 * time.Millisecond, // longer than a busy engine's queue, below most deadlines
 		StreamIdleTimeout:  1200 * time.Millisecond, // callers disconnect after two seconds without an event
 		RetryIn:            150 * time.Millisecond,  // about the processing time of one long prompt
 		// Of 79 instances that start at once, half have the configuration after 0.55 s, the last after 0.9 s.
@@ -105,7 +105,7 @@
 		pool: newRetryPool(), quarantine: newQuarantineState(), usage: newUsageCounter(s.UsageWindow), link: newLink(), meters: newMeters(), grants: newGrants(), changed: make(chan struct{}, 1),
 	}
 	r.sender = admittingSender{Sender: sender, relay: r}
-	sender.SetStatusHandler(r.applyStatement)
+	sender.SetStatusHandler(r.applyStatus)
 	r.budgets = newBudgets(s.Budget, newRetryMeters(), r.requestFromPool)
 	r.upstreams = upstreamstate.New(upstreamstate.Settings{
 		Zone: s.Zone, Placement: s.Placement, Prior: s.Prior, Outliers: s.Outliers, OnChange: r.notifyChanged,
@@ -113,7 +113,7 @@
 	return r
 }
 
-// notifyChanged implements upstreamstate.Settings.Changed.
+// notifyChanged implements upstreamstate.Settings.OnChange.
 func (r *Relay) notifyChanged() {
 	select {
 	case r.changed <- struct{}{}:
@@ -157,7 +157,7 @@
 // EngineTimes returns the processing times of a service's engines.
 func (r *Relay) EngineTimes(service string) upstreamstate.Times { return r.upstreams.Times(service) }
 
-// MarkUnavailable has all instances exclude an upstream for the time d in which it accepts no
+// MarkUnavailable has all instances exclude an upstream for the time d, in which it accepts no
 // requests, or until its role has changed.
 func (r *Relay) MarkUnavailable(id string, d time.Duration) {
 	r.upstreams.MarkUnavailable(id, r.now()+d)
@@ -272,7 +272,7 @@
 	if table.Version == 0 {
 		return nil, &Refusal{Outcome: NotRun, Reason: "no configuration yet", RetryIn: r.startupRetryIn(req.WaitBudget)}
 	}
-	if reason := r.Trouble(); reason != "" {
+	if reason := r.Impairment(); reason != "" {
 		r.meters.saturated.Inc(1)
 		return nil, refuseImpaired(reason, r.retryElsewhereIn(req.WaitBudget))
 	}
@@ -325,7 +325,7 @@
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return
 	}
-	result := verdictFor(ctx, err)
+	result := callResultFor(ctx, err)
 	ejected := r.upstreams.RecordCall(id, result, r.now())
 	r.log.Info("relay: send failed", "request", x.req.ID, "upstream", id, "try", x.attempts.Sends(),
 		"ejected", ejected, "error", err, "after", r.now()-x.arrived, "content", x.content())
