--- a/internal/peers/grants.go
+++ b/internal/peers/grants.go
@@ -181,18 +181,18 @@
 
 // verdict returns the verdict on a request, and calls decide unless the request was decided
 // recently.
-func (v *verdictCache) verdict(q grantRequestKey, now time.Duration, decide func() quota.Verdict) quota.Verdict {
+func (v *verdictCache) verdict(key grantRequestKey, now time.Duration, decide func() quota.Verdict) quota.Verdict {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if now >= v.sweepAt {
 		v.sweepAt = now + grantRequestTimeout
 		maps.DeleteFunc(v.entries, func(_ grantRequestKey, g cachedVerdict) bool { return now-g.at > grantRequestTimeout })
 	}
-	if g, ok := v.entries[q]; ok {
+	if g, ok := v.entries[key]; ok {
 		return g.verdict
 	}
 	verdict := decide()
-	v.entries[q] = cachedVerdict{verdict, now}
+	v.entries[key] = cachedVerdict{verdict, now}
 	return verdict
 }
 
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -155,7 +155,7 @@
 		}
 		return n
 	}
-	allTry := func() {
+	waitForAllToTry := func() {
 		tried := map[*node]bool{}
 		waitFor(func() bool {
 			for _, node := range all {
@@ -166,7 +166,7 @@
 			return len(tried) == len(all)
 		})
 	}
-	allTry() // no instance reports that it follows the store
+	waitForAllToTry() // no instance reports that it follows the store
 	for _, n := range all {
 		n.mu.Lock()
 		n.reading = true
@@ -178,7 +178,7 @@
 		n.reading = false // the store answers no instance
 		n.mu.Unlock()
 	}
-	allTry()
+	waitForAllToTry()
 }
 
 // waitForHub waits until a zone has a hub and returns it.
