--- a/internal/ownlink/ownlink.go
+++ b/internal/ownlink/ownlink.go
@@ -87,24 +87,24 @@
 	return awake >= l.settings.DeafAfter || heard && awake >= l.settings.Settle
 }
 
-// Trouble is why nothing should be sent on; empty for none.
-type Trouble string
+// Impairment is why nothing should be sent on; empty for none.
+type Impairment string
 
 // Troubles.
 const (
 	// Silent: connections to many upstreams are not answered.
-	Silent Trouble = "own link is choked"
+	Silent Impairment = "own link is choked"
 	// Deaf: besides, no other instance has been heard of for long.
-	Deaf Trouble = "own link is choked, and nobody is heard of"
+	Deaf Impairment = "own link is choked, and nobody is heard of"
 	// Behind: others have had rows for long that this instance lacks.
-	Behind Trouble = "others have rows that are not here"
+	Behind Impairment = "others have rows that are not here"
 	// StoodStill: it was not looked for long at what others tell, or that has just begun
 	// again.
-	StoodStill Trouble = "stood still, and has not caught up"
+	StoodStill Impairment = "stood still, and has not caught up"
 )
 
 // Trouble tells whether nothing should be sent on now, and why.
-func (l *Link) Trouble(now time.Duration) Trouble {
+func (l *Link) Trouble(now time.Duration) Impairment {
 	switch {
 	case l.stoodStill(now), l.woke:
 		return StoodStill // it has not read yet which upstreams left meanwhile
@@ -121,7 +121,7 @@
 
 // deaf is the trouble of an instance that hears of nobody, if its link fell silent about
 // then. What is answered meanwhile does not tell which upstreams leave.
-func (l *Link) deaf() Trouble {
+func (l *Link) deaf() Impairment {
 	if countSince(l.silent, l.heardAt-l.settings.Recent) >= l.settings.Upstreams {
 		return Deaf
 	}
@@ -129,7 +129,7 @@
 }
 
 // choked is the trouble of an instance that reaches many upstreams no more, and fewer still.
-func (l *Link) choked(now time.Duration) Trouble {
+func (l *Link) choked(now time.Duration) Impairment {
 	since := now - l.settings.Recent
 	silent, answered := countSince(l.silent, since), countSince(l.answered, since)
 	l.forget(since)
--- a/internal/relay/link.go
+++ b/internal/relay/link.go
@@ -57,14 +57,14 @@
 }
 
 // Impairment returns why this instance forwards nothing; empty if it is not impaired.
-func (r *Relay) Impairment() ownlink.Trouble {
+func (r *Relay) Impairment() ownlink.Impairment {
 	r.link.mu.Lock()
 	defer r.link.mu.Unlock()
 	return r.link.state.Trouble(r.now())
 }
 
 // refuseImpaired returns the refusal of a request at an impaired instance.
-func refuseImpaired(reason ownlink.Trouble, retryIn time.Duration) *Refusal {
+func refuseImpaired(reason ownlink.Impairment, retryIn time.Duration) *Refusal {
 	return &Refusal{Outcome: NotRun, Reason: string(reason), RetryIn: retryIn}
 }
 
--- a/internal/relay/sendcheck.go
+++ b/internal/relay/sendcheck.go
@@ -12,7 +12,7 @@
 // impairedError: requests do not reach upstreams because of this instance's own link, or the
 // instance cannot know which upstreams are draining.
 type impairedError struct {
-	reason ownlink.Trouble
+	reason ownlink.Impairment
 }
 
 func (e impairedError) Error() string { return "relay: " + string(e.reason) }
