--- a/internal/ownlink/ownlink.go
+++ b/internal/ownlink/ownlink.go
@@ -103,8 +103,8 @@
 	StoodStill Impairment = "stood still, and has not caught up"
 )
 
-// Trouble tells whether nothing should be sent on now, and why.
-func (l *Link) Trouble(now time.Duration) Impairment {
+// Impairment tells whether nothing should be sent on now, and why.
+func (l *Link) Impairment(now time.Duration) Impairment {
 	switch {
 	case l.stoodStill(now), l.woke:
 		return StoodStill // it has not read yet which upstreams left meanwhile
--- a/internal/ownlink/ownlink_test.go
+++ b/internal/ownlink/ownlink_test.go
@@ -8,7 +8,7 @@
 
 const ms = time.Millisecond
 
-func (l *Link) inTrouble(now time.Duration) bool { return l.Trouble(now) != "" }
+func (l *Link) inTrouble(now time.Duration) bool { return l.Impairment(now) != "" }
 
 func silentAt(l *Link, at time.Duration, upstreams int) {
 	for i := range upstreams {
--- a/internal/relay/link.go
+++ b/internal/relay/link.go
@@ -60,7 +60,7 @@
 func (r *Relay) Impairment() ownlink.Impairment {
 	r.link.mu.Lock()
 	defer r.link.mu.Unlock()
-	return r.link.state.Trouble(r.now())
+	return r.link.state.Impairment(r.now())
 }
 
 // refuseImpaired returns the refusal of a request at an impaired instance.
