--- a/internal/ownlink/ownlink.go
+++ b/internal/ownlink/ownlink.go
@@ -92,8 +92,8 @@
 
 // Troubles.
 const (
-	// Silent: connections to many upstreams are not answered.
-	Silent Impairment = "own link is choked"
+	// Saturated: connections to many upstreams are not answered.
+	Saturated Impairment = "own link is choked"
 	// Deaf: besides, no other instance has been heard of for long.
 	Deaf Impairment = "own link is choked, and nobody is heard of"
 	// Behind: others have had rows for long that this instance lacks.
@@ -134,7 +134,7 @@
 	silent, answered := countSince(l.silent, since), countSince(l.answered, since)
 	l.forget(since)
 	if silent >= l.settings.Upstreams && silent > answered {
-		return Silent
+		return Saturated
 	}
 	return ""
 }
