--- a/internal/ownlink/ownlink.go
+++ b/internal/ownlink/ownlink.go
@@ -94,8 +94,8 @@
 const (
 	// Saturated: connections to many upstreams are not answered.
 	Saturated Impairment = "own link is choked"
-	// Deaf: besides, no other instance has been heard of for long.
-	Deaf Impairment = "own link is choked, and nobody is heard of"
+	// Isolated: besides, no other instance has been heard of for long.
+	Isolated Impairment = "own link is choked, and nobody is heard of"
 	// Behind: others have had rows for long that this instance lacks.
 	Behind Impairment = "others have rows that are not here"
 	// StoodStill: it was not looked for long at what others tell, or that has just begun
@@ -123,7 +123,7 @@
 // then. What is answered meanwhile does not tell which upstreams leave.
 func (l *Link) deaf() Impairment {
 	if countSince(l.silent, l.heardAt-l.settings.Recent) >= l.settings.Upstreams {
-		return Deaf
+		return Isolated
 	}
 	return ""
 }
