--- a/internal/ownlink/ownlink.go
+++ b/internal/ownlink/ownlink.go
@@ -98,16 +98,16 @@
 	Isolated Impairment = "own link is choked, and nobody is heard of"
 	// Behind: others have had rows for long that this instance lacks.
 	Behind Impairment = "others have rows that are not here"
-	// StoodStill: it was not looked for long at what others tell, or that has just begun
+	// Stalled: it was not looked for long at what others tell, or that has just begun
 	// again.
-	StoodStill Impairment = "stood still, and has not caught up"
+	Stalled Impairment = "stood still, and has not caught up"
 )
 
 // Impairment tells whether nothing should be sent on now, and why.
 func (l *Link) Impairment(now time.Duration) Impairment {
 	switch {
 	case l.stoodStill(now), l.woke:
-		return StoodStill // it has not read yet which upstreams left meanwhile
+		return Stalled // it has not read yet which upstreams left meanwhile
 	case l.behind && now-l.behindAt >= l.settings.DeafAfter:
 		return Behind // whatever is answered: it hears of rows, and cannot get them
 	case len(l.silent) < l.settings.Upstreams:
