--- a/internal/ownlink/ownlink.go
+++ b/internal/ownlink/ownlink.go
@@ -52,8 +52,8 @@
 	return &Link{settings: s, silent: map[string]time.Duration{}, answered: map[string]time.Duration{}}
 }
 
-// Silent notes that no connection to an upstream came about in time.
-func (l *Link) Silent(upstream string, now time.Duration) { l.silent[upstream] = now }
+// RecordTimeout notes that no connection to an upstream came about in time.
+func (l *Link) RecordTimeout(upstream string, now time.Duration) { l.silent[upstream] = now }
 
 // Answered notes that an upstream answered, or that its machine refused a connection.
 func (l *Link) Answered(upstream string, now time.Duration) { l.answered[upstream] = now }
--- a/internal/ownlink/ownlink_test.go
+++ b/internal/ownlink/ownlink_test.go
@@ -12,7 +12,7 @@
 
 func silentAt(l *Link, at time.Duration, upstreams int) {
 	for i := range upstreams {
-		l.Silent(fmt.Sprint("silent ", i), at)
+		l.RecordTimeout(fmt.Sprint("silent ", i), at)
 	}
 }
 
--- a/internal/relay/link.go
+++ b/internal/relay/link.go
@@ -42,7 +42,7 @@
 	now := r.now()
 	r.link.update(func(s *ownlink.Link) {
 		if errors.Is(err, ErrConnectTimeout) {
-			s.Silent(upstream, now)
+			s.RecordTimeout(upstream, now)
 		} else if errors.Is(err, ErrRefused) || errors.Is(err, ErrAddressReassigned) {
 			s.Answered(upstream, now)
 		}
