--- a/internal/ownlink/ownlink.go
+++ b/internal/ownlink/ownlink.go
@@ -55,8 +55,8 @@
 // RecordTimeout notes that no connection to an upstream came about in time.
 func (l *Link) RecordTimeout(upstream string, now time.Duration) { l.silent[upstream] = now }
 
-// Answered notes that an upstream answered, or that its machine refused a connection.
-func (l *Link) Answered(upstream string, now time.Duration) { l.answered[upstream] = now }
+// RecordAnswer notes that an upstream answered, or that its machine refused a connection.
+func (l *Link) RecordAnswer(upstream string, now time.Duration) { l.answered[upstream] = now }
 
 // Heard notes a word from another instance.
 func (l *Link) Heard(now time.Duration) { l.heardAt = now }
--- a/internal/ownlink/ownlink_test.go
+++ b/internal/ownlink/ownlink_test.go
@@ -37,7 +37,7 @@
 	l := New(DefaultSettings())
 	silentAt(l, 10*time.Second, 8)
 	for i := range 8 {
-		l.Answered(fmt.Sprint("good ", i), 10*time.Second)
+		l.RecordAnswer(fmt.Sprint("good ", i), 10*time.Second)
 	}
 	if l.inTrouble(10 * time.Second) {
 		t.Error("the link is blamed")
@@ -58,7 +58,7 @@
 	silentAt(l, 9500*ms, 3)
 	silentAt(l, 10*time.Second+200*ms, 5)
 	for i := range 20 {
-		l.Answered(fmt.Sprint("good ", i), 12*time.Second)
+		l.RecordAnswer(fmt.Sprint("good ", i), 12*time.Second)
 	}
 	if !l.inTrouble(13*time.Second) || !l.inTrouble(14*time.Second) {
 		t.Error("it goes on though it hears nothing")
@@ -132,7 +132,7 @@
 	l.Heard(10 * time.Second)
 	silentAt(l, 10*time.Second+200*ms, 3)
 	for i := range 6 {
-		l.Answered(fmt.Sprint("good ", i), 15*time.Second)
+		l.RecordAnswer(fmt.Sprint("good ", i), 15*time.Second)
 	}
 	if l.inTrouble(15 * time.Second) {
 		t.Error("it refuses what it can serve")
--- a/internal/relay/link.go
+++ b/internal/relay/link.go
@@ -44,7 +44,7 @@
 		if errors.Is(err, ErrConnectTimeout) {
 			s.RecordTimeout(upstream, now)
 		} else if errors.Is(err, ErrRefused) || errors.Is(err, ErrAddressReassigned) {
-			s.Answered(upstream, now)
+			s.RecordAnswer(upstream, now)
 		}
 	})
 }
@@ -53,7 +53,7 @@
 func (r *Relay) recordAnswer(upstream string, load upstreamstate.Load) {
 	now := r.now()
 	r.upstreams.SetReportedLoad(upstream, load, now)
-	r.link.update(func(s *ownlink.Link) { s.Answered(upstream, now) })
+	r.link.update(func(s *ownlink.Link) { s.RecordAnswer(upstream, now) })
 }
 
 // Impairment returns why this instance forwards nothing; empty if it is not impaired.
