--- a/internal/ownlink/ownlink.go
+++ b/internal/ownlink/ownlink.go
@@ -58,8 +58,8 @@
 // RecordAnswer notes that an upstream answered, or that its machine refused a connection.
 func (l *Link) RecordAnswer(upstream string, now time.Duration) { l.answered[upstream] = now }
 
-// Heard notes a word from another instance.
-func (l *Link) Heard(now time.Duration) { l.heardAt = now }
+// RecordPeerReport notes a word from another instance.
+func (l *Link) RecordPeerReport(now time.Duration) { l.heardAt = now }
 
 // Lacks notes whether other instances are known to have rows that this one lacks. It is
 // to be called a few times a second: the process stood still where it was not.
--- a/internal/ownlink/ownlink_test.go
+++ b/internal/ownlink/ownlink_test.go
@@ -21,7 +21,7 @@
 // were not answered in 0.4 s, and none was.
 func TestAChokedLinkIsSeen(t *testing.T) {
 	l := New(DefaultSettings())
-	l.Heard(9900 * ms)
+	l.RecordPeerReport(9900 * ms)
 	silentAt(l, 10*time.Second, 5)
 	if !l.inTrouble(10*time.Second + 100*ms) {
 		t.Error("not seen")
@@ -54,7 +54,7 @@
 // goes on.
 func TestADeafInstanceSendsNothing(t *testing.T) {
 	l := New(DefaultSettings())
-	l.Heard(10 * time.Second)
+	l.RecordPeerReport(10 * time.Second)
 	silentAt(l, 9500*ms, 3)
 	silentAt(l, 10*time.Second+200*ms, 5)
 	for i := range 20 {
@@ -63,7 +63,7 @@
 	if !l.inTrouble(13*time.Second) || !l.inTrouble(14*time.Second) {
 		t.Error("it goes on though it hears nothing")
 	}
-	l.Heard(14 * time.Second)
+	l.RecordPeerReport(14 * time.Second)
 	if l.inTrouble(14*time.Second + 100*ms) {
 		t.Error("it does not go on")
 	}
@@ -93,7 +93,7 @@
 func TestAnInstanceThatStoodStillReadsFirst(t *testing.T) {
 	woken := func() *Link {
 		l := New(DefaultSettings())
-		l.Heard(900 * ms)
+		l.RecordPeerReport(900 * ms)
 		l.Lacks(false, time.Second)
 		if l.inTrouble(2400*ms) || !l.inTrouble(3*time.Second) {
 			t.Error("it is not seen that it stood still, or too soon")
@@ -102,7 +102,7 @@
 		return l
 	}
 	l := woken()
-	l.Heard(3010 * ms)
+	l.RecordPeerReport(3010 * ms)
 	l.Lacks(true, 3050*ms)
 	l.Lacks(true, 3400*ms)
 	if !l.inTrouble(3400 * ms) {
@@ -129,7 +129,7 @@
 // but for a few.
 func TestAnInstanceThatIsCutOffFromTheOthersServes(t *testing.T) {
 	l := New(DefaultSettings())
-	l.Heard(10 * time.Second)
+	l.RecordPeerReport(10 * time.Second)
 	silentAt(l, 10*time.Second+200*ms, 3)
 	for i := range 6 {
 		l.RecordAnswer(fmt.Sprint("good ", i), 15*time.Second)
--- a/internal/relay/link.go
+++ b/internal/relay/link.go
@@ -27,7 +27,7 @@
 }
 
 func (l *link) reportReceived(now time.Duration) {
-	l.update(func(s *ownlink.Link) { s.Heard(now) })
+	l.update(func(s *ownlink.Link) { s.RecordPeerReport(now) })
 }
 
 // SetBehind records whether other instances are known to have rows of the platform that this one
