--- a/internal/ownlink/ownlink.go
+++ b/internal/ownlink/ownlink.go
@@ -61,9 +61,9 @@
 // RecordPeerReport notes a word from another instance.
 func (l *Link) RecordPeerReport(now time.Duration) { l.heardAt = now }
 
-// Lacks notes whether other instances are known to have rows that this one lacks. It is
+// SetBehind notes whether other instances are known to have rows that this one lacks. It is
 // to be called a few times a second: the process stood still where it was not.
-func (l *Link) Lacks(behind bool, now time.Duration) {
+func (l *Link) SetBehind(behind bool, now time.Duration) {
 	if l.stoodStill(now) {
 		l.woke, l.wokeAt = true, now
 	}
--- a/internal/ownlink/ownlink_test.go
+++ b/internal/ownlink/ownlink_test.go
@@ -73,16 +73,16 @@
 // upstreams answer. Some rows that come late, again and again, do not count.
 func TestAnInstanceThatLacksRowsForLongSendsNothing(t *testing.T) {
 	l := New(DefaultSettings())
-	l.Lacks(true, 0)
-	l.Lacks(true, time.Second)
+	l.SetBehind(true, 0)
+	l.SetBehind(true, time.Second)
 	if l.inTrouble(1400 * ms) {
 		t.Error("it refuses what it can serve")
 	}
 	if !l.inTrouble(1500 * ms) {
 		t.Error("it goes on sending")
 	}
-	l.Lacks(false, 1600*ms)
-	l.Lacks(true, 1700*ms)
+	l.SetBehind(false, 1600*ms)
+	l.SetBehind(true, 1700*ms)
 	if l.inTrouble(3100 * ms) {
 		t.Error("the time before it caught up counts")
 	}
@@ -94,31 +94,31 @@
 	woken := func() *Link {
 		l := New(DefaultSettings())
 		l.RecordPeerReport(900 * ms)
-		l.Lacks(false, time.Second)
+		l.SetBehind(false, time.Second)
 		if l.inTrouble(2400*ms) || !l.inTrouble(3*time.Second) {
 			t.Error("it is not seen that it stood still, or too soon")
 		}
-		l.Lacks(false, 3*time.Second)
+		l.SetBehind(false, 3*time.Second)
 		return l
 	}
 	l := woken()
 	l.RecordPeerReport(3010 * ms)
-	l.Lacks(true, 3050*ms)
-	l.Lacks(true, 3400*ms)
+	l.SetBehind(true, 3050*ms)
+	l.SetBehind(true, 3400*ms)
 	if !l.inTrouble(3400 * ms) {
 		t.Error("it sends though it lacks rows")
 	}
-	l.Lacks(false, 3450*ms)
+	l.SetBehind(false, 3450*ms)
 	if l.inTrouble(3450 * ms) {
 		t.Error("it refuses though it has all rows")
 	}
 	l = woken() // and hears nobody
-	l.Lacks(false, 4*time.Second)
+	l.SetBehind(false, 4*time.Second)
 	if !l.inTrouble(4 * time.Second) {
 		t.Error("it sends though it has heard nobody")
 	}
 	for now := 4100 * ms; now <= 4500*ms; now += 100 * ms {
-		l.Lacks(false, now)
+		l.SetBehind(false, now)
 	}
 	if l.inTrouble(4500 * ms) {
 		t.Error("an instance that is left alone serves nobody")
--- a/internal/relay/link.go
+++ b/internal/relay/link.go
@@ -34,7 +34,7 @@
 // lacks.
 func (r *Relay) SetBehind(behind bool) {
 	now := r.now()
-	r.link.update(func(s *ownlink.Link) { s.Lacks(behind, now) })
+	r.link.update(func(s *ownlink.Link) { s.SetBehind(behind, now) })
 }
 
 // recordSendError updates the state of this instance's link after a failed send.
