--- a/internal/ownlink/ownlink.go
+++ b/internal/ownlink/ownlink.go
@@ -11,8 +11,8 @@
 
 // Settings of a Link.
 type Settings struct {
-	// Recent is for how long a silent connection, or an answer, counts.
-	Recent time.Duration
+	// Window is for how long a silent connection, or an answer, counts.
+	Window time.Duration
 	// Upstreams is how many different ones must have been silent: more than one
 	// crash takes with it that one instance happens to ask at the same time.
 	Upstreams int
@@ -27,7 +27,7 @@
 
 // DefaultSettings returns the defaults.
 func DefaultSettings() Settings {
-	return Settings{Recent: time.Second, Upstreams: 4, DeafAfter: 1500 * time.Millisecond, Settle: 300 * time.Millisecond}
+	return Settings{Window: time.Second, Upstreams: 4, DeafAfter: 1500 * time.Millisecond, Settle: 300 * time.Millisecond}
 }
 
 // Link is what is known of the instance's own link. It is not safe for concurrent use.
@@ -122,7 +122,7 @@
 // deaf is the trouble of an instance that hears of nobody, if its link fell silent about
 // then. What is answered meanwhile does not tell which upstreams leave.
 func (l *Link) deaf() Impairment {
-	if countSince(l.silent, l.heardAt-l.settings.Recent) >= l.settings.Upstreams {
+	if countSince(l.silent, l.heardAt-l.settings.Window) >= l.settings.Upstreams {
 		return Isolated
 	}
 	return ""
@@ -130,7 +130,7 @@
 
 // choked is the trouble of an instance that reaches many upstreams no more, and fewer still.
 func (l *Link) choked(now time.Duration) Impairment {
-	since := now - l.settings.Recent
+	since := now - l.settings.Window
 	silent, answered := countSince(l.silent, since), countSince(l.answered, since)
 	l.forget(since)
 	if silent >= l.settings.Upstreams && silent > answered {
