--- a/internal/ownlink/ownlink.go
+++ b/internal/ownlink/ownlink.go
@@ -13,9 +13,9 @@
 type Settings struct {
 	// Window is for how long a silent connection, or an answer, counts.
 	Window time.Duration
-	// Upstreams is how many different ones must have been silent: more than one
+	// MinUpstreams is how many different ones must have been silent: more than one
 	// crash takes with it that one instance happens to ask at the same time.
-	Upstreams int
+	MinUpstreams int
 	// DeafAfter is how long an instance may hear nothing of the others until it does
 	// not send, if it is its link, and how long it may lack rows that others have: the
 	// bound on requests to upstreams that leave, less the time for a request to arrive.
@@ -27,7 +27,7 @@
 
 // DefaultSettings returns the defaults.
 func DefaultSettings() Settings {
-	return Settings{Window: time.Second, Upstreams: 4, DeafAfter: 1500 * time.Millisecond, Settle: 300 * time.Millisecond}
+	return Settings{Window: time.Second, MinUpstreams: 4, DeafAfter: 1500 * time.Millisecond, Settle: 300 * time.Millisecond}
 }
 
 // Link is what is known of the instance's own link. It is not safe for concurrent use.
@@ -110,7 +110,7 @@
 		return Stalled // it has not read yet which upstreams left meanwhile
 	case l.behind && now-l.behindAt >= l.settings.DeafAfter:
 		return Behind // whatever is answered: it hears of rows, and cannot get them
-	case len(l.silent) < l.settings.Upstreams:
+	case len(l.silent) < l.settings.MinUpstreams:
 		return ""
 	case l.heardAt > 0 && now-l.heardAt >= l.settings.DeafAfter:
 		return l.deaf()
@@ -122,7 +122,7 @@
 // deaf is the trouble of an instance that hears of nobody, if its link fell silent about
 // then. What is answered meanwhile does not tell which upstreams leave.
 func (l *Link) deaf() Impairment {
-	if countSince(l.silent, l.heardAt-l.settings.Window) >= l.settings.Upstreams {
+	if countSince(l.silent, l.heardAt-l.settings.Window) >= l.settings.MinUpstreams {
 		return Isolated
 	}
 	return ""
@@ -133,7 +133,7 @@
 	since := now - l.settings.Window
 	silent, answered := countSince(l.silent, since), countSince(l.answered, since)
 	l.forget(since)
-	if silent >= l.settings.Upstreams && silent > answered {
+	if silent >= l.settings.MinUpstreams && silent > answered {
 		return Saturated
 	}
 	return ""
