--- a/internal/ownlink/ownlink.go
+++ b/internal/ownlink/ownlink.go
@@ -16,10 +16,10 @@
 	// MinUpstreams is how many different ones must have been silent: more than one
 	// crash takes with it that one instance happens to ask at the same time.
 	MinUpstreams int
-	// DeafAfter is how long an instance may hear nothing of the others until it does
+	// MaxStaleness is how long an instance may hear nothing of the others until it does
 	// not send, if it is its link, and how long it may lack rows that others have: the
 	// bound on requests to upstreams that leave, less the time for a request to arrive.
-	DeafAfter time.Duration
+	MaxStaleness time.Duration
 	// Settle is how long an instance that stood still takes to read what the others told
 	// meanwhile: they tell it anew within a part of this.
 	Settle time.Duration
@@ -27,7 +27,7 @@
 
 // DefaultSettings returns the defaults.
 func DefaultSettings() Settings {
-	return Settings{Window: time.Second, MinUpstreams: 4, DeafAfter: 1500 * time.Millisecond, Settle: 300 * time.Millisecond}
+	return Settings{Window: time.Second, MinUpstreams: 4, MaxStaleness: 1500 * time.Millisecond, Settle: 300 * time.Millisecond}
 }
 
 // Link is what is known of the instance's own link. It is not safe for concurrent use.
@@ -77,14 +77,14 @@
 
 // stoodStill tells that nothing was looked for so long that upstreams may have left.
 func (l *Link) stoodStill(now time.Duration) bool {
-	return l.looked && now-l.lookedAt >= l.settings.DeafAfter
+	return l.looked && now-l.lookedAt >= l.settings.MaxStaleness
 }
 
 // settled tells whether an instance that woke knows what it missed, or that nobody tells.
 func (l *Link) settled(now time.Duration) bool {
 	awake := now - l.wokeAt
 	heard := l.heardAt > l.wokeAt && !l.behind
-	return awake >= l.settings.DeafAfter || heard && awake >= l.settings.Settle
+	return awake >= l.settings.MaxStaleness || heard && awake >= l.settings.Settle
 }
 
 // Impairment is why nothing should be sent on; empty for none.
@@ -108,11 +108,11 @@
 	switch {
 	case l.stoodStill(now), l.woke:
 		return Stalled // it has not read yet which upstreams left meanwhile
-	case l.behind && now-l.behindAt >= l.settings.DeafAfter:
+	case l.behind && now-l.behindAt >= l.settings.MaxStaleness:
 		return Behind // whatever is answered: it hears of rows, and cannot get them
 	case len(l.silent) < l.settings.MinUpstreams:
 		return ""
-	case l.heardAt > 0 && now-l.heardAt >= l.settings.DeafAfter:
+	case l.heardAt > 0 && now-l.heardAt >= l.settings.MaxStaleness:
 		return l.deaf()
 	default:
 		return l.choked(now)
