--- a/internal/ownlink/ownlink.go
+++ b/internal/ownlink/ownlink.go
@@ -20,14 +20,14 @@
 	// not send, if it is its link, and how long it may lack rows that others have: the
 	// bound on requests to upstreams that leave, less the time for a request to arrive.
 	MaxStaleness time.Duration
-	// Settle is how long an instance that stood still takes to read what the others told
+	// CatchUpTime is how long an instance that stood still takes to read what the others told
 	// meanwhile: they tell it anew within a part of this.
-	Settle time.Duration
+	CatchUpTime time.Duration
 }
 
 // DefaultSettings returns the defaults.
 func DefaultSettings() Settings {
-	return Settings{Window: time.Second, MinUpstreams: 4, MaxStaleness: 1500 * time.Millisecond, Settle: 300 * time.Millisecond}
+	return Settings{Window: time.Second, MinUpstreams: 4, MaxStaleness: 1500 * time.Millisecond, CatchUpTime: 300 * time.Millisecond}
 }
 
 // Link is what is known of the instance's own link. It is not safe for concurrent use.
@@ -84,7 +84,7 @@
 func (l *Link) settled(now time.Duration) bool {
 	awake := now - l.wokeAt
 	heard := l.heardAt > l.wokeAt && !l.behind
-	return awake >= l.settings.MaxStaleness || heard && awake >= l.settings.Settle
+	return awake >= l.settings.MaxStaleness || heard && awake >= l.settings.CatchUpTime
 }
 
 // Impairment is why nothing should be sent on; empty for none.
