--- a/internal/entry/gaveup.go
+++ b/internal/entry/gaveup.go
@@ -8,7 +8,7 @@
 )
 
 // gaveUp returns the truthful refusal of an answer that no engine finished.
-func (s *Server) gaveUp(comp *completion, word outcome.Word, last error) error {
+func (s *Server) gaveUp(comp *completion, word outcome.Outcome, last error) error {
 	switch {
 	case errors.Is(last, errSetApart) && word == outcome.NotRun:
 		return setApart()
--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -42,13 +42,13 @@
 	Continue
 )
 
-// Word is what may be told of a request.
-type Word int
+// Outcome is what may be told of a request.
+type Outcome int
 
 // Words, from what is known.
 const (
 	// NotRun: nothing of the request ran.
-	NotRun Word = iota
+	NotRun Outcome = iota
 	// Unknown: it may have run.
 	Unknown
 	// Answered: it ran, and the answer is whole.
@@ -80,7 +80,7 @@
 func (r Request) Stage() Stage { return r.stage }
 
 // Word returns what may be told now.
-func (r Request) Word() Word {
+func (r Request) Word() Outcome {
 	switch {
 	case r.stage == Done:
 		return Answered
--- a/internal/outcome/outcome_test.go
+++ b/internal/outcome/outcome_test.go
@@ -65,7 +65,7 @@
 	cases := []struct {
 		name   string
 		events []Event
-		word   Word
+		word   Outcome
 		err    error
 	}{
 		{"admitted", []Event{Admit}, NotRun, nil},
