--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -67,7 +67,7 @@
 func (a *Attempts) LastError() error { return a.lastErr }
 
 // Outcome returns what is known about whether the request ran.
-func (a *Attempts) Outcome() outcome.Outcome { return a.progress.Word() }
+func (a *Attempts) Outcome() outcome.Outcome { return a.progress.Outcome() }
 
 // Excluded returns the upstreams that failed this request. The caller must not
 // modify the map.
--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -79,8 +79,8 @@
 // Stage returns the stage reached.
 func (r Request) Stage() Stage { return r.stage }
 
-// Word returns what may be told now.
-func (r Request) Word() Outcome {
+// Outcome returns what may be told now.
+func (r Request) Outcome() Outcome {
 	switch {
 	case r.stage == Done:
 		return Answered
--- a/internal/outcome/outcome_test.go
+++ b/internal/outcome/outcome_test.go
@@ -40,10 +40,10 @@
 				open = false
 				mayHaveRun++
 			}
-			if request.Word() == NotRun && (open || mayHaveRun > 0) {
+			if request.Outcome() == NotRun && (open || mayHaveRun > 0) {
 				t.Fatalf("told not run at stage %d after %d sends", request.Stage(), sends)
 			}
-			if (request.Word() == Answered) != (request.Stage() == Done) {
+			if (request.Outcome() == Answered) != (request.Stage() == Done) {
 				t.Fatalf("told answered at stage %d", request.Stage())
 			}
 		}
@@ -84,8 +84,8 @@
 	}
 	for _, c := range cases {
 		request, err := apply(c.events...)
-		if !errors.Is(err, c.err) || request.Word() != c.word {
-			t.Errorf("%s: word %d and %v, want %d and %v", c.name, request.Word(), err, c.word, c.err)
+		if !errors.Is(err, c.err) || request.Outcome() != c.word {
+			t.Errorf("%s: word %d and %v, want %d and %v", c.name, request.Outcome(), err, c.word, c.err)
 		}
 	}
 }
