--- a/internal/relay/usage.go
+++ b/internal/relay/usage.go
@@ -45,7 +45,7 @@
 func (u *usageCounter) countStarted(organisation string, ago time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.tally.Began(usage.WindowAt(u.clock.Now().Add(-ago), u.length), organisation)
+	u.tally.CountRequest(usage.WindowAt(u.clock.Now().Add(-ago), u.length), organisation)
 }
 
 // dueTotals returns the totals that are due in one kind of report.
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -96,8 +96,8 @@
 	return &Tally{own: windows{}, sources: map[Source]windows{}, zones: map[string]windows{}, ownDue: due{}, zoneDue: due{}}
 }
 
-// Began counts a request of an organisation.
-func (t *Tally) Began(window Window, organisation string) {
+// CountRequest counts a request of an organisation.
+func (t *Tally) CountRequest(window Window, organisation string) {
 	if window < t.oldest {
 		return
 	}
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -46,7 +46,7 @@
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0, 1:
 				window, org := Window(rapid.IntRange(1, 3).Draw(t, "window")), rapid.SampledFrom([]string{"x", "y"}).Draw(t, "organisation")
-				zones[zone][i].Began(window, org)
+				zones[zone][i].CountRequest(window, org)
 				if truth[window] == nil {
 					truth[window] = Counts{}
 				}
@@ -102,7 +102,7 @@
 	tally, hub := NewTally(), NewTally()
 	const organisations = 220
 	for i := range organisations {
-		tally.Began(1, fmt.Sprint("organisation ", i))
+		tally.CountRequest(1, fmt.Sprint("organisation ", i))
 	}
 	for range organisations/toldAtMost + 1 {
 		counts := tally.TellOwn()
@@ -118,11 +118,11 @@
 
 func TestOldWindowsAreForgotten(t *testing.T) {
 	tally := NewTally()
-	tally.Began(1, "x")
+	tally.CountRequest(1, "x")
 	tally.Hear(Source{Name: "i"}, []Count{{Window: 1, Organisation: "x", Requests: 3}})
 	tally.HearZone("b", []Count{{Window: 1, Organisation: "x", Requests: 3}})
 	tally.Forget(2)
-	tally.Began(1, "x")
+	tally.CountRequest(1, "x")
 	tally.Hear(Source{Name: "i"}, []Count{{Window: 1, Organisation: "x", Requests: 3}})
 	if n := tally.Total(1).Sum(); n != 0 || len(tally.TellOwn())+len(tally.TellZone()) != 0 {
 		t.Errorf("%d are known", n)
@@ -136,12 +136,12 @@
 	tally, hub := NewTally(), NewTally()
 	for window := range Window(10) {
 		for i := range 82 {
-			tally.Began(window, fmt.Sprint("organisation ", i))
+			tally.CountRequest(window, fmt.Sprint("organisation ", i))
 		}
 	}
 	for range 5 {
 		tally.TellAgain(7)
-		tally.Began(9, "the newest")
+		tally.CountRequest(9, "the newest")
 		for range 5 {
 			hub.HearZone("a", tally.TellZone())
 		}
