--- a/internal/relay/usage.go
+++ b/internal/relay/usage.go
@@ -71,7 +71,7 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if strings.HasPrefix(source, upstreamstate.InstanceSourcePrefix) {
-		u.tally.Hear(usage.Source{Name: source, Boot: report.Boot}, report.Usage)
+		u.tally.MergeInstance(usage.Source{Name: source, Boot: report.Boot}, report.Usage)
 		return
 	}
 	u.tally.HearZone(source, report.Usage)
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -106,8 +106,8 @@
 	t.zoneDue.add(window, organisation)
 }
 
-// Hear takes the totals of another instance of the zone.
-func (t *Tally) Hear(from Source, counts []Count) {
+// MergeInstance takes the totals of another instance of the zone.
+func (t *Tally) MergeInstance(from Source, counts []Count) {
 	hear(t.sources, from, t.oldest, counts, t.zoneDue)
 }
 
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -31,7 +31,7 @@
 		tell := func(zone string, i int) {
 			counts := zones[zone][i].TellOwn()
 			for range rapid.IntRange(0, 2).Draw(t, "copies") {
-				zones[zone][0].Hear(Source{Name: fmt.Sprint(zone, i)}, counts)
+				zones[zone][0].MergeInstance(Source{Name: fmt.Sprint(zone, i)}, counts)
 			}
 		}
 		tellZone := func(from, to string, copies int) {
@@ -64,7 +64,7 @@
 		for zone, list := range zones {
 			for i := range list[1:] {
 				list[i+1].TellAgain(0)
-				list[0].Hear(Source{Name: fmt.Sprint(zone, i+1)}, list[i+1].TellOwn())
+				list[0].MergeInstance(Source{Name: fmt.Sprint(zone, i+1)}, list[i+1].TellOwn())
 			}
 		}
 		zones["b"][0].TellAgain(0)
@@ -90,8 +90,8 @@
 // TestAnInstanceThatStartsAgainLosesNothingThatItTold: its new counts come on top.
 func TestAnInstanceThatStartsAgainLosesNothingThatItTold(t *testing.T) {
 	hub := NewTally()
-	hub.Hear(Source{Name: "i", Boot: 1}, []Count{{Window: 1, Organisation: "x", Requests: 3}})
-	hub.Hear(Source{Name: "i", Boot: 2}, []Count{{Window: 1, Organisation: "x", Requests: 1}})
+	hub.MergeInstance(Source{Name: "i", Boot: 1}, []Count{{Window: 1, Organisation: "x", Requests: 3}})
+	hub.MergeInstance(Source{Name: "i", Boot: 2}, []Count{{Window: 1, Organisation: "x", Requests: 1}})
 	if got := hub.Total(1)["x"]; got != 4 {
 		t.Errorf("%d, want 4", got)
 	}
@@ -109,7 +109,7 @@
 		if len(counts) > toldAtMost {
 			t.Fatalf("%d in one report", len(counts))
 		}
-		hub.Hear(Source{Name: "i"}, counts)
+		hub.MergeInstance(Source{Name: "i"}, counts)
 	}
 	if got := hub.Total(1).Sum(); got != organisations {
 		t.Errorf("%d are known, want %d", got, organisations)
@@ -119,11 +119,11 @@
 func TestOldWindowsAreForgotten(t *testing.T) {
 	tally := NewTally()
 	tally.CountRequest(1, "x")
-	tally.Hear(Source{Name: "i"}, []Count{{Window: 1, Organisation: "x", Requests: 3}})
+	tally.MergeInstance(Source{Name: "i"}, []Count{{Window: 1, Organisation: "x", Requests: 3}})
 	tally.HearZone("b", []Count{{Window: 1, Organisation: "x", Requests: 3}})
 	tally.Forget(2)
 	tally.CountRequest(1, "x")
-	tally.Hear(Source{Name: "i"}, []Count{{Window: 1, Organisation: "x", Requests: 3}})
+	tally.MergeInstance(Source{Name: "i"}, []Count{{Window: 1, Organisation: "x", Requests: 3}})
 	if n := tally.Total(1).Sum(); n != 0 || len(tally.TellOwn())+len(tally.TellZone()) != 0 {
 		t.Errorf("%d are known", n)
 	}
