--- a/internal/relay/usage.go
+++ b/internal/relay/usage.go
@@ -74,7 +74,7 @@
 		u.tally.MergeInstance(usage.Source{Name: source, Boot: report.Boot}, report.Usage)
 		return
 	}
-	u.tally.HearZone(source, report.Usage)
+	u.tally.MergeZone(source, report.Usage)
 }
 
 // countUsage counts a request, once, that an upstream began to run at a time on the relay's clock.
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -111,8 +111,8 @@
 	hear(t.sources, from, t.oldest, counts, t.zoneDue)
 }
 
-// HearZone takes the totals of another zone.
-func (t *Tally) HearZone(zone string, counts []Count) {
+// MergeZone takes the totals of another zone.
+func (t *Tally) MergeZone(zone string, counts []Count) {
 	hear(t.zones, zone, t.oldest, counts, nil)
 }
 
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -37,7 +37,7 @@
 		tellZone := func(from, to string, copies int) {
 			counts := zones[from][0].TellZone()
 			for range copies {
-				zones[to][0].HearZone(from, counts)
+				zones[to][0].MergeZone(from, counts)
 			}
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -120,7 +120,7 @@
 	tally := NewTally()
 	tally.CountRequest(1, "x")
 	tally.MergeInstance(Source{Name: "i"}, []Count{{Window: 1, Organisation: "x", Requests: 3}})
-	tally.HearZone("b", []Count{{Window: 1, Organisation: "x", Requests: 3}})
+	tally.MergeZone("b", []Count{{Window: 1, Organisation: "x", Requests: 3}})
 	tally.Forget(2)
 	tally.CountRequest(1, "x")
 	tally.MergeInstance(Source{Name: "i"}, []Count{{Window: 1, Organisation: "x", Requests: 3}})
@@ -143,7 +143,7 @@
 		tally.TellAgain(7)
 		tally.CountRequest(9, "the newest")
 		for range 5 {
-			hub.HearZone("a", tally.TellZone())
+			hub.MergeZone("a", tally.TellZone())
 		}
 	}
 	if got := hub.Total(9)["the newest"]; got != 5 {
