--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -152,8 +152,8 @@
 	return total
 }
 
-// Forget drops the windows before one.
-func (t *Tally) Forget(oldest Window) {
+// DropBefore drops the windows before one.
+func (t *Tally) DropBefore(oldest Window) {
 	if oldest <= t.oldest {
 		return
 	}
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -121,7 +121,7 @@
 	tally.CountRequest(1, "x")
 	tally.MergeInstance(Source{Name: "i"}, []Count{{Window: 1, Organisation: "x", Requests: 3}})
 	tally.MergeZone("b", []Count{{Window: 1, Organisation: "x", Requests: 3}})
-	tally.Forget(2)
+	tally.DropBefore(2)
 	tally.CountRequest(1, "x")
 	tally.MergeInstance(Source{Name: "i"}, []Count{{Window: 1, Organisation: "x", Requests: 3}})
 	if n := tally.Total(1).Sum(); n != 0 || len(tally.TellOwn())+len(tally.TellZone()) != 0 {
