--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -168,7 +168,7 @@
 	r.logEndedBackoffs()
 	report := r.upstreams.OwnReport(r.now())
 	report.RetryOverflow, report.Crashes = r.budgets.overflow(), r.quarantine.dueCrashes((*quarantine.Table).DueOwn)
-	report.Usage = r.usage.dueTotals((*usage.Tally).TellOwn)
+	report.Usage = r.usage.dueTotals((*usage.Tally).DueOwn)
 	return report
 }
 
--- a/internal/usage/tell.go
+++ b/internal/usage/tell.go
@@ -52,8 +52,8 @@
 	return list
 }
 
-// TellOwn returns the totals of this instance that changed since they were told.
-func (t *Tally) TellOwn() []Count {
+// DueOwn returns the totals of this instance that changed since they were told.
+func (t *Tally) DueOwn() []Count {
 	return t.ownDue.take(func(w Window) Counts { return t.own[w] })
 }
 
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -29,7 +29,7 @@
 		zones := map[string][]*Tally{"a": {NewTally(), NewTally(), NewTally()}, "b": {NewTally(), NewTally()}}
 		truth := map[Window]Counts{}
 		tell := func(zone string, i int) {
-			counts := zones[zone][i].TellOwn()
+			counts := zones[zone][i].DueOwn()
 			for range rapid.IntRange(0, 2).Draw(t, "copies") {
 				zones[zone][0].MergeInstance(Source{Name: fmt.Sprint(zone, i)}, counts)
 			}
@@ -64,7 +64,7 @@
 		for zone, list := range zones {
 			for i := range list[1:] {
 				list[i+1].TellAgain(0)
-				list[0].MergeInstance(Source{Name: fmt.Sprint(zone, i+1)}, list[i+1].TellOwn())
+				list[0].MergeInstance(Source{Name: fmt.Sprint(zone, i+1)}, list[i+1].DueOwn())
 			}
 		}
 		zones["b"][0].TellAgain(0)
@@ -105,7 +105,7 @@
 		tally.CountRequest(1, fmt.Sprint("organisation ", i))
 	}
 	for range organisations/toldAtMost + 1 {
-		counts := tally.TellOwn()
+		counts := tally.DueOwn()
 		if len(counts) > toldAtMost {
 			t.Fatalf("%d in one report", len(counts))
 		}
@@ -124,7 +124,7 @@
 	tally.DropBefore(2)
 	tally.CountRequest(1, "x")
 	tally.MergeInstance(Source{Name: "i"}, []Count{{Window: 1, Organisation: "x", Requests: 3}})
-	if n := tally.Total(1).Sum(); n != 0 || len(tally.TellOwn())+len(tally.TellZone()) != 0 {
+	if n := tally.Total(1).Sum(); n != 0 || len(tally.DueOwn())+len(tally.TellZone()) != 0 {
 		t.Errorf("%d are known", n)
 	}
 }
