--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -177,7 +177,7 @@
 	r.depositOwn()
 	report := r.upstreams.ZoneReport(r.now())
 	report.Crashes = r.quarantine.dueCrashes((*quarantine.Table).DueZone)
-	report.Usage = r.usage.dueTotals((*usage.Tally).TellZone)
+	report.Usage = r.usage.dueTotals((*usage.Tally).DueZone)
 	return report
 }
 
--- a/internal/usage/tell.go
+++ b/internal/usage/tell.go
@@ -57,8 +57,8 @@
 	return t.ownDue.take(func(w Window) Counts { return t.own[w] })
 }
 
-// TellZone returns the totals of the zone that changed since they were told.
-func (t *Tally) TellZone() []Count {
+// DueZone returns the totals of the zone that changed since they were told.
+func (t *Tally) DueZone() []Count {
 	return t.zoneDue.take(t.zone)
 }
 
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -35,7 +35,7 @@
 			}
 		}
 		tellZone := func(from, to string, copies int) {
-			counts := zones[from][0].TellZone()
+			counts := zones[from][0].DueZone()
 			for range copies {
 				zones[to][0].MergeZone(from, counts)
 			}
@@ -124,7 +124,7 @@
 	tally.DropBefore(2)
 	tally.CountRequest(1, "x")
 	tally.MergeInstance(Source{Name: "i"}, []Count{{Window: 1, Organisation: "x", Requests: 3}})
-	if n := tally.Total(1).Sum(); n != 0 || len(tally.DueOwn())+len(tally.TellZone()) != 0 {
+	if n := tally.Total(1).Sum(); n != 0 || len(tally.DueOwn())+len(tally.DueZone()) != 0 {
 		t.Errorf("%d are known", n)
 	}
 }
@@ -143,7 +143,7 @@
 		tally.TellAgain(7)
 		tally.CountRequest(9, "the newest")
 		for range 5 {
-			hub.MergeZone("a", tally.TellZone())
+			hub.MergeZone("a", tally.DueZone())
 		}
 	}
 	if got := hub.Total(9)["the newest"]; got != 5 {
