--- a/internal/relay/usage.go
+++ b/internal/relay/usage.go
@@ -58,7 +58,7 @@
 	if now := u.clock.Now(); now.Sub(u.republishedAt) >= republishEvery {
 		u.republishedAt = now
 		u.tally.DropBefore(usage.WindowAt(now, u.length) - keptWindows)
-		u.tally.TellAgain(usage.WindowAt(now, u.length) - republishedWindows + 1)
+		u.tally.Republish(usage.WindowAt(now, u.length) - republishedWindows + 1)
 	}
 	return due(u.tally)
 }
--- a/internal/usage/tell.go
+++ b/internal/usage/tell.go
@@ -62,9 +62,9 @@
 	return t.zoneDue.take(t.zone)
 }
 
-// TellAgain has the next reports tell all totals of the windows from one on: some reports
+// Republish has the next reports tell all totals of the windows from one on: some reports
 // may have been lost, and some receivers have just started.
-func (t *Tally) TellAgain(from Window) {
+func (t *Tally) Republish(from Window) {
 	t.own.all(from, t.ownDue)
 	t.own.all(from, t.zoneDue)
 	for _, w := range t.sources {
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -63,11 +63,11 @@
 		}
 		for zone, list := range zones {
 			for i := range list[1:] {
-				list[i+1].TellAgain(0)
+				list[i+1].Republish(0)
 				list[0].MergeInstance(Source{Name: fmt.Sprint(zone, i+1)}, list[i+1].DueOwn())
 			}
 		}
-		zones["b"][0].TellAgain(0)
+		zones["b"][0].Republish(0)
 		tellZone("b", "a", 1)
 		for window, counts := range truth {
 			if got := zones["a"][0].Total(window); fmt.Sprint(got) != fmt.Sprint(counts) {
@@ -140,7 +140,7 @@
 		}
 	}
 	for range 5 {
-		tally.TellAgain(7)
+		tally.Republish(7)
 		tally.CountRequest(9, "the newest")
 		for range 5 {
 			hub.MergeZone("a", tally.DueZone())
