--- a/internal/relay/usage.go
+++ b/internal/relay/usage.go
@@ -13,7 +13,7 @@
 
 // keptWindows is how many windows are counted: those whose usage report may still be pending, the
 // current one, and the previous one, whose counts are still arriving.
-const keptWindows = usagereport.Kept + 2
+const keptWindows = usagereport.MaxUnsent + 2
 
 // Totals are republished for instances that lost a report or have just started.
 const (
--- a/internal/usagereport/reporter.go
+++ b/internal/usagereport/reporter.go
@@ -52,9 +52,9 @@
 // rowKey is the key of the row with the counts that were fixed.
 const rowKey = "usage"
 
-// Kept bounds the windows that are fixed and not sent. What is older is late by so
+// MaxUnsent bounds the windows that are fixed and not sent. What is older is late by so
 // much that it counts as missing.
-const Kept = 8
+const MaxUnsent = 8
 
 // fixed is the row's value: what was reported, or will be.
 type fixed struct {
@@ -202,7 +202,7 @@
 // next is the row with the windows up to one. Windows in which nobody asked for anything
 // before the first that has counts are left out.
 func (r *Reporter) next(upTo usage.Window) fixed {
-	next := fixed{Era: r.row.Era, Last: r.row.Last, Sent: max(r.row.Sent, upTo-Kept), Windows: map[usage.Window]usage.Counts{}}
+	next := fixed{Era: r.row.Era, Last: r.row.Last, Sent: max(r.row.Sent, upTo-MaxUnsent), Windows: map[usage.Window]usage.Counts{}}
 	for window := next.Sent + 1; window <= r.row.Last; window++ {
 		next.Windows[window] = r.row.Windows[window]
 	}
--- a/internal/usagereport/reporter_test.go
+++ b/internal/usagereport/reporter_test.go
@@ -265,8 +265,8 @@
 	}
 	away = false
 	r.list[0].Do(context.Background(), r.grants[0])
-	if n := len(r.platform.counts); n != Kept {
-		t.Errorf("%d windows were reported, want %d", n, Kept)
+	if n := len(r.platform.counts); n != MaxUnsent {
+		t.Errorf("%d windows were reported, want %d", n, MaxUnsent)
 	}
 }
 
