--- a/internal/usagereport/reporter.go
+++ b/internal/usagereport/reporter.go
@@ -43,10 +43,10 @@
 	Lease string
 	// Length of a window.
 	Length time.Duration
-	// Settle is the time from a window's end until its counts are taken for complete.
+	// SettleTime is the time from a window's end until its counts are taken for complete.
 	// Totals reach the holder within 0.4 s, and within two seconds more where a
 	// datagram was lost.
-	Settle time.Duration
+	SettleTime time.Duration
 }
 
 // rowKey is the key of the row with the counts that were fixed.
@@ -161,7 +161,7 @@
 
 // complete is the newest window whose counts are complete.
 func (r *Reporter) complete() usage.Window {
-	return usage.WindowAt(r.now().Add(-r.settings.Settle), r.settings.Length) - 1
+	return usage.WindowAt(r.now().Add(-r.settings.SettleTime), r.settings.Length) - 1
 }
 
 // fix writes the counts of the windows that are complete.
--- a/internal/usagereport/reporter_test.go
+++ b/internal/usagereport/reporter_test.go
@@ -147,7 +147,7 @@
 
 // start starts an instance's process anew.
 func (r *rig) start(i int) {
-	s := Settings{Instance: fmt.Sprint("inst-", i), Lease: leaseName, Length: length, Settle: time.Second}
+	s := Settings{Instance: fmt.Sprint("inst-", i), Lease: leaseName, Length: length, SettleTime: time.Second}
 	total := func(w usage.Window) usage.Counts { // what is known grows, and differs by instance
 		return maps.Clone(r.totals[w])
 	}
