--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -50,7 +50,7 @@
 		Objective: x.route.Objective - (now - x.arrived), RemainingWait: x.remaining(now),
 		Priority: x.identity.Priority(x.route),
 	}
-	if waitBudget := x.route.Patience; waitBudget > 0 {
+	if waitBudget := x.route.WaitBudget; waitBudget > 0 {
 		request.RemainingWait = min(request.RemainingWait, waitBudget-(now-x.arrived))
 	}
 	if x.req.Prompt != nil {
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -57,9 +57,9 @@
 	Objective time.Duration
 	// MaxPause is the longest pause between two events that is on time.
 	MaxPause time.Duration
-	// Patience is how long callers wait for the first event of a stream, or the next
+	// WaitBudget is how long callers wait for the first event of a stream, or the next
 	// one; 0 when that is not known.
-	Patience time.Duration
+	WaitBudget time.Duration
 	// MaxAttempts is how many upstreams one request may run on.
 	MaxAttempts int
 	// Priority of the route; 0 is the most urgent.
