--- a/internal/relay/apikey_test.go
+++ b/internal/relay/apikey_test.go
@@ -77,8 +77,8 @@
 			t.Errorf("%s: %v after %d sends", name, err, f.count())
 		}
 		for _, s := range f.calls {
-			if id := s.send.Identity; !id.Checked || id.Name() != c.owner || s.send.Priority != c.priority {
-				t.Errorf("%s: sent for %q, checked %t, priority %d", name, id.Name(), id.Checked, s.send.Priority)
+			if id := s.send.Identity; !id.KeyChecked || id.Name() != c.owner || s.send.Priority != c.priority {
+				t.Errorf("%s: sent for %q, checked %t, priority %d", name, id.Name(), id.KeyChecked, s.send.Priority)
 			}
 		}
 	}
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -161,8 +161,8 @@
 type Identity struct {
 	// Organisation is nil for a request of nobody's, on a route that allows this.
 	Organisation *Organisation
-	// Checked tells that keys are this system's to read: an upstream gets none.
-	Checked bool
+	// KeyChecked tells that keys are this system's to read: an upstream gets none.
+	KeyChecked bool
 }
 
 // Identify returns who a request on a route comes from; false when the route asks for a
@@ -172,7 +172,7 @@
 		return Identity{}, true
 	}
 	owner, known := t.Keys.Owner(c)
-	return Identity{Organisation: owner, Checked: true}, known || r.Public
+	return Identity{Organisation: owner, KeyChecked: true}, known || r.Public
 }
 
 // Name is the organisation's name; empty for nobody's.
