--- a/internal/instance/apart.go
+++ b/internal/instance/apart.go
@@ -14,10 +14,10 @@
 	"sassafrasfield/internal/replica"
 )
 
-// ApartPrefix begins the keys of the rows of contents that no upstream may get. All
+// QuarantinePrefix begins the keys of the rows of contents that no upstream may get. All
 // instances follow them, so that a content is refused by one that has just started, and
 // by all after a start of all.
-const ApartPrefix = "apart/"
+const QuarantinePrefix = "apart/"
 
 // Timings of these rows.
 const (
@@ -62,7 +62,7 @@
 }
 
 func (in *Instance) takeApart(row replica.Row) error {
-	content, err := quarantine.ParseContent(strings.TrimPrefix(row.Key.Key, ApartPrefix))
+	content, err := quarantine.ParseContent(strings.TrimPrefix(row.Key.Key, QuarantinePrefix))
 	if err != nil {
 		return err
 	}
@@ -118,7 +118,7 @@
 
 // apartWrite writes a content's row, or removes it when it was set apart no times.
 func (in *Instance) apartWrite(content quarantine.Content, times int) platform.Write {
-	write := platform.Write{Key: ApartPrefix + content.String()}
+	write := platform.Write{Key: QuarantinePrefix + content.String()}
 	if times == 0 {
 		write.Delete = true
 		return write
--- a/internal/instance/apart_test.go
+++ b/internal/instance/apart_test.go
@@ -52,7 +52,7 @@
 
 func apartRowOf(content quarantine.Content, value string, revision int64) replica.Row {
 	return replica.Row{
-		Key:   replica.Key{Table: "apart", Key: ApartPrefix + content.String()},
+		Key:   replica.Key{Table: "apart", Key: QuarantinePrefix + content.String()},
 		Value: []byte(value), Revision: revision, Deleted: value == "",
 	}
 }
