--- a/internal/instance/apart.go
+++ b/internal/instance/apart.go
@@ -46,13 +46,13 @@
 	if !in.relay.Ready() || in.relay.Impaired() {
 		return false
 	}
-	return time.Since(in.started) > informedWithin || slices.Contains(in.follower.LoadedTables(), in.adapter.ApartTable)
+	return time.Since(in.started) > informedWithin || slices.Contains(in.follower.LoadedTables(), in.adapter.QuarantineTable)
 }
 
 // setApart takes changes of the rows of contents.
 func (in *Instance) setApart(news []replica.Row) {
 	for _, row := range news {
-		if row.Table != in.adapter.ApartTable {
+		if row.Table != in.adapter.QuarantineTable {
 			continue
 		}
 		if err := in.takeApart(row); err != nil {
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -53,9 +53,9 @@
 	// Handler returns the handler of the callers' protocol, given the limits of
 	// the configuration in force.
 	Handler func(r *relay.Relay, limits func() routes.Limits) http.Handler
-	// UpstreamTable is the store's table of upstreams, ApartTable the one of the rows
+	// UpstreamTable is the store's table of upstreams, QuarantineTable the one of the rows
 	// whose keys begin with ApartPrefix.
-	UpstreamTable, ApartTable string
+	UpstreamTable, QuarantineTable string
 }
 
 // Settings of an instance.
