--- a/internal/relay/link.go
+++ b/internal/relay/link.go
@@ -27,14 +27,14 @@
 }
 
 func (l *link) reportReceived(now time.Duration) {
-	l.update(func(s *ownlink.Link) { s.Heard(now) })
+	l.update(func(s *ownlink.Link) { s.RecordPeerReport(now) })
 }
 
 // SetBehind records whether other instances are known to have rows of the platform that this one
 // lacks.
 func (r *Relay) SetBehind(behind bool) {
 	now := r.now()
-	r.link.update(func(s *ownlink.Link) { s.Lacks(behind, now) })
+	r.link.update(func(s *ownlink.Link) { s.SetBehind(behind, now) })
 }
 
 // recordSendError updates the state of this instance's link after a failed send.
@@ -42,9 +42,9 @@
 	now := r.now()
 	r.link.update(func(s *ownlink.Link) {
 		if errors.Is(err, ErrConnectTimeout) {
-			s.Silent(upstream, now)
+			s.RecordTimeout(upstream, now)
 		} else if errors.Is(err, ErrRefused) || errors.Is(err, ErrAddressReassigned) {
-			s.Answered(upstream, now)
+			s.RecordAnswer(upstream, now)
 		}
 	})
 }
@@ -53,18 +53,18 @@
 func (r *Relay) recordAnswer(upstream string, load upstreamstate.Load) {
 	now := r.now()
 	r.upstreams.SetReportedLoad(upstream, load, now)
-	r.link.update(func(s *ownlink.Link) { s.Answered(upstream, now) })
+	r.link.update(func(s *ownlink.Link) { s.RecordAnswer(upstream, now) })
 }
 
 // Impairment returns why this instance forwards nothing; empty if it is not impaired.
-func (r *Relay) Impairment() ownlink.Trouble {
+func (r *Relay) Impairment() ownlink.Impairment {
 	r.link.mu.Lock()
 	defer r.link.mu.Unlock()
-	return r.link.state.Trouble(r.now())
+	return r.link.state.Impairment(r.now())
 }
 
 // refuseImpaired returns the refusal of a request at an impaired instance.
-func refuseImpaired(reason ownlink.Trouble, retryIn time.Duration) *Refusal {
+func refuseImpaired(reason ownlink.Impairment, retryIn time.Duration) *Refusal {
 	return &Refusal{Outcome: NotRun, Reason: string(reason), RetryIn: retryIn}
 }
 
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -168,7 +168,7 @@
 	r.logEndedBackoffs()
 	report := r.upstreams.OwnReport(r.now())
 	report.RetryOverflow, report.Crashes = r.budgets.overflow(), r.quarantine.dueCrashes((*quarantine.Table).DueOwn)
-	report.Usage = r.usage.dueTotals((*usage.Tally).TellOwn)
+	report.Usage = r.usage.dueTotals((*usage.Tally).DueOwn)
 	return report
 }
 
@@ -177,7 +177,7 @@
 	r.depositOwn()
 	report := r.upstreams.ZoneReport(r.now())
 	report.Crashes = r.quarantine.dueCrashes((*quarantine.Table).DueZone)
-	report.Usage = r.usage.dueTotals((*usage.Tally).TellZone)
+	report.Usage = r.usage.dueTotals((*usage.Tally).DueZone)
 	return report
 }
 
