--- a/internal/entry/admission.go
+++ b/internal/entry/admission.go
@@ -12,26 +12,25 @@
 	"sassafrasfield/internal/placement"
 )
 
-// admission holds the gate of each model. It is safe for use by several
-// goroutines.
+// admission holds the admission gate of each model. It is safe for concurrent use.
 type admission struct {
 	settings AdmissionSettings
 	server   *Server
 	meters   *admissionMeters
 
-	mu      sync.Mutex // protects all below
+	mu      sync.Mutex // protects the fields below
 	entries int
 	gates   map[string]*modelGate
 }
 
-// modelGate is the gate of one model with those who wait at it.
+// modelGate is the admission gate of one model, with the requests that wait in its queue by id.
 type modelGate struct {
 	gate    *admit.Gate
 	waiting map[string]*waiter
 }
 
-// waiter is a request in the queue. Its channel has room for its one verdict:
-// nil admits it.
+// waiter is a request in the queue. Its channel is buffered for the one verdict that it receives: nil
+// admits the request.
 type waiter struct {
 	comp    *completion
 	verdict chan *admit.Refusal
@@ -44,7 +43,7 @@
 	}
 }
 
-// admissionMeters are the gauges of admission, over all models.
+// admissionMeters are the gauges of admission, summed over all models.
 type admissionMeters struct {
 	inFlight, waiting, limit, entries metrics.Gauge
 }
@@ -58,23 +57,23 @@
 	}
 }
 
-// admit lets a request go on, if need be after a wait, or refuses it. A
-// request that it let go on must be given to admission.done.
+// admit admits a request, possibly after a wait in the queue, or returns a refusal. Each admitted request
+// must be passed to admission.release.
 func (s *Server) admit(c *echo.Context, comp *completion) error {
 	resumed := comp.resume != nil
 	if err := s.withinRate(c, comp.organisation, resumed); err != nil {
 		return err
 	}
-	refused := s.admission.enter(c.Request().Context(), comp, resumed)
+	refused := s.admission.acquire(c.Request().Context(), comp, resumed)
 	if refused == nil {
 		return nil
 	}
-	s.turnedAway(comp)
+	s.countRefusedDemand(comp)
 	s.log.Debug("admit: refused", "request", comp.id, "reason", refused.Reason)
-	return refusalOf(refused)
+	return admissionRefusal(refused)
 }
 
-func refusalOf(r *admit.Refusal) error {
+func admissionRefusal(r *admit.Refusal) error {
 	messages := map[admit.Reason]string{
 		admit.ReasonDeadline:         "the first token can't come before the deadline",
 		admit.ReasonDeadlineTooShort: "not even an idle engine could make the deadline",
@@ -83,34 +82,35 @@
 	}
 	refused := notRun(string(r.Reason), messages[r.Reason], max(r.RetryIn, time.Millisecond))
 	if r.Reason == admit.ReasonDeadlineTooShort {
-		refused.retryIn = 0
+		refused.retryAfter = 0
 	}
 	return refused
 }
 
-// enter returns nil once the request may go on. A caller that leaves while it
-// waits is refused too; nobody reads that.
-func (a *admission) enter(ctx context.Context, comp *completion, resumed bool) *admit.Refusal {
+// acquire returns nil once the request is admitted. If the caller disconnects while its request waits,
+// acquire returns a refusal, which is not delivered to anyone.
+func (a *admission) acquire(ctx context.Context, comp *completion, resumed bool) *admit.Refusal {
 	now := a.server.now()
-	comp.admitted = now
+	comp.admittedAt = now
 	if resumed {
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		a.gateOf(comp.name).gate.AdmitUnconditionally()
+		a.gateOf(comp.modelName).gate.AdmitUnconditionally()
 		return nil
 	}
 	ticket, w, refused := a.arrive(comp, now)
 	if refused != nil || w == nil {
 		return refused
 	}
-	return a.await(ctx, ticket, w)
+	return a.awaitVerdict(ctx, ticket, w)
 }
 
-// arrive brings a request to its gate. The waiter is nil when it need not wait.
+// arrive passes a request to the gate of its model. The waiter is nil if the request is admitted or
+// refused at once.
 func (a *admission) arrive(comp *completion, now time.Duration) (admit.Ticket, *waiter, *admit.Refusal) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	g := a.gateOf(comp.name)
+	g := a.gateOf(comp.modelName)
 	prediction := a.predict(comp, g)
 	ticket := a.ticket(comp, prediction, now)
 	decision, refusals := g.gate.Arrive(ticket, prediction, now)
@@ -118,10 +118,10 @@
 		if r.ID == ticket.ID {
 			return ticket, nil, &r
 		}
-		g.tell(r.ID, &r)
+		g.notify(r.ID, &r)
 	}
 	if decision == admit.Admitted {
-		comp.expect(prediction, now)
+		comp.setExpected(prediction, now)
 		return ticket, nil, nil
 	}
 	w := &waiter{comp: comp, verdict: make(chan *admit.Refusal, 1)}
@@ -129,30 +129,31 @@
 	return ticket, w, nil
 }
 
-// await waits for the verdict, for the last moment, or for the caller to leave.
-func (a *admission) await(ctx context.Context, ticket admit.Ticket, w *waiter) *admit.Refusal {
+// awaitVerdict waits until the request gets its verdict, its wait deadline passes or the caller
+// disconnects.
+func (a *admission) awaitVerdict(ctx context.Context, ticket admit.Ticket, w *waiter) *admit.Refusal {
 	a.mu.Lock()
-	latest := a.gateOf(w.comp.name).gate.WaitDeadline(ticket)
+	latest := a.gateOf(w.comp.modelName).gate.WaitDeadline(ticket)
 	a.mu.Unlock()
 	timer := time.NewTimer(latest - a.server.now())
 	defer timer.Stop()
 	select {
 	case refused := <-w.verdict:
-		w.comp.admitted = a.server.now()
+		w.comp.admittedAt = a.server.now()
 		return refused
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	return a.leave(ticket, w)
+	return a.cancelWait(ticket, w)
 }
 
-// leave gives a waiting request up, unless it has its verdict already.
-func (a *admission) leave(ticket admit.Ticket, w *waiter) *admit.Refusal {
+// cancelWait removes a waiting request from the queue, unless it has got its verdict already.
+func (a *admission) cancelWait(ticket admit.Ticket, w *waiter) *admit.Refusal {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	g := a.gateOf(w.comp.name)
+	g := a.gateOf(w.comp.modelName)
 	if !g.gate.Cancel(ticket.ID) {
-		w.comp.admitted = a.server.now()
+		w.comp.admittedAt = a.server.now()
 		return <-w.verdict
 	}
 	delete(g.waiting, ticket.ID)
@@ -160,20 +161,20 @@
 	return &refusal
 }
 
-// done ends a request that was let go on.
-func (a *admission) done(comp *completion) {
+// release records the end of an admitted request.
+func (a *admission) release(comp *completion) {
 	now := a.server.now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	g := a.gateOf(comp.name)
-	if now > comp.expected {
-		a.observe(comp, now) // no token came: it was at least that late
+	g := a.gateOf(comp.modelName)
+	if now > comp.expectedFirstToken {
+		a.observe(comp, now) // no token came: the delay is at least this long
 	}
-	g.gate.Done(now - comp.admitted)
+	g.gate.Done(now - comp.admittedAt)
 	a.grant(g, now)
 }
 
-// reviewLoop calls review now and then until the context ends.
+// reviewLoop calls review periodically until the context is cancelled.
 func (a *admission) reviewLoop(ctx context.Context, every time.Duration) {
 	ticker := time.NewTicker(every)
 	defer ticker.Stop()
@@ -187,9 +188,8 @@
 	}
 }
 
-// review works the bounds out again from a new picture of the engines, answers
-// those who can't make their deadline any more, and admits whom there is room
-// for.
+// review updates the concurrency limits from the current load of the engines, refuses the waiting requests
+// that can no longer meet their deadline, and admits requests for which there is capacity.
 func (a *admission) review() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -202,7 +202,7 @@
 		}
 		refusals := g.gate.RefuseLate(now, a.predictor(g))
 		for _, r := range refusals {
-			g.tell(r.ID, &r)
+			g.notify(r.ID, &r)
 		}
 		a.grant(g, now)
 		inFlight += g.gate.InFlight()
@@ -222,7 +222,7 @@
 	a.meters.entries.Update(int64(a.entries))
 }
 
-// gateOf returns the gate of a configured model. The lock is held.
+// gateOf returns the gate of a configured model. The caller must hold a.mu.
 func (a *admission) gateOf(model string) *modelGate {
 	g, ok := a.gates[model]
 	if !ok {
@@ -249,14 +249,14 @@
 	}
 }
 
-// grant tells those whom the gate admits. The lock is held.
+// grant notifies the requests that the gate admits. The caller must hold a.mu.
 func (a *admission) grant(g *modelGate, now time.Duration) {
 	for _, t := range g.gate.Grant(now, a.predictor(g)) {
-		g.tell(t.ID, nil)
+		g.notify(t.ID, nil)
 	}
 }
 
-func (g *modelGate) tell(id string, refused *admit.Refusal) {
+func (g *modelGate) notify(id string, refused *admit.Refusal) {
 	g.waiting[id].verdict <- refused
 	delete(g.waiting, id)
 }
--- a/internal/entry/admission_queue_test.go
+++ b/internal/entry/admission_queue_test.go
@@ -11,20 +11,20 @@
 	"sassafrasfield/internal/testfleet"
 )
 
-// A caller that leaves while its request waits frees its place in the queue;
-// the next one is admitted when there is room.
-func TestQueuedCallerLeaves(t *testing.T) {
+// Guards against a queue position that stays occupied after its caller disconnects: the next request must
+// be admitted when there is capacity.
+func TestDisconnectedCallerLeavesQueue(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
 	settings := DefaultSettings()
 	settings.Admission.FirstToken, settings.Admission.MaxWait = time.Minute, time.Minute
 	a := New(settings, slog.New(slog.DiscardHandler)).admission
 	request := func(id string) *completion {
-		return &completion{id: id, name: "m", organisation: &config.Organisation{Name: "o"}, promptTokens: 10, maxTokens: 10}
+		return &completion{id: id, modelName: "m", organisation: &config.Organisation{Name: "o"}, promptTokens: 10, maxTokens: 10}
 	}
 	waiting := func(n int) {
 		t.Helper()
-		err := testfleet.Until(ctx, "the queue has its length", func() bool {
+		err := testfleet.Until(ctx, "the queue has the expected length", func() bool {
 			a.mu.Lock()
 			defer a.mu.Unlock()
 			return a.gateOf("m").gate.Waiting() == n
@@ -37,23 +37,23 @@
 	a.gateOf("m").gate.SetLimit(1)
 	a.mu.Unlock()
 	first := request("first")
-	if refused := a.enter(ctx, first, false); refused != nil {
+	if refused := a.acquire(ctx, first, false); refused != nil {
 		t.Fatalf("the first request: %+v", refused)
 	}
 	left := make(chan *admit.Refusal, 1)
-	leaving, leave := context.WithCancel(ctx)
-	go func() { left <- a.enter(leaving, request("leaver"), false) }()
+	callerCtx, disconnect := context.WithCancel(ctx)
+	go func() { left <- a.acquire(callerCtx, request("disconnected"), false) }()
 	waiting(1)
-	leave()
+	disconnect()
 	if refused := <-left; refused == nil {
-		t.Error("the caller that left was admitted")
+		t.Error("the disconnected caller was admitted")
 	}
 	waiting(0)
 	stayed := make(chan *admit.Refusal, 1)
-	go func() { stayed <- a.enter(ctx, request("stayer"), false) }()
+	go func() { stayed <- a.acquire(ctx, request("remaining"), false) }()
 	waiting(1)
-	a.done(first)
+	a.release(first)
 	if refused := <-stayed; refused != nil {
-		t.Errorf("the caller that stayed: %+v", refused)
+		t.Errorf("the remaining caller: %+v", refused)
 	}
 }
--- a/internal/entry/admission_settings.go
+++ b/internal/entry/admission_settings.go
@@ -7,33 +7,29 @@
 	"sassafrasfield/internal/tomlfile"
 )
 
-// AdmissionSettings set what the entry takes, and when.
+// AdmissionSettings configure which requests the entry admits, and when.
 type AdmissionSettings struct {
 	// FirstToken is the target for the time to the first token. Default 450ms.
 	FirstToken time.Duration `toml:"first_token"`
-	// Slack times FirstToken is the deadline of a request without one of its
-	// own, or twice the time that its prompt takes on an idle engine if that is
-	// longer. Default 1.
+	// Slack is a factor: a request without a deadline gets the deadline Slack times FirstToken, or twice
+	// the prefill time of its prompt on an idle engine if that is longer. Default 1.
 	Slack float64 `toml:"slack"`
-	// EarlyRefusal refuses at once what can't make its deadline by the
-	// prediction. Default true.
+	// EarlyRefusal refuses requests at once if they are predicted to miss their deadline. Default true.
 	EarlyRefusal bool `toml:"early_refusal"`
-	// MaxQueue bounds the requests that wait, for each model. Default 256.
+	// MaxQueue is the maximum number of waiting requests of each model. Default 256.
 	MaxQueue int `toml:"max_queue"`
-	// MaxWait bounds the wait in the queue. Default 1s.
+	// MaxWait is the maximum wait in the queue. Default 1s.
 	MaxWait time.Duration `toml:"max_wait"`
-	// PriorityCredit is the work, in tokens for a share of 1, that an
-	// organisation may be ahead of its fair share and still have the use of
-	// its priorities above 0. Default 16384.
+	// PriorityCredit is the work, in tokens for a share of 1, by which an organisation may exceed its fair
+	// share and still use priorities above 0. Default 16384.
 	PriorityCredit int `toml:"priority_credit"`
-	// Backlog is how long a request may wait at an engine before its prompt is
-	// begun; while it would be longer, requests wait in the entry's queue. 0 is
-	// no bound. Default 225ms.
+	// Backlog is the maximum time that a request may wait at an engine before its prefill starts. Requests
+	// that would wait longer stay in the entry's queue. 0 means no bound. Default 225ms.
 	Backlog time.Duration `toml:"backlog"`
-	// ReviewEvery is the time between looks at those who wait. Default 50ms.
+	// ReviewEvery is the interval at which the waiting requests are reviewed. Default 50ms.
 	ReviewEvery time.Duration `toml:"review_every"`
-	// LimitConcurrency bounds the requests in flight by the engines' reports;
-	// the others wait in the queue. Default true.
+	// LimitConcurrency limits the requests in flight according to the engines' reports; further requests
+	// wait in the queue. Default true.
 	LimitConcurrency bool `toml:"limit_concurrency"`
 }
 
--- a/internal/entry/admission_test.go
+++ b/internal/entry/admission_test.go
@@ -15,9 +15,9 @@
 	"sassafrasfield/internal/testservers"
 )
 
-// An engine that is overloaded and hardly moves: requests that can't make
-// their deadline get their final answer while the admitted ones still run, it
-// says not_run and when to come back, and the engine's book agrees.
+// Requests that cannot meet their deadline at an overloaded, nearly stopped engine must be refused while
+// the admitted ones still run. The refusal says not_run and when to retry, and the engine's records
+// confirm that nothing of the refused requests ran.
 func TestOverloadIsRefusedAtOnce(t *testing.T) {
 	ctx := testContext(t)
 	fleet := startFleet(ctx, t, fleetOptions{
@@ -28,7 +28,7 @@
 	caller := testcaller.New(apiKey)
 	var work sync.WaitGroup
 	var mu sync.Mutex // protects the answers
-	var refused, whole []testcaller.Answer
+	var refused, complete []testcaller.Answer
 	for i := range requests {
 		work.Go(func() {
 			chat := testcaller.Chat{
@@ -42,7 +42,7 @@
 			case err != nil:
 				t.Errorf("request %d: %v", i, err)
 			case answer.Done:
-				whole = append(whole, answer)
+				complete = append(complete, answer)
 			default:
 				refused = append(refused, answer)
 			}
@@ -57,8 +57,8 @@
 		t.Fatal(err)
 	}
 	mu.Lock()
-	if len(refused) == 0 || len(whole) > 0 {
-		t.Errorf("%d refused and %d whole while the engine hardly moves", len(refused), len(whole))
+	if len(refused) == 0 || len(complete) > 0 {
+		t.Errorf("%d refused and %d complete while the engine is nearly stopped", len(refused), len(complete))
 	}
 	mu.Unlock()
 	setFaults(ctx, t, fleet.Engines[0], testservers.EngineFaults{})
@@ -66,8 +66,8 @@
 	for _, answer := range refused {
 		checkRefusal(t, answer.Status, answer.Error, answer.RetryAfter)
 	}
-	if ran := started(ctx, t, fleet); ran != len(whole) || len(whole) == 0 {
-		t.Errorf("%d ran by the engine's book, %d whole answers, %d refused", ran, len(whole), len(refused))
+	if ran := started(ctx, t, fleet); ran != len(complete) || len(complete) == 0 {
+		t.Errorf("%d ran according to the engine, %d complete answers, %d refused", ran, len(complete), len(refused))
 	}
 }
 
@@ -81,17 +81,16 @@
 	}
 }
 
-// All of an organisation's traffic comes to one of three entries. An equal
-// part of its rate would let through at most 10 a second and 4 at once; the
-// entries' exchange gives this one nearly the whole rate. What is refused says
-// so in the protocol's headers and did not run.
+// All traffic of an organisation arrives at one of three entries. An equal share of its rate would allow
+// at most 10 requests per second and a burst of 4 there; the entries' exchange of demand must give this
+// entry nearly the whole rate. Refused requests say so in the protocol's headers and did not run.
 func TestRateFollowsDemand(t *testing.T) {
 	ctx := testContext(t)
 	fleet := startFleet(ctx, t, fleetOptions{
 		instances: 3, services: 1, limit: "requests_per_second = 30\nburst = 4",
 	})
 	caller := testcaller.New(apiKey)
-	err := testfleet.Until(ctx, "the entry knows of three", func() bool {
+	err := testfleet.Until(ctx, "the entry knows of three entries", func() bool {
 		return gauge(t, fleet.Instances[0].EntryAddress, "admit.entries") == 3
 	})
 	if err != nil {
@@ -140,7 +139,8 @@
 	}
 }
 
-// Bad input is refused with a 4xx that says not_run, and the process goes on.
+// Invalid input must be refused with a 4xx status and the outcome not_run, without affecting later
+// requests.
 func TestBadInput(t *testing.T) {
 	ctx := testContext(t)
 	fleet := startFleet(ctx, t, fleetOptions{
@@ -186,6 +186,6 @@
 		t.Fatal(err)
 	}
 	defer res.Body.Close()
-	_, _ = io.Copy(io.Discard, res.Body) // lets the connection be used again
+	_, _ = io.Copy(io.Discard, res.Body) // lets the connection be reused
 	return res.StatusCode, res.Header
 }
--- a/internal/entry/completions.go
+++ b/internal/entry/completions.go
@@ -14,33 +14,33 @@
 	"sassafrasfield/internal/stream"
 )
 
-// cancelTimeout bounds the cancelling of a stream whose caller has gone.
+// cancelTimeout bounds the call that cancels a stream after its caller disconnected.
 const cancelTimeout = 2 * time.Second
 
-// Errors that end an answer. Compare with errors.Is.
+// Errors that terminate an answer. Compare with errors.Is.
 var (
-	// errCallerGone: nobody reads the answer any more.
-	errCallerGone = errors.New("entry: the caller has gone")
-	// errStopping: the process has no time left.
-	errStopping = errors.New("entry: stopping")
-	// errStalled: the engine sends nothing.
-	errStalled = errors.New("entry: the engine has stalled")
+	// errCallerGone: the caller disconnected.
+	errCallerGone = errors.New("entry: caller disconnected")
+	// errStopping: the shutdown timeout of the process expired.
+	errStopping = errors.New("entry: shutting down")
+	// errStalled: the engine stopped sending.
+	errStalled = errors.New("entry: engine stalled")
 )
 
-// sink takes the pieces of an answer in order.
+// sink receives the pieces of an answer in order.
 type sink interface {
-	// piece takes one piece; token lets the caller resume after it.
+	// piece receives one piece. The token lets the caller resume after it.
 	piece(piece engine.Piece, token stream.Token) error
-	// wait tells the caller that its answer is still to come.
-	wait() error
+	// keepAlive tells the caller that the answer is still in progress.
+	keepAlive() error
 }
 
-// completions returns the handler for one shape of answers.
+// completions returns the handler for answers of the given shape.
 func (s *Server) completions(shape shape) echo.HandlerFunc {
 	return func(c *echo.Context) error {
 		s.metrics.requests.Inc(1)
-		if err := s.ready(); err != nil {
-			return notRun("not_ready", err.Error(), defaultRetryIn)
+		if err := s.checkReady(); err != nil {
+			return notRun("not_ready", err.Error(), defaultRetryAfter)
 		}
 		comp, err := s.readCompletion(c)
 		if err != nil {
@@ -51,15 +51,15 @@
 		if comp.resume != nil && comp.resume.Done {
 			return out.finish()
 		}
-		if s.contents.apart(comp.content) {
-			return setApart()
+		if s.quarantines.quarantined(comp.content) {
+			return quarantineRefusal()
 		}
 		if err := s.admit(c, comp); err != nil {
 			return err
 		}
-		defer s.admission.done(comp)
+		defer s.admission.release(comp)
 		if err := s.answer(c.Request().Context(), comp, out); err != nil {
-			return s.ended(c, comp, out, err)
+			return s.failAnswer(c, comp, out, err)
 		}
 		s.metrics.answered.Inc(1)
 		s.retries.Succeeded(s.now())
@@ -67,19 +67,19 @@
 	}
 }
 
-// ended deals with an answer that was not finished.
-func (s *Server) ended(c *echo.Context, comp *completion, out responder, err error) error {
+// failAnswer handles an answer that could not be completed.
+func (s *Server) failAnswer(c *echo.Context, comp *completion, out responder, err error) error {
 	if errors.Is(err, errCallerGone) {
 		s.metrics.callerGone.Inc(1)
 		return nil
 	}
 	if errors.Is(err, errStopping) {
-		stopping := unknown("instance_stopping", "the instance stops; resume on another with Last-Event-ID")
-		stopping.retryIn = defaultRetryIn
+		stopping := unknownOutcome("instance_stopping", "the instance stops; resume on another with Last-Event-ID")
+		stopping.retryAfter = defaultRetryAfter
 		err = stopping
 	}
 	s.metrics.broken.Inc(1)
-	s.log.Warn("request: not answered whole", "request", comp.id, "error", err)
+	s.log.Warn("request: answer incomplete", "request", comp.id, "error", err)
 	return out.fail(err)
 }
 
@@ -92,52 +92,52 @@
 	return p
 }
 
-// prefix returns the hashes of the prompt's blocks, which are worked out once;
-// nil when hints are off.
+// prefix returns the hashes of the prompt's blocks, or nil if the routing policy does not use prefix
+// hints. It computes them once for each request.
 func (s *Server) prefix(comp *completion) []uint64 {
 	if comp.prefix == nil && s.settings.Routing.Policy.UsesPrefixHints() {
-		comp.prefix = engine.BlockHashes(comp.prompt, engine.BlockTokens, prefixBlocksAtMost)
+		comp.prefix = engine.BlockHashes(comp.prompt, engine.BlockTokens, maxPrefixBlocks)
 	}
 	return comp.prefix
 }
 
-// afterFailure frees the engine of a stream that nobody reads any more, and
-// notes the failure if the engine is to blame.
+// afterFailure records the failure of a stream for the engine's health and cancels the stream if it may
+// still run. With blame, the failure counts against the engine even if it ran the request.
 func (s *Server) afterFailure(ctx context.Context, engineID string, client engine.Engine, comp *completion, err error, blame bool) {
 	switch {
 	case errors.Is(err, engine.ErrUnreachable):
-		s.judge(engineID, load.CallFailed)
+		s.recordCall(engineID, load.CallFailed)
 	case errors.Is(err, engine.ErrNotRun):
-		s.judge(engineID, load.CallRefused)
+		s.recordCall(engineID, load.CallRefused)
 	}
 	if ranNothing(err) {
 		return
 	}
 	s.background.Go(func() { s.cancel(ctx, client, comp.id) })
 	if blame {
-		s.judge(engineID, load.CallFailed)
+		s.recordCall(engineID, load.CallFailed)
 	}
 }
 
-// ranNothing tells whether an engine's error says that it ran nothing.
+// ranNothing reports whether an engine's error means that it ran nothing of the request.
 func ranNothing(err error) bool {
 	return errors.Is(err, engine.ErrNotRun) || errors.Is(err, engine.ErrNoStream) || errors.Is(err, engine.ErrUnreachable)
 }
 
 func (c *completion) engineRequest(from int, attach bool) engine.Request {
 	return engine.Request{
-		ID: c.id, Model: c.name, Adapter: c.adapter, Version: c.version,
+		ID: c.id, Model: c.modelName, Adapter: c.adapter, Version: c.version,
 		Prompt: c.prompt, MaxTokens: c.maxTokens, Seed: c.seed, Priority: c.priority,
 		Sampling: c.sampling, From: from, Attach: attach, KVHandle: c.kvHandle,
 	}
 }
 
-// cancel ends a stream at the engine for a caller that has gone.
+// cancel cancels a stream at the engine when its caller no longer needs it.
 func (s *Server) cancel(ctx context.Context, client engine.Engine, id string) {
-	ctx, done := context.WithTimeout(context.WithoutCancel(ctx), cancelTimeout)
-	defer done()
+	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), cancelTimeout)
+	defer stop()
 	if err := client.Cancel(ctx, id); err != nil {
-		s.log.Debug("request: the engine did not take a cancel", "request", id, "error", err)
+		s.log.Debug("request: cancelling at the engine failed", "request", id, "error", err)
 	}
 }
 
--- a/internal/entry/crash_check_test.go
+++ b/internal/entry/crash_check_test.go
@@ -9,45 +9,46 @@
 	"sassafrasfield/internal/engine"
 )
 
-// scriptedEngine answers the questions for its state by a script.
+// scriptedEngine returns the scripted results to status requests.
 type scriptedEngine struct {
 	engine.Engine
 	answers []error
-	asked   int
+	calls   int
 }
 
 func (e *scriptedEngine) Status(context.Context) (engine.Status, error) {
-	e.asked++
-	return engine.Status{}, e.answers[min(e.asked, len(e.answers))-1]
+	e.calls++
+	return engine.Status{}, e.answers[min(e.calls, len(e.answers))-1]
 }
 
-// TestAnEndIsSeenThoughTheWordOnItIsLate: the load is a machine so busy that its answer, or
-// its refusal, does not come within one question's time; what does not come is no word.
-func TestAnEndIsSeenThoughTheWordOnItIsLate(t *testing.T) {
+// TestCrashDetectedDespiteInconclusiveProbes covers a machine so busy that neither a response nor a
+// refused connection comes within the timeout of one probe. Such a probe is inconclusive and must be
+// repeated.
+func TestCrashDetectedDespiteInconclusiveProbes(t *testing.T) {
 	for name, c := range map[string]struct {
 		answers []error
-		ended   bool
-		asked   int
+		crashed bool
+		probes  int
 	}{
-		"refused at once":          {[]error{engine.ErrUnreachable}, true, 1},
-		"refused after silence":    {[]error{engine.ErrBroken, engine.ErrBroken, engine.ErrUnreachable}, true, 3},
-		"answers":                  {[]error{nil}, false, 1},
-		"answers after silence":    {[]error{engine.ErrBroken, nil}, false, 2},
-		"refuses what it is asked": {[]error{engine.ErrNotRun}, false, 1},
+		"refused connection":                {[]error{engine.ErrUnreachable}, true, 1},
+		"refused connection after timeouts": {[]error{engine.ErrBroken, engine.ErrBroken, engine.ErrUnreachable}, true, 3},
+		"response":                          {[]error{nil}, false, 1},
+		"response after a timeout":          {[]error{engine.ErrBroken, nil}, false, 2},
+		"refused request":                   {[]error{engine.ErrNotRun}, false, 1},
 	} {
 		e := &scriptedEngine{answers: c.answers}
-		if got := hasEnded(context.Background(), e); got != c.ended || e.asked != c.asked {
-			t.Errorf("%s: ended %t after %d questions, want %t after %d", name, got, e.asked, c.ended, c.asked)
+		if got := hasCrashed(context.Background(), e); got != c.crashed || e.calls != c.probes {
+			t.Errorf("%s: crashed %t after %d probes, want %t after %d", name, got, e.calls, c.crashed, c.probes)
 		}
 	}
 }
 
-// TestAnEngineWithoutAWordCountsAsLiving: the caller left before there was one.
-func TestAnEngineWithoutAWordCountsAsLiving(t *testing.T) {
+// TestEngineCountsAsAliveWithoutProbeResult covers a caller that disconnects before a probe is conclusive.
+func TestEngineCountsAsAliveWithoutProbeResult(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	e := &scriptedEngine{answers: []error{errors.WithMessage(engine.ErrBroken, "cancelled")}}
-	if hasEnded(ctx, e) {
-		t.Error("silence was taken for an end")
+	if hasCrashed(ctx, e) {
+		t.Error("an engine without a probe result counts as crashed")
 	}
 }
--- a/internal/entry/demand.go
+++ b/internal/entry/demand.go
@@ -9,34 +9,34 @@
 	sfv1 "sassafrasfield/internal/gen/sf/v1"
 )
 
-// demandBuckets is in how many parts the window slides.
+// demandBuckets is the number of buckets in the sliding window.
 const demandBuckets = 20
 
-// tokenCounts are the tokens, and the prompts, of one part of the window.
+// tokenCounts are the tokens and the prompts counted in one bucket of the window.
 type tokenCounts struct {
 	prefill, decode, prompts float64
 }
 
-// plus adds up, with other's counts times a factor.
-func (t tokenCounts) plus(other tokenCounts, times float64) tokenCounts {
+// addScaled returns the sum of t and other multiplied by a factor.
+func (t tokenCounts) addScaled(other tokenCounts, factor float64) tokenCounts {
 	return tokenCounts{
-		prefill: t.prefill + times*other.prefill,
-		decode:  t.decode + times*other.decode,
-		prompts: t.prompts + times*other.prompts,
+		prefill: t.prefill + factor*other.prefill,
+		decode:  t.decode + factor*other.decode,
+		prompts: t.prompts + factor*other.prompts,
 	}
 }
 
-// demandWindow is the work of one pool over a sliding window. It is pure.
+// demandWindow measures the work of one pool over a sliding window. It does no I/O: times are passed in.
 type demandWindow struct {
-	width time.Duration // of a bucket
-	begun time.Duration // when the first work came
-	// newest numbers the bucket that work goes to now.
+	width   time.Duration // of a bucket
+	firstAt time.Duration // time of the first work
+	// newest is the number of the current bucket, to which work is added.
 	newest  int64
 	buckets [demandBuckets]tokenCounts
 }
 
-// slide empties the buckets between the newest one and now.
-func (w *demandWindow) slide(now time.Duration) {
+// advance clears the buckets between the newest one and the current one.
+func (w *demandWindow) advance(now time.Duration) {
 	current := int64(now / w.width)
 	for n := max(w.newest+1, current-demandBuckets+1); n <= current; n++ {
 		w.buckets[n%demandBuckets] = tokenCounts{}
@@ -45,26 +45,25 @@
 }
 
 func (w *demandWindow) add(tokens tokenCounts, now time.Duration) {
-	w.slide(now)
+	w.advance(now)
 	bucket := &w.buckets[w.newest%demandBuckets]
-	*bucket = bucket.plus(tokens, 1)
+	*bucket = bucket.addScaled(tokens, 1)
 }
 
-// rates returns tokens a second over the window, or over the time since the
-// first work when that is shorter.
+// rates returns the tokens per second over the window, or over the time since the first work if that is
+// shorter.
 func (w *demandWindow) rates(now time.Duration) tokenCounts {
-	w.slide(now)
+	w.advance(now)
 	var sum tokenCounts
 	for _, b := range w.buckets {
-		sum = sum.plus(b, 1)
+		sum = sum.addScaled(b, 1)
 	}
 	start := time.Duration(w.newest-demandBuckets+1) * w.width
-	span := max(now-max(start, w.begun), w.width).Seconds()
-	return tokenCounts{}.plus(sum, 1/span)
+	span := max(now-max(start, w.firstAt), w.width).Seconds()
+	return tokenCounts{}.addScaled(sum, 1/span)
 }
 
-// demandMeter measures the admitted work of each pool. It is safe for use by
-// several goroutines.
+// demandMeter measures the admitted work of each pool. It is safe for concurrent use.
 type demandMeter struct {
 	width time.Duration
 
@@ -82,20 +81,20 @@
 	m.window(pool, now).add(tokens, now)
 }
 
-// window returns a pool's window, made when there is none. The lock is held.
+// window returns a pool's window, and creates it if necessary. The caller must hold m.mu.
 func (m *demandMeter) window(pool string, now time.Duration) *demandWindow {
 	w, ok := m.pools[pool]
 	if !ok {
-		w = &demandWindow{width: m.width, begun: now}
+		w = &demandWindow{width: m.width, firstAt: now}
 		m.pools[pool] = w
 	}
 	return w
 }
 
-// refused counts a prompt that was refused for want of capacity: its tokens,
-// and as many of an answer as answers have now. Without it a system that
-// refuses early would hide the demand that a change of roles could serve.
-func (m *demandMeter) refused(pool string, promptTokens int, now time.Duration) {
+// addRefused counts a prompt that was refused for lack of capacity: its tokens, and an estimated number of
+// answer tokens, the recent average. Otherwise a system that refuses early would hide the demand that a
+// change of roles could serve.
+func (m *demandMeter) addRefused(pool string, promptTokens int, now time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	w := m.window(pool, now)
@@ -106,12 +105,12 @@
 	w.add(tokens, now)
 }
 
-// generated counts one token of an answer.
-func (m *demandMeter) generated(pool string, now time.Duration) {
+// addGenerated counts one token of an answer.
+func (m *demandMeter) addGenerated(pool string, now time.Duration) {
 	m.add(pool, tokenCounts{decode: 1}, now)
 }
 
-// report returns the rates of each pool, by name.
+// report returns the rates of each pool, sorted by name.
 func (m *demandMeter) report(now time.Duration) []*sfv1.PoolDemand {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -124,20 +123,19 @@
 	return demand
 }
 
-// admitted counts the prompt of a request that was placed on an engine, less
-// what is believed cached there. A prompt that is processed again on another
-// engine counts again.
-func (s *Server) admitted(comp *completion, placed assignment) {
+// countAdmitted counts the prompt of a request that was placed on an engine, without the tokens that are
+// assumed to be cached there. If a prompt is processed again on another engine, it is counted again.
+func (s *Server) countAdmitted(comp *completion, placed assignment) {
 	comp.pool = placed.engine.Pool
 	s.demand.add(comp.pool, tokenCounts{prefill: float64(placed.prefillTokens), prompts: 1}, s.now())
 }
 
-// turnedAway counts a request that was refused for want of capacity, in the
-// first pool of its model.
-func (s *Server) turnedAway(comp *completion) {
+// countRefusedDemand counts a request that was refused for lack of capacity. It counts for the first pool
+// of the request's model.
+func (s *Server) countRefusedDemand(comp *completion) {
 	for _, pool := range s.state.config().Pools {
-		if pool.Model == comp.name {
-			s.demand.refused(pool.Name, comp.promptTokens, s.now())
+		if pool.Model == comp.modelName {
+			s.demand.addRefused(pool.Name, comp.promptTokens, s.now())
 			return
 		}
 	}
--- a/internal/entry/disaggregated.go
+++ b/internal/entry/disaggregated.go
@@ -13,26 +13,26 @@
 	"sassafrasfield/internal/placement"
 )
 
-// errPrefilled ends a prefill engine's part of an answer.
-var errPrefilled = errors.New("entry: the prompt was processed")
+// errPrefilled ends the stream of a prefill engine: the prompt is processed and the first token was sent.
+var errPrefilled = errors.New("entry: prefill complete")
 
-// prefillSuffix is added to the id of the stream at a prefill engine. A caller
-// that resumes does not attach to it: it has the first token alone.
+// prefillSuffix is appended to the request id to form the id of the stream at a prefill engine. A caller
+// that resumes does not attach to this stream, because it contains only the first token.
 const prefillSuffix = "-prefill"
 
-// mayBeSplit tells whether a request may go to a pair of engines: a new one,
-// with more to generate than the prefill engine makes.
+// mayBeSplit reports whether a request may be split between a prefill and a decode engine: it must be new
+// and generate more than the one token that the prefill engine makes.
 func mayBeSplit(comp *completion) bool {
 	return comp.resume == nil && comp.maxTokens > 1
 }
 
-// run brings the rest of an answer from the engine that was assigned, or from
-// it and a decode engine. With an error it names the engine that failed.
+// run generates the rest of an answer on the assigned engine, or on the assigned prefill engine and a
+// decode engine. With an error it returns the id of the engine that failed.
 func (g *generation) run(ctx context.Context, placed assignment) (failed string, err error) {
-	if placed.work != placement.PhasePrefill {
+	if placed.phase != placement.PhasePrefill {
 		return placed.engine.ID, g.runOn(ctx, placed.engine, false)
 	}
-	decode, err := g.handOver(ctx, placed.engine)
+	decode, err := g.prefillAndTransfer(ctx, placed.engine)
 	if err != nil || g.assembler.Done() {
 		return decode.ID, err
 	}
@@ -41,14 +41,13 @@
 	return decode.ID, g.runOn(ctx, decode, false)
 }
 
-// handOver has the prefill engine process the prompt and make the first token,
-// and brings the KV cache to a decode engine, which it returns with the request
-// charged to it. With an error it returns the engine that failed. The prefill
-// engine keeps the request's charge until the transfer is done, so that a
-// planned change waits for it.
-func (g *generation) handOver(ctx context.Context, prefill *config.Engine) (*config.Engine, error) {
+// prefillAndTransfer lets the prefill engine process the prompt and generate the first token, transfers
+// the KV cache to a decode engine and charges the request to that engine. It returns the decode engine, or
+// the failed engine with an error. The request stays charged to the prefill engine until the transfer is
+// complete, so that a planned change waits for it.
+func (g *generation) prefillAndTransfer(ctx context.Context, prefill *config.Engine) (*config.Engine, error) {
 	comp, s := g.comp, g.server
-	defer func() { s.state.end(prefill.ID, comp.id, s.now()) }()
+	defer func() { s.state.release(prefill.ID, comp.id, s.now()) }()
 	if err := g.prefillOn(ctx, prefill); err != nil || g.assembler.Done() {
 		return prefill, err
 	}
@@ -59,14 +58,14 @@
 		return prefill, errors.WithMessage(err, "export of KV cache")
 	}
 	decode, ok := s.state.place(&placement.Request{
-		Model: comp.name, Adapter: comp.adapter, Version: prefill.Loaded.Version, Phase: placement.PhaseDecode,
+		Model: comp.modelName, Adapter: comp.adapter, Version: prefill.Loaded.Version, Phase: placement.PhaseDecode,
 	}, load.Placement{ID: comp.id, Blocks: s.placement(comp).Blocks, At: s.now()})
 	if !ok {
-		return prefill, errors.WithMessage(engine.ErrNotRun, "no engine to decode on")
+		return prefill, errors.WithMessage(engine.ErrNotRun, "no decode engine available")
 	}
 	if err := s.importTo(ctx, decode, kv); err != nil {
-		s.state.end(decode.ID, comp.id, s.now())
-		return atFault(err, prefill, decode), errors.WithMessage(err, "import of KV cache")
+		s.state.release(decode.ID, comp.id, s.now())
+		return failedEngine(err, prefill, decode), errors.WithMessage(err, "import of KV cache")
 	}
 	comp.kvHandle = kv.Handle
 	return decode, nil
@@ -80,16 +79,16 @@
 	return s.engineAt(decode.Address).Import(ctx, kv)
 }
 
-// atFault is the engine that the rest of the request should keep away from: the
-// importing one when it could not be reached, and else the source.
-func atFault(err error, source, importing *config.Engine) *config.Engine {
+// failedEngine returns the engine that further attempts of the request should avoid after a failed import:
+// the importing engine if it is unreachable, otherwise the source.
+func failedEngine(err error, source, importing *config.Engine) *config.Engine {
 	if errors.Is(err, engine.ErrUnreachable) {
 		return importing
 	}
 	return source
 }
 
-// prefillOn has an engine process the prompt, and sends the first token on.
+// prefillOn lets an engine process the prompt, and forwards the first token.
 func (g *generation) prefillOn(ctx context.Context, prefill *config.Engine) error {
 	comp, s := g.comp, g.server
 	ctx, span := tracer().Start(ctx, "engine prefill", trace.WithAttributes(attribute.String("engine", prefill.ID)))
@@ -102,18 +101,18 @@
 	request.ID, request.MaxTokens = comp.id+prefillSuffix, 1
 	source, err := s.generate(ctx, client, request)
 	if err == nil {
-		s.engineAccepted(prefill.ID, comp.id, source.Stream)
-		err = s.forward(ctx, forwarding{prefill.ID, client, firstToken{source}, g})
+		s.recordAcceptance(prefill.ID, comp.id, source.Stream)
+		err = s.forward(ctx, forwarding{prefill.ID, client, prefillStream{source}, g})
 		source.Close()
 	}
 	if err == nil || errors.Is(err, errPrefilled) {
-		s.judge(prefill.ID, load.CallSucceeded)
+		s.recordCall(prefill.ID, load.CallSucceeded)
 		return nil
 	}
 	return s.prefillFailed(ctx, prefill.ID, client, request.ID, err)
 }
 
-// prefillFailed frees the engine of the stream, and notes who failed.
+// prefillFailed cancels the stream at the engine and records the failure if the engine is to blame.
 func (s *Server) prefillFailed(ctx context.Context, engineID string, client engine.Engine, streamID string, err error) error {
 	if !ranNothing(err) {
 		s.background.Go(func() { s.cancel(ctx, client, streamID) })
@@ -125,19 +124,19 @@
 		return errCallerGone
 	}
 	if !errors.Is(err, engine.ErrNotRun) && !errors.Is(err, errCallerGone) {
-		s.judge(engineID, load.CallFailed)
+		s.recordCall(engineID, load.CallFailed)
 	}
 	return err
 }
 
-// firstToken is the stream of a prefill engine. Its bound of one token is the
-// entry's own, so the end that it brings about is not the answer's.
-type firstToken struct {
+// prefillStream is the stream of a prefill engine. The entry limits this stream to one token, so a finish
+// at that limit is not the end of the answer. Next returns errPrefilled instead.
+type prefillStream struct {
 	engine.Stream
 }
 
 // Next implements engine.Stream.
-func (f firstToken) Next() (engine.Piece, error) {
+func (f prefillStream) Next() (engine.Piece, error) {
 	piece, err := f.Stream.Next()
 	if err == nil && piece.Finish == engine.FinishLength {
 		return engine.Piece{}, errPrefilled
--- a/internal/entry/errors.go
+++ b/internal/entry/errors.go
@@ -13,12 +13,12 @@
 	"sassafrasfield/internal/callerapi"
 )
 
-// refusal is an error answer to a caller.
+// refusal is an error response to a caller.
 type refusal struct {
 	status int
 	body   callerapi.Error
-	// retryIn is told in Retry-After, with jitter; 0 is not told.
-	retryIn time.Duration
+	// retryAfter is sent as the Retry-After header, with jitter. 0 omits the header.
+	retryAfter time.Duration
 }
 
 // Error implements error.
@@ -26,8 +26,8 @@
 	return r.body.Message
 }
 
-// defaultRetryIn is told to callers when nothing better is known.
-const defaultRetryIn = time.Second
+// defaultRetryAfter is the Retry-After value if no better estimate is available.
+const defaultRetryAfter = time.Second
 
 func badRequest(param, message string) *refusal {
 	return &refusal{status: http.StatusBadRequest, body: callerapi.Error{
@@ -49,48 +49,48 @@
 }
 
 // notRun refuses a request of which nothing ran.
-func notRun(code, message string, retryIn time.Duration) *refusal {
-	return &refusal{status: http.StatusServiceUnavailable, retryIn: retryIn, body: callerapi.Error{
+func notRun(code, message string, retryAfter time.Duration) *refusal {
+	return &refusal{status: http.StatusServiceUnavailable, retryAfter: retryAfter, body: callerapi.Error{
 		Message: message, Type: "unavailable_error", Code: code, Outcome: callerapi.OutcomeNotRun,
 	}}
 }
 
-// tooMany refuses a request over its organisation's rate. Nothing of it ran.
-func tooMany(message string, retryIn time.Duration) *refusal {
-	return &refusal{status: http.StatusTooManyRequests, retryIn: retryIn, body: callerapi.Error{
+// tooMany refuses a request that exceeds its organisation's rate limit. Nothing of it ran.
+func tooMany(message string, retryAfter time.Duration) *refusal {
+	return &refusal{status: http.StatusTooManyRequests, retryAfter: retryAfter, body: callerapi.Error{
 		Message: message, Type: "rate_limit_error", Code: "rate_limit_exceeded", Outcome: callerapi.OutcomeNotRun,
 	}}
 }
 
-// unknown answers a request that may have run.
-func unknown(code, message string) *refusal {
+// unknownOutcome returns the response to a request that may have run.
+func unknownOutcome(code, message string) *refusal {
 	return &refusal{status: http.StatusBadGateway, body: callerapi.Error{
 		Message: message, Type: "upstream_error", Code: code, Outcome: callerapi.OutcomeUnknown,
 	}}
 }
 
-// errorHandler writes each error in the shape of the callers' protocol.
+// errorHandler writes errors in the format of the caller protocol.
 func (s *Server) errorHandler(c *echo.Context, err error) {
 	if response, _ := echo.UnwrapResponse(c.Response()); response != nil && response.Committed {
 		return
 	}
 	var refused *refusal
 	if !errors.As(err, &refused) {
-		refused = fromEcho(err)
+		refused = echoRefusal(err)
 	}
 	s.metrics.refused.Inc(1)
 	countRefusal(refused)
 	header := c.Response().Header()
 	header.Set(callerapi.HeaderOutcome, string(refused.body.Outcome))
-	if refused.retryIn > 0 {
-		retryIn := s.retries.Jittered(refused.retryIn)
-		seconds := int((retryIn + time.Second - 1) / time.Second)
+	if refused.retryAfter > 0 {
+		retryAfter := s.retries.Jittered(refused.retryAfter)
+		seconds := int((retryAfter + time.Second - 1) / time.Second)
 		header.Set("Retry-After", strconv.Itoa(seconds))
 	}
-	_ = c.JSON(refused.status, callerapi.ErrorBody{Error: refused.body}) // the caller has gone
+	_ = c.JSON(refused.status, callerapi.ErrorBody{Error: refused.body}) // an error means that the caller disconnected
 }
 
-// countRefusal counts a refusal by its code, or by its status when it has none.
+// countRefusal counts a refusal by its code, or by its status if it has no code.
 func countRefusal(r *refusal) {
 	reason := r.body.Code
 	if reason == "" {
@@ -99,8 +99,8 @@
 	metrics.GetOrRegisterCounter("entry.refused."+reason, metrics.DefaultRegistry).Inc(1)
 }
 
-// fromEcho turns an error of the HTTP library into a refusal.
-func fromEcho(err error) *refusal {
+// echoRefusal converts an error of the HTTP library to a refusal.
+func echoRefusal(err error) *refusal {
 	status := http.StatusInternalServerError
 	var coder echo.HTTPStatusCoder
 	if errors.As(err, &coder) {
--- a/internal/entry/final_refusal.go
+++ b/internal/entry/final_refusal.go
@@ -7,28 +7,28 @@
 	"sassafrasfield/internal/stream"
 )
 
-// gaveUp returns the truthful refusal of an answer that no engine finished.
-func (s *Server) gaveUp(comp *completion, word outcome.Outcome, last error) error {
+// finalRefusal returns the refusal of an answer that no engine completed. The result covers all attempts:
+// it says whether any of them may have run the request.
+func (s *Server) finalRefusal(comp *completion, result outcome.Outcome, last error) error {
 	switch {
-	case errors.Is(last, errSetApart) && word == outcome.NotRun:
-		return setApart()
-	case comp.resume == nil && word == outcome.NotRun:
-		return notRun("no_engine", "no engine can take the request now", defaultRetryIn)
+	case errors.Is(last, errQuarantined) && result == outcome.NotRun:
+		return quarantineRefusal()
+	case comp.resume == nil && result == outcome.NotRun:
+		return notRun("no_engine", "no engine can take the request now", defaultRetryAfter)
 	case errors.Is(last, stream.ErrDiverged):
-		return unknown("cannot_resume", "the engine made another text than the one received; ask again from the start")
+		return unknownOutcome("cannot_resume", "the engine made another text than the one received; ask again from the start")
 	case !s.servesVersion(comp):
-		return unknown("cannot_resume", "the model's version that made the first part is not served any more; ask again from the start")
+		return unknownOutcome("cannot_resume", "the model's version that made the first part is not served any more; ask again from the start")
 	}
-	refused := unknown("engine_failed", "no engine could finish the answer now; resume with Last-Event-ID")
-	refused.retryIn = defaultRetryIn
+	refused := unknownOutcome("engine_failed", "no engine could finish the answer now; resume with Last-Event-ID")
+	refused.retryAfter = defaultRetryAfter
 	return refused
 }
 
-// servesVersion tells whether any engine has loaded what the answer began
-// with.
+// servesVersion reports whether any engine has loaded the model version with which the answer began.
 func (s *Server) servesVersion(comp *completion) bool {
 	for _, e := range s.state.config().Engines {
-		if e.Loaded.Model == comp.name && (comp.version == "" || e.Loaded.Version == comp.version) {
+		if e.Loaded.Model == comp.modelName && (comp.version == "" || e.Loaded.Version == comp.version) {
 			return true
 		}
 	}
--- a/internal/entry/fleet_test.go
+++ b/internal/entry/fleet_test.go
@@ -18,20 +18,19 @@
 	"sassafrasfield/internal/testservers"
 )
 
-// modelName is the one model of these fleets, apiKey the key of the
-// organisation "studio".
+// modelName is the only model of these fleets, and apiKey is the key of the organisation "studio".
 const (
 	modelName = "critique"
 	apiKey    = "key-of-studio"
 )
 
-// fleetOptions describe a fleet of admission tests.
+// fleetOptions describe a test fleet.
 type fleetOptions struct {
 	instances, engines, services int
 	engineFlags                  []string
-	// entryTables are lines of each entry's settings.
+	// entryTables are additional lines in each entry's settings.
 	entryTables string
-	// limit are further lines of the organisation.
+	// limit are additional lines in the organisation's configuration.
 	limit string
 }
 
@@ -122,7 +121,7 @@
 	return nil
 }
 
-// started counts the streams that the engines took, by their own books.
+// started returns the number of streams that the engines accepted, according to the engines' own records.
 func started(ctx context.Context, t testing.TB, fleet *testfleet.Fleet) int {
 	t.Helper()
 	total := 0
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -10,18 +10,17 @@
 	"sassafrasfield/internal/stream"
 )
 
-// arrivalsKept is how many pieces of a stream are read before the caller took
-// them. With the buffers of the connections it is all that a slow caller's
-// answer takes.
-const arrivalsKept = 8
+// arrivalBuffer is the number of pieces that are read ahead of the caller. Together with the connections'
+// buffers it bounds the memory that the answer to a slow caller uses.
+const arrivalBuffer = 8
 
-// arrival is what an engine's stream brought.
+// arrival is a piece or an error received from an engine's stream.
 type arrival struct {
 	piece engine.Piece
 	err   error
 }
 
-// forwarding is the way of pieces from one engine to a caller.
+// forwarding connects one engine's stream with the answer to a caller.
 type forwarding struct {
 	engineID string
 	client   engine.Engine
@@ -29,14 +28,14 @@
 	*generation
 }
 
-// generate starts or attaches to a stream. An engine that does not say in time
-// that it took the request has stalled.
-func (s *Server) generate(ctx context.Context, client engine.Engine, req engine.Request) (*endingStream, error) {
-	// The stream lives on this context, so it ends with the request's.
-	ctx, stall := context.WithCancelCause(ctx)
-	accept := time.AfterFunc(s.settings.Stall.AcceptTimeout, func() { stall(errStalled) })
+// generate starts a stream or attaches to one. An engine that does not accept the request within the
+// accept timeout counts as stalled.
+func (s *Server) generate(ctx context.Context, client engine.Engine, req engine.Request) (*cancellingStream, error) {
+	// The stream uses this context, so it ends with the request's context.
+	ctx, cancel := context.WithCancelCause(ctx)
+	acceptTimer := time.AfterFunc(s.settings.Stall.AcceptTimeout, func() { cancel(errStalled) })
 	source, err := client.Generate(ctx, req)
-	accept.Stop()
+	acceptTimer.Stop()
 	if errors.Is(context.Cause(ctx), errStalled) {
 		if err == nil {
 			source.Close()
@@ -44,59 +43,58 @@
 		return nil, errStalled
 	}
 	if err != nil {
-		stall(err)
+		cancel(err)
 		return nil, err
 	}
-	return &endingStream{Stream: source, end: stall}, nil
+	return &cancellingStream{Stream: source, cancel: cancel}, nil
 }
 
-// endingStream frees its context when it is closed.
-type endingStream struct {
+// cancellingStream cancels its context when it is closed.
+type cancellingStream struct {
 	engine.Stream
-	end context.CancelCauseFunc
+	cancel context.CancelCauseFunc
 }
 
 // Close implements engine.Stream.
-func (e *endingStream) Close() error {
-	e.end(nil)
+func (e *cancellingStream) Close() error {
+	e.cancel(nil)
 	return e.Stream.Close()
 }
 
-// forward brings pieces from an engine to the caller until the last one. While
-// a write waits for the caller nothing is read, and no time counts against the
-// engine.
+// forward forwards pieces from an engine to the caller until the answer is complete. While a write to the
+// caller blocks, nothing is read, and the time does not count against the engine's stall timeout.
 func (s *Server) forward(ctx context.Context, f forwarding) error {
 	stop := make(chan struct{})
 	defer close(stop)
 	arrivals := read(f.source, stop)
-	silence := newSilence(s.settings.Stall, s.now())
-	defer silence.timer.Stop()
-	quiet := time.NewTicker(s.settings.Stall.ProbeEvery)
-	defer quiet.Stop()
-	keepAlive := time.NewTicker(s.settings.KeepAlive)
-	defer keepAlive.Stop()
+	stall := newStallTimer(s.settings.Stall, s.now())
+	defer stall.timer.Stop()
+	probeTicker := time.NewTicker(s.settings.Stall.ProbeEvery)
+	defer probeTicker.Stop()
+	keepAliveTicker := time.NewTicker(s.settings.KeepAlive)
+	defer keepAliveTicker.Stop()
 	probes := make(chan error, 1)
 	for !f.assembler.Done() {
 		select {
 		case a := <-arrivals:
-			if err := s.take(f, silence, a); err != nil {
+			if err := s.handleArrival(f, stall, a); err != nil {
 				return err
 			}
-			keepAlive.Reset(s.settings.KeepAlive)
-		case <-silence.timer.C:
-			if err := silence.ranOut(s.now(), len(arrivals)); err != nil {
+			keepAliveTicker.Reset(s.settings.KeepAlive)
+		case <-stall.timer.C:
+			if err := stall.expired(s.now(), len(arrivals)); err != nil {
 				return err
 			}
-		case <-quiet.C:
-			if !silence.pace.Began() {
+		case <-probeTicker.C:
+			if !stall.pace.Began() {
 				s.background.Go(func() { s.probe(ctx, f.client, probes) })
 			}
 		case err := <-probes:
-			if err != nil && !silence.pace.Began() {
+			if err != nil && !stall.pace.Began() {
 				return errors.WithMessage(errStalled, err.Error())
 			}
-		case <-keepAlive.C:
-			if f.out.wait() != nil {
+		case <-keepAliveTicker.C:
+			if f.out.keepAlive() != nil {
 				return errCallerGone
 			}
 		case <-ctx.Done():
@@ -106,26 +104,26 @@
 	return nil
 }
 
-// take notes when an arrival came, and hands its piece on.
-func (s *Server) take(f forwarding, silence *silence, a arrival) error {
+// handleArrival records the arrival of a piece for stall detection and admission, and delivers it.
+func (s *Server) handleArrival(f forwarding, stall *stallTimer, a arrival) error {
 	if a.err != nil {
 		return a.err
 	}
-	if !silence.pace.Began() {
+	if !stall.pace.Began() {
 		s.state.started(f.engineID, f.comp.id)
 		s.admission.firstToken(f.comp)
 	}
-	silence.broken(s.now())
-	if err := s.handOn(f, a.piece); err != nil {
+	stall.pieceArrived(s.now())
+	if err := s.deliver(f, a.piece); err != nil {
 		return err
 	}
-	silence.begins(s.now())
+	stall.restart(s.now())
 	return nil
 }
 
-// read brings a stream's pieces to a channel until it ends or stop is closed.
+// read reads a stream's pieces into a channel until the stream ends or stop is closed.
 func read(source engine.Stream, stop <-chan struct{}) <-chan arrival {
-	arrivals := make(chan arrival, arrivalsKept)
+	arrivals := make(chan arrival, arrivalBuffer)
 	go func() {
 		for {
 			piece, err := source.Next()
@@ -142,8 +140,8 @@
 	return arrivals
 }
 
-// handOn takes a piece as it came and brings those in order to the caller.
-func (s *Server) handOn(f forwarding, piece engine.Piece) error {
+// deliver adds a piece to the assembler and sends the pieces that are now in order to the caller.
+func (s *Server) deliver(f forwarding, piece engine.Piece) error {
 	before := f.assembler.Next()
 	ready, err := f.assembler.Add(piece)
 	if err != nil {
@@ -158,13 +156,13 @@
 			return errCallerGone
 		}
 		s.metrics.tokens.Inc(1)
-		s.demand.generated(f.comp.pool, s.now())
+		s.demand.addGenerated(f.comp.pool, s.now())
 	}
 	return nil
 }
 
-// probe asks a silent engine for its status, and tells what came of it unless
-// an earlier probe's word still waits.
+// probe requests the status of an engine that has sent nothing yet, and sends the result to the channel
+// unless the result of an earlier probe is still unread.
 func (s *Server) probe(ctx context.Context, client engine.Engine, probes chan<- error) {
 	ctx, cancel := context.WithTimeout(ctx, s.settings.Stall.AcceptTimeout)
 	defer cancel()
--- a/internal/entry/generation.go
+++ b/internal/entry/generation.go
@@ -15,61 +15,61 @@
 	"sassafrasfield/internal/stream"
 )
 
-// generation is a model's answer on its way to the caller. It implements
-// attempt.Call: each engine has loaded the version that made the first part.
+// generation is one model answer in progress. It implements attempt.Call. All engines that contribute to
+// the answer have loaded the same model version.
 type generation struct {
 	server    *Server
 	comp      *completion
 	assembler *stream.Assembler
 	out       sink
-	tries     *attempt.Attempts
+	attempts  *attempt.Attempts
 }
 
-// answer brings the whole answer to the sink, from as many engines as that
-// takes.
+// answer sends the complete answer to the sink, using as many engines as necessary within the retry
+// limits.
 func (s *Server) answer(ctx context.Context, comp *completion, out sink) error {
 	g := &generation{
 		server: s, comp: comp, out: out, assembler: stream.NewAssembler(0, 0),
-		tries: attempt.New(attempt.Rules{Repeatable: true, MaxSends: s.settings.Engine.Attempts}),
+		attempts: attempt.New(attempt.Rules{Repeatable: true, MaxSends: s.settings.Engine.Attempts}),
 	}
 	if comp.resume != nil {
 		if over, err := g.resume(ctx); over {
 			return err
 		}
 	}
-	result, verdict := g.tries.Run(ctx, s.retries, s.now, g)
+	result, verdict := g.attempts.Run(ctx, s.retries, s.now, g)
 	if result.Status == attempt.Done {
 		return result.Err
 	}
 	if verdict == attempt.Denied {
-		s.noBudget(g.tries)
+		s.noBudget(g.attempts)
 	}
 	if ctx.Err() != nil {
 		return errCallerGone
 	}
-	return s.gaveUp(comp, g.tries.Outcome(), g.tries.LastError())
+	return s.finalRefusal(comp, g.attempts.Outcome(), g.attempts.LastError())
 }
 
-// resume goes on with the stream of an earlier answer, if its engine still holds
-// it. Over tells that the answer has its end.
+// resume continues the stream of an earlier answer if its engine still holds it. It reports in over
+// whether the answer has ended, so that no other engine is to be tried.
 func (g *generation) resume(ctx context.Context) (over bool, err error) {
 	token := g.comp.resume
 	g.assembler = stream.NewAssembler(token.Next, token.Sum)
 	g.server.metrics.resumed.Inc(1)
 	err = g.attach(ctx)
 	switch {
-	case ended(err):
+	case isFinal(err):
 		return true, err
 	case errors.Is(err, stream.ErrDiverged):
-		return true, g.server.gaveUp(g.comp, g.tries.Outcome(), err)
+		return true, g.server.finalRefusal(g.comp, g.attempts.Outcome(), err)
 	case !ranNothing(err):
-		g.tries.Exclude(token.Engine, err)
+		g.attempts.Exclude(token.Engine, err)
 	}
 	return false, nil
 }
 
-// ended tells whether an error, or none, leaves nothing more to do.
-func ended(err error) bool {
+// isFinal reports whether the result err, which may be nil, leaves nothing to retry.
+func isFinal(err error) bool {
 	return err == nil || errors.Is(err, errCallerGone) || errors.Is(err, errStopping)
 }
 
@@ -79,23 +79,23 @@
 // Try implements attempt.Call.
 func (g *generation) Try(ctx context.Context) attempt.Result {
 	comp, s := g.comp, g.server
-	if s.contents.apart(comp.content) {
-		return attempt.Result{Status: attempt.NoUpstream, Err: errSetApart}
+	if s.quarantines.quarantined(comp.content) {
+		return attempt.Result{Status: attempt.NoUpstream, Err: errQuarantined}
 	}
 	placed, ok := s.state.assign(&placement.Request{
-		Model: comp.name, Adapter: comp.adapter, Version: comp.version,
-		Prompt: placement.Prompt{Tokens: comp.promptTokens}, Excluded: g.tries.Excluded(),
-		Split: g.tries.Sends() == 0 && mayBeSplit(comp),
+		Model: comp.modelName, Adapter: comp.adapter, Version: comp.version,
+		Prompt: placement.Prompt{Tokens: comp.promptTokens}, Excluded: g.attempts.Excluded(),
+		Split: g.attempts.Sends() == 0 && mayBeSplit(comp),
 	}, s.placement(comp))
 	if !ok {
 		return attempt.Result{Status: attempt.NoUpstream}
 	}
-	if err := g.tries.Sent(); err != nil {
+	if err := g.attempts.Sent(); err != nil {
 		return attempt.Result{Status: attempt.Done, Err: err}
 	}
-	s.admitted(comp, placed)
+	s.countAdmitted(comp, placed)
 	failed, err := g.run(ctx, placed)
-	if ended(err) {
+	if isFinal(err) {
 		return attempt.Result{Status: attempt.Done, Err: err}
 	}
 	s.log.Info("request: engine failed, trying another", "request", comp.id, "engine", failed, "error", err)
@@ -105,7 +105,7 @@
 	return attempt.Result{Status: attempt.Lost, Upstream: failed, Err: err}
 }
 
-// attach goes on with a stream that an engine still holds.
+// attach continues a stream that an engine still holds.
 func (g *generation) attach(ctx context.Context) error {
 	comp, s := g.comp, g.server
 	chosen, ok := s.state.placeOn(comp.resume.Engine, load.Placement{ID: comp.id, At: s.now()})
@@ -115,10 +115,10 @@
 	return g.runOn(ctx, chosen, true)
 }
 
-// runOn has one engine bring the rest of the answer. The placement was made.
+// runOn generates the rest of the answer on one engine, to which the request is charged already.
 func (g *generation) runOn(ctx context.Context, chosen *config.Engine, attach bool) error {
 	comp, s := g.comp, g.server
-	defer func() { s.state.end(chosen.ID, comp.id, s.now()) }()
+	defer func() { s.state.release(chosen.ID, comp.id, s.now()) }()
 	ctx, span := tracer().Start(ctx, "engine generate", trace.WithAttributes(
 		attribute.String("engine", chosen.ID), attribute.Bool("attach", attach),
 	))
@@ -131,25 +131,25 @@
 	boot := ""
 	source, err := s.generate(ctx, client, comp.engineRequest(g.assembler.Restart(), attach))
 	if err == nil {
-		boot = s.engineAccepted(chosen.ID, comp.id, source.Stream)
+		boot = s.recordAcceptance(chosen.ID, comp.id, source.Stream)
 		err = s.forward(ctx, forwarding{chosen.ID, client, source, g})
 		source.Close()
 	}
 	if err == nil {
-		s.judge(chosen.ID, load.CallSucceeded)
-		s.contents.served(comp.content)
+		s.recordCall(chosen.ID, load.CallSucceeded)
+		s.quarantines.recordServed(comp.content)
 		return nil
 	}
 	if errors.Is(context.Cause(ctx), errStopping) {
-		return errStopping // the stream stays at the engine, to be resumed
+		return errStopping // the stream stays at the engine, so that the caller can resume it
 	}
 	if ctx.Err() != nil {
 		err = errCallerGone
 	}
-	// A resumption that brought nothing says nothing about the engine: the token
-	// may be wrong, or the entry that the caller left cancelled the stream.
+	// A resumption that brings no piece does not show a fault of the engine: the token may be wrong, or
+	// the entry that served the caller before may have cancelled the stream.
 	blame := !errors.Is(err, errCallerGone) && (comp.resume == nil || g.assembler.Next() > before)
-	s.noteEnd(ctx, chosen.ID, boot, client, comp, err)
+	s.recordIfCrashed(ctx, chosen.ID, boot, client, comp, err)
 	s.afterFailure(ctx, chosen.ID, client, comp, err, blame)
 	return err
 }
--- a/internal/entry/heartbeat.go
+++ b/internal/entry/heartbeat.go
@@ -8,32 +8,32 @@
 	"sassafrasfield/internal/bootclock"
 )
 
-// heartbeat is what sf-control of the same instance told last. Its times are
-// of the boot clock, so that they pass while the process is frozen or the
-// machine is suspended.
+// heartbeat is the last heartbeat of the instance's sf-control. Its times are on the boot clock, so that
+// they also advance while the process is frozen or the machine is suspended.
 type heartbeat struct {
 	at time.Duration
-	// version that sf-control holds.
+	// version of the configuration that sf-control holds.
 	version int64
-	// freshUntil is how long the version may be taken for the newest. It is
-	// counted from a time that this process told sf-control, so that a message
-	// that lay in a buffer says nothing about now.
+	// freshUntil is the time until which the version may be assumed to be the newest. It is relative to a
+	// clock reading that this process sent to sf-control, so that a message that was delayed in a buffer
+	// does not make the configuration look fresh.
 	freshUntil time.Duration
-	// reason is why sf-control does not take the version for the newest.
+	// reason is why sf-control cannot confirm that the version is the newest.
 	reason string
 }
 
-// take keeps a heartbeat. What an earlier one allowed stays allowed.
-func (h *heartbeat) take(next heartbeat, inForce int64) {
+// update replaces the heartbeat. It keeps the freshUntil of an earlier heartbeat if that is later, or if
+// the version of the new heartbeat is not in force yet.
+func (h *heartbeat) update(next heartbeat, inForce int64) {
 	if inForce < next.version || next.freshUntil < h.freshUntil {
 		next.freshUntil = h.freshUntil
 	}
 	*h = next
 }
 
-// stale returns why no new work may be taken on the configuration in force, or
+// checkFresh returns an error that says why no new work may be accepted with the current configuration, or
 // nil.
-func (h *heartbeat) stale(now, limit time.Duration) error {
+func (h *heartbeat) checkFresh(now, limit time.Duration) error {
 	if since := now - h.at; since > limit {
 		return errors.Errorf("no heartbeat from sf-control for %s", since.Round(time.Millisecond))
 	}
@@ -46,17 +46,17 @@
 	return errors.New("the configuration may be out of date: sf-control has not said yet that it is the newest")
 }
 
-// ready returns why the entry takes no new work, or nil.
-func (s *Server) ready() error {
-	return s.state.stale(bootclock.Now(), s.settings.StaleAfter)
+// checkReady returns an error that says why the entry accepts no new work, or nil.
+func (s *Server) checkReady() error {
+	return s.state.checkFresh(bootclock.Now(), s.settings.StaleAfter)
 }
 
-// stale returns why no new work may be taken, or nil.
-func (s *state) stale(now, limit time.Duration) error {
+// checkFresh returns an error that says why no new work may be accepted, or nil.
+func (s *state) checkFresh(now, limit time.Duration) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.doc.Version == 0 {
 		return errors.New("no configuration known yet")
 	}
-	return s.heartbeat.stale(now, limit)
+	return s.heartbeat.checkFresh(now, limit)
 }
--- a/internal/entry/local_service.go
+++ b/internal/entry/local_service.go
@@ -11,12 +11,12 @@
 	sfv1 "sassafrasfield/internal/gen/sf/v1"
 )
 
-// localService answers sf-control of the same instance.
+// localService implements the EntryService, which the instance's sf-control calls.
 type localService struct {
 	server *Server
 }
 
-// Apply implements the EntryService.
+// Apply implements the EntryService. It applies a configuration or a heartbeat.
 func (l *localService) Apply(_ context.Context, req *connect.Request[sfv1.ApplyRequest]) (*connect.Response[sfv1.ApplyResponse], error) {
 	var doc *config.Config
 	if len(req.Msg.Document) > 0 {
@@ -38,11 +38,11 @@
 	return connect.NewResponse(&sfv1.ApplyResponse{Version: version, Clock: int64(bootclock.Now())}), nil
 }
 
-// Status implements the EntryService.
+// Status implements the EntryService. It reports readiness, demand and streams.
 func (l *localService) Status(context.Context, *connect.Request[sfv1.StatusRequest]) (*connect.Response[sfv1.StatusResponse], error) {
 	response := &sfv1.StatusResponse{
 		Version: l.server.state.config().Version,
-		Ready:   !l.server.stopping.Load() && l.server.ready() == nil,
+		Ready:   !l.server.stopping.Load() && l.server.checkReady() == nil,
 		Demand:  l.server.demand.report(l.server.now()),
 	}
 	for id, n := range l.server.state.streams() {
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -6,7 +6,7 @@
 	"sassafrasfield/internal/attempt"
 )
 
-// meters are the counts that /metrics shows.
+// meters are the counters and timers of requests that /metrics shows.
 type meters struct {
 	requests   metrics.Counter
 	answered   metrics.Counter
--- a/internal/entry/overload_bench_test.go
+++ b/internal/entry/overload_bench_test.go
@@ -17,30 +17,29 @@
 	"sassafrasfield/internal/testservers"
 )
 
-// arrivals is an open-loop load of callers that may ask again.
+// arrivals is an open-loop load of callers that may retry.
 type arrivals struct {
 	rate     float64
 	length   time.Duration
 	attempts int
 	// patience is how long a caller waits for the first token of an attempt.
 	patience time.Duration
-	// obey waits as long as Retry-After says; else a caller asks again after
-	// 50 ms.
+	// obey makes callers wait for the time in Retry-After; otherwise they retry after 50 ms.
 	obey   bool
 	prompt int // tokens, different in each request
 	answer int
 }
 
-// record is what one caller saw.
+// record is what one caller observed.
 type record struct {
 	at         time.Duration // of its arrival
-	whole      bool
-	firstToken time.Duration // from its arrival
+	complete   bool
+	firstToken time.Duration // since its arrival
 	attempts   int
-	refusals   []time.Duration // how long each took
+	refusals   []time.Duration // the duration of each refused attempt
 }
 
-// run offers the load; at is called when each second begins.
+// run generates the load; it calls at when each second begins.
 func (a arrivals) run(ctx context.Context, fleet *testfleet.Fleet, seed uint64, at func(second int)) []record {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	caller := testcaller.New(apiKey)
@@ -75,12 +74,12 @@
 		Header: http.Header{callerapi.HeaderDeadline: {strconv.FormatInt(a.patience.Milliseconds(), 10)}},
 	}
 	r, started := record{}, time.Now()
-	for r.attempts < a.attempts && !r.whole {
+	for r.attempts < a.attempts && !r.complete {
 		r.attempts++
 		tried := time.Now()
 		answer, first := a.attempt(ctx, caller, entry, chat)
 		if answer.Done {
-			r.whole, r.firstToken = true, first.Sub(started)
+			r.complete, r.firstToken = true, first.Sub(started)
 			break
 		}
 		wait := 50 * time.Millisecond
@@ -97,7 +96,7 @@
 	return r
 }
 
-// attempt leaves when the first token does not come in time.
+// attempt sends one request, and disconnects if the first token does not come in time.
 func (a arrivals) attempt(ctx context.Context, caller *testcaller.Caller, entry string, chat testcaller.Chat) (testcaller.Answer, time.Time) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -115,11 +114,12 @@
 	return answer, first
 }
 
-// good counts the whole answers to callers of a span of time, a second.
-func good(records []record, from, to time.Duration, within time.Duration) float64 {
+// goodput returns the complete answers per second to callers that arrived in a span of time and got the first
+// token within the given time.
+func goodput(records []record, from, to time.Duration, within time.Duration) float64 {
 	n := 0
 	for _, r := range records {
-		if r.at >= from && r.at < to && r.whole && r.firstToken <= within {
+		if r.at >= from && r.at < to && r.complete && r.firstToken <= within {
 			n++
 		}
 	}
@@ -134,8 +134,8 @@
 	return float64(times[int(q*float64(len(times)-1))].Microseconds()) / 1000
 }
 
-// unguarded takes everything, and retries without bound.
-const unguarded = `[admission]
+// unprotected admits everything and retries without limit.
+const unprotected = `[admission]
 early_refusal = false
 limit_concurrency = false
 backlog = "0s"
@@ -144,9 +144,8 @@
 budget_max = 1e9
 `
 
-// BenchmarkOverload offers twice what two engines can prefill, to two entries,
-// with early refusal and without; with reports that lag; and with the bound on
-// the engines' backlog off.
+// BenchmarkOverload offers two entries twice the load that two engines can prefill: with early refusal and
+// without, with delayed reports, and without the limit on the engines' backlog.
 func BenchmarkOverload(b *testing.B) {
 	for _, mode := range []struct {
 		name, tables string
@@ -157,9 +156,9 @@
 		{"all-guards/seed=6", "", 0, 6},
 		{"all-guards/seed=7", "", 0, 7},
 		{"no-backlog-bound/seed=5", "[admission]\nbacklog = \"0s\"\n", 0, 5},
-		{"none/seed=5", unguarded, 0, 5},
-		{"none/seed=6", unguarded, 0, 6},
-		{"none/seed=7", unguarded, 0, 7},
+		{"none/seed=5", unprotected, 0, 5},
+		{"none/seed=6", unprotected, 0, 6},
+		{"none/seed=7", unprotected, 0, 7},
 		{"all-guards/lag=1s", "", 1000, 5},
 		{"no-backlog-bound/lag=1s", "[admission]\nbacklog = \"0s\"\n", 1000, 5},
 		{"all-guards/lag=5s", "", 5000, 5},
@@ -181,11 +180,11 @@
 				var firsts, refusals []time.Duration
 				for _, r := range records {
 					refusals = append(refusals, r.refusals...)
-					if r.whole {
+					if r.complete {
 						firsts = append(firsts, r.firstToken)
 					}
 				}
-				b.ReportMetric(good(records, 0, load.length, load.patience), "good/s")
+				b.ReportMetric(goodput(records, 0, load.length, load.patience), "good/s")
 				b.ReportMetric(quantile(firsts, 0.5), "p50-first-ms")
 				b.ReportMetric(quantile(firsts, 0.99), "p99-first-ms")
 				b.ReportMetric(quantile(refusals, 0.99), "p99-refusal-ms")
@@ -202,9 +201,8 @@
 	stormEnd  = 24 * time.Second
 )
 
-// BenchmarkRetryStorm takes half of four engines away for a while, under
-// callers that ask again up to four times: slowed to an eighth, refusing, or
-// crashing each second.
+// BenchmarkRetryStorm makes two of four engines fail for a while, under callers that retry up to four
+// times. The engines are slowed down to an eighth, refuse requests, or crash every second.
 func BenchmarkRetryStorm(b *testing.B) {
 	noBudget := "[retry]\nbudget_floor = 1e9\nbudget_max = 1e9\n"
 	slow, refuse, crash := testservers.EngineFaults{SlowFactor: 8}, testservers.EngineFaults{Refuse: true}, testservers.EngineFaults{Crash: true}
@@ -215,13 +213,13 @@
 	}{
 		{"crash/all-guards", "", false, crash},
 		{"crash/no-budget", noBudget, false, crash},
-		{"crash/none", unguarded, false, crash},
+		{"crash/none", unprotected, false, crash},
 		{"refuse/all-guards", "", false, refuse},
 		{"refuse/no-budget", noBudget, false, refuse},
-		{"refuse/none", unguarded, false, refuse},
+		{"refuse/none", unprotected, false, refuse},
 		{"slow/all-guards", "", false, slow},
 		{"slow/all-guards/callers-obey", "", true, slow},
-		{"slow/none", unguarded, false, slow},
+		{"slow/none", unprotected, false, slow},
 	} {
 		b.Run(mode.name, func(b *testing.B) {
 			ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
@@ -254,15 +252,15 @@
 	attempts, never := 0, 0
 	for _, r := range records {
 		attempts += r.attempts
-		if !r.whole {
+		if !r.complete {
 			never++
 		}
 	}
 	const within = time.Second
-	b.ReportMetric(good(records, 0, stormFrom, within), "before/s")
-	b.ReportMetric(good(records, stormFrom, stormTo, within), "during/s")
-	b.ReportMetric(good(records, stormTo, stormTo+3*time.Second, within), "after-3s/s")
-	b.ReportMetric(good(records, stormTo+3*time.Second, stormEnd, within), "after/s")
+	b.ReportMetric(goodput(records, 0, stormFrom, within), "before/s")
+	b.ReportMetric(goodput(records, stormFrom, stormTo, within), "during/s")
+	b.ReportMetric(goodput(records, stormTo, stormTo+3*time.Second, within), "after-3s/s")
+	b.ReportMetric(goodput(records, stormTo+3*time.Second, stormEnd, within), "after/s")
 	b.ReportMetric(float64(attempts)/float64(len(records)), "attempts")
 	b.ReportMetric(float64(never)/float64(len(records)), "never-whole")
 	b.ReportMetric(float64(retriesOf(b, fleet)), "entry-retries")
--- a/internal/entry/plain.go
+++ b/internal/entry/plain.go
@@ -21,16 +21,16 @@
 	"sassafrasfield/internal/service"
 )
 
-// hopHeaders are not passed on. Source: RFC 9110, section 7.6.1.
+// hopHeaders are the headers that are not forwarded. Source: RFC 9110, section 7.6.1.
 var hopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Authorization",
 }
 
-// plainService passes a call on to a plain service.
+// plainService forwards a call to a plain service.
 func (s *Server) plainService(c *echo.Context) error {
 	s.metrics.requests.Inc(1)
-	if _, err := s.freshService(c.Request().URL.Path); err != nil {
+	if _, err := s.currentService(c.Request().URL.Path); err != nil {
 		return err
 	}
 	organisation, err := s.authenticate(c.Request())
@@ -44,11 +44,11 @@
 	if err != nil {
 		return err
 	}
-	svc, err := s.freshService(c.Request().URL.Path) // the body may have taken long
+	svc, err := s.currentService(c.Request().URL.Path) // reading the body may have taken long
 	if err != nil {
 		return err
 	}
-	call := service.Call{Method: c.Request().Method, Path: c.Request().URL.RequestURI(), Header: passOn(c.Request().Header), Body: body}
+	call := service.Call{Method: c.Request().Method, Path: c.Request().URL.RequestURI(), Header: endToEndHeaders(c.Request().Header), Body: body}
 	answer, err := s.runCall(c, svc, organisation, call)
 	if err != nil {
 		return err
@@ -58,12 +58,11 @@
 	return s.writeAnswer(c, answer)
 }
 
-// freshService returns the service of a path. The check comes before the look:
-// a service that was looked up before may be of an older configuration than
-// the one that passes the check.
-func (s *Server) freshService(path string) (*config.Service, error) {
-	if err := s.ready(); err != nil {
-		return nil, notRun("not_ready", err.Error(), defaultRetryIn)
+// currentService returns the service for a path. The freshness check must precede the lookup: a service
+// found before the check may be from an older configuration than the one that passed it.
+func (s *Server) currentService(path string) (*config.Service, error) {
+	if err := s.checkReady(); err != nil {
+		return nil, notRun("not_ready", err.Error(), defaultRetryAfter)
 	}
 	svc := s.serviceFor(path)
 	if svc == nil {
@@ -83,7 +82,7 @@
 	return nil
 }
 
-func passOn(header http.Header) http.Header {
+func endToEndHeaders(header http.Header) http.Header {
 	kept := header.Clone()
 	for _, name := range hopHeaders {
 		kept.Del(name)
@@ -99,13 +98,13 @@
 		answer, err := s.tryCall(ctx, svc, call, repeatable)
 		return answer, callRefusal(err)
 	}
-	answer, err := s.once.Do(ctx, idempotency.Key(svc.Name, organisation.Name, key), call, func(ctx context.Context) (service.Answer, error) {
+	answer, err := s.idempotencyRunner.Do(ctx, idempotency.Key(svc.Name, organisation.Name, key), call, func(ctx context.Context) (service.Answer, error) {
 		return s.tryCall(ctx, svc, call, false)
 	})
 	return answer, callRefusal(err)
 }
 
-// idempotent tells whether a call may be repeated.
+// idempotent reports whether a call may be repeated.
 func idempotent(svc *config.Service, call service.Call) bool {
 	if slices.Contains([]string{http.MethodGet, http.MethodHead, http.MethodOptions}, call.Method) {
 		return true
@@ -119,48 +118,48 @@
 	return slices.Contains([]string{http.MethodPut, http.MethodDelete}, call.Method)
 }
 
-// serviceCall is the way of a call to a plain service's upstreams. It implements
-// attempt.Call.
+// serviceCall is a call to the upstreams of a plain service. It implements attempt.Call.
 type serviceCall struct {
-	server  *Server
-	service *config.Service
-	call    service.Call
-	tries   *attempt.Attempts
-	answer  service.Answer
+	server   *Server
+	service  *config.Service
+	call     service.Call
+	attempts *attempt.Attempts
+	answer   service.Answer
 }
 
-// tryCall sends a call to one upstream after another, as far as its progress
-// allows: one that may not be repeated goes on only from an upstream that ran
-// nothing. Errors: service.ErrNotRun and service.ErrUnknown.
+// tryCall sends a call to one upstream after another as long as a repetition is safe: a call that is not
+// repeatable is sent to another upstream only if the previous one ran nothing. Errors: service.ErrNotRun
+// and service.ErrUnknown.
 func (s *Server) tryCall(ctx context.Context, svc *config.Service, call service.Call, repeatable bool) (service.Answer, error) {
-	tries := attempt.New(attempt.Rules{Repeatable: repeatable, MaxSends: s.settings.Engine.Attempts})
-	c := &serviceCall{server: s, service: svc, call: call, tries: tries}
-	result, verdict := tries.Run(ctx, s.retries, s.now, c)
+	attempts := attempt.New(attempt.Rules{Repeatable: repeatable, MaxSends: s.settings.Engine.Attempts})
+	c := &serviceCall{server: s, service: svc, call: call, attempts: attempts}
+	result, verdict := attempts.Run(ctx, s.retries, s.now, c)
 	if result.Status == attempt.Done {
 		return c.answer, nil
 	}
 	if verdict == attempt.Denied {
-		s.noBudget(tries)
+		s.noBudget(attempts)
 	}
-	if tries.Outcome() == outcome.NotRun {
+	if attempts.Outcome() == outcome.NotRun {
 		return service.Answer{}, errors.WithMessage(service.ErrNotRun, "no upstream took the call")
 	}
 	return service.Answer{}, errors.WithMessage(service.ErrUnknown, "no upstream answered")
 }
 
-// Started implements attempt.Call: the caller gets an answer that is whole.
+// Started implements attempt.Call. It returns false because the answer is sent to the caller only when it
+// is complete.
 func (c *serviceCall) Started() bool { return false }
 
 // Try implements attempt.Call.
 func (c *serviceCall) Try(ctx context.Context) attempt.Result {
 	s, request := c.server, uuid.NewString()
-	upstream, ok := s.state.placeCall(c.service, request, c.tries.Excluded(), s.now())
+	upstream, ok := s.state.placeCall(c.service, request, c.attempts.Excluded(), s.now())
 	if !ok {
 		return attempt.Result{Status: attempt.NoUpstream}
 	}
 	id := servicePrefix + upstream.ID
-	defer func() { s.state.end(id, request, s.now()) }()
-	if err := c.tries.Sent(); err != nil {
+	defer func() { s.state.release(id, request, s.now()) }()
+	if err := c.attempts.Sent(); err != nil {
 		return attempt.Result{Status: attempt.NoUpstream, Err: err}
 	}
 	ctx, span := tracer().Start(ctx, "service call", trace.WithAttributes(attribute.String("upstream", upstream.ID)))
@@ -169,12 +168,12 @@
 	switch {
 	case err == nil:
 		c.answer = answer
-		s.judge(id, load.CallSucceeded)
+		s.recordCall(id, load.CallSucceeded)
 		return attempt.Result{Status: attempt.Done}
 	case errors.Is(err, service.ErrRefused):
-		s.judge(id, load.CallRefused)
+		s.recordCall(id, load.CallRefused)
 	case ctx.Err() == nil:
-		s.judge(id, load.CallFailed)
+		s.recordCall(id, load.CallFailed)
 	}
 	if errors.Is(err, service.ErrNotRun) {
 		return attempt.Result{Status: attempt.Refused, Upstream: upstream.ID, Err: err}
@@ -182,7 +181,7 @@
 	return attempt.Result{Status: attempt.Lost, Upstream: upstream.ID, Err: err}
 }
 
-// callRefusal turns an error of a call into the answer to the caller.
+// callRefusal converts the error of a call to the response to the caller.
 func callRefusal(err error) error {
 	switch {
 	case err == nil:
@@ -193,19 +192,19 @@
 			Code: "idempotency_key_reused", Outcome: callerapi.OutcomeNotRun,
 		}}
 	case errors.Is(err, idempotency.ErrRunning):
-		r := unknown("in_progress", "the key is claimed, and no answer can be read yet; ask again with the same key")
-		r.status, r.retryIn = http.StatusConflict, defaultRetryIn
+		r := unknownOutcome("in_progress", "the key is claimed, and no answer can be read yet; ask again with the same key")
+		r.status, r.retryAfter = http.StatusConflict, defaultRetryAfter
 		return r
 	case errors.Is(err, idempotency.ErrNotRun), errors.Is(err, service.ErrNotRun):
-		return notRun("not_run", "this call was not sent; try again with the same key", defaultRetryIn)
+		return notRun("not_run", "this call was not sent; try again with the same key", defaultRetryAfter)
 	default:
-		return unknown("outcome_unknown", "no answer came or was kept; the call may have run, and is not run again with this key")
+		return unknownOutcome("outcome_unknown", "no answer came or was kept; the call may have run, and is not run again with this key")
 	}
 }
 
 func (s *Server) writeAnswer(c *echo.Context, answer service.Answer) error {
 	header := c.Response().Header()
-	for name, values := range passOn(answer.Header) {
+	for name, values := range endToEndHeaders(answer.Header) {
 		header[name] = values
 	}
 	c.Response().WriteHeader(answer.Status)
--- a/internal/entry/prediction.go
+++ b/internal/entry/prediction.go
@@ -7,55 +7,55 @@
 	"sassafrasfield/internal/placement"
 )
 
-// predict returns the time to the first token of a request that goes on now.
-// The lock is held.
+// predict predicts the time to the first token of a request if it is admitted now. The caller must hold
+// a.mu.
 func (a *admission) predict(comp *completion, g *modelGate) admit.Prediction {
 	loads := a.server.state.engineLoads(&placement.Request{
-		Model: comp.name, Adapter: comp.adapter, Version: comp.version,
+		Model: comp.modelName, Adapter: comp.adapter, Version: comp.version,
 		Prompt: placement.Prompt{Tokens: comp.promptTokens}, Prefix: a.server.prefix(comp), Now: a.server.now(),
 	})
 	return admit.Predict(loads, comp.promptTokens, g.gate.ServiceTime())
 }
 
-// predictor predicts for those who wait at a gate. The lock is held.
+// predictor returns a function that predicts for the requests that wait at a gate. The function must be
+// called with a.mu held.
 func (a *admission) predictor(g *modelGate) func(admit.Ticket) admit.Prediction {
 	return func(t admit.Ticket) admit.Prediction {
 		comp := g.waiting[t.ID].comp
 		prediction := a.predict(comp, g)
-		comp.expect(prediction, a.server.now())
+		comp.setExpected(prediction, a.server.now())
 		return prediction
 	}
 }
 
-// expect keeps the newest prediction, until the request is admitted by it.
-func (c *completion) expect(p admit.Prediction, now time.Duration) {
-	c.expected = 0
+// setExpected stores the latest prediction. The one that applies is the last before the admission.
+func (c *completion) setExpected(p admit.Prediction, now time.Duration) {
+	c.expectedFirstToken = 0
 	if p.Known {
-		c.expected = now + p.FirstToken
+		c.expectedFirstToken = now + p.FirstToken
 	}
 }
 
-// firstToken records that the first token of a request came.
+// firstToken records the arrival of a request's first token.
 func (a *admission) firstToken(comp *completion) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.observe(comp, a.server.now())
 }
 
-// observe compares the prediction with what came. The lock is held.
+// observe compares the predicted time of the first token with the actual one. The caller must hold a.mu.
 func (a *admission) observe(comp *completion, now time.Duration) {
-	if comp.expected > 0 {
-		a.gateOf(comp.name).gate.Observe(now-comp.expected, now)
+	if comp.expectedFirstToken > 0 {
+		a.gateOf(comp.modelName).gate.Observe(now-comp.expectedFirstToken, now)
 	}
-	comp.expected = 0
+	comp.expectedFirstToken = 0
 }
 
-// engineLoads returns the picture of the engines that could make the request's
-// first token.
+// engineLoads returns the loads of the engines that are eligible to generate the request's first token.
 func (s *state) engineLoads(req *placement.Request) []admit.EngineLoad {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	req.Zone, req.Draining, req.Phase = s.zone, s.leaving, placement.PhasePrefill
+	req.Zone, req.Draining, req.Phase = s.zone, s.draining, placement.PhasePrefill
 	var loads []admit.EngineLoad
 	for _, c := range s.scheduler.Eligible(req, s.candidates(req.Now)) {
 		loads = append(loads, engineLoad(req, c))
--- a/internal/entry/priority.go
+++ b/internal/entry/priority.go
@@ -10,11 +10,11 @@
 	"sassafrasfield/internal/callerapi"
 )
 
-// longestDeadline bounds the deadline that a caller may name.
-const longestDeadline = 10 * time.Minute
+// maxDeadline is the maximum deadline that a caller may set.
+const maxDeadline = 10 * time.Minute
 
-// readUrgency reads the headers for priority and deadline.
-func readUrgency(comp *completion, header http.Header) error {
+// readPriorityAndDeadline reads the headers for priority and deadline.
+func readPriorityAndDeadline(comp *completion, header http.Header) error {
 	if text := header.Get(callerapi.HeaderPriority); text != "" {
 		priority, err := strconv.Atoi(text)
 		if err != nil || priority < admit.MinPriority || priority > admit.MaxPriority {
@@ -24,8 +24,8 @@
 	}
 	if text := header.Get(callerapi.HeaderDeadline); text != "" {
 		ms, err := strconv.Atoi(text)
-		if err != nil || ms < 1 || ms > int(longestDeadline.Milliseconds()) {
-			return badRequest(callerapi.HeaderDeadline, fmt.Sprintf("want milliseconds from 1 to %d", longestDeadline.Milliseconds()))
+		if err != nil || ms < 1 || ms > int(maxDeadline.Milliseconds()) {
+			return badRequest(callerapi.HeaderDeadline, fmt.Sprintf("want milliseconds from 1 to %d", maxDeadline.Milliseconds()))
 		}
 		comp.deadline = time.Duration(ms) * time.Millisecond
 	}
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -14,108 +14,111 @@
 	"sassafrasfield/internal/quarantine"
 )
 
-// errSetApart: no engine may get the request.
-var errSetApart = errors.New("entry: engines ended under its content")
+// errQuarantined: the request's content is quarantined, so it must not be sent to any engine.
+var errQuarantined = errors.New("entry: content is quarantined")
 
-// The question whether an engine's process has ended is asked until there is a word on it:
-// an answer says that it lives, a refused connection that it ended. A machine that is slow
-// or loses packets gives neither for a while, and a guard that took this for innocence let
-// one prompt end three or four of five engines (7 of 30 runs beside six busy processes).
+// After a stream broke, the engine's status is probed until the result is conclusive: a response shows
+// that the process is alive, a refused connection that it crashed. A machine that is slow or loses packets
+// gives neither for a while. When an inconclusive probe counted as alive, one prompt crashed three or four
+// of five engines (in 7 of 30 runs with six other busy processes on the machine).
 const (
-	// endedTimeout bounds one question: the machine of an ended process refuses at once.
-	endedTimeout = 200 * time.Millisecond
-	// endedAgain is the pause between two questions.
-	endedAgain = 50 * time.Millisecond
-	// endedWithin bounds the wait for a word; the request waits as long before another
-	// engine gets it, which callers whose engine fell silent bear anyway.
-	endedWithin = 3 * time.Second
+	// crashProbeTimeout bounds one probe. The machine of a crashed process refuses the connection at once.
+	crashProbeTimeout = 200 * time.Millisecond
+	// crashProbeInterval is the pause between two probes.
+	crashProbeInterval = 50 * time.Millisecond
+	// crashCheckTimeout bounds the wait for a conclusive probe. The request waits this long before it is
+	// sent to another engine, which a caller whose engine fell silent must tolerate anyway.
+	crashCheckTimeout = 3 * time.Second
 )
 
-// sameEnd is the time in which ends of an engine whose boot is not known count as one:
-// all that it has ends with it.
-const sameEnd = time.Second
+// sameCrashWindow is the time within which failures of an engine whose boot id is unknown count as one
+// crash, because a crash breaks all streams of the engine at once.
+const sameCrashWindow = time.Second
 
-// contents are those of the requests under which engines ended, as this entry saw it. It
-// keeps a prompt that ends its engines from ending all: one request alone is sent to as
-// many as it has attempts, and callers ask again. Of five engines, two end and not all.
-type contents struct {
+// quarantines records the contents of requests during which engines crashed, as observed by this entry. It
+// keeps a content that crashes engines from crashing all of them: a single request is sent to as many
+// engines as it has attempts, and callers repeat it. With the quarantine, two of five engines crash
+// instead of all.
+type quarantines struct {
 	mu    sync.Mutex // protects table
 	table *quarantine.Table
 }
 
-func newContents() *contents {
-	return &contents{table: quarantine.NewTable(quarantine.DefaultSettings())}
+func newQuarantines() *quarantines {
+	return &quarantines{table: quarantine.NewTable(quarantine.DefaultSettings())}
 }
 
-// apart tells whether no engine may get a content.
-func (c *contents) apart(content quarantine.Content) bool {
+// quarantined reports whether a content is quarantined.
+func (c *quarantines) quarantined(content quarantine.Content) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.table.Quarantined(content, bootclock.Now())
 }
 
-// ended counts the end of an engine's boot against a content.
-func (c *contents) ended(content quarantine.Content, boot string) (apart bool, ends int) {
+// recordCrash records the crash of an engine under a content. It returns whether the crash starts a
+// quarantine of the content, and how many crashes count against the content.
+func (c *quarantines) recordCrash(content quarantine.Content, boot string) (quarantined bool, crashes int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := bootclock.Now()
 	c.table.Expire(now)
-	for _, lapsed := range c.table.Expired(now) {
-		c.table.Release(lapsed)
+	for _, expired := range c.table.Expired(now) {
+		c.table.Release(expired)
 	}
-	apart = c.table.RecordCrash(quarantine.Crash{Content: content, Upstream: uint32(xxhash.Sum64String(boot))}, now)
-	return apart, c.table.Crashes(content)
+	quarantined = c.table.RecordCrash(quarantine.Crash{Content: content, Upstream: uint32(xxhash.Sum64String(boot))}, now)
+	return quarantined, c.table.Crashes(content)
 }
 
-// served notes that a content was answered whole.
-func (c *contents) served(content quarantine.Content) {
+// recordServed records that a request with this content was answered completely.
+func (c *quarantines) recordServed(content quarantine.Content) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.table.RecordServed(content, bootclock.Now())
 }
 
-// setApart is the refusal of a request that no engine may get. Its caller is not told to
-// come back.
-func setApart() error {
+// quarantineRefusal returns the refusal of a request with a quarantined content. It has no Retry-After, so
+// that the caller is not asked to repeat the request.
+func quarantineRefusal() error {
 	return notRun("content_set_apart", "engines ended while they had this request's content; it is not sent on now", 0)
 }
 
-// noteEnd counts a broken stream against its content if its engine has ended.
-func (s *Server) noteEnd(ctx context.Context, id, boot string, client engine.Engine, comp *completion, err error) {
+// recordIfCrashed records a crash under the request's content if its stream broke because the engine
+// crashed.
+func (s *Server) recordIfCrashed(ctx context.Context, id, boot string, client engine.Engine, comp *completion, err error) {
 	if !errors.Is(err, engine.ErrBroken) {
 		return
 	}
-	if !hasEnded(ctx, client) {
+	if !hasCrashed(ctx, client) {
 		return
 	}
-	if boot == "" { // it ended before it told
-		boot = "at " + s.now().Truncate(sameEnd).String()
+	if boot == "" { // it crashed before it reported its boot id
+		boot = "at " + s.now().Truncate(sameCrashWindow).String()
 	}
-	apart, ends := s.contents.ended(comp.content, id+"@"+boot)
-	s.log.Info("request: engine ended", "request", comp.id, "engine", id, "boot", boot, "content", comp.content, "ends", ends, "apart", apart)
+	quarantined, crashes := s.quarantines.recordCrash(comp.content, id+"@"+boot)
+	s.log.Info("request: engine crashed", "request", comp.id, "engine", id, "boot", boot, "content", comp.content, "ends", crashes, "apart", quarantined)
 }
 
-// hasEnded finds out whether an engine's process has ended; without a word within
-// endedWithin it counts as living.
-func hasEnded(ctx context.Context, client engine.Engine) bool {
-	ctx, cancel := context.WithTimeout(ctx, endedWithin)
+// hasCrashed reports whether an engine's process has crashed. If no probe is conclusive within
+// crashCheckTimeout, the process is treated as alive.
+func hasCrashed(ctx context.Context, client engine.Engine) bool {
+	ctx, cancel := context.WithTimeout(ctx, crashCheckTimeout)
 	defer cancel()
 	for {
-		err := askStatus(ctx, client)
+		err := probeStatus(ctx, client)
 		if errors.Is(err, engine.ErrUnreachable) {
 			return true
 		}
-		answered := !errors.Is(err, engine.ErrBroken)
-		if answered || !pause.For(ctx, endedAgain) {
+		conclusive := !errors.Is(err, engine.ErrBroken)
+		if conclusive || !pause.For(ctx, crashProbeInterval) {
 			return false
 		}
 	}
 }
 
-// askStatus asks an engine once. Errors: engine.ErrUnreachable when its process has ended,
-// engine.ErrBroken when there is no word on it.
-func askStatus(ctx context.Context, client engine.Engine) error {
-	ctx, cancel := context.WithTimeout(ctx, endedTimeout)
+// probeStatus requests an engine's status once. Errors: engine.ErrUnreachable if its process has crashed,
+// engine.ErrBroken if the result is inconclusive.
+func probeStatus(ctx context.Context, client engine.Engine) error {
+	ctx, cancel := context.WithTimeout(ctx, crashProbeTimeout)
 	defer cancel()
 	_, err := client.Status(ctx)
 	return err
--- a/internal/entry/quarantine_test.go
+++ b/internal/entry/quarantine_test.go
@@ -9,17 +9,17 @@
 	"sassafrasfield/internal/testservers"
 )
 
-// ending is the prompt that ends the engines of the test.
-const ending = "a prompt that ends its engine"
+// crashingPrompt is the prompt that crashes the engines of the test.
+const crashingPrompt = "a prompt that crashes its engine"
 
-// TestAContentThatEndsEnginesLeavesTheOthersAlone: all generations may be repeated here,
-// so that one request ends as many engines as it is sent to, and it comes again. Seen
-// before it was mended: all five engines ended.
-func TestAContentThatEndsEnginesLeavesTheOthersAlone(t *testing.T) {
+// TestQuarantineStopsCrashingContent guards against a content that crashes all engines. All generations
+// may be repeated here, so one request crashes as many engines as it is sent to, and callers send it
+// again. Without the quarantine all five engines crashed.
+func TestQuarantineStopsCrashingContent(t *testing.T) {
 	ctx := testContext(t)
 	fleet := startFleet(ctx, t, fleetOptions{instances: 1, engines: 5})
 	for _, e := range fleet.Engines {
-		setFaults(ctx, t, e, testservers.EngineFaults{EndOn: ending})
+		setFaults(ctx, t, e, testservers.EngineFaults{EndOn: crashingPrompt})
 	}
 	ask := func(prompt string) testcaller.Answer {
 		t.Helper()
@@ -31,22 +31,22 @@
 		return answer
 	}
 	for range 4 {
-		ask(ending)
+		ask(crashingPrompt)
 	}
-	ended := 0
+	crashed := 0
 	for _, e := range fleet.Engines {
 		select {
 		case <-e.Process.Done():
-			ended++
+			crashed++
 		default:
 		}
 	}
-	if ended == 0 || ended > 2 {
-		t.Errorf("%d of %d engines ended, want two at most", ended, len(fleet.Engines))
+	if crashed == 0 || crashed > 2 {
+		t.Errorf("%d of %d engines crashed, want 1 or 2", crashed, len(fleet.Engines))
 	}
-	answer := ask(ending)
+	answer := ask(crashingPrompt)
 	if answer.Error == nil || answer.Error.Code != "content_set_apart" || answer.Error.Outcome != callerapi.OutcomeNotRun || answer.RetryAfter != "" {
-		t.Errorf("the content again: %+v, %+v", answer, answer.Error)
+		t.Errorf("the quarantined content: %+v, %+v", answer, answer.Error)
 	}
 	err := testfleet.Until(ctx, "another content is served", func() bool { return ask("another prompt").Done })
 	if err != nil {
--- a/internal/entry/rate_exchange.go
+++ b/internal/entry/rate_exchange.go
@@ -8,7 +8,7 @@
 	sfv1 "sassafrasfield/internal/gen/sf/v1"
 )
 
-// Demand implements the EntryService.
+// Demand implements the EntryService. It returns the demand of each organisation at this entry.
 func (l *localService) Demand(context.Context, *connect.Request[sfv1.DemandRequest]) (*connect.Response[sfv1.DemandResponse], error) {
 	r := l.server.rates
 	r.mu.Lock()
@@ -20,7 +20,8 @@
 	return connect.NewResponse(response), nil
 }
 
-// Share implements the EntryService.
+// Share implements the EntryService. It sets the number of entries and the total demand of each
+// organisation.
 func (l *localService) Share(_ context.Context, req *connect.Request[sfv1.ShareRequest]) (*connect.Response[sfv1.ShareResponse], error) {
 	entries := int(req.Msg.Entries)
 	l.server.admission.setEntries(entries)
--- a/internal/entry/rates.go
+++ b/internal/entry/rates.go
@@ -15,18 +15,18 @@
 	"sassafrasfield/internal/tomlfile"
 )
 
-// RateSettings set how an organisation's rate is divided between the entries.
+// RateSettings configure how an organisation's rate is divided among the entries.
 type RateSettings struct {
-	// Floor is the part of the rate, from 0 to 1, that each entry has an equal
-	// part of whatever its traffic. Default 0.1.
+	// Floor is the fraction of the rate, from 0 to 1, that is divided equally among the entries whatever
+	// their traffic. Default 0.1.
 	Floor float64 `toml:"floor"`
-	// Window is the time constant of the observed demand. Default 1s.
+	// Window is the time constant of the measured demand. Default 1s.
 	Window time.Duration `toml:"window"`
-	// SmallestBurst is how many requests each entry takes at once at least, if
-	// the organisation's burst has as many. Default 4.
+	// SmallestBurst is the minimum burst of requests that each entry accepts, if the organisation's burst
+	// is at least that large. Default 4.
 	SmallestBurst int `toml:"smallest_burst"`
-	// KeepTotals is how long the demand told by sf-control counts; after that
-	// the rate is divided equally. Default 5s.
+	// KeepTotals is how long the total demand received from sf-control is used; after that the rate is
+	// divided equally. Default 5s.
 	KeepTotals time.Duration `toml:"keep_totals"`
 }
 
@@ -41,7 +41,7 @@
 	settings.Between(file, "rate.keep_totals", r.KeepTotals, 100*time.Millisecond, 10*time.Minute)
 }
 
-// rates is the entry's limiter. It is safe for use by several goroutines.
+// rates is the entry's rate limiter. It is safe for concurrent use.
 type rates struct {
 	mu      sync.Mutex // protects limiter
 	limiter *limit.Limiter
@@ -59,7 +59,7 @@
 	return r.limiter.Take(o.Name, ruleOf(o), now)
 }
 
-func (r *rates) charge(o *config.Organisation, now time.Duration) limit.Verdict {
+func (r *rates) takeWithDebt(o *config.Organisation, now time.Duration) limit.Verdict {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.limiter.TakeWithDebt(o.Name, ruleOf(o), now)
@@ -69,19 +69,19 @@
 	return limit.Rule{Rate: o.RequestsPerSecond, Burst: float64(o.Burst)}
 }
 
-// Headers of the callers' protocol that tell of the limit.
+// Headers of the caller protocol that describe the rate limit.
 const (
 	headerLimit     = "X-Ratelimit-Limit-Requests"
 	headerRemaining = "X-Ratelimit-Remaining-Requests"
 	headerReset     = "X-Ratelimit-Reset-Requests"
 )
 
-// withinRate takes one request of the organisation's rate, or refuses it. What
-// was accepted before goes first, within one more burst.
+// withinRate takes one request from the organisation's rate, or returns a refusal. A request that was
+// accepted earlier, such as a resumed one, has precedence and may exceed the limit by one more burst.
 func (s *Server) withinRate(c *echo.Context, o *config.Organisation, accepted bool) error {
 	decide := s.rates.take
 	if accepted {
-		decide = s.rates.charge
+		decide = s.rates.takeWithDebt
 	}
 	verdict := decide(o, s.now())
 	if !verdict.Limited {
--- a/internal/entry/reports.go
+++ b/internal/entry/reports.go
@@ -10,14 +10,14 @@
 	"sassafrasfield/internal/load"
 )
 
-// readPatience is how many periods a read of an engine may take.
-const readPatience = 5
+// maxReadPeriods is the timeout of a read from an engine, in polling periods.
+const maxReadPeriods = 5
 
-// poller reads something of each engine now and then. An engine that does not
-// answer holds up no read of the others.
+// poller reads from each engine periodically. An engine that does not answer does not delay the reads from
+// the others.
 type poller struct {
 	every time.Duration
-	// engines are those to read.
+	// engines returns the engines to read from.
 	engines func() []*config.Engine
 	read    func(ctx context.Context, e *config.Engine)
 
@@ -25,14 +25,14 @@
 	reading map[string]bool
 }
 
-// run reads until the context ends.
+// run polls until the context is cancelled.
 func (p *poller) run(ctx context.Context) {
 	ticker := time.NewTicker(p.every)
 	defer ticker.Stop()
 	for {
 		for _, e := range p.engines() {
-			if p.begin(e.ID) {
-				go p.one(ctx, e)
+			if p.tryStart(e.ID) {
+				go p.readOne(ctx, e)
 			}
 		}
 		select {
@@ -43,15 +43,15 @@
 	}
 }
 
-func (p *poller) one(ctx context.Context, e *config.Engine) {
-	defer p.end(e.ID)
-	ctx, cancel := context.WithTimeout(ctx, readPatience*p.every)
+func (p *poller) readOne(ctx context.Context, e *config.Engine) {
+	defer p.finish(e.ID)
+	ctx, cancel := context.WithTimeout(ctx, maxReadPeriods*p.every)
 	defer cancel()
 	p.read(ctx, e)
 }
 
-// begin reports whether no read of the engine is under way, and marks one.
-func (p *poller) begin(id string) bool {
+// tryStart marks a read of the engine as in progress, and returns false if one already was.
+func (p *poller) tryStart(id string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.reading[id] {
@@ -64,13 +64,13 @@
 	return true
 }
 
-func (p *poller) end(id string) {
+func (p *poller) finish(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.reading, id)
 }
 
-// reportLoop reads the load reports, and the cache events when they are used.
+// reportLoop polls the engines' load reports, and their cache events if the routing policy uses them.
 func (s *Server) reportLoop(ctx context.Context) {
 	if s.settings.Routing.Policy.UsesPrefixHints() {
 		events := poller{every: s.settings.Routing.EventsEvery, engines: s.state.watched, read: s.readEvents}
@@ -82,7 +82,7 @@
 
 func (s *Server) readReport(ctx context.Context, e *config.Engine) {
 	report, err := s.engineAt(e.Address).Report(ctx)
-	defer func() { s.state.measure(s.now()) }()
+	defer func() { s.state.updateGauges(s.now()) }()
 	if err != nil {
 		s.state.meters.reportsFailed.Inc(1)
 		return
@@ -98,9 +98,9 @@
 	}
 }
 
-// engineAccepted takes the engine's number for a request from its answer, and returns the
-// engine's boot; empty when it gave none.
-func (s *Server) engineAccepted(id, request string, source engine.Stream) string {
+// recordAcceptance records the sequence number that the engine gave a request, and returns the engine's
+// boot id. It returns an empty string if the engine gave no number.
+func (s *Server) recordAcceptance(id, request string, source engine.Stream) string {
 	numbered, ok := source.(engine.Numbered)
 	if !ok {
 		return ""
@@ -110,9 +110,9 @@
 	return boot
 }
 
-// judge records what a call told of an upstream.
-func (s *Server) judge(id string, v load.CallResult) {
-	if s.state.judge(id, v, s.now()) {
+// recordCall records the result of a call to an upstream for its health, and logs an ejection.
+func (s *Server) recordCall(id string, result load.CallResult) {
+	if s.state.recordCall(id, result, s.now()) {
 		s.state.meters.ejections.Inc(1)
 		s.log.Warn("route: ejected", "upstream", id)
 	}
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -20,46 +20,45 @@
 	"sassafrasfield/internal/stream"
 )
 
-// charsPerToken estimates the tokens of a prompt without a tokenizer.
+// charsPerToken is used to estimate the number of tokens of a prompt without a tokenizer.
 const charsPerToken = 4
 
-// completion is a caller's request, checked.
+// completion is a validated completion request.
 type completion struct {
-	id           string
-	organisation *config.Organisation
-	model        string // as the caller wrote it
-	name         string
-	adapter      string
-	version      string
-	prompt       string
-	promptTokens int
-	maxTokens    int
-	seed         int64
-	priority     int
-	sampling     engine.Sampling
-	// pool that the request was placed in last.
+	id             string
+	organisation   *config.Organisation
+	requestedModel string // as the caller wrote it, with adapter and version
+	modelName      string
+	adapter        string
+	version        string
+	prompt         string
+	promptTokens   int
+	maxTokens      int
+	seed           int64
+	priority       int
+	sampling       engine.Sampling
+	// pool is the pool in which the request was placed last.
 	pool string
-	// kvHandle names the prompt's KV cache at the engine that is to decode.
+	// kvHandle is the handle of the prompt's KV cache at the decode engine.
 	kvHandle string
-	// prefix has the hashes of the prompt's blocks, once Server.prefix made them.
+	// prefix has the hashes of the prompt's blocks once Server.prefix has computed them.
 	prefix []uint64
-	// deadline is the time to the first token that the caller can bear; 0 when
-	// it did not say.
+	// deadline is the longest time to the first token that the caller accepts; 0 if the caller set none.
 	deadline time.Duration
-	// expected is when the first token was predicted to come; 0 when it was
-	// not, or has come.
-	expected time.Duration
-	// admitted is when the request was let go on.
-	admitted     time.Duration
+	// expectedFirstToken is the predicted time of the first token; 0 if there is no prediction or the
+	// first token has come.
+	expectedFirstToken time.Duration
+	// admittedAt is when the request was admitted.
+	admittedAt   time.Duration
 	streamed     bool
 	includeUsage bool
-	// resume is the token of a broken answer, or nil.
+	// resume is the token of an interrupted answer that is to be resumed, or nil.
 	resume *stream.Token
-	// content names what is asked for; a request that is sent again has the same one.
+	// content is the hash of the requested content, which is the same when the request is sent again.
 	content quarantine.Content
 }
 
-// readCompletion reads and checks a request.
+// readCompletion reads and validates a request.
 func (s *Server) readCompletion(c *echo.Context) (*completion, error) {
 	organisation, err := s.authenticate(c.Request())
 	if err != nil {
@@ -77,7 +76,7 @@
 		organisation: organisation, streamed: req.Stream,
 		content: quarantine.ContentOf(c.Request().Method, "", c.Request().URL.Path, body),
 	}
-	if err := s.fill(comp, &req); err != nil {
+	if err := s.applyBody(comp, &req); err != nil {
 		return nil, err
 	}
 	if err := s.readHeaders(comp, c.Request().Header); err != nil {
@@ -97,7 +96,7 @@
 func (s *Server) readBody(c *echo.Context) ([]byte, error) {
 	limit := int64(s.settings.Limits.MaxBodyBytes)
 	connection := http.NewResponseController(c.Response())
-	_ = connection.SetReadDeadline(time.Now().Add(s.settings.BodyTimeout)) // a test's recorder has none
+	_ = connection.SetReadDeadline(time.Now().Add(s.settings.BodyTimeout)) // a response recorder in tests has no deadline
 	body, err := io.ReadAll(http.MaxBytesReader(c.Response(), c.Request().Body, limit))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
@@ -109,14 +108,14 @@
 	if err != nil {
 		return nil, badRequest("", "the body could not be read whole")
 	}
-	_ = connection.SetReadDeadline(time.Time{}) // from here on a read only waits for the caller to leave
+	_ = connection.SetReadDeadline(time.Time{}) // from here on, a read only detects that the caller disconnects
 	return body, nil
 }
 
-func (s *Server) fill(comp *completion, req *callerapi.Request) error {
-	comp.model = req.Model
-	comp.name, comp.adapter, comp.version = callerapi.SplitModel(req.Model)
-	model := s.state.config().Model(comp.name)
+func (s *Server) applyBody(comp *completion, req *callerapi.Request) error {
+	comp.requestedModel = req.Model
+	comp.modelName, comp.adapter, comp.version = callerapi.SplitModel(req.Model)
+	model := s.state.config().Model(comp.modelName)
 	if model == nil || !mayUse(model, comp.organisation) {
 		return notFound("model_not_found", fmt.Sprintf("the model %q does not exist or is not yours to use", req.Model))
 	}
@@ -156,7 +155,7 @@
 }
 
 func (s *Server) readHeaders(comp *completion, header http.Header) error {
-	if err := readUrgency(comp, header); err != nil {
+	if err := readPriorityAndDeadline(comp, header); err != nil {
 		return err
 	}
 	return comp.identify(header.Get(headerLastEventID))
--- a/internal/entry/resume.go
+++ b/internal/entry/resume.go
@@ -12,13 +12,13 @@
 	"sassafrasfield/internal/stream"
 )
 
-// headerLastEventID is the header with which server-sent events are resumed.
+// headerLastEventID is the header with which a caller resumes server-sent events.
 const headerLastEventID = "Last-Event-ID"
 
-// identify names the request: anew, or after the token of a broken answer. The
-// name ends with a checksum of the organisation and of what was asked, so that
-// nobody gets at another's stream, and no answer goes on as another's: both
-// are known from the request itself, so the token needs no secret.
+// identify sets the request's id: a new one, or the id in the token of an interrupted answer. The id ends
+// with a checksum of the organisation and the request's parameters, so that a caller can neither read
+// another organisation's stream nor continue an answer to a different request. Both are known from the
+// request itself, so the token needs no secret.
 func (c *completion) identify(token string) error {
 	binding := c.binding()
 	if token == "" {
@@ -43,13 +43,13 @@
 	return nil
 }
 
-// binding is a checksum of who asks for what.
+// binding returns the checksum of the organisation and the request's parameters.
 func (c *completion) binding() string {
 	asked, err := json.Marshal(struct {
 		Organisation, Model, Prompt string
 		MaxTokens                   int
 		Sampling                    engine.Sampling
-	}{c.organisation.Name, c.model, c.prompt, c.maxTokens, c.sampling})
+	}{c.organisation.Name, c.requestedModel, c.prompt, c.maxTokens, c.sampling})
 	if err != nil {
 		return "" // plain data always marshals
 	}
--- a/internal/entry/retry.go
+++ b/internal/entry/retry.go
@@ -9,19 +9,18 @@
 	"sassafrasfield/internal/tomlfile"
 )
 
-// RetrySettings bound the retries of an entry.
+// RetrySettings limit the retries of an entry.
 type RetrySettings struct {
-	// BudgetShare is how many retries each success pays for. Default 0.1.
+	// BudgetShare is the number of retries that each success adds to the budget. Default 0.1.
 	BudgetShare float64 `toml:"budget_share"`
-	// BudgetFloor is how many retries a second are allowed without any
-	// success. Default 1.
+	// BudgetFloor is the number of retries per second that are allowed without any success. Default 1.
 	BudgetFloor float64 `toml:"budget_floor"`
-	// BudgetMax is how many retries can be saved up. Default 20.
+	// BudgetMax is the maximum number of retries in the budget. Default 20.
 	BudgetMax float64 `toml:"budget_max"`
-	// BackoffBase bounds the random wait before the first retry; the bound
-	// doubles with each. Default 25ms.
+	// BackoffBase is the upper bound of the random delay before the first retry; it doubles with each
+	// further retry. Default 25ms.
 	BackoffBase time.Duration `toml:"backoff_base"`
-	// BackoffMax bounds each wait. Default 500ms.
+	// BackoffMax is the upper bound of each delay. Default 500ms.
 	BackoffMax time.Duration `toml:"backoff_max"`
 }
 
@@ -32,13 +31,13 @@
 	}
 }
 
-// mostRetries bounds the settings of the budget; it stands for no budget.
-const mostRetries = 1e9
+// maxRetrySetting is the maximum of the budget settings; with it, retries are unlimited in practice.
+const maxRetrySetting = 1e9
 
 func (r *RetrySettings) check(file *tomlfile.File) {
-	floatBetween(file, "retry.budget_share", r.BudgetShare, 0, mostRetries)
-	floatBetween(file, "retry.budget_floor", r.BudgetFloor, 0, mostRetries)
-	floatBetween(file, "retry.budget_max", r.BudgetMax, 1, mostRetries)
+	floatBetween(file, "retry.budget_share", r.BudgetShare, 0, maxRetrySetting)
+	floatBetween(file, "retry.budget_floor", r.BudgetFloor, 0, maxRetrySetting)
+	floatBetween(file, "retry.budget_max", r.BudgetMax, 1, maxRetrySetting)
 	settings.Between(file, "retry.backoff_base", r.BackoffBase, 0, time.Minute)
 	settings.Between(file, "retry.backoff_max", r.BackoffMax, r.BackoffBase, time.Minute)
 }
@@ -54,7 +53,7 @@
 	return attempt.NewBudget(rules, retry.Backoff{Base: s.BackoffBase, Max: s.BackoffMax}, meters, nil, 0)
 }
 
-// noBudget tells that a request was not tried again for want of budget.
-func (s *Server) noBudget(tries *attempt.Attempts) {
-	s.log.Info("retry: no budget left", "error", tries.LastError())
+// noBudget logs that a request was not retried because the retry budget is exhausted.
+func (s *Server) noBudget(attempts *attempt.Attempts) {
+	s.log.Info("retry: budget exhausted", "error", attempts.LastError())
 }
--- a/internal/entry/retry_test.go
+++ b/internal/entry/retry_test.go
@@ -12,10 +12,9 @@
 	"sassafrasfield/internal/testservers"
 )
 
-// All engines refuse: without successes there is no budget, so no request is
-// tried twice, and each is told at once that it did not run. Once the engines
-// are back all requests succeed, and a tenth of the successes is what the next
-// failure may spend.
+// While all engines refuse, there are no successes and so no retry budget: no request may be tried twice,
+// and each is answered at once with not_run. After the engines recover all requests succeed, and a later
+// failure may use retries for at most a tenth of the successes.
 func TestRetryStormKeepsToBudget(t *testing.T) {
 	ctx := testContext(t)
 	fleet := startFleet(ctx, t, fleetOptions{
@@ -57,7 +56,7 @@
 	}
 }
 
-// storm sends requests at once and returns the answers.
+// storm sends n requests concurrently and returns the answers.
 func storm(ctx context.Context, t *testing.T, fleet *testfleet.Fleet, n int) []testcaller.Answer {
 	t.Helper()
 	caller := testcaller.New(apiKey)
--- a/internal/entry/routing.go
+++ b/internal/entry/routing.go
@@ -11,22 +11,21 @@
 	"sassafrasfield/internal/placement"
 )
 
-// servicePrefix keeps the ids of plain services' upstreams apart from those of
-// engines in the table.
+// servicePrefix distinguishes the ids of plain services' upstreams from those of engines in the load
+// table.
 const servicePrefix = "service/"
 
-// prefixBlocksAtMost bounds the blocks of a prompt that are hashed for prefix
-// hints.
-const prefixBlocksAtMost = 1024
+// maxPrefixBlocks is the maximum number of a prompt's blocks that are hashed for prefix hints.
+const maxPrefixBlocks = 1024
 
-// routeMeters count what routing did.
+// routeMeters are the counters and gauges of routing.
 type routeMeters struct {
 	ejections     metrics.Counter
 	reports       metrics.Counter
 	reportsFailed metrics.Counter
 	hintedTokens  metrics.Counter
 	charges       metrics.Gauge
-	shunned       metrics.Gauge
+	excluded      metrics.Gauge
 	lag           metrics.Gauge
 }
 
@@ -37,12 +36,12 @@
 		reportsFailed: metrics.GetOrRegisterCounter("route.reports_failed", registry),
 		hintedTokens:  metrics.GetOrRegisterCounter("route.hinted_tokens", registry),
 		charges:       metrics.GetOrRegisterGauge("route.charges", registry),
-		shunned:       metrics.GetOrRegisterGauge("route.shunned", registry),
+		excluded:      metrics.GetOrRegisterGauge("route.shunned", registry),
 		lag:           metrics.GetOrRegisterGauge("route.report_lag_ms", registry),
 	}
 }
 
-// subset returns the engines that this entry looks at.
+// subset returns the engines of a configuration to which this entry routes.
 func (s *state) subset(doc *config.Config) []*config.Engine {
 	pools := map[string][]string{}
 	for i := range doc.Engines {
@@ -64,7 +63,7 @@
 	return engines
 }
 
-// retain forgets the upstreams that the configuration has no more.
+// retain removes the upstreams that are no longer in the configuration from the load table.
 func (s *state) retain(doc *config.Config) {
 	keep := map[string]bool{}
 	for i := range doc.Engines {
@@ -78,15 +77,15 @@
 	s.table.Retain(keep)
 }
 
-// watched are the engines that this entry reads reports of.
+// watched returns the engines whose reports this entry reads.
 func (s *state) watched() []*config.Engine {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.engines
 }
 
-// candidates are the engines that a request may be placed on, with their
-// pictures. The lock is held.
+// candidates returns the engines on which a request may be placed, with their loads. The caller must hold
+// s.mu.
 func (s *state) candidates(now time.Duration) []placement.Candidate {
 	candidates := make([]placement.Candidate, 0, len(s.engines))
 	for _, e := range s.engines {
@@ -98,28 +97,28 @@
 	return candidates
 }
 
-// assignment is the engine that a request, or a part of it, was charged to.
+// assignment is the engine to which a request, or a phase of it, was charged.
 type assignment struct {
-	// engine is an entry of the configuration; treat it as read-only.
+	// engine belongs to the configuration and must not be modified.
 	engine *config.Engine
-	work   placement.Phase
-	// prefillTokens are the prompt tokens that the engine has to process.
+	phase  placement.Phase
+	// prefillTokens is the number of prompt tokens that the engine has to process.
 	prefillTokens int
 }
 
-// place picks an engine for a request and charges it. The engine's entry of
-// the configuration is read-only.
+// place chooses an engine for a request and charges the request to it. The returned engine belongs to the
+// configuration and must not be modified.
 func (s *state) place(req *placement.Request, p load.Placement) (*config.Engine, bool) {
 	placed, ok := s.assign(req, p)
 	return placed.engine, ok
 }
 
-// assign picks the engine that begins a request, and charges the request to it.
+// assign chooses the engine that starts a request, and charges the request to it.
 func (s *state) assign(req *placement.Request, p load.Placement) (assignment, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.table.Expire(p.At)
-	req.Zone, req.Draining, req.Now = s.zone, s.leaving, p.At
+	req.Zone, req.Draining, req.Now = s.zone, s.draining, p.At
 	req.Blocks, req.Prefix = p.Blocks, p.Prefix
 	chosen, work, ok := s.scheduler.Assign(req, s.candidates(p.At), s.rng)
 	if !ok {
@@ -129,10 +128,10 @@
 	p.PrefillTokens -= cached
 	s.meters.hintedTokens.Inc(int64(cached))
 	s.table.Place(chosen.ID, p)
-	return assignment{engine: chosen.Engine, work: work, prefillTokens: p.PrefillTokens}, true
+	return assignment{engine: chosen.Engine, phase: work, prefillTokens: p.PrefillTokens}, true
 }
 
-// placeOn charges a request to the engine that runs its stream already.
+// placeOn charges a request to the engine that already runs its stream.
 func (s *state) placeOn(id string, p load.Placement) (*config.Engine, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -144,7 +143,7 @@
 	return e, true
 }
 
-// placeCall picks an upstream of a plain service and counts the call on it.
+// placeCall chooses an upstream of a plain service and charges the call to it.
 func (s *state) placeCall(svc *config.Service, request string, excluded map[string]bool, now time.Duration) (*config.ServiceUpstream, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -154,7 +153,7 @@
 			ID: u.ID, Zone: u.Zone, Draining: u.Leave, Load: s.table.Upstream(servicePrefix + u.ID),
 		})
 	}
-	req := &placement.Request{Zone: s.zone, Excluded: excluded, Draining: s.leaving, Now: now}
+	req := &placement.Request{Zone: s.zone, Excluded: excluded, Draining: s.draining, Now: now}
 	chosen, ok := s.services.Schedule(req, candidates, s.rng)
 	if !ok {
 		return nil, false
@@ -168,14 +167,14 @@
 	return nil, false
 }
 
-// end takes a request off an upstream.
-func (s *state) end(id, request string, now time.Duration) {
+// release removes a request's charge from an upstream.
+func (s *state) release(id, request string, now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.table.End(id, request, now)
 }
 
-// accepted records the engine's number for a request.
+// accepted records the sequence number that the engine gave a request.
 func (s *state) accepted(id, request string, a load.Acceptance) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -189,12 +188,11 @@
 	s.table.Started(id, request)
 }
 
-// judge records what a call told of an upstream, and reports whether that ejects
-// it.
-func (s *state) judge(id string, v load.CallResult, now time.Duration) (ejected bool) {
+// recordCall records the result of a call to an upstream, and reports whether it ejects the upstream.
+func (s *state) recordCall(id string, result load.CallResult, now time.Duration) (ejected bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.table.RecordCall(id, v, now)
+	return s.table.RecordCall(id, result, now)
 }
 
 func (s *state) reported(id string, report engine.Report, now time.Duration) {
@@ -209,26 +207,26 @@
 	s.table.CacheEvents(id, events)
 }
 
-// eventsAfter is the sequence number up to which cache events are known.
+// eventsAfter returns the sequence number of the last cache event received from an engine.
 func (s *state) eventsAfter(id string) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.Upstream(id).Prefixes.LastSeq()
 }
 
-// measure brings the gauges up to date.
-func (s *state) measure(now time.Duration) {
+// updateGauges updates the gauges of routing.
+func (s *state) updateGauges(now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	charges, shunned := 0, 0
 	for _, e := range s.engines {
-		picture := s.table.Upstream(e.ID)
-		charges += picture.Charges()
-		if s.table.Silent(e.ID, now) || picture.Health.Ejected(now) {
+		upstream := s.table.Upstream(e.ID)
+		charges += upstream.Charges()
+		if s.table.Silent(e.ID, now) || upstream.Health.Ejected(now) {
 			shunned++
 		}
 	}
 	s.meters.charges.Update(int64(charges))
-	s.meters.shunned.Update(int64(shunned))
+	s.meters.excluded.Update(int64(shunned))
 	s.meters.lag.Update(s.table.Traffic.Lag().Milliseconds())
 }
--- a/internal/entry/routing_settings.go
+++ b/internal/entry/routing_settings.go
@@ -10,34 +10,30 @@
 	"sassafrasfield/internal/tomlfile"
 )
 
-// RoutingSettings choose how an upstream is picked; docs/operate/routing.md
-// says what to look at. The defaults follow docs/measurements/routing.md.
+// RoutingSettings configure how an upstream is chosen; docs/operate/routing.md says what to look at. The
+// defaults follow docs/measurements/routing.md.
 type RoutingSettings struct {
-	// Policy is the picture of the load that is routed by: "round-robin",
-	// "report", "local", "local-prefix", "charge", "charge-prefix" or
-	// "estimate". Default estimate.
+	// Policy is the estimate of the load by which requests are routed: "round-robin", "report", "local",
+	// "local-prefix", "charge", "charge-prefix" or "estimate". Default estimate.
 	Policy placement.Policy `toml:"policy"`
-	// Pick is the choice among scored engines: "best", "near-best" or
-	// "two-choices". Default near-best.
+	// Pick is the choice among scored engines: "best", "near-best" or "two-choices". Default near-best.
 	Pick placement.Pick `toml:"pick"`
-	// Subset is how many engines of each pool this entry looks at and routes
-	// to; 0 means all. Default 0.
+	// Subset is the number of engines of each pool that this entry monitors and routes to; 0 means all.
+	// Default 0.
 	Subset int `toml:"subset"`
-	// ChargeFor bounds the time that a placement is charged when no report
-	// accounts for it. Longer than the lag of reports. Default 15s.
+	// ChargeFor is how long a placement is charged at most if no report accounts for it. It must be longer
+	// than the lag of reports. Default 15s.
 	ChargeFor time.Duration `toml:"charge_for"`
-	// EventsEvery is the time between reads of an engine's cache events, for
-	// the policies with prefix hints. Default 500ms.
+	// EventsEvery is the interval between reads of an engine's cache events, for the policies with prefix
+	// hints. Default 500ms.
 	EventsEvery time.Duration `toml:"events_every"`
-	// Failures in a row that eject an upstream. Default 2.
+	// Failures is the number of consecutive failures that eject an upstream. Default 2.
 	Failures int `toml:"failures"`
-	// EjectFor is the first ejection's time; it doubles up to EjectAtMost.
-	// Default 2s.
+	// EjectFor is the duration of the first ejection; it doubles up to EjectAtMost. Default 2s.
 	EjectFor time.Duration `toml:"eject_for"`
-	// EjectAtMost bounds an ejection. Default 30s.
+	// EjectAtMost is the maximum duration of an ejection. Default 30s.
 	EjectAtMost time.Duration `toml:"eject_at_most"`
-	// SilentFor is how long an engine may go without a new report before it
-	// gets no new work. Default 2s.
+	// SilentFor is how long an engine may go without a new report before it gets no new work. Default 2s.
 	SilentFor time.Duration `toml:"silent_for"`
 }
 
--- a/internal/entry/routing_test.go
+++ b/internal/entry/routing_test.go
@@ -15,7 +15,7 @@
 	"sassafrasfield/internal/testfleet"
 )
 
-// routingState is a state with two engines and a service with two upstreams.
+// routingState returns a state with two engines and a service with two upstreams.
 func routingState(change func(*Settings)) *state {
 	settings := DefaultSettings()
 	settings.Instance, settings.Zone = "inst-1", "hall-a"
@@ -37,7 +37,7 @@
 	return s
 }
 
-func TestLeavingEngineGetsNoWorkFromTheApplyOn(t *testing.T) {
+func TestDrainingEngineGetsNoWorkAfterApply(t *testing.T) {
 	s := routingState(nil)
 	s.apply(nil, []string{"e1"}, heartbeat{at: time.Second})
 	for range 50 {
@@ -48,11 +48,11 @@
 	}
 	s.apply(nil, []string{"e1", "e2"}, heartbeat{at: time.Second})
 	if _, ok := s.place(&placement.Request{Model: "m"}, load.Placement{ID: "r", At: time.Second}); ok {
-		t.Fatal("placed on an engine that leaves")
+		t.Fatal("placed on a draining engine")
 	}
 }
 
-func TestPlainCallsPreferTheZoneAndTheLessBusy(t *testing.T) {
+func TestServiceCallsPreferSameZoneAndLowLoad(t *testing.T) {
 	s := routingState(nil)
 	svc := &s.config().Services[0]
 	place := func(request string) string {
@@ -66,19 +66,19 @@
 		t.Fatalf("the first call went to %s", got)
 	}
 	if got := place("b"); got != "far" {
-		t.Fatalf("the second call went to %s, beside a busy one", got)
+		t.Fatalf("the second call went to %s although the upstream in the same zone is busy", got)
 	}
-	s.end(servicePrefix+"near", "a", time.Second)
-	s.end(servicePrefix+"far", "b", time.Second)
+	s.release(servicePrefix+"near", "a", time.Second)
+	s.release(servicePrefix+"far", "b", time.Second)
 	for range s.routing.Failures {
-		s.judge(servicePrefix+"near", load.CallFailed, time.Second)
+		s.recordCall(servicePrefix+"near", load.CallFailed, time.Second)
 	}
 	if got := place("c"); got != "far" {
 		t.Fatalf("a call went to the ejected %s", got)
 	}
 }
 
-func TestSubsetBoundsWhatAnEntryLooksAt(t *testing.T) {
+func TestSubsetLimitsWatchedAndUsedEngines(t *testing.T) {
 	s := routingState(func(settings *Settings) { settings.Routing.Subset = 1 })
 	if n := len(s.watched()); n != 1 {
 		t.Fatalf("%d engines watched, want 1", n)
@@ -90,16 +90,16 @@
 	}
 }
 
-func TestHangingEngineHoldsUpNoReadOfTheOthers(t *testing.T) {
+func TestHangingEngineDoesNotDelayOtherReads(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	s := routingState(nil)
 	var reads atomic.Int64
-	often := make(chan struct{})
-	defer close(often)
+	unblock := make(chan struct{})
+	defer close(unblock)
 	p := poller{every: time.Millisecond, engines: s.watched, read: func(_ context.Context, e *config.Engine) {
 		if e.ID == "e1" {
-			<-often
+			<-unblock
 			return
 		}
 		reads.Add(1)
@@ -110,23 +110,23 @@
 	}
 }
 
-func TestReportAccountsForTheEnginesOwnNumber(t *testing.T) {
+func TestReportSettlesChargesByAcceptanceNumber(t *testing.T) {
 	s := routingState(nil)
 	e, _ := s.place(&placement.Request{Model: "m"}, load.Placement{ID: "r", PrefillTokens: 5, At: time.Second})
 	s.accepted(e.ID, "r", load.Acceptance{Boot: "b", Number: 7})
 	s.reported(e.ID, engine.Report{Boot: "b", Seq: 1, Accepted: 6}, time.Second)
 	if s.table.Upstream(e.ID).Charges() != 1 {
-		t.Fatal("a report from before the request ended its charge")
+		t.Fatal("a report from before the request removed its charge")
 	}
 	s.reported(e.ID, engine.Report{Boot: "b", Seq: 2, Accepted: 7}, time.Second)
 	if s.table.Upstream(e.ID).Charges() != 0 {
-		t.Fatal("the charge outlived the report that counts it")
+		t.Fatal("the charge remains after the report that includes the request")
 	}
 }
 
-// The admission's picture is made by the same filters as the routing's, and
-// they need the whole of the request.
-func TestAdmissionSeesTheEnginesThatRoutingWouldTake(t *testing.T) {
+// Admission must see the same engines as routing. Both use the same filters, which need all fields of the
+// request.
+func TestAdmissionSeesTheEnginesEligibleForRouting(t *testing.T) {
 	s := routingState(nil)
 	loads := s.engineLoads(&placement.Request{Model: "m", Blocks: 1, Now: time.Second})
 	if len(loads) != 2 {
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -1,6 +1,10 @@
-// Package entry is the daemon sf-entry, the data path: it admits callers'
-// requests, routes them to upstreams, streams the answers, and goes on where
-// an upstream or another entry broke off.
+// Package entry implements sf-entry, the data path daemon. It admits callers' requests, routes them to
+// upstreams and streams the answers. It resumes answers that were interrupted at an upstream or at another
+// entry.
+//
+// Inputs are callers' HTTP requests, the configuration and heartbeats that sf-control of the same instance
+// sends, and the load reports of the engines. Outputs are the calls to engines and plain services, the
+// answers to callers, and the demand and status that sf-control reads.
 package entry
 
 import (
@@ -28,78 +32,78 @@
 
 // Server is one sf-entry process.
 type Server struct {
-	settings *Settings
-	start    time.Time
-	log      *slog.Logger
-	state    *state
-	once     *idempotency.Runner
-	stopping atomic.Bool
-	// background is work that outlasts its request.
+	settings          *Settings
+	start             time.Time
+	log               *slog.Logger
+	state             *state
+	idempotencyRunner *idempotency.Runner
+	stopping          atomic.Bool
+	// background tracks work that continues after its request.
 	background sync.WaitGroup
 	metrics    *meters
 	demand     *demandMeter
-	// admission, rates and retries have locks of their own.
-	admission *admission
-	rates     *rates
-	retries   *attempt.Budget
-	contents  *contents
+	// admission, rates and retries have their own locks.
+	admission   *admission
+	rates       *rates
+	retries     *attempt.Budget
+	quarantines *quarantines
 
 	mu       sync.Mutex // protects engines and services
 	engines  map[string]engine.Engine
 	services map[string]service.Service
 }
 
-// New returns a server that has not started.
+// New returns a server that is not started.
 func New(s *Settings, log *slog.Logger) *Server {
 	server := &Server{
-		settings: s,
-		start:    time.Now(),
-		log:      log,
-		state:    newState(s, log),
-		once:     idempotency.New(platform.NewClient(s.Platform, s.PlatformTimeout), s.Claims, s.Instance, logging.Part(log, "once")),
-		metrics:  newMeters(metrics.DefaultRegistry),
-		demand:   newDemandMeter(s.DemandWindow),
-		engines:  map[string]engine.Engine{},
-		services: map[string]service.Service{},
-		retries:  newRetries(s.Retry, newRetryMeters(metrics.DefaultRegistry)),
-		rates:    newRates(s.Rate),
-		contents: newContents(),
+		settings:          s,
+		start:             time.Now(),
+		log:               log,
+		state:             newState(s, log),
+		idempotencyRunner: idempotency.New(platform.NewClient(s.Platform, s.PlatformTimeout), s.Claims, s.Instance, logging.Part(log, "once")),
+		metrics:           newMeters(metrics.DefaultRegistry),
+		demand:            newDemandMeter(s.DemandWindow),
+		engines:           map[string]engine.Engine{},
+		services:          map[string]service.Service{},
+		retries:           newRetries(s.Retry, newRetryMeters(metrics.DefaultRegistry)),
+		rates:             newRates(s.Rate),
+		quarantines:       newQuarantines(),
 	}
 	server.admission = newAdmission(s.Admission, server)
 	return server
 }
 
-// now is the server's monotonic clock.
+// now returns the time of the server's monotonic clock.
 func (s *Server) now() time.Duration {
 	return time.Since(s.start)
 }
 
-// Run serves until the context ends, then finishes what it has; see stop.
+// Run serves until the context is cancelled, then shuts down gracefully; see stop.
 func (s *Server) Run(ctx context.Context) error {
-	base, cut := context.WithCancelCause(context.WithoutCancel(ctx))
-	defer cut(nil)
+	base, abort := context.WithCancelCause(context.WithoutCancel(ctx))
+	defer abort(nil)
 	public := &http.Server{
 		Addr: s.settings.Listen, Handler: s.handler(),
 		ReadHeaderTimeout: 10 * time.Second, MaxHeaderBytes: s.settings.Limits.MaxHeaderBytes,
 		BaseContext: func(net.Listener) context.Context { return base },
-		ConnContext: s.boundBuffer,
+		ConnContext: s.limitWriteBuffer,
 	}
 	local := &http.Server{Addr: s.settings.Local, Handler: s.localHandler(), ReadHeaderTimeout: 10 * time.Second}
 	failed := make(chan error, 2)
 	go func() { failed <- errors.Wrap(public.ListenAndServe(), "entry: listen") }()
-	go func() { failed <- errors.Wrap(local.ListenAndServe(), "entry: local") }()
+	go func() { failed <- errors.Wrap(local.ListenAndServe(), "entry: local listener") }()
 	background, stopBackground := context.WithCancel(base)
 	defer stopBackground()
 	go s.reportLoop(background)
 	go s.admission.reviewLoop(background, s.settings.Admission.ReviewEvery)
-	go s.once.SweepLoop(background)
+	go s.idempotencyRunner.SweepLoop(background)
 	s.log.Info("entry: started", "listen", s.settings.Listen)
 	select {
 	case err := <-failed:
 		return err
 	case <-ctx.Done():
 	}
-	return s.stop(base, cut, public, local)
+	return s.stop(base, abort, public, local)
 }
 
 func (s *Server) handler() http.Handler {
@@ -113,7 +117,7 @@
 	e.GET("/readyz", s.readyz)
 	e.GET("/metrics", s.serveMetrics)
 	e.Any("/*", s.plainService)
-	return s.traced(s.perRequest(e))
+	return s.traced(s.prepareConnection(e))
 }
 
 func (s *Server) localHandler() http.Handler {
@@ -126,7 +130,7 @@
 	if s.stopping.Load() {
 		return c.String(http.StatusServiceUnavailable, "stopping\n")
 	}
-	if err := s.ready(); err != nil {
+	if err := s.checkReady(); err != nil {
 		return c.String(http.StatusServiceUnavailable, err.Error()+"\n")
 	}
 	return c.String(http.StatusOK, "ready\n")
--- a/internal/entry/settings.go
+++ b/internal/entry/settings.go
@@ -13,37 +13,34 @@
 
 // Settings of sf-entry.
 type Settings struct {
-	// Instance is the id that the platform's instance list has.
+	// Instance is the instance's id in the platform's instance list.
 	Instance string `toml:"instance"`
 	// Zone is the availability zone of the instance.
 	Zone string `toml:"zone"`
-	// Listen is the address for callers and the balancer's probes.
+	// Listen is the address for callers and the load balancer's probes.
 	Listen string `toml:"listen"`
 	// Local is the address for sf-control of the same instance.
 	Local string `toml:"local"`
-	// Platform is the address of the platform's service.
+	// Platform is the address of the platform service.
 	Platform string `toml:"platform"`
 	// PlatformTimeout bounds each call to the platform. Default 2s.
 	PlatformTimeout time.Duration `toml:"platform_timeout"`
-	// StaleAfter is how long the entry takes new work without a heartbeat from
-	// sf-control. Default 5s.
+	// StaleAfter is how long the entry accepts new work without a heartbeat from sf-control. Default 5s.
 	StaleAfter time.Duration `toml:"stale_after"`
-	// ShutdownTimeout bounds the wait for streams at the end. Default 10m.
+	// ShutdownTimeout bounds the wait for running streams at shutdown. Default 10m.
 	ShutdownTimeout time.Duration `toml:"shutdown_timeout"`
-	// BalancerLag is how long the entry goes on taking what the balancer sends
-	// after it said that it is not ready. Default 3s.
+	// BalancerLag is how long the entry still accepts requests from the load balancer after it reported
+	// that it is not ready. Default 3s.
 	BalancerLag time.Duration `toml:"balancer_lag"`
-	// DemandWindow is the time over which the admitted work is measured for
-	// the role policy. Default 10s.
+	// DemandWindow is the time over which the admitted work is measured for the role policy. Default 10s.
 	DemandWindow time.Duration `toml:"demand_window"`
-	// KeepAlive is the time without a piece after which a streamed answer gets
-	// a comment, so that nothing on the way takes the connection for dead.
-	// Default 10s.
+	// KeepAlive is the time without a piece after which a comment is sent in a streamed answer, so that no
+	// intermediary closes the connection as idle. Default 10s.
 	KeepAlive time.Duration `toml:"keep_alive"`
-	// BodyTimeout bounds the reading of a request's body. Default 30s.
+	// BodyTimeout bounds the time to read a request's body. Default 30s.
 	BodyTimeout time.Duration `toml:"body_timeout"`
-	// WriteTimeout bounds the wait for a caller that takes nothing of its
-	// answer. Then its stream is cancelled. Default 30s.
+	// WriteTimeout is how long a write to a caller that reads nothing may block. After that the stream is
+	// cancelled. Default 30s.
 	WriteTimeout time.Duration        `toml:"write_timeout"`
 	Stall        stream.StallSettings `toml:"stall"`
 	Limits       LimitSettings        `toml:"limits"`
@@ -57,37 +54,35 @@
 	Trace        tracing.Settings     `toml:"trace"`
 }
 
-// LimitSettings bound what a caller may send.
+// LimitSettings limit what a caller may send.
 type LimitSettings struct {
-	// MaxBodyBytes of a request. Default 4 MiB.
+	// MaxBodyBytes is the maximum size of a request's body. Default 4 MiB.
 	MaxBodyBytes int `toml:"max_body_bytes"`
-	// MaxHeaderBytes of a request. Default 64 KiB.
+	// MaxHeaderBytes is the maximum size of a request's headers. Default 64 KiB.
 	MaxHeaderBytes int `toml:"max_header_bytes"`
-	// WriteBufferBytes is what the kernel may hold of an answer that its caller
-	// does not take yet; it doubles it for its own accounts. Default 64 KiB.
+	// WriteBufferBytes is the kernel's send buffer for an answer that the caller has not read yet. The
+	// kernel doubles the value to account for its own overhead. Default 64 KiB.
 	WriteBufferBytes int `toml:"write_buffer_bytes"`
-	// MaxPromptTokens of a request, estimated. Default 131072.
+	// MaxPromptTokens is the maximum number of tokens of a prompt, estimated. Default 131072.
 	MaxPromptTokens int `toml:"max_prompt_tokens"`
-	// MaxAnswerTokens of an answer. Default 4096.
+	// MaxAnswerTokens is the maximum number of tokens of an answer. Default 4096.
 	MaxAnswerTokens int `toml:"max_answer_tokens"`
 }
 
-// EngineSettings set the calls to engines and services.
+// EngineSettings configure the calls to engines and services.
 type EngineSettings struct {
-	// Timeout of a call, and of the wait for a stream's first bytes. Default
-	// 30s.
+	// Timeout bounds a call, and the wait for a stream's first bytes. Default 30s.
 	Timeout time.Duration `toml:"timeout"`
-	// ReportEvery is the time between reads of an engine's report. Default
-	// 200ms.
+	// ReportEvery is the interval between reads of an engine's report. Default 200ms.
 	ReportEvery time.Duration `toml:"report_every"`
-	// TransferTimeout bounds the transfer of a prompt's KV cache from a prefill
-	// engine to a decode engine. Default 10s.
+	// TransferTimeout bounds the transfer of a prompt's KV cache from a prefill engine to a decode engine.
+	// Default 10s.
 	TransferTimeout time.Duration `toml:"transfer_timeout"`
-	// Attempts of a request, the first one included. Default 3.
+	// Attempts is the maximum number of attempts of a request, including the first one. Default 3.
 	Attempts int `toml:"attempts"`
 }
 
-// DefaultSettings returns the defaults; addresses and names have none.
+// DefaultSettings returns the default settings. Addresses and names have no defaults.
 func DefaultSettings() *Settings {
 	return &Settings{
 		PlatformTimeout: 2 * time.Second,
--- a/internal/entry/sink.go
+++ b/internal/entry/sink.go
@@ -16,21 +16,21 @@
 	"sassafrasfield/internal/stream"
 )
 
-// shape is the form of an answer in the callers' protocol.
+// shape is the format of an answer in the caller protocol.
 type shape interface {
 	// chunk returns a part of a streamed answer; first marks its first part.
 	chunk(text string, finish *string, first bool) callerapi.Choice
-	// whole returns a whole answer.
-	whole(text string, finish *string) callerapi.Choice
-	// objects are the names of a chunk and of a whole answer.
-	objects() (chunk, whole string)
+	// full returns the choice of a complete answer.
+	full(text string, finish *string) callerapi.Choice
+	// objects returns the object names of a chunk and of a complete answer.
+	objects() (chunk, full string)
 	idPrefix() string
 }
 
-// roleAssistant is the author of each answer of a chat.
+// roleAssistant is the author of each answer in a chat.
 const roleAssistant = "assistant"
 
-// chatShape is the form of chat completions.
+// chatShape is the format of chat completions.
 type chatShape struct{}
 
 func (chatShape) chunk(text string, finish *string, first bool) callerapi.Choice {
@@ -41,34 +41,34 @@
 	return callerapi.Choice{Delta: delta, FinishReason: finish}
 }
 
-func (chatShape) whole(text string, finish *string) callerapi.Choice {
+func (chatShape) full(text string, finish *string) callerapi.Choice {
 	return callerapi.Choice{Message: &callerapi.ChatMessage{Role: roleAssistant, Content: text}, FinishReason: finish}
 }
 
-func (chatShape) objects() (chunk, whole string) { return "chat.completion.chunk", "chat.completion" }
+func (chatShape) objects() (chunk, full string) { return "chat.completion.chunk", "chat.completion" }
 
 func (chatShape) idPrefix() string { return "chatcmpl-" }
 
-// textShape is the form of plain completions.
+// textShape is the format of plain completions.
 type textShape struct{}
 
 func (textShape) chunk(text string, finish *string, _ bool) callerapi.Choice {
 	return callerapi.Choice{Text: &text, FinishReason: finish}
 }
 
-func (s textShape) whole(text string, finish *string) callerapi.Choice {
+func (s textShape) full(text string, finish *string) callerapi.Choice {
 	return s.chunk(text, finish, false)
 }
 
-func (textShape) objects() (chunk, whole string) { return "text_completion", "text_completion" }
+func (textShape) objects() (chunk, full string) { return "text_completion", "text_completion" }
 
 func (textShape) idPrefix() string { return "cmpl-" }
 
-// responder is a sink that answers a caller.
+// responder is a sink that writes the response to a caller.
 type responder interface {
 	sink
 	finish() error
-	// fail tells the caller that the answer is not whole.
+	// fail tells the caller that the answer is incomplete.
 	fail(err error) error
 }
 
@@ -86,17 +86,17 @@
 	if comp.streamed {
 		return &streamedResponse{response: base}
 	}
-	return &wholeResponse{response: base}
+	return &bufferedResponse{response: base}
 }
 
-// response is what both forms share.
+// response is the part that the buffered and the streamed response share.
 type response struct {
 	c       *echo.Context
 	shape   shape
 	comp    *completion
 	created int64
 	body    deadlineWriter
-	// tokens of the answer so far, those before a resumption included.
+	// tokens is the number of tokens of the answer so far, including those before a resumption.
 	tokens int
 }
 
@@ -110,52 +110,52 @@
 func (r *response) message(object string, choices ...callerapi.Choice) callerapi.Response {
 	return callerapi.Response{
 		ID: r.shape.idPrefix() + r.comp.id, Object: object, Created: r.created,
-		Model: r.comp.model, Choices: choices,
+		Model: r.comp.requestedModel, Choices: choices,
 	}
 }
 
-// wholeResponse answers with one JSON object.
-type wholeResponse struct {
+// bufferedResponse responds with one JSON object.
+type bufferedResponse struct {
 	response
-	text   strings.Builder
-	reason string
+	text         strings.Builder
+	finishReason string
 }
 
-func (w *wholeResponse) piece(piece engine.Piece, _ stream.Token) error {
+func (w *bufferedResponse) piece(piece engine.Piece, _ stream.Token) error {
 	w.text.WriteString(piece.Text)
 	if piece.Finish != "" {
-		w.reason = string(piece.Finish)
+		w.finishReason = string(piece.Finish)
 		return nil
 	}
 	w.tokens++
 	return nil
 }
 
-func (w *wholeResponse) wait() error { return nil }
+func (w *bufferedResponse) keepAlive() error { return nil }
 
-func (w *wholeResponse) finish() error {
+func (w *bufferedResponse) finish() error {
 	_, object := w.shape.objects()
-	message := w.message(object, w.shape.whole(w.text.String(), &w.reason))
+	message := w.message(object, w.shape.full(w.text.String(), &w.finishReason))
 	message.Usage = w.usage()
 	data, err := json.Marshal(message)
 	if err != nil {
-		return errors.Wrap(err, "entry: answer")
+		return errors.Wrap(err, "entry: encode the answer")
 	}
 	w.c.Response().Header().Set("Content-Type", "application/json")
 	w.c.Response().WriteHeader(http.StatusOK)
 	return w.body.writeAll(data)
 }
 
-func (w *wholeResponse) fail(err error) error {
+func (w *bufferedResponse) fail(err error) error {
 	return err
 }
 
-// streamedResponse answers with server-sent events. The id of each event lets
-// the caller resume on any instance.
+// streamedResponse responds with server-sent events. The id of each event lets the caller resume on any
+// instance.
 type streamedResponse struct {
 	response
 	started bool
-	event   []byte // is used again for each piece
+	event   []byte // buffer, reused for each piece
 }
 
 func (s *streamedResponse) start() {
@@ -182,7 +182,7 @@
 	object, _ := s.shape.objects()
 	data, err := json.Marshal(s.message(object, s.shape.chunk(piece.Text, finish, piece.N == 0)))
 	if err != nil {
-		return errors.Wrap(err, "entry: chunk")
+		return errors.Wrap(err, "entry: encode a chunk")
 	}
 	event := append(s.event[:0], "id: "...)
 	event = token.Append(event)
@@ -192,9 +192,9 @@
 	return s.send(s.event)
 }
 
-// wait sends a comment, which keeps the connection in use while no piece
-// comes. From then on a failure is an event, not a status.
-func (s *streamedResponse) wait() error {
+// keepAlive sends a comment, so that the connection is not idle while no piece comes. From then on a
+// failure is reported as an event instead of a status.
+func (s *streamedResponse) keepAlive() error {
 	s.start()
 	return s.write(": waiting\n\n")
 }
@@ -207,7 +207,7 @@
 		message.Choices, message.Usage = []callerapi.Choice{}, s.usage()
 		data, err := json.Marshal(message)
 		if err != nil {
-			return errors.Wrap(err, "entry: usage")
+			return errors.Wrap(err, "entry: encode the usage")
 		}
 		return s.write(fmt.Sprintf("data: %s\n\ndata: [DONE]\n\n", data))
 	}
@@ -220,11 +220,11 @@
 	}
 	var refused *refusal
 	if !errors.As(err, &refused) {
-		refused = unknown("engine_failed", "the answer broke off; resume with Last-Event-ID")
+		refused = unknownOutcome("engine_failed", "the answer broke off; resume with Last-Event-ID")
 	}
 	data, marshalErr := json.Marshal(callerapi.ErrorBody{Error: refused.body})
 	if marshalErr != nil {
-		return errors.Wrap(marshalErr, "entry: error event")
+		return errors.Wrap(marshalErr, "entry: encode the error event")
 	}
 	return s.write(fmt.Sprintf("event: error\ndata: %s\n\n", data))
 }
--- a/internal/entry/stall_timer.go
+++ b/internal/entry/stall_timer.go
@@ -6,44 +6,45 @@
 	"sassafrasfield/internal/stream"
 )
 
-// silence is the wait for an engine's next piece. It is used by one goroutine.
-// Times are of the server's monotonic clock.
-type silence struct {
+// stallTimer limits the wait for an engine's next piece. It is used by one goroutine. Times are on the
+// server's monotonic clock.
+type stallTimer struct {
 	pace  *stream.Pace
 	timer *time.Timer
-	// since is when the wait began.
-	since time.Duration
-	// forgiven is true when this wait was prolonged once already.
-	forgiven bool
+	// start is when the wait began.
+	start time.Duration
+	// extended is true if this wait was already extended once.
+	extended bool
 }
 
-// newSilence begins the wait for the first piece.
-func newSilence(settings stream.StallSettings, now time.Duration) *silence {
+// newStallTimer starts the wait for the first piece.
+func newStallTimer(settings stream.StallSettings, now time.Duration) *stallTimer {
 	pace := stream.NewPace(settings)
-	return &silence{pace: pace, timer: time.NewTimer(pace.Patience()), since: now}
+	return &stallTimer{pace: pace, timer: time.NewTimer(pace.Patience()), start: now}
 }
 
-// broken notes a piece.
-func (q *silence) broken(now time.Duration) {
-	q.pace.Piece(now - q.since)
+// pieceArrived records the arrival of a piece.
+func (t *stallTimer) pieceArrived(now time.Duration) {
+	t.pace.Piece(now - t.start)
 }
 
-// begins starts the wait for the next piece.
-func (q *silence) begins(now time.Duration) {
-	q.since = now
-	q.forgiven = false
-	q.timer.Reset(q.pace.Patience())
+// restart starts the wait for the next piece.
+func (t *stallTimer) restart(now time.Duration) {
+	t.start = now
+	t.extended = false
+	t.timer.Reset(t.pace.Patience())
 }
 
-// ranOut decides when the timer fired with so many pieces unread: errStalled,
-// or a further wait. A timer that comes late is this process's own sleep, in
-// which pieces may have come unread; that is forgiven once in a row.
-func (q *silence) ranOut(now time.Duration, unread int) error {
-	if unread == 0 && (q.forgiven || !q.pace.Overslept(now-q.since)) {
+// expired handles the expiry of the timer while the given number of pieces is unread: it returns
+// errStalled or extends the wait. It extends the wait if there are unread pieces, and also if the timer
+// fired late: then this process itself was suspended, and pieces may have arrived that are not read yet.
+// It extends the wait for a late timer only once in a row.
+func (t *stallTimer) expired(now time.Duration, unread int) error {
+	if unread == 0 && (t.extended || !t.pace.Overslept(now-t.start)) {
 		return errStalled
 	}
-	q.forgiven = true
-	q.since = now
-	q.timer.Reset(q.pace.Patience())
+	t.extended = true
+	t.start = now
+	t.timer.Reset(t.pace.Patience())
 	return nil
 }
--- a/internal/entry/state.go
+++ b/internal/entry/state.go
@@ -13,9 +13,8 @@
 	"sassafrasfield/internal/placement"
 )
 
-// state is the configuration in force and the picture of the engines. A
-// placement and a change of configuration exclude each other: once apply has
-// returned, each new placement follows the new version.
+// state is the configuration in force and the load of the upstreams. Placements and configuration changes
+// are serialized: once apply has returned, each new placement uses the new version.
 type state struct {
 	instance, zone string
 	routing        RoutingSettings
@@ -24,11 +23,11 @@
 	meters         *routeMeters
 	log            *slog.Logger
 
-	mu        sync.Mutex // protects all below
+	mu        sync.Mutex // protects the fields below
 	doc       *config.Config
-	engines   []*config.Engine // those of doc that this entry looks at
+	engines   []*config.Engine // the engines of doc to which this entry routes
 	keys      *apikey.Table[*config.Organisation]
-	leaving   map[string]bool
+	draining  map[string]bool
 	heartbeat heartbeat
 	table     *load.Table
 	rng       *rand.Rand
@@ -48,47 +47,47 @@
 		log:       log,
 		doc:       &config.Config{},
 		keys:      apikey.NewTable[*config.Organisation](),
-		leaving:   map[string]bool{},
+		draining:  map[string]bool{},
 		table:     table,
 		rng:       rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}
 }
 
-// config returns the configuration in force. Treat it as read-only.
+// config returns the configuration in force. It must not be modified.
 func (s *state) config() *config.Config {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.doc
 }
 
-// apply puts a configuration in force unless it is older; doc is nil for a
-// heartbeat alone. It returns the version in force.
-func (s *state) apply(doc *config.Config, leaving []string, beat heartbeat) int64 {
+// apply puts a configuration in force unless it is older than the current one; doc is nil if there is only
+// a heartbeat. It returns the version in force.
+func (s *state) apply(doc *config.Config, draining []string, beat heartbeat) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.leaving = map[string]bool{}
-	for _, id := range leaving {
-		s.leaving[id] = true
+	s.draining = map[string]bool{}
+	for _, id := range draining {
+		s.draining[id] = true
 	}
 	if doc != nil && doc.Version > s.doc.Version {
 		s.doc = doc
-		s.keys = s.tableOfKeys(doc)
+		s.keys = s.keyTable(doc)
 		s.engines = s.subset(doc)
 		s.retain(doc)
 	}
-	s.heartbeat.take(beat, s.doc.Version)
+	s.heartbeat.update(beat, s.doc.Version)
 	return s.doc.Version
 }
 
-// tableOfKeys returns the organisations by their keys. What is no hash is nobody's key.
-func (s *state) tableOfKeys(doc *config.Config) *apikey.Table[*config.Organisation] {
+// keyTable returns the organisations by their API keys. Invalid key hashes are skipped.
+func (s *state) keyTable(doc *config.Config) *apikey.Table[*config.Organisation] {
 	keys := apikey.NewTable[*config.Organisation]()
 	for i := range doc.Organisations {
 		o := &doc.Organisations[i]
 		for _, text := range o.KeyHashes {
 			hash, err := apikey.ParseHash(text)
 			if err != nil {
-				s.log.Error("config: a key of an organisation is not taken", "organisation", o.Name, "error", err)
+				s.log.Error("config: skipping an invalid key hash", "organisation", o.Name, "error", err)
 				continue
 			}
 			keys.Add(hash, o)
@@ -97,14 +96,14 @@
 	return keys
 }
 
-// organisation returns the owner of a request's key; false when nobody owns it.
+// organisation returns the organisation to which a key belongs, or false if the key is unknown.
 func (s *state) organisation(c apikey.Credential) (*config.Organisation, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.keys.Owner(c)
 }
 
-// streams counts this entry's streams on each configured engine.
+// streams returns the number of this entry's streams on each configured engine.
 func (s *state) streams() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/entry/stop.go
+++ b/internal/entry/stop.go
@@ -8,31 +8,31 @@
 	"github.com/pkg/errors"
 )
 
-// cutTimeout bounds the last words to callers whose answers did not end within
-// the shutdown timeout.
-const cutTimeout = 2 * time.Second
+// abortTimeout bounds the shutdown after the answers that were left at the shutdown timeout are aborted.
+// Within it, their callers are told to resume.
+const abortTimeout = 2 * time.Second
 
-// stop leaves without cutting an answer off: unready first, then it goes on
-// taking what the balancer still sends for its lag, then it takes nothing new
-// and waits for each answer. What is left at the shutdown timeout is told to
-// resume on another instance, and stays at its engine until then.
-func (s *Server) stop(ctx context.Context, cut context.CancelCauseFunc, public, local *http.Server) error {
+// stop shuts down without aborting answers: the server first reports that it is not ready, then accepts
+// the requests that the load balancer still sends during its lag, then accepts no more requests and waits
+// for the running answers. Callers whose answers are incomplete at the shutdown timeout are told to resume
+// on another instance; the streams stay at their engines until then.
+func (s *Server) stop(ctx context.Context, abort context.CancelCauseFunc, public, local *http.Server) error {
 	s.stopping.Store(true)
-	s.log.Info("entry: not ready any more, stopping")
+	s.log.Info("entry: shutting down, reporting not ready")
 	time.Sleep(s.settings.BalancerLag)
 	err := shutdown(ctx, public, s.settings.ShutdownTimeout)
 	if err != nil {
-		s.log.Warn("entry: answers left at the shutdown timeout are cut off")
-		cut(errStopping)
-		err = shutdown(context.WithoutCancel(ctx), public, cutTimeout)
+		s.log.Warn("entry: shutdown timeout expired, aborting the remaining answers")
+		abort(errStopping)
+		err = shutdown(context.WithoutCancel(ctx), public, abortTimeout)
 	}
 	s.background.Wait()
-	s.once.Wait()
+	s.idempotencyRunner.Wait()
 	if err != nil {
-		return errors.Wrap(err, "entry: answers left at shutdown")
+		return errors.Wrap(err, "entry: answers incomplete at shutdown")
 	}
 	s.log.Info("entry: all answers finished")
-	return errors.Wrap(local.Close(), "entry: local")
+	return errors.Wrap(local.Close(), "entry: close the local listener")
 }
 
 func shutdown(ctx context.Context, server *http.Server, timeout time.Duration) error {
@@ -41,12 +41,12 @@
 	return server.Shutdown(ctx)
 }
 
-// perRequest prepares the connection. While the process stops, each answer
-// asks for the connection's end, so that no request meets its closing: an idle
-// one is closed only after the balancer's lag.
-func (s *Server) perRequest(next http.Handler) http.Handler {
+// prepareConnection resets the connection's write deadline. During shutdown, it asks the client to close
+// the connection after each answer, so that no request is sent on a connection that is being closed: idle
+// connections are closed only after the load balancer's lag.
+func (s *Server) prepareConnection(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		_ = http.NewResponseController(w).SetWriteDeadline(time.Time{}) // an earlier answer's
+		_ = http.NewResponseController(w).SetWriteDeadline(time.Time{}) // clears the deadline of an earlier answer
 		if s.stopping.Load() {
 			w.Header().Set("Connection", "close")
 		}
--- a/internal/entry/throughput_test.go
+++ b/internal/entry/throughput_test.go
@@ -17,7 +17,7 @@
 	"sassafrasfield/internal/testservers"
 )
 
-// benchServer is an entry before one fast engine, both served by the test.
+// benchServer returns an entry with one fast engine; the test process serves both.
 func benchServer(b *testing.B) (server *Server, url string) {
 	b.Helper()
 	state := config.EngineState{Model: "m", Version: "1", Role: config.RoleMixed}
@@ -37,13 +37,13 @@
 			Loaded: state, Routing: config.RoutingServing,
 		}},
 		Organisations: []config.Organisation{{Name: "o", KeyHashes: []string{hex.EncodeToString(sum[:])}}},
-	}, nil, freshForLong())
+	}, nil, freshHeartbeat())
 	front := httptest.NewServer(server.handler())
 	b.Cleanup(front.Close)
 	return server, front.URL
 }
 
-func freshForLong() heartbeat {
+func freshHeartbeat() heartbeat {
 	now := bootclock.Now()
 	return heartbeat{at: now, version: 1, freshUntil: now + time.Hour}
 }
@@ -66,19 +66,19 @@
 	}
 }
 
-// BenchmarkTokens streams answers of 400 tokens; the time is that of one token
-// with the entry, the engine's stand-in and the caller in one process.
+// BenchmarkTokens streams answers of 400 tokens and reports the time per token, with the entry, the
+// simulated engine and the caller in one process.
 func BenchmarkTokens(b *testing.B) {
 	server, url := benchServer(b)
 	const tokens = 400
 	for b.Loop() {
-		server.state.apply(nil, nil, freshForLong())
+		server.state.apply(nil, nil, freshHeartbeat())
 		ask(b, url, tokens)
 	}
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*tokens), "ns/token")
 }
 
-// BenchmarkReport reads one load report.
+// BenchmarkReport measures the read of one load report.
 func BenchmarkReport(b *testing.B) {
 	server, url := benchServer(b)
 	for range 64 {
--- a/internal/entry/trace.go
+++ b/internal/entry/trace.go
@@ -8,12 +8,12 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// tracer makes the spans of the data path.
+// tracer returns the tracer of the data path.
 func tracer() trace.Tracer {
 	return otel.Tracer("entry")
 }
 
-// traced starts a span for each request, as a child of the caller's.
+// traced starts a span for each request, as a child of the caller's span.
 func (s *Server) traced(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		ctx := otel.GetTextMapPropagator().Extract(r.Context(), propagation.HeaderCarrier(r.Header))
--- a/internal/entry/write_deadline.go
+++ b/internal/entry/write_deadline.go
@@ -7,21 +7,20 @@
 	"time"
 )
 
-// writePart is how much of an answer one write deadline is for.
-const writePart = 64 << 10
+// writeChunkBytes is the maximum number of bytes written under one write deadline.
+const writeChunkBytes = 64 << 10
 
-// deadlineWriter writes answers to callers, and gives up on one that takes
-// nothing for the timeout.
+// deadlineWriter writes answers to callers, and fails if a caller reads nothing for the timeout.
 type deadlineWriter struct {
 	w       http.ResponseWriter
 	timeout time.Duration
 }
 
-// writeAll writes the data. Each part of it has the whole timeout.
+// writeAll writes the data in chunks. Each chunk has the full timeout.
 func (d deadlineWriter) writeAll(data []byte) error {
 	for len(data) > 0 {
-		part := data[:min(len(data), writePart)]
-		d.extend()
+		part := data[:min(len(data), writeChunkBytes)]
+		d.extendDeadline()
 		if _, err := d.w.Write(part); err != nil {
 			return err
 		}
@@ -30,22 +29,22 @@
 	return nil
 }
 
-// flush sends what was written.
+// flush sends the buffered data.
 func (d deadlineWriter) flush() error {
-	d.extend()
+	d.extendDeadline()
 	return http.NewResponseController(d.w).Flush()
 }
 
-// extend sets the deadline anew. The connection's next request clears it.
-func (d deadlineWriter) extend() {
-	_ = http.NewResponseController(d.w).SetWriteDeadline(time.Now().Add(d.timeout)) // a test's recorder has none
+// extendDeadline renews the write deadline. The next request on the connection clears it.
+func (d deadlineWriter) extendDeadline() {
+	_ = http.NewResponseController(d.w).SetWriteDeadline(time.Now().Add(d.timeout)) // a response recorder in tests has no deadline
 }
 
-// boundBuffer fixes what the kernel holds for a caller that does not take it:
-// it would else grow the buffer, to megabytes on a fast network.
-func (s *Server) boundBuffer(ctx context.Context, conn net.Conn) context.Context {
+// limitWriteBuffer limits the kernel's send buffer, which holds data that the caller has not read.
+// Otherwise the kernel would grow the buffer, to megabytes on a fast network.
+func (s *Server) limitWriteBuffer(ctx context.Context, conn net.Conn) context.Context {
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		_ = tcp.SetWriteBuffer(s.settings.Limits.WriteBufferBytes) // the kernel's own bound stays
+		_ = tcp.SetWriteBuffer(s.settings.Limits.WriteBufferBytes) // on an error the kernel's default limit applies
 	}
 	return ctx
 }
