--- a/internal/ownlink/ownlink_test.go
+++ b/internal/ownlink/ownlink_test.go
@@ -8,11 +8,11 @@
 
 const ms = time.Millisecond
 
-func (l *Link) inTrouble(now time.Duration) bool { return l.Trouble(now) != "" }
+func (l *Link) inTrouble(now time.Duration) bool { return l.Impairment(now) != "" }
 
 func silentAt(l *Link, at time.Duration, upstreams int) {
 	for i := range upstreams {
-		l.Silent(fmt.Sprint("silent ", i), at)
+		l.RecordTimeout(fmt.Sprint("silent ", i), at)
 	}
 }
 
@@ -21,7 +21,7 @@
 // were not answered in 0.4 s, and none was.
 func TestAChokedLinkIsSeen(t *testing.T) {
 	l := New(DefaultSettings())
-	l.Heard(9900 * ms)
+	l.RecordPeerReport(9900 * ms)
 	silentAt(l, 10*time.Second, 5)
 	if !l.inTrouble(10*time.Second + 100*ms) {
 		t.Error("not seen")
@@ -37,7 +37,7 @@
 	l := New(DefaultSettings())
 	silentAt(l, 10*time.Second, 8)
 	for i := range 8 {
-		l.Answered(fmt.Sprint("good ", i), 10*time.Second)
+		l.RecordAnswer(fmt.Sprint("good ", i), 10*time.Second)
 	}
 	if l.inTrouble(10 * time.Second) {
 		t.Error("the link is blamed")
@@ -54,16 +54,16 @@
 // goes on.
 func TestADeafInstanceSendsNothing(t *testing.T) {
 	l := New(DefaultSettings())
-	l.Heard(10 * time.Second)
+	l.RecordPeerReport(10 * time.Second)
 	silentAt(l, 9500*ms, 3)
 	silentAt(l, 10*time.Second+200*ms, 5)
 	for i := range 20 {
-		l.Answered(fmt.Sprint("good ", i), 12*time.Second)
+		l.RecordAnswer(fmt.Sprint("good ", i), 12*time.Second)
 	}
 	if !l.inTrouble(13*time.Second) || !l.inTrouble(14*time.Second) {
 		t.Error("it goes on though it hears nothing")
 	}
-	l.Heard(14 * time.Second)
+	l.RecordPeerReport(14 * time.Second)
 	if l.inTrouble(14*time.Second + 100*ms) {
 		t.Error("it does not go on")
 	}
@@ -73,16 +73,16 @@
 // upstreams answer. Some rows that come late, again and again, do not count.
 func TestAnInstanceThatLacksRowsForLongSendsNothing(t *testing.T) {
 	l := New(DefaultSettings())
-	l.Lacks(true, 0)
-	l.Lacks(true, time.Second)
+	l.SetBehind(true, 0)
+	l.SetBehind(true, time.Second)
 	if l.inTrouble(1400 * ms) {
 		t.Error("it refuses what it can serve")
 	}
 	if !l.inTrouble(1500 * ms) {
 		t.Error("it goes on sending")
 	}
-	l.Lacks(false, 1600*ms)
-	l.Lacks(true, 1700*ms)
+	l.SetBehind(false, 1600*ms)
+	l.SetBehind(true, 1700*ms)
 	if l.inTrouble(3100 * ms) {
 		t.Error("the time before it caught up counts")
 	}
@@ -93,32 +93,32 @@
 func TestAnInstanceThatStoodStillReadsFirst(t *testing.T) {
 	woken := func() *Link {
 		l := New(DefaultSettings())
-		l.Heard(900 * ms)
-		l.Lacks(false, time.Second)
+		l.RecordPeerReport(900 * ms)
+		l.SetBehind(false, time.Second)
 		if l.inTrouble(2400*ms) || !l.inTrouble(3*time.Second) {
 			t.Error("it is not seen that it stood still, or too soon")
 		}
-		l.Lacks(false, 3*time.Second)
+		l.SetBehind(false, 3*time.Second)
 		return l
 	}
 	l := woken()
-	l.Heard(3010 * ms)
-	l.Lacks(true, 3050*ms)
-	l.Lacks(true, 3400*ms)
+	l.RecordPeerReport(3010 * ms)
+	l.SetBehind(true, 3050*ms)
+	l.SetBehind(true, 3400*ms)
 	if !l.inTrouble(3400 * ms) {
 		t.Error("it sends though it lacks rows")
 	}
-	l.Lacks(false, 3450*ms)
+	l.SetBehind(false, 3450*ms)
 	if l.inTrouble(3450 * ms) {
 		t.Error("it refuses though it has all rows")
 	}
 	l = woken() // and hears nobody
-	l.Lacks(false, 4*time.Second)
+	l.SetBehind(false, 4*time.Second)
 	if !l.inTrouble(4 * time.Second) {
 		t.Error("it sends though it has heard nobody")
 	}
 	for now := 4100 * ms; now <= 4500*ms; now += 100 * ms {
-		l.Lacks(false, now)
+		l.SetBehind(false, now)
 	}
 	if l.inTrouble(4500 * ms) {
 		t.Error("an instance that is left alone serves nobody")
@@ -129,10 +129,10 @@
 // but for a few.
 func TestAnInstanceThatIsCutOffFromTheOthersServes(t *testing.T) {
 	l := New(DefaultSettings())
-	l.Heard(10 * time.Second)
+	l.RecordPeerReport(10 * time.Second)
 	silentAt(l, 10*time.Second+200*ms, 3)
 	for i := range 6 {
-		l.Answered(fmt.Sprint("good ", i), 15*time.Second)
+		l.RecordAnswer(fmt.Sprint("good ", i), 15*time.Second)
 	}
 	if l.inTrouble(15 * time.Second) {
 		t.Error("it refuses what it can serve")
--- a/internal/relay/usage.go
+++ b/internal/relay/usage.go
@@ -13,7 +13,7 @@
 
 // keptWindows is how many windows are counted: those whose usage report may still be pending, the
 // current one, and the previous one, whose counts are still arriving.
-const keptWindows = usagereport.Kept + 2
+const keptWindows = usagereport.MaxUnsent + 2
 
 // Totals are republished for instances that lost a report or have just started.
 const (
@@ -45,7 +45,7 @@
 func (u *usageCounter) countStarted(organisation string, ago time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.tally.Began(usage.WindowAt(u.clock.Now().Add(-ago), u.length), organisation)
+	u.tally.CountRequest(usage.WindowAt(u.clock.Now().Add(-ago), u.length), organisation)
 }
 
 // dueTotals returns the totals that are due in one kind of report.
@@ -57,8 +57,8 @@
 	defer u.mu.Unlock()
 	if now := u.clock.Now(); now.Sub(u.republishedAt) >= republishEvery {
 		u.republishedAt = now
-		u.tally.Forget(usage.WindowAt(now, u.length) - keptWindows)
-		u.tally.TellAgain(usage.WindowAt(now, u.length) - republishedWindows + 1)
+		u.tally.DropBefore(usage.WindowAt(now, u.length) - keptWindows)
+		u.tally.Republish(usage.WindowAt(now, u.length) - republishedWindows + 1)
 	}
 	return due(u.tally)
 }
@@ -71,10 +71,10 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if strings.HasPrefix(source, upstreamstate.InstanceSourcePrefix) {
-		u.tally.Hear(usage.Source{Name: source, Boot: report.Boot}, report.Usage)
+		u.tally.MergeInstance(usage.Source{Name: source, Boot: report.Boot}, report.Usage)
 		return
 	}
-	u.tally.HearZone(source, report.Usage)
+	u.tally.MergeZone(source, report.Usage)
 }
 
 // countUsage counts a request, once, that an upstream began to run at a time on the relay's clock.
--- a/internal/usage/tell.go
+++ b/internal/usage/tell.go
@@ -52,19 +52,19 @@
 	return list
 }
 
-// TellOwn returns the totals of this instance that changed since they were told.
-func (t *Tally) TellOwn() []Count {
+// DueOwn returns the totals of this instance that changed since they were told.
+func (t *Tally) DueOwn() []Count {
 	return t.ownDue.take(func(w Window) Counts { return t.own[w] })
 }
 
-// TellZone returns the totals of the zone that changed since they were told.
-func (t *Tally) TellZone() []Count {
+// DueZone returns the totals of the zone that changed since they were told.
+func (t *Tally) DueZone() []Count {
 	return t.zoneDue.take(t.zone)
 }
 
-// TellAgain has the next reports tell all totals of the windows from one on: some reports
+// Republish has the next reports tell all totals of the windows from one on: some reports
 // may have been lost, and some receivers have just started.
-func (t *Tally) TellAgain(from Window) {
+func (t *Tally) Republish(from Window) {
 	t.own.all(from, t.ownDue)
 	t.own.all(from, t.zoneDue)
 	for _, w := range t.sources {
--- a/internal/usagereport/reporter_test.go
+++ b/internal/usagereport/reporter_test.go
@@ -147,7 +147,7 @@
 
 // start starts an instance's process anew.
 func (r *rig) start(i int) {
-	s := Settings{Instance: fmt.Sprint("inst-", i), Lease: leaseName, Length: length, Settle: time.Second}
+	s := Settings{Instance: fmt.Sprint("inst-", i), Lease: leaseName, Length: length, SettleTime: time.Second}
 	total := func(w usage.Window) usage.Counts { // what is known grows, and differs by instance
 		return maps.Clone(r.totals[w])
 	}
@@ -265,8 +265,8 @@
 	}
 	away = false
 	r.list[0].Do(context.Background(), r.grants[0])
-	if n := len(r.platform.counts); n != Kept {
-		t.Errorf("%d windows were reported, want %d", n, Kept)
+	if n := len(r.platform.counts); n != MaxUnsent {
+		t.Errorf("%d windows were reported, want %d", n, MaxUnsent)
 	}
 }
 
