--- a/internal/control/accept.go
+++ b/internal/control/accept.go
@@ -20,7 +20,7 @@
 // majority of the listed own instances knows that the version is about to be
 // accepted. The write has to follow within the returned context, which ends
 // after spread.accept_within.
-func (d *Daemon) mayAccept(ctx context.Context, version int64) (context.Context, context.CancelFunc, error) {
+func (d *Daemon) prepareAccept(ctx context.Context, version int64) (context.Context, context.CancelFunc, error) {
 	deadline := bootclock.Now() + d.settings.Spread.AcceptWithin
 	d.members.refresh(ctx)
 	members := d.members.own()
--- a/internal/control/authority_bench_test.go
+++ b/internal/control/authority_bench_test.go
@@ -25,25 +25,25 @@
 		b.Run(fault, func(b *testing.B) {
 			r := newRig(b, "", config.FencingRefuse)
 			for i := range 4 {
-				r.add(fmt.Sprintf("inst-%d", i), "")
+				r.addInstance(fmt.Sprintf("inst-%d", i), "")
 			}
-			var took []time.Duration
+			var durations []time.Duration
 			for range takeovers {
-				took = append(took, r.takeover(fault))
+				durations = append(durations, r.measureTakeover(fault))
 			}
-			slices.Sort(took)
-			b.ReportMetric(took[len(took)/2].Seconds(), "median-s")
-			b.ReportMetric(took[len(took)-1].Seconds(), "worst-s")
+			slices.Sort(durations)
+			b.ReportMetric(durations[len(durations)/2].Seconds(), "median-s")
+			b.ReportMetric(durations[len(durations)-1].Seconds(), "worst-s")
 			b.ReportMetric(0, "ns/op")
 		})
 	}
 }
 
 // takeover has the holder fail, waits for another, and brings the first back.
-func (r *rig) takeover(fault string) time.Duration {
-	r.until("a holder", func() bool { return r.row(0).Holder != "" })
-	time.Sleep(time.Duration(700+len(r.row(0).Holder)) * time.Millisecond) // some renewals
-	old := r.row(0)
+func (r *rig) measureTakeover(fault string) time.Duration {
+	r.waitUntil("a holder", func() bool { return r.leaseRow(0).Holder != "" })
+	time.Sleep(time.Duration(700+len(r.leaseRow(0).Holder)) * time.Millisecond) // some renewals
+	old := r.leaseRow(0)
 	id, _, _ := strings.Cut(old.Holder, "/")
 	at := slices.IndexFunc(r.fleet.Instances, func(i *testfleet.Instance) bool { return i.ID == id })
 	i := r.fleet.Instances[at]
@@ -56,21 +56,21 @@
 	case "freeze":
 		i.Control.Signal(syscall.SIGSTOP)
 	}
-	r.until("another holder", func() bool { now := r.row(0); return now.Epoch > old.Epoch && now.Holder != "" })
-	took := time.Since(started)
+	r.waitUntil("another holder", func() bool { now := r.leaseRow(0); return now.Epoch > old.Epoch && now.Holder != "" })
+	elapsed := time.Since(started)
 	i.Control.Kill()
 	r.must(r.fleet.StartControl(i))
-	return took
+	return elapsed
 }
 
 // BenchmarkLeaseTable counts the table's calls for leases at 9 instances, by
 // what the daemons count of them.
-func BenchmarkLeaseTable(b *testing.B) {
+func BenchmarkLeaseTableCalls(b *testing.B) {
 	for _, pools := range []int{1, 4, 8} {
 		b.Run(fmt.Sprintf("pools=%d", pools), func(b *testing.B) {
 			r := newRig(b, "[lease]\nhand_back_after = \"2s\"\n", slices.Repeat([]config.Fencing{config.FencingRefuse}, pools)...)
 			for i := range 9 {
-				r.add(fmt.Sprintf("inst-%d", i), "")
+				r.addInstance(fmt.Sprintf("inst-%d", i), "")
 			}
 			time.Sleep(15 * time.Second) // until each lease is at its first choice
 			reads, writes := r.leaseCalls()
@@ -108,13 +108,13 @@
 }
 
 // counted is a counter as /metrics shows it.
-type counted struct {
+type counter struct {
 	Count float64 `json:"count"`
 }
 
-func decodeCounts(r *rig, res *http.Response) map[string]counted {
+func decodeCounts(r *rig, res *http.Response) map[string]counter {
 	defer res.Body.Close()
-	counts := map[string]counted{}
+	counts := map[string]counter{}
 	r.must(json.NewDecoder(res.Body).Decode(&counts))
 	return counts
 }
--- a/internal/control/authority_test.go
+++ b/internal/control/authority_test.go
@@ -26,7 +26,7 @@
 const modelName = "provenance"
 
 // shortLease has takeovers come soon and no lease handed back.
-const shortLease = `[lease]
+const shortLeaseSettings = `[lease]
 term = "1s"
 renew_every = "300ms"
 retry_every = "100ms"
@@ -63,7 +63,7 @@
 		r.must(err)
 	}
 	r.fleet.ControlTables = tables
-	r.put(kinds)
+	r.putVersion(kinds)
 	return r
 }
 
@@ -74,7 +74,7 @@
 	}
 }
 
-func (r *rig) until(what string, condition func() bool) {
+func (r *rig) waitUntil(what string, condition func() bool) {
 	r.t.Helper()
 	ctx, cancel := context.WithTimeout(r.ctx, 25*time.Second)
 	defer cancel()
@@ -87,7 +87,7 @@
 }
 
 // put writes the next version: each engine is wanted to have the adapters.
-func (r *rig) put(kinds []config.Fencing, adapters ...string) {
+func (r *rig) putVersion(kinds []config.Fencing, adapters ...string) {
 	r.t.Helper()
 	r.version++
 	doc := &config.Config{Version: r.version, Intent: r.version}
@@ -103,13 +103,13 @@
 			Fencing: kind, Want: want, Loaded: loaded, Routing: config.RoutingServing, RoutingSince: 1,
 		})
 	}
-	r.until("the version is written", func() bool { return r.appended(doc) })
+	r.waitUntil("the version is written", func() bool { return r.appendOverHead(doc) })
 }
 
 func poolName(i int) string { return fmt.Sprintf("pool-%d", i) }
 
 // appended writes a document over whatever version is the newest.
-func (r *rig) appended(doc *config.Config) bool {
+func (r *rig) appendOverHead(doc *config.Config) bool {
 	log := versions.Log{Table: r.fleet.PlatformClient()}
 	head, err := log.Head(r.ctx)
 	if err != nil {
@@ -121,7 +121,7 @@
 }
 
 // add starts an instance, with failpoints in its processes if any are given.
-func (r *rig) add(id, points string) *testfleet.Instance {
+func (r *rig) addInstance(id, points string) *testfleet.Instance {
 	r.t.Helper()
 	r.fleet.Environment = []string{failpoint.Variable + "=" + points}
 	i, err := r.fleet.AddInstance(r.ctx, id, "hall-a")
@@ -130,7 +130,7 @@
 }
 
 // row is the lease of a pool in the table.
-func (r *rig) row(pool int) lease.Row {
+func (r *rig) leaseRow(pool int) lease.Row {
 	var row lease.Row
 	if found, err := r.fleet.PlatformClient().Get(r.ctx, "lease/"+poolName(pool)); err == nil {
 		r.must(json.Unmarshal(found.Value, &row))
@@ -139,28 +139,28 @@
 }
 
 func (r *rig) holds(id string, pool int) bool {
-	return strings.HasPrefix(r.row(pool).Holder, id+"/")
+	return strings.HasPrefix(r.leaseRow(pool).Holder, id+"/")
 }
 
 // addOthers starts two instances, so that a majority is there without the
 // first.
-func (r *rig) addOthers() {
+func (r *rig) addTwoInstances() {
 	r.t.Helper()
 	for _, id := range []string{"second", "third"} {
-		i := r.add(id, "")
-		r.until(id+" runs", func() bool { return strings.Contains(i.Control.Log(), "spread: version learned") })
+		i := r.addInstance(id, "")
+		r.waitUntil(id+" runs", func() bool { return strings.Contains(i.Control.Log(), "spread: version learned") })
 	}
 }
 
 // untilTakenOver waits until another than the first holds the lease.
-func (r *rig) untilTakenOver() {
+func (r *rig) waitForTakeover() {
 	r.t.Helper()
-	r.until("another holds the lease", func() bool { return r.holds("second", 0) || r.holds("third", 0) })
+	r.waitUntil("another holds the lease", func() bool { return r.holds("second", 0) || r.holds("third", 0) })
 }
 
-func (r *rig) untilHolds(id string) {
+func (r *rig) waitForHolder(id string) {
 	r.t.Helper()
-	r.until(id+" holds the lease", func() bool { return r.holds(id, 0) })
+	r.waitUntil(id+" holds the lease", func() bool { return r.holds(id, 0) })
 }
 
 func (r *rig) book(i int) testservers.Book {
@@ -170,7 +170,7 @@
 }
 
 // took tells whether the engine's last order was of an epoch with adapters.
-func (r *rig) took(i int, epoch int64, adapters ...string) bool {
+func (r *rig) lastOrderIs(i int, epoch int64, adapters ...string) bool {
 	orders := r.book(i).Orders
 	if len(orders) == 0 {
 		return false
@@ -180,7 +180,7 @@
 }
 
 // settled tells whether the engine's journalled order is done.
-func (r *rig) settled(i int) bool {
+func (r *rig) orderDone(i int) bool {
 	found, err := r.fleet.PlatformClient().Get(r.ctx, order.Key(poolName(i), r.fleet.Engines[i].ID))
 	if err != nil {
 		return false
@@ -191,7 +191,7 @@
 
 // inOrder checks that no order took effect after one of a later epoch, nor
 // after another that followed it.
-func inOrder(t testing.TB, orders []engine.Order) {
+func checkEpochOrder(t testing.TB, orders []engine.Order) {
 	t.Helper()
 	for i := 1; i < len(orders); i++ {
 		before, now := orders[i-1], orders[i]
@@ -205,35 +205,35 @@
 // TestFrozenBeforeSend: the holder is stopped right before the bytes of its
 // order go out. Another takes over, carries the open order out, and a further
 // one. Then the first is woken.
-func TestFrozenBeforeSend(t *testing.T) {
+func TestProcessFrozenBeforeSendIsKilled(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		kind   config.Fencing
 		tables string
 		killed bool
 	}{
-		{"engine that ignores fencing numbers", config.FencingIgnore, shortLease, true},
-		{"engine that refuses old ones", config.FencingRefuse, shortLease, true},
-		{"engine that refuses old ones, without the timer", config.FencingRefuse, shortLease + "kill_timer = \"ignore\"\n", false},
+		{"engine that ignores fencing numbers", config.FencingIgnore, shortLeaseSettings, true},
+		{"engine that refuses old ones", config.FencingRefuse, shortLeaseSettings, true},
+		{"engine that refuses old ones, without the timer", config.FencingRefuse, shortLeaseSettings + "kill_timer = \"ignore\"\n", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			kinds := []config.Fencing{c.kind}
 			r := newRig(t, c.tables, kinds...)
-			frozen := r.add("first", "engine.order.before_write=stop")
-			r.untilHolds("first")
-			r.addOthers()
-			r.put(kinds, "a")
-			r.untilTakenOver()
-			r.until("the successor settles the open order", func() bool { return r.took(0, 2, "a") && r.settled(0) })
-			r.put(kinds, "b")
-			r.until("the successor's own order is settled", func() bool { return r.took(0, 2, "b") && r.settled(0) })
+			frozen := r.addInstance("first", "engine.order.before_write=stop")
+			r.waitForHolder("first")
+			r.addTwoInstances()
+			r.putVersion(kinds, "a")
+			r.waitForTakeover()
+			r.waitUntil("the successor settles the open order", func() bool { return r.lastOrderIs(0, 2, "a") && r.orderDone(0) })
+			r.putVersion(kinds, "b")
+			r.waitUntil("the successor's own order is settled", func() bool { return r.lastOrderIs(0, 2, "b") && r.orderDone(0) })
 			frozen.Control.Signal(syscall.SIGCONT)
-			r.until("the old order is over", func() bool {
-				return ended(frozen.Control) || strings.Contains(frozen.Control.Log(), "order: ")
+			r.waitUntil("the old order is over", func() bool {
+				return exited(frozen.Control) || strings.Contains(frozen.Control.Log(), "order: ")
 			})
-			inOrder(t, r.book(0).Orders)
-			if ended(frozen.Control) != c.killed {
+			checkEpochOrder(t, r.book(0).Orders)
+			if exited(frozen.Control) != c.killed {
 				t.Errorf("the frozen process was killed: %v, want %v", !c.killed, c.killed)
 			}
 			// A process that is woken may break the send off before the engine
@@ -243,7 +243,7 @@
 				t.Errorf("the engine refused %d orders, want 1", refused)
 			}
 			if !c.killed {
-				r.lateOrderIsRefused(0, "a")
+				r.checkStaleOrderRefused(0, "a")
 			}
 			if strings.Contains(frozen.Control.Log(), "order: sent") {
 				t.Errorf("the frozen process saw its order answered:\n%s", frozen.Control.Log())
@@ -255,7 +255,7 @@
 // lateOrderIsRefused brings an order of epoch 1 to the engine. The process that
 // woke may have broken its connection off before the bytes left: whether its
 // write or the end of its term comes first is up to the scheduler.
-func (r *rig) lateOrderIsRefused(number int, adapter string) {
+func (r *rig) checkStaleOrderRefused(number int, adapter string) {
 	r.t.Helper()
 	client := engine.NewClient(r.fleet.Engines[number].Address, 5*time.Second)
 	late := engine.Order{ID: "late", Fence: 1, Want: config.EngineState{
@@ -269,7 +269,7 @@
 	}
 }
 
-func ended(p *testfleet.Process) bool {
+func exited(p *testfleet.Process) bool {
 	select {
 	case <-p.Done():
 		return true
@@ -285,17 +285,17 @@
 	for _, fault := range []string{"kill", "freeze", "cut"} {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
-			r := newRig(t, shortLease, config.FencingRefuse)
+			r := newRig(t, shortLeaseSettings, config.FencingRefuse)
 			direct := r.fleet.PlatformAddress
 			proxy, err := r.fleet.Proxy("platform", direct)
 			r.must(err)
 			r.fleet.PlatformAddress = proxy.Address
-			first := r.add("first", "")
-			r.untilHolds("first")
+			first := r.addInstance("first", "")
+			r.waitForHolder("first")
 			r.fleet.PlatformAddress = direct
-			r.addOthers()
-			r.breakOff(fault, first, proxy)
-			r.untilTakenOver()
+			r.addTwoInstances()
+			r.injectFault(fault, first, proxy)
+			r.waitForTakeover()
 			switch fault {
 			case "freeze":
 				first.Control.Signal(syscall.SIGCONT)
@@ -304,17 +304,17 @@
 			default:
 				return
 			}
-			r.until("the first knows that it lost the lease", func() bool {
+			r.waitUntil("the first knows that it lost the lease", func() bool {
 				return strings.Contains(first.Control.Log(), "lease: lost")
 			})
-			if row := r.row(0); row.Epoch != 2 || r.holds("first", 0) {
+			if row := r.leaseRow(0); row.Epoch != 2 || r.holds("first", 0) {
 				t.Errorf("the row is %+v, want epoch 2 of another", row)
 			}
 		})
 	}
 }
 
-func (r *rig) breakOff(fault string, i *testfleet.Instance, proxy *testfleet.Proxy) {
+func (r *rig) injectFault(fault string, i *testfleet.Instance, proxy *testfleet.Proxy) {
 	switch fault {
 	case "kill":
 		i.Control.Kill()
@@ -330,12 +330,12 @@
 func TestHandOverOnTerminate(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, "[lease]\nterm = \"1m\"\nrenew_every = \"300ms\"\n", config.FencingRefuse)
-	first := r.add("first", "")
-	r.untilHolds("first")
-	r.addOthers()
+	first := r.addInstance("first", "")
+	r.waitForHolder("first")
+	r.addTwoInstances()
 	first.Control.Signal(syscall.SIGTERM)
-	r.untilTakenOver()
-	r.until("the first ends", func() bool { return ended(first.Control) })
+	r.waitForTakeover()
+	r.waitUntil("the first ends", func() bool { return exited(first.Control) })
 	if err := first.Control.Err(); err != nil {
 		t.Errorf("the first ended with %v", err)
 	}
@@ -343,14 +343,14 @@
 
 // TestTakeoverWithReplyLost: the holder finds its takeover in the table, with
 // what it needs to write under it.
-func TestTakeoverWithReplyLost(t *testing.T) {
+func TestTakeoverWhoseReplyIsLost(t *testing.T) {
 	t.Parallel()
 	kinds := []config.Fencing{config.FencingRefuse}
-	r := newRig(t, shortLease, kinds...)
+	r := newRig(t, shortLeaseSettings, kinds...)
 	r.must(r.fleet.PlatformFault(r.ctx, testservers.PlatformFaults{LoseReplies: 1, LosePrefix: "epoch/"}))
-	first := r.add("first", "")
-	r.put(kinds, "a")
-	r.until("the order is settled", func() bool { return r.took(0, 1, "a") && r.settled(0) })
+	first := r.addInstance("first", "")
+	r.putVersion(kinds, "a")
+	r.waitUntil("the order is settled", func() bool { return r.lastOrderIs(0, 1, "a") && r.orderDone(0) })
 	if !strings.Contains(first.Control.Log(), "lease: outcome of a write unknown") {
 		t.Errorf("no reply was lost:\n%s", first.Control.Log())
 	}
@@ -358,47 +358,47 @@
 
 // TestTableDown: the holder loses its authority and goes on running; nobody
 // gains any before the table is back.
-func TestTableDown(t *testing.T) {
+func TestHolderLosesLeaseWhileTableIsDown(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, shortLease, config.FencingRefuse)
-	first := r.add("first", "")
-	r.untilHolds("first")
-	r.addOthers()
+	r := newRig(t, shortLeaseSettings, config.FencingRefuse)
+	first := r.addInstance("first", "")
+	r.waitForHolder("first")
+	r.addTwoInstances()
 	r.must(r.fleet.PlatformFault(r.ctx, testservers.PlatformFaults{Down: true}))
-	r.until("the holder loses the lease", func() bool { return strings.Contains(first.Control.Log(), "lease: lost") })
+	r.waitUntil("the holder loses the lease", func() bool { return strings.Contains(first.Control.Log(), "lease: lost") })
 	for _, i := range r.fleet.Instances[1:] {
 		if strings.Contains(i.Control.Log(), "lease: taken") {
 			t.Errorf("%s gained the lease with the table down:\n%s", i.ID, i.Control.Log())
 		}
 	}
 	r.must(r.fleet.PlatformFault(r.ctx, testservers.PlatformFaults{}))
-	r.until("a new epoch", func() bool { return r.row(0).Epoch == 2 })
-	if ended(first.Control) {
+	r.waitUntil("a new epoch", func() bool { return r.leaseRow(0).Epoch == 2 })
+	if exited(first.Control) {
 		t.Errorf("the outage ended the first: %v", first.Control.Err())
 	}
 }
 
 // TestLeasesGoToTheirFirstChoice: the first instance has all leases until the
 // others are there; then each goes to the first choice for its pool.
-func TestLeasesGoToTheirFirstChoice(t *testing.T) {
+func TestLeasesMoveToPreferredInstance(t *testing.T) {
 	t.Parallel()
 	kinds := slices.Repeat([]config.Fencing{config.FencingRefuse}, 4)
-	r := newRig(t, strings.Replace(shortLease, `"1h"`, `"500ms"`, 1), kinds...)
+	r := newRig(t, strings.Replace(shortLeaseSettings, `"1h"`, `"500ms"`, 1), kinds...)
 	ids := []string{"inst-1", "inst-2", "inst-3"}
 	for _, id := range ids {
-		r.add(id, "")
+		r.addInstance(id, "")
 		if id == ids[0] {
-			r.until("it holds all", func() bool { return r.heldBy(func(int) string { return id }) })
+			r.waitUntil("it holds all", func() bool { return r.allHeldBy(func(int) string { return id }) })
 		}
 	}
-	r.until("each lease is at its first choice", func() bool {
-		return r.heldBy(func(pool int) string {
+	r.waitUntil("each lease is at its first choice", func() bool {
+		return r.allHeldBy(func(pool int) string {
 			return ids[slices.IndexFunc(ids, func(id string) bool { return lease.Rank(poolName(pool), id, ids) == 0 })]
 		})
 	})
 }
 
-func (r *rig) heldBy(who func(pool int) string) bool {
+func (r *rig) allHeldBy(who func(pool int) string) bool {
 	for pool := range r.fleet.Engines {
 		if !r.holds(who(pool), pool) {
 			return false
--- a/internal/control/confirm.go
+++ b/internal/control/confirm.go
@@ -30,7 +30,7 @@
 const (
 	confirmAttempts = 10
 	confirmPause    = 50 * time.Millisecond
-	longestPause    = time.Second
+	maxConfirmPause = time.Second
 )
 
 // verdict is the answer to a confirmation or a cancellation. The zero value
@@ -47,7 +47,7 @@
 }
 
 // settle tries until there is an outcome.
-func settle(ctx context.Context, try func(context.Context) (verdict, error)) (verdict, error) {
+func retryUntilDecided(ctx context.Context, try func(context.Context) (verdict, error)) (verdict, error) {
 	pause := confirmPause
 	for range confirmAttempts {
 		v, err := try(ctx)
@@ -55,14 +55,14 @@
 			return v, err
 		}
 		wait(ctx, pause, nil)
-		pause = min(2*pause, longestPause)
+		pause = min(2*pause, maxConfirmPause)
 	}
 	return refused("the configuration kept changing; nothing was changed by this call, so try again"), nil
 }
 
 // Confirm implements the OperatorService.
 func (o *operatorService) Confirm(ctx context.Context, req *connect.Request[sfv1.ConfirmRequest]) (*connect.Response[sfv1.ConfirmResponse], error) {
-	v, err := settle(ctx, func(ctx context.Context) (verdict, error) { return o.tryConfirm(ctx, req.Msg) })
+	v, err := retryUntilDecided(ctx, func(ctx context.Context) (verdict, error) { return o.tryConfirm(ctx, req.Msg) })
 	if err != nil {
 		return nil, err
 	}
@@ -73,7 +73,7 @@
 
 // Cancel implements the OperatorService.
 func (o *operatorService) Cancel(ctx context.Context, req *connect.Request[sfv1.CancelRequest]) (*connect.Response[sfv1.CancelResponse], error) {
-	v, err := settle(ctx, func(ctx context.Context) (verdict, error) { return o.tryCancel(ctx, req.Msg) })
+	v, err := retryUntilDecided(ctx, func(ctx context.Context) (verdict, error) { return o.tryCancel(ctx, req.Msg) })
 	if err != nil {
 		return nil, err
 	}
@@ -83,11 +83,11 @@
 // tryConfirm asks for another try when only the system's own steps moved the
 // head, or when the table's copy was old.
 func (o *operatorService) tryConfirm(ctx context.Context, req *sfv1.ConfirmRequest) (verdict, error) {
-	p, revision, err := o.load(ctx, req.PlanId)
+	p, revision, err := o.loadPlan(ctx, req.PlanId)
 	if err != nil {
 		return verdict{}, err
 	}
-	if v, ended := confirmedAlready(p, req.Operator); ended {
+	if v, decided := verdictIfNotDeclared(p, req.Operator); decided {
 		return v, nil
 	}
 	head, base, err := o.daemon.versions.NewestFrom(ctx, o.daemon.holder.Current())
@@ -95,27 +95,27 @@
 		return verdict{}, nil
 	}
 	if err != nil {
-		return unreachable(err)
+		return tableErrorVerdict(err)
 	}
 	if base.Intent != p.BuiltFrom {
-		return o.refuseMoved(ctx, p, revision)
+		return o.refuseOutdated(ctx, p, revision)
 	}
-	target, v := o.target(ctx, p, base)
+	target, v := o.rebuildTarget(ctx, p, base)
 	if target == nil {
-		return o.ifNewest(ctx, v, head, p, revision)
+		return o.verdictIfNewest(ctx, v, head, p, revision)
 	}
 	target.Version, target.Intent = head.Version+1, base.Intent+1
 	p.ClaimEngines(target)
 	accepted := *p
 	accepted.State, accepted.Version, accepted.ConfirmedBy = plan.StateConfirmed, target.Version, req.Operator
 	entry := versions.Entry{Author: req.Operator, Summary: p.Name, PlanID: p.ID}
-	return o.accept(ctx, head, target, &accepted, revision, entry)
+	return o.appendVersion(ctx, head, target, &accepted, revision, entry)
 }
 
 // confirmedAlready answers for a plan that is not declared any more. The same
 // operator confirming again is told again, since the first answer may have
 // been lost.
-func confirmedAlready(p *plan.Plan, operator string) (v verdict, ended bool) {
+func verdictIfNotDeclared(p *plan.Plan, operator string) (v verdict, decided bool) {
 	switch {
 	case p.State == plan.StateDeclared:
 		return verdict{}, false
@@ -132,16 +132,16 @@
 
 // target applies the plan's intent to the newest configuration, and checks
 // that it still does what the operator read.
-func (o *operatorService) target(ctx context.Context, p *plan.Plan, base *config.Config) (*config.Config, verdict) {
+func (o *operatorService) rebuildTarget(ctx context.Context, p *plan.Plan, base *config.Config) (*config.Config, verdict) {
 	target, _, findings := intent.Apply(p.File, p.Source, base)
 	if target == nil {
 		return nil, refused("%s", findings.Error())
 	}
-	now := plan.Build(base, target, o.costs(ctx))
-	if len(now.Refusals) > 0 {
-		return nil, refused("%s", strings.Join(now.Refusals, "; "))
+	rebuilt := plan.Build(base, target, o.costs(ctx))
+	if len(rebuilt.Refusals) > 0 {
+		return nil, refused("%s", strings.Join(rebuilt.Refusals, "; "))
 	}
-	if !now.SameSteps(p) {
+	if !rebuilt.SameSteps(p) {
 		return nil, refused("the engines' state has changed since the plan was built, and its steps with it; declare the intent again")
 	}
 	return target, verdict{}
@@ -149,12 +149,12 @@
 
 // ifNewest gives a verdict if what it rests on is known for sure to be the
 // newest, and else asks for another try.
-func (o *operatorService) ifNewest(ctx context.Context, v verdict, head versions.Head, p *plan.Plan, revision int64) (verdict, error) {
+func (o *operatorService) verdictIfNewest(ctx context.Context, v verdict, head versions.Head, p *plan.Plan, revision int64) (verdict, error) {
 	newest, err := versions.CheckRevisions(ctx, o.daemon.platform,
 		platform.Check{Key: versions.HeadKey, Revision: head.Revision},
 		platform.Check{Key: plan.Key(p.ID), Revision: revision})
 	if err != nil {
-		return unreachable(err)
+		return tableErrorVerdict(err)
 	}
 	if !newest {
 		return verdict{}, nil
@@ -163,8 +163,8 @@
 }
 
 // accept appends the version and writes the plan, in one transaction.
-func (o *operatorService) accept(ctx context.Context, head versions.Head, target *config.Config, p *plan.Plan, revision int64, entry versions.Entry) (verdict, error) {
-	ctx, cancel, err := o.daemon.mayAccept(ctx, target.Version)
+func (o *operatorService) appendVersion(ctx context.Context, head versions.Head, target *config.Config, p *plan.Plan, revision int64, entry versions.Entry) (verdict, error) {
+	ctx, cancel, err := o.daemon.prepareAccept(ctx, target.Version)
 	defer cancel()
 	if err != nil {
 		return refused("%v", err), nil
@@ -179,17 +179,17 @@
 	failpoint.Hit("control.operator.after_accept")
 	switch {
 	case err == nil:
-		o.daemon.learn(target, "self")
+		o.daemon.adoptConfig(target, "self")
 		return verdict{outcome: outcomeAccepted, version: target.Version}, nil
 	case errors.Is(err, versions.ErrHeadMoved), errors.Is(err, platform.ErrConflict):
 		return verdict{}, nil
 	default:
-		return unreachable(err)
+		return tableErrorVerdict(err)
 	}
 }
 
 // unreachable answers when the table does not.
-func unreachable(err error) (verdict, error) {
+func tableErrorVerdict(err error) (verdict, error) {
 	switch {
 	case errors.Is(err, platform.ErrUnknown):
 		return verdict{outcome: outcomeUnknown, reason: "the table did not tell; sfctl plan shows what came of it, and to ask again is safe"}, nil
@@ -202,35 +202,35 @@
 
 // refuseMoved tells which accepted changes a plan does not know of, and notes
 // in its row that it can't be confirmed any more.
-func (o *operatorService) refuseMoved(ctx context.Context, p *plan.Plan, revision int64) (verdict, error) {
+func (o *operatorService) refuseOutdated(ctx context.Context, p *plan.Plan, revision int64) (verdict, error) {
 	v := refused("another change was accepted since the plan was built; declare the intent again")
 	entries, err := o.daemon.versions.List(ctx, versions.MaxListed)
 	if err != nil {
-		return unreachable(err)
+		return tableErrorVerdict(err)
 	}
 	for _, e := range entries {
 		if e.Intent > p.BuiltFrom && e.PlanID != "" {
 			v.changed = append(v.changed, versionMessage(e))
 		}
 	}
-	gone := *p
-	gone.State, gone.Reason = plan.StateRefused, v.reason
+	outdated := *p
+	outdated.State, outdated.Reason = plan.StateRefused, v.reason
 	_, err = o.daemon.platform.Commit(ctx, platform.Txn{
 		Checks: []platform.Check{{Key: plan.Key(p.ID), Revision: revision}},
-		Writes: []platform.Write{{Key: plan.Key(p.ID), Value: gone.Encode()}},
+		Writes: []platform.Write{{Key: plan.Key(p.ID), Value: outdated.Encode()}},
 	})
 	if errors.Is(err, platform.ErrConflict) {
 		return verdict{}, nil // the row is not what was read: look again
 	}
 	if err != nil {
-		return unreachable(err)
+		return tableErrorVerdict(err)
 	}
 	return v, nil
 }
 
 // tryCancel cancels a declared plan, or what a running plan has not started.
 func (o *operatorService) tryCancel(ctx context.Context, req *sfv1.CancelRequest) (verdict, error) {
-	p, revision, err := o.load(ctx, req.PlanId)
+	p, revision, err := o.loadPlan(ctx, req.PlanId)
 	if err != nil {
 		return verdict{}, err
 	}
@@ -256,7 +256,7 @@
 	case errors.Is(err, platform.ErrConflict):
 		return verdict{}, nil
 	default:
-		return unreachable(err)
+		return tableErrorVerdict(err)
 	}
 }
 
@@ -267,7 +267,7 @@
 		return verdict{}, nil
 	}
 	if err != nil {
-		return unreachable(err)
+		return tableErrorVerdict(err)
 	}
 	if !p.Cancel(doc) {
 		return refused("the plan is done already"), nil
@@ -275,7 +275,7 @@
 	doc.Version, doc.Intent = head.Version+1, doc.Intent+1
 	p.Reason = "cancelled by " + operator + "; steps that had started are finished"
 	entry := versions.Entry{Author: operator, Summary: "cancel " + p.Name, PlanID: p.ID}
-	v, err := o.accept(ctx, head, doc, p, revision, entry)
+	v, err := o.appendVersion(ctx, head, doc, p, revision, entry)
 	if v.outcome == outcomeAccepted {
 		v.reason = "steps that had started are finished, the others are cancelled"
 	}
--- a/internal/control/daemon.go
+++ b/internal/control/daemon.go
@@ -27,31 +27,31 @@
 
 // compressFrom is the size in bytes from where on a message between peers is
 // compressed.
-const compressFrom = 1024
+const compressMinBytes = 1024
 
 // idlePeers bounds the idle connections to peers.
-const idlePeers = 16
+const maxIdlePeerConns = 16
 
 // Daemon is one sf-control process.
 type Daemon struct {
 	settings *Settings
 	// run names this run of the process, as the holder of leases.
-	run      string
-	log      *slog.Logger
-	platform platform.Platform
-	versions versions.Log
-	holder   *gossip.Holder
-	members  *members
-	spread   *spreader
-	entry    *entryLink
-	leases   *leases
-	roles    *rolePolicy
-	demand   *demand
-	watcher  *watcher
-	waited   waitCache
-	orders   *orderMetrics
-	http     *http.Client
-	options  []connect.ClientOption
+	runID           string
+	log             *slog.Logger
+	platform        platform.Platform
+	versions        versions.Log
+	holder          *gossip.Holder
+	members         *members
+	spread          *spreader
+	entry           *entryLink
+	leases          *leases
+	roles           *rolePolicy
+	demand          *demand
+	history         *rolloutHistory
+	waitReasonCache waitReasonCache
+	orders          *orderMetrics
+	http            *http.Client
+	options         []connect.ClientOption
 	// traced gives each call of a handler a span.
 	traced connect.HandlerOption
 
@@ -68,7 +68,7 @@
 	client := platform.NewClient(s.Platform, s.PlatformTimeout)
 	d := &Daemon{
 		settings: s,
-		run:      s.Instance + "/" + uuid.NewString(),
+		runID:    s.Instance + "/" + uuid.NewString(),
 		log:      log,
 		platform: client,
 		versions: versions.Log{Table: client},
@@ -79,13 +79,13 @@
 		engines:  map[string]engine.Engine{},
 	}
 	d.members = newMembers(client, logging.Part(log, "members"))
-	d.members.changed = d.listRead
+	d.members.onList = d.onInstanceList
 	d.spread = newSpreader(d, logging.Part(log, "spread"))
 	d.entry = newEntryLink(d.holder, s.EntryLocal, d.http, d.options, logging.Part(log, "entry"))
 	d.demand = newDemand(s.Demand)
 	d.leases = newLeases(d, logging.Part(log, "lease"))
 	d.roles = newRolePolicy(d, logging.Part(log, "roles"))
-	d.watcher = newWatcher(s.Rollout)
+	d.history = newRolloutHistory(s.Rollout)
 	d.orders = newOrderMetrics()
 	return d, nil
 }
@@ -124,7 +124,7 @@
 
 func (d *Daemon) handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle(sfv1connect.NewPeerServiceHandler(&peerService{daemon: d}, connect.WithCompressMinBytes(compressFrom), d.traced))
+	mux.Handle(sfv1connect.NewPeerServiceHandler(&peerService{daemon: d}, connect.WithCompressMinBytes(compressMinBytes), d.traced))
 	mux.Handle(sfv1connect.NewLeaseServiceHandler(&leaseService{leases: d.leases}, d.traced))
 	mux.Handle(sfv1connect.NewOperatorServiceHandler(&operatorService{daemon: d}, d.traced))
 	mux.HandleFunc("/livez", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
@@ -159,13 +159,13 @@
 // peer returns a client for another instance's sf-control.
 func (d *Daemon) peer(address string) sfv1connect.PeerServiceClient {
 	options := append([]connect.ClientOption{
-		connect.WithSendGzip(), connect.WithCompressMinBytes(compressFrom),
+		connect.WithSendGzip(), connect.WithCompressMinBytes(compressMinBytes),
 	}, d.options...)
 	return sfv1connect.NewPeerServiceClient(d.http, "http://"+address, options...)
 }
 
 // every calls work now and then at the period until the context ends.
-func every(ctx context.Context, period time.Duration, work func(context.Context)) {
+func runPeriodically(ctx context.Context, period time.Duration, work func(context.Context)) {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
 	for {
@@ -181,5 +181,5 @@
 // peerTransport keeps few idle connections: at hundreds of instances the next
 // exchange is seldom with a peer of the last ones.
 func peerTransport() *http.Transport {
-	return &http.Transport{MaxIdleConns: idlePeers, MaxIdleConnsPerHost: 2, IdleConnTimeout: time.Minute}
+	return &http.Transport{MaxIdleConns: maxIdlePeerConns, MaxIdleConnsPerHost: 2, IdleConnTimeout: time.Minute}
 }
--- a/internal/control/deliver.go
+++ b/internal/control/deliver.go
@@ -22,11 +22,11 @@
 func (d *Daemon) deliver(ctx context.Context, pool string, auth authority, to *config.Engine, row order.Row) error {
 	until, done, err := d.leases.startSending(pool, auth)
 	if err != nil {
-		d.orders.lapsed.Inc(1)
+		d.orders.expired.Inc(1)
 		return err
 	}
 	defer done()
-	if d.killTimerFor(to) {
+	if d.usesKillTimer(to) {
 		timer, err := selfkill.Arm(until)
 		if err != nil {
 			return errors.WithMessage(err, "order: not sent")
@@ -37,7 +37,7 @@
 	// send ends in time or the process does.
 	left := until - d.settings.Lease.SendGuard - bootclock.Now()
 	if left <= 0 {
-		d.orders.lapsed.Inc(1)
+		d.orders.expired.Inc(1)
 		return errors.Errorf("order: the term for %s is about to end", pool)
 	}
 	ctx, cancel := context.WithTimeout(ctx, left)
@@ -46,7 +46,7 @@
 }
 
 // killTimerFor tells whether sends to an engine are guarded by the timer.
-func (d *Daemon) killTimerFor(to *config.Engine) bool {
+func (d *Daemon) usesKillTimer(to *config.Engine) bool {
 	return d.settings.Lease.KillTimer == killTimerAll || to.Fencing == config.FencingIgnore
 }
 
@@ -69,7 +69,7 @@
 		d.orders.answered.Inc(1)
 		log.Info("order: sent", "took", time.Since(started))
 	case errors.Is(err, engine.ErrFenced):
-		d.orders.fenced.Inc(1)
+		d.orders.fencedOff.Inc(1)
 		log.Warn("order: refused by its fencing number")
 	default:
 		d.orders.failed.Inc(1)
--- a/internal/control/demand.go
+++ b/internal/control/demand.go
@@ -30,7 +30,7 @@
 type demand struct {
 	rng *rand.Rand // used by the demand loop alone
 	// asked are the homes of the last exchange; used by the demand loop alone.
-	asked []string
+	lastHomes []string
 
 	mu     sync.Mutex // protects totals
 	totals *limit.Totals
@@ -79,10 +79,10 @@
 		return
 	}
 	share := &sfv1.ShareRequest{Entries: int32(len(ids))}
-	homes := byHome(own.Msg.Demand, ids)
-	d.demand.asked = withdraw(homes, d.demand.asked, live)
+	homes := groupByHome(own.Msg.Demand, ids)
+	d.demand.lastHomes = addWithdrawals(homes, d.demand.lastHomes, live)
 	for home, rates := range homes {
-		totals, err := d.askHome(ctx, live[home], rates)
+		totals, err := d.requestTotals(ctx, live[home], rates)
 		if err != nil {
 			d.log.Debug("demand: a home did not answer", "peer", home, "error", err)
 			continue
@@ -94,7 +94,7 @@
 	}
 }
 
-func byHome(rates []*sfv1.OrganisationRate, ids []string) map[string][]*sfv1.OrganisationRate {
+func groupByHome(rates []*sfv1.OrganisationRate, ids []string) map[string][]*sfv1.OrganisationRate {
 	homes := map[string][]*sfv1.OrganisationRate{}
 	for _, rate := range rates {
 		if home := limit.Home(rate.Organisation, ids); home != "" {
@@ -106,20 +106,20 @@
 
 // withdraw adds the homes that were told of some demand in the last exchange
 // and of none now, and returns the homes that were told of some now.
-func withdraw(homes map[string][]*sfv1.OrganisationRate, before []string, live map[string]platform.Instance) []string {
-	told := slices.Collect(maps.Keys(homes))
+func addWithdrawals(homes map[string][]*sfv1.OrganisationRate, before []string, live map[string]platform.Instance) []string {
+	current := slices.Collect(maps.Keys(homes))
 	for _, home := range before {
 		if _, ok := live[home]; ok && homes[home] == nil {
 			homes[home] = []*sfv1.OrganisationRate{}
 		}
 	}
-	return told
+	return current
 }
 
-func (d *Daemon) askHome(ctx context.Context, home platform.Instance, rates []*sfv1.OrganisationRate) ([]*sfv1.OrganisationRate, error) {
+func (d *Daemon) requestTotals(ctx context.Context, home platform.Instance, rates []*sfv1.OrganisationRate) ([]*sfv1.OrganisationRate, error) {
 	request := &sfv1.TotalRequest{From: d.settings.Instance, Demand: rates}
 	if home.ID == d.settings.Instance {
-		return d.addUp(request), nil
+		return d.addDemand(request), nil
 	}
 	response, err := d.peer(home.Control).Total(ctx, connect.NewRequest(request))
 	if err != nil {
@@ -128,7 +128,7 @@
 	return response.Msg.Totals, nil
 }
 
-func (d *Daemon) addUp(request *sfv1.TotalRequest) []*sfv1.OrganisationRate {
+func (d *Daemon) addDemand(request *sfv1.TotalRequest) []*sfv1.OrganisationRate {
 	rates := make(map[string]float64, len(request.Demand))
 	for _, rate := range request.Demand {
 		rates[rate.Organisation] = float64(rate.Rate)
@@ -143,5 +143,5 @@
 
 // Total implements the PeerService.
 func (p *peerService) Total(_ context.Context, req *connect.Request[sfv1.TotalRequest]) (*connect.Response[sfv1.TotalResponse], error) {
-	return connect.NewResponse(&sfv1.TotalResponse{Totals: p.daemon.addUp(req.Msg)}), nil
+	return connect.NewResponse(&sfv1.TotalResponse{Totals: p.daemon.addDemand(req.Msg)}), nil
 }
--- a/internal/control/entrylink.go
+++ b/internal/control/entrylink.go
@@ -26,7 +26,7 @@
 	// All below is used by the entry loop alone.
 
 	// inForce is the version that the entry answered last.
-	inForce int64
+	entryVersion int64
 	// clock is the entry's clock of its last answer, which came before clockAt
 	// by the clock of this process. 0 for none.
 	clock   int64
@@ -49,7 +49,7 @@
 		return true
 	}
 	request := &sfv1.ApplyRequest{Version: doc.Version, Leaving: leaving, Clock: l.clock, StaleReason: status.Reason}
-	if l.inForce != doc.Version {
+	if l.entryVersion != doc.Version {
 		request.Document = l.holder.Encoded()
 	}
 	if l.clock != 0 && status.Fresh {
@@ -57,14 +57,14 @@
 	}
 	response, err := l.client.Apply(ctx, connect.NewRequest(request))
 	if err != nil {
-		l.inForce = 0
+		l.entryVersion = 0
 		l.log.Debug("entry: no answer", "error", err)
 		return true
 	}
-	if response.Msg.Version != l.inForce {
+	if response.Msg.Version != l.entryVersion {
 		l.log.Info("entry: version in force", "version", response.Msg.Version)
 	}
-	l.inForce = response.Msg.Version
+	l.entryVersion = response.Msg.Version
 	l.clock, l.clockAt = response.Msg.Clock, bootclock.Now()
 	return request.Clock != 0
 }
@@ -72,7 +72,7 @@
 func (d *Daemon) entryLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		changed := d.holder.Changed()
-		if !d.entry.apply(ctx, d.spread.leavingUpstreams(), d.spread.status()) {
+		if !d.entry.apply(ctx, d.spread.drainingUpstreams(), d.spread.status()) {
 			continue // the entry's clock is known now
 		}
 		wait(ctx, d.settings.Spread.ApplyEvery, changed)
--- a/internal/control/exchange.go
+++ b/internal/control/exchange.go
@@ -16,17 +16,17 @@
 
 // Code of a contact in ExchangeResponse.contacts.
 const (
-	contactStep    = 100 * time.Millisecond
-	contactUnknown = 127
-	contactVoter   = 128
+	contactAgeStep  = 100 * time.Millisecond
+	contactUnknown  = 127
+	contactVoterBit = 128
 )
 
 // exchange asks a peer what it knows.
 func (s *spreader) exchange(ctx context.Context, peer string) {
-	ctx, cancel := s.callContext(ctx)
+	ctx, cancel := s.peerContext(ctx)
 	defer cancel()
-	s.meters.exchanges.Inc(1)
-	request := s.question()
+	s.metrics.exchanges.Inc(1)
+	request := s.newExchangeRequest()
 	sent := bootclock.Now()
 	response, err := s.daemon.peer(peer).Exchange(ctx, connect.NewRequest(request))
 	if err != nil {
@@ -34,33 +34,33 @@
 		return
 	}
 	s.daemon.adoptList(response.Msg.Instances)
-	s.answered(sent, peer, response.Msg)
+	s.onExchangeResponse(sent, peer, response.Msg)
 }
 
-func (s *spreader) question() *sfv1.ExchangeRequest {
+func (s *spreader) newExchangeRequest() *sfv1.ExchangeRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := bootclock.Now()
 	return &sfv1.ExchangeRequest{
 		From: s.daemon.settings.Instance, Zone: s.daemon.settings.Zone, Control: s.daemon.settings.Listen,
 		Version: s.machine.Version(), ListHash: listHash(s.fresh.Members()),
-		WantContacts: s.hurried(now), Leaving: leavingMessage(s.leaving.Ages(now)),
+		WantContacts: s.needsContacts(now), Leaving: drainingMessages(s.draining.Ages(now)),
 	}
 }
 
 // answer tells a peer what is known here.
-func (s *spreader) answer(question *sfv1.ExchangeRequest) *sfv1.ExchangeResponse {
+func (s *spreader) exchangeResponse(question *sfv1.ExchangeRequest) *sfv1.ExchangeResponse {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := bootclock.Now()
 	s.fresh.NoteVersion(question.Version)
-	s.takeLeaving(now, question.Leaving)
+	s.mergeDraining(now, question.Leaving)
 	digest := s.fresh.Digest(now, question.WantContacts)
 	response := &sfv1.ExchangeResponse{
 		Version: digest.Version, Voter: digest.Voter,
 		TableSeen: digest.HeadSeen, TableAgeMs: ceilMs(digest.HeadAge),
 		Promised: digest.Promised, PromisedAgeMs: digest.PromisedAge.Milliseconds(),
-		Leaving: leavingMessage(s.leaving.Ages(now)),
+		Leaving: drainingMessages(s.draining.Ages(now)),
 	}
 	members := s.fresh.Members()
 	if question.ListHash == 0 {
@@ -77,12 +77,12 @@
 }
 
 // answered takes a peer's answer to a question that was sent at a time.
-func (s *spreader) answered(sent time.Duration, peer string, msg *sfv1.ExchangeResponse) {
+func (s *spreader) onExchangeResponse(sent time.Duration, peer string, msg *sfv1.ExchangeResponse) {
 	id := s.daemon.members.idAt(peer)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := bootclock.Now()
-	s.takeLeaving(now, msg.Leaving)
+	s.mergeDraining(now, msg.Leaving)
 	members := msg.Members
 	if len(members) == 0 {
 		members = s.fresh.Members()
@@ -95,9 +95,9 @@
 	s.enqueue(s.machine.OnPeerAnswer(now, peer, msg.Version))
 }
 
-func (s *spreader) takeLeaving(now time.Duration, leaving []*sfv1.LeavingUpstream) {
+func (s *spreader) mergeDraining(now time.Duration, leaving []*sfv1.LeavingUpstream) {
 	for _, upstream := range leaving {
-		s.leaving.Merge(upstream.Id, now-millis(upstream.AgeMs))
+		s.draining.Merge(upstream.Id, now-millis(upstream.AgeMs))
 	}
 }
 
@@ -115,7 +115,7 @@
 	return int64((d + time.Millisecond - 1) / time.Millisecond)
 }
 
-func leavingMessage(ages map[string]time.Duration) []*sfv1.LeavingUpstream {
+func drainingMessages(ages map[string]time.Duration) []*sfv1.LeavingUpstream {
 	var out []*sfv1.LeavingUpstream
 	for id, age := range ages {
 		out = append(out, &sfv1.LeavingUpstream{Id: id, AgeMs: ceilMs(age)})
@@ -149,13 +149,13 @@
 	for i, id := range members {
 		out[i] = contactUnknown
 		c, ok := contacts[id]
-		steps := (c.Age + contactStep - 1) / contactStep
+		steps := (c.Age + contactAgeStep - 1) / contactAgeStep
 		if !ok || steps >= contactUnknown {
 			continue
 		}
 		out[i] = byte(steps)
 		if c.Voter {
-			out[i] += contactVoter
+			out[i] += contactVoterBit
 		}
 	}
 	return out
@@ -164,18 +164,18 @@
 func decodeContacts(members []string, codes []byte) map[string]freshness.Contact {
 	contacts := map[string]freshness.Contact{}
 	for i := range min(len(members), len(codes)) {
-		voter := codes[i] >= contactVoter
-		steps := codes[i] &^ contactVoter
+		voter := codes[i] >= contactVoterBit
+		steps := codes[i] &^ contactVoterBit
 		if steps == contactUnknown {
 			continue
 		}
-		contacts[members[i]] = freshness.Contact{Age: time.Duration(steps) * contactStep, Voter: voter}
+		contacts[members[i]] = freshness.Contact{Age: time.Duration(steps) * contactAgeStep, Voter: voter}
 	}
 	return contacts
 }
 
 // sortedByID orders instances by id, as freshness orders members.
-func sortedByID(instances []platform.Instance) []platform.Instance {
+func sortByID(instances []platform.Instance) []platform.Instance {
 	sorted := slices.Clone(instances)
 	slices.SortFunc(sorted, func(a, b platform.Instance) int {
 		switch {
--- a/internal/control/leasehandover.go
+++ b/internal/control/leasehandover.go
@@ -20,18 +20,18 @@
 const hintTimeout = 500 * time.Millisecond
 
 // hinted is how many instances are told that a lease is free.
-const hinted = 3
+const hintFanout = 3
 
 // close goes on with giving a lease up. The lock is held.
-func (l *leases) close(p *poolLease) {
-	if p.closing == closingNot {
+func (l *leases) continueClosing(p *poolLease) {
+	if p.closing == closingNone {
 		return
 	}
-	if p.sending == 0 {
+	if p.ordersInFlight == 0 {
 		p.machine.Release()
 	}
-	if p.closing == closingBack && p.sending == 0 && p.machine.Released() {
-		p.closing = closingNot
+	if p.closing == closingHandBack && p.ordersInFlight == 0 && p.machine.Released() {
+		p.closing = closingNone
 		p.machine.ResumeWatching()
 	}
 }
@@ -43,11 +43,11 @@
 	defer cancel()
 	l.mu.Lock()
 	for _, p := range l.machines {
-		p.closing = closingEnd
+		p.closing = closingPermanent
 	}
 	l.mu.Unlock()
 	for ctx.Err() == nil && !l.allReleased() {
-		l.drive(ctx)
+		l.tickAll(ctx)
 		wait(ctx, leaseTick/5, nil)
 	}
 	l.calls.Wait()
@@ -65,7 +65,7 @@
 }
 
 // live returns the ids of the instances that may hold leases.
-func (l *leases) live() []string {
+func (l *leases) liveIDs() []string {
 	var ids []string
 	for _, i := range l.daemon.members.own() {
 		if i.State == platform.InstanceLive {
@@ -78,22 +78,22 @@
 
 // rank gives each machine its place when the list of live instances changed.
 // Nothing is watched before the list is known.
-func (l *leases) rank() {
-	live := l.live()
+func (l *leases) updateRanks() {
+	live := l.liveIDs()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(live) == 0 || slices.Equal(live, l.ranked) {
+	if len(live) == 0 || slices.Equal(live, l.rankedIDs) {
 		return
 	}
-	l.ranked = live
+	l.rankedIDs = live
 	now := bootclock.Now()
 	for _, p := range l.machines {
 		rank := l.ownRank(p.pool, live)
-		p.machine.SetWatchPolicy(l.daemon.settings.Lease.ranks().WatchPolicy(rank))
-		if rank == 0 && !p.first {
-			p.firstSince = now
+		p.machine.SetWatchPolicy(l.daemon.settings.Lease.rankSettings().WatchPolicy(rank))
+		if rank == 0 && !p.preferred {
+			p.preferredSince = now
 		}
-		p.first = rank == 0
+		p.preferred = rank == 0
 	}
 }
 
@@ -101,13 +101,13 @@
 // after all others.
 func (l *leases) ownRank(pool string, live []string) int {
 	self := l.daemon.settings.Instance
-	if l.leaving(self) {
+	if l.isShuttingDown(self) {
 		return len(live)
 	}
 	return lease.Rank(pool, self, live)
 }
 
-func (l *leases) leaving(id string) bool {
+func (l *leases) isShuttingDown(id string) bool {
 	return slices.ContainsFunc(l.daemon.members.own(), func(i platform.Instance) bool {
 		return i.ID == id && i.State == platform.InstanceLeaving
 	})
@@ -123,43 +123,43 @@
 
 // askBack asks the holders of leases that this instance is the first choice
 // for. Each is asked seldom, and only once both have been there for long.
-func (l *leases) askBack(ctx context.Context) {
+func (l *leases) requestHandBacks(ctx context.Context) {
 	now := bootclock.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, p := range l.machines {
-		if !l.mayAsk(p, now) {
+		if !l.shouldRequestHandBack(p, now) {
 			continue
 		}
-		p.lastAsk = now
-		pool, holder := p.pool, instanceOf(p.holder)
-		l.calls.Go(func() { l.ask(ctx, pool, holder) })
+		p.lastHandBackRequest = now
+		pool, holder := p.pool, instanceOfRun(p.holder)
+		l.calls.Go(func() { l.requestHandBack(ctx, pool, holder) })
 	}
 }
 
 // mayAsk tells whether to ask for a lease now. The lock is held.
-func (l *leases) mayAsk(p *poolLease, now time.Duration) bool {
+func (l *leases) shouldRequestHandBack(p *poolLease, now time.Duration) bool {
 	after := l.daemon.settings.Lease.HandBackAfter
-	elsewhere := p.holder != "" && instanceOf(p.holder) != l.daemon.settings.Instance
-	return p.first && elsewhere && p.closing == closingNot &&
-		now-p.firstSince >= after && now-p.holderSince >= after && now-p.lastAsk >= after
+	heldElsewhere := p.holder != "" && instanceOfRun(p.holder) != l.daemon.settings.Instance
+	return p.preferred && heldElsewhere && p.closing == closingNone &&
+		now-p.preferredSince >= after && now-p.holderSince >= after && now-p.lastHandBackRequest >= after
 }
 
 // instanceOf returns the instance id in the name of a run.
-func instanceOf(run string) string {
+func instanceOfRun(run string) string {
 	id, _, _ := strings.Cut(run, "/")
 	return id
 }
 
-func (l *leases) ask(ctx context.Context, pool, holder string) {
-	at, ok := l.controlOf(holder)
+func (l *leases) requestHandBack(ctx context.Context, pool, holder string) {
+	at, ok := l.controlAddress(holder)
 	if !ok {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, hintTimeout)
 	defer cancel()
 	request := &sfv1.HandBackRequest{Pool: pool, From: l.daemon.settings.Instance}
-	response, err := l.client(at).HandBack(ctx, connect.NewRequest(request))
+	response, err := l.leaseClient(at).HandBack(ctx, connect.NewRequest(request))
 	if err != nil {
 		l.log.Debug("lease: the holder did not answer", "pool", pool, "holder", holder, "error", err)
 		return
@@ -168,7 +168,7 @@
 }
 
 // controlOf returns the address of an instance's sf-control.
-func (l *leases) controlOf(id string) (string, bool) {
+func (l *leases) controlAddress(id string) (string, bool) {
 	for _, i := range l.daemon.members.own() {
 		if i.ID == id {
 			return i.Control, true
@@ -177,39 +177,39 @@
 	return "", false
 }
 
-func (l *leases) client(address string) sfv1connect.LeaseServiceClient {
+func (l *leases) leaseClient(address string) sfv1connect.LeaseServiceClient {
 	return sfv1connect.NewLeaseServiceClient(l.daemon.http, "http://"+address, l.daemon.options...)
 }
 
 // tellFreed has the first few other instances read the row at once.
-func (l *leases) tellFreed(pool string) {
+func (l *leases) notifyReleased(pool string) {
 	ctx, cancel := context.WithTimeout(context.Background(), hintTimeout)
 	defer cancel()
 	var work sync.WaitGroup
-	for _, id := range l.next(pool) {
-		work.Go(func() { l.hint(ctx, pool, id) })
+	for _, id := range l.nextInstances(pool) {
+		work.Go(func() { l.sendReleasedHint(ctx, pool, id) })
 	}
 	work.Wait()
 }
 
-func (l *leases) hint(ctx context.Context, pool, id string) {
-	at, ok := l.controlOf(id)
+func (l *leases) sendReleasedHint(ctx context.Context, pool, id string) {
+	at, ok := l.controlAddress(id)
 	if !ok {
 		return
 	}
 	request := connect.NewRequest(&sfv1.FreedRequest{Pool: pool})
-	if _, err := l.client(at).Freed(ctx, request); err != nil {
+	if _, err := l.leaseClient(at).Freed(ctx, request); err != nil {
 		l.log.Debug("lease: a hint was not taken", "pool", pool, "instance", id, "error", err)
 	}
 }
 
 // next returns the instances that rank first for a pool besides this one.
-func (l *leases) next(pool string) []string {
-	others := slices.DeleteFunc(l.live(), func(id string) bool { return id == l.daemon.settings.Instance })
+func (l *leases) nextInstances(pool string) []string {
+	others := slices.DeleteFunc(l.liveIDs(), func(id string) bool { return id == l.daemon.settings.Instance })
 	slices.SortFunc(others, func(a, b string) int {
 		return lease.Rank(pool, a, others) - lease.Rank(pool, b, others)
 	})
-	return others[:min(hinted, len(others))]
+	return others[:min(hintFanout, len(others))]
 }
 
 // leaseService answers other sf-control processes.
@@ -232,13 +232,13 @@
 // ranks higher, and only when it has been here for long.
 func (s *leaseService) HandBack(_ context.Context, req *connect.Request[sfv1.HandBackRequest]) (*connect.Response[sfv1.HandBackResponse], error) {
 	l := s.leases
-	live := l.live()
+	live := l.liveIDs()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	p, ok := l.machines[req.Msg.Pool]
 	agreed := ok && l.mayHandBack(p, req.Msg.From, live)
 	if agreed {
-		p.closing = closingBack
+		p.closing = closingHandBack
 		l.log.Info("lease: handed back", "pool", p.pool, "to", req.Msg.From)
 	}
 	return connect.NewResponse(&sfv1.HandBackResponse{Agreed: agreed}), nil
@@ -249,7 +249,7 @@
 func (l *leases) mayHandBack(p *poolLease, to string, live []string) bool {
 	now := bootclock.Now()
 	_, held := p.machine.Held(now)
-	long := now-p.holderSince >= l.daemon.settings.Lease.HandBackAfter
-	higher := slices.Contains(live, to) && lease.Rank(p.pool, to, live) < l.ownRank(p.pool, live)
-	return held && p.closing == closingNot && long && higher
+	heldLongEnough := now-p.holderSince >= l.daemon.settings.Lease.HandBackAfter
+	ranksHigher := slices.Contains(live, to) && lease.Rank(p.pool, to, live) < l.ownRank(p.pool, live)
+	return held && p.closing == closingNone && heldLongEnough && ranksHigher
 }
--- a/internal/control/leasemetrics.go
+++ b/internal/control/leasemetrics.go
@@ -28,7 +28,7 @@
 }
 
 // count sets the gauge of leases held.
-func (m *leaseMetrics) count(machines map[string]*poolLease) {
+func (m *leaseMetrics) updateHeld(machines map[string]*poolLease) {
 	held := int64(0)
 	for _, p := range machines {
 		if _, ok := p.machine.Held(bootclock.Now()); ok {
@@ -40,16 +40,16 @@
 
 // orderMetrics count what happens to orders.
 type orderMetrics struct {
-	sent, answered, failed, fenced, lapsed metrics.Counter
+	sent, answered, failed, fencedOff, expired metrics.Counter
 }
 
 func newOrderMetrics() *orderMetrics {
 	registry := metrics.DefaultRegistry
 	return &orderMetrics{
-		sent:     metrics.GetOrRegisterCounter("order.sent", registry),
-		answered: metrics.GetOrRegisterCounter("order.answered", registry),
-		failed:   metrics.GetOrRegisterCounter("order.failed", registry),
-		fenced:   metrics.GetOrRegisterCounter("order.fenced_off", registry),
-		lapsed:   metrics.GetOrRegisterCounter("order.lapsed", registry),
+		sent:      metrics.GetOrRegisterCounter("order.sent", registry),
+		answered:  metrics.GetOrRegisterCounter("order.answered", registry),
+		failed:    metrics.GetOrRegisterCounter("order.failed", registry),
+		fencedOff: metrics.GetOrRegisterCounter("order.fenced_off", registry),
+		expired:   metrics.GetOrRegisterCounter("order.lapsed", registry),
 	}
 }
--- a/internal/control/leases.go
+++ b/internal/control/leases.go
@@ -31,7 +31,7 @@
 	mu       sync.Mutex // protects all below and the machines
 	machines map[string]*poolLease
 	// ranked is the list of live instances that the places follow.
-	ranked []string
+	rankedIDs []string
 }
 
 // poolLease is a machine with what goes on around it.
@@ -39,7 +39,7 @@
 	pool    string
 	machine *lease.Lease
 	// sending counts the orders under way to the pool's engines.
-	sending int
+	ordersInFlight int
 	// closing leases take no new order and are released when none is under
 	// way.
 	closing closing
@@ -48,21 +48,21 @@
 	holderSince time.Duration
 	// firstSince is since when this instance is the first choice, for those
 	// that are; lastAsk when it last asked for the lease.
-	first      bool
-	firstSince time.Duration
-	lastAsk    time.Duration
-	wasHeld    bool
+	preferred           bool
+	preferredSince      time.Duration
+	lastHandBackRequest time.Duration
+	wasHeld             bool
 }
 
 // closing tells why a lease is being given up.
 type closing int
 
 const (
-	closingNot closing = iota
+	closingNone closing = iota
 	// closingBack: for the first choice; the lease is watched again after.
-	closingBack
+	closingHandBack
 	// closingEnd: for good.
-	closingEnd
+	closingPermanent
 )
 
 // authority proves that this process held a lease when it was read.
@@ -76,7 +76,7 @@
 }
 
 // check is the condition that the epoch has not changed since the takeover.
-func (a authority) check(pool string) platform.Check {
+func (a authority) epochCheck(pool string) platform.Check {
 	return platform.Check{Key: leaserows.EpochKey(pool), Revision: a.epochRevision}
 }
 
@@ -85,7 +85,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	p, ok := l.machines[pool]
-	if !ok || p.closing != closingNot {
+	if !ok || p.closing != closingNone {
 		return authority{}, false
 	}
 	grant, held := p.machine.Held(bootclock.Now())
@@ -108,26 +108,26 @@
 
 // loop works until the context ends, then gives all leases up.
 func (l *leases) loop(ctx context.Context) {
-	every(ctx, leaseTick, l.tick)
+	runPeriodically(ctx, leaseTick, l.tick)
 	l.handOver(context.WithoutCancel(ctx))
 }
 
 // tick asks each machine what to do and starts doing it. A call that takes
 // long holds up no other pool.
 func (l *leases) tick(ctx context.Context) {
-	l.configure()
-	l.rank()
-	l.drive(ctx)
-	l.askBack(ctx)
+	l.syncPools()
+	l.updateRanks()
+	l.tickAll(ctx)
+	l.requestHandBacks(ctx)
 }
 
-func (l *leases) drive(ctx context.Context) {
+func (l *leases) tickAll(ctx context.Context) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, p := range l.machines {
-		l.close(p)
+		l.continueClosing(p)
 		action := p.machine.Tick(bootclock.Now())
-		l.noteHeld(p)
+		l.reportHeldChange(p)
 		if action.Kind != lease.None {
 			l.calls.Go(func() { l.carryOut(ctx, p, action) })
 		}
@@ -136,7 +136,7 @@
 
 // configure keeps one machine for each configured pool. A pool that is no
 // longer configured has its lease given up.
-func (l *leases) configure() {
+func (l *leases) syncPools() {
 	doc := l.daemon.holder.Current()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -147,9 +147,9 @@
 	}
 	for name, p := range l.machines {
 		if doc.Pool(name) == nil {
-			p.closing = closingEnd
+			p.closing = closingPermanent
 		}
-		if p.closing == closingEnd && p.machine.Released() {
+		if p.closing == closingPermanent && p.machine.Released() {
 			delete(l.machines, name)
 		}
 	}
@@ -157,15 +157,15 @@
 
 // newMachine returns the machine of a pool. The lock is held.
 func (l *leases) newMachine(pool string) *poolLease {
-	l.ranked = nil // have its place set
+	l.rankedIDs = nil // have its place set
 	return &poolLease{
 		pool:    pool,
-		machine: lease.New(l.daemon.run, l.daemon.settings.Lease.machine(), uuid.NewString),
+		machine: lease.New(l.daemon.runID, l.daemon.settings.Lease.machineSettings(), uuid.NewString),
 	}
 }
 
 // noteHeld tells of authority won and lost. The lock is held.
-func (l *leases) noteHeld(p *poolLease) {
+func (l *leases) reportHeldChange(p *poolLease) {
 	grant, held := p.machine.Held(bootclock.Now())
 	if held == p.wasHeld {
 		return
@@ -175,11 +175,11 @@
 	case held:
 		l.metrics.taken.Inc(1)
 		l.log.Info("lease: taken", "pool", p.pool, "epoch", grant.Epoch)
-	case p.closing == closingNot:
+	case p.closing == closingNone:
 		l.metrics.lost.Inc(1)
 		l.log.Warn("lease: lost", "pool", p.pool)
 	}
-	l.metrics.count(l.machines)
+	l.metrics.updateHeld(l.machines)
 }
 
 // startSending registers an order about to go out under an authority and
@@ -188,19 +188,19 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	p, ok := l.machines[pool]
-	if !ok || p.closing != closingNot {
+	if !ok || p.closing != closingNone {
 		return 0, nil, errors.Errorf("order: the lease of %s is being given up", pool)
 	}
 	grant, held := p.machine.Held(bootclock.Now())
 	if !held || grant.Epoch != auth.epoch {
 		return 0, nil, errors.Errorf("order: the lease of %s has lapsed", pool)
 	}
-	p.sending++
-	return grant.Until, func() { l.endSending(p) }, nil
+	p.ordersInFlight++
+	return grant.Until, func() { l.finishSending(p) }, nil
 }
 
-func (l *leases) endSending(p *poolLease) {
+func (l *leases) finishSending(p *poolLease) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	p.sending--
+	p.ordersInFlight--
 }
--- a/internal/control/leasesettings.go
+++ b/internal/control/leasesettings.go
@@ -56,15 +56,15 @@
 }
 
 func (s LeaseSettings) check(file *tomlfile.File) {
-	settings.Between(file, "lease.term", s.Term, 100*time.Millisecond, longest)
-	settings.Between(file, "lease.renew_every", s.RenewEvery, shortest, s.Term/2)
-	settings.Between(file, "lease.retry_every", s.RetryEvery, shortest, s.Term/2)
-	settings.Between(file, "lease.call_timeout", s.CallTimeout, shortest, s.Term)
-	settings.Between(file, "lease.margin", s.Margin, shortest, longest)
+	settings.Between(file, "lease.term", s.Term, 100*time.Millisecond, maxDuration)
+	settings.Between(file, "lease.renew_every", s.RenewEvery, minDuration, s.Term/2)
+	settings.Between(file, "lease.retry_every", s.RetryEvery, minDuration, s.Term/2)
+	settings.Between(file, "lease.call_timeout", s.CallTimeout, minDuration, s.Term)
+	settings.Between(file, "lease.margin", s.Margin, minDuration, maxDuration)
 	settings.IntBetween(file, "lease.watchers", s.Watchers, 1, maxWatchers)
-	settings.Between(file, "lease.rank_delay", s.RankDelay, shortest, longest)
-	settings.Between(file, "lease.hand_back_after", s.HandBackAfter, shortest, time.Hour)
-	settings.Between(file, "lease.send_guard", s.SendGuard, shortest, s.Term/2)
+	settings.Between(file, "lease.rank_delay", s.RankDelay, minDuration, maxDuration)
+	settings.Between(file, "lease.hand_back_after", s.HandBackAfter, minDuration, time.Hour)
+	settings.Between(file, "lease.send_guard", s.SendGuard, minDuration, s.Term/2)
 	if s.KillTimer != killTimerAll && s.KillTimer != killTimerIgnore {
 		file.Add("lease.kill_timer", "want %q or %q, not %q", killTimerAll, killTimerIgnore, s.KillTimer)
 	}
@@ -73,10 +73,10 @@
 // maxWatchers keeps the doublings of the reads' period in bounds.
 const maxWatchers = 16
 
-func (s LeaseSettings) machine() lease.Settings {
+func (s LeaseSettings) machineSettings() lease.Settings {
 	return lease.Settings{Term: s.Term, RenewEvery: s.RenewEvery, RetryEvery: s.RetryEvery, Margin: s.Margin}
 }
 
-func (s LeaseSettings) ranks() lease.RankSettings {
+func (s LeaseSettings) rankSettings() lease.RankSettings {
 	return lease.RankSettings{Watchers: s.Watchers, ReadEvery: s.RenewEvery, RankDelay: s.RankDelay}
 }
--- a/internal/control/leasetable.go
+++ b/internal/control/leasetable.go
@@ -47,11 +47,11 @@
 	l.mu.Lock()
 	p.machine.OnWrite(bootclock.Now(), outcome, revision)
 	l.noteHolder(p)
-	l.noteHeld(p)
+	l.reportHeldChange(p)
 	l.mu.Unlock()
 	if outcome == lease.Committed && action.Row.Holder == "" {
 		l.metrics.released.Inc(1)
 		l.log.Info("lease: released", "pool", p.pool, "epoch", action.Row.Epoch)
-		l.tellFreed(p.pool)
+		l.notifyReleased(p.pool)
 	}
 }
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -13,10 +13,10 @@
 
 // forgetAfter is how long an instance that is in no list stays known after it
 // was last heard of.
-const forgetAfter = time.Minute
+const unlistedTTL = time.Minute
 
 // heardInstance is an instance that asked this one something.
-type heardInstance struct {
+type seenInstance struct {
 	instance platform.Instance
 	at       time.Duration
 }
@@ -28,15 +28,15 @@
 	list platform.InstanceList
 	log  *slog.Logger
 	// changed is called after each new list, with when it was asked for.
-	changed func(asked time.Duration)
+	onList func(asked time.Duration)
 
-	mu        sync.Mutex // protects all below
-	instances []platform.Instance
-	heard     map[string]heardInstance
+	mu           sync.Mutex // protects all below
+	instances    []platform.Instance
+	unlistedSeen map[string]seenInstance
 }
 
 func newMembers(list platform.InstanceList, log *slog.Logger) *members {
-	return &members{list: list, log: log, heard: map[string]heardInstance{}}
+	return &members{list: list, log: log, unlistedSeen: map[string]seenInstance{}}
 }
 
 func (m *members) refresh(ctx context.Context) {
@@ -47,9 +47,9 @@
 		return
 	}
 	m.mu.Lock()
-	m.instances = sortedByID(instances)
+	m.instances = sortByID(instances)
 	m.mu.Unlock()
-	m.changed(asked)
+	m.onList(asked)
 }
 
 // adopt takes a peer's list, unless there is one already, and tells whether it
@@ -60,14 +60,14 @@
 	if len(m.instances) > 0 || len(instances) == 0 {
 		return false
 	}
-	m.instances = sortedByID(instances)
+	m.instances = sortByID(instances)
 	m.log.Info("members: list taken from a peer", "instances", len(instances))
 	return true
 }
 
 // hear takes that an instance asked something, and tells whether it was not
 // known.
-func (m *members) hear(instance platform.Instance) bool {
+func (m *members) noteCaller(instance platform.Instance) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, listed := range m.instances {
@@ -75,13 +75,13 @@
 			return false
 		}
 	}
-	_, known := m.heard[instance.ID]
-	m.heard[instance.ID] = heardInstance{instance: instance, at: bootclock.Now()}
+	_, known := m.unlistedSeen[instance.ID]
+	m.unlistedSeen[instance.ID] = seenInstance{instance: instance, at: bootclock.Now()}
 	return !known
 }
 
 // all returns the list. Treat it as read-only.
-func (m *members) all() []platform.Instance {
+func (m *members) listed() []platform.Instance {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.instances
@@ -90,7 +90,7 @@
 // own returns the listed instances that run this system.
 func (m *members) own() []platform.Instance {
 	var own []platform.Instance
-	for _, instance := range m.all() {
+	for _, instance := range m.listed() {
 		if instance.Kind == platform.KindOwn && instance.Control != "" {
 			own = append(own, instance)
 		}
@@ -104,12 +104,12 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, listed := range m.instances {
-		delete(m.heard, listed.ID)
+		delete(m.unlistedSeen, listed.ID)
 	}
 	var out []platform.Instance
-	for id, h := range m.heard {
-		if bootclock.Now()-h.at > forgetAfter {
-			delete(m.heard, id)
+	for id, h := range m.unlistedSeen {
+		if bootclock.Now()-h.at > unlistedTTL {
+			delete(m.unlistedSeen, id)
 			continue
 		}
 		out = append(out, h.instance)
@@ -118,13 +118,13 @@
 }
 
 // known returns the instances that run this system, listed or heard of, by id.
-func (m *members) known() []platform.Instance {
-	return sortedByID(append(m.own(), m.unlisted()...))
+func (m *members) withUnlisted() []platform.Instance {
+	return sortByID(append(m.own(), m.unlisted()...))
 }
 
 // idAt returns the id of the listed instance with a control address, or "".
 func (m *members) idAt(control string) string {
-	for _, instance := range m.all() {
+	for _, instance := range m.listed() {
 		if instance.Control == control {
 			return instance.ID
 		}
@@ -133,9 +133,9 @@
 }
 
 // leavingUpstreams returns the ids of upstreams that the list calls leaving.
-func (m *members) leavingUpstreams() []string {
+func (m *members) drainingUpstreams() []string {
 	var ids []string
-	for _, instance := range m.all() {
+	for _, instance := range m.listed() {
 		if instance.Kind == platform.KindUpstream && instance.State == platform.InstanceLeaving {
 			ids = append(ids, instance.ID)
 		}
@@ -146,22 +146,22 @@
 func (d *Daemon) memberLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		d.members.refresh(ctx)
-		wait(ctx, d.listPeriod(), nil)
+		wait(ctx, d.listReadPeriod(), nil)
 	}
 }
 
 // listPeriod is the time between this daemon's reads of the list. The list is
 // long where there are many instances, and peers tell of what leaves, so that
 // each reads it less often then.
-func (d *Daemon) listPeriod() time.Duration {
+func (d *Daemon) listReadPeriod() time.Duration {
 	share := time.Duration(len(d.members.own())) * time.Second / time.Duration(d.settings.Spread.ListReads)
 	return max(d.settings.Spread.ListEvery, share)
 }
 
 // listRead takes a list that the platform answered with.
-func (d *Daemon) listRead(asked time.Duration) {
-	d.spread.listRead(asked, d.members.leavingUpstreams())
-	d.membersChanged()
+func (d *Daemon) onInstanceList(asked time.Duration) {
+	d.spread.onInstanceList(asked, d.members.drainingUpstreams())
+	d.updatePeers()
 }
 
 // adoptList takes a peer's list of own instances when there is none here.
@@ -174,23 +174,23 @@
 		})
 	}
 	if d.members.adopt(instances) {
-		d.membersChanged()
+		d.updatePeers()
 	}
 }
 
 // heardOf takes that a peer asked something.
-func (d *Daemon) heardOf(msg *sfv1.ExchangeRequest) {
+func (d *Daemon) notePeer(msg *sfv1.ExchangeRequest) {
 	instance := platform.Instance{ID: msg.From, Kind: platform.KindOwn, Zone: msg.Zone, Control: msg.Control}
 	if instance.ID == d.settings.Instance || instance.Control == "" {
 		return
 	}
-	if d.members.hear(instance) {
-		d.membersChanged()
+	if d.members.noteCaller(instance) {
+		d.updatePeers()
 	}
 }
 
 // membersChanged tells the decisions whom there is to ask.
-func (d *Daemon) membersChanged() {
+func (d *Daemon) updatePeers() {
 	own := d.members.own()
 	var peers []string
 	for _, instance := range append(own, d.members.unlisted()...) {
@@ -201,12 +201,12 @@
 	if len(peers) == 0 {
 		peers = d.settings.Spread.Seeds
 	}
-	d.spread.listed(own, peers)
+	d.spread.setMembers(own, peers)
 }
 
 // listRead takes which upstreams a list called leaving.
-func (s *spreader) listRead(asked time.Duration, leaving []string) {
+func (s *spreader) onInstanceList(asked time.Duration, leaving []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.leaving.MergeList(asked, leaving)
+	s.draining.MergeList(asked, leaving)
 }
--- a/internal/control/members_test.go
+++ b/internal/control/members_test.go
@@ -16,17 +16,17 @@
 // TestInstancesThatTheListLacksAreShown: the platform's list was read before the others
 // started and not since, as happens while it is slow to answer. They ask this instance all
 // the while, so an operator must see them.
-func TestInstancesThatTheListLacksAreShown(t *testing.T) {
+func TestUnlistedInstancesAreShown(t *testing.T) {
 	s := DefaultSettings()
 	s.Instance = "inst-1"
 	d, err := New(s, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	const nobody = "127.0.0.1:1"
-	d.members.adopt([]platform.Instance{{ID: "inst-1", Kind: platform.KindOwn, State: platform.InstanceLive, Control: nobody}})
+	const unreachable = "127.0.0.1:1"
+	d.members.adopt([]platform.Instance{{ID: "inst-1", Kind: platform.KindOwn, State: platform.InstanceLive, Control: unreachable}})
 	for _, id := range []string{"inst-3", "inst-2"} {
-		d.heardOf(&sfv1.ExchangeRequest{From: id, Control: nobody})
+		d.notePeer(&sfv1.ExchangeRequest{From: id, Control: unreachable})
 	}
 	response, err := (&operatorService{d}).Instances(context.Background(), connect.NewRequest(&sfv1.InstancesRequest{}))
 	if err != nil {
--- a/internal/control/observe.go
+++ b/internal/control/observe.go
@@ -19,18 +19,18 @@
 // when an engine waits for that: neither a pool that is watched for faults nor
 // one with an engine that is gone costs them questions.
 func (d *Daemon) observe(ctx context.Context, doc *config.Config, pool string) (rollout.View, error) {
-	orders, err := d.readOrders(ctx, pool)
+	orders, err := d.readOrdersForHolder(ctx, pool)
 	if err != nil {
 		return rollout.View{}, err
 	}
-	return d.look(ctx, doc, pool, orders), nil
+	return d.buildView(ctx, doc, pool, orders), nil
 }
 
 // look asks for what a decision on a pool rests on.
-func (d *Daemon) look(ctx context.Context, doc *config.Config, pool string, orders map[string]order.Row) rollout.View {
+func (d *Daemon) buildView(ctx context.Context, doc *config.Config, pool string, orders map[string]order.Row) rollout.View {
 	view := rollout.View{
 		Config: doc, Pool: pool, Orders: orders,
-		Limits: d.limits(ctx, doc, pool), ShuttingDown: d.leavingEngines(),
+		Limits: d.limits(ctx, doc, pool), ShuttingDown: d.shuttingDownEngines(),
 	}
 	engines := doc.PoolEngines(pool)
 	view.Engines = d.observeEngines(ctx, engines)
@@ -41,16 +41,16 @@
 	return view
 }
 
-func (d *Daemon) leavingEngines() map[string]bool {
+func (d *Daemon) shuttingDownEngines() map[string]bool {
 	leaving := map[string]bool{}
-	for _, id := range d.members.leavingUpstreams() {
+	for _, id := range d.members.drainingUpstreams() {
 		leaving[id] = true
 	}
 	return leaving
 }
 
 func (d *Daemon) observeInstances(ctx context.Context) []rollout.InstanceView {
-	known := d.watcher.instancesToAsk(bootclock.Now())
+	known := d.history.instancesToQuery(bootclock.Now())
 	views := make([]rollout.InstanceView, len(known))
 	var work sync.WaitGroup
 	for i, instance := range known {
@@ -92,5 +92,5 @@
 
 func (d *Daemon) observeEngine(ctx context.Context, e *config.Engine) rollout.EngineView {
 	status, err := d.engineAt(e.Address).Status(ctx)
-	return d.watcher.engineSeen(e, status, err == nil, bootclock.Now())
+	return d.history.engineView(e, status, err == nil, bootclock.Now())
 }
--- a/internal/control/offer.go
+++ b/internal/control/offer.go
@@ -11,33 +11,33 @@
 )
 
 // offer tells a peer the number of the version held.
-func (s *spreader) offer(ctx context.Context, peer string) {
-	s.meters.offers.Inc(1)
+func (s *spreader) offerVersion(ctx context.Context, peer string) {
+	s.metrics.offers.Inc(1)
 	request := &sfv1.OfferRequest{From: s.daemon.settings.Instance, Version: s.daemon.holder.Current().Version}
 	if version, ok := s.callOffer(ctx, peer, request); ok {
-		s.peerAnswered(peer, version)
+		s.onPeerVersion(peer, version)
 	}
 }
 
 // send brings a peer that has an older version the one held: what changed, or
 // all of it when that is not known here or does not fit there.
-func (s *spreader) send(ctx context.Context, peer string, have int64) {
+func (s *spreader) sendUpdate(ctx context.Context, peer string, have int64) {
 	update := s.daemon.holder.UpdateSince(have)
 	if len(update.Deltas) > 0 {
-		s.meters.deltas.Inc(1)
+		s.metrics.deltas.Inc(1)
 		request := &sfv1.OfferRequest{From: s.daemon.settings.Instance, Version: update.Version, Deltas: update.Deltas, Sum: update.Sum}
 		version, ok := s.callOffer(ctx, peer, request)
 		if !ok || version >= update.Version {
 			return
 		}
 	}
-	s.meters.documents.Inc(1)
+	s.metrics.documents.Inc(1)
 	doc := s.daemon.holder.UpdateSince(0)
 	s.callOffer(ctx, peer, &sfv1.OfferRequest{From: s.daemon.settings.Instance, Version: doc.Version, Document: doc.Document})
 }
 
 func (s *spreader) callOffer(ctx context.Context, peer string, request *sfv1.OfferRequest) (version int64, ok bool) {
-	ctx, cancel := s.callContext(ctx)
+	ctx, cancel := s.peerContext(ctx)
 	defer cancel()
 	response, err := s.daemon.peer(peer).Offer(ctx, connect.NewRequest(request))
 	if err != nil {
@@ -48,16 +48,16 @@
 }
 
 // fetch asks a peer for what is newer than the version held.
-func (s *spreader) fetch(ctx context.Context, peer string) {
+func (s *spreader) fetchUpdate(ctx context.Context, peer string) {
 	have := s.daemon.holder.Current().Version
 	msg, ok := s.callFetch(ctx, peer, have)
 	if !ok {
 		return
 	}
-	err := s.daemon.take(msg.Document, msg.Deltas, msg.Sum, "peer at "+peer)
+	err := s.daemon.applyUpdate(msg.Document, msg.Deltas, msg.Sum, "peer at "+peer)
 	if err != nil && have > 0 {
 		if msg, ok = s.callFetch(ctx, peer, 0); ok {
-			err = s.daemon.take(msg.Document, nil, 0, "peer at "+peer)
+			err = s.daemon.applyUpdate(msg.Document, nil, 0, "peer at "+peer)
 		}
 	}
 	if err != nil {
@@ -66,7 +66,7 @@
 }
 
 func (s *spreader) callFetch(ctx context.Context, peer string, have int64) (*sfv1.FetchResponse, bool) {
-	ctx, cancel := s.callContext(ctx)
+	ctx, cancel := s.peerContext(ctx)
 	defer cancel()
 	response, err := s.daemon.peer(peer).Fetch(ctx, connect.NewRequest(&sfv1.FetchRequest{Have: have}))
 	if err != nil {
@@ -78,20 +78,20 @@
 
 // take learns a version from what a peer sent: the whole document, or deltas
 // to the version held.
-func (d *Daemon) take(document []byte, deltas [][]byte, sum uint64, source string) error {
+func (d *Daemon) applyUpdate(document []byte, deltas [][]byte, sum uint64, source string) error {
 	switch {
 	case len(document) > 0:
 		doc, err := config.Decode(document)
 		if err != nil {
 			return err
 		}
-		d.learn(doc, source)
+		d.adoptConfig(doc, source)
 	case len(deltas) > 0:
 		doc, err := gossip.ApplyAll(d.holder.Current(), deltas, sum)
 		if err != nil {
 			return err
 		}
-		d.learn(doc, source)
+		d.adoptConfig(doc, source)
 	}
 	return nil
 }
--- a/internal/control/operator.go
+++ b/internal/control/operator.go
@@ -52,7 +52,7 @@
 	p.Name = in.Name
 	p.Operator = req.Msg.Operator
 	p.File, p.Source = req.Msg.File, req.Msg.Intent
-	if err := o.keep(ctx, p); err != nil {
+	if err := o.savePlan(ctx, p); err != nil {
 		return nil, platformError(err)
 	}
 	response.PlanId = p.ID
@@ -72,7 +72,7 @@
 
 // keep writes a declared plan. The id is fresh, so writing it twice is the
 // same as once.
-func (o *operatorService) keep(ctx context.Context, p *plan.Plan) error {
+func (o *operatorService) savePlan(ctx context.Context, p *plan.Plan) error {
 	_, err := o.daemon.platform.Commit(ctx, platform.Txn{
 		Writes: []platform.Write{{Key: plan.Key(p.ID), Value: p.Encode()}},
 	})
@@ -81,7 +81,7 @@
 
 // load reads a plan with the revision of its row. That there is none is told
 // only when a transaction proves it.
-func (o *operatorService) load(ctx context.Context, id string) (*plan.Plan, int64, error) {
+func (o *operatorService) loadPlan(ctx context.Context, id string) (*plan.Plan, int64, error) {
 	for range readAttempts {
 		row, err := o.daemon.platform.Get(ctx, plan.Key(id))
 		if err == nil {
@@ -105,12 +105,12 @@
 
 // GetPlan implements the OperatorService.
 func (o *operatorService) GetPlan(ctx context.Context, req *connect.Request[sfv1.GetPlanRequest]) (*connect.Response[sfv1.GetPlanResponse], error) {
-	p, _, err := o.load(ctx, req.Msg.PlanId)
+	p, _, err := o.loadPlan(ctx, req.Msg.PlanId)
 	if err != nil {
 		return nil, err
 	}
 	doc := o.daemon.holder.Current()
-	return connect.NewResponse(&sfv1.GetPlanResponse{Plan: planMessage(p, doc, o.daemon.waits(ctx, p, doc))}), nil
+	return connect.NewResponse(&sfv1.GetPlanResponse{Plan: planMessage(p, doc, o.daemon.waitReasons(ctx, p, doc))}), nil
 }
 
 // SystemStatus implements the OperatorService.
@@ -130,7 +130,7 @@
 		response.HeadVersion, response.IntentVersion = head.Version, head.Intent
 	}
 	for _, id := range plan.RunningIDs(doc) {
-		p, _, err := o.load(ctx, id)
+		p, _, err := o.loadPlan(ctx, id)
 		if err != nil {
 			return nil, err
 		}
@@ -160,14 +160,14 @@
 		engines := doc.PoolEngines(pool.Name)
 		views := o.daemon.observeEngines(ctx, engines)
 		for _, e := range engines {
-			response.Engines = append(response.Engines, engineMessage(e, views[e.ID].Status, views[e.ID].Reachable, o.holderOf(ctx, pool.Name)))
+			response.Engines = append(response.Engines, engineMessage(e, views[e.ID].Status, views[e.ID].Reachable, o.leaseHolder(ctx, pool.Name)))
 		}
 	}
 	return connect.NewResponse(response), nil
 }
 
 // holderOf names the holder of a pool's lease, as the table has it.
-func (o *operatorService) holderOf(ctx context.Context, pool string) string {
+func (o *operatorService) leaseHolder(ctx context.Context, pool string) string {
 	row, err := o.daemon.platform.Get(ctx, leaserows.Key(pool))
 	if err != nil {
 		return ""
@@ -182,22 +182,22 @@
 }
 
 // notListed is shown of an instance that was heard of and is in no list of the platform's.
-const notListed = "not listed"
+const stateNotListed = "not listed"
 
 // Instances implements the OperatorService. The platform's list may be older than the
 // newest instances, so those that were heard of are shown too.
 func (o *operatorService) Instances(ctx context.Context, _ *connect.Request[sfv1.InstancesRequest]) (*connect.Response[sfv1.InstancesResponse], error) {
 	response := &sfv1.InstancesResponse{HeadVersion: o.daemon.holder.Current().Version}
-	for _, instance := range o.daemon.members.known() {
+	for _, instance := range o.daemon.members.withUnlisted() {
 		row := &sfv1.InstanceRow{Id: instance.ID, Zone: instance.Zone, PlatformState: string(instance.State)}
 		if instance.State == "" {
-			row.PlatformState = notListed
+			row.PlatformState = stateNotListed
 		}
-		seen, err := o.daemon.peer(instance.Control).InForce(ctx, connect.NewRequest(&sfv1.InForceRequest{}))
+		inForce, err := o.daemon.peer(instance.Control).InForce(ctx, connect.NewRequest(&sfv1.InForceRequest{}))
 		if err == nil {
 			row.Reachable = true
-			row.EntryVersion, row.ControlVersion = seen.Msg.EntryVersion, seen.Msg.ControlVersion
-			row.Ready, row.Leases = seen.Msg.EntryReady, seen.Msg.Leases
+			row.EntryVersion, row.ControlVersion = inForce.Msg.EntryVersion, inForce.Msg.ControlVersion
+			row.Ready, row.Leases = inForce.Msg.EntryReady, inForce.Msg.Leases
 		}
 		response.Instances = append(response.Instances, row)
 	}
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -14,12 +14,12 @@
 
 // readOrders returns the journal of a pool by engine, as this holder sees
 // it: open orders of earlier epochs count as not sent.
-func (d *Daemon) readOrders(ctx context.Context, pool string) (map[string]order.Row, error) {
+func (d *Daemon) readOrdersForHolder(ctx context.Context, pool string) (map[string]order.Row, error) {
 	auth, held := d.leases.held(pool)
 	if !held {
 		return nil, errors.Errorf("order: the lease of %s has lapsed", pool)
 	}
-	orders, err := d.journal(ctx, pool)
+	orders, err := d.readJournal(ctx, pool)
 	if err != nil {
 		return nil, err
 	}
@@ -30,7 +30,7 @@
 }
 
 // journal reads the orders of a pool as they stand, without authority.
-func (d *Daemon) journal(ctx context.Context, pool string) (map[string]order.Row, error) {
+func (d *Daemon) readJournal(ctx context.Context, pool string) (map[string]order.Row, error) {
 	rows, err := d.platform.List(ctx, order.KeyPrefix(pool))
 	if err != nil {
 		return nil, err
@@ -65,7 +65,7 @@
 	row.WriteID = uuid.NewString()
 	key := order.Key(pool, row.Engine)
 	_, err := d.platform.Commit(ctx, platform.Txn{
-		Checks: []platform.Check{auth.check(pool), {Key: key, Revision: row.Revision}},
+		Checks: []platform.Check{auth.epochCheck(pool), {Key: key, Revision: row.Revision}},
 		Writes: []platform.Write{{Key: key, Value: row.Encode()}},
 	})
 	if errors.Is(err, platform.ErrUnknown) && d.written(ctx, key, row.WriteID) {
--- a/internal/control/pace.go
+++ b/internal/control/pace.go
@@ -8,26 +8,26 @@
 // pace sets how often a pool is looked at: at once after a step or a new
 // version, and else less and less often, up to a longest pause.
 type pace struct {
-	shortest time.Duration
+	minPeriod time.Duration
 
-	mu      sync.Mutex // protects all below
-	longest time.Duration
-	busy    bool
-	period  time.Duration
-	due     time.Duration
-	version int64
+	mu        sync.Mutex // protects all below
+	maxPeriod time.Duration
+	busy      bool
+	period    time.Duration
+	nextAt    time.Duration
+	version   int64
 }
 
 // begin tells whether it is time to look. The caller calls end after it.
-func (p *pace) begin(now time.Duration, version int64, longest time.Duration) bool {
+func (p *pace) begin(now time.Duration, version int64, maxPeriod time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.longest = longest
-	if p.busy || (now < p.due && version == p.version) {
+	p.maxPeriod = maxPeriod
+	if p.busy || (now < p.nextAt && version == p.version) {
 		return false
 	}
 	if version != p.version {
-		p.period = p.shortest
+		p.period = p.minPeriod
 	}
 	p.busy, p.version = true, version
 	return true
@@ -38,9 +38,9 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.busy = false
-	p.period = min(2*max(p.period, p.shortest), p.longest)
+	p.period = min(2*max(p.period, p.minPeriod), p.maxPeriod)
 	if acted {
-		p.period = p.shortest
+		p.period = p.minPeriod
 	}
-	p.due = now + p.period
+	p.nextAt = now + p.period
 }
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -17,14 +17,14 @@
 
 // Offer implements the PeerService.
 func (p *peerService) Offer(_ context.Context, req *connect.Request[sfv1.OfferRequest]) (*connect.Response[sfv1.OfferResponse], error) {
-	err := p.daemon.take(req.Msg.Document, req.Msg.Deltas, req.Msg.Sum, "peer "+req.Msg.From)
+	err := p.daemon.applyUpdate(req.Msg.Document, req.Msg.Deltas, req.Msg.Sum, "peer "+req.Msg.From)
 	if errors.Is(err, gossip.ErrBaseMismatch) {
 		return connect.NewResponse(&sfv1.OfferResponse{Version: p.daemon.holder.Current().Version}), nil
 	}
 	if err != nil {
 		return nil, connect.NewError(connect.CodeInvalidArgument, err)
 	}
-	version := p.daemon.spread.offered(req.Msg.Version)
+	version := p.daemon.spread.onOffer(req.Msg.Version)
 	return connect.NewResponse(&sfv1.OfferResponse{Version: version}), nil
 }
 
@@ -41,8 +41,8 @@
 
 // Exchange implements the PeerService.
 func (p *peerService) Exchange(_ context.Context, req *connect.Request[sfv1.ExchangeRequest]) (*connect.Response[sfv1.ExchangeResponse], error) {
-	p.daemon.heardOf(req.Msg)
-	return connect.NewResponse(p.daemon.spread.answer(req.Msg)), nil
+	p.daemon.notePeer(req.Msg)
+	return connect.NewResponse(p.daemon.spread.exchangeResponse(req.Msg)), nil
 }
 
 // Prepare implements the PeerService.
--- a/internal/control/planmessage.go
+++ b/internal/control/planmessage.go
@@ -14,8 +14,8 @@
 
 // planMessage tells how far a plan is in a configuration. Waits has what the
 // engines wait for, by id; nil when that was not asked.
-func planMessage(p *plan.Plan, now *config.Config, waits map[string]string) *sfv1.Plan {
-	progress := p.ProgressIn(now)
+func planMessage(p *plan.Plan, current *config.Config, waits map[string]string) *sfv1.Plan {
+	progress := p.ProgressIn(current)
 	out := &sfv1.Plan{
 		Id: p.ID, IntentName: p.Name, BuiltFrom: p.BuiltFrom, Operator: p.Operator, ConfirmedBy: p.ConfirmedBy,
 		Warnings: p.Warnings, Refusals: p.Refusals, State: progress.State, Version: p.Version,
@@ -26,7 +26,7 @@
 			Number: int32(s.Number), Kind: string(s.Kind), Pool: s.Pool, Engine: s.Engine,
 			Text: s.Text, OutSeconds: s.OutSeconds, State: string(progress.Steps[i]),
 		}
-		if unfinished(progress.Steps[i]) {
+		if isUnfinished(progress.Steps[i]) {
 			step.Detail = waits[s.Engine]
 		}
 		out.Steps = append(out.Steps, step)
@@ -39,64 +39,64 @@
 	return out
 }
 
-func unfinished(s plan.StepState) bool {
+func isUnfinished(s plan.StepState) bool {
 	return s == plan.StepWaiting || s == plan.StepRunning
 }
 
 // waitsKept is how long an answer of waits serves further questions.
-const waitsKept = time.Second
+const waitReasonTTL = time.Second
 
 // waitCache keeps what the engines of a pool wait for, so that operators who
 // follow a plan don't cost a round of questions each time.
-type waitCache struct {
+type waitReasonCache struct {
 	mu    sync.Mutex // protects pools
-	pools map[string]poolWaits
+	pools map[string]cachedWaitReasons
 }
 
-type poolWaits struct {
+type cachedWaitReasons struct {
 	at    time.Duration
-	waits map[string]string
+	reasons map[string]string
 }
 
 // waits tells what the unfinished engines of a confirmed plan wait for, as far
 // as this process sees it.
-func (d *Daemon) waits(ctx context.Context, p *plan.Plan, doc *config.Config) map[string]string {
+func (d *Daemon) waitReasons(ctx context.Context, p *plan.Plan, doc *config.Config) map[string]string {
 	all := map[string]string{}
 	if p.Version == 0 || doc.Version < p.Version {
 		return all
 	}
-	asked := map[string]bool{}
+	seen := map[string]bool{}
 	for i, state := range p.ProgressIn(doc).Steps {
 		pool := p.Steps[i].Pool
-		if !unfinished(state) || pool == "" || asked[pool] || doc.Pool(pool) == nil {
+		if !isUnfinished(state) || pool == "" || seen[pool] || doc.Pool(pool) == nil {
 			continue
 		}
-		asked[pool] = true
-		for id, text := range d.poolWaits(ctx, doc, pool) {
+		seen[pool] = true
+		for id, text := range d.poolWaitReasons(ctx, doc, pool) {
 			all[id] = text
 		}
 	}
 	return all
 }
 
-func (d *Daemon) poolWaits(ctx context.Context, doc *config.Config, pool string) map[string]string {
-	c := &d.waited
+func (d *Daemon) poolWaitReasons(ctx context.Context, doc *config.Config, pool string) map[string]string {
+	c := &d.waitReasonCache
 	c.mu.Lock()
 	kept, ok := c.pools[pool]
 	c.mu.Unlock()
-	if ok && bootclock.Now()-kept.at < waitsKept {
-		return kept.waits
+	if ok && bootclock.Now()-kept.at < waitReasonTTL {
+		return kept.reasons
 	}
-	orders, err := d.journal(ctx, pool)
+	orders, err := d.readJournal(ctx, pool)
 	if err != nil {
 		return map[string]string{}
 	}
-	fresh := poolWaits{waits: rollout.Decide(d.look(ctx, doc, pool, orders)).Waits, at: bootclock.Now()}
+	fresh := cachedWaitReasons{reasons: rollout.Decide(d.buildView(ctx, doc, pool, orders)).Waits, at: bootclock.Now()}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.pools == nil {
-		c.pools = map[string]poolWaits{}
+		c.pools = map[string]cachedWaitReasons{}
 	}
 	c.pools[pool] = fresh
-	return fresh.waits
+	return fresh.reasons
 }
--- a/internal/control/roles.go
+++ b/internal/control/roles.go
@@ -17,7 +17,7 @@
 )
 
 // errMovedOn: the pool changed between the look at it and the decision.
-var errMovedOn = errors.New("roles: the pool has moved on")
+var errPoolChanged = errors.New("roles: the pool has moved on")
 
 // rolePolicy feeds the role policy of each pool whose lease is held. A decision
 // becomes a version that changes an engine's wanted role alone; the rollout
@@ -34,14 +34,14 @@
 type poolRoles struct {
 	// changedIn is the version of the newest role change, seenAt when this
 	// process first saw it: no clock is compared with another's.
-	changedIn int64
-	seenAt    time.Duration
+	changeVersion int64
+	changeSeenAt  time.Duration
 	// epoch that this process holds the lease with, 0 when it does not; the
 	// rest is of that time.
 	epoch   int64
 	state   roles.State
 	reason  roles.Reason
-	reports map[string]reportMark
+	reports map[string]lastReport
 }
 
 func newRolePolicy(d *Daemon, log *slog.Logger) *rolePolicy {
@@ -52,7 +52,7 @@
 }
 
 func (r *rolePolicy) loop(ctx context.Context) {
-	every(ctx, r.daemon.settings.Roles.Every, r.tick)
+	runPeriodically(ctx, r.daemon.settings.Roles.Every, r.tick)
 }
 
 // tick looks at each pool whose lease is held and whose bounds allow changes.
@@ -61,14 +61,14 @@
 	var due []*config.Pool
 	for i := range doc.Pools {
 		pool := &doc.Pools[i]
-		state := r.pool(pool)
+		state := r.poolState(pool)
 		auth, held := r.daemon.leases.held(pool.Name)
 		if !held || roles.BoundsOf(pool).ForbidsChanges() {
 			state.epoch = 0
 			continue
 		}
 		if state.epoch != auth.epoch {
-			state.takeOver(auth.epoch, pool)
+			state.startEpoch(auth.epoch, pool)
 		}
 		due = append(due, pool)
 	}
@@ -78,7 +78,7 @@
 	at := bootclock.Now()
 	demand := r.daemon.observeDemand(ctx)
 	for _, pool := range due {
-		if err := r.step(ctx, doc, pool, at, demand.of(pool.Name)); err != nil {
+		if err := r.step(ctx, doc, pool, at, demand.forPool(pool.Name)); err != nil {
 			r.log.Info("roles: a change did not succeed", "pool", pool.Name, "error", err)
 		}
 	}
@@ -86,21 +86,21 @@
 
 // pool returns what is known of a pool, and notes a role change that is new to
 // this process. Each process does so, whether it holds the lease or not.
-func (r *rolePolicy) pool(pool *config.Pool) *poolRoles {
-	known, ok := r.pools[pool.Name]
+func (r *rolePolicy) poolState(pool *config.Pool) *poolRoles {
+	state, ok := r.pools[pool.Name]
 	if !ok {
-		known = &poolRoles{}
-		r.pools[pool.Name] = known
+		state = &poolRoles{}
+		r.pools[pool.Name] = state
 	}
-	if last := pool.LastRoleChange; last != nil && last.Version != known.changedIn {
-		known.changedIn, known.seenAt = last.Version, bootclock.Now()
+	if last := pool.LastRoleChange; last != nil && last.Version != state.changeVersion {
+		state.changeVersion, state.changeSeenAt = last.Version, bootclock.Now()
 	}
-	return known
+	return state
 }
 
 // takeOver starts anew with what the last holder measured.
-func (p *poolRoles) takeOver(epoch int64, pool *config.Pool) {
-	p.epoch, p.state, p.reason, p.reports = epoch, roles.State{}, "", map[string]reportMark{}
+func (p *poolRoles) startEpoch(epoch int64, pool *config.Pool) {
+	p.epoch, p.state, p.reason, p.reports = epoch, roles.State{}, "", map[string]lastReport{}
 	if last := pool.LastRoleChange; last != nil {
 		p.state = p.state.WithOutOfService(time.Duration(last.OutSeconds * float64(time.Second)))
 	}
@@ -112,18 +112,18 @@
 	if !held {
 		return nil
 	}
-	known := r.pools[pool.Name]
+	state := r.pools[pool.Name]
 	obs := roles.Observation{
-		At: at, Demand: demand, Bounds: roles.BoundsOf(pool), Busy: !settled(doc, pool.Name),
-		Engines:   r.observeEngines(ctx, known, doc.PoolEngines(pool.Name)),
-		ChangedAt: known.seenAt, Changed: known.changedIn > 0,
+		At: at, Demand: demand, Bounds: roles.BoundsOf(pool), Busy: !poolConverged(doc, pool.Name),
+		Engines:   r.observeEngines(ctx, state, doc.PoolEngines(pool.Name)),
+		ChangedAt: state.changeSeenAt, Changed: state.changeVersion > 0,
 	}
 	var decision roles.Decision
-	known.state, decision = roles.Decide(r.daemon.settings.Roles, known.state, obs, bootclock.Now())
-	if decision.Reason != known.reason {
+	state.state, decision = roles.Decide(r.daemon.settings.Roles, state.state, obs, bootclock.Now())
+	if decision.Reason != state.reason {
 		r.log.Info("roles: decided", "pool", pool.Name, "reason", decision.Reason,
 			"gain", decision.Gain, "cost", decision.Cost, "prefill", decision.ForecastPrefill, "decode", decision.ForecastDecode)
-		known.reason = decision.Reason
+		state.reason = decision.Reason
 	}
 	if decision.Change == nil {
 		return nil
@@ -144,21 +144,21 @@
 	}
 	entry := versions.Entry{
 		Author:   "role policy on " + r.daemon.settings.Instance,
-		Summary:  explain(decision, pool.RoleChangeWeight, r.daemon.settings.Roles.Horizon),
+		Summary:  changeSummary(decision, pool.RoleChangeWeight, r.daemon.settings.Roles.Horizon),
 		Accepted: time.Now().UnixMilli(),
 	}
-	ctx, cancel, err := r.daemon.mayAccept(ctx, next.Version)
+	ctx, cancel, err := r.daemon.prepareAccept(ctx, next.Version)
 	defer cancel()
 	if err != nil {
 		return err
 	}
-	extra := platform.Txn{Checks: []platform.Check{auth.check(pool.Name)}}
+	extra := platform.Txn{Checks: []platform.Check{auth.epochCheck(pool.Name)}}
 	if err := r.daemon.versions.Append(ctx, head, next, entry, extra); err != nil {
 		return err
 	}
 	r.changes.Inc(1)
 	r.log.Info("roles: change decided", "pool", pool.Name, "version", next.Version, "why", entry.Summary)
-	r.daemon.learn(next, "self")
+	r.daemon.adoptConfig(next, "self")
 	return nil
 }
 
@@ -167,8 +167,8 @@
 func withRole(seen, newest *config.Config, pool string, decision roles.Decision) (*config.Config, error) {
 	c := decision.Change
 	e := newest.Engine(c.Engine)
-	if newest.Intent != seen.Intent || !settled(newest, pool) || e == nil || e.Loaded.Role != c.From {
-		return nil, errMovedOn
+	if newest.Intent != seen.Intent || !poolConverged(newest, pool) || e == nil || e.Loaded.Role != c.From {
+		return nil, errPoolChanged
 	}
 	next := newest.Clone()
 	next.Version = newest.Version + 1
@@ -180,7 +180,7 @@
 }
 
 // explain tells operators why a change was made.
-func explain(d roles.Decision, weight float64, horizon time.Duration) string {
+func changeSummary(d roles.Decision, weight float64, horizon time.Duration) string {
 	return fmt.Sprintf("engine %s from %s to %s: forecast %.0f prefill and %.0f decode tokens/s, gain %.2f s of goodput over %s, cost %.2f s (%.1f s out of service, weight %g)",
 		d.Change.Engine, d.Change.From, d.Change.To, d.ForecastPrefill, d.ForecastDecode, d.Gain, horizon, d.Cost, d.OutOfService.Seconds(), weight)
 }
--- a/internal/control/roles_test.go
+++ b/internal/control/roles_test.go
@@ -11,7 +11,7 @@
 
 // TestDecisionOnAPoolThatMovedOn: what came in between a look and its decision
 // makes the decision void.
-func TestDecisionOnAPoolThatMovedOn(t *testing.T) {
+func TestRoleChangeIsRejectedAfterPoolChanged(t *testing.T) {
 	state := config.EngineState{Model: "m", Version: "1", Role: config.RoleDecode}
 	seen := &config.Config{
 		Version: 7, Intent: 2, Pools: []config.Pool{{Name: "main", Model: "m"}},
@@ -42,7 +42,7 @@
 	} {
 		newest := seen.Clone()
 		move(newest)
-		if _, err := withRole(seen, newest, "main", decision); !errors.Is(err, errMovedOn) {
+		if _, err := withRole(seen, newest, "main", decision); !errors.Is(err, errPoolChanged) {
 			t.Errorf("%s in between: %v", what, err)
 		}
 	}
--- a/internal/control/rolesobserve.go
+++ b/internal/control/rolesobserve.go
@@ -18,7 +18,7 @@
 )
 
 // reportMark is the newest report seen of an engine.
-type reportMark struct {
+type lastReport struct {
 	boot string
 	seq  int64
 	at   time.Duration
@@ -26,7 +26,7 @@
 
 // observeEngines reads the load report of each engine. A report that has been
 // the newest for long is none.
-func (r *rolePolicy) observeEngines(ctx context.Context, known *poolRoles, engines []*config.Engine) []roles.Engine {
+func (r *rolePolicy) observeEngines(ctx context.Context, state *poolRoles, engines []*config.Engine) []roles.Engine {
 	views := make([]roles.Engine, len(engines))
 	reports := make([]*engine.Report, len(engines))
 	var work sync.WaitGroup
@@ -38,14 +38,14 @@
 		})
 	}
 	work.Wait()
-	leaving := r.daemon.members.leavingUpstreams()
+	leaving := r.daemon.members.drainingUpstreams()
 	for i, e := range engines {
 		views[i] = roles.Engine{
 			ID: e.ID, Role: e.Loaded.Role, Changing: e.Loaded.Role != e.Want.Role,
 			Serving: e.Routing == config.RoutingServing && !e.Leave && !slices.Contains(leaving, e.ID),
 		}
-		if reports[i] != nil && known.fresh(e.ID, *reports[i], bootclock.Now(), r.daemon.settings.Roles.StaleAfter) {
-			fill(&views[i], *reports[i])
+		if reports[i] != nil && state.isRecent(e.ID, *reports[i], bootclock.Now(), r.daemon.settings.Roles.StaleAfter) {
+			copyReport(&views[i], *reports[i])
 		}
 	}
 	return views
@@ -53,16 +53,16 @@
 
 // fresh tells whether a report is a newer one than the last, or the last was
 // newer a short while ago.
-func (p *poolRoles) fresh(id string, report engine.Report, now, staleAfter time.Duration) bool {
-	mark, ok := p.reports[id]
-	if !ok || mark.boot != report.Boot || mark.seq < report.Seq {
-		p.reports[id] = reportMark{boot: report.Boot, seq: report.Seq, at: now}
+func (p *poolRoles) isRecent(id string, report engine.Report, now, staleAfter time.Duration) bool {
+	last, ok := p.reports[id]
+	if !ok || last.boot != report.Boot || last.seq < report.Seq {
+		p.reports[id] = lastReport{boot: report.Boot, seq: report.Seq, at: now}
 		return true
 	}
-	return now-mark.at <= staleAfter
+	return now-last.at <= staleAfter
 }
 
-func fill(view *roles.Engine, report engine.Report) {
+func copyReport(view *roles.Engine, report engine.Report) {
 	view.Reported = true
 	view.PrefillRate, view.DecodeRate = report.PrefillRate, report.DecodeRate
 	view.PrefillQueue = report.PrefillTokens
@@ -76,7 +76,7 @@
 }
 
 // of returns the demand of one pool.
-func (d demandRound) of(pool string) roles.Demand {
+func (d demandRound) forPool(pool string) roles.Demand {
 	sum := d.pools[pool]
 	return roles.Demand{
 		Prefill: sum.GetPrefillTokens(), Decode: sum.GetDecodeTokens(),
@@ -89,7 +89,7 @@
 func (d *Daemon) observeDemand(ctx context.Context) demandRound {
 	own := d.members.own()
 	round := demandRound{instances: len(own), pools: map[string]*sfv1.PoolDemand{}}
-	asked := sample(own, d.settings.Roles.AskAtMost)
+	asked := sampleInstances(own, d.settings.Roles.AskAtMost)
 	round.asked = len(asked)
 	answers := make([]*sfv1.InForceResponse, len(asked))
 	var work sync.WaitGroup
@@ -124,7 +124,7 @@
 }
 
 // sample returns all instances, or as many as limit at random.
-func sample(instances []platform.Instance, limit int) []platform.Instance {
+func sampleInstances(instances []platform.Instance, limit int) []platform.Instance {
 	if len(instances) <= limit {
 		return instances
 	}
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -24,16 +24,16 @@
 func (d *Daemon) rolloutLoop(ctx context.Context) {
 	paces := map[string]*pace{}
 	var work sync.WaitGroup
-	every(ctx, d.settings.Rollout.StepEvery, func(ctx context.Context) {
-		d.watcher.noteListed(d.members.own(), bootclock.Now())
+	runPeriodically(ctx, d.settings.Rollout.StepEvery, func(ctx context.Context) {
+		d.history.noteListed(d.members.own(), bootclock.Now())
 		for _, pool := range d.leases.heldPools() {
 			p, ok := paces[pool]
 			if !ok {
-				p = &pace{shortest: d.settings.Rollout.StepEvery}
+				p = &pace{minPeriod: d.settings.Rollout.StepEvery}
 				paces[pool] = p
 			}
 			doc := d.holder.Current()
-			if p.begin(bootclock.Now(), doc.Version, d.longestPause(doc, pool)) {
+			if p.begin(bootclock.Now(), doc.Version, d.maxStepPeriod(doc, pool)) {
 				work.Go(func() { p.end(bootclock.Now(), d.stepAndLog(ctx, pool)) })
 			}
 		}
@@ -42,8 +42,8 @@
 }
 
 // longestPause is the most time between looks at a pool.
-func (d *Daemon) longestPause(doc *config.Config, pool string) time.Duration {
-	if settled(doc, pool) {
+func (d *Daemon) maxStepPeriod(doc *config.Config, pool string) time.Duration {
+	if poolConverged(doc, pool) {
 		return d.settings.Rollout.WatchEvery
 	}
 	return d.settings.Rollout.WaitEvery
@@ -64,10 +64,10 @@
 	if !held {
 		return false, nil
 	}
-	ctx, span := startStep(ctx, pool, auth)
+	ctx, span := startStepSpan(ctx, pool, auth)
 	defer span.End()
-	if !settled(d.holder.Current(), pool) {
-		if err := d.poll(ctx); err != nil {
+	if !poolConverged(d.holder.Current(), pool) {
+		if err := d.pollTable(ctx); err != nil {
 			return false, err
 		}
 	}
@@ -89,7 +89,7 @@
 }
 
 // settled tells whether the configuration has nothing left to do for a pool.
-func settled(doc *config.Config, pool string) bool {
+func poolConverged(doc *config.Config, pool string) bool {
 	for _, e := range doc.PoolEngines(pool) {
 		if !rollout.Converged(e) {
 			return false
@@ -101,9 +101,9 @@
 func (d *Daemon) carryOut(ctx context.Context, pool string, auth authority, view rollout.View, action rollout.Action) error {
 	switch a := action.(type) {
 	case rollout.UpdateRouting:
-		return d.mark(ctx, pool, auth, view, a)
+		return d.update(ctx, pool, auth, view, a)
 	case rollout.SendOrder:
-		return d.order(ctx, pool, auth, view, a)
+		return d.sendCurrentOrder(ctx, pool, auth, view, a)
 	case rollout.CloseOrder:
 		row := view.Orders[a.Engine]
 		row.State = order.StateDone
@@ -119,20 +119,20 @@
 // may have been stale, and a holder that has just taken over may not know of
 // versions that the last one wrote; an order that rests on such a view could
 // reach an engine that is back in routing.
-func (d *Daemon) order(ctx context.Context, pool string, auth authority, view rollout.View, send rollout.SendOrder) error {
+func (d *Daemon) sendCurrentOrder(ctx context.Context, pool string, auth authority, view rollout.View, send rollout.SendOrder) error {
 	head, doc, err := d.versions.NewestFrom(ctx, d.holder.Current())
 	if err != nil {
 		return err
 	}
-	stands, err := d.versions.HeadUnchanged(ctx, head)
+	unchanged, err := d.versions.HeadUnchanged(ctx, head)
 	if err != nil {
 		return err
 	}
-	if !stands || !sameEngine(view.Config, doc, send.Engine) {
+	if !unchanged || !sameEngine(view.Config, doc, send.Engine) {
 		return errors.Errorf("rollout: the view of %s is old", send.Engine)
 	}
 	failpoint.Hit("control.rollout.before_order")
-	d.watcher.ordered(send.Engine, bootclock.Now())
+	d.history.noteOrder(send.Engine, bootclock.Now())
 	err = d.sendOrder(ctx, pool, auth, view, send)
 	failpoint.Hit("control.rollout.after_order")
 	return err
@@ -140,36 +140,36 @@
 
 // mark appends a version with the changes whose engine is still as the
 // decision saw it.
-func (d *Daemon) mark(ctx context.Context, pool string, auth authority, view rollout.View, mark rollout.UpdateRouting) error {
+func (d *Daemon) update(ctx context.Context, pool string, auth authority, view rollout.View, update rollout.UpdateRouting) error {
 	head, doc, err := d.versions.NewestFrom(ctx, d.holder.Current())
 	if err != nil {
 		return err
 	}
 	doc.Version = head.Version + 1
-	var made []rollout.Change
-	for _, change := range mark.Changes {
+	var applied []rollout.Change
+	for _, change := range update.Changes {
 		if sameEngine(view.Config, doc, change.Engine) {
 			change.Apply(doc)
-			made = append(made, change)
+			applied = append(applied, change)
 		}
 	}
-	if len(made) == 0 {
+	if len(applied) == 0 {
 		return nil
 	}
-	entry := versions.Entry{Author: d.settings.Instance, Summary: summary(made), Accepted: time.Now().UnixMilli()}
-	ctx, cancel, err := d.mayAccept(ctx, doc.Version)
+	entry := versions.Entry{Author: d.settings.Instance, Summary: routingSummary(applied), Accepted: time.Now().UnixMilli()}
+	ctx, cancel, err := d.prepareAccept(ctx, doc.Version)
 	defer cancel()
 	if err != nil {
 		return err
 	}
-	extra := platform.Txn{Checks: []platform.Check{auth.check(pool)}}
-	failpoint.Hit("control.rollout.before_" + string(made[0].Reason))
+	extra := platform.Txn{Checks: []platform.Check{auth.epochCheck(pool)}}
+	failpoint.Hit("control.rollout.before_" + string(applied[0].Reason))
 	if err := d.versions.Append(ctx, head, doc, entry, extra); err != nil {
 		return err
 	}
-	failpoint.Hit("control.rollout.after_" + string(made[0].Reason))
+	failpoint.Hit("control.rollout.after_" + string(applied[0].Reason))
 	d.log.Info("rollout: marked", "what", entry.Summary, "version", doc.Version)
-	d.learn(doc, "self")
+	d.adoptConfig(doc, "self")
 	return nil
 }
 
@@ -179,7 +179,7 @@
 }
 
 // summary tells in the history what a mark changed.
-func summary(changes []rollout.Change) string {
+func routingSummary(changes []rollout.Change) string {
 	parts := make([]string, 0, len(changes))
 	for _, c := range changes {
 		parts = append(parts, fmt.Sprintf("engine %s is %s (%s)", c.Engine, c.Routing, c.Reason))
--- a/internal/control/settings.go
+++ b/internal/control/settings.go
@@ -68,9 +68,9 @@
 
 // Bounds of the settings.
 const (
-	shortest = time.Millisecond
-	longest  = time.Minute
-	maxPeers = 64
+	minDuration = time.Millisecond
+	maxDuration = time.Minute
+	maxFanout   = 64
 )
 
 // DefaultSettings returns the defaults; addresses and names have none.
@@ -100,25 +100,25 @@
 	addresses.Listen("listen", s.Listen)
 	addresses.Listen("entry_local", s.EntryLocal)
 	addresses.Peer("platform", s.Platform)
-	settings.Between(file, "platform_timeout", s.PlatformTimeout, shortest, longest)
+	settings.Between(file, "platform_timeout", s.PlatformTimeout, minDuration, maxDuration)
 	s.Lease.check(file)
 	s.Spread.check(file, addresses)
 	s.Rollout.check(file)
-	settings.Between(file, "demand.every", s.Demand.Every, 10*time.Millisecond, longest)
-	settings.Between(file, "demand.keep", s.Demand.Keep, s.Demand.Every, 10*longest)
+	settings.Between(file, "demand.every", s.Demand.Every, 10*time.Millisecond, maxDuration)
+	settings.Between(file, "demand.keep", s.Demand.Keep, s.Demand.Every, 10*maxDuration)
 	s.Roles.Check(file, "roles")
 	s.Log.Check(file, "log")
 	s.Trace.Check(file, "trace")
 }
 
 func (s RolloutSettings) check(file *tomlfile.File) {
-	settings.Between(file, "rollout.step_every", s.StepEvery, shortest, longest)
-	settings.Between(file, "rollout.engine_timeout", s.EngineTimeout, shortest, longest)
-	settings.Between(file, "rollout.watch_every", s.WatchEvery, s.StepEvery, longest)
-	settings.Between(file, "rollout.wait_every", s.WaitEvery, s.StepEvery, longest)
-	settings.Between(file, "rollout.silent_after", s.SilentAfter, shortest, 10*longest)
-	settings.Between(file, "rollout.unreachable_after", s.UnreachableAfter, shortest, 10*longest)
-	settings.Between(file, "rollout.resend_after", s.ResendAfter, shortest, longest)
-	settings.Between(file, "rollout.load_time", s.LoadTime, shortest, 60*longest)
+	settings.Between(file, "rollout.step_every", s.StepEvery, minDuration, maxDuration)
+	settings.Between(file, "rollout.engine_timeout", s.EngineTimeout, minDuration, maxDuration)
+	settings.Between(file, "rollout.watch_every", s.WatchEvery, s.StepEvery, maxDuration)
+	settings.Between(file, "rollout.wait_every", s.WaitEvery, s.StepEvery, maxDuration)
+	settings.Between(file, "rollout.silent_after", s.SilentAfter, minDuration, 10*maxDuration)
+	settings.Between(file, "rollout.unreachable_after", s.UnreachableAfter, minDuration, 10*maxDuration)
+	settings.Between(file, "rollout.resend_after", s.ResendAfter, minDuration, maxDuration)
+	settings.Between(file, "rollout.load_time", s.LoadTime, minDuration, 60*maxDuration)
 	settings.IntBetween(file, "rollout.max_loads", s.MaxLoads, 1, 10000)
 }
--- a/internal/control/spread.go
+++ b/internal/control/spread.go
@@ -20,31 +20,31 @@
 // carries out what they say. It counts its time on the boot clock, so that
 // evidence ages while the process is frozen or the machine suspended.
 type spreader struct {
-	daemon *Daemon
-	log    *slog.Logger
-	meters spreadMeters
+	daemon  *Daemon
+	log     *slog.Logger
+	metrics spreadMetrics
 	// wake is sent to when queue has got actions.
 	wake chan struct{}
 
-	mu      sync.Mutex // protects all below
-	machine *gossip.Machine
-	fresh   *freshness.State
-	leaving *gossip.DrainingSet
-	queue   []gossip.Action
+	mu       sync.Mutex // protects all below
+	machine  *gossip.Machine
+	fresh    *freshness.State
+	draining *gossip.DrainingSet
+	queue    []gossip.Action
 	// tableError is why the last read of the table failed; "" when it did not.
 	tableError string
 	wasFresh   bool
 }
 
 // spreadMeters count what the spread costs.
-type spreadMeters struct {
+type spreadMetrics struct {
 	exchanges, offers, documents, deltas, polls, failed metrics.Counter
 	version, fresh, voter                               metrics.Gauge
 }
 
-func newSpreadMeters(registry metrics.Registry) spreadMeters {
+func newSpreadMetrics(registry metrics.Registry) spreadMetrics {
 	counter := func(name string) metrics.Counter { return metrics.GetOrRegisterCounter("spread."+name, registry) }
-	return spreadMeters{
+	return spreadMetrics{
 		exchanges: counter("exchanges"), offers: counter("offers"), documents: counter("documents_sent"), deltas: counter("deltas_sent"),
 		polls: counter("head_reads"), failed: counter("peer_failures"),
 		version: metrics.GetOrRegisterGauge("spread.version", registry),
@@ -65,9 +65,9 @@
 		FreshFor: s.FreshFor, AcceptWithin: s.AcceptWithin, ReadLag: s.ReadLag,
 	}, bootclock.Now())
 	return &spreader{
-		daemon: d, log: log, meters: newSpreadMeters(metrics.DefaultRegistry),
+		daemon: d, log: log, metrics: newSpreadMetrics(metrics.DefaultRegistry),
 		wake: make(chan struct{}, 1), machine: machine, fresh: fresh,
-		leaving: gossip.NewDrainingSet(s.ListLag),
+		draining: gossip.NewDrainingSet(s.ListLag),
 	}
 }
 
@@ -87,7 +87,7 @@
 	var work sync.WaitGroup
 	defer work.Wait()
 	for ctx.Err() == nil {
-		actions, next := s.due()
+		actions, next := s.dueActions()
 		for _, action := range actions {
 			work.Go(func() { s.carryOut(ctx, action) })
 		}
@@ -96,23 +96,23 @@
 }
 
 // due takes the actions that are due, and the time until the next ones are.
-func (s *spreader) due() ([]gossip.Action, time.Duration) {
+func (s *spreader) dueActions() ([]gossip.Action, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := bootclock.Now()
-	ticked, next := s.machine.Tick(now, s.hurried(now))
+	ticked, next := s.machine.Tick(now, s.needsContacts(now))
 	actions := append(s.queue, ticked...)
 	s.queue = nil
 	s.noteFreshness(s.fresh.Status(now))
 	if s.fresh.Voter() {
-		s.meters.voter.Update(1)
+		s.metrics.voter.Update(1)
 	}
 	return actions, next - now
 }
 
 // hurried tells whether the answers of a majority may soon be needed, because
 // the table has not been read for a while.
-func (s *spreader) hurried(now time.Duration) bool {
+func (s *spreader) needsContacts(now time.Duration) bool {
 	age, seen := s.fresh.TableAge(now)
 	return !seen || age > s.daemon.settings.Spread.FreshFor/3
 }
@@ -124,11 +124,11 @@
 	}
 	s.wasFresh = status.Fresh
 	if status.Fresh {
-		s.meters.fresh.Update(1)
+		s.metrics.fresh.Update(1)
 		s.log.Info("spread: the configuration is the newest", "by", status.Rule)
 		return
 	}
-	s.meters.fresh.Update(0)
+	s.metrics.fresh.Update(0)
 	s.log.Warn("spread: the configuration may be out of date", "reason", status.Reason)
 }
 
@@ -147,15 +147,15 @@
 	case gossip.PollHead:
 		s.pollHead(ctx)
 	case gossip.Load:
-		s.load(ctx, a.Version)
+		s.loadVersion(ctx, a.Version)
 	case gossip.Exchange:
 		s.exchange(ctx, a.Peer)
 	case gossip.Offer:
-		s.offer(ctx, a.Peer)
+		s.offerVersion(ctx, a.Peer)
 	case gossip.Send:
-		s.send(ctx, a.Peer, a.PeerVersion)
+		s.sendUpdate(ctx, a.Peer, a.PeerVersion)
 	case gossip.Fetch:
-		s.fetch(ctx, a.Peer)
+		s.fetchUpdate(ctx, a.Peer)
 	}
 }
 
@@ -173,7 +173,7 @@
 
 // readHead reads the head's version, and takes it as evidence.
 func (s *spreader) readHead(ctx context.Context) (int64, error) {
-	s.meters.polls.Inc(1)
+	s.metrics.polls.Inc(1)
 	sent := bootclock.Now()
 	head, err := s.daemon.versions.Head(ctx)
 	s.mu.Lock()
@@ -187,17 +187,17 @@
 	return head.Version, nil
 }
 
-func (s *spreader) load(ctx context.Context, version int64) {
+func (s *spreader) loadVersion(ctx context.Context, version int64) {
 	doc, err := s.daemon.versions.Load(ctx, version)
 	if err != nil {
 		s.log.Debug("spread: the table did not answer", "error", err)
 		return
 	}
-	s.daemon.learn(doc, "table")
+	s.daemon.adoptConfig(doc, "table")
 }
 
 // poll reads the newest version from the table at once.
-func (d *Daemon) poll(ctx context.Context) error {
+func (d *Daemon) pollTable(ctx context.Context) error {
 	head, err := d.spread.readHead(ctx)
 	if err != nil || head <= d.holder.Current().Version {
 		return err
@@ -206,29 +206,29 @@
 	if err != nil {
 		return err
 	}
-	d.learn(doc, "table")
+	d.adoptConfig(doc, "table")
 	return nil
 }
 
 // learn takes a configuration from any source.
-func (d *Daemon) learn(doc *config.Config, source string) {
+func (d *Daemon) adoptConfig(doc *config.Config, source string) {
 	if d.holder.SetIfNewer(doc) {
 		d.log.Info("spread: version learned", "version", doc.Version, "source", source)
 	}
-	d.spread.holds(d.holder.Current().Version)
+	d.spread.setHeldVersion(d.holder.Current().Version)
 }
 
 // holds takes that the holder has a version now.
-func (s *spreader) holds(version int64) {
+func (s *spreader) setHeldVersion(version int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.meters.version.Update(version)
+	s.metrics.version.Update(version)
 	s.fresh.SetHeld(version)
 	s.enqueue(s.machine.OnNewVersion(version))
 }
 
 // offered takes that a peer holds a version, and returns what to answer.
-func (s *spreader) offered(version int64) int64 {
+func (s *spreader) onOffer(version int64) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fresh.NoteVersion(version)
@@ -236,7 +236,7 @@
 }
 
 // listed takes the instance list, as it was asked for at a time.
-func (s *spreader) listed(members []platform.Instance, peers []string) {
+func (s *spreader) setMembers(members []platform.Instance, peers []string) {
 	ids := make([]string, len(members))
 	for i, instance := range members {
 		ids[i] = instance.ID
@@ -260,27 +260,27 @@
 
 // leavingUpstreams returns the ids of upstreams that are leaving by the
 // platform's word.
-func (s *spreader) leavingUpstreams() []string {
+func (s *spreader) drainingUpstreams() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var ids []string
-	for id := range s.leaving.Ages(bootclock.Now()) {
+	for id := range s.draining.Ages(bootclock.Now()) {
 		ids = append(ids, id)
 	}
 	return ids
 }
 
-func (s *spreader) callContext(ctx context.Context) (context.Context, context.CancelFunc) {
+func (s *spreader) peerContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, s.daemon.settings.Spread.PeerTimeout)
 }
 
-func (s *spreader) peerAnswered(peer string, version int64) {
+func (s *spreader) onPeerVersion(peer string, version int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.enqueue(s.machine.OnPeerAnswer(bootclock.Now(), peer, version))
 }
 
 func (s *spreader) peerFailed(peer string, err error) {
-	s.meters.failed.Inc(1)
+	s.metrics.failed.Inc(1)
 	s.log.Debug("spread: a peer did not answer", "peer", peer, "error", err)
 }
--- a/internal/control/spread_bench_test.go
+++ b/internal/control/spread_bench_test.go
@@ -27,39 +27,39 @@
 )
 
 // countedConn counts the bytes of a client's connections, both ways.
-type countedConn struct {
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (c countedConn) Read(p []byte) (int, error) {
+func (c countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c countedConn) Write(p []byte) (int, error) {
+func (c countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
 // countedTransport counts the bytes and the calls to peers.
-type countedTransport struct {
+type countingTransport struct {
 	*http.Transport
 	calls *atomic.Int64
 }
 
-func (t *countedTransport) RoundTrip(req *http.Request) (*http.Response, error) {
+func (t *countingTransport) RoundTrip(req *http.Request) (*http.Response, error) {
 	t.calls.Add(1)
 	return t.Transport.RoundTrip(req)
 }
 
-func newCountedTransport(bytes, calls *atomic.Int64) *countedTransport {
-	t := &countedTransport{Transport: peerTransport(), calls: calls}
+func newCountingTransport(bytes, calls *atomic.Int64) *countingTransport {
+	t := &countingTransport{Transport: peerTransport(), calls: calls}
 	t.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := (&net.Dialer{}).DialContext(ctx, network, address)
-		return countedConn{conn, bytes}, err
+		return countingConn{conn, bytes}, err
 	}
 	return t
 }
@@ -76,8 +76,8 @@
 
 func newBenchFleet(b *testing.B, n, engines int) *benchFleet {
 	b.Helper()
-	stand := testservers.NewPlatform(1e9)
-	server := httptest.NewServer(stand.Handler())
+	standin := testservers.NewPlatform(1e9)
+	server := httptest.NewServer(standin.Handler())
 	b.Cleanup(server.Close)
 	address := strings.TrimPrefix(server.URL, "http://")
 	f := &benchFleet{b: b, table: platform.NewClient(address, 10*time.Second), engines: engines}
@@ -91,9 +91,9 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		d.http = &http.Client{Timeout: time.Second, Transport: newCountedTransport(&f.sent, &f.calls)}
+		d.http = &http.Client{Timeout: time.Second, Transport: newCountingTransport(&f.sent, &f.calls)}
 		f.daemons = append(f.daemons, d)
-		f.list(address, s)
+		f.registerInstance(address, s)
 	}
 	for _, d := range f.daemons {
 		go func() {
@@ -102,12 +102,12 @@
 			}
 		}()
 	}
-	f.change()
-	f.reached()
+	f.appendVersion()
+	f.waitForVersion()
 	return f
 }
 
-func (f *benchFleet) list(address string, s *Settings) {
+func (f *benchFleet) registerInstance(address string, s *Settings) {
 	body := fmt.Sprintf(`{"id":%q,"kind":"own","zone":%q,"state":"live","control":%q}`, s.Instance, s.Zone, s.Listen)
 	res, err := http.Post("http://"+address+testservers.PathSetInstance, "application/json", strings.NewReader(body))
 	if err != nil {
@@ -117,7 +117,7 @@
 }
 
 // change accepts a version at the first daemon.
-func (f *benchFleet) change() {
+func (f *benchFleet) appendVersion() {
 	f.version++
 	doc := targetDocument(f.engines, f.version)
 	doc.Pools = nil // no leases: the spread alone is measured
@@ -129,11 +129,11 @@
 	if err := log.Append(context.Background(), head, doc, versions.Entry{}, platform.Txn{}); err != nil {
 		f.b.Fatal(err)
 	}
-	f.daemons[0].learn(doc, "self")
+	f.daemons[0].adoptConfig(doc, "self")
 }
 
 // reached waits until all have the version, and returns the times.
-func (f *benchFleet) reached() []time.Duration {
+func (f *benchFleet) waitForVersion() []time.Duration {
 	start := time.Now()
 	times := make([]time.Duration, len(f.daemons))
 	for done := 0; done < len(times) && !f.b.Failed(); time.Sleep(time.Millisecond) {
@@ -203,8 +203,8 @@
 	var times []time.Duration
 	end := time.Now().Add(window)
 	for perMinute > 0 && time.Now().Before(end) {
-		f.change()
-		times = append(times, f.reached()...)
+		f.appendVersion()
+		times = append(times, f.waitForVersion()...)
 		time.Sleep(time.Minute / time.Duration(perMinute))
 	}
 	time.Sleep(time.Until(end))
--- a/internal/control/trace.go
+++ b/internal/control/trace.go
@@ -10,7 +10,7 @@
 
 // startStep starts the span of one look at a pool. The platform's and the
 // engines' calls and the order of that step are its children.
-func startStep(ctx context.Context, pool string, auth authority) (context.Context, trace.Span) {
+func startStepSpan(ctx context.Context, pool string, auth authority) (context.Context, trace.Span) {
 	return otel.Tracer("control").Start(ctx, "rollout step", trace.WithAttributes(
 		attribute.String("pool", pool), attribute.Int64("epoch", auth.epoch),
 	))
--- a/internal/control/watcher.go
+++ b/internal/control/watcher.go
@@ -13,19 +13,19 @@
 )
 
 // rateKept is how long the weight store's rate is trusted without asking.
-const rateKept = time.Minute
+const weightRateTTL = time.Minute
 
 // watcher remembers for the rollout what one round of questions can't tell:
 // for how long something has been silent, which instances were listed a while
 // ago, since when an engine's routing is known, and when an order was last sent.
-type watcher struct {
+type rolloutHistory struct {
 	settings RolloutSettings
 
 	mu       sync.Mutex // protects all below
-	engines  rollout.UnreachableTimer
+	unreachable  rollout.UnreachableTimer
 	listed   map[string]listedInstance
 	routings map[string]seenRouting
-	orders   map[string]time.Duration
+	lastOrders   map[string]time.Duration
 	rate     float64
 	rateAt   time.Duration
 }
@@ -42,20 +42,20 @@
 	at    time.Duration
 }
 
-func newWatcher(s RolloutSettings) *watcher {
+func newRolloutHistory(s RolloutSettings) *rolloutHistory {
 	gap := 4*s.WatchEvery + s.EngineTimeout
-	return &watcher{
+	return &rolloutHistory{
 		settings: s,
 		routings: map[string]seenRouting{},
-		engines:  rollout.UnreachableTimer{MaxGap: gap},
+		unreachable:  rollout.UnreachableTimer{MaxGap: gap},
 		listed:   map[string]listedInstance{},
-		orders:   map[string]time.Duration{},
+		lastOrders:   map[string]time.Duration{},
 	}
 }
 
 // noteListed takes the newest instance list. An instance that is gone from it
 // may still run: it is asked for a while longer.
-func (w *watcher) noteListed(own []platform.Instance, now time.Duration) {
+func (w *rolloutHistory) noteListed(own []platform.Instance, now time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, instance := range own {
@@ -69,7 +69,7 @@
 }
 
 // instancesToAsk returns the instances that may route to engines.
-func (w *watcher) instancesToAsk(now time.Duration) []platform.Instance {
+func (w *rolloutHistory) instancesToQuery(now time.Duration) []platform.Instance {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var all []platform.Instance
@@ -82,7 +82,7 @@
 }
 
 // engineSeen adds to an engine's answer what was seen before.
-func (w *watcher) engineSeen(e *config.Engine, status engine.Status, reachable bool, now time.Duration) rollout.EngineView {
+func (w *rolloutHistory) engineView(e *config.Engine, status engine.Status, reachable bool, now time.Duration) rollout.EngineView {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	id := e.ID
@@ -91,20 +91,20 @@
 	}
 	view := rollout.EngineView{Reachable: reachable, Status: status, RoutingAge: now - w.routings[id].at}
 	if reachable {
-		w.engines.Answered(id)
+		w.unreachable.Answered(id)
 	} else {
-		view.UnansweredFor = w.engines.Missed(id, now)
+		view.UnansweredFor = w.unreachable.Missed(id, now)
 	}
-	at, sent := w.orders[id]
+	at, sent := w.lastOrders[id]
 	view.RecentlyOrdered = sent && now-at < w.settings.ResendAfter
 	return view
 }
 
 // ordered takes note that an order is about to be sent.
-func (w *watcher) ordered(id string, now time.Duration) {
+func (w *rolloutHistory) noteOrder(id string, now time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.orders[id] = now
+	w.lastOrders[id] = now
 }
 
 // limits returns the bounds of a pool's rollout.
@@ -123,7 +123,7 @@
 func (d *Daemon) maxLoads(ctx context.Context, doc *config.Config, pool string) int {
 	s := d.settings.Rollout
 	model := doc.Model(doc.Pool(pool).Model)
-	if settled(doc, pool) || model == nil || model.WeightBytes == 0 {
+	if poolConverged(doc, pool) || model == nil || model.WeightBytes == 0 {
 		return s.MaxLoads
 	}
 	rate, known := d.weightRate(ctx)
@@ -147,11 +147,11 @@
 // weightRate returns the weight store's rate in bytes a second; known is false
 // as long as the platform never told it.
 func (d *Daemon) weightRate(ctx context.Context) (rate float64, known bool) {
-	w, now := d.watcher, bootclock.Now()
+	w, now := d.history, bootclock.Now()
 	w.mu.Lock()
 	rate, at := w.rate, w.rateAt
 	w.mu.Unlock()
-	if rate > 0 && now-at < rateKept {
+	if rate > 0 && now-at < weightRateTTL {
 		return rate, true
 	}
 	fresh, err := d.platform.WeightRate(ctx)
