--- a/internal/control/accept.go
+++ b/internal/control/accept.go
@@ -12,14 +12,15 @@
 	"sassafrasfield/internal/platform"
 )
 
-// ErrNoMajority: too few of the listed instances answered, so that others may
-// serve an older version for long if one was accepted now.
+// ErrNoMajority reports that too few of the listed instances answered. If a
+// version was accepted then, the other instances could serve an older one for a
+// long time.
 var ErrNoMajority = errors.New("a version is accepted only while a majority of the listed instances answers")
 
-// mayAccept prepares the acceptance of a version: it returns nil once a
-// majority of the listed own instances knows that the version is about to be
-// accepted. The write has to follow within the returned context, which ends
-// after spread.accept_within.
+// prepareAccept announces to the listed own instances that a version is about
+// to be accepted, and returns nil once a majority has acknowledged it. The
+// write must be made within the returned context, which ends
+// spread.accept_within after the start of the call.
 func (d *Daemon) prepareAccept(ctx context.Context, version int64) (context.Context, context.CancelFunc, error) {
 	deadline := bootclock.Now() + d.settings.Spread.AcceptWithin
 	d.members.refresh(ctx)
@@ -27,14 +28,15 @@
 	answered := d.prepareAll(ctx, members, version)
 	needed := freshness.Majority(len(members))
 	if len(members) == 0 || answered < needed {
-		d.log.Warn("spread: not accepted, no majority", "version", version, "answered", answered, "listed", len(members))
+		d.log.Warn("spread: version not accepted, no majority answered", "version", version, "answered", answered, "listed", len(members))
 		return ctx, func() {}, errors.WithMessagef(ErrNoMajority, "%d of %d listed answer, %d are needed", answered, len(members), needed)
 	}
 	limited, cancel := context.WithTimeout(ctx, deadline-bootclock.Now())
 	return limited, cancel, nil
 }
 
-// prepareAll returns how many instances answered, at most a majority.
+// prepareAll returns the number of instances that answered. It returns as soon
+// as a majority has.
 func (d *Daemon) prepareAll(ctx context.Context, members []platform.Instance, version int64) int {
 	ctx, cancel := context.WithTimeout(ctx, d.settings.Spread.PeerTimeout)
 	defer cancel()
--- a/internal/control/authority_bench_test.go
+++ b/internal/control/authority_bench_test.go
@@ -15,11 +15,11 @@
 	"sassafrasfield/internal/testservers"
 )
 
-// takeovers is how many takeovers of a kind are measured.
+// takeovers is the number of takeovers measured per kind of fault.
 const takeovers = 10
 
 // BenchmarkTakeover measures the time from a fault of the holder until the
-// table has another holder, with the settings' defaults and four instances.
+// table shows another holder, with the default settings and four instances.
 func BenchmarkTakeover(b *testing.B) {
 	for _, fault := range []string{"kill", "terminate", "freeze"} {
 		b.Run(fault, func(b *testing.B) {
@@ -39,10 +39,11 @@
 	}
 }
 
-// takeover has the holder fail, waits for another, and brings the first back.
+// measureTakeover injects a fault into the holder, waits for another holder,
+// restarts the first, and returns the time until the takeover.
 func (r *rig) measureTakeover(fault string) time.Duration {
 	r.waitUntil("a holder", func() bool { return r.leaseRow(0).Holder != "" })
-	time.Sleep(time.Duration(700+len(r.leaseRow(0).Holder)) * time.Millisecond) // some renewals
+	time.Sleep(time.Duration(700+len(r.leaseRow(0).Holder)) * time.Millisecond) // lets the holder renew it
 	old := r.leaseRow(0)
 	id, _, _ := strings.Cut(old.Holder, "/")
 	at := slices.IndexFunc(r.fleet.Instances, func(i *testfleet.Instance) bool { return i.ID == id })
@@ -63,16 +64,16 @@
 	return elapsed
 }
 
-// BenchmarkLeaseTable counts the table's calls for leases at 9 instances, by
-// what the daemons count of them.
-func BenchmarkLeaseTableCalls(b *testing.B) {
+// BenchmarkLeaseTable measures the table calls for leases with 9 instances,
+// using the daemons' own counters.
+func BenchmarkLeaseTable(b *testing.B) {
 	for _, pools := range []int{1, 4, 8} {
 		b.Run(fmt.Sprintf("pools=%d", pools), func(b *testing.B) {
 			r := newRig(b, "[lease]\nhand_back_after = \"2s\"\n", slices.Repeat([]config.Fencing{config.FencingRefuse}, pools)...)
 			for i := range 9 {
 				r.addInstance(fmt.Sprintf("inst-%d", i), "")
 			}
-			time.Sleep(15 * time.Second) // until each lease is at its first choice
+			time.Sleep(15 * time.Second) // until each lease is held by its first choice
 			reads, writes := r.leaseCalls()
 			before := r.tableStats()
 			const span = 10 * time.Second
@@ -95,7 +96,7 @@
 	return stats
 }
 
-// leaseCalls sums the daemons' own counts.
+// leaseCalls returns the sums of the daemons' counters.
 func (r *rig) leaseCalls() (reads, writes float64) {
 	for _, i := range r.fleet.Instances {
 		res, err := http.Get("http://" + i.ControlAt + "/metrics")
@@ -107,7 +108,7 @@
 	return reads, writes
 }
 
-// counted is a counter as /metrics shows it.
+// counter is a counter in the output of /metrics.
 type counter struct {
 	Count float64 `json:"count"`
 }
--- a/internal/control/authority_test.go
+++ b/internal/control/authority_test.go
@@ -25,7 +25,7 @@
 
 const modelName = "provenance"
 
-// shortLease has takeovers come soon and no lease handed back.
+// shortLeaseSettings makes takeovers fast and prevents hand-backs.
 const shortLeaseSettings = `[lease]
 term = "1s"
 renew_every = "300ms"
@@ -37,7 +37,7 @@
 send_guard = "100ms"
 `
 
-// rig is a fleet with pools that have one engine each.
+// rig is a fleet with pools of one engine each.
 type rig struct {
 	t       testing.TB
 	ctx     context.Context
@@ -45,7 +45,7 @@
 	version int64
 }
 
-// newRig starts a platform, and an engine for each kind of fencing given.
+// newRig starts a platform, and one engine per given kind of fencing.
 func newRig(t testing.TB, tables string, kinds ...config.Fencing) *rig {
 	t.Helper()
 	bin, err := testfleet.Bin()
@@ -86,7 +86,8 @@
 	}
 }
 
-// put writes the next version: each engine is wanted to have the adapters.
+// putVersion appends a version in which each engine is wanted with the given
+// adapters.
 func (r *rig) putVersion(kinds []config.Fencing, adapters ...string) {
 	r.t.Helper()
 	r.version++
@@ -108,7 +109,8 @@
 
 func poolName(i int) string { return fmt.Sprintf("pool-%d", i) }
 
-// appended writes a document over whatever version is the newest.
+// appendOverHead appends a document after the newest version, and reports
+// whether that succeeded.
 func (r *rig) appendOverHead(doc *config.Config) bool {
 	log := versions.Log{Table: r.fleet.PlatformClient()}
 	head, err := log.Head(r.ctx)
@@ -120,7 +122,7 @@
 	return log.Append(r.ctx, head, doc, versions.Entry{Author: "test"}, platform.Txn{}) == nil
 }
 
-// add starts an instance, with failpoints in its processes if any are given.
+// addInstance starts an instance. The failpoints apply to all its processes.
 func (r *rig) addInstance(id, points string) *testfleet.Instance {
 	r.t.Helper()
 	r.fleet.Environment = []string{failpoint.Variable + "=" + points}
@@ -129,7 +131,7 @@
 	return i
 }
 
-// row is the lease of a pool in the table.
+// leaseRow returns the lease of a pool in the table.
 func (r *rig) leaseRow(pool int) lease.Row {
 	var row lease.Row
 	if found, err := r.fleet.PlatformClient().Get(r.ctx, "lease/"+poolName(pool)); err == nil {
@@ -142,8 +144,8 @@
 	return strings.HasPrefix(r.leaseRow(pool).Holder, id+"/")
 }
 
-// addOthers starts two instances, so that a majority is there without the
-// first.
+// addTwoInstances starts two more instances, so that a majority remains without
+// the first.
 func (r *rig) addTwoInstances() {
 	r.t.Helper()
 	for _, id := range []string{"second", "third"} {
@@ -152,10 +154,10 @@
 	}
 }
 
-// untilTakenOver waits until another than the first holds the lease.
+// waitForTakeover waits until an instance other than the first holds the lease.
 func (r *rig) waitForTakeover() {
 	r.t.Helper()
-	r.waitUntil("another holds the lease", func() bool { return r.holds("second", 0) || r.holds("third", 0) })
+	r.waitUntil("another instance holds the lease", func() bool { return r.holds("second", 0) || r.holds("third", 0) })
 }
 
 func (r *rig) waitForHolder(id string) {
@@ -169,7 +171,8 @@
 	return book
 }
 
-// took tells whether the engine's last order was of an epoch with adapters.
+// lastOrderIs reports whether the engine's last order has the given epoch and
+// adapters.
 func (r *rig) lastOrderIs(i int, epoch int64, adapters ...string) bool {
 	orders := r.book(i).Orders
 	if len(orders) == 0 {
@@ -179,7 +182,7 @@
 	return order.EpochOf(last.Fence) == epoch && slices.Equal(last.Want.Adapters, adapters)
 }
 
-// settled tells whether the engine's journalled order is done.
+// orderDone reports whether the engine's journalled order is done.
 func (r *rig) orderDone(i int) bool {
 	found, err := r.fleet.PlatformClient().Get(r.ctx, order.Key(poolName(i), r.fleet.Engines[i].ID))
 	if err != nil {
@@ -189,8 +192,7 @@
 	return err == nil && row.State == order.StateDone
 }
 
-// inOrder checks that no order took effect after one of a later epoch, nor
-// after another that followed it.
+// checkEpochOrder checks that no order took effect after one of a later epoch.
 func checkEpochOrder(t testing.TB, orders []engine.Order) {
 	t.Helper()
 	for i := 1; i < len(orders); i++ {
@@ -202,9 +204,12 @@
 	}
 }
 
-// TestFrozenBeforeSend: the holder is stopped right before the bytes of its
-// order go out. Another takes over, carries the open order out, and a further
-// one. Then the first is woken.
+// TestProcessFrozenBeforeSendIsKilled guards against an order of an old holder
+// that takes effect after one of its successor. The holder is frozen right
+// before it writes its order to the socket. Another instance acquires the
+// lease, carries out the open order and then a further one. Then the first
+// process is resumed. Without the kill timer, the engine must refuse the late
+// order.
 func TestProcessFrozenBeforeSendIsKilled(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -229,15 +234,15 @@
 			r.putVersion(kinds, "b")
 			r.waitUntil("the successor's own order is settled", func() bool { return r.lastOrderIs(0, 2, "b") && r.orderDone(0) })
 			frozen.Control.Signal(syscall.SIGCONT)
-			r.waitUntil("the old order is over", func() bool {
+			r.waitUntil("the send of the frozen process has ended", func() bool {
 				return exited(frozen.Control) || strings.Contains(frozen.Control.Log(), "order: ")
 			})
 			checkEpochOrder(t, r.book(0).Orders)
 			if exited(frozen.Control) != c.killed {
 				t.Errorf("the frozen process was killed: %v, want %v", !c.killed, c.killed)
 			}
-			// A process that is woken may break the send off before the engine
-			// has the order; else the engine refuses it.
+			// A process that is resumed may abort the send before the engine has
+			// received the order. Otherwise the engine must refuse the order.
 			broken := strings.Contains(frozen.Control.Log(), "order: no answer")
 			if refused := len(r.book(0).Refused); !c.killed && !broken && refused != 1 {
 				t.Errorf("the engine refused %d orders, want 1", refused)
@@ -246,15 +251,16 @@
 				r.checkStaleOrderRefused(0, "a")
 			}
 			if strings.Contains(frozen.Control.Log(), "order: sent") {
-				t.Errorf("the frozen process saw its order answered:\n%s", frozen.Control.Log())
+				t.Errorf("the frozen process received an answer to its order:\n%s", frozen.Control.Log())
 			}
 		})
 	}
 }
 
-// lateOrderIsRefused brings an order of epoch 1 to the engine. The process that
-// woke may have broken its connection off before the bytes left: whether its
-// write or the end of its term comes first is up to the scheduler.
+// checkStaleOrderRefused sends an order of epoch 1 to the engine. The test
+// needs it because the resumed process may have closed its connection before
+// the order was written: the scheduler determines whether the write or the end
+// of the term comes first.
 func (r *rig) checkStaleOrderRefused(number int, adapter string) {
 	r.t.Helper()
 	client := engine.NewClient(r.fleet.Engines[number].Address, 5*time.Second)
@@ -278,9 +284,10 @@
 	}
 }
 
-// TestTakeover: another instance takes the lease over when its holder is
-// killed, frozen or cut off from the table, and the old one does not hold it
-// when it is back.
+// TestTakeover guards against a fleet without a holder, and against two
+// holders: another instance must acquire the lease when its holder is killed,
+// frozen or disconnected from the table, and the old holder must not hold it
+// after it is back.
 func TestTakeover(t *testing.T) {
 	for _, fault := range []string{"kill", "freeze", "cut"} {
 		t.Run(fault, func(t *testing.T) {
@@ -304,11 +311,11 @@
 			default:
 				return
 			}
-			r.waitUntil("the first knows that it lost the lease", func() bool {
+			r.waitUntil("the first process logs that it lost the lease", func() bool {
 				return strings.Contains(first.Control.Log(), "lease: lost")
 			})
 			if row := r.leaseRow(0); row.Epoch != 2 || r.holds("first", 0) {
-				t.Errorf("the row is %+v, want epoch 2 of another", row)
+				t.Errorf("the row is %+v, want epoch 2 with another holder", row)
 			}
 		})
 	}
@@ -325,8 +332,8 @@
 	}
 }
 
-// TestHandOverOnTerminate: the lease goes over at once, far from the end of a
-// term of a minute.
+// TestHandOverOnTerminate checks that a terminated holder hands its lease over
+// immediately. The term of a minute is longer than the test waits.
 func TestHandOverOnTerminate(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, "[lease]\nterm = \"1m\"\nrenew_every = \"300ms\"\n", config.FencingRefuse)
@@ -335,15 +342,17 @@
 	r.addTwoInstances()
 	first.Control.Signal(syscall.SIGTERM)
 	r.waitForTakeover()
-	r.waitUntil("the first ends", func() bool { return exited(first.Control) })
+	r.waitUntil("the first process exits", func() bool { return exited(first.Control) })
 	if err := first.Control.Err(); err != nil {
-		t.Errorf("the first ended with %v", err)
+		t.Errorf("the first process exited with %v", err)
 	}
 }
 
-// TestTakeoverWithReplyLost: the holder finds its takeover in the table, with
-// what it needs to write under it.
-func TestTakeoverWhoseReplyIsLost(t *testing.T) {
+// TestTakeoverWithReplyLost guards against a holder that does not notice its
+// own takeover, or can't write under it: the reply to the takeover is lost, and
+// the holder must read from the table that it succeeded, and the revision of
+// the epoch.
+func TestTakeoverWithReplyLost(t *testing.T) {
 	t.Parallel()
 	kinds := []config.Fencing{config.FencingRefuse}
 	r := newRig(t, shortLeaseSettings, kinds...)
@@ -356,9 +365,10 @@
 	}
 }
 
-// TestTableDown: the holder loses its authority and goes on running; nobody
-// gains any before the table is back.
-func TestHolderLosesLeaseWhileTableIsDown(t *testing.T) {
+// TestTableDown checks that the holder loses its lease but continues to run
+// while the table is down, and that no instance acquires a lease before the
+// table is back.
+func TestTableDown(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, shortLeaseSettings, config.FencingRefuse)
 	first := r.addInstance("first", "")
@@ -368,19 +378,20 @@
 	r.waitUntil("the holder loses the lease", func() bool { return strings.Contains(first.Control.Log(), "lease: lost") })
 	for _, i := range r.fleet.Instances[1:] {
 		if strings.Contains(i.Control.Log(), "lease: taken") {
-			t.Errorf("%s gained the lease with the table down:\n%s", i.ID, i.Control.Log())
+			t.Errorf("%s acquired the lease while the table was down:\n%s", i.ID, i.Control.Log())
 		}
 	}
 	r.must(r.fleet.PlatformFault(r.ctx, testservers.PlatformFaults{}))
-	r.waitUntil("a new epoch", func() bool { return r.leaseRow(0).Epoch == 2 })
+	r.waitUntil("the row has a new epoch", func() bool { return r.leaseRow(0).Epoch == 2 })
 	if exited(first.Control) {
-		t.Errorf("the outage ended the first: %v", first.Control.Err())
+		t.Errorf("the first process exited during the outage: %v", first.Control.Err())
 	}
 }
 
-// TestLeasesGoToTheirFirstChoice: the first instance has all leases until the
-// others are there; then each goes to the first choice for its pool.
-func TestLeasesMoveToPreferredInstance(t *testing.T) {
+// TestLeasesGoToTheirFirstChoice starts the first instance, which acquires all
+// leases, and then the others. Each lease must move to the first choice for its
+// pool.
+func TestLeasesGoToTheirFirstChoice(t *testing.T) {
 	t.Parallel()
 	kinds := slices.Repeat([]config.Fencing{config.FencingRefuse}, 4)
 	r := newRig(t, strings.Replace(shortLeaseSettings, `"1h"`, `"500ms"`, 1), kinds...)
@@ -388,10 +399,10 @@
 	for _, id := range ids {
 		r.addInstance(id, "")
 		if id == ids[0] {
-			r.waitUntil("it holds all", func() bool { return r.allHeldBy(func(int) string { return id }) })
+			r.waitUntil("the first instance holds all leases", func() bool { return r.allHeldBy(func(int) string { return id }) })
 		}
 	}
-	r.waitUntil("each lease is at its first choice", func() bool {
+	r.waitUntil("each lease is held by its first choice", func() bool {
 		return r.allHeldBy(func(pool int) string {
 			return ids[slices.IndexFunc(ids, func(id string) bool { return lease.Rank(poolName(pool), id, ids) == 0 })]
 		})
--- a/internal/control/confirm.go
+++ b/internal/control/confirm.go
@@ -18,15 +18,15 @@
 	"sassafrasfield/internal/versions"
 )
 
-// Outcomes told to operators.
+// Outcomes that operators receive.
 const (
 	outcomeAccepted = "accepted"
 	outcomeRefused  = "refused"
 	outcomeUnknown  = "unknown"
 )
 
-// A confirmation that the system's own steps, or an old copy of the table, got
-// in the way of is tried again.
+// A confirmation is retried if a version that the system itself wrote, or a
+// stale read of the table, prevented it.
 const (
 	confirmAttempts = 10
 	confirmPause    = 50 * time.Millisecond
@@ -34,7 +34,7 @@
 )
 
 // verdict is the answer to a confirmation or a cancellation. The zero value
-// asks for another try.
+// requests a retry.
 type verdict struct {
 	outcome string
 	reason  string
@@ -46,7 +46,8 @@
 	return verdict{outcome: outcomeRefused, reason: fmt.Sprintf(format, args...)}
 }
 
-// settle tries until there is an outcome.
+// retryUntilDecided calls try until it returns an outcome or an error, with an
+// exponential delay, and refuses after confirmAttempts.
 func retryUntilDecided(ctx context.Context, try func(context.Context) (verdict, error)) (verdict, error) {
 	pause := confirmPause
 	for range confirmAttempts {
@@ -80,8 +81,9 @@
 	return connect.NewResponse(&sfv1.CancelResponse{Outcome: v.outcome, Reason: v.reason}), nil
 }
 
-// tryConfirm asks for another try when only the system's own steps moved the
-// head, or when the table's copy was old.
+// tryConfirm makes one attempt to confirm a plan. It requests a retry if the
+// head moved only by versions that the system itself wrote, or if the table's
+// answer was stale.
 func (o *operatorService) tryConfirm(ctx context.Context, req *sfv1.ConfirmRequest) (verdict, error) {
 	p, revision, err := o.loadPlan(ctx, req.PlanId)
 	if err != nil {
@@ -112,9 +114,9 @@
 	return o.appendVersion(ctx, head, target, &accepted, revision, entry)
 }
 
-// confirmedAlready answers for a plan that is not declared any more. The same
-// operator confirming again is told again, since the first answer may have
-// been lost.
+// verdictIfNotDeclared returns the verdict on a plan that is no longer in the
+// state declared. If the same operator confirms again, the answer is the same
+// as before, since the first one may have been lost.
 func verdictIfNotDeclared(p *plan.Plan, operator string) (v verdict, decided bool) {
 	switch {
 	case p.State == plan.StateDeclared:
@@ -130,8 +132,8 @@
 	}
 }
 
-// target applies the plan's intent to the newest configuration, and checks
-// that it still does what the operator read.
+// rebuildTarget applies the plan's intent to the newest configuration, and
+// checks that the resulting steps are still those that the operator read.
 func (o *operatorService) rebuildTarget(ctx context.Context, p *plan.Plan, base *config.Config) (*config.Config, verdict) {
 	target, _, findings := intent.Apply(p.File, p.Source, base)
 	if target == nil {
@@ -147,8 +149,8 @@
 	return target, verdict{}
 }
 
-// ifNewest gives a verdict if what it rests on is known for sure to be the
-// newest, and else asks for another try.
+// verdictIfNewest returns the verdict if a transaction proves that the head and
+// the plan that it depends on are the newest. Otherwise it requests a retry.
 func (o *operatorService) verdictIfNewest(ctx context.Context, v verdict, head versions.Head, p *plan.Plan, revision int64) (verdict, error) {
 	newest, err := versions.CheckRevisions(ctx, o.daemon.platform,
 		platform.Check{Key: versions.HeadKey, Revision: head.Revision},
@@ -162,7 +164,7 @@
 	return v, nil
 }
 
-// accept appends the version and writes the plan, in one transaction.
+// appendVersion appends the version and writes the plan, in one transaction.
 func (o *operatorService) appendVersion(ctx context.Context, head versions.Head, target *config.Config, p *plan.Plan, revision int64, entry versions.Entry) (verdict, error) {
 	ctx, cancel, err := o.daemon.prepareAccept(ctx, target.Version)
 	defer cancel()
@@ -188,7 +190,7 @@
 	}
 }
 
-// unreachable answers when the table does not.
+// tableErrorVerdict returns the verdict for an error of the table.
 func tableErrorVerdict(err error) (verdict, error) {
 	switch {
 	case errors.Is(err, platform.ErrUnknown):
@@ -200,8 +202,9 @@
 	}
 }
 
-// refuseMoved tells which accepted changes a plan does not know of, and notes
-// in its row that it can't be confirmed any more.
+// refuseOutdated refuses a plan that was built before other changes were
+// accepted, and lists those changes. It records in the plan's row that the plan
+// can't be confirmed any more.
 func (o *operatorService) refuseOutdated(ctx context.Context, p *plan.Plan, revision int64) (verdict, error) {
 	v := refused("another change was accepted since the plan was built; declare the intent again")
 	entries, err := o.daemon.versions.List(ctx, versions.MaxListed)
@@ -220,7 +223,7 @@
 		Writes: []platform.Write{{Key: plan.Key(p.ID), Value: outdated.Encode()}},
 	})
 	if errors.Is(err, platform.ErrConflict) {
-		return verdict{}, nil // the row is not what was read: look again
+		return verdict{}, nil // the row changed since it was read; retry
 	}
 	if err != nil {
 		return tableErrorVerdict(err)
@@ -228,7 +231,8 @@
 	return v, nil
 }
 
-// tryCancel cancels a declared plan, or what a running plan has not started.
+// tryCancel cancels a declared plan, or the steps of a running plan that have
+// not started.
 func (o *operatorService) tryCancel(ctx context.Context, req *sfv1.CancelRequest) (verdict, error) {
 	p, revision, err := o.loadPlan(ctx, req.PlanId)
 	if err != nil {
@@ -260,7 +264,8 @@
 	}
 }
 
-// cancelRunning writes a version in which what has not started stays as it is.
+// cancelRunning appends a version that keeps the current state of everything
+// that the plan has not started to change.
 func (o *operatorService) cancelRunning(ctx context.Context, p *plan.Plan, revision int64, operator string) (verdict, error) {
 	head, doc, err := o.daemon.versions.NewestFrom(ctx, o.daemon.holder.Current())
 	if errors.Is(err, versions.ErrStaleRead) {
--- a/internal/control/daemon.go
+++ b/internal/control/daemon.go
@@ -1,6 +1,9 @@
-// Package control is the daemon sf-control: it feeds the decision packages
-// (lease, rollout, gossip) with what it reads and carries out what they say.
-// Each sf-control process is alike; any of them may hold any lease.
+// Package control is the daemon sf-control. Its inputs are the platform's
+// instance list and table, the status and load reports of engines, and calls
+// from peers, operators and the local sf-entry. It passes what it reads to the
+// decision packages (lease, rollout, gossip, freshness, roles) and carries out
+// the actions that they return. All sf-control processes are equal: each of
+// them can hold any lease.
 package control
 
 import (
@@ -25,17 +28,18 @@
 	"sassafrasfield/internal/versions"
 )
 
-// compressFrom is the size in bytes from where on a message between peers is
+// compressMinBytes is the size from which a message between peers is
 // compressed.
 const compressMinBytes = 1024
 
-// idlePeers bounds the idle connections to peers.
+// maxIdlePeerConns bounds the idle connections to peers.
 const maxIdlePeerConns = 16
 
 // Daemon is one sf-control process.
 type Daemon struct {
 	settings *Settings
-	// run names this run of the process, as the holder of leases.
+	// runID identifies this run of the process as a holder of leases: the instance
+	// ID, a slash and a UUID.
 	runID           string
 	log             *slog.Logger
 	platform        platform.Platform
@@ -52,14 +56,14 @@
 	orders          *orderMetrics
 	http            *http.Client
 	options         []connect.ClientOption
-	// traced gives each call of a handler a span.
+	// traced starts a span for each call that a handler serves.
 	traced connect.HandlerOption
 
 	mu      sync.Mutex // protects engines
 	engines map[string]engine.Engine
 }
 
-// New returns a daemon that has not started.
+// New returns a daemon that is not running yet.
 func New(s *Settings, log *slog.Logger) (*Daemon, error) {
 	interceptor, err := otelconnect.NewInterceptor(otelconnect.WithTrustRemote(), otelconnect.WithoutMetrics())
 	if err != nil {
@@ -90,7 +94,7 @@
 	return d, nil
 }
 
-// Run works until the context ends, then hands its leases over.
+// Run runs the daemon until the context ends, then releases its leases.
 func (d *Daemon) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	loops := []func(context.Context){
@@ -107,7 +111,7 @@
 	return group.Wait()
 }
 
-// serve answers peers, operators and probes until the context ends.
+// serve serves peers, operators and probes until the context ends.
 func (d *Daemon) serve(ctx context.Context) error {
 	server := &http.Server{Addr: d.settings.Listen, Handler: d.handler(), ReadHeaderTimeout: 10 * time.Second}
 	done := make(chan error, 1)
@@ -133,8 +137,8 @@
 	return mux
 }
 
-// readyz tells whether the process holds a configuration that it may take for
-// the newest, and else why not.
+// readyz reports whether the configuration held can be treated as the newest,
+// and the reason if it can't.
 func (d *Daemon) readyz(w http.ResponseWriter, _ *http.Request) {
 	status := d.spread.status()
 	if !status.Fresh {
@@ -164,7 +168,8 @@
 	return sfv1connect.NewPeerServiceClient(d.http, "http://"+address, options...)
 }
 
-// every calls work now and then at the period until the context ends.
+// runPeriodically calls work immediately and then once per period until the
+// context ends.
 func runPeriodically(ctx context.Context, period time.Duration, work func(context.Context)) {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
@@ -178,8 +183,8 @@
 	}
 }
 
-// peerTransport keeps few idle connections: at hundreds of instances the next
-// exchange is seldom with a peer of the last ones.
+// peerTransport returns a transport that keeps few idle connections: with
+// hundreds of instances, an exchange is rarely with a recent peer.
 func peerTransport() *http.Transport {
 	return &http.Transport{MaxIdleConns: maxIdlePeerConns, MaxIdleConnsPerHost: 2, IdleConnTimeout: time.Minute}
 }
--- a/internal/control/deliver.go
+++ b/internal/control/deliver.go
@@ -14,11 +14,11 @@
 	"sassafrasfield/internal/selfkill"
 )
 
-// deliver sends a journalled order within the lease's term. Around the send a
-// kernel timer stands armed to the end of the term: a process that is frozen
-// in it is dead before another can hold the lease, and its socket is reset
-// with it. A process that runs breaks the send off before the term ends, and
-// disarms the timer.
+// deliver sends a journalled order within the term of the lease. During the
+// send, a kernel timer is armed that kills this process at the end of the term
+// (see usesKillTimer). So a process that is frozen during the send is dead, and
+// its socket reset, before another process can hold the lease. A process that
+// is not frozen aborts the send before the term ends, and disarms the timer.
 func (d *Daemon) deliver(ctx context.Context, pool string, auth authority, to *config.Engine, row order.Row) error {
 	until, done, err := d.leases.startSending(pool, auth)
 	if err != nil {
@@ -33,19 +33,20 @@
 		}
 		defer d.disarm(timer)
 	}
-	// The last check comes after the timer is armed: from here on either the
-	// send ends in time or the process does.
+	// This check must come after the timer is armed: from here on, either the
+	// send ends within the term or the process is killed.
 	left := until - d.settings.Lease.SendGuard - bootclock.Now()
 	if left <= 0 {
 		d.orders.expired.Inc(1)
-		return errors.Errorf("order: the term for %s is about to end", pool)
+		return errors.Errorf("order: the lease term of pool %s is about to end", pool)
 	}
 	ctx, cancel := context.WithTimeout(ctx, left)
 	defer cancel()
 	return d.send(ctx, to, row)
 }
 
-// killTimerFor tells whether sends to an engine are guarded by the timer.
+// usesKillTimer reports whether the kill timer is armed during sends to an
+// engine.
 func (d *Daemon) usesKillTimer(to *config.Engine) bool {
 	return d.settings.Lease.KillTimer == killTimerAll || to.Fencing == config.FencingIgnore
 }
@@ -56,7 +57,7 @@
 	}
 }
 
-// send sends one order and counts how it went.
+// send sends one order and counts its result.
 func (d *Daemon) send(ctx context.Context, to *config.Engine, row order.Row) error {
 	log := d.log.With("engine", to.ID, "order", row.ID, "epoch", row.Epoch)
 	failpoint.Hit("control.order.before_send")
@@ -70,7 +71,7 @@
 		log.Info("order: sent", "took", time.Since(started))
 	case errors.Is(err, engine.ErrFenced):
 		d.orders.fencedOff.Inc(1)
-		log.Warn("order: refused by its fencing number")
+		log.Warn("order: refused by the engine, its fencing number is too old")
 	default:
 		d.orders.failed.Inc(1)
 		log.Info("order: no answer", "error", err)
--- a/internal/control/demand.go
+++ b/internal/control/demand.go
@@ -16,20 +16,21 @@
 	"sassafrasfield/internal/platform"
 )
 
-// DemandSettings set how the entries' shares of the organisations' rates are
-// kept up to date.
+// DemandSettings determine how often the entries' shares of the organisations'
+// rate limits are updated.
 type DemandSettings struct {
 	// Every is the mean time between exchanges. Default 1s.
 	Every time.Duration `toml:"every"`
-	// Keep is how long an instance's demand counts after it was reported.
-	// Default 3s.
+	// Keep is how long an instance's reported demand is counted. Default 3s.
 	Keep time.Duration `toml:"keep"`
 }
 
-// demand adds up the demand for the organisations whose home this process is.
+// demand sums the demand of the organisations whose home is this instance (see
+// limit.Home).
 type demand struct {
-	rng *rand.Rand // used by the demand loop alone
-	// asked are the homes of the last exchange; used by the demand loop alone.
+	rng *rand.Rand // used only by the demand loop
+	// lastHomes are the instances that demand was reported to in the last
+	// exchange. Used only by the demand loop.
 	lastHomes []string
 
 	mu     sync.Mutex // protects totals
@@ -49,8 +50,8 @@
 	return d.totals.Report(from, rates, now)
 }
 
-// demandLoop brings the entry's demand to the organisations' homes and the
-// totals back, with jitter.
+// demandLoop periodically exchanges demand, with a jitter of half the period
+// either way.
 func (d *Daemon) demandLoop(ctx context.Context) {
 	every := d.settings.Demand.Every
 	for ctx.Err() == nil {
@@ -59,8 +60,10 @@
 	}
 }
 
-// exchangeDemand is one exchange. A home that does not answer is left out, and
-// the entry goes back to an equal share when its totals get old.
+// exchangeDemand reports the demand of the local entry to the homes of its
+// organisations, and passes the totals that they answer with to the entry. A
+// home that does not answer is skipped. The entry falls back to an equal share
+// when its totals are too old.
 func (d *Daemon) exchangeDemand(ctx context.Context) {
 	live := map[string]platform.Instance{}
 	var ids []string
@@ -71,7 +74,7 @@
 		}
 	}
 	if len(ids) == 0 {
-		return // no list yet; the entry keeps what it was told last
+		return // no list yet; the entry keeps its last totals
 	}
 	own, err := d.entry.client.Demand(ctx, connect.NewRequest(&sfv1.DemandRequest{}))
 	if err != nil {
@@ -94,6 +97,7 @@
 	}
 }
 
+// groupByHome groups rates by the home of their organisation.
 func groupByHome(rates []*sfv1.OrganisationRate, ids []string) map[string][]*sfv1.OrganisationRate {
 	homes := map[string][]*sfv1.OrganisationRate{}
 	for _, rate := range rates {
@@ -104,8 +108,8 @@
 	return homes
 }
 
-// withdraw adds the homes that were told of some demand in the last exchange
-// and of none now, and returns the homes that were told of some now.
+// addWithdrawals adds an empty report for each home that received demand in the
+// last exchange and has none now. It returns the homes that have demand now.
 func addWithdrawals(homes map[string][]*sfv1.OrganisationRate, before []string, live map[string]platform.Instance) []string {
 	current := slices.Collect(maps.Keys(homes))
 	for _, home := range before {
@@ -116,6 +120,7 @@
 	return current
 }
 
+// requestTotals reports rates to a home and returns the totals.
 func (d *Daemon) requestTotals(ctx context.Context, home platform.Instance, rates []*sfv1.OrganisationRate) ([]*sfv1.OrganisationRate, error) {
 	request := &sfv1.TotalRequest{From: d.settings.Instance, Demand: rates}
 	if home.ID == d.settings.Instance {
@@ -128,6 +133,8 @@
 	return response.Msg.Totals, nil
 }
 
+// addDemand records an instance's demand and returns the totals of its
+// organisations.
 func (d *Daemon) addDemand(request *sfv1.TotalRequest) []*sfv1.OrganisationRate {
 	rates := make(map[string]float64, len(request.Demand))
 	for _, rate := range request.Demand {
--- a/internal/control/entrylink.go
+++ b/internal/control/entrylink.go
@@ -15,20 +15,20 @@
 	"sassafrasfield/internal/gossip"
 )
 
-// entryLink keeps sf-entry of the same instance at the version that this
-// process holds. Each call is a heartbeat too, and tells how long the entry may
-// take new work.
+// entryLink sends the configuration that this process holds to sf-entry on the
+// same instance. Each call is also a heartbeat, and tells the entry until when
+// it may accept new work.
 type entryLink struct {
 	holder *gossip.Holder
 	client sfv1connect.EntryServiceClient
 	log    *slog.Logger
 
-	// All below is used by the entry loop alone.
+	// The fields below are used only by the entry loop.
 
-	// inForce is the version that the entry answered last.
+	// entryVersion is the version in force that the entry answered last.
 	entryVersion int64
-	// clock is the entry's clock of its last answer, which came before clockAt
-	// by the clock of this process. 0 for none.
+	// clock is the entry's own clock in its last answer, and 0 if there is none.
+	// clockAt is this process's clock when that answer arrived.
 	clock   int64
 	clockAt time.Duration
 }
@@ -41,8 +41,10 @@
 	}
 }
 
-// apply sends the newest version, and its document when the entry lacks it.
-// It tells whether the entry has heard how long the version is good for.
+// apply sends the newest version, and its document if the entry does not have
+// it. It returns false if the entry's clock was not known, so that the entry
+// has not been told until when the version is fresh; the caller then calls
+// again.
 func (l *entryLink) apply(ctx context.Context, leaving []string, status freshness.Status) bool {
 	doc := l.holder.Current()
 	if doc.Version == 0 {
@@ -58,7 +60,7 @@
 	response, err := l.client.Apply(ctx, connect.NewRequest(request))
 	if err != nil {
 		l.entryVersion = 0
-		l.log.Debug("entry: no answer", "error", err)
+		l.log.Debug("entry: sf-entry did not answer", "error", err)
 		return true
 	}
 	if response.Msg.Version != l.entryVersion {
@@ -69,11 +71,13 @@
 	return request.Clock != 0
 }
 
+// entryLoop calls apply when the version changes, and otherwise every
+// spread.apply_every.
 func (d *Daemon) entryLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		changed := d.holder.Changed()
 		if !d.entry.apply(ctx, d.spread.drainingUpstreams(), d.spread.status()) {
-			continue // the entry's clock is known now
+			continue // repeat now that the entry's clock is known
 		}
 		wait(ctx, d.settings.Spread.ApplyEvery, changed)
 	}
--- a/internal/control/exchange.go
+++ b/internal/control/exchange.go
@@ -14,14 +14,15 @@
 	"sassafrasfield/internal/platform"
 )
 
-// Code of a contact in ExchangeResponse.contacts.
+// A contact is one byte in ExchangeResponse.contacts: its age in units of
+// contactAgeStep, or contactUnknown, plus contactVoterBit if it is a voter.
 const (
 	contactAgeStep  = 100 * time.Millisecond
 	contactUnknown  = 127
 	contactVoterBit = 128
 )
 
-// exchange asks a peer what it knows.
+// exchange sends this instance's state to a peer and merges the peer's answer.
 func (s *spreader) exchange(ctx context.Context, peer string) {
 	ctx, cancel := s.peerContext(ctx)
 	defer cancel()
@@ -37,6 +38,7 @@
 	s.onExchangeResponse(sent, peer, response.Msg)
 }
 
+// newExchangeRequest returns a request with the current state.
 func (s *spreader) newExchangeRequest() *sfv1.ExchangeRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -48,14 +50,14 @@
 	}
 }
 
-// answer tells a peer what is known here.
-func (s *spreader) exchangeResponse(question *sfv1.ExchangeRequest) *sfv1.ExchangeResponse {
+// exchangeResponse merges a peer's request and returns the answer.
+func (s *spreader) exchangeResponse(request *sfv1.ExchangeRequest) *sfv1.ExchangeResponse {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := bootclock.Now()
-	s.fresh.NoteVersion(question.Version)
-	s.mergeDraining(now, question.Leaving)
-	digest := s.fresh.Digest(now, question.WantContacts)
+	s.fresh.NoteVersion(request.Version)
+	s.mergeDraining(now, request.Leaving)
+	digest := s.fresh.Digest(now, request.WantContacts)
 	response := &sfv1.ExchangeResponse{
 		Version: digest.Version, Voter: digest.Voter,
 		TableSeen: digest.HeadSeen, TableAgeMs: ceilMs(digest.HeadAge),
@@ -63,20 +65,21 @@
 		Leaving: drainingMessages(s.draining.Ages(now)),
 	}
 	members := s.fresh.Members()
-	if question.ListHash == 0 {
+	if request.ListHash == 0 {
 		response.Instances = instanceMessages(s.daemon.members.own())
 	}
 	if digest.Contacts == nil {
 		return response
 	}
-	if question.ListHash != listHash(members) {
+	if request.ListHash != listHash(members) {
 		response.Members = members
 	}
 	response.Contacts = encodeContacts(members, digest.Contacts)
 	return response
 }
 
-// answered takes a peer's answer to a question that was sent at a time.
+// onExchangeResponse merges a peer's answer to a request that was sent at the
+// given time.
 func (s *spreader) onExchangeResponse(sent time.Duration, peer string, msg *sfv1.ExchangeResponse) {
 	id := s.daemon.members.idAt(peer)
 	s.mu.Lock()
@@ -95,13 +98,15 @@
 	s.enqueue(s.machine.OnPeerAnswer(now, peer, msg.Version))
 }
 
+// mergeDraining merges the draining upstreams that a peer knows. The mutex must
+// be held.
 func (s *spreader) mergeDraining(now time.Duration, leaving []*sfv1.LeavingUpstream) {
 	for _, upstream := range leaving {
 		s.draining.Merge(upstream.Id, now-millis(upstream.AgeMs))
 	}
 }
 
-// prepare takes that a version is about to be accepted.
+// prepare records that a version is about to be accepted.
 func (s *spreader) prepare(version int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,7 +115,7 @@
 
 func millis(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// ceilMs rounds up, so that nothing looks newer than it is.
+// ceilMs rounds up, so that no evidence looks newer than it is.
 func ceilMs(d time.Duration) int64 {
 	return int64((d + time.Millisecond - 1) / time.Millisecond)
 }
@@ -123,7 +128,7 @@
 	return out
 }
 
-// listHash is 0 for no list.
+// listHash returns a hash of a list of members, and 0 for an empty list.
 func listHash(members []string) uint64 {
 	if len(members) == 0 {
 		return 0
@@ -143,7 +148,7 @@
 	return out
 }
 
-// encodeContacts writes a byte for each member; ages are rounded up.
+// encodeContacts returns one byte per member; ages are rounded up.
 func encodeContacts(members []string, contacts map[string]freshness.Contact) []byte {
 	out := make([]byte, len(members))
 	for i, id := range members {
@@ -174,7 +179,8 @@
 	return contacts
 }
 
-// sortedByID orders instances by id, as freshness orders members.
+// sortByID returns the instances sorted by ID, which is the order of members in
+// package freshness.
 func sortByID(instances []platform.Instance) []platform.Instance {
 	sorted := slices.Clone(instances)
 	slices.SortFunc(sorted, func(a, b platform.Instance) int {
--- a/internal/control/leasehandover.go
+++ b/internal/control/leasehandover.go
@@ -16,13 +16,15 @@
 	"sassafrasfield/internal/platform"
 )
 
-// hintTimeout bounds a hint to another instance.
+// hintTimeout bounds a call to another instance about a lease.
 const hintTimeout = 500 * time.Millisecond
 
-// hinted is how many instances are told that a lease is free.
+// hintFanout is the number of instances that are notified when a lease is
+// released.
 const hintFanout = 3
 
-// close goes on with giving a lease up. The lock is held.
+// continueClosing continues the release of a lease that is being given up. The
+// mutex must be held.
 func (l *leases) continueClosing(p *poolLease) {
 	if p.closing == closingNone {
 		return
@@ -36,8 +38,9 @@
 	}
 }
 
-// handOver gives all leases up, so that others need not wait for the term. It
-// ends when the table has it, or when the terms are over anyway.
+// handOver releases all leases, so that other instances need not wait for the
+// term. It returns when the table has all releases, or after a term, when the
+// leases have expired anyway.
 func (l *leases) handOver(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, l.daemon.settings.Lease.Term)
 	defer cancel()
@@ -64,7 +67,7 @@
 	return true
 }
 
-// live returns the ids of the instances that may hold leases.
+// liveIDs returns the sorted IDs of the instances that may hold leases.
 func (l *leases) liveIDs() []string {
 	var ids []string
 	for _, i := range l.daemon.members.own() {
@@ -76,8 +79,8 @@
 	return ids
 }
 
-// rank gives each machine its place when the list of live instances changed.
-// Nothing is watched before the list is known.
+// updateRanks sets the watch policy of each machine if the list of live
+// instances has changed. No lease is watched until the list is known.
 func (l *leases) updateRanks() {
 	live := l.liveIDs()
 	l.mu.Lock()
@@ -90,15 +93,15 @@
 	for _, p := range l.machines {
 		rank := l.ownRank(p.pool, live)
 		p.machine.SetWatchPolicy(l.daemon.settings.Lease.rankSettings().WatchPolicy(rank))
-		if rank == 0 && !p.preferred {
-			p.preferredSince = now
+		if rank == 0 && !p.firstChoice {
+			p.firstChoiceSince = now
 		}
-		p.preferred = rank == 0
+		p.firstChoice = rank == 0
 	}
 }
 
-// ownRank is this instance's rank. One that the platform has leaving comes
-// after all others.
+// ownRank returns this instance's rank for a pool. An instance that the
+// platform is shutting down ranks after all others.
 func (l *leases) ownRank(pool string, live []string) int {
 	self := l.daemon.settings.Instance
 	if l.isShuttingDown(self) {
@@ -107,13 +110,15 @@
 	return lease.Rank(pool, self, live)
 }
 
+// isShuttingDown reports whether the platform is about to remove an instance.
 func (l *leases) isShuttingDown(id string) bool {
 	return slices.ContainsFunc(l.daemon.members.own(), func(i platform.Instance) bool {
 		return i.ID == id && i.State == platform.InstanceLeaving
 	})
 }
 
-// noteHolder keeps since when the row has its holder. The lock is held.
+// noteHolder records when the current holder was first seen in the row. The
+// mutex must be held.
 func (l *leases) noteHolder(p *poolLease) {
 	row, _ := p.machine.Row()
 	if row.Holder != p.holder {
@@ -121,8 +126,9 @@
 	}
 }
 
-// askBack asks the holders of leases that this instance is the first choice
-// for. Each is asked seldom, and only once both have been there for long.
+// requestHandBacks requests the leases for which this instance is the first
+// choice from their holders. A request is sent only if both have been in their
+// position for hand_back_after, and is repeated at that interval.
 func (l *leases) requestHandBacks(ctx context.Context) {
 	now := bootclock.Now()
 	l.mu.Lock()
@@ -137,37 +143,39 @@
 	}
 }
 
-// mayAsk tells whether to ask for a lease now. The lock is held.
+// shouldRequestHandBack reports whether to request a lease from its holder now.
+// The mutex must be held.
 func (l *leases) shouldRequestHandBack(p *poolLease, now time.Duration) bool {
 	after := l.daemon.settings.Lease.HandBackAfter
 	heldElsewhere := p.holder != "" && instanceOfRun(p.holder) != l.daemon.settings.Instance
-	return p.preferred && heldElsewhere && p.closing == closingNone &&
-		now-p.preferredSince >= after && now-p.holderSince >= after && now-p.lastHandBackRequest >= after
+	return p.firstChoice && heldElsewhere && p.closing == closingNone &&
+		now-p.firstChoiceSince >= after && now-p.holderSince >= after && now-p.lastHandBackRequest >= after
 }
 
-// instanceOf returns the instance id in the name of a run.
+// instanceOfRun returns the instance ID in a run ID.
 func instanceOfRun(run string) string {
 	id, _, _ := strings.Cut(run, "/")
 	return id
 }
 
+// requestHandBack requests a lease from its holder.
 func (l *leases) requestHandBack(ctx context.Context, pool, holder string) {
-	at, ok := l.controlAddress(holder)
+	address, ok := l.controlAddress(holder)
 	if !ok {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, hintTimeout)
 	defer cancel()
 	request := &sfv1.HandBackRequest{Pool: pool, From: l.daemon.settings.Instance}
-	response, err := l.leaseClient(at).HandBack(ctx, connect.NewRequest(request))
+	response, err := l.leaseClient(address).HandBack(ctx, connect.NewRequest(request))
 	if err != nil {
 		l.log.Debug("lease: the holder did not answer", "pool", pool, "holder", holder, "error", err)
 		return
 	}
-	l.log.Info("lease: asked for", "pool", pool, "holder", holder, "agreed", response.Msg.Agreed)
+	l.log.Info("lease: hand-back requested", "pool", pool, "holder", holder, "agreed", response.Msg.Agreed)
 }
 
-// controlOf returns the address of an instance's sf-control.
+// controlAddress returns the address of an instance's sf-control.
 func (l *leases) controlAddress(id string) (string, bool) {
 	for _, i := range l.daemon.members.own() {
 		if i.ID == id {
@@ -181,7 +189,8 @@
 	return sfv1connect.NewLeaseServiceClient(l.daemon.http, "http://"+address, l.daemon.options...)
 }
 
-// tellFreed has the first few other instances read the row at once.
+// notifyReleased notifies the instances that rank highest for a pool that its
+// lease was released, so that they read the row immediately.
 func (l *leases) notifyReleased(pool string) {
 	ctx, cancel := context.WithTimeout(context.Background(), hintTimeout)
 	defer cancel()
@@ -193,17 +202,18 @@
 }
 
 func (l *leases) sendReleasedHint(ctx context.Context, pool, id string) {
-	at, ok := l.controlAddress(id)
+	address, ok := l.controlAddress(id)
 	if !ok {
 		return
 	}
 	request := connect.NewRequest(&sfv1.FreedRequest{Pool: pool})
-	if _, err := l.leaseClient(at).Freed(ctx, request); err != nil {
-		l.log.Debug("lease: a hint was not taken", "pool", pool, "instance", id, "error", err)
+	if _, err := l.leaseClient(address).Freed(ctx, request); err != nil {
+		l.log.Debug("lease: notifying an instance of a release failed", "pool", pool, "instance", id, "error", err)
 	}
 }
 
-// next returns the instances that rank first for a pool besides this one.
+// nextInstances returns up to hintFanout other instances that rank highest for
+// a pool.
 func (l *leases) nextInstances(pool string) []string {
 	others := slices.DeleteFunc(l.liveIDs(), func(id string) bool { return id == l.daemon.settings.Instance })
 	slices.SortFunc(others, func(a, b string) int {
@@ -212,7 +222,7 @@
 	return others[:min(hintFanout, len(others))]
 }
 
-// leaseService answers other sf-control processes.
+// leaseService serves other sf-control processes.
 type leaseService struct {
 	leases *leases
 }
@@ -228,8 +238,7 @@
 	return connect.NewResponse(&sfv1.FreedResponse{}), nil
 }
 
-// HandBack implements the LeaseService. The lease goes back only to one that
-// ranks higher, and only when it has been here for long.
+// HandBack implements the LeaseService. See mayHandBack for the conditions.
 func (s *leaseService) HandBack(_ context.Context, req *connect.Request[sfv1.HandBackRequest]) (*connect.Response[sfv1.HandBackResponse], error) {
 	l := s.leases
 	live := l.liveIDs()
@@ -244,8 +253,9 @@
 	return connect.NewResponse(&sfv1.HandBackResponse{Agreed: agreed}), nil
 }
 
-// mayHandBack tells whether to give a lease up for another instance. The lock
-// is held.
+// mayHandBack reports whether to hand a lease back to another instance: only to
+// one that ranks higher, and only after hand_back_after here. The mutex must be
+// held.
 func (l *leases) mayHandBack(p *poolLease, to string, live []string) bool {
 	now := bootclock.Now()
 	_, held := p.machine.Held(now)
--- a/internal/control/leasemetrics.go
+++ b/internal/control/leasemetrics.go
@@ -6,8 +6,8 @@
 	"sassafrasfield/internal/bootclock"
 )
 
-// leaseMetrics count what happens to leases. docs/operate/leases-and-orders.md
-// says what to do about them.
+// leaseMetrics count the events of leases. docs/operate/leases-and-orders.md
+// says how to react to them.
 type leaseMetrics struct {
 	taken, lost, released  metrics.Counter
 	reads, writes, unknown metrics.Counter
@@ -27,7 +27,7 @@
 	}
 }
 
-// count sets the gauge of leases held.
+// updateHeld sets the gauge of leases held.
 func (m *leaseMetrics) updateHeld(machines map[string]*poolLease) {
 	held := int64(0)
 	for _, p := range machines {
@@ -38,7 +38,7 @@
 	m.held.Update(held)
 }
 
-// orderMetrics count what happens to orders.
+// orderMetrics count the events of orders.
 type orderMetrics struct {
 	sent, answered, failed, fencedOff, expired metrics.Counter
 }
--- a/internal/control/leases.go
+++ b/internal/control/leases.go
@@ -16,56 +16,60 @@
 	"sassafrasfield/internal/platform"
 )
 
-// leaseTick is how often the lease machines are asked what to do.
+// leaseTick is the time between ticks of the lease machines.
 const leaseTick = 50 * time.Millisecond
 
-// leases drives one lease machine for each pool.
+// leases runs one lease machine per pool.
 type leases struct {
 	daemon  *Daemon
 	log     *slog.Logger
 	metrics *leaseMetrics
 
-	// calls are the reads and writes under way.
+	// calls tracks the running reads, writes and calls to other instances.
 	calls sync.WaitGroup
 
-	mu       sync.Mutex // protects all below and the machines
+	mu       sync.Mutex // protects the fields below and the machines
 	machines map[string]*poolLease
-	// ranked is the list of live instances that the places follow.
+	// rankedIDs is the list of live instances that the current ranks were computed
+	// from.
 	rankedIDs []string
 }
 
-// poolLease is a machine with what goes on around it.
+// poolLease is the lease machine of a pool with its surrounding state.
 type poolLease struct {
 	pool    string
 	machine *lease.Lease
-	// sending counts the orders under way to the pool's engines.
+	// ordersInFlight counts the orders being sent to the pool's engines.
 	ordersInFlight int
-	// closing leases take no new order and are released when none is under
-	// way.
+	// closing is why the lease is being given up, if it is. Such a lease accepts
+	// no new order, and is released once no order is in flight.
 	closing closing
-	// holder is that of the row last seen, holderSince when it was first seen.
+	// holder is the holder in the row that was read last. holderSince is when it
+	// was first seen.
 	holder      string
 	holderSince time.Duration
-	// firstSince is since when this instance is the first choice, for those
-	// that are; lastAsk when it last asked for the lease.
-	preferred           bool
-	preferredSince      time.Duration
+	// firstChoice is whether this instance ranks first for the pool, and
+	// firstChoiceSince since when. lastHandBackRequest is when it last requested
+	// the lease from its holder.
+	firstChoice         bool
+	firstChoiceSince    time.Duration
 	lastHandBackRequest time.Duration
 	wasHeld             bool
 }
 
-// closing tells why a lease is being given up.
+// closing is the reason why a lease is being given up.
 type closing int
 
 const (
 	closingNone closing = iota
-	// closingBack: for the first choice; the lease is watched again after.
+	// closingHandBack: for the first choice; the lease is watched again
+	// afterwards.
 	closingHandBack
-	// closingEnd: for good.
+	// closingPermanent: on shutdown, or because the pool was removed.
 	closingPermanent
 )
 
-// authority proves that this process held a lease when it was read.
+// authority identifies the lease that this process held when it was read.
 type authority struct {
 	epoch         int64
 	epochRevision int64
@@ -75,12 +79,14 @@
 	return &leases{daemon: d, log: log, metrics: newLeaseMetrics(), machines: map[string]*poolLease{}}
 }
 
-// check is the condition that the epoch has not changed since the takeover.
+// epochCheck returns the condition that the epoch has not changed since this
+// process acquired the lease.
 func (a authority) epochCheck(pool string) platform.Check {
 	return platform.Check{Key: leaserows.EpochKey(pool), Revision: a.epochRevision}
 }
 
-// held returns the authority over a pool, if this process has it now.
+// held returns the authority over a pool, and whether this process holds it
+// now.
 func (l *leases) held(pool string) (authority, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -92,7 +98,8 @@
 	return authority{epoch: grant.Epoch, epochRevision: grant.EpochRevision}, held
 }
 
-// heldPools names the pools whose lease this process holds.
+// heldPools returns the sorted names of the pools whose lease this process
+// holds.
 func (l *leases) heldPools() []string {
 	var pools []string
 	l.mu.Lock()
@@ -106,14 +113,14 @@
 	return pools
 }
 
-// loop works until the context ends, then gives all leases up.
+// loop ticks until the context ends, then releases all leases.
 func (l *leases) loop(ctx context.Context) {
 	runPeriodically(ctx, leaseTick, l.tick)
 	l.handOver(context.WithoutCancel(ctx))
 }
 
-// tick asks each machine what to do and starts doing it. A call that takes
-// long holds up no other pool.
+// tick updates the machines and starts the actions that they request. Calls run
+// in the background, so a slow one does not delay other pools.
 func (l *leases) tick(ctx context.Context) {
 	l.syncPools()
 	l.updateRanks()
@@ -121,6 +128,7 @@
 	l.requestHandBacks(ctx)
 }
 
+// tickAll ticks all machines and starts their actions.
 func (l *leases) tickAll(ctx context.Context) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -134,8 +142,8 @@
 	}
 }
 
-// configure keeps one machine for each configured pool. A pool that is no
-// longer configured has its lease given up.
+// syncPools keeps one machine per configured pool. The lease of a pool that is
+// no longer configured is released.
 func (l *leases) syncPools() {
 	doc := l.daemon.holder.Current()
 	l.mu.Lock()
@@ -155,16 +163,17 @@
 	}
 }
 
-// newMachine returns the machine of a pool. The lock is held.
+// newMachine returns the machine of a pool. The mutex must be held.
 func (l *leases) newMachine(pool string) *poolLease {
-	l.rankedIDs = nil // have its place set
+	l.rankedIDs = nil // makes updateRanks set the new machine's watch policy
 	return &poolLease{
 		pool:    pool,
 		machine: lease.New(l.daemon.runID, l.daemon.settings.Lease.machineSettings(), uuid.NewString),
 	}
 }
 
-// noteHeld tells of authority won and lost. The lock is held.
+// reportHeldChange logs and counts leases acquired and lost. The mutex must be
+// held.
 func (l *leases) reportHeldChange(p *poolLease) {
 	grant, held := p.machine.Held(bootclock.Now())
 	if held == p.wasHeld {
@@ -182,18 +191,19 @@
 	l.metrics.updateHeld(l.machines)
 }
 
-// startSending registers an order about to go out under an authority and
-// returns the end of the term. Call done once it is over.
+// startSending registers an order that is about to be sent under an authority,
+// and returns the end of the lease's term. The caller must call done after the
+// send.
 func (l *leases) startSending(pool string, auth authority) (until time.Duration, done func(), err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	p, ok := l.machines[pool]
 	if !ok || p.closing != closingNone {
-		return 0, nil, errors.Errorf("order: the lease of %s is being given up", pool)
+		return 0, nil, errors.Errorf("order: the lease of pool %s is being given up", pool)
 	}
 	grant, held := p.machine.Held(bootclock.Now())
 	if !held || grant.Epoch != auth.epoch {
-		return 0, nil, errors.Errorf("order: the lease of %s has lapsed", pool)
+		return 0, nil, errors.Errorf("order: the lease of pool %s has expired", pool)
 	}
 	p.ordersInFlight++
 	return grant.Until, func() { l.finishSending(p) }, nil
--- a/internal/control/leasesettings.go
+++ b/internal/control/leasesettings.go
@@ -8,35 +8,37 @@
 	"sassafrasfield/internal/tomlfile"
 )
 
-// LeaseSettings set the authority over pools and the orders under it.
+// LeaseSettings configure the leases of pools, and the orders that are sent
+// under them.
 type LeaseSettings struct {
-	// Term that a renewal is good for. Default 3s.
+	// Term is how long a lease is valid after a renewal. Default 3s.
 	Term time.Duration `toml:"term"`
-	// RenewEvery is the time between renewals, and between the reads of those
-	// who watch a lease closely. Default 1s.
+	// RenewEvery is the time between renewals, and between the reads of the
+	// instances that watch a lease most closely. Default 1s.
 	RenewEvery time.Duration `toml:"renew_every"`
-	// RetryEvery is the time between attempts after one that gave nothing.
-	// Default 200ms.
+	// RetryEvery is the time between attempts after a failed one. Default 200ms.
 	RetryEvery time.Duration `toml:"retry_every"`
 	// CallTimeout bounds each read and write of a lease. Default 1.5s.
 	CallTimeout time.Duration `toml:"call_timeout"`
-	// Margin that a challenger waits beyond the term. Default 300ms.
+	// Margin is how long a challenger waits in addition to the term. Default
+	// 300ms.
 	Margin time.Duration `toml:"margin"`
 	// Watchers is how many instances watch a pool's lease. Default 8.
 	Watchers int `toml:"watchers"`
-	// RankDelay is how much longer each watcher waits than the one before it.
-	// Default 300ms.
+	// RankDelay is how much longer each watcher waits than the one that ranks
+	// before it. Default 300ms.
 	RankDelay time.Duration `toml:"rank_delay"`
-	// HandBackAfter is how long a lease stays with its holder, and how long the
-	// first choice for it must have been there, before it is handed back.
-	// Default 10s.
+	// HandBackAfter is the minimum time that a lease stays with its holder, and
+	// that the first choice for it must have ranked first, before the lease is
+	// handed back. Default 10s.
 	HandBackAfter time.Duration `toml:"hand_back_after"`
-	// SendGuard is how long before the end of the term an order that has no
-	// answer yet is broken off, and the last moment to send one. Default 200ms.
+	// SendGuard is how long before the end of the term an unanswered order is
+	// aborted. No order is sent after that time. Default 200ms.
 	SendGuard time.Duration `toml:"send_guard"`
-	// KillTimer tells for which engines this process has itself killed if it
-	// is frozen around a send until its term ends: "all", or "ignore" for only
-	// those that ignore fencing numbers. Default "all".
+	// KillTimer selects the engines for which this process arms a kernel timer
+	// during a send, which kills the process if it is frozen until its term ends:
+	// "all", or "ignore" for only those engines that ignore fencing numbers.
+	// Default "all".
 	KillTimer string `toml:"kill_timer"`
 }
 
@@ -70,7 +72,7 @@
 	}
 }
 
-// maxWatchers keeps the doublings of the reads' period in bounds.
+// maxWatchers bounds the read period, which doubles with each rank.
 const maxWatchers = 16
 
 func (s LeaseSettings) machineSettings() lease.Settings {
--- a/internal/control/leasetable.go
+++ b/internal/control/leasetable.go
@@ -10,7 +10,7 @@
 	"sassafrasfield/internal/leaserows"
 )
 
-// carryOut does what a machine asked for.
+// carryOut carries out an action of a lease machine.
 func (l *leases) carryOut(ctx context.Context, p *poolLease, action lease.Action) {
 	ctx, cancel := context.WithTimeout(ctx, l.daemon.settings.Lease.CallTimeout)
 	defer cancel()
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -11,26 +11,27 @@
 	"sassafrasfield/internal/platform"
 )
 
-// forgetAfter is how long an instance that is in no list stays known after it
-// was last heard of.
+// unlistedTTL is how long an instance that is not listed stays known after its
+// last request.
 const unlistedTTL = time.Minute
 
-// heardInstance is an instance that asked this one something.
+// seenInstance is an instance that sent a request to this one, and when.
 type seenInstance struct {
 	instance platform.Instance
 	at       time.Duration
 }
 
-// members keeps the newest instance list, and the instances that were heard of
-// but are not listed. While the platform does not answer, the last list
-// stands; without one, that of a peer.
+// members holds the newest instance list, and the instances that sent requests
+// but are not listed. While the platform does not answer, the last list stays
+// valid; if there is none, the list of a peer is used.
 type members struct {
 	list platform.InstanceList
 	log  *slog.Logger
-	// changed is called after each new list, with when it was asked for.
+	// onList is called after each new list, with the time when the list was
+	// requested.
 	onList func(asked time.Duration)
 
-	mu           sync.Mutex // protects all below
+	mu           sync.Mutex // protects the fields below
 	instances    []platform.Instance
 	unlistedSeen map[string]seenInstance
 }
@@ -52,7 +53,7 @@
 	m.onList(asked)
 }
 
-// adopt takes a peer's list, unless there is one already, and tells whether it
+// adopt sets the list to a peer's if there is none yet, and reports whether it
 // did.
 func (m *members) adopt(instances []platform.Instance) bool {
 	m.mu.Lock()
@@ -61,12 +62,12 @@
 		return false
 	}
 	m.instances = sortByID(instances)
-	m.log.Info("members: list taken from a peer", "instances", len(instances))
+	m.log.Info("members: instance list received from a peer", "instances", len(instances))
 	return true
 }
 
-// hear takes that an instance asked something, and tells whether it was not
-// known.
+// noteCaller records that an instance sent a request, and reports whether the
+// instance was unknown before.
 func (m *members) noteCaller(instance platform.Instance) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -80,7 +81,7 @@
 	return !known
 }
 
-// all returns the list. Treat it as read-only.
+// listed returns all listed instances. Treat the result as read-only.
 func (m *members) listed() []platform.Instance {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -98,8 +99,9 @@
 	return own
 }
 
-// unlisted returns the instances that were heard of and are not listed. It
-// forgets those that are listed now or were not heard of for long.
+// unlisted returns the instances that sent requests and are not listed. It
+// removes the instances that are listed now, and those whose last request is
+// older than unlistedTTL.
 func (m *members) unlisted() []platform.Instance {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -117,12 +119,13 @@
 	return out
 }
 
-// known returns the instances that run this system, listed or heard of, by id.
+// withUnlisted returns the instances that run this system, listed or not,
+// sorted by ID.
 func (m *members) withUnlisted() []platform.Instance {
 	return sortByID(append(m.own(), m.unlisted()...))
 }
 
-// idAt returns the id of the listed instance with a control address, or "".
+// idAt returns the ID of the listed instance with a control address, or "".
 func (m *members) idAt(control string) string {
 	for _, instance := range m.listed() {
 		if instance.Control == control {
@@ -132,7 +135,8 @@
 	return ""
 }
 
-// leavingUpstreams returns the ids of upstreams that the list calls leaving.
+// drainingUpstreams returns the IDs of the upstreams that the list has as
+// draining.
 func (m *members) drainingUpstreams() []string {
 	var ids []string
 	for _, instance := range m.listed() {
@@ -143,6 +147,7 @@
 	return ids
 }
 
+// memberLoop periodically reads the instance list.
 func (d *Daemon) memberLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		d.members.refresh(ctx)
@@ -150,21 +155,22 @@
 	}
 }
 
-// listPeriod is the time between this daemon's reads of the list. The list is
-// long where there are many instances, and peers tell of what leaves, so that
-// each reads it less often then.
+// listReadPeriod returns the time between this daemon's reads of the list. With
+// many instances the list is long, and peers report draining upstreams too, so
+// each instance reads it less often.
 func (d *Daemon) listReadPeriod() time.Duration {
 	share := time.Duration(len(d.members.own())) * time.Second / time.Duration(d.settings.Spread.ListReads)
 	return max(d.settings.Spread.ListEvery, share)
 }
 
-// listRead takes a list that the platform answered with.
+// onInstanceList applies a list that the platform answered with.
 func (d *Daemon) onInstanceList(asked time.Duration) {
 	d.spread.onInstanceList(asked, d.members.drainingUpstreams())
 	d.updatePeers()
 }
 
-// adoptList takes a peer's list of own instances when there is none here.
+// adoptList sets the list to a peer's list of own instances if there is none
+// yet.
 func (d *Daemon) adoptList(messages []*sfv1.OwnInstance) {
 	var instances []platform.Instance
 	for _, msg := range messages {
@@ -178,7 +184,7 @@
 	}
 }
 
-// heardOf takes that a peer asked something.
+// notePeer records that a peer sent an exchange request.
 func (d *Daemon) notePeer(msg *sfv1.ExchangeRequest) {
 	instance := platform.Instance{ID: msg.From, Kind: platform.KindOwn, Zone: msg.Zone, Control: msg.Control}
 	if instance.ID == d.settings.Instance || instance.Control == "" {
@@ -189,7 +195,8 @@
 	}
 }
 
-// membersChanged tells the decisions whom there is to ask.
+// updatePeers passes the current members and the addresses of the peers to the
+// spreader.
 func (d *Daemon) updatePeers() {
 	own := d.members.own()
 	var peers []string
@@ -204,7 +211,7 @@
 	d.spread.setMembers(own, peers)
 }
 
-// listRead takes which upstreams a list called leaving.
+// onInstanceList merges the upstreams that an instance list has as draining.
 func (s *spreader) onInstanceList(asked time.Duration, leaving []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/control/members_test.go
+++ b/internal/control/members_test.go
@@ -13,9 +13,11 @@
 	"sassafrasfield/internal/platform"
 )
 
-// TestInstancesThatTheListLacksAreShown: the platform's list was read before the others
-// started and not since, as happens while it is slow to answer. They ask this instance all
-// the while, so an operator must see them.
+// TestUnlistedInstancesAreShown guards against instances that are missing in
+// the operator's overview. The platform's list was read before the others
+// started and not since, as happens while the platform is slow to answer. The
+// other instances send requests to this one all the time, so an operator must
+// see them.
 func TestUnlistedInstancesAreShown(t *testing.T) {
 	s := DefaultSettings()
 	s.Instance = "inst-1"
@@ -37,6 +39,6 @@
 		shown = append(shown, row.Id+" "+row.PlatformState)
 	}
 	if want := []string{"inst-1 live", "inst-2 not listed", "inst-3 not listed"}; fmt.Sprint(shown) != fmt.Sprint(want) {
-		t.Errorf("shown: %q, want %q", shown, want)
+		t.Errorf("the overview shows %q, want %q", shown, want)
 	}
 }
--- a/internal/control/observe.go
+++ b/internal/control/observe.go
@@ -14,10 +14,8 @@
 	"sassafrasfield/internal/rollout"
 )
 
-// observe asks the instances first and the engines after them, so that an
-// engine's answer is newer than the instances'. The instances are asked only
-// when an engine waits for that: neither a pool that is watched for faults nor
-// one with an engine that is gone costs them questions.
+// observe queries what a decision on a pool depends on, including its orders.
+// See buildView.
 func (d *Daemon) observe(ctx context.Context, doc *config.Config, pool string) (rollout.View, error) {
 	orders, err := d.readOrdersForHolder(ctx, pool)
 	if err != nil {
@@ -26,7 +24,10 @@
 	return d.buildView(ctx, doc, pool, orders), nil
 }
 
-// look asks for what a decision on a pool rests on.
+// buildView queries the engines of a pool, and the instances if an engine waits
+// for them. Pools that are only watched for faults, and engines that don't
+// answer, cause no queries of instances. After the instances, the engines are
+// queried again, so that their answers are newer than those of the instances.
 func (d *Daemon) buildView(ctx context.Context, doc *config.Config, pool string, orders map[string]order.Row) rollout.View {
 	view := rollout.View{
 		Config: doc, Pool: pool, Orders: orders,
@@ -41,6 +42,8 @@
 	return view
 }
 
+// shuttingDownEngines returns the upstreams that the platform lists as
+// draining.
 func (d *Daemon) shuttingDownEngines() map[string]bool {
 	leaving := map[string]bool{}
 	for _, id := range d.members.drainingUpstreams() {
--- a/internal/control/offer.go
+++ b/internal/control/offer.go
@@ -10,7 +10,7 @@
 	"sassafrasfield/internal/gossip"
 )
 
-// offer tells a peer the number of the version held.
+// offerVersion sends the number of the held version to a peer.
 func (s *spreader) offerVersion(ctx context.Context, peer string) {
 	s.metrics.offers.Inc(1)
 	request := &sfv1.OfferRequest{From: s.daemon.settings.Instance, Version: s.daemon.holder.Current().Version}
@@ -19,8 +19,9 @@
 	}
 }
 
-// send brings a peer that has an older version the one held: what changed, or
-// all of it when that is not known here or does not fit there.
+// sendUpdate brings a peer that has an older version to the held one. It sends
+// deltas, or the whole document if this process does not have the deltas or
+// they do not apply at the peer.
 func (s *spreader) sendUpdate(ctx context.Context, peer string, have int64) {
 	update := s.daemon.holder.UpdateSince(have)
 	if len(update.Deltas) > 0 {
@@ -47,7 +48,8 @@
 	return response.Msg.Version, true
 }
 
-// fetch asks a peer for what is newer than the version held.
+// fetchUpdate requests what is newer than the held version from a peer, and the
+// whole document if the answer can't be applied.
 func (s *spreader) fetchUpdate(ctx context.Context, peer string) {
 	have := s.daemon.holder.Current().Version
 	msg, ok := s.callFetch(ctx, peer, have)
@@ -76,8 +78,8 @@
 	return response.Msg, true
 }
 
-// take learns a version from what a peer sent: the whole document, or deltas
-// to the version held.
+// applyUpdate adopts a version that a peer sent as the whole document, or as
+// deltas to the held version.
 func (d *Daemon) applyUpdate(document []byte, deltas [][]byte, sum uint64, source string) error {
 	switch {
 	case len(document) > 0:
--- a/internal/control/operator.go
+++ b/internal/control/operator.go
@@ -18,20 +18,20 @@
 	"sassafrasfield/internal/versions"
 )
 
-// Expected seconds of changes, for plans.
+// Expected durations of changes in seconds, as plans show them.
 const (
 	changeSeconds = 5
 	loadSeconds   = 1
 )
 
-// readAttempts and readPause bound the reads of a row that the table's old
-// copies may lack still.
+// readAttempts and readPause bound the retries of a read that did not find a
+// row, since a stale copy of the table may not have the row yet.
 const (
 	readAttempts = 5
 	readPause    = 100 * time.Millisecond
 )
 
-// operatorService answers sfctl.
+// operatorService serves sfctl.
 type operatorService struct {
 	daemon *Daemon
 }
@@ -60,18 +60,18 @@
 	return connect.NewResponse(response), nil
 }
 
-// costs are the expected times of changes, with the weight store's rate when
-// the platform tells it.
+// costs returns the expected times of changes, with the weight store's rate if
+// the platform reports it.
 func (o *operatorService) costs(ctx context.Context) plan.Costs {
-	rate, _ := o.daemon.weightRate(ctx) // 0 when it is not known
+	rate, _ := o.daemon.weightRate(ctx) // 0 if unknown
 	return plan.Costs{
 		ChangeSeconds: changeSeconds, LoadSeconds: loadSeconds,
 		WeightRate: rate, TargetLoadTime: o.daemon.settings.Rollout.LoadTime,
 	}
 }
 
-// keep writes a declared plan. The id is fresh, so writing it twice is the
-// same as once.
+// savePlan writes a declared plan. Its ID is unique, so the write is
+// idempotent.
 func (o *operatorService) savePlan(ctx context.Context, p *plan.Plan) error {
 	_, err := o.daemon.platform.Commit(ctx, platform.Txn{
 		Writes: []platform.Write{{Key: plan.Key(p.ID), Value: p.Encode()}},
@@ -79,8 +79,8 @@
 	return err
 }
 
-// load reads a plan with the revision of its row. That there is none is told
-// only when a transaction proves it.
+// loadPlan returns a plan and the revision of its row. It returns a not-found
+// error only if a transaction proves that the row does not exist.
 func (o *operatorService) loadPlan(ctx context.Context, id string) (*plan.Plan, int64, error) {
 	for range readAttempts {
 		row, err := o.daemon.platform.Get(ctx, plan.Key(id))
@@ -166,7 +166,7 @@
 	return connect.NewResponse(response), nil
 }
 
-// holderOf names the holder of a pool's lease, as the table has it.
+// leaseHolder returns the holder of a pool's lease according to the table.
 func (o *operatorService) leaseHolder(ctx context.Context, pool string) string {
 	row, err := o.daemon.platform.Get(ctx, leaserows.Key(pool))
 	if err != nil {
@@ -181,11 +181,13 @@
 	return content.Holder
 }
 
-// notListed is shown of an instance that was heard of and is in no list of the platform's.
+// stateNotListed is shown as the state of an instance that sent requests but is
+// not in the platform's list.
 const stateNotListed = "not listed"
 
-// Instances implements the OperatorService. The platform's list may be older than the
-// newest instances, so those that were heard of are shown too.
+// Instances implements the OperatorService. The platform's list may not contain
+// the newest instances yet, so it also shows those that sent requests to this
+// instance.
 func (o *operatorService) Instances(ctx context.Context, _ *connect.Request[sfv1.InstancesRequest]) (*connect.Response[sfv1.InstancesResponse], error) {
 	response := &sfv1.InstancesResponse{HeadVersion: o.daemon.holder.Current().Version}
 	for _, instance := range o.daemon.members.withUnlisted() {
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -12,12 +12,12 @@
 	"sassafrasfield/internal/rollout"
 )
 
-// readOrders returns the journal of a pool by engine, as this holder sees
-// it: open orders of earlier epochs count as not sent.
+// readOrdersForHolder returns the journal of a pool by engine as the current
+// lease holder must treat it: open orders of earlier epochs count as not sent.
 func (d *Daemon) readOrdersForHolder(ctx context.Context, pool string) (map[string]order.Row, error) {
 	auth, held := d.leases.held(pool)
 	if !held {
-		return nil, errors.Errorf("order: the lease of %s has lapsed", pool)
+		return nil, errors.Errorf("order: the lease of pool %s has expired", pool)
 	}
 	orders, err := d.readJournal(ctx, pool)
 	if err != nil {
@@ -29,7 +29,8 @@
 	return orders, nil
 }
 
-// journal reads the orders of a pool as they stand, without authority.
+// readJournal returns the journal of a pool by engine as stored. It needs no
+// lease.
 func (d *Daemon) readJournal(ctx context.Context, pool string) (map[string]order.Row, error) {
 	rows, err := d.platform.List(ctx, order.KeyPrefix(pool))
 	if err != nil {
@@ -46,8 +47,8 @@
 	return orders, nil
 }
 
-// sendOrder journals an order and sends it. An order that is open already is
-// sent again, whatever is wanted now.
+// sendOrder journals an order and sends it. If an order is open already, that
+// one is sent again, even if another state is wanted now.
 func (d *Daemon) sendOrder(ctx context.Context, pool string, auth authority, view rollout.View, send rollout.SendOrder) error {
 	row := view.Orders[send.Engine].Next(auth.epoch, send.Engine, send.Want, uuid.NewString())
 	if err := d.writeOrder(ctx, pool, auth, row); err != nil {
@@ -57,10 +58,11 @@
 	return d.deliver(ctx, pool, auth, view.Config.Engine(send.Engine), row)
 }
 
-// writeOrder writes a journal row. The transaction checks the epoch and that
-// the row has not changed since it was read, so neither an older holder nor a
-// stale read can hide an open order. A write whose outcome stays unknown is an
-// error; the next step finds the row or writes it with the same checks.
+// writeOrder writes a journal row. The transaction checks the epoch, and that
+// the row has not changed since it was read. So neither an older holder nor a
+// stale read can overwrite an open order. A write whose outcome remains unknown
+// is an error; the next step finds the row or writes it again with the same
+// checks.
 func (d *Daemon) writeOrder(ctx context.Context, pool string, auth authority, row order.Row) error {
 	row.WriteID = uuid.NewString()
 	key := order.Key(pool, row.Engine)
@@ -74,7 +76,8 @@
 	return err
 }
 
-// written reads back whether a journal row has a write's id.
+// written reads a journal row back and reports whether it has the ID of a
+// write.
 func (d *Daemon) written(ctx context.Context, key, writeID string) bool {
 	row, err := d.platform.Get(ctx, key)
 	if err != nil {
--- a/internal/control/pace.go
+++ b/internal/control/pace.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// pace sets how often a pool is looked at: at once after a step or a new
-// version, and else less and less often, up to a longest pause.
+// pace determines when a pool is stepped again: after minPeriod if the last
+// step did something, immediately on a new version, and otherwise with a period
+// that doubles up to maxPeriod.
 type pace struct {
 	minPeriod time.Duration
 
-	mu        sync.Mutex // protects all below
+	mu        sync.Mutex // protects the fields below
 	maxPeriod time.Duration
 	busy      bool
 	period    time.Duration
@@ -18,7 +19,8 @@
 	version   int64
 }
 
-// begin tells whether it is time to look. The caller calls end after it.
+// begin reports whether to step the pool now. If so, the caller must call end
+// after the step.
 func (p *pace) begin(now time.Duration, version int64, maxPeriod time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -33,7 +35,7 @@
 	return true
 }
 
-// end takes whether the look led to a step.
+// end records the end of a step and whether it did anything.
 func (p *pace) end(now time.Duration, acted bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -10,7 +10,7 @@
 	"sassafrasfield/internal/gossip"
 )
 
-// peerService answers other sf-control processes.
+// peerService serves other sf-control processes.
 type peerService struct {
 	daemon *Daemon
 }
--- a/internal/control/planmessage.go
+++ b/internal/control/planmessage.go
@@ -12,8 +12,9 @@
 	"sassafrasfield/internal/rollout"
 )
 
-// planMessage tells how far a plan is in a configuration. Waits has what the
-// engines wait for, by id; nil when that was not asked.
+// planMessage returns a plan with its progress in a configuration. waits maps
+// the ID of each engine to what it waits for, and is nil if that was not
+// queried.
 func planMessage(p *plan.Plan, current *config.Config, waits map[string]string) *sfv1.Plan {
 	progress := p.ProgressIn(current)
 	out := &sfv1.Plan{
@@ -43,23 +44,23 @@
 	return s == plan.StepWaiting || s == plan.StepRunning
 }
 
-// waitsKept is how long an answer of waits serves further questions.
+// waitReasonTTL is how long wait reasons are cached.
 const waitReasonTTL = time.Second
 
-// waitCache keeps what the engines of a pool wait for, so that operators who
-// follow a plan don't cost a round of questions each time.
+// waitReasonCache caches what the engines of a pool wait for, so that operators
+// who follow a plan don't cause a round of queries each time.
 type waitReasonCache struct {
 	mu    sync.Mutex // protects pools
 	pools map[string]cachedWaitReasons
 }
 
 type cachedWaitReasons struct {
-	at    time.Duration
+	at      time.Duration
 	reasons map[string]string
 }
 
-// waits tells what the unfinished engines of a confirmed plan wait for, as far
-// as this process sees it.
+// waitReasons returns what the unfinished engines of a confirmed plan wait for,
+// as seen by this process.
 func (d *Daemon) waitReasons(ctx context.Context, p *plan.Plan, doc *config.Config) map[string]string {
 	all := map[string]string{}
 	if p.Version == 0 || doc.Version < p.Version {
@@ -79,13 +80,15 @@
 	return all
 }
 
+// poolWaitReasons returns the wait reasons of a pool's engines, cached for
+// waitReasonTTL.
 func (d *Daemon) poolWaitReasons(ctx context.Context, doc *config.Config, pool string) map[string]string {
 	c := &d.waitReasonCache
 	c.mu.Lock()
-	kept, ok := c.pools[pool]
+	cached, ok := c.pools[pool]
 	c.mu.Unlock()
-	if ok && bootclock.Now()-kept.at < waitReasonTTL {
-		return kept.reasons
+	if ok && bootclock.Now()-cached.at < waitReasonTTL {
+		return cached.reasons
 	}
 	orders, err := d.readJournal(ctx, pool)
 	if err != nil {
--- a/internal/control/roles.go
+++ b/internal/control/roles.go
@@ -16,28 +16,30 @@
 	"sassafrasfield/internal/versions"
 )
 
-// errMovedOn: the pool changed between the look at it and the decision.
-var errPoolChanged = errors.New("roles: the pool has moved on")
+// errPoolChanged reports that the pool changed between the observation and the
+// decision.
+var errPoolChanged = errors.New("roles: the pool changed since it was observed")
 
-// rolePolicy feeds the role policy of each pool whose lease is held. A decision
-// becomes a version that changes an engine's wanted role alone; the rollout
-// carries it out.
+// rolePolicy runs the role policy for each pool whose lease this process holds.
+// A decision becomes a version that changes only the wanted role of an engine.
+// The rollout then carries it out.
 type rolePolicy struct {
 	daemon  *Daemon
 	log     *slog.Logger
 	changes metrics.Counter
-	// pools is used by the loop alone.
+	// pools is used only by the loop.
 	pools map[string]*poolRoles
 }
 
-// poolRoles is what this process knows of one pool.
+// poolRoles is the state of one pool.
 type poolRoles struct {
-	// changedIn is the version of the newest role change, seenAt when this
-	// process first saw it: no clock is compared with another's.
+	// changeVersion is the version of the newest role change. changeSeenAt is when
+	// this process first saw it, so that clocks of different processes are never
+	// compared.
 	changeVersion int64
 	changeSeenAt  time.Duration
-	// epoch that this process holds the lease with, 0 when it does not; the
-	// rest is of that time.
+	// epoch is the epoch of the lease, or 0 if this process does not hold it. The
+	// fields below belong to that epoch.
 	epoch   int64
 	state   roles.State
 	reason  roles.Reason
@@ -55,7 +57,8 @@
 	runPeriodically(ctx, r.daemon.settings.Roles.Every, r.tick)
 }
 
-// tick looks at each pool whose lease is held and whose bounds allow changes.
+// tick runs a step for each pool whose lease is held and whose bounds allow
+// role changes.
 func (r *rolePolicy) tick(ctx context.Context) {
 	doc := r.daemon.holder.Current()
 	var due []*config.Pool
@@ -79,13 +82,13 @@
 	demand := r.daemon.observeDemand(ctx)
 	for _, pool := range due {
 		if err := r.step(ctx, doc, pool, at, demand.forPool(pool.Name)); err != nil {
-			r.log.Info("roles: a change did not succeed", "pool", pool.Name, "error", err)
+			r.log.Info("roles: role change failed", "pool", pool.Name, "error", err)
 		}
 	}
 }
 
-// pool returns what is known of a pool, and notes a role change that is new to
-// this process. Each process does so, whether it holds the lease or not.
+// poolState returns the state of a pool, and records when a role change is seen
+// for the first time. It does so whether or not this process holds the lease.
 func (r *rolePolicy) poolState(pool *config.Pool) *poolRoles {
 	state, ok := r.pools[pool.Name]
 	if !ok {
@@ -98,7 +101,8 @@
 	return state
 }
 
-// takeOver starts anew with what the last holder measured.
+// startEpoch resets the state for a new epoch. It keeps the time out of service
+// that the last holder measured.
 func (p *poolRoles) startEpoch(epoch int64, pool *config.Pool) {
 	p.epoch, p.state, p.reason, p.reports = epoch, roles.State{}, "", map[string]lastReport{}
 	if last := pool.LastRoleChange; last != nil {
@@ -106,7 +110,7 @@
 	}
 }
 
-// step asks the policy for one pool and carries out what it says.
+// step runs the policy for one pool and carries out its decision.
 func (r *rolePolicy) step(ctx context.Context, doc *config.Config, pool *config.Pool, at time.Duration, demand roles.Demand) error {
 	auth, held := r.daemon.leases.held(pool.Name)
 	if !held {
@@ -131,8 +135,8 @@
 	return r.change(ctx, pool, auth, doc, decision)
 }
 
-// change appends the version that makes a decision, if the pool still stands
-// as the policy saw it.
+// change appends the version with a decision, if the pool has not changed since
+// it was observed.
 func (r *rolePolicy) change(ctx context.Context, pool *config.Pool, auth authority, seen *config.Config, decision roles.Decision) error {
 	head, doc, err := r.daemon.versions.Newest(ctx)
 	if err != nil {
@@ -162,8 +166,9 @@
 	return nil
 }
 
-// withRole returns the newest document with the decision in it. It is an error
-// when an operator's change or another step came in between.
+// withRole returns the newest document with the decision applied. It returns
+// errPoolChanged if an operator's change or another step was accepted since the
+// observation.
 func withRole(seen, newest *config.Config, pool string, decision roles.Decision) (*config.Config, error) {
 	c := decision.Change
 	e := newest.Engine(c.Engine)
@@ -179,7 +184,8 @@
 	return next, nil
 }
 
-// explain tells operators why a change was made.
+// changeSummary returns the reason for a change, as the history shows it to
+// operators.
 func changeSummary(d roles.Decision, weight float64, horizon time.Duration) string {
 	return fmt.Sprintf("engine %s from %s to %s: forecast %.0f prefill and %.0f decode tokens/s, gain %.2f s of goodput over %s, cost %.2f s (%.1f s out of service, weight %g)",
 		d.Change.Engine, d.Change.From, d.Change.To, d.ForecastPrefill, d.ForecastDecode, d.Gain, horizon, d.Cost, d.OutOfService.Seconds(), weight)
--- a/internal/control/roles_test.go
+++ b/internal/control/roles_test.go
@@ -9,8 +9,9 @@
 	"sassafrasfield/internal/roles"
 )
 
-// TestDecisionOnAPoolThatMovedOn: what came in between a look and its decision
-// makes the decision void.
+// TestRoleChangeIsRejectedAfterPoolChanged guards against a role change that is
+// based on an outdated view: any change of the pool between the observation and
+// the decision invalidates the decision.
 func TestRoleChangeIsRejectedAfterPoolChanged(t *testing.T) {
 	state := config.EngineState{Model: "m", Version: "1", Role: config.RoleDecode}
 	seen := &config.Config{
@@ -23,7 +24,7 @@
 	decision := roles.Decision{Change: &roles.Change{Engine: "e1", From: config.RoleDecode, To: config.RolePrefill}}
 	next, err := withRole(seen, seen, "main", decision)
 	if err != nil || next.Version != 8 || next.Engine("e1").Want.Role != config.RolePrefill {
-		t.Fatalf("%+v, %v", next, err)
+		t.Fatalf("the role change returned %+v, %v; want version 8 with e1 as prefill", next, err)
 	}
 	if next.Engine("e1").Loaded.Role != config.RoleDecode || next.Engine("e1").Routing != config.RoutingServing {
 		t.Errorf("more than the wanted role changed: %+v", next.Engine("e1"))
@@ -38,7 +39,7 @@
 		"the engine's role": func(c *config.Config) {
 			c.Engine("e1").Want.Role, c.Engine("e1").Loaded.Role = config.RoleMixed, config.RoleMixed
 		},
-		"the engine has gone": func(c *config.Config) { c.Engines = c.Engines[1:] },
+		"the engine's removal": func(c *config.Config) { c.Engines = c.Engines[1:] },
 	} {
 		newest := seen.Clone()
 		move(newest)
--- a/internal/control/rolesobserve.go
+++ b/internal/control/rolesobserve.go
@@ -17,15 +17,16 @@
 	"sassafrasfield/internal/roles"
 )
 
-// reportMark is the newest report seen of an engine.
+// lastReport identifies the newest report of an engine, and when it was first
+// seen.
 type lastReport struct {
 	boot string
 	seq  int64
 	at   time.Duration
 }
 
-// observeEngines reads the load report of each engine. A report that has been
-// the newest for long is none.
+// observeEngines reads the load report of each engine. A report that has not
+// been replaced by a newer one within stale_after is ignored.
 func (r *rolePolicy) observeEngines(ctx context.Context, state *poolRoles, engines []*config.Engine) []roles.Engine {
 	views := make([]roles.Engine, len(engines))
 	reports := make([]*engine.Report, len(engines))
@@ -51,8 +52,8 @@
 	return views
 }
 
-// fresh tells whether a report is a newer one than the last, or the last was
-// newer a short while ago.
+// isRecent reports whether a report is newer than the last one, or the last one
+// was first seen within staleAfter.
 func (p *poolRoles) isRecent(id string, report engine.Report, now, staleAfter time.Duration) bool {
 	last, ok := p.reports[id]
 	if !ok || last.boot != report.Boot || last.seq < report.Seq {
@@ -69,13 +70,13 @@
 	view.Running, view.Waiting = report.Running, report.Waiting
 }
 
-// demandRound is what the instances answered in one round.
+// demandRound is the result of querying the instances once.
 type demandRound struct {
 	instances, asked, answered int
 	pools                      map[string]*sfv1.PoolDemand
 }
 
-// of returns the demand of one pool.
+// forPool returns the demand of one pool.
 func (d demandRound) forPool(pool string) roles.Demand {
 	sum := d.pools[pool]
 	return roles.Demand{
@@ -84,8 +85,8 @@
 	}
 }
 
-// observeDemand asks the instances for their measured demand: each of them, or
-// a random part where there are many.
+// observeDemand queries the instances for their measured demand: all of them,
+// or a random sample of ask_at_most.
 func (d *Daemon) observeDemand(ctx context.Context) demandRound {
 	own := d.members.own()
 	round := demandRound{instances: len(own), pools: map[string]*sfv1.PoolDemand{}}
@@ -123,7 +124,8 @@
 	}
 }
 
-// sample returns all instances, or as many as limit at random.
+// sampleInstances returns all instances, or a random sample if there are more
+// than limit.
 func sampleInstances(instances []platform.Instance, limit int) []platform.Instance {
 	if len(instances) <= limit {
 		return instances
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -20,7 +20,8 @@
 )
 
 // rolloutLoop brings the pools whose lease is held to the confirmed state. Each
-// pool is stepped by itself, so that one with slow engines holds up no other.
+// pool is stepped independently, so that slow engines of one pool do not delay
+// another.
 func (d *Daemon) rolloutLoop(ctx context.Context) {
 	paces := map[string]*pace{}
 	var work sync.WaitGroup
@@ -41,7 +42,7 @@
 	work.Wait()
 }
 
-// longestPause is the most time between looks at a pool.
+// maxStepPeriod returns the longest time between steps of a pool.
 func (d *Daemon) maxStepPeriod(doc *config.Config, pool string) time.Duration {
 	if poolConverged(doc, pool) {
 		return d.settings.Rollout.WatchEvery
@@ -49,16 +50,17 @@
 	return d.settings.Rollout.WaitEvery
 }
 
-// stepAndLog tells whether anything was done for the pool.
+// stepAndLog steps a pool, logs an error, and reports whether anything was
+// done.
 func (d *Daemon) stepAndLog(ctx context.Context, pool string) bool {
 	acted, err := d.stepPool(ctx, pool)
 	if err != nil {
-		d.log.Info("rollout: a step did not succeed", "pool", pool, "error", err)
+		d.log.Info("rollout: step failed", "pool", pool, "error", err)
 	}
 	return acted
 }
 
-// stepPool looks at one pool and carries out what may be done now.
+// stepPool observes one pool and carries out the actions that are allowed now.
 func (d *Daemon) stepPool(ctx context.Context, pool string) (acted bool, err error) {
 	auth, held := d.leases.held(pool)
 	if !held {
@@ -73,7 +75,7 @@
 	}
 	doc := d.holder.Current()
 	if doc.Pool(pool) == nil {
-		return false, nil // removed; its lease is given up on the way
+		return false, nil // removed; syncPools releases its lease
 	}
 	view, err := d.observe(ctx, doc, pool)
 	if err != nil {
@@ -88,7 +90,8 @@
 	return len(actions) > 0, nil
 }
 
-// settled tells whether the configuration has nothing left to do for a pool.
+// poolConverged reports whether all engines of a pool have the state that the
+// configuration wants.
 func poolConverged(doc *config.Config, pool string) bool {
 	for _, e := range doc.PoolEngines(pool) {
 		if !rollout.Converged(e) {
@@ -101,7 +104,7 @@
 func (d *Daemon) carryOut(ctx context.Context, pool string, auth authority, view rollout.View, action rollout.Action) error {
 	switch a := action.(type) {
 	case rollout.UpdateRouting:
-		return d.update(ctx, pool, auth, view, a)
+		return d.updateRouting(ctx, pool, auth, view, a)
 	case rollout.SendOrder:
 		return d.sendCurrentOrder(ctx, pool, auth, view, a)
 	case rollout.CloseOrder:
@@ -115,10 +118,10 @@
 	return errors.Errorf("rollout: unknown action %T", action)
 }
 
-// order sends an order if the view is known for sure to be the newest. Reads
-// may have been stale, and a holder that has just taken over may not know of
-// versions that the last one wrote; an order that rests on such a view could
-// reach an engine that is back in routing.
+// sendCurrentOrder sends an order if a transaction proves that the view is the
+// newest. Reads may have been stale, and a holder that has just acquired the
+// lease may not know of versions that the last one wrote. An order that was
+// based on such a view could reach an engine that is back in routing.
 func (d *Daemon) sendCurrentOrder(ctx context.Context, pool string, auth authority, view rollout.View, send rollout.SendOrder) error {
 	head, doc, err := d.versions.NewestFrom(ctx, d.holder.Current())
 	if err != nil {
@@ -129,7 +132,7 @@
 		return err
 	}
 	if !unchanged || !sameEngine(view.Config, doc, send.Engine) {
-		return errors.Errorf("rollout: the view of %s is old", send.Engine)
+		return errors.Errorf("rollout: the view of engine %s is stale", send.Engine)
 	}
 	failpoint.Hit("control.rollout.before_order")
 	d.history.noteOrder(send.Engine, bootclock.Now())
@@ -138,9 +141,9 @@
 	return err
 }
 
-// mark appends a version with the changes whose engine is still as the
-// decision saw it.
-func (d *Daemon) update(ctx context.Context, pool string, auth authority, view rollout.View, update rollout.UpdateRouting) error {
+// updateRouting appends a version with those changes whose engine is unchanged
+// since the decision.
+func (d *Daemon) updateRouting(ctx context.Context, pool string, auth authority, view rollout.View, update rollout.UpdateRouting) error {
 	head, doc, err := d.versions.NewestFrom(ctx, d.holder.Current())
 	if err != nil {
 		return err
@@ -168,17 +171,17 @@
 		return err
 	}
 	failpoint.Hit("control.rollout.after_" + string(applied[0].Reason))
-	d.log.Info("rollout: marked", "what", entry.Summary, "version", doc.Version)
+	d.log.Info("rollout: routing updated", "what", entry.Summary, "version", doc.Version)
 	d.adoptConfig(doc, "self")
 	return nil
 }
 
-// sameEngine tells whether two documents agree on an engine.
+// sameEngine reports whether an engine is the same in two documents.
 func sameEngine(a, b *config.Config, id string) bool {
 	return reflect.DeepEqual(a.Engine(id), b.Engine(id))
 }
 
-// summary tells in the history what a mark changed.
+// routingSummary describes changes of routing for the history.
 func routingSummary(changes []rollout.Change) string {
 	parts := make([]string, 0, len(changes))
 	for _, c := range changes {
--- a/internal/control/settings.go
+++ b/internal/control/settings.go
@@ -12,7 +12,7 @@
 
 // Settings of sf-control.
 type Settings struct {
-	// Instance is the id that the platform's instance list has.
+	// Instance is the ID of this instance in the platform's instance list.
 	Instance string `toml:"instance"`
 	// Zone is the availability zone of the instance.
 	Zone string `toml:"zone"`
@@ -33,36 +33,35 @@
 	Trace           tracing.Settings `toml:"trace"`
 }
 
-// RolloutSettings set how plans are carried out.
+// RolloutSettings configure how plans are carried out.
 type RolloutSettings struct {
-	// StepEvery is the time between looks at a pool with work to do. Default
-	// 200ms.
+	// StepEvery is the shortest time between steps of a pool. Default 200ms.
 	StepEvery time.Duration `toml:"step_every"`
 	// EngineTimeout bounds each call to an engine. Default 2s.
 	EngineTimeout time.Duration `toml:"engine_timeout"`
-	// WatchEvery is the time between looks at a pool that is watched for faults
-	// alone. Default 5s.
+	// WatchEvery is the longest time between steps of a pool that has no pending
+	// change and is only watched for faults. Default 5s.
 	WatchEvery time.Duration `toml:"watch_every"`
-	// WaitEvery is the longest time between looks at a pool whose work has to
-	// wait. Default 1s.
+	// WaitEvery is the longest time between steps of a pool with a pending change
+	// that has to wait. Default 1s.
 	WaitEvery time.Duration `toml:"wait_every"`
 	// SilentAfter is how long after an engine was marked as draining an instance
-	// that does not answer counts as sending it no new work. It must exceed
-	// stale_after of sf-entry by as long as a cut-off sf-control holds on to an
+	// that does not answer is assumed to send it no new work. It must exceed
+	// stale_after of sf-entry by the time that a disconnected sf-control keeps an
 	// old version. Default 15s.
 	SilentAfter time.Duration `toml:"silent_after"`
-	// UnreachableAfter is how long an engine must not have answered until it
-	// is marked out of routing. Default 10s.
+	// UnreachableAfter is how long an engine must not have answered before it is
+	// taken out of routing. Default 10s.
 	UnreachableAfter time.Duration `toml:"unreachable_after"`
 	// ResendAfter is the time between sends of an order that an engine did not
 	// carry out. Default 2s.
 	ResendAfter time.Duration `toml:"resend_after"`
-	// LoadTime is within which an engine should get its weights, by the weight
-	// store's rate and the model's weight_bytes: it bounds the loads at once.
-	// Default 1m.
+	// LoadTime is the time within which an engine should get its weights. With the
+	// weight store's rate and the model's weight_bytes, it bounds the number of
+	// concurrent loads. Default 1m.
 	LoadTime time.Duration `toml:"load_time"`
-	// MaxLoads bounds the engines of a pool that load weights at once when
-	// the rate or the size is not known. Default 4.
+	// MaxLoads bounds the number of engines of a pool that load weights
+	// concurrently if the rate or the size is unknown. Default 4.
 	MaxLoads int `toml:"max_loads"`
 }
 
@@ -73,7 +72,7 @@
 	maxFanout   = 64
 )
 
-// DefaultSettings returns the defaults; addresses and names have none.
+// DefaultSettings returns the defaults. Addresses and names have none.
 func DefaultSettings() *Settings {
 	return &Settings{
 		PlatformTimeout: 2 * time.Second,
--- a/internal/control/spread.go
+++ b/internal/control/spread.go
@@ -16,27 +16,30 @@
 	"sassafrasfield/internal/platform"
 )
 
-// spreader feeds the decisions of the packages gossip and freshness, and
-// carries out what they say. It counts its time on the boot clock, so that
-// evidence ages while the process is frozen or the machine suspended.
+// spreader distributes configuration versions between the instances. It passes
+// its inputs to the packages gossip and freshness, and carries out the actions
+// that they return. It uses the boot clock, so that evidence also ages while
+// the process is frozen or the machine is suspended.
 type spreader struct {
 	daemon  *Daemon
 	log     *slog.Logger
 	metrics spreadMetrics
-	// wake is sent to when queue has got actions.
+	// wake is signalled when actions are added to queue.
 	wake chan struct{}
 
-	mu       sync.Mutex // protects all below
+	mu       sync.Mutex // protects the fields below
 	machine  *gossip.Machine
 	fresh    *freshness.State
 	draining *gossip.DrainingSet
 	queue    []gossip.Action
-	// tableError is why the last read of the table failed; "" when it did not.
+	// tableError is the error of the last read of the table, or "" if it
+	// succeeded.
 	tableError string
 	wasFresh   bool
 }
 
-// spreadMeters count what the spread costs.
+// spreadMetrics count the exchanges and table reads, and show the current
+// state.
 type spreadMetrics struct {
 	exchanges, offers, documents, deltas, polls, failed metrics.Counter
 	version, fresh, voter                               metrics.Gauge
@@ -71,7 +74,8 @@
 	}
 }
 
-// wait ends after the period, when the channel is closed, or with the context.
+// wait returns after the period, when the channel receives or is closed, or
+// when the context ends.
 func wait(ctx context.Context, period time.Duration, wake <-chan struct{}) {
 	timer := time.NewTimer(period)
 	defer timer.Stop()
@@ -82,7 +86,7 @@
 	}
 }
 
-// loop carries out what the machine asks for until the context ends.
+// loop carries out the machine's actions until the context ends.
 func (s *spreader) loop(ctx context.Context) {
 	var work sync.WaitGroup
 	defer work.Wait()
@@ -95,7 +99,8 @@
 	}
 }
 
-// due takes the actions that are due, and the time until the next ones are.
+// dueActions returns the actions that are due, and the time until the next
+// ones.
 func (s *spreader) dueActions() ([]gossip.Action, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,14 +115,15 @@
 	return actions, next - now
 }
 
-// hurried tells whether the answers of a majority may soon be needed, because
-// the table has not been read for a while.
+// needsContacts reports whether the answers of a majority may be needed soon,
+// because the last known read of the table is too old.
 func (s *spreader) needsContacts(now time.Duration) bool {
 	age, seen := s.fresh.TableAge(now)
 	return !seen || age > s.daemon.settings.Spread.FreshFor/3
 }
 
-// noteFreshness logs a change of the decision.
+// noteFreshness logs a change between fresh and not fresh. The mutex must be
+// held.
 func (s *spreader) noteFreshness(status freshness.Status) {
 	if status.Fresh == s.wasFresh {
 		return
@@ -132,13 +138,12 @@
 	s.log.Warn("spread: the configuration may be out of date", "reason", status.Reason)
 }
 
-// enqueue has the loop carry out actions, and look at what is due. The mutex
-// is held.
+// enqueue adds actions to the queue and wakes the loop. The mutex must be held.
 func (s *spreader) enqueue(actions []gossip.Action) {
 	s.queue = append(s.queue, actions...)
 	select {
 	case s.wake <- struct{}{}:
-	default: // the loop was woken already
+	default: // already signalled
 	}
 }
 
@@ -171,7 +176,8 @@
 	s.enqueue(nil)
 }
 
-// readHead reads the head's version, and takes it as evidence.
+// readHead reads the head's version and records the read as evidence of
+// freshness.
 func (s *spreader) readHead(ctx context.Context) (int64, error) {
 	s.metrics.polls.Inc(1)
 	sent := bootclock.Now()
@@ -196,7 +202,7 @@
 	s.daemon.adoptConfig(doc, "table")
 }
 
-// poll reads the newest version from the table at once.
+// pollTable reads the newest version from the table immediately.
 func (d *Daemon) pollTable(ctx context.Context) error {
 	head, err := d.spread.readHead(ctx)
 	if err != nil || head <= d.holder.Current().Version {
@@ -210,7 +216,8 @@
 	return nil
 }
 
-// learn takes a configuration from any source.
+// adoptConfig sets the held configuration if doc is newer. The source is only
+// logged.
 func (d *Daemon) adoptConfig(doc *config.Config, source string) {
 	if d.holder.SetIfNewer(doc) {
 		d.log.Info("spread: version learned", "version", doc.Version, "source", source)
@@ -218,7 +225,7 @@
 	d.spread.setHeldVersion(d.holder.Current().Version)
 }
 
-// holds takes that the holder has a version now.
+// setHeldVersion records the version that the holder has now.
 func (s *spreader) setHeldVersion(version int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -227,7 +234,8 @@
 	s.enqueue(s.machine.OnNewVersion(version))
 }
 
-// offered takes that a peer holds a version, and returns what to answer.
+// onOffer records that a peer holds a version, and returns the version to
+// answer with.
 func (s *spreader) onOffer(version int64) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -235,7 +243,7 @@
 	return s.machine.OnOffer(bootclock.Now(), version)
 }
 
-// listed takes the instance list, as it was asked for at a time.
+// setMembers sets the listed own instances and the addresses of the peers.
 func (s *spreader) setMembers(members []platform.Instance, peers []string) {
 	ids := make([]string, len(members))
 	for i, instance := range members {
@@ -247,7 +255,7 @@
 	s.machine.SetPeers(peers)
 }
 
-// status decides whether the configuration may be taken for the newest.
+// status returns whether the configuration can be treated as the newest.
 func (s *spreader) status() freshness.Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -258,8 +266,8 @@
 	return status
 }
 
-// leavingUpstreams returns the ids of upstreams that are leaving by the
-// platform's word.
+// drainingUpstreams returns the IDs of the upstreams that the platform
+// announced as draining.
 func (s *spreader) drainingUpstreams() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -282,5 +290,5 @@
 
 func (s *spreader) peerFailed(peer string, err error) {
 	s.metrics.failed.Inc(1)
-	s.log.Debug("spread: a peer did not answer", "peer", peer, "error", err)
+	s.log.Debug("spread: call to a peer failed", "peer", peer, "error", err)
 }
--- a/internal/control/spread_bench_test.go
+++ b/internal/control/spread_bench_test.go
@@ -26,7 +26,7 @@
 	"sassafrasfield/internal/versions"
 )
 
-// countedConn counts the bytes of a client's connections, both ways.
+// countingConn counts the bytes of a client's connections in both directions.
 type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
@@ -44,7 +44,8 @@
 	return n, err
 }
 
-// countedTransport counts the bytes and the calls to peers.
+// countingTransport counts the calls to peers, and the bytes of its
+// connections.
 type countingTransport struct {
 	*http.Transport
 	calls *atomic.Int64
@@ -64,7 +65,8 @@
 	return t
 }
 
-// benchFleet is a number of sf-control daemons in one process, on loopback.
+// benchFleet is a set of sf-control daemons in one process, connected through
+// loopback addresses.
 type benchFleet struct {
 	b           *testing.B
 	daemons     []*Daemon
@@ -116,11 +118,12 @@
 	res.Body.Close()
 }
 
-// change accepts a version at the first daemon.
+// appendVersion appends a version to the table and gives it to the first
+// daemon.
 func (f *benchFleet) appendVersion() {
 	f.version++
 	doc := targetDocument(f.engines, f.version)
-	doc.Pools = nil // no leases: the spread alone is measured
+	doc.Pools = nil // without pools there are no leases, so only the distribution is measured
 	log := versions.Log{Table: f.table}
 	head, err := log.Head(context.Background())
 	if err != nil {
@@ -132,7 +135,8 @@
 	f.daemons[0].adoptConfig(doc, "self")
 }
 
-// reached waits until all have the version, and returns the times.
+// waitForVersion waits until all daemons hold the version, and returns the
+// sorted times that they took.
 func (f *benchFleet) waitForVersion() []time.Duration {
 	start := time.Now()
 	times := make([]time.Duration, len(f.daemons))
@@ -148,7 +152,8 @@
 	return times
 }
 
-// targetDocument has the shape of the target: 31 models, 220 organisations.
+// targetDocument returns a document with the shape of the target fleet: 31
+// models and 220 organisations.
 func targetDocument(engines int, version int64) *config.Config {
 	doc := &config.Config{Version: version, Intent: version}
 	for m := range 31 {
@@ -179,15 +184,15 @@
 	return doc
 }
 
-// BenchmarkSpread measures the spread between real daemons. Run it with
-// -benchtime 1x; each line is one window of the seconds named.
+// BenchmarkSpread measures the distribution of versions between real daemons.
+// Run it with -benchtime 1x; each line is the result of one window.
 func BenchmarkSpread(b *testing.B) {
 	const window = 12 * time.Second
 	for _, n := range []int{9, 50, 200} {
 		for _, perMinute := range []int{0, 10} {
 			b.Run(fmt.Sprintf("daemons=%d/changes=%d", n, perMinute), func(b *testing.B) {
 				f := newBenchFleet(b, n, 0)
-				time.Sleep(2 * time.Second) // the first connections are made
+				time.Sleep(2 * time.Second) // lets the daemons open their first connections
 				for range b.N {
 					f.measure(window, perMinute)
 				}
@@ -196,7 +201,7 @@
 	}
 }
 
-// measure reports bytes, calls and times of one window.
+// measure reports the bytes, calls and latencies of one window.
 func (f *benchFleet) measure(window time.Duration, perMinute int) {
 	polls := metrics.GetOrRegisterCounter("spread.head_reads", metrics.DefaultRegistry)
 	sent, calls, reads := f.sent.Load(), f.calls.Load(), polls.Count()
@@ -220,8 +225,8 @@
 	}
 }
 
-// BenchmarkChange measures what one change costs beyond the idle traffic, with
-// the target's document.
+// BenchmarkChange measures the cost of one change in addition to the idle
+// traffic, with the target document.
 func BenchmarkChange(b *testing.B) {
 	for _, engines := range []int{20, 400, 1900} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
@@ -233,8 +238,8 @@
 	}
 }
 
-// BenchmarkDocumentSize reports the bytes of the document that 31 models and
-// 220 organisations give, whole and as connect sends it.
+// BenchmarkDocumentSize reports the size of the target document, plain and
+// compressed as connect sends it.
 func BenchmarkDocumentSize(b *testing.B) {
 	for _, engines := range []int{20, 400, 1900} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
@@ -244,7 +249,7 @@
 			for b.Loop() {
 				packed.Reset()
 				w := gzip.NewWriter(&packed)
-				_, _ = w.Write(doc.Encode()) // a buffer takes all
+				_, _ = w.Write(doc.Encode()) // a buffer never fails
 				_ = w.Close()
 			}
 			b.ReportMetric(float64(len(data)), "bytes")
@@ -253,7 +258,7 @@
 	}
 }
 
-// BenchmarkDocumentDecode is the time that a daemon reads a document in.
+// BenchmarkDocumentDecode measures the time to decode a document.
 func BenchmarkDocumentDecode(b *testing.B) {
 	data := targetDocument(1900, 1000).Encode()
 	for b.Loop() {
--- a/internal/control/spread_settings.go
+++ b/internal/control/spread_settings.go
@@ -7,40 +7,39 @@
 	"sassafrasfield/internal/tomlfile"
 )
 
-// SpreadSettings set how configuration spreads.
+// SpreadSettings configure how configuration versions are distributed.
 type SpreadSettings struct {
-	// Seeds are addresses (ip:port) of other sf-control processes, asked while
-	// no instance list is known. Default none.
+	// Seeds are addresses (ip:port) of other sf-control processes, which are used
+	// as peers while no instance list is known. Default none.
 	Seeds []string `toml:"seeds"`
-	// PollEvery is the least mean time between reads of the head. Default 1s.
+	// PollEvery is the minimum mean time between reads of the head. Default 1s.
 	PollEvery time.Duration `toml:"poll_every"`
-	// TableReads is how many reads of the head a second all instances together
-	// may cost the table. Default 100.
+	// TableReads is the maximum number of reads of the head per second by all
+	// instances together. Default 100.
 	TableReads int `toml:"table_reads"`
 	// ExchangeEvery is the mean time between exchanges with a random peer.
 	// Default 500ms.
 	ExchangeEvery time.Duration `toml:"exchange_every"`
 	// PeerTimeout bounds each call to a peer. Default 1s.
 	PeerTimeout time.Duration `toml:"peer_timeout"`
-	// FreshFor is how long the instance takes new work after the last evidence
+	// FreshFor is how long the instance accepts new work after the last evidence
 	// that its configuration is the newest. Default 5s.
 	FreshFor time.Duration `toml:"fresh_for"`
-	// AcceptWithin bounds the time that the acceptance of a version takes.
-	// Default 10s.
+	// AcceptWithin bounds the duration of accepting a version. Default 10s.
 	AcceptWithin time.Duration `toml:"accept_within"`
-	// ReadLag is how old the table's answer to a read may be. Default 500ms.
+	// ReadLag is the maximum age of the table's answer to a read. Default 500ms.
 	ReadLag time.Duration `toml:"read_lag"`
-	// ListLag is how old the instance list may be. Default 10s.
+	// ListLag is the maximum age of the instance list. Default 10s.
 	ListLag time.Duration `toml:"list_lag"`
-	// Fanout is the number of peers told of a new version. Default 3.
+	// Fanout is the number of peers that a new version is offered to. Default 3.
 	Fanout int `toml:"fanout"`
 	// ApplyEvery is the time between heartbeats to sf-entry. Default 250ms.
 	ApplyEvery time.Duration `toml:"apply_every"`
-	// ListEvery is the least time between reads of the instance list. Default
+	// ListEvery is the minimum time between reads of the instance list. Default
 	// 1s.
 	ListEvery time.Duration `toml:"list_every"`
-	// ListReads is how many reads of the instance list a second all instances
-	// together make. Default 4.
+	// ListReads is the number of reads of the instance list per second by all
+	// instances together. Default 4.
 	ListReads int `toml:"list_reads"`
 }
 
@@ -54,7 +53,7 @@
 	}
 }
 
-// check records what is wrong with the settings of the spread.
+// check records errors in the settings.
 func (s *SpreadSettings) check(file *tomlfile.File, addresses settings.Addresses) {
 	for _, seed := range s.Seeds {
 		addresses.Peer("spread.seeds", seed)
--- a/internal/control/watcher.go
+++ b/internal/control/watcher.go
@@ -12,49 +12,51 @@
 	"sassafrasfield/internal/rollout"
 )
 
-// rateKept is how long the weight store's rate is trusted without asking.
+// weightRateTTL is how long the weight store's rate is cached.
 const weightRateTTL = time.Minute
 
-// watcher remembers for the rollout what one round of questions can't tell:
-// for how long something has been silent, which instances were listed a while
-// ago, since when an engine's routing is known, and when an order was last sent.
+// rolloutHistory holds the observations that the rollout needs from earlier
+// steps: how long an engine has not answered, which instances were listed
+// recently, since when the routing of an engine is known, and when an order was
+// last sent.
 type rolloutHistory struct {
 	settings RolloutSettings
 
-	mu       sync.Mutex // protects all below
-	unreachable  rollout.UnreachableTimer
-	listed   map[string]listedInstance
-	routings map[string]seenRouting
-	lastOrders   map[string]time.Duration
-	rate     float64
-	rateAt   time.Duration
+	mu               sync.Mutex // protects the fields below
+	unreachableTimer rollout.UnreachableTimer
+	listed           map[string]listedInstance
+	routings         map[string]seenRouting
+	lastOrders       map[string]time.Duration
+	rate             float64
+	rateAt           time.Duration
 }
 
-// listedInstance is an own instance with when the platform last listed it.
+// listedInstance is an own instance and when the platform last listed it.
 type listedInstance struct {
 	instance platform.Instance
 	at       time.Duration
 }
 
-// seenRouting is when this process first saw the version of an engine's routing.
+// seenRouting is the version that set an engine's routing, and when this
+// process first saw it.
 type seenRouting struct {
 	since int64
 	at    time.Duration
 }
 
 func newRolloutHistory(s RolloutSettings) *rolloutHistory {
-	gap := 4*s.WatchEvery + s.EngineTimeout
+	maxGap := 4*s.WatchEvery + s.EngineTimeout
 	return &rolloutHistory{
-		settings: s,
-		routings: map[string]seenRouting{},
-		unreachable:  rollout.UnreachableTimer{MaxGap: gap},
-		listed:   map[string]listedInstance{},
-		lastOrders:   map[string]time.Duration{},
+		settings:         s,
+		routings:         map[string]seenRouting{},
+		unreachableTimer: rollout.UnreachableTimer{MaxGap: maxGap},
+		listed:           map[string]listedInstance{},
+		lastOrders:       map[string]time.Duration{},
 	}
 }
 
-// noteListed takes the newest instance list. An instance that is gone from it
-// may still run: it is asked for a while longer.
+// noteListed records the newest instance list. An instance that is no longer
+// listed may still run, so it is queried for another 2*silent_after.
 func (w *rolloutHistory) noteListed(own []platform.Instance, now time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -68,7 +70,7 @@
 	}
 }
 
-// instancesToAsk returns the instances that may route to engines.
+// instancesToQuery returns the instances that may route to engines.
 func (w *rolloutHistory) instancesToQuery(now time.Duration) []platform.Instance {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -81,7 +83,8 @@
 	return all
 }
 
-// engineSeen adds to an engine's answer what was seen before.
+// engineView records an engine's answer and returns it together with the
+// earlier observations.
 func (w *rolloutHistory) engineView(e *config.Engine, status engine.Status, reachable bool, now time.Duration) rollout.EngineView {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -91,23 +94,23 @@
 	}
 	view := rollout.EngineView{Reachable: reachable, Status: status, RoutingAge: now - w.routings[id].at}
 	if reachable {
-		w.unreachable.Answered(id)
+		w.unreachableTimer.Answered(id)
 	} else {
-		view.UnansweredFor = w.unreachable.Missed(id, now)
+		view.UnansweredFor = w.unreachableTimer.Missed(id, now)
 	}
 	at, sent := w.lastOrders[id]
 	view.RecentlyOrdered = sent && now-at < w.settings.ResendAfter
 	return view
 }
 
-// ordered takes note that an order is about to be sent.
+// noteOrder records that an order is about to be sent.
 func (w *rolloutHistory) noteOrder(id string, now time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.lastOrders[id] = now
 }
 
-// limits returns the bounds of a pool's rollout.
+// limits returns the limits of a pool's rollout.
 func (d *Daemon) limits(ctx context.Context, doc *config.Config, pool string) rollout.Limits {
 	s := d.settings.Rollout
 	return rollout.Limits{
@@ -117,9 +120,10 @@
 	}
 }
 
-// maxLoads is a pool's share of the loads that the weight store can serve at
-// once. The holders of the pools divide the rate without a word to each other:
-// the configuration tells each which pools have weights to load.
+// maxLoads returns a pool's share of the loads that the weight store can serve
+// concurrently. The lease holders of the pools divide the rate without
+// communicating: each sees in the configuration which pools have weights to
+// load.
 func (d *Daemon) maxLoads(ctx context.Context, doc *config.Config, pool string) int {
 	s := d.settings.Rollout
 	model := doc.Model(doc.Pool(pool).Model)
@@ -133,7 +137,8 @@
 	return rollout.ParallelLoads(rate, model.WeightBytes, s.LoadTime, loadingPools(doc))
 }
 
-// loadingPools counts the pools with engines that still need weights.
+// loadingPools returns the number of pools with engines that still need
+// weights.
 func loadingPools(doc *config.Config) int {
 	pools := map[string]bool{}
 	for i := range doc.Engines {
@@ -144,8 +149,8 @@
 	return len(pools)
 }
 
-// weightRate returns the weight store's rate in bytes a second; known is false
-// as long as the platform never told it.
+// weightRate returns the weight store's rate in bytes per second. It is known
+// once the platform has reported it.
 func (d *Daemon) weightRate(ctx context.Context) (rate float64, known bool) {
 	w, now := d.history, bootclock.Now()
 	w.mu.Lock()
