--- a/internal/rollout/bounds.go
+++ b/internal/rollout/bounds.go
@@ -8,34 +8,36 @@
 	"sassafrasfield/internal/config"
 )
 
-// outShare: at most one in so many engines of a pool is out for a change.
-const outShare = 4
+// maxOutDivisor limits the planned changes: at most one in this many engines of a pool is out of service
+// for one.
+const maxOutDivisor = 4
 
-// MaxOut is how many engines of a pool may be out of service for planned
-// changes at once, whatever the floor.
+// MaxOut returns how many engines of a pool may be out of service for planned changes at a time. The pool's
+// MinServing may allow fewer.
 func MaxOut(engines int) int {
-	return max(1, engines/outShare)
+	return max(1, engines/maxOutDivisor)
 }
 
-// NeedsWeights tells whether going from one state to another loads weights.
+// NeedsWeights reports whether a change from one state to another loads weights.
 func NeedsWeights(from, to config.EngineState) bool {
 	return from.Model != to.Model || from.Version != to.Version
 }
 
-// ParallelLoads is how many engines of one pool may load weights at once, so
-// that each load is done within a time: rate is in bytes a second and shared by
-// so many pools. It is at least 1.
+// ParallelLoads returns how many engines of one pool may load weights at a time so that each load completes
+// within the given time. The rate is in bytes per second and shared by the number of pools. The result is
+// at least 1.
 func ParallelLoads(rate float64, weightBytes int64, within time.Duration, pools int) int {
 	loads := rate * within.Seconds() / float64(weightBytes)
 	return max(1, int(loads)/max(1, pools))
 }
 
-// serviceBudget is how many more engines may leave service now. Engines that
-// serve by the configuration alone do not count for the floor.
-func (v View) serviceBudget() (floor, share int) {
+// serviceBudget returns how many more engines may be taken out of service now: the first result is the
+// budget by the pool's MinServing, the second one the budget for changes by MaxOut. Engines that only the
+// configuration lists as serving do not count as serving.
+func (v View) serviceBudget() (minServingBudget, outBudget int) {
 	serving, out, total := 0, 0, 0
 	for _, e := range v.Config.PoolEngines(v.Pool) {
-		if v.serves(e) {
+		if v.isServing(e) {
 			serving++
 		}
 		if e.Leave {
@@ -49,16 +51,16 @@
 	return serving - v.Config.Pool(v.Pool).MinServing, MaxOut(total) - out
 }
 
-// serves tells whether an engine really serves: it is in routing, answers and
-// has what routing trusts it to have.
-func (v View) serves(e *config.Engine) bool {
-	seen := v.Engines[e.ID]
+// isServing reports whether an engine can serve: it is in routing, answers, and has the state that routing
+// assumes.
+func (v View) isServing(e *config.Engine) bool {
+	view := v.Engines[e.ID]
 	return e.Routing == config.RoutingServing && !v.ShuttingDown[e.ID] &&
-		seen.Reachable && !e.Loaded.Disruptive(seen.Status.State)
+		view.Reachable && !e.Loaded.Disruptive(view.Status.State)
 }
 
-// loadBudget is how many more engines may be drained to load weights, and may
-// begin to load them.
+// loadBudget returns how many more engines may be drained to load weights, and how many more may start to
+// load them.
 func (v View) loadBudget() (drains, loads int) {
 	if v.Limits.MaxLoads == 0 {
 		return math.MaxInt, math.MaxInt
@@ -76,9 +78,9 @@
 	return drains, loads
 }
 
-// reachesMost tells whether at least half of the engines that should serve
-// answer. A holder that hears of fewer is more likely cut off itself.
-func (v View) reachesMost() bool {
+// reachesHalf reports whether at least half of the engines that should serve answer. If fewer do, it is
+// more likely that the lease holder itself is disconnected.
+func (v View) reachesHalf() bool {
 	total, reachable := 0, 0
 	for _, e := range v.Config.PoolEngines(v.Pool) {
 		if e.Leave {
@@ -92,37 +94,37 @@
 	return 2*reachable >= total
 }
 
-// notEmpty tells why an engine may still run a request or get one; empty when
-// none runs and none can come.
-func (v View) notEmpty(e *config.Engine, seen EngineView) string {
-	if reason := v.busyInstance(e, seen); reason != "" {
+// notIdleReason returns why an engine may still run or receive a request. It is empty if no request is
+// running and none can arrive.
+func (v View) notIdleReason(e *config.Engine, view EngineView) string {
+	if reason := v.busyInstanceReason(e, view); reason != "" {
 		return reason
 	}
-	if !seen.Reachable {
+	if !view.Reachable {
 		return "does not answer"
 	}
-	if seen.Status.Running > 0 {
-		return fmt.Sprintf("runs %d streams", seen.Status.Running)
+	if view.Status.Running > 0 {
+		return fmt.Sprintf("runs %d streams", view.Status.Running)
 	}
 	return ""
 }
 
-// notAsked is the reason to wait when View.Instances is empty.
-const notAsked = "no instance was asked yet"
+// reasonNotAsked is the reason to wait if View.Instances is empty.
+const reasonNotAsked = "no instance was asked yet"
 
-// busyInstance names an instance that may still send work to an engine.
-func (v View) busyInstance(e *config.Engine, seen EngineView) string {
+// busyInstanceReason returns why an instance may still send requests to an engine, or else the empty string.
+func (v View) busyInstanceReason(e *config.Engine, view EngineView) string {
 	if len(v.Instances) == 0 {
-		return notAsked
+		return reasonNotAsked
 	}
 	for _, i := range v.Instances {
 		switch {
-		case !i.Answered && seen.RoutingAge < v.Limits.InstanceTimeout:
+		case !i.Answered && view.RoutingAge < v.Limits.InstanceTimeout:
 			return fmt.Sprintf("instance %s does not answer", i.ID)
 		case !i.Answered:
-			// By now it has the version, or takes no new work; what it still
-			// runs shows in the engine's own count. That it was silent before
-			// proves nothing: it may have been heard by others in between.
+			// After InstanceTimeout, the instance has the version or accepts no new work. The requests
+			// that it still runs are in the engine's own count. That it did not answer before the
+			// version was accepted proves nothing, because other processes may have reached it in between.
 		case i.Version < e.RoutingSince:
 			return fmt.Sprintf("instance %s has version %d in force, not yet %d", i.ID, i.Version, e.RoutingSince)
 		case i.Streams[e.ID] > 0:
--- a/internal/rollout/decider.go
+++ b/internal/rollout/decider.go
@@ -14,23 +14,23 @@
 	orders  []Action
 	changes []Change
 	waits   map[string]string
-	// floor is how many more engines may leave service before the pool is at
-	// its floor; share how many more may be out for a change.
-	floor, share int
-	// drains and loads are how many more engines may be drained for weights,
-	// and may load weights.
+	// minServingBudget is how many more engines may be taken out of service before the pool is at its
+	// MinServing, and outBudget how many more may be out of service for a change.
+	minServingBudget, outBudget int
+	// drains is how many more engines may be drained to load weights, and loads how many more may start to
+	// load them.
 	drains, loads int
 }
 
 func newDecider(v View) *decider {
 	d := &decider{View: v, waits: map[string]string{}}
-	d.floor, d.share = v.serviceBudget()
+	d.minServingBudget, d.outBudget = v.serviceBudget()
 	d.drains, d.loads = v.loadBudget()
 	return d
 }
 
-// actions puts orders before the mark, so that the version that they rest on
-// is still the newest.
+// actions returns the actions in order. Orders come before UpdateRouting, so that the version on which they
+// are based is still the newest.
 func (d *decider) actions() []Action {
 	actions := append(d.closes, d.orders...)
 	if len(d.changes) > 0 {
@@ -47,24 +47,25 @@
 	d.changes = append(d.changes, Change{Engine: e.ID, Routing: routing, Reason: reason, Loaded: loaded})
 }
 
-func (d *decider) engine(e *config.Engine) {
+// decide decides what to do with one engine.
+func (d *decider) decide(e *config.Engine) {
 	if e.Leave && e.Routing == config.RoutingOut {
 		return
 	}
-	seen := d.Engines[e.ID]
-	open, isOpen := d.openOrder(e.ID)
+	view := d.Engines[e.ID]
+	open, hasOpen := d.openOrder(e.ID)
 	switch {
-	case !seen.Reachable:
-		d.unreachable(e, seen)
-	case seen.Status.Changing:
+	case !view.Reachable:
+		d.handleUnreachable(e, view)
+	case view.Status.Changing:
 		d.wait(e, "carries an order out")
-	case !isOpen:
-		d.steady(e, seen, true)
-	case open.Settled(seen.Status) || superseded(e, open, seen):
+	case !hasOpen:
+		d.withoutOpenOrder(e, view, true)
+	case open.Settled(view.Status) || superseded(e, open, view):
 		d.closes = append(d.closes, CloseOrder{Engine: e.ID})
-		d.steady(e, seen, false)
+		d.withoutOpenOrder(e, view, false)
 	default:
-		d.repair(e, seen, open.Want)
+		d.resumeOrder(e, view, open.Want)
 	}
 }
 
@@ -73,100 +74,99 @@
 	return row, ok && row.State == order.StateOpen
 }
 
-// superseded tells whether an order failed at the engine for good, and another
-// state is wanted by now.
-func superseded(e *config.Engine, open order.Row, seen EngineView) bool {
-	failed := seen.Status.LastOrder == open.ID && seen.Status.Fault != ""
+// superseded reports whether an order has permanently failed at the engine and another state is wanted now.
+func superseded(e *config.Engine, open order.Row, view EngineView) bool {
+	failed := view.Status.LastOrder == open.ID && view.Status.Fault != ""
 	return failed && !open.Want.Equal(e.Want)
 }
 
-// steady handles an engine without an open order. MaySend is false in the
-// round that closes its last order.
-func (d *decider) steady(e *config.Engine, seen EngineView, maySend bool) {
-	state := seen.Status.State
+// withoutOpenOrder handles an engine without an open order. maySend is false in the round that closes its
+// last order.
+func (d *decider) withoutOpenOrder(e *config.Engine, view EngineView, maySend bool) {
+	state := view.Status.State
 	switch {
 	case e.Leave:
-		d.leave(e, seen)
+		d.withdraw(e, view)
 	case state.Equal(e.Want):
 		d.restore(e)
 	case e.Routing == config.RoutingServing && !state.Equal(e.Loaded):
-		d.lost(e, state)
+		d.handleLostState(e, state)
 	case maySend:
-		d.advance(e, seen, e.Want)
+		d.advance(e, view, e.Want)
 	}
 }
 
-// repair sends an open order again, to an engine that is not at it: the order
-// was lost, or the engine crashed partway.
-func (d *decider) repair(e *config.Engine, seen EngineView, want config.EngineState) {
-	state := seen.Status.State
+// resumeOrder continues an open order that the engine is not carrying out, because the order was lost or
+// the engine crashed.
+func (d *decider) resumeOrder(e *config.Engine, view EngineView, want config.EngineState) {
+	state := view.Status.State
 	switch {
 	case e.Routing == config.RoutingServing && state.Disruptive(want):
 		d.change(e, config.RoutingDraining, ReasonLost, &state)
-	case seen.RecentlyOrdered:
+	case view.RecentlyOrdered:
 		d.wait(e, "was just sent its order")
 	default:
-		d.advance(e, seen, want)
+		d.advance(e, view, want)
 	}
 }
 
-// advance brings an engine a step towards a state that it does not have.
-func (d *decider) advance(e *config.Engine, seen EngineView, want config.EngineState) {
-	state := seen.Status.State
+// advance decides the next step of an engine towards a state that it does not have yet.
+func (d *decider) advance(e *config.Engine, view EngineView, want config.EngineState) {
+	state := view.Status.State
 	if !state.Disruptive(want) {
 		d.orders = append(d.orders, SendOrder{Engine: e.ID, Want: want})
 		return
 	}
-	weights := NeedsWeights(state, want)
+	loadsWeights := NeedsWeights(state, want)
 	if e.Routing == config.RoutingServing {
-		d.drainForChange(e, weights)
+		d.drainForChange(e, loadsWeights)
 		return
 	}
-	if reason := d.notEmpty(e, seen); reason != "" {
+	if reason := d.notIdleReason(e, view); reason != "" {
 		d.wait(e, "%s", reason)
 		return
 	}
-	if weights && !take(&d.loads) {
+	if loadsWeights && !takeOne(&d.loads) {
 		d.wait(e, "the weight store's rate allows no more loads at once")
 		return
 	}
 	d.orders = append(d.orders, SendOrder{Engine: e.ID, Want: want})
 }
 
-// drainForChange marks an engine as draining, within all bounds.
-func (d *decider) drainForChange(e *config.Engine, weights bool) {
+// drainForChange marks an engine as draining if all limits allow it.
+func (d *decider) drainForChange(e *config.Engine, loadsWeights bool) {
 	switch {
-	case d.floor <= 0:
+	case d.minServingBudget <= 0:
 		d.wait(e, "the pool's floor of %d serving engines leaves none to drain", d.Config.Pool(d.Pool).MinServing)
-	case d.share <= 0:
+	case d.outBudget <= 0:
 		d.wait(e, "as many engines as may be out for a change are out")
-	case weights && !take(&d.drains):
+	case loadsWeights && !takeOne(&d.drains):
 		d.wait(e, "the weight store's rate allows no more loads at once")
 	default:
-		d.floor--
-		d.share--
+		d.minServingBudget--
+		d.outBudget--
 		d.change(e, config.RoutingDraining, ReasonDrain, nil)
 	}
 }
 
-// leave drains an engine that should leave, and takes it out when it is empty.
-func (d *decider) leave(e *config.Engine, seen EngineView) {
+// withdraw drains an engine that is to be withdrawn, and takes it out of routing once it is idle.
+func (d *decider) withdraw(e *config.Engine, view EngineView) {
 	if e.Routing == config.RoutingServing {
-		if !take(&d.floor) {
+		if !takeOne(&d.minServingBudget) {
 			d.wait(e, "the pool's floor of %d serving engines leaves none to drain", d.Config.Pool(d.Pool).MinServing)
 			return
 		}
 		d.change(e, config.RoutingDraining, ReasonDrain, nil)
 		return
 	}
-	if reason := d.notEmpty(e, seen); reason != "" {
+	if reason := d.notIdleReason(e, view); reason != "" {
 		d.wait(e, "%s", reason)
 		return
 	}
 	d.change(e, config.RoutingOut, ReasonWithdraw, nil)
 }
 
-// restore returns an engine that has what it should to routing.
+// restore returns an engine that has the wanted state to routing.
 func (d *decider) restore(e *config.Engine) {
 	if Converged(e) && e.Plan == "" {
 		return
@@ -175,9 +175,9 @@
 	d.change(e, config.RoutingServing, ReasonRestore, &want)
 }
 
-// lost marks a serving engine whose state is not the one that routing trusts.
-// What it still has in common with that may go on to be served.
-func (d *decider) lost(e *config.Engine, state config.EngineState) {
+// handleLostState records the state of a serving engine that differs from the one that routing assumes. The
+// engine stays in routing if the difference is not disruptive.
+func (d *decider) handleLostState(e *config.Engine, state config.EngineState) {
 	routing := config.RoutingServing
 	if e.Loaded.Disruptive(state) {
 		routing = config.RoutingDraining
@@ -185,20 +185,21 @@
 	d.change(e, routing, ReasonLost, &state)
 }
 
-// unreachable marks an engine that was silent for long as draining, so that it
-// gets no new work, and lets one that should leave go.
-func (d *decider) unreachable(e *config.Engine, seen EngineView) {
-	if seen.UnansweredFor < d.Limits.UnreachableAfter {
+// handleUnreachable handles an engine that does not answer. After UnreachableAfter it marks a serving
+// engine as draining, so that it receives no new work, and takes an engine that is to be withdrawn out of
+// routing.
+func (d *decider) handleUnreachable(e *config.Engine, view EngineView) {
+	if view.UnansweredFor < d.Limits.UnreachableAfter {
 		d.wait(e, "does not answer")
 		return
 	}
 	switch {
-	case e.Routing == config.RoutingServing && !d.reachesMost():
+	case e.Routing == config.RoutingServing && !d.reachesHalf():
 		d.wait(e, "does not answer; nor do most engines of the pool, so it stays in routing")
 	case e.Routing == config.RoutingServing:
 		d.change(e, config.RoutingDraining, ReasonUnreachable, nil)
 	case e.Leave:
-		if reason := d.busyInstance(e, seen); reason != "" {
+		if reason := d.busyInstanceReason(e, view); reason != "" {
 			d.wait(e, "%s", reason)
 			return
 		}
@@ -208,8 +209,8 @@
 	}
 }
 
-// take uses up one of a budget, if there is any left.
-func take(budget *int) bool {
+// takeOne reduces a budget by one. It returns false if the budget is exhausted.
+func takeOne(budget *int) bool {
 	if *budget <= 0 {
 		return false
 	}
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -14,40 +14,39 @@
 	"sassafrasfield/internal/order"
 )
 
-// Times of the model, in ticks of a second. What spread and freshness promise
-// is taken as given: an instance that is not cut off learns within modelLearn,
-// and one that is takes no new work after modelStale.
+// Times of the model, which advances in ticks of a second. The model assumes the guarantees of version
+// distribution and of package freshness: a connected instance learns a version within modelPropagation, and
+// a disconnected one accepts no new work after modelStaleAfter.
 const (
-	modelLearn       = 2 * time.Second
-	modelStale       = 3 * time.Second
-	modelSilent      = 8 * time.Second
-	modelUnreachable = 3 * time.Second
-	modelChange      = 2 * time.Second
+	modelPropagation      = 2 * time.Second
+	modelStaleAfter       = 3 * time.Second
+	modelInstanceTimeout  = 8 * time.Second
+	modelUnreachableAfter = 3 * time.Second
+	modelChangeTime       = 2 * time.Second
 )
 
 const (
-	modelPool  = "p"
-	modelFloor = 1
+	modelPool       = "p"
+	modelMinServing = 1
 )
 
-// fakeInstance is an instance with its entry.
+// fakeInstance models an instance with its entry.
 type fakeInstance struct {
 	doc *config.Config
-	// learnedAt is when it last learned the newest version.
+	// learnedAt is when the instance last learned the newest version.
 	learnedAt time.Duration
-	// cut is true while nobody hears it and it hears nobody; cutAt is since
-	// when.
-	cut   bool
-	cutAt time.Duration
+	// partitioned is true while the instance is disconnected from all others, since partitionedAt.
+	partitioned   bool
+	partitionedAt time.Duration
 }
 
-// knownRouting is when the holder first saw a version of an engine's routing.
+// knownRouting records when the lease holder first saw a version of an engine's routing.
 type knownRouting struct {
 	since int64
 	at    time.Duration
 }
 
-// fakeEngine is an engine that cuts its streams when a disruptive order comes.
+// fakeEngine models an engine that interrupts its streams when it receives a disruptive order.
 type fakeEngine struct {
 	state, target config.EngineState
 	changing      bool
@@ -55,12 +54,12 @@
 	unreachable   bool
 	lastOrder     string
 	lastFence     int64
-	// streams on it for each instance, and requests on their way to it, which
+	// streams are the running streams by instance. arriving are the requests in transit by instance, which
 	// the instance counts and the engine does not. They arrive within a tick.
 	streams, arriving map[string]int
 }
 
-// world is a small model of table, instances, engines and a lease holder.
+// world models the table, the instances, the engines and the lease holder.
 type world struct {
 	t         *rapid.T
 	now       time.Duration
@@ -69,15 +68,15 @@
 	engines   map[string]*fakeEngine
 	orders    map[string]order.Row
 	orderIDs  int
-	// What the holder remembers, and a new one does not.
-	silentEngines UnreachableTimer
-	known         map[string]knownRouting
+	// The fields below are the memory of the lease holder. A new holder starts without it.
+	unreachableEngines UnreachableTimer
+	knownRoutings      map[string]knownRouting
 }
 
 func newWorld(t *rapid.T) *world {
 	w := &world{
 		t: t, instances: map[string]*fakeInstance{}, engines: map[string]*fakeEngine{}, orders: map[string]order.Row{},
-		doc: &config.Config{Version: 1, Pools: []config.Pool{{Name: modelPool, Model: "m", MinServing: modelFloor}}},
+		doc: &config.Config{Version: 1, Pools: []config.Pool{{Name: modelPool, Model: "m", MinServing: modelMinServing}}},
 	}
 	w.newHolder()
 	loaded := config.EngineState{Model: "m", Version: "1", Role: config.RoleMixed}
@@ -94,28 +93,28 @@
 	return w
 }
 
-// newHolder forgets what a holder remembers.
+// newHolder replaces the lease holder by one without memory.
 func (w *world) newHolder() {
-	w.known = map[string]knownRouting{}
-	w.silentEngines = UnreachableTimer{MaxGap: time.Minute}
+	w.knownRoutings = map[string]knownRouting{}
+	w.unreachableEngines = UnreachableTimer{MaxGap: time.Minute}
 }
 
-// mayPlace tells whether an instance would send new work to an engine.
-func (w *world) mayPlace(i *fakeInstance, id string) bool {
-	if i.cut && w.now-i.cutAt >= modelStale {
+// mayRoute reports whether an instance would send new work to an engine.
+func (w *world) mayRoute(i *fakeInstance, id string) bool {
+	if i.partitioned && w.now-i.partitionedAt >= modelStaleAfter {
 		return false
 	}
 	return i.doc.Engine(id).Routing == config.RoutingServing
 }
 
-func (w *world) place(instance, id string) {
+func (w *world) route(instance, id string) {
 	e := w.engines[id]
-	if w.mayPlace(w.instances[instance], id) && !e.unreachable && !e.changing {
+	if w.mayRoute(w.instances[instance], id) && !e.unreachable && !e.changing {
 		e.arriving[instance]++
 	}
 }
 
-// arrive lets all requests that are on their way reach the engine.
+// arrive delivers all requests in transit to the engine.
 func (e *fakeEngine) arrive() {
 	for name, n := range e.arriving {
 		e.streams[name] += n
@@ -134,7 +133,7 @@
 func (w *world) tick() {
 	w.now += time.Second
 	for _, i := range w.instances {
-		if !i.cut && w.now-i.learnedAt >= modelLearn {
+		if !i.partitioned && w.now-i.learnedAt >= modelPropagation {
 			i.doc, i.learnedAt = w.doc, w.now
 		}
 	}
@@ -146,15 +145,15 @@
 	}
 }
 
-// crash drops what the engine runs and has loaded, as a restart does.
+// crash drops the running requests and the loaded state of the engine, as a restart does.
 func (e *fakeEngine) crash(version string) {
 	e.state = config.EngineState{Model: "m", Version: version, Role: config.RoleMixed}
 	e.changing, e.lastOrder, e.lastFence, e.streams = false, "", 0, map[string]int{}
 	e.arriving = map[string]int{}
 }
 
-// take carries an order out. It checks that nothing is cut off by it.
-func (w *world) take(id string, row order.Row) {
+// acceptOrder carries out an order. It checks that the order interrupts no stream.
+func (w *world) acceptOrder(id string, row order.Row) {
 	e := w.engines[id]
 	if e.unreachable {
 		return
@@ -165,23 +164,23 @@
 	}
 	if e.state.Disruptive(row.Want) || e.changing {
 		if n := e.running() + len(e.arriving); n > 0 {
-			w.t.Fatalf("an order to %s cuts %d streams", id, n)
+			w.t.Fatalf("an order to %s interrupts %d streams", id, n)
 		}
 		for name, i := range w.instances {
-			if w.mayPlace(i, id) {
-				w.t.Fatalf("an order goes to %s while %s may route to it", id, name)
+			if w.mayRoute(i, id) {
+				w.t.Fatalf("an order is sent to %s while %s may route to it", id, name)
 			}
 		}
 	}
-	e.lastOrder, e.target, e.changing, e.doneAt = row.ID, row.Want, true, w.now+modelChange
+	e.lastOrder, e.target, e.changing, e.doneAt = row.ID, row.Want, true, w.now+modelChangeTime
 }
 
-// observe asks the instances and then the engines; between any two answers
-// the world goes on.
+// observe queries the instances and then the engines. It calls between after each answer, because the world
+// may change in the meantime.
 func (w *world) observe(between func()) View {
 	v := View{
 		Config: w.doc, Pool: modelPool, Engines: map[string]EngineView{}, Orders: map[string]order.Row{},
-		Limits: Limits{InstanceTimeout: modelSilent, UnreachableAfter: modelUnreachable, MaxLoads: 1},
+		Limits: Limits{InstanceTimeout: modelInstanceTimeout, UnreachableAfter: modelUnreachableAfter, MaxLoads: 1},
 	}
 	for id, row := range w.orders {
 		v.Orders[id] = row
@@ -199,8 +198,8 @@
 
 func (w *world) instanceView(name string) InstanceView {
 	i := w.instances[name]
-	view := InstanceView{ID: name, Version: i.doc.Version, Answered: !i.cut, Streams: map[string]int{}}
-	if i.cut {
+	view := InstanceView{ID: name, Version: i.doc.Version, Answered: !i.partitioned, Streams: map[string]int{}}
+	if i.partitioned {
 		return view
 	}
 	for id, e := range w.engines {
@@ -212,65 +211,65 @@
 func (w *world) engineView(id string) EngineView {
 	e := w.engines[id]
 	since := w.doc.Engine(id).RoutingSince
-	if w.known[id].since != since {
-		w.known[id] = knownRouting{since: since, at: w.now}
+	if w.knownRoutings[id].since != since {
+		w.knownRoutings[id] = knownRouting{since: since, at: w.now}
 	}
-	age := w.now - w.known[id].at
+	age := w.now - w.knownRoutings[id].at
 	if e.unreachable {
-		return EngineView{UnansweredFor: w.silentEngines.Missed(id, w.now), RoutingAge: age}
+		return EngineView{UnansweredFor: w.unreachableEngines.Missed(id, w.now), RoutingAge: age}
 	}
-	w.silentEngines.Answered(id)
+	w.unreachableEngines.Answered(id)
 	return EngineView{Reachable: true, RoutingAge: age, Status: engine.Status{
 		State: e.state, Changing: e.changing, Running: e.running(),
 		LastOrder: e.lastOrder, LastFence: e.lastFence,
 	}}
 }
 
-// carryOut does one action. The table's writes are compare-and-set, so that a
-// decision on an old view of an engine has no effect.
-func (w *world) carryOut(v View, action Action) {
+// perform carries out one action. Writes to the table are compare-and-set, so that a decision based on an
+// outdated view of an engine has no effect.
+func (w *world) perform(v View, action Action) {
 	switch a := action.(type) {
 	case CloseOrder:
 		row := w.orders[a.Engine]
 		row.State = order.StateDone
 		w.orders[a.Engine] = row
 	case SendOrder:
-		if !sameEntry(w.doc.Engine(a.Engine), v.Config.Engine(a.Engine)) {
+		if !sameEngine(w.doc.Engine(a.Engine), v.Config.Engine(a.Engine)) {
 			return
 		}
 		w.orderIDs++
 		row := w.orders[a.Engine].Next(1, a.Engine, a.Want, fmt.Sprint(w.orderIDs))
 		w.orders[a.Engine] = row
-		w.take(a.Engine, row)
+		w.acceptOrder(a.Engine, row)
 	case UpdateRouting:
-		w.mark(v, a)
+		w.updateRouting(v, a)
 	}
 }
 
-func (w *world) mark(v View, mark UpdateRouting) {
+func (w *world) updateRouting(v View, update UpdateRouting) {
 	next := w.doc.Clone()
 	next.Version++
-	for _, c := range mark.Changes {
-		if !sameEntry(w.doc.Engine(c.Engine), v.Config.Engine(c.Engine)) {
+	for _, c := range update.Changes {
+		if !sameEngine(w.doc.Engine(c.Engine), v.Config.Engine(c.Engine)) {
 			continue
 		}
 		c.Apply(next)
-		if c.Reason == ReasonDrain && v.servingAfter(mark) < modelFloor {
-			w.t.Fatalf("the drain of %s leaves fewer than %d serving", c.Engine, modelFloor)
+		if c.Reason == ReasonDrain && v.servingAfter(update) < modelMinServing {
+			w.t.Fatalf("draining %s leaves fewer than %d engines serving", c.Engine, modelMinServing)
 		}
 	}
 	w.doc = next
 }
 
-// servingAfter counts the engines that serve once a mark is made.
-func (v View) servingAfter(mark UpdateRouting) int {
+// servingAfter returns the number of engines that serve after a routing update.
+func (v View) servingAfter(update UpdateRouting) int {
 	n := 0
 	for _, e := range v.Config.PoolEngines(v.Pool) {
-		if v.serves(e) {
+		if v.isServing(e) {
 			n++
 		}
 	}
-	for _, c := range mark.Changes {
+	for _, c := range update.Changes {
 		if c.Reason == ReasonDrain {
 			n--
 		}
@@ -278,7 +277,7 @@
 	return n
 }
 
-func sameEntry(a, b *config.Engine) bool {
+func sameEngine(a, b *config.Engine) bool {
 	return reflect.DeepEqual(a, b)
 }
 
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -1,13 +1,14 @@
-// Package rollout decides the next steps that bring the engines of one pool to
-// the confirmed configuration without cutting off a request. It is pure and
-// keeps nothing: each decision follows from the newest configuration, the
-// journal of orders and what was observed. So a new lease holder goes on where
-// the last one stopped.
+// Package rollout decides the next actions that bring the engines of one pool to the confirmed
+// configuration without interrupting a request. Its input is a View and its output a Decision. It has no
+// side effects and keeps no state: each decision follows from the newest configuration, the journal of
+// orders and the observations. So a new lease holder continues where the previous one stopped.
 //
-// The order of a disruptive change: a version marks the engine as draining;
-// every instance has it in force and reports no stream of its own there; the
-// engine, asked after that, reports nothing running; the order goes out; it is
-// read back; a version returns the engine to routing.
+// A disruptive change has these steps:
+//   - A new version marks the engine as draining.
+//   - Every instance has the version in force, and reports no streams of its own on the engine.
+//   - The engine, queried after that, reports no running requests.
+//   - The order is sent, and its result is read back.
+//   - Another version returns the engine to routing.
 package rollout
 
 import (
@@ -20,82 +21,80 @@
 	"sassafrasfield/internal/order"
 )
 
-// InstanceView is what an instance reported of itself.
+// InstanceView is the reported state of an instance.
 type InstanceView struct {
 	ID string
-	// Answered is true when the instance's entry answered in this round.
+	// Answered is true if the instance's entry answered in this round.
 	Answered bool
-	// Version in force in its entry.
+	// Version is the version in force in its entry.
 	Version int64
-	// Streams of its entry for each engine.
+	// Streams is the number of streams of its entry by engine.
 	Streams map[string]int
 }
 
-// EngineView is what an engine reported, asked after the instances answered.
+// EngineView is the reported state of an engine, which is queried after the instances have answered.
 type EngineView struct {
 	Reachable bool
 	Status    engine.Status
-	// UnansweredFor is how long it was asked without an answer; see Silence.
+	// UnansweredFor is how long the engine has not answered queries, as UnreachableTimer measures it.
 	UnansweredFor time.Duration
-	// RoutingAge is how long the holder has known the version that set the
-	// engine's routing, on its own clock.
+	// RoutingAge is how long the lease holder has known the version that set the engine's routing, by its
+	// own clock.
 	RoutingAge time.Duration
-	// RecentlyOrdered is true when an order was sent so shortly ago that it is
-	// not worth sending again.
+	// RecentlyOrdered is true if an order was sent so recently that it should not be resent yet.
 	RecentlyOrdered bool
 }
 
-// Limits bound the pace of a rollout.
+// Limits are the timeouts of a rollout and the limit of its concurrency.
 type Limits struct {
-	// InstanceTimeout is how long after a version was accepted an instance that does
-	// not answer counts as taking no new work by an older one. It must exceed
-	// the time after which an entry without heartbeats refuses, plus the time
-	// for which a daemon that is cut off holds an old version.
+	// InstanceTimeout is the time after a version was accepted from which an instance that does not answer
+	// is assumed to accept no new work under an older version. It must exceed the time after which an entry
+	// without heartbeats refuses requests, plus the time for which a disconnected daemon keeps an old
+	// version in force.
 	InstanceTimeout time.Duration
-	// UnreachableAfter is how long an engine must have been silent to be marked
-	// out of routing.
+	// UnreachableAfter is the time without an answer after which an engine is removed from routing.
 	UnreachableAfter time.Duration
-	// MaxLoads bounds the engines that load weights at once; 0 is no bound.
+	// MaxLoads is the maximum number of engines that load weights at a time; 0 means no limit.
 	MaxLoads int
 }
 
-// View is all that a decision rests on.
+// View is the input of a decision.
 type View struct {
 	Config *config.Config
 	Pool   string
 	Limits Limits
-	// Instances that may route to the pool's engines. None at all means that
-	// they were not asked, and no engine counts as empty.
+	// Instances are the instances that may route to the pool's engines. If the list is empty, they were not
+	// queried, and no engine is treated as idle.
 	Instances []InstanceView
 	Engines   map[string]EngineView
 	Orders    map[string]order.Row
-	// ShuttingDown are engines that leave by the platform's word.
+	// ShuttingDown are the engines that the platform announced it will shut down.
 	ShuttingDown map[string]bool
 }
 
-// Action is one thing to do: CloseOrder, SendOrder or Mark.
+// Action is one of CloseOrder, SendOrder and UpdateRouting.
 type Action interface {
 	action()
 }
 
-// Reason of a change in an engine's routing.
+// Reason is the reason for a change of an engine's routing.
 type Reason string
 
-// Reasons of a change.
+// Reasons for a change.
 const (
-	// ReasonDrain: a planned change needs the engine empty.
+	// ReasonDrain means that a planned change requires an idle engine.
 	ReasonDrain Reason = "drain"
-	// ReasonLost: the engine lost what it had loaded.
+	// ReasonLost means that the engine lost its loaded state.
 	ReasonLost Reason = "lost"
-	// ReasonUnreachable: the engine does not answer.
+	// ReasonUnreachable means that the engine does not answer.
 	ReasonUnreachable Reason = "unreachable"
-	// ReasonRestore: the engine has what it should have.
+	// ReasonRestore means that the engine has the wanted state.
 	ReasonRestore Reason = "restore"
-	// ReasonWithdraw: the engine is empty and leaves.
+	// ReasonWithdraw means that the engine is idle and is to be withdrawn.
 	ReasonWithdraw Reason = "withdraw"
 )
 
-// Change sets an engine's routing, and its loaded state when Loaded is given.
+// Change sets an engine's routing, and its loaded state if Loaded is not nil.
 type Change struct {
 	Engine  string
 	Routing config.Routing
@@ -103,18 +102,18 @@
 	Reason  Reason
 }
 
-// UpdateRouting writes one version with all changes.
+// UpdateRouting writes one version of the configuration with all changes.
 type UpdateRouting struct {
 	Changes []Change
 }
 
-// SendOrder journals an order, if it is not journalled yet, and sends it.
+// SendOrder writes an order to the journal, unless it is there already, and sends it.
 type SendOrder struct {
 	Engine string
 	Want   config.EngineState
 }
 
-// CloseOrder marks the engine's journalled order as done.
+// CloseOrder marks the engine's order in the journal as done.
 type CloseOrder struct {
 	Engine string
 }
@@ -123,34 +122,33 @@
 func (SendOrder) action()     {}
 func (CloseOrder) action()    {}
 
-// Decision is what may be done now, and why the rest has to wait.
+// Decision lists the actions that are possible now, and why other engines have to wait.
 type Decision struct {
-	// Actions in the order in which to do them.
+	// Actions are to be performed in this order.
 	Actions []Action
-	// Waits tells for an engine what it waits for, in a few words.
+	// Waits has a short reason for each engine that has to wait.
 	Waits map[string]string
-	// AskInstances is true when an engine waits only because View.Instances is
-	// empty.
+	// AskInstances is true if an engine waits only because View.Instances is empty.
 	AskInstances bool
 }
 
-// Next returns what may be done now. The list is empty when all is as
-// confirmed, or when there is only waiting left.
+// Next returns the actions that are possible now. The list is empty if all engines have the confirmed
+// state, or have to wait.
 func Next(v View) []Action {
 	return Decide(v).Actions
 }
 
-// Decide returns what may be done now, and what is waited for.
+// Decide returns the actions that are possible now, and what other engines wait for.
 func Decide(v View) Decision {
 	d := newDecider(v)
 	for _, e := range v.Config.PoolEngines(v.Pool) {
-		d.engine(e)
+		d.decide(e)
 	}
-	return Decision{Actions: d.actions(), Waits: d.waits, AskInstances: slices.Contains(slices.Collect(maps.Values(d.waits)), notAsked)}
+	return Decision{Actions: d.actions(), Waits: d.waits, AskInstances: slices.Contains(slices.Collect(maps.Values(d.waits)), reasonNotAsked)}
 }
 
-// Apply makes the change in a document that is about to become doc.Version. An
-// engine that has arrived is no part of its plan any more.
+// Apply makes the change in a document that is about to become doc.Version. A converged engine no longer
+// belongs to a plan.
 func (c Change) Apply(doc *config.Config) {
 	e := doc.Engine(c.Engine)
 	if e.Routing != c.Routing {
@@ -164,8 +162,7 @@
 	}
 }
 
-// Converged tells whether the configuration has nothing left to do for an
-// engine.
+// Converged reports whether an engine has the state that the configuration wants.
 func Converged(e *config.Engine) bool {
 	if e.Leave {
 		return e.Routing == config.RoutingOut
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -11,10 +11,10 @@
 	"sassafrasfield/internal/order"
 )
 
-// TestHistories interleaves operators, callers, crashes, cuts and holders that
-// are killed between any two actions. No order may cut a stream or reach an
-// engine that an instance may route to; in the end all is as wanted.
-func TestHistories(t *testing.T) {
+// TestRandomHistories interleaves operators, callers, crashes, network partitions, and lease holders that
+// are killed between any two actions. No order may interrupt a stream or reach an engine that an instance
+// may route to. In the end all engines must have the wanted state.
+func TestRandomHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
 		engines, instances := sortedKeys(w.engines), sortedKeys(w.instances)
@@ -23,19 +23,19 @@
 		between := func() {
 			switch rapid.IntRange(0, 5).Draw(t, "between") {
 			case 0:
-				w.place(anInstance(), anEngine())
+				w.route(anInstance(), anEngine())
 			case 1:
 				w.learn(anInstance())
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"place":       func(*rapid.T) { w.place(anInstance(), anEngine()) },
+			"place":       func(*rapid.T) { w.route(anInstance(), anEngine()) },
 			"finish":      func(*rapid.T) { w.engines[anEngine()].streams = map[string]int{} },
 			"learn":       func(*rapid.T) { w.learn(anInstance()) },
-			"cut":         func(*rapid.T) { w.cut(anInstance()) },
+			"cut":         func(*rapid.T) { w.partition(anInstance()) },
 			"heal":        func(*rapid.T) { w.heal(anInstance()) },
 			"tick":        func(*rapid.T) { w.tick() },
-			"time passes": func(t *rapid.T) { w.ticksWith(t, between) },
+			"time passes": func(t *rapid.T) { w.passTime(t, between) },
 			"crash": func(*rapid.T) {
 				w.engines[anEngine()].crash(rapid.SampledFrom([]string{"0", "1", "2"}).Draw(t, "boots with"))
 			},
@@ -46,34 +46,34 @@
 			"step":        func(t *rapid.T) { w.step(t, between) },
 			"step again":  func(t *rapid.T) { w.step(t, between) },
 		})
-		w.comesToRest()
+		w.checkConvergence()
 	})
 }
 
-// learn lets an instance learn the newest version.
+// learn makes a connected instance learn the newest version.
 func (w *world) learn(name string) {
-	if i := w.instances[name]; !i.cut {
+	if i := w.instances[name]; !i.partitioned {
 		i.doc, i.learnedAt = w.doc, w.now
 	}
 }
 
-// ticksWith lets some seconds pass, with a look of the holder in each.
-func (w *world) ticksWith(t *rapid.T, between func()) {
+// passTime advances by some seconds, with a step of the lease holder in each.
+func (w *world) passTime(t *rapid.T, between func()) {
 	for range rapid.IntRange(1, 10).Draw(t, "seconds") {
 		w.tick()
 		w.step(t, between)
 	}
 }
 
-func (w *world) cut(name string) {
-	if i := w.instances[name]; !i.cut {
-		i.cut, i.cutAt = true, w.now
+func (w *world) partition(name string) {
+	if i := w.instances[name]; !i.partitioned {
+		i.partitioned, i.partitionedAt = true, w.now
 	}
 }
 
-// heal lets an instance hear the newest version again before anything else.
+// heal reconnects an instance. It learns the newest version before anything else happens.
 func (w *world) heal(name string) {
-	w.instances[name].cut = false
+	w.instances[name].partitioned = false
 	w.learn(name)
 }
 
@@ -96,35 +96,34 @@
 	w.doc = next
 }
 
-// step is one look of a holder, which may be killed between any two actions.
+// step runs one round of the lease holder, which may be killed between any two actions.
 func (w *world) step(t *rapid.T, between func()) {
 	v := w.observe(between)
 	actions := Next(v)
 	for _, action := range actions[:rapid.IntRange(0, len(actions)).Draw(t, "killed after")] {
-		w.carryOut(v, action)
+		w.perform(v, action)
 		between()
 	}
 }
 
-// comesToRest mends all faults and lets the streams end: then each engine must
-// come to the state that is wanted.
-func (w *world) comesToRest() {
+// checkConvergence ends all faults and streams. Each engine must then reach the wanted state.
+func (w *world) checkConvergence() {
 	for name := range w.instances {
 		w.heal(name)
 	}
 	for _, e := range w.engines {
 		e.unreachable, e.streams, e.arriving = false, map[string]int{}, map[string]int{}
 	}
-	leaving := 0
+	withdrawn := 0
 	for i := range w.doc.Engines {
 		if w.doc.Engines[i].Leave {
-			leaving++
+			withdrawn++
 		}
 	}
 	for range 100 {
 		v := w.observe(func() {})
 		for _, action := range Next(v) {
-			w.carryOut(v, action)
+			w.perform(v, action)
 		}
 		for name := range w.instances {
 			w.learn(name)
@@ -132,104 +131,104 @@
 		w.tick()
 	}
 	for _, e := range w.doc.PoolEngines(modelPool) {
-		heldByFloor := e.Routing == config.RoutingServing && len(w.doc.Engines)-leaving <= modelFloor
-		if !Converged(e) && !heldByFloor {
-			w.t.Fatalf("%s did not arrive: %+v, engine %+v", e.ID, e, w.engines[e.ID])
+		keptByMinServing := e.Routing == config.RoutingServing && len(w.doc.Engines)-withdrawn <= modelMinServing
+		if !Converged(e) && !keptByMinServing {
+			w.t.Fatalf("%s did not converge: %+v, engine %+v", e.ID, e, w.engines[e.ID])
 		}
 	}
 }
 
-// mixed returns a state of the tests' one model.
-func mixed(version string) config.EngineState {
+// mixedState returns an engine state with a version of the tests' only model.
+func mixedState(version string) config.EngineState {
 	return config.EngineState{Model: "m", Version: version, Role: config.RoleMixed}
 }
 
-// poolOf returns a view of engines that all serve version 1 and answer so.
-func poolOf(floor int, ids ...string) View {
-	doc := &config.Config{Version: 5, Pools: []config.Pool{{Name: "p", Model: "m", MinServing: floor}}}
+// newView returns a view of engines that all serve version 1 and report it.
+func newView(minServing int, ids ...string) View {
+	doc := &config.Config{Version: 5, Pools: []config.Pool{{Name: "p", Model: "m", MinServing: minServing}}}
 	v := View{Config: doc, Pool: "p", Engines: map[string]EngineView{}, Orders: map[string]order.Row{}}
 	v.Limits = Limits{InstanceTimeout: 10 * time.Second, UnreachableAfter: 5 * time.Second}
 	v.Instances = []InstanceView{{ID: "i", Answered: true, Version: 5}}
 	for _, id := range ids {
 		doc.Engines = append(doc.Engines, config.Engine{
-			ID: id, Pool: "p", Want: mixed("1"), Loaded: mixed("1"), Routing: config.RoutingServing, RoutingSince: 1,
+			ID: id, Pool: "p", Want: mixedState("1"), Loaded: mixedState("1"), Routing: config.RoutingServing, RoutingSince: 1,
 		})
-		v.Engines[id] = EngineView{Reachable: true, Status: engine.Status{State: mixed("1")}}
+		v.Engines[id] = EngineView{Reachable: true, Status: engine.Status{State: mixedState("1")}}
 	}
 	return v
 }
 
-// onlyChange returns the one change that is decided, or nil.
-func onlyChange(t *testing.T, v View) *Change {
+// singleChange returns the only decided change, or nil if nothing is decided. Other decisions fail the test.
+func singleChange(t *testing.T, v View) *Change {
 	t.Helper()
 	actions := Next(v)
 	if len(actions) == 0 {
 		return nil
 	}
-	mark, ok := actions[0].(UpdateRouting)
-	if !ok || len(actions) != 1 || len(mark.Changes) != 1 {
+	update, ok := actions[0].(UpdateRouting)
+	if !ok || len(actions) != 1 || len(update.Changes) != 1 {
 		t.Fatalf("decided %+v", actions)
 	}
-	return &mark.Changes[0]
+	return &update.Changes[0]
 }
 
-func TestFloorHoldsADrainBack(t *testing.T) {
-	v := poolOf(2, "a", "b")
-	v.Config.Engine("a").Want = mixed("2")
-	if c := onlyChange(t, v); c != nil {
-		t.Fatalf("drained below the floor: %+v", c)
+func TestMinServingPreventsDrain(t *testing.T) {
+	v := newView(2, "a", "b")
+	v.Config.Engine("a").Want = mixedState("2")
+	if c := singleChange(t, v); c != nil {
+		t.Fatalf("drained below MinServing: %+v", c)
 	}
 	if wait := Decide(v).Waits["a"]; wait == "" {
-		t.Error("no word on what is waited for")
+		t.Error("no reason for the wait is given")
 	}
 }
 
-func TestLostStateLeavesRouting(t *testing.T) {
-	v := poolOf(2, "a", "b")
-	v.Engines["a"] = EngineView{Reachable: true, Status: engine.Status{State: mixed("0")}}
-	c := onlyChange(t, v)
-	if c == nil || c.Routing != config.RoutingDraining || c.Loaded == nil || !c.Loaded.Equal(mixed("0")) {
+func TestEngineWithLostStateIsDrained(t *testing.T) {
+	v := newView(2, "a", "b")
+	v.Engines["a"] = EngineView{Reachable: true, Status: engine.Status{State: mixedState("0")}}
+	c := singleChange(t, v)
+	if c == nil || c.Routing != config.RoutingDraining || c.Loaded == nil || !c.Loaded.Equal(mixedState("0")) {
 		t.Fatalf("an engine that lost its state: %+v", c)
 	}
 }
 
-func TestSilentEngineLeavesRoutingAfterAWhile(t *testing.T) {
-	v := poolOf(0, "a", "b")
+func TestUnreachableEngineIsDrainedAfterTimeout(t *testing.T) {
+	v := newView(0, "a", "b")
 	v.Engines["a"] = EngineView{UnansweredFor: time.Second}
-	if c := onlyChange(t, v); c != nil {
-		t.Fatalf("marked out at once: %+v", c)
+	if c := singleChange(t, v); c != nil {
+		t.Fatalf("drained without a timeout: %+v", c)
 	}
 	v.Engines["a"] = EngineView{UnansweredFor: 6 * time.Second}
-	if c := onlyChange(t, v); c == nil || c.Reason != ReasonUnreachable {
-		t.Fatalf("not marked out: %+v", c)
+	if c := singleChange(t, v); c == nil || c.Reason != ReasonUnreachable {
+		t.Fatalf("not drained: %+v", c)
 	}
 	v.Engines["b"] = EngineView{UnansweredFor: 6 * time.Second}
-	if c := onlyChange(t, v); c != nil {
-		t.Fatalf("a holder that reaches no engine emptied the pool: %+v", c)
+	if c := singleChange(t, v); c != nil {
+		t.Fatalf("a lease holder that reaches no engine drained the pool: %+v", c)
 	}
 }
 
-func TestSilentInstanceHoldsADrainForAWhile(t *testing.T) {
-	v := poolOf(0, "a", "b")
+func TestUnresponsiveInstanceDelaysOrderUntilTimeout(t *testing.T) {
+	v := newView(0, "a", "b")
 	e := v.Config.Engine("a")
-	e.Want, e.Routing, e.RoutingSince = mixed("2"), config.RoutingDraining, 5
+	e.Want, e.Routing, e.RoutingSince = mixedState("2"), config.RoutingDraining, 5
 	v.Instances = append(v.Instances, InstanceView{ID: "j"})
-	seen := EngineView{Reachable: true, RoutingAge: 9 * time.Second, Status: engine.Status{State: mixed("1")}}
-	v.Engines["a"] = seen
+	view := EngineView{Reachable: true, RoutingAge: 9 * time.Second, Status: engine.Status{State: mixedState("1")}}
+	v.Engines["a"] = view
 	if actions := Next(v); len(actions) != 0 {
-		t.Fatalf("an instance that may still route was passed over: %+v", actions)
+		t.Fatalf("an instance that may still route was ignored: %+v", actions)
 	}
-	seen.RoutingAge = 10 * time.Second
-	seen.Status.Running = 1
-	v.Engines["a"] = seen
+	view.RoutingAge = 10 * time.Second
+	view.Status.Running = 1
+	v.Engines["a"] = view
 	if actions := Next(v); len(actions) != 0 {
-		t.Fatalf("a stream of the silent instance would be cut: %+v", actions)
+		t.Fatalf("a stream of the unresponsive instance would be interrupted: %+v", actions)
 	}
-	seen.Status.Running = 0
-	v.Engines["a"] = seen
+	view.Status.Running = 0
+	v.Engines["a"] = view
 	actions := Next(v)
 	if len(actions) != 1 {
-		t.Fatalf("the plan stands still for good: %+v", actions)
+		t.Fatalf("the rollout makes no progress: %+v", actions)
 	}
 	if send, ok := actions[0].(SendOrder); !ok || send.Engine != "a" {
 		t.Fatalf("decided %+v", actions)
@@ -238,28 +237,28 @@
 
 func TestWeightStoreBoundsLoads(t *testing.T) {
 	ids := []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l"}
-	v := poolOf(0, ids...)
+	v := newView(0, ids...)
 	for i := range v.Config.Engines {
-		v.Config.Engines[i].Want = mixed("2")
+		v.Config.Engines[i].Want = mixedState("2")
 	}
 	v.Limits.MaxLoads = 2
-	mark := Next(v)[0].(UpdateRouting)
-	if len(mark.Changes) != 2 {
-		t.Errorf("%d engines drained for 2 loads at once", len(mark.Changes))
+	update := Next(v)[0].(UpdateRouting)
+	if len(update.Changes) != 2 {
+		t.Errorf("%d engines drained, but only 2 may load weights at a time", len(update.Changes))
 	}
 	v.Limits.MaxLoads = 0
-	if mark = Next(v)[0].(UpdateRouting); len(mark.Changes) != MaxOut(len(ids)) {
-		t.Errorf("%d engines of %d drained at once", len(mark.Changes), len(ids))
+	if update = Next(v)[0].(UpdateRouting); len(update.Changes) != MaxOut(len(ids)) {
+		t.Errorf("%d of %d engines drained at a time", len(update.Changes), len(ids))
 	}
 }
 
-func TestSilenceCountsOnlyAskedTime(t *testing.T) {
-	s := UnreachableTimer{MaxGap: 2 * time.Second}
-	s.Missed("a", 0)
-	if d := s.Missed("a", time.Second); d != time.Second {
-		t.Errorf("silent for %v", d)
+func TestUnreachableTimerIgnoresGaps(t *testing.T) {
+	timer := UnreachableTimer{MaxGap: 2 * time.Second}
+	timer.Missed("a", 0)
+	if d := timer.Missed("a", time.Second); d != time.Second {
+		t.Errorf("unanswered for %v", d)
 	}
-	if d := s.Missed("a", time.Minute); d != 0 {
-		t.Errorf("silent for %v after a time in which nobody asked", d)
+	if d := timer.Missed("a", time.Minute); d != 0 {
+		t.Errorf("unanswered for %v after a time without queries", d)
 	}
 }
--- a/internal/rollout/unreachable.go
+++ b/internal/rollout/unreachable.go
@@ -2,37 +2,35 @@
 
 import "time"
 
-// UnreachableTimer measures for how long something was asked and did not answer. Time
-// in which nobody asked, because the process was frozen or held no lease, does
-// not count: a gap between two questions that is longer than MaxGap starts the
-// count again. It is not safe for use by several goroutines.
+// UnreachableTimer measures how long queried targets have not answered. Time without queries does not
+// count, for example while the process was suspended or did not hold the lease: a gap between two queries
+// that is longer than MaxGap restarts the measurement. It is not safe for concurrent use.
 type UnreachableTimer struct {
-	// MaxGap between two questions of one silence.
+	// MaxGap is the longest gap between two queries of one measurement.
 	MaxGap time.Duration
-	misses map[string]miss
+	runs   map[string]unansweredRun
 }
 
-// miss is a run of questions without an answer.
-type miss struct {
+// unansweredRun is a sequence of queries without an answer.
+type unansweredRun struct {
 	first, last time.Duration
 }
 
-// Answered ends the silence of id.
-func (s *UnreachableTimer) Answered(id string) {
-	delete(s.misses, id)
+// Answered records an answer of id, which ends its measurement.
+func (t *UnreachableTimer) Answered(id string) {
+	delete(t.runs, id)
 }
 
-// Missed takes note that id did not answer at now, and returns how long that
-// has been so.
-func (s *UnreachableTimer) Missed(id string, now time.Duration) time.Duration {
-	if s.misses == nil {
-		s.misses = map[string]miss{}
+// Missed records that id did not answer a query at the time now. It returns how long id has not answered.
+func (t *UnreachableTimer) Missed(id string, now time.Duration) time.Duration {
+	if t.runs == nil {
+		t.runs = map[string]unansweredRun{}
 	}
-	m, ok := s.misses[id]
-	if !ok || now-m.last > s.MaxGap {
-		m.first = now
+	run, ok := t.runs[id]
+	if !ok || now-run.last > t.MaxGap {
+		run.first = now
 	}
-	m.last = now
-	s.misses[id] = m
-	return m.last - m.first
+	run.last = now
+	t.runs[id] = run
+	return run.last - run.first
 }
