--- a/internal/ownlink/ownlink.go
+++ b/internal/ownlink/ownlink.go
@@ -11,23 +11,23 @@
 
 // Settings of a Link.
 type Settings struct {
-	// Recent is for how long a silent connection, or an answer, counts.
-	Recent time.Duration
-	// Upstreams is how many different ones must have been silent: more than one
+	// Window is for how long a silent connection, or an answer, counts.
+	Window time.Duration
+	// MinUpstreams is how many different ones must have been silent: more than one
 	// crash takes with it that one instance happens to ask at the same time.
-	Upstreams int
-	// DeafAfter is how long an instance may hear nothing of the others until it does
+	MinUpstreams int
+	// MaxStaleness is how long an instance may hear nothing of the others until it does
 	// not send, if it is its link, and how long it may lack rows that others have: the
 	// bound on requests to upstreams that leave, less the time for a request to arrive.
-	DeafAfter time.Duration
-	// Settle is how long an instance that stood still takes to read what the others told
+	MaxStaleness time.Duration
+	// CatchUpTime is how long an instance that stood still takes to read what the others told
 	// meanwhile: they tell it anew within a part of this.
-	Settle time.Duration
+	CatchUpTime time.Duration
 }
 
 // DefaultSettings returns the defaults.
 func DefaultSettings() Settings {
-	return Settings{Recent: time.Second, Upstreams: 4, DeafAfter: 1500 * time.Millisecond, Settle: 300 * time.Millisecond}
+	return Settings{Window: time.Second, MinUpstreams: 4, MaxStaleness: 1500 * time.Millisecond, CatchUpTime: 300 * time.Millisecond}
 }
 
 // Link is what is known of the instance's own link. It is not safe for concurrent use.
@@ -52,18 +52,18 @@
 	return &Link{settings: s, silent: map[string]time.Duration{}, answered: map[string]time.Duration{}}
 }
 
-// Silent notes that no connection to an upstream came about in time.
-func (l *Link) Silent(upstream string, now time.Duration) { l.silent[upstream] = now }
+// RecordTimeout notes that no connection to an upstream came about in time.
+func (l *Link) RecordTimeout(upstream string, now time.Duration) { l.silent[upstream] = now }
 
-// Answered notes that an upstream answered, or that its machine refused a connection.
-func (l *Link) Answered(upstream string, now time.Duration) { l.answered[upstream] = now }
+// RecordAnswer notes that an upstream answered, or that its machine refused a connection.
+func (l *Link) RecordAnswer(upstream string, now time.Duration) { l.answered[upstream] = now }
 
-// Heard notes a word from another instance.
-func (l *Link) Heard(now time.Duration) { l.heardAt = now }
+// RecordPeerReport notes a word from another instance.
+func (l *Link) RecordPeerReport(now time.Duration) { l.heardAt = now }
 
-// Lacks notes whether other instances are known to have rows that this one lacks. It is
+// SetBehind notes whether other instances are known to have rows that this one lacks. It is
 // to be called a few times a second: the process stood still where it was not.
-func (l *Link) Lacks(behind bool, now time.Duration) {
+func (l *Link) SetBehind(behind bool, now time.Duration) {
 	if l.stoodStill(now) {
 		l.woke, l.wokeAt = true, now
 	}
@@ -77,42 +77,42 @@
 
 // stoodStill tells that nothing was looked for so long that upstreams may have left.
 func (l *Link) stoodStill(now time.Duration) bool {
-	return l.looked && now-l.lookedAt >= l.settings.DeafAfter
+	return l.looked && now-l.lookedAt >= l.settings.MaxStaleness
 }
 
 // settled tells whether an instance that woke knows what it missed, or that nobody tells.
 func (l *Link) settled(now time.Duration) bool {
 	awake := now - l.wokeAt
 	heard := l.heardAt > l.wokeAt && !l.behind
-	return awake >= l.settings.DeafAfter || heard && awake >= l.settings.Settle
+	return awake >= l.settings.MaxStaleness || heard && awake >= l.settings.CatchUpTime
 }
 
-// Trouble is why nothing should be sent on; empty for none.
-type Trouble string
+// Impairment is why nothing should be sent on; empty for none.
+type Impairment string
 
 // Troubles.
 const (
-	// Silent: connections to many upstreams are not answered.
-	Silent Trouble = "own link is choked"
-	// Deaf: besides, no other instance has been heard of for long.
-	Deaf Trouble = "own link is choked, and nobody is heard of"
+	// Saturated: connections to many upstreams are not answered.
+	Saturated Impairment = "own link is choked"
+	// Isolated: besides, no other instance has been heard of for long.
+	Isolated Impairment = "own link is choked, and nobody is heard of"
 	// Behind: others have had rows for long that this instance lacks.
-	Behind Trouble = "others have rows that are not here"
-	// StoodStill: it was not looked for long at what others tell, or that has just begun
+	Behind Impairment = "others have rows that are not here"
+	// Stalled: it was not looked for long at what others tell, or that has just begun
 	// again.
-	StoodStill Trouble = "stood still, and has not caught up"
+	Stalled Impairment = "stood still, and has not caught up"
 )
 
-// Trouble tells whether nothing should be sent on now, and why.
-func (l *Link) Trouble(now time.Duration) Trouble {
+// Impairment tells whether nothing should be sent on now, and why.
+func (l *Link) Impairment(now time.Duration) Impairment {
 	switch {
 	case l.stoodStill(now), l.woke:
-		return StoodStill // it has not read yet which upstreams left meanwhile
-	case l.behind && now-l.behindAt >= l.settings.DeafAfter:
+		return Stalled // it has not read yet which upstreams left meanwhile
+	case l.behind && now-l.behindAt >= l.settings.MaxStaleness:
 		return Behind // whatever is answered: it hears of rows, and cannot get them
-	case len(l.silent) < l.settings.Upstreams:
+	case len(l.silent) < l.settings.MinUpstreams:
 		return ""
-	case l.heardAt > 0 && now-l.heardAt >= l.settings.DeafAfter:
+	case l.heardAt > 0 && now-l.heardAt >= l.settings.MaxStaleness:
 		return l.deaf()
 	default:
 		return l.choked(now)
@@ -121,20 +121,20 @@
 
 // deaf is the trouble of an instance that hears of nobody, if its link fell silent about
 // then. What is answered meanwhile does not tell which upstreams leave.
-func (l *Link) deaf() Trouble {
-	if countSince(l.silent, l.heardAt-l.settings.Recent) >= l.settings.Upstreams {
-		return Deaf
+func (l *Link) deaf() Impairment {
+	if countSince(l.silent, l.heardAt-l.settings.Window) >= l.settings.MinUpstreams {
+		return Isolated
 	}
 	return ""
 }
 
 // choked is the trouble of an instance that reaches many upstreams no more, and fewer still.
-func (l *Link) choked(now time.Duration) Trouble {
-	since := now - l.settings.Recent
+func (l *Link) choked(now time.Duration) Impairment {
+	since := now - l.settings.Window
 	silent, answered := countSince(l.silent, since), countSince(l.answered, since)
 	l.forget(since)
-	if silent >= l.settings.Upstreams && silent > answered {
-		return Silent
+	if silent >= l.settings.MinUpstreams && silent > answered {
+		return Saturated
 	}
 	return ""
 }
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -57,9 +57,9 @@
 	Objective time.Duration
 	// MaxPause is the longest pause between two events that is on time.
 	MaxPause time.Duration
-	// Patience is how long callers wait for the first event of a stream, or the next
+	// WaitBudget is how long callers wait for the first event of a stream, or the next
 	// one; 0 when that is not known.
-	Patience time.Duration
+	WaitBudget time.Duration
 	// MaxAttempts is how many upstreams one request may run on.
 	MaxAttempts int
 	// Priority of the route; 0 is the most urgent.
@@ -161,8 +161,8 @@
 type Identity struct {
 	// Organisation is nil for a request of nobody's, on a route that allows this.
 	Organisation *Organisation
-	// Checked tells that keys are this system's to read: an upstream gets none.
-	Checked bool
+	// KeyChecked tells that keys are this system's to read: an upstream gets none.
+	KeyChecked bool
 }
 
 // Identify returns who a request on a route comes from; false when the route asks for a
@@ -172,7 +172,7 @@
 		return Identity{}, true
 	}
 	owner, known := t.Keys.Owner(c)
-	return Identity{Organisation: owner, Checked: true}, known || r.Public
+	return Identity{Organisation: owner, KeyChecked: true}, known || r.Public
 }
 
 // Name is the organisation's name; empty for nobody's.
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -96,8 +96,8 @@
 	return &Tally{own: windows{}, sources: map[Source]windows{}, zones: map[string]windows{}, ownDue: due{}, zoneDue: due{}}
 }
 
-// Began counts a request of an organisation.
-func (t *Tally) Began(window Window, organisation string) {
+// CountRequest counts a request of an organisation.
+func (t *Tally) CountRequest(window Window, organisation string) {
 	if window < t.oldest {
 		return
 	}
@@ -106,13 +106,13 @@
 	t.zoneDue.add(window, organisation)
 }
 
-// Hear takes the totals of another instance of the zone.
-func (t *Tally) Hear(from Source, counts []Count) {
+// MergeInstance takes the totals of another instance of the zone.
+func (t *Tally) MergeInstance(from Source, counts []Count) {
 	hear(t.sources, from, t.oldest, counts, t.zoneDue)
 }
 
-// HearZone takes the totals of another zone.
-func (t *Tally) HearZone(zone string, counts []Count) {
+// MergeZone takes the totals of another zone.
+func (t *Tally) MergeZone(zone string, counts []Count) {
 	hear(t.zones, zone, t.oldest, counts, nil)
 }
 
@@ -152,8 +152,8 @@
 	return total
 }
 
-// Forget drops the windows before one.
-func (t *Tally) Forget(oldest Window) {
+// DropBefore drops the windows before one.
+func (t *Tally) DropBefore(oldest Window) {
 	if oldest <= t.oldest {
 		return
 	}
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -29,15 +29,15 @@
 		zones := map[string][]*Tally{"a": {NewTally(), NewTally(), NewTally()}, "b": {NewTally(), NewTally()}}
 		truth := map[Window]Counts{}
 		tell := func(zone string, i int) {
-			counts := zones[zone][i].TellOwn()
+			counts := zones[zone][i].DueOwn()
 			for range rapid.IntRange(0, 2).Draw(t, "copies") {
-				zones[zone][0].Hear(Source{Name: fmt.Sprint(zone, i)}, counts)
+				zones[zone][0].MergeInstance(Source{Name: fmt.Sprint(zone, i)}, counts)
 			}
 		}
 		tellZone := func(from, to string, copies int) {
-			counts := zones[from][0].TellZone()
+			counts := zones[from][0].DueZone()
 			for range copies {
-				zones[to][0].HearZone(from, counts)
+				zones[to][0].MergeZone(from, counts)
 			}
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -46,7 +46,7 @@
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0, 1:
 				window, org := Window(rapid.IntRange(1, 3).Draw(t, "window")), rapid.SampledFrom([]string{"x", "y"}).Draw(t, "organisation")
-				zones[zone][i].Began(window, org)
+				zones[zone][i].CountRequest(window, org)
 				if truth[window] == nil {
 					truth[window] = Counts{}
 				}
@@ -63,11 +63,11 @@
 		}
 		for zone, list := range zones {
 			for i := range list[1:] {
-				list[i+1].TellAgain(0)
-				list[0].Hear(Source{Name: fmt.Sprint(zone, i+1)}, list[i+1].TellOwn())
+				list[i+1].Republish(0)
+				list[0].MergeInstance(Source{Name: fmt.Sprint(zone, i+1)}, list[i+1].DueOwn())
 			}
 		}
-		zones["b"][0].TellAgain(0)
+		zones["b"][0].Republish(0)
 		tellZone("b", "a", 1)
 		for window, counts := range truth {
 			if got := zones["a"][0].Total(window); fmt.Sprint(got) != fmt.Sprint(counts) {
@@ -90,8 +90,8 @@
 // TestAnInstanceThatStartsAgainLosesNothingThatItTold: its new counts come on top.
 func TestAnInstanceThatStartsAgainLosesNothingThatItTold(t *testing.T) {
 	hub := NewTally()
-	hub.Hear(Source{Name: "i", Boot: 1}, []Count{{Window: 1, Organisation: "x", Requests: 3}})
-	hub.Hear(Source{Name: "i", Boot: 2}, []Count{{Window: 1, Organisation: "x", Requests: 1}})
+	hub.MergeInstance(Source{Name: "i", Boot: 1}, []Count{{Window: 1, Organisation: "x", Requests: 3}})
+	hub.MergeInstance(Source{Name: "i", Boot: 2}, []Count{{Window: 1, Organisation: "x", Requests: 1}})
 	if got := hub.Total(1)["x"]; got != 4 {
 		t.Errorf("%d, want 4", got)
 	}
@@ -102,14 +102,14 @@
 	tally, hub := NewTally(), NewTally()
 	const organisations = 220
 	for i := range organisations {
-		tally.Began(1, fmt.Sprint("organisation ", i))
+		tally.CountRequest(1, fmt.Sprint("organisation ", i))
 	}
 	for range organisations/toldAtMost + 1 {
-		counts := tally.TellOwn()
+		counts := tally.DueOwn()
 		if len(counts) > toldAtMost {
 			t.Fatalf("%d in one report", len(counts))
 		}
-		hub.Hear(Source{Name: "i"}, counts)
+		hub.MergeInstance(Source{Name: "i"}, counts)
 	}
 	if got := hub.Total(1).Sum(); got != organisations {
 		t.Errorf("%d are known, want %d", got, organisations)
@@ -118,13 +118,13 @@
 
 func TestOldWindowsAreForgotten(t *testing.T) {
 	tally := NewTally()
-	tally.Began(1, "x")
-	tally.Hear(Source{Name: "i"}, []Count{{Window: 1, Organisation: "x", Requests: 3}})
-	tally.HearZone("b", []Count{{Window: 1, Organisation: "x", Requests: 3}})
-	tally.Forget(2)
-	tally.Began(1, "x")
-	tally.Hear(Source{Name: "i"}, []Count{{Window: 1, Organisation: "x", Requests: 3}})
-	if n := tally.Total(1).Sum(); n != 0 || len(tally.TellOwn())+len(tally.TellZone()) != 0 {
+	tally.CountRequest(1, "x")
+	tally.MergeInstance(Source{Name: "i"}, []Count{{Window: 1, Organisation: "x", Requests: 3}})
+	tally.MergeZone("b", []Count{{Window: 1, Organisation: "x", Requests: 3}})
+	tally.DropBefore(2)
+	tally.CountRequest(1, "x")
+	tally.MergeInstance(Source{Name: "i"}, []Count{{Window: 1, Organisation: "x", Requests: 3}})
+	if n := tally.Total(1).Sum(); n != 0 || len(tally.DueOwn())+len(tally.DueZone()) != 0 {
 		t.Errorf("%d are known", n)
 	}
 }
@@ -136,14 +136,14 @@
 	tally, hub := NewTally(), NewTally()
 	for window := range Window(10) {
 		for i := range 82 {
-			tally.Began(window, fmt.Sprint("organisation ", i))
+			tally.CountRequest(window, fmt.Sprint("organisation ", i))
 		}
 	}
 	for range 5 {
-		tally.TellAgain(7)
-		tally.Began(9, "the newest")
+		tally.Republish(7)
+		tally.CountRequest(9, "the newest")
 		for range 5 {
-			hub.HearZone("a", tally.TellZone())
+			hub.MergeZone("a", tally.DueZone())
 		}
 	}
 	if got := hub.Total(9)["the newest"]; got != 5 {
