--- a/internal/control/entrylink.go
+++ b/internal/control/entrylink.go
@@ -45,12 +45,12 @@
 // it. It returns false if the entry's clock was not known, so that the entry
 // has not been told until when the version is fresh; the caller then calls
 // again.
-func (l *entryLink) apply(ctx context.Context, leaving []string, status freshness.Status) bool {
+func (l *entryLink) apply(ctx context.Context, draining []string, status freshness.Status) bool {
 	doc := l.holder.Current()
 	if doc.Version == 0 {
 		return true
 	}
-	request := &sfv1.ApplyRequest{Version: doc.Version, Leaving: leaving, Clock: l.clock, StaleReason: status.Reason}
+	request := &sfv1.ApplyRequest{Version: doc.Version, Leaving: draining, Clock: l.clock, StaleReason: status.Reason}
 	if l.entryVersion != doc.Version {
 		request.Document = l.holder.Encoded()
 	}
--- a/internal/control/exchange.go
+++ b/internal/control/exchange.go
@@ -100,8 +100,8 @@
 
 // mergeDraining merges the draining upstreams that a peer knows. The mutex must
 // be held.
-func (s *spreader) mergeDraining(now time.Duration, leaving []*sfv1.LeavingUpstream) {
-	for _, upstream := range leaving {
+func (s *spreader) mergeDraining(now time.Duration, upstreams []*sfv1.LeavingUpstream) {
+	for _, upstream := range upstreams {
 		s.draining.Merge(upstream.Id, now-millis(upstream.AgeMs))
 	}
 }
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -29,7 +29,7 @@
 	log  *slog.Logger
 	// onList is called after each new list, with the time when the list was
 	// requested.
-	onList func(asked time.Duration)
+	onList func(requestedAt time.Duration)
 
 	mu           sync.Mutex // protects the fields below
 	instances    []platform.Instance
@@ -41,7 +41,7 @@
 }
 
 func (m *members) refresh(ctx context.Context) {
-	asked := bootclock.Now()
+	requestedAt := bootclock.Now()
 	instances, err := m.list.Instances(ctx)
 	if err != nil {
 		m.log.Debug("members: the instance list did not answer", "error", err)
@@ -50,7 +50,7 @@
 	m.mu.Lock()
 	m.instances = sortByID(instances)
 	m.mu.Unlock()
-	m.onList(asked)
+	m.onList(requestedAt)
 }
 
 // adopt sets the list to a peer's if there is none yet, and reports whether it
@@ -164,8 +164,8 @@
 }
 
 // onInstanceList applies a list that the platform answered with.
-func (d *Daemon) onInstanceList(asked time.Duration) {
-	d.spread.onInstanceList(asked, d.members.drainingUpstreams())
+func (d *Daemon) onInstanceList(requestedAt time.Duration) {
+	d.spread.onInstanceList(requestedAt, d.members.drainingUpstreams())
 	d.updatePeers()
 }
 
@@ -212,8 +212,8 @@
 }
 
 // onInstanceList merges the upstreams that an instance list has as draining.
-func (s *spreader) onInstanceList(asked time.Duration, leaving []string) {
+func (s *spreader) onInstanceList(requestedAt time.Duration, draining []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.draining.MergeList(asked, leaving)
+	s.draining.MergeList(requestedAt, draining)
 }
--- a/internal/control/observe.go
+++ b/internal/control/observe.go
@@ -45,18 +45,18 @@
 // shuttingDownEngines returns the upstreams that the platform lists as
 // draining.
 func (d *Daemon) shuttingDownEngines() map[string]bool {
-	leaving := map[string]bool{}
+	draining := map[string]bool{}
 	for _, id := range d.members.drainingUpstreams() {
-		leaving[id] = true
+		draining[id] = true
 	}
-	return leaving
+	return draining
 }
 
 func (d *Daemon) observeInstances(ctx context.Context) []rollout.InstanceView {
-	known := d.history.instancesToQuery(bootclock.Now())
-	views := make([]rollout.InstanceView, len(known))
+	instances := d.history.instancesToQuery(bootclock.Now())
+	views := make([]rollout.InstanceView, len(instances))
 	var work sync.WaitGroup
-	for i, instance := range known {
+	for i, instance := range instances {
 		work.Go(func() { views[i] = d.observeInstance(ctx, instance) })
 	}
 	work.Wait()
--- a/internal/control/planmessage.go
+++ b/internal/control/planmessage.go
@@ -94,12 +94,12 @@
 	if err != nil {
 		return map[string]string{}
 	}
-	fresh := cachedWaitReasons{reasons: rollout.Decide(d.buildView(ctx, doc, pool, orders)).Waits, at: bootclock.Now()}
+	updated := cachedWaitReasons{reasons: rollout.Decide(d.buildView(ctx, doc, pool, orders)).Waits, at: bootclock.Now()}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.pools == nil {
 		c.pools = map[string]cachedWaitReasons{}
 	}
-	c.pools[pool] = fresh
-	return fresh.reasons
+	c.pools[pool] = updated
+	return updated.reasons
 }
--- a/internal/control/roles.go
+++ b/internal/control/roles.go
@@ -40,10 +40,10 @@
 	changeSeenAt  time.Duration
 	// epoch is the epoch of the lease, or 0 if this process does not hold it. The
 	// fields below belong to that epoch.
-	epoch   int64
-	state   roles.State
-	reason  roles.Reason
-	reports map[string]lastReport
+	epoch       int64
+	policyState roles.State
+	reason      roles.Reason
+	reports     map[string]lastReport
 }
 
 func newRolePolicy(d *Daemon, log *slog.Logger) *rolePolicy {
@@ -78,10 +78,10 @@
 	if len(due) == 0 {
 		return
 	}
-	at := bootclock.Now()
+	observedAt := bootclock.Now()
 	demand := r.daemon.observeDemand(ctx)
 	for _, pool := range due {
-		if err := r.step(ctx, doc, pool, at, demand.forPool(pool.Name)); err != nil {
+		if err := r.step(ctx, doc, pool, observedAt, demand.forPool(pool.Name)); err != nil {
 			r.log.Info("roles: role change failed", "pool", pool.Name, "error", err)
 		}
 	}
@@ -104,26 +104,26 @@
 // startEpoch resets the state for a new epoch. It keeps the time out of service
 // that the last holder measured.
 func (p *poolRoles) startEpoch(epoch int64, pool *config.Pool) {
-	p.epoch, p.state, p.reason, p.reports = epoch, roles.State{}, "", map[string]lastReport{}
+	p.epoch, p.policyState, p.reason, p.reports = epoch, roles.State{}, "", map[string]lastReport{}
 	if last := pool.LastRoleChange; last != nil {
-		p.state = p.state.WithOutOfService(time.Duration(last.OutSeconds * float64(time.Second)))
+		p.policyState = p.policyState.WithOutOfService(time.Duration(last.OutSeconds * float64(time.Second)))
 	}
 }
 
 // step runs the policy for one pool and carries out its decision.
-func (r *rolePolicy) step(ctx context.Context, doc *config.Config, pool *config.Pool, at time.Duration, demand roles.Demand) error {
+func (r *rolePolicy) step(ctx context.Context, doc *config.Config, pool *config.Pool, observedAt time.Duration, demand roles.Demand) error {
 	auth, held := r.daemon.leases.held(pool.Name)
 	if !held {
 		return nil
 	}
 	state := r.pools[pool.Name]
 	obs := roles.Observation{
-		At: at, Demand: demand, Bounds: roles.BoundsOf(pool), Busy: !poolConverged(doc, pool.Name),
+		At: observedAt, Demand: demand, Bounds: roles.BoundsOf(pool), Busy: !poolConverged(doc, pool.Name),
 		Engines:   r.observeEngines(ctx, state, doc.PoolEngines(pool.Name)),
 		ChangedAt: state.changeSeenAt, Changed: state.changeVersion > 0,
 	}
 	var decision roles.Decision
-	state.state, decision = roles.Decide(r.daemon.settings.Roles, state.state, obs, bootclock.Now())
+	state.policyState, decision = roles.Decide(r.daemon.settings.Roles, state.policyState, obs, bootclock.Now())
 	if decision.Reason != state.reason {
 		r.log.Info("roles: decided", "pool", pool.Name, "reason", decision.Reason,
 			"gain", decision.Gain, "cost", decision.Cost, "prefill", decision.ForecastPrefill, "decode", decision.ForecastDecode)
@@ -137,12 +137,12 @@
 
 // change appends the version with a decision, if the pool has not changed since
 // it was observed.
-func (r *rolePolicy) change(ctx context.Context, pool *config.Pool, auth authority, seen *config.Config, decision roles.Decision) error {
+func (r *rolePolicy) change(ctx context.Context, pool *config.Pool, auth authority, observed *config.Config, decision roles.Decision) error {
 	head, doc, err := r.daemon.versions.Newest(ctx)
 	if err != nil {
 		return err
 	}
-	next, err := withRole(seen, doc, pool.Name, decision)
+	next, err := withRole(observed, doc, pool.Name, decision)
 	if err != nil {
 		return err
 	}
@@ -169,10 +169,10 @@
 // withRole returns the newest document with the decision applied. It returns
 // errPoolChanged if an operator's change or another step was accepted since the
 // observation.
-func withRole(seen, newest *config.Config, pool string, decision roles.Decision) (*config.Config, error) {
+func withRole(observed, newest *config.Config, pool string, decision roles.Decision) (*config.Config, error) {
 	c := decision.Change
 	e := newest.Engine(c.Engine)
-	if newest.Intent != seen.Intent || !poolConverged(newest, pool) || e == nil || e.Loaded.Role != c.From {
+	if newest.Intent != observed.Intent || !poolConverged(newest, pool) || e == nil || e.Loaded.Role != c.From {
 		return nil, errPoolChanged
 	}
 	next := newest.Clone()
--- a/internal/control/rolesobserve.go
+++ b/internal/control/rolesobserve.go
@@ -39,11 +39,11 @@
 		})
 	}
 	work.Wait()
-	leaving := r.daemon.members.drainingUpstreams()
+	draining := r.daemon.members.drainingUpstreams()
 	for i, e := range engines {
 		views[i] = roles.Engine{
 			ID: e.ID, Role: e.Loaded.Role, Changing: e.Loaded.Role != e.Want.Role,
-			Serving: e.Routing == config.RoutingServing && !e.Leave && !slices.Contains(leaving, e.ID),
+			Serving: e.Routing == config.RoutingServing && !e.Leave && !slices.Contains(draining, e.ID),
 		}
 		if reports[i] != nil && state.isRecent(e.ID, *reports[i], bootclock.Now(), r.daemon.settings.Roles.StaleAfter) {
 			copyReport(&views[i], *reports[i])
@@ -72,8 +72,8 @@
 
 // demandRound is the result of querying the instances once.
 type demandRound struct {
-	instances, asked, answered int
-	pools                      map[string]*sfv1.PoolDemand
+	instances, queried, answered int
+	pools                        map[string]*sfv1.PoolDemand
 }
 
 // forPool returns the demand of one pool.
@@ -81,7 +81,7 @@
 	sum := d.pools[pool]
 	return roles.Demand{
 		Prefill: sum.GetPrefillTokens(), Decode: sum.GetDecodeTokens(),
-		Instances: d.instances, Asked: d.asked, Answered: d.answered,
+		Instances: d.instances, Asked: d.queried, Answered: d.answered,
 	}
 }
 
@@ -90,11 +90,11 @@
 func (d *Daemon) observeDemand(ctx context.Context) demandRound {
 	own := d.members.own()
 	round := demandRound{instances: len(own), pools: map[string]*sfv1.PoolDemand{}}
-	asked := sampleInstances(own, d.settings.Roles.AskAtMost)
-	round.asked = len(asked)
-	answers := make([]*sfv1.InForceResponse, len(asked))
+	queried := sampleInstances(own, d.settings.Roles.AskAtMost)
+	round.queried = len(queried)
+	answers := make([]*sfv1.InForceResponse, len(queried))
 	var work sync.WaitGroup
-	for i, instance := range asked {
+	for i, instance := range queried {
 		work.Go(func() {
 			response, err := d.peer(instance.Control).InForce(ctx, connect.NewRequest(&sfv1.InForceRequest{}))
 			if err == nil && response.Msg.EntryKnown {
--- a/internal/control/rollouthistory.go
+++ b/internal/control/rollouthistory.go
@@ -159,12 +159,12 @@
 	if rate > 0 && now-at < weightRateTTL {
 		return rate, true
 	}
-	fresh, err := d.platform.WeightRate(ctx)
+	newRate, err := d.platform.WeightRate(ctx)
 	if err != nil {
 		return rate, rate > 0
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.rate, w.rateAt = fresh, now
-	return fresh, fresh > 0
+	w.rate, w.rateAt = newRate, now
+	return newRate, newRate > 0
 }
