--- a/internal/usagereport/reporter.go
+++ b/internal/usagereport/reporter.go
@@ -63,8 +63,8 @@
 	Sent usage.Window `json:"sent"`
 	// Windows are those that may still have to be sent.
 	Windows map[usage.Window]usage.Counts `json:"windows"`
-	// Era of the table in which the row was written.
-	Era int64 `json:"era,omitempty"`
+	// Generation of the table in which the row was written.
+	Generation int64 `json:"era,omitempty"`
 }
 
 // Reporter does the duty of reporting. It is used by one goroutine.
@@ -130,7 +130,7 @@
 		return err
 	}
 	switch era := platform.EraOf(grant.EpochRevision); {
-	case kept.Era >= era:
+	case kept.Generation >= era:
 	case grant.TableRestored && grant.Resumed && r.row.Last > 0:
 		r.log.Warn("usage: the store came back from a copy, what was fixed is kept", "up_to", r.row.Last, "store_has", kept.Last)
 		kept = r.row
@@ -180,7 +180,7 @@
 // write writes the row. Its revision is checked, so that no write that was sent before, and
 // arrives late, undoes it; and the epoch, so that only the newest holder writes.
 func (r *Reporter) write(ctx context.Context, grant lease.Grant, next fixed) error {
-	next.Era = platform.EraOf(grant.EpochRevision)
+	next.Generation = platform.EraOf(grant.EpochRevision)
 	value, err := json.Marshal(next)
 	if err != nil {
 		return errors.Wrap(err, "usage: encode what is to be reported")
@@ -202,7 +202,7 @@
 // next is the row with the windows up to one. Windows in which nobody asked for anything
 // before the first that has counts are left out.
 func (r *Reporter) next(upTo usage.Window) fixed {
-	next := fixed{Era: r.row.Era, Last: r.row.Last, Sent: max(r.row.Sent, upTo-MaxUnsent), Windows: map[usage.Window]usage.Counts{}}
+	next := fixed{Generation: r.row.Generation, Last: r.row.Last, Sent: max(r.row.Sent, upTo-MaxUnsent), Windows: map[usage.Window]usage.Counts{}}
 	for window := next.Sent + 1; window <= r.row.Last; window++ {
 		next.Windows[window] = r.row.Windows[window]
 	}
