--- a/internal/instance/duties.go
+++ b/internal/instance/duties.go
@@ -11,8 +11,7 @@
 	"sassafrasfield/internal/usagereport"
 )
 
-// duties are those of the lease's holder besides the roles, as far as the platform wants
-// them.
+// duties returns the duties of the lease holder that the platform supports, apart from the roles.
 func (in *Instance) duties() []rolekeeper.Duty {
 	var list []rolekeeper.Duty
 	if in.adapter.Usage != nil && in.settings.Usage.Length > 0 {
@@ -31,15 +30,15 @@
 	var list []scaling.Service
 	for name, s := range in.relay.Services() {
 		if s.Scale != nil {
-			list = append(list, in.scalable(name, s))
+			list = append(list, in.scalableService(name, s))
 		}
 	}
 	slices.SortFunc(list, func(a, b scaling.Service) int { return strings.Compare(a.Name, b.Name) })
 	return list
 }
 
-// scalable is what runs of a service in each zone in which it may run.
-func (in *Instance) scalable(name string, s routes.Service) scaling.Service {
+// scalableService returns the number of a service's upstreams in each zone in which it may run.
+func (in *Instance) scalableService(name string, s routes.Service) scaling.Service {
 	zones := map[string]scaling.Zone{}
 	for zone := range s.Scale.ZonePrices {
 		zones[zone] = scaling.Zone{Name: zone}
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -1,8 +1,11 @@
-// Package instance puts the parts of a program together that serves callers on
-// a platform whose store keeps configuration and membership: the copy of the
-// store's rows, the exchange with other instances, the data path and the duty
-// of the engines' roles. One process does it all: without a disk, and with
-// leases that engines do not check, a second process would guard nothing.
+// Package instance assembles an instance: a process that serves callers on a platform whose store keeps the
+// configuration and the upstreams. Its parts are the copy of the store's rows (rowsync), the exchange with
+// other instances (peers), the data path (relay), and the duties of the lease holder (rolekeeper,
+// usagereport, scaling). All parts run in one process. A second process would protect nothing, because an
+// instance has no disk and engines do not check leases.
+//
+// Inputs are the settings and the platform's adapter. Outputs are the front, control and metrics servers,
+// and the rows of this instance and of quarantined contents in the store.
 package instance
 
 import (
@@ -36,29 +39,30 @@
 type Documents interface {
 	// Routes returns the configuration among rows, or nil.
 	Routes(rows []replica.Row) (*routes.Table, error)
-	// Upstream decodes an upstream's row.
+	// Upstream decodes the row of an upstream.
 	Upstream(row replica.Row) (upstreamstate.Upstream, error)
 }
 
-// Adapter is the platform.
+// Adapter connects an instance to a platform.
 type Adapter struct {
 	Feed      rowsync.Feed
 	Table     platform.Table
 	Sender    relay.Sender
 	Orderer   rolekeeper.Orderer
 	Documents Documents
-	// Usage and Scaler are where the platform wants these duties done; nil for none.
+	// Usage and Scaler receive usage reports and scaling orders. They are nil if the platform does not
+	// support the duty.
 	Usage  usagereport.Sender
 	Scaler scaling.Sender
-	// Handler returns the handler of the callers' protocol, given the limits of
-	// the configuration in force.
+	// Handler returns the handler of the callers' protocol. It is given the limits of the configuration in
+	// force.
 	Handler func(r *relay.Relay, limits func() routes.Limits) http.Handler
-	// UpstreamTable is the store's table of upstreams, QuarantineTable the one of the rows
-	// whose keys begin with ApartPrefix.
+	// UpstreamTable is the store's table of upstreams. QuarantineTable is the one with the rows whose keys
+	// begin with QuarantinePrefix.
 	UpstreamTable, QuarantineTable string
 }
 
-// Settings of an instance.
+// Settings configures an instance.
 type Settings struct {
 	Self    peers.Peer
 	Seeds   []string
@@ -67,13 +71,13 @@
 	Relay   relay.Settings
 	Follow  rowsync.Settings
 	Roles   rolekeeper.Settings
-	// Usage has a Length of 0 where no counts of requests are wanted.
+	// Usage has a Length of 0 if usage is not to be reported.
 	Usage usagereport.Settings
-	// Scaling is of no effect without an adapter's Scaler.
+	// Scaling has no effect if the adapter has no Scaler.
 	Scaling scaling.Settings
 }
 
-// Instance is the program.
+// Instance is a running instance.
 type Instance struct {
 	settings Settings
 	adapter  Adapter
@@ -87,11 +91,11 @@
 	started  time.Time
 }
 
-// New puts an instance together.
+// New returns an instance that is ready to run.
 func New(s Settings, a Adapter, log *slog.Logger) *Instance {
 	in := &Instance{settings: s, adapter: a, log: log, started: time.Now()}
 	in.relay = relay.New(s.Relay, a.Sender, logging.Part(log, "relay"))
-	in.follower = rowsync.New(s.Follow, a.Feed, in.changed, logging.Part(log, "follow"))
+	in.follower = rowsync.New(s.Follow, a.Feed, in.applyRows, logging.Part(log, "follow"))
 	in.peers = peers.New(s.Self, s.Seeds, in.follower, logging.Part(log, "peers"))
 	in.follower.SetPeers(in.peers)
 	in.reports = peers.NewReporter(in.peers, in.relay)
@@ -105,7 +109,7 @@
 
 func (in *Instance) limitsInForce() routes.Limits { return *in.limits.Load() }
 
-// Run works until the context ends and the requests under way are done.
+// Run serves until the context ends and the requests in progress are done.
 func (in *Instance) Run(ctx context.Context) error {
 	in.log.Info("instance: started", "instance", in.settings.Self.Name, "zone", in.settings.Self.Zone, "seeds", in.settings.Seeds)
 	background, stop := context.WithCancel(context.WithoutCancel(ctx))
@@ -124,11 +128,11 @@
 	defer metricsServer.Close()
 	loops.Go(func() { in.follower.Run(background) })
 	loops.Go(func() { in.register(background) })
-	loops.Go(func() { in.report(background) })
+	loops.Go(func() { in.sendReports(background) })
 	loops.Go(func() { in.shareBudget(background) })
-	loops.Go(func() { in.tellTimes(background) })
-	loops.Go(func() { in.keepApart(background) })
-	keeper := rolekeeper.New(in.settings.Roles, in.adapter.Table, restingOrderer{in.adapter.Orderer, in.relay}, in, in.duties(), logging.Part(in.log, "roles"))
+	loops.Go(func() { in.logEngineTimes(background) })
+	loops.Go(func() { in.persistQuarantines(background) })
+	keeper := rolekeeper.New(in.settings.Roles, in.adapter.Table, backoffOrderer{in.adapter.Orderer, in.relay}, in, in.duties(), logging.Part(in.log, "roles"))
 	loops.Go(func() { keeper.Run(ctx) })
 	handler := in.adapter.Handler(in.relay, in.limitsInForce)
 	err = httpserver.New(in.settings.Front, handler, in.ready, in.relay.Close, logging.Part(in.log, "front")).Run(ctx)
@@ -136,7 +140,7 @@
 	return err
 }
 
-// Reload takes the settings that may change while the instance runs.
+// Reload applies the settings that may change while the instance runs.
 func (in *Instance) Reload(seeds []string, budget relay.BudgetSettings) {
 	var list []peers.Peer
 	for _, address := range seeds {
@@ -146,39 +150,38 @@
 	in.budget.Store(&budget)
 }
 
-// headerTimeout bounds the reading of a header by the inner servers.
+// headerTimeout bounds the reading of a request header by the control and metrics servers.
 const headerTimeout = 2 * time.Second
 
-// Counts of the instances that share the budget.
+// Timings of the counts of the instances that share the retry budget.
 const (
-	countEvery = time.Second
-	// countFrom is the time from the start to the first count: until then the
-	// instances of a whole deployment that starts anew may not have heard of one
-	// another, and each would take all of the pools for its own. Instances report
-	// every 0.1 to 0.4 s.
-	countFrom = 3 * time.Second
-	// poolFrom is how long an instance has been its zone's hub when it opens the
-	// zone's pool: two that take themselves for it find out before.
-	poolFrom = time.Second
+	budgetInterval = time.Second
+	// budgetStartDelay is the time from the start to the first count. When all instances of a deployment
+	// start, they have not received reports of one another before, and each would use all of the pools
+	// alone. Instances report every 0.1 to 0.4 s.
+	budgetStartDelay = 3 * time.Second
+	// minPoolHubDuration is how long an instance must have been its zone's hub before it opens the zone's
+	// pool. If two instances assume that they are the hub, they find out within this time.
+	minPoolHubDuration = time.Second
 )
 
-// shareBudget keeps this instance to its part of the sends beyond the first.
+// shareBudget limits this instance to its share of the retry budget.
 func (in *Instance) shareBudget(ctx context.Context) {
-	pause.For(ctx, countFrom)
-	for pause.For(ctx, countEvery) {
+	pause.For(ctx, budgetStartDelay)
+	for pause.For(ctx, budgetInterval) {
 		settings := *in.budget.Load()
 		in.relay.SetBudget(settings)
 		members := 0
-		if in.peers.HubDuration() >= poolFrom {
+		if in.peers.HubDuration() >= minPoolHubDuration {
 			members = in.peers.ZoneInstanceCount()
 		}
 		in.relay.SetPool(settings, members, in.peers.InstanceCount())
 	}
 }
 
-func (in *Instance) report(ctx context.Context) {
+func (in *Instance) sendReports(ctx context.Context) {
 	if err := in.reports.Run(ctx); err != nil {
-		in.log.Error("instance: no reports to the other instances", "error", err)
+		in.log.Error("instance: reports to other instances failed", "error", err)
 	}
 }
 
@@ -196,30 +199,30 @@
 	return serve(in.settings.Metrics, mux)
 }
 
-// changed puts news of the rows in force.
-func (in *Instance) changed(news []replica.Row) {
-	table, err := in.adapter.Documents.Routes(news)
+// applyRows applies changed rows of the store.
+func (in *Instance) applyRows(rows []replica.Row) {
+	table, err := in.adapter.Documents.Routes(rows)
 	if err != nil {
-		in.log.Error("instance: configuration not read, the last one stays", "error", err)
+		in.log.Error("instance: invalid configuration, keeping the previous version", "error", err)
 	}
 	if table != nil && in.relay.SetRoutes(table) {
 		in.limits.Store(&table.Limits)
 		in.log.Info("instance: configuration in force", "version", table.Version, "routes", len(table.Routes))
 	}
-	in.setUpstreams(news)
-	in.setApart(news)
+	in.applyUpstreamRows(rows)
+	in.applyQuarantineRows(rows)
 }
 
-// setUpstreams takes changes of the upstreams' rows.
-func (in *Instance) setUpstreams(news []replica.Row) {
-	for _, row := range news {
+// applyUpstreamRows applies changed rows of upstreams.
+func (in *Instance) applyUpstreamRows(rows []replica.Row) {
+	for _, row := range rows {
 		if row.Table == in.adapter.UpstreamTable {
-			in.noteUpstream(row)
+			in.applyUpstreamRow(row)
 		}
 	}
 }
 
-func (in *Instance) noteUpstream(row replica.Row) {
+func (in *Instance) applyUpstreamRow(row replica.Row) {
 	if row.Deleted {
 		in.relay.RemoveUpstream(row.Key.Key)
 		in.log.Info("instance: upstream gone", "upstream", row.Key.Key, "revision", row.Revision)
@@ -227,8 +230,8 @@
 	}
 	u, err := in.adapter.Documents.Upstream(row)
 	if err != nil {
-		in.relay.RemoveUpstream(row.Key.Key) // whatever it named before
-		in.log.Error("instance: upstream not read", "upstream", row.Key.Key, "revision", row.Revision, "error", err)
+		in.relay.RemoveUpstream(row.Key.Key) // the upstream of an earlier, valid row must not stay in use
+		in.log.Error("instance: invalid upstream row", "upstream", row.Key.Key, "revision", row.Revision, "error", err)
 		return
 	}
 	in.relay.UpdateUpstream(u)
@@ -250,8 +253,7 @@
 // Serving implements rolekeeper.View.
 func (in *Instance) Serving() bool { return in.relay.HasRecentRequests() }
 
-// Candidates implements rolekeeper.View: the instances that pass reports on know all
-// others of their kind.
+// Candidates implements rolekeeper.View. It lists the hubs, because each hub knows all other hubs.
 func (in *Instance) Candidates() []string { return in.peers.Hubs() }
 
 func serve(address string, handler http.Handler) (*http.Server, error) {
@@ -260,6 +262,6 @@
 		return nil, errors.Wrap(err, "instance: listen")
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout}
-	go func() { _ = server.Serve(listener) }() // ends with Close
+	go func() { _ = server.Serve(listener) }() // returns after Close
 	return server, nil
 }
--- a/internal/instance/instance_test.go
+++ b/internal/instance/instance_test.go
@@ -14,7 +14,7 @@
 	"sassafrasfield/internal/upstreamstate"
 )
 
-// fakeDocuments reads upstreams' rows that have a role's name, and no others.
+// fakeDocuments decodes rows of upstreams whose value is the name of a role, and rejects all others.
 type fakeDocuments struct{}
 
 func (fakeDocuments) Routes([]replica.Row) (*routes.Table, error) { return nil, nil }
@@ -27,7 +27,7 @@
 	return upstreamstate.Upstream{ID: row.Key.Key, Service: "llm", Role: role}, nil
 }
 
-// silentSender has upstreams that say nothing of themselves. Nothing is sent to them.
+// silentSender has upstreams that announce nothing. Nothing is sent to them.
 type silentSender struct{ relay.Sender }
 
 func (silentSender) SetStatusHandler(func(upstreamstate.Upstream, upstreamstate.UpstreamStatus)) {}
@@ -44,20 +44,20 @@
 	return replica.Row{Key: replica.Key{Table: "upstreams", Key: id}, Value: []byte(value), Revision: revision}
 }
 
-// TestAnEntryThatBecomesUnreadableNamesNoUpstream: another writer's bytes took the place
-// of an entry. The others hold.
-func TestAnEntryThatBecomesUnreadableNamesNoUpstream(t *testing.T) {
+// TestUpstreamWithInvalidRowIsRemoved guards against an upstream that stays in use after another writer has
+// overwritten its row with invalid data. The other upstreams stay.
+func TestUpstreamWithInvalidRowIsRemoved(t *testing.T) {
 	in := newInstance()
-	in.changed([]replica.Row{upstreamRow("e-1", "decode", 1), upstreamRow("e-2", "decode", 2), upstreamRow("e-3", "what", 3)})
+	in.applyRows([]replica.Row{upstreamRow("e-1", "decode", 1), upstreamRow("e-2", "decode", 2), upstreamRow("e-3", "what", 3)})
 	if engines := in.Engines()["llm"]; len(engines) != 2 {
 		t.Fatalf("%+v", engines)
 	}
-	in.changed([]replica.Row{upstreamRow("e-1", "what", 4)})
+	in.applyRows([]replica.Row{upstreamRow("e-1", "what", 4)})
 	if engines := in.Engines()["llm"]; len(engines) != 1 || engines[0].ID != "e-2" {
 		t.Errorf("%+v", engines)
 	}
-	in.changed([]replica.Row{upstreamRow("e-1", "decode", 5)})
+	in.applyRows([]replica.Row{upstreamRow("e-1", "decode", 5)})
 	if engines := in.Engines()["llm"]; len(engines) != 2 {
-		t.Errorf("not back with its own entry: %+v", engines)
+		t.Errorf("not re-added with a valid row: %+v", engines)
 	}
 }
--- a/internal/instance/orders.go
+++ b/internal/instance/orders.go
@@ -8,14 +8,14 @@
 	"sassafrasfield/internal/upstreamstate"
 )
 
-// restingOrderer asks and orders nothing of engines that want nothing from this instance.
-type restingOrderer struct {
+// backoffOrderer is an Orderer that sends nothing to engines that back off from this instance.
+type backoffOrderer struct {
 	rolekeeper.Orderer
 	relay *relay.Relay
 }
 
 // State implements rolekeeper.Orderer.
-func (o restingOrderer) State(ctx context.Context, engine upstreamstate.Upstream) (rolekeeper.EngineState, error) {
+func (o backoffOrderer) State(ctx context.Context, engine upstreamstate.Upstream) (rolekeeper.EngineState, error) {
 	if o.relay.BackingOff(engine) {
 		return rolekeeper.EngineState{}, relay.ErrBackingOff
 	}
@@ -23,7 +23,7 @@
 }
 
 // Order implements rolekeeper.Orderer.
-func (o restingOrderer) Order(ctx context.Context, engine upstreamstate.Upstream, order rolekeeper.Order) error {
+func (o backoffOrderer) Order(ctx context.Context, engine upstreamstate.Upstream, order rolekeeper.Order) error {
 	if o.relay.BackingOff(engine) {
 		return relay.ErrBackingOff
 	}
--- a/internal/instance/orders_test.go
+++ b/internal/instance/orders_test.go
@@ -13,17 +13,17 @@
 	"sassafrasfield/internal/upstreamstate"
 )
 
-// hearing keeps how upstreams' words reach the relay.
-type hearing struct {
+// statusSender records the relay's handler of upstreams' announcements.
+type statusSender struct {
 	relay.Sender
-	hear func(upstreamstate.Upstream, upstreamstate.UpstreamStatus)
+	handler func(upstreamstate.Upstream, upstreamstate.UpstreamStatus)
 }
 
-func (h *hearing) SetStatusHandler(hear func(upstreamstate.Upstream, upstreamstate.UpstreamStatus)) {
-	h.hear = hear
+func (s *statusSender) SetStatusHandler(handler func(upstreamstate.Upstream, upstreamstate.UpstreamStatus)) {
+	s.handler = handler
 }
 
-// countingOrderer counts what reaches engines.
+// countingOrderer counts the calls that reach engines.
 type countingOrderer struct{ calls int }
 
 func (c *countingOrderer) State(context.Context, upstreamstate.Upstream) (rolekeeper.EngineState, error) {
@@ -36,21 +36,21 @@
 	return nil
 }
 
-// TestNoOrderReachesAnEngineThatRests guards against questions and orders to an engine that wants
-// nothing from this instance.
-func TestNoOrderReachesAnEngineThatRests(t *testing.T) {
-	sender, engines := &hearing{}, &countingOrderer{}
+// TestNoOrderReachesEngineBackingOff guards against queries and orders to an engine that backs off from this
+// instance.
+func TestNoOrderReachesEngineBackingOff(t *testing.T) {
+	sender, engines := &statusSender{}, &countingOrderer{}
 	in := newInstanceWith(sender)
-	in.changed([]replica.Row{upstreamRow("e-1", "decode", 1), upstreamRow("e-2", "decode", 2)})
+	in.applyRows([]replica.Row{upstreamRow("e-1", "decode", 1), upstreamRow("e-2", "decode", 2)})
 	all := in.relay.Engines()["llm"]
 	one, other := all[0].Upstream, all[1].Upstream
-	sender.hear(one, upstreamstate.UpstreamStatus{Backoff: time.Minute})
-	orderer := restingOrderer{engines, in.relay}
+	sender.handler(one, upstreamstate.UpstreamStatus{Backoff: time.Minute})
+	orderer := backoffOrderer{engines, in.relay}
 	if _, err := orderer.State(context.Background(), one); !errors.Is(err, relay.ErrBackingOff) {
-		t.Errorf("asked: %v", err)
+		t.Errorf("state of an engine that backs off: %v", err)
 	}
 	if err := orderer.Order(context.Background(), one, rolekeeper.Order{}); !errors.Is(err, relay.ErrBackingOff) {
-		t.Errorf("ordered: %v", err)
+		t.Errorf("order to an engine that backs off: %v", err)
 	}
 	if engines.calls > 0 {
 		t.Errorf("%d calls", engines.calls)
--- a/internal/instance/quarantine.go
+++ b/internal/instance/quarantine.go
@@ -14,60 +14,60 @@
 	"sassafrasfield/internal/replica"
 )
 
-// QuarantinePrefix begins the keys of the rows of contents that no upstream may get. All
-// instances follow them, so that a content is refused by one that has just started, and
-// by all after a start of all.
+// QuarantinePrefix is the prefix of the keys of the rows that name quarantined contents. All instances
+// follow these rows. So an instance that has just started refuses the contents too, even after all
+// instances were restarted.
 const QuarantinePrefix = "apart/"
 
-// Timings of these rows.
+// Timings of the quarantine rows.
 const (
-	// keepAgain is the pause after rows could not be written.
-	keepAgain = time.Second
-	// sweepApartEvery is the time between looks for rows that have lapsed.
-	sweepApartEvery = time.Minute
-	// informedWithin is how long after its start an instance waits for these rows before
-	// it is ready without them: the store may have lost their table alone.
-	informedWithin = 3 * time.Second
+	// persistRetryInterval is the pause after a failed write.
+	persistRetryInterval = time.Second
+	// expireInterval is the time between two removals of expired quarantines.
+	expireInterval = time.Minute
+	// loadTimeout is how long after its start an instance waits for these rows. After that it is ready
+	// without them, because the store may have lost only this table.
+	loadTimeout = 3 * time.Second
 )
 
-// rowsAtOnce bounds the rows of one transaction; the platform's takes 100.
-const rowsAtOnce = 100
+// maxRowsPerCommit is the limit of the platform's store on the rows of one transaction.
+const maxRowsPerCommit = 100
 
-// apartRow is a content that was set apart.
-type apartRow struct {
-	// Times that it was.
+// quarantineRow is the stored value of a quarantined content.
+type quarantineRow struct {
+	// Times is how often the content was quarantined.
 	Times int `json:"times"`
-	// Instance that set it apart, for operators.
+	// Instance is the name of the instance that quarantined it, for operators.
 	Instance string `json:"instance"`
 }
 
-// ready tells whether this instance can serve.
+// ready reports whether this instance can serve requests.
 func (in *Instance) ready() bool {
 	if !in.relay.Ready() || in.relay.Impaired() {
 		return false
 	}
-	return time.Since(in.started) > informedWithin || slices.Contains(in.follower.LoadedTables(), in.adapter.QuarantineTable)
+	return time.Since(in.started) > loadTimeout || slices.Contains(in.follower.LoadedTables(), in.adapter.QuarantineTable)
 }
 
-// setApart takes changes of the rows of contents.
-func (in *Instance) setApart(news []replica.Row) {
-	for _, row := range news {
+// applyQuarantineRows applies changed quarantine rows.
+func (in *Instance) applyQuarantineRows(rows []replica.Row) {
+	for _, row := range rows {
 		if row.Table != in.adapter.QuarantineTable {
 			continue
 		}
-		if err := in.takeApart(row); err != nil {
-			in.log.Error("instance: a content's row cannot be read", "key", row.Key.Key, "error", err)
+		if err := in.applyQuarantineRow(row); err != nil {
+			in.log.Error("instance: invalid quarantine row", "key", row.Key.Key, "error", err)
 		}
 	}
 }
 
-func (in *Instance) takeApart(row replica.Row) error {
+func (in *Instance) applyQuarantineRow(row replica.Row) error {
 	content, err := quarantine.ParseContent(strings.TrimPrefix(row.Key.Key, QuarantinePrefix))
 	if err != nil {
 		return err
 	}
 	if row.MissingAfterRestore {
-		in.keepLost(content, row.Revision)
+		in.keepMissing(content, row.Revision)
 		return nil
 	}
 	if row.Deleted {
@@ -75,29 +75,28 @@
 		in.log.Info("instance: content released", "content", content, "revision", row.Revision)
 		return nil
 	}
-	var told apartRow
-	if err := json.Unmarshal(row.Value, &told); err != nil {
+	var stored quarantineRow
+	if err := json.Unmarshal(row.Value, &stored); err != nil {
 		return errors.Wrap(err, "instance: content")
 	}
-	in.relay.Quarantine(content, told.Times)
-	in.log.Info("instance: content set apart", "content", content, "times", told.Times, "by", told.Instance, "revision", row.Revision)
+	in.relay.Quarantine(content, stored.Times)
+	in.log.Info("instance: content set apart", "content", content, "times", stored.Times, "by", stored.Instance, "revision", row.Revision)
 	return nil
 }
 
-// keepLost has the row of a content written again that the store came back without. The content
-// stays apart. All instances know it, so that those who pass reports on write it.
-func (in *Instance) keepLost(content quarantine.Content, revision int64) {
+// keepMissing keeps a content quarantined whose row is missing after a restore of the store. All instances
+// know the content, so it is enough that the hubs write its row again.
+func (in *Instance) keepMissing(content quarantine.Content, revision int64) {
 	writes := in.peers.IsHub()
 	if writes {
 		in.relay.PersistAgain(content)
 	}
-	in.log.Warn("instance: the store lost a content that is set apart", "content", content, "revision", revision, "writes_it_again", writes)
+	in.log.Warn("instance: quarantine row missing after a restore", "content", content, "revision", revision, "writes_it_again", writes)
 }
 
-// keepApart writes how often contents were set apart, and removes the rows of those that
-// are released.
-func (in *Instance) keepApart(ctx context.Context) {
-	wait := sweepApartEvery
+// persistQuarantines writes the rows of quarantined contents, and removes those of released contents.
+func (in *Instance) persistQuarantines(ctx context.Context) {
+	wait := expireInterval
 	for {
 		timer := time.NewTimer(wait)
 		select {
@@ -109,48 +108,48 @@
 			in.relay.ExpireQuarantines(in.peers.IsHub())
 		}
 		timer.Stop()
-		wait = sweepApartEvery
-		if !in.writeApart(ctx) {
-			wait = keepAgain
+		wait = expireInterval
+		if !in.writeQuarantineRows(ctx) {
+			wait = persistRetryInterval
 		}
 	}
 }
 
-// apartWrite writes a content's row, or removes it when it was set apart no times.
-func (in *Instance) apartWrite(content quarantine.Content, times int) platform.Write {
+// quarantineWrite returns the write of a content's row. The row is removed if times is 0.
+func (in *Instance) quarantineWrite(content quarantine.Content, times int) platform.Write {
 	write := platform.Write{Key: QuarantinePrefix + content.String()}
 	if times == 0 {
 		write.Delete = true
 		return write
 	}
-	value, err := json.Marshal(apartRow{Times: times, Instance: in.settings.Self.Name})
+	value, err := json.Marshal(quarantineRow{Times: times, Instance: in.settings.Self.Name})
 	if err != nil {
-		panic(errors.Wrap(err, "instance: content")) // a number and a text can always be encoded
+		panic(errors.Wrap(err, "instance: content")) // encoding a number and a string never fails
 	}
 	write.Value = value
 	return write
 }
 
-// writeApart writes the rows that are not written yet, and tells whether all are. Rows are
-// written without a condition: of two instances that set a content apart, the one that
-// lags may be the last to write, and whoever starts then lets it through the earlier.
-func (in *Instance) writeApart(ctx context.Context) bool {
-	unkept, txn := in.relay.Unpersisted(), platform.Txn{}
-	for content, times := range unkept {
-		if len(txn.Writes) == rowsAtOnce {
-			delete(unkept, content)
+// writeQuarantineRows writes the rows that are not persisted yet, and reports whether all are persisted.
+// Rows are written unconditionally. If two instances quarantine a content, the last write may be that of
+// the instance with the lower count. An instance that starts then ends the quarantine earlier.
+func (in *Instance) writeQuarantineRows(ctx context.Context) bool {
+	unpersisted, txn := in.relay.Unpersisted(), platform.Txn{}
+	for content, times := range unpersisted {
+		if len(txn.Writes) == maxRowsPerCommit {
+			delete(unpersisted, content)
 			continue
 		}
-		txn.Writes = append(txn.Writes, in.apartWrite(content, times))
+		txn.Writes = append(txn.Writes, in.quarantineWrite(content, times))
 	}
 	if len(txn.Writes) == 0 {
 		return true
 	}
 	if _, err := in.adapter.Table.Commit(ctx, txn); err != nil {
-		in.log.Info("instance: contents are not kept yet", "contents", len(unkept), "error", err)
+		in.log.Info("instance: quarantine rows not written, retrying", "contents", len(unpersisted), "error", err)
 		return false
 	}
-	in.relay.MarkPersisted(unkept)
-	in.log.Info("instance: contents kept", "contents", len(unkept))
+	in.relay.MarkPersisted(unpersisted)
+	in.log.Info("instance: quarantine rows written", "contents", len(unpersisted))
 	return len(in.relay.Unpersisted()) == 0
 }
--- a/internal/instance/times.go
+++ b/internal/instance/times.go
@@ -10,24 +10,23 @@
 	"sassafrasfield/internal/upstreamstate"
 )
 
-// timesEvery is the time between two lines on what the engines take.
-const timesEvery = 5 * time.Second
+// timesLogInterval is the time between two log lines about a service's engine times.
+const timesLogInterval = 5 * time.Second
 
-// tellTimes logs what the engines of each service take, as it was learned, while
-// requests come.
-func (in *Instance) tellTimes(ctx context.Context) {
-	for pause.For(ctx, timesEvery) {
+// logEngineTimes logs the learned times of each service's engines while requests arrive.
+func (in *Instance) logEngineTimes(ctx context.Context) {
+	for pause.For(ctx, timesLogInterval) {
 		if !in.relay.HasRecentRequests() {
 			continue
 		}
 		for service := range in.relay.Engines() {
-			in.tellTimesOf(service, in.relay.EngineTimes(service))
+			in.logServiceTimes(service, in.relay.EngineTimes(service))
 		}
 	}
 }
 
-func (in *Instance) tellTimesOf(service string, t upstreamstate.Times) {
-	in.log.Info("instance: engines take", "service", service, "known", t.Known, "token_ns", t.TokenTime, "pair_ns", t.PairTime, "overhead", t.Overhead,
+func (in *Instance) logServiceTimes(service string, t upstreamstate.Times) {
+	in.log.Info("instance: engine times", "service", service, "known", t.Known, "token_ns", t.TokenTime, "pair_ns", t.PairTime, "overhead", t.Overhead,
 		"step", t.Step, "step_per_request", t.StepPerRequest, "hand_over", t.HandOver, "stream", t.SlotTime)
 	for name, value := range map[string]float64{
 		"token_ns": t.TokenTime, "pair_ns": t.PairTime, "overhead_us": float64(t.Overhead.Microseconds()), "step_ns": float64(t.Step), "step_per_request_ns": float64(t.StepPerRequest),
