--- a/internal/instance/quarantine_test.go
+++ b/internal/instance/quarantine_test.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// TestContentStaysQuarantinedIfRowIsMissingAfterRestore guards against a quarantine that ends because the store
-// was restored without its row, and against a missing row that no instance writes again.
+// TestContentStaysQuarantinedIfRowIsMissingAfterRestore guards against a quarantine that ends because the
+// store was restored without its row, and against a missing row that no instance writes again.
 func TestContentStaysQuarantinedIfRowIsMissingAfterRestore(t *testing.T) {
 	in, table := newInstance(), &fakeTable{}
 	in.adapter.Table = table
--- a/internal/usagereport/reporter.go
+++ b/internal/usagereport/reporter.go
@@ -1,9 +1,10 @@
-// Package usagereport reports the use of each organisation to the platform, a window of
-// time after the other, as a duty of the lease's holder. The holder fixes a window's counts
-// in a row of the platform's table before it sends them, and whoever takes over sends that
-// row: so no two counts of a window are ever sent, whatever becomes of calls and holders.
+// Package usagereport reports the usage of each organisation to the platform, one time window after the
+// other, as a duty of the lease holder. The holder finalizes the counts of a window in a row of the
+// platform's table before it sends them, and the next holder sends the counts of that row. So two different
+// counts of a window are never sent, no matter which calls or holders fail.
 //
-// Caller: instance.
+// Inputs are the totals of package usage and the stored row. Outputs are the row and the reports to the
+// platform's Sender. Caller: instance.
 package usagereport
 
 import (
@@ -21,169 +22,169 @@
 	"sassafrasfield/internal/usage"
 )
 
-// Report is what the platform gets of a window.
+// Report is the usage of one window, as the platform receives it.
 type Report struct {
 	Window usage.Window
 	Counts usage.Counts
-	// Holder is the name of the instance that sends it, Epoch the fencing number.
+	// Holder is the name of the instance that sends the report. Epoch is the fencing token of its lease.
 	Holder string
 	Epoch  int64
 }
 
-// Sender sends a report to the platform. An error means that it may not have come.
+// Sender sends a report to the platform. An error means that the report may not have arrived.
 type Sender interface {
 	Report(ctx context.Context, r Report) error
 }
 
-// Settings of a Reporter.
+// Settings configures a Reporter.
 type Settings struct {
-	// Instance sends the reports under its name.
+	// Instance is the name of this instance, which the reports carry.
 	Instance string
-	// Lease names the lease whose holder reports.
+	// Lease is the name of the lease whose holder reports.
 	Lease string
-	// Length of a window.
+	// Length is the length of a window.
 	Length time.Duration
-	// SettleTime is the time from a window's end until its counts are taken for complete.
-	// Totals reach the holder within 0.4 s, and within two seconds more where a
-	// datagram was lost.
+	// SettleTime is the time from a window's end until its counts are treated as complete. Totals reach the
+	// holder within 0.4 s, and within two more seconds if a datagram was lost.
 	SettleTime time.Duration
 }
 
-// rowKey is the key of the row with the counts that were fixed.
+// rowKey is the key of the row with the finalized counts.
 const rowKey = "usage"
 
-// MaxUnsent bounds the windows that are fixed and not sent. What is older is late by so
-// much that it counts as missing.
+// MaxUnsent bounds the windows that are finalized but not sent. Older windows are dropped, because a report
+// that late counts as missing.
 const MaxUnsent = 8
 
-// fixed is the row's value: what was reported, or will be.
-type fixed struct {
-	// Last is the newest window that is fixed, Sent the newest that the platform took.
+// reportState is the value of the row: the progress of the reports, and the counts that may still be sent.
+type reportState struct {
+	// Last is the newest finalized window. Sent is the newest window that the platform has accepted.
 	Last usage.Window `json:"last"`
 	Sent usage.Window `json:"sent"`
-	// Windows are those that may still have to be sent.
+	// Windows holds the counts of the windows that may still have to be sent.
 	Windows map[usage.Window]usage.Counts `json:"windows"`
-	// Generation of the table in which the row was written.
+	// Generation is the restore generation of the table in which the row was written.
 	Generation int64 `json:"era,omitempty"`
 }
 
-// Reporter does the duty of reporting. It is used by one goroutine.
+// Reporter is the duty of reporting usage. It must be used by one goroutine only.
 type Reporter struct {
 	settings Settings
 	table    platform.Table
 	sender   Sender
-	// total returns what is known of a window.
+	// total returns the counts of a window that are known at this instance.
 	total func(usage.Window) usage.Counts
-	// now is the time of day.
+	// now returns the time of day.
 	now func() time.Time
 	log *slog.Logger
-	// first is the window in which this process began.
-	first usage.Window
+	// firstWindow is the window in which this process started.
+	firstWindow usage.Window
 
-	// loaded tells that row is the one that the table has, at revision.
+	// loaded is true while state is the value of the table's row at revision.
 	loaded   bool
-	row      fixed
+	state    reportState
 	revision int64
 }
 
-// NewReporter returns a reporter.
+// NewReporter returns a Reporter. total returns the known counts of a window, and now the time of day.
 func NewReporter(s Settings, table platform.Table, sender Sender, total func(usage.Window) usage.Counts, now func() time.Time, log *slog.Logger) *Reporter {
-	return &Reporter{settings: s, table: table, sender: sender, total: total, now: now, log: log, first: usage.WindowAt(now(), s.Length)}
+	return &Reporter{settings: s, table: table, sender: sender, total: total, now: now, log: log, firstWindow: usage.WindowAt(now(), s.Length)}
 }
 
 // Reset implements rolekeeper.Duty.
 func (r *Reporter) Reset() { r.loaded = false }
 
-// Do implements rolekeeper.Duty: it fixes the counts of the windows that are complete, and
-// sends those that were not sent.
+// Do implements rolekeeper.Duty. It finalizes the counts of the complete windows and sends the finalized
+// windows that were not sent.
 func (r *Reporter) Do(ctx context.Context, grant lease.Grant) {
 	if err := r.load(ctx, grant); err != nil {
-		r.log.Info("usage: what was reported could not be read", "error", err)
+		r.log.Info("usage: state of the reports not read", "error", err)
 		return
 	}
-	if err := r.fix(ctx, grant); err != nil {
+	if err := r.finalize(ctx, grant); err != nil {
 		r.loaded = false
-		r.log.Info("usage: counts were not fixed", "epoch", grant.Epoch, "error", err)
+		r.log.Info("usage: counts not finalized", "epoch", grant.Epoch, "error", err)
 		return
 	}
-	before := r.row.Sent
-	for r.row.Sent < r.row.Last && r.send(ctx, grant) {
+	before := r.state.Sent
+	for r.state.Sent < r.state.Last && r.send(ctx, grant) {
 	}
-	if r.row.Sent == before {
+	if r.state.Sent == before {
 		return
 	}
-	if err := r.write(ctx, grant, r.row); err != nil {
+	if err := r.write(ctx, grant, r.state); err != nil {
 		r.loaded = false
-		r.log.Info("usage: what was sent was not kept, the next holder may send it again", "epoch", grant.Epoch, "error", err)
+		r.log.Info("usage: sent windows not recorded, the next holder may send them again", "epoch", grant.Epoch, "error", err)
 	}
 }
 
-// load reads the row that the holder before left. A row of an earlier era is that of an older
-// copy: windows may have been reported that it lacks. This process knows them if nobody else had
-// the lease; else those that are complete are given up, as no two counts of a window are sent.
+// load reads the row that the previous holder wrote. A row of an earlier restore generation comes from an
+// older copy of the store, and it may lack windows that were reported. If no other process held the lease
+// since, this process still has these windows in memory. Otherwise the complete windows are dropped, because
+// two different counts of a window must not be sent.
 func (r *Reporter) load(ctx context.Context, grant lease.Grant) error {
 	if r.loaded {
 		return nil
 	}
-	kept, revision, err := r.read(ctx)
+	stored, revision, err := r.read(ctx)
 	if err != nil {
 		return err
 	}
-	switch era := platform.EraOf(grant.EpochRevision); {
-	case kept.Generation >= era:
-	case grant.TableRestored && grant.Resumed && r.row.Last > 0:
-		r.log.Warn("usage: the store came back from a copy, what was fixed is kept", "up_to", r.row.Last, "store_has", kept.Last)
-		kept = r.row
+	switch generation := platform.EraOf(grant.EpochRevision); {
+	case stored.Generation >= generation:
+	case grant.TableRestored && grant.Resumed && r.state.Last > 0:
+		r.log.Warn("usage: store restored from an older copy, keeping the finalized windows", "up_to", r.state.Last, "store_has", stored.Last)
+		stored = r.state
 	default:
-		upTo := max(kept.Last, r.complete())
-		r.log.Warn("usage: windows given up, the store may have lost that they were reported", "after", kept.Sent, "up_to", upTo)
-		meter("given_up").Inc(int64(upTo - kept.Sent))
-		kept = fixed{Last: upTo, Sent: upTo}
+		upTo := max(stored.Last, r.lastComplete())
+		r.log.Warn("usage: windows dropped, the restored store may lack the record of their reports", "after", stored.Sent, "up_to", upTo)
+		counter("given_up").Inc(int64(upTo - stored.Sent))
+		stored = reportState{Last: upTo, Sent: upTo}
 	}
-	r.row, r.revision, r.loaded = kept, revision, true
+	r.state, r.revision, r.loaded = stored, revision, true
 	return nil
 }
 
-// read returns the row and its revision, 0 for none.
-func (r *Reporter) read(ctx context.Context) (fixed, int64, error) {
+// read returns the value of the row and its revision. The revision is 0 if there is no row.
+func (r *Reporter) read(ctx context.Context) (reportState, int64, error) {
 	row, err := r.table.Get(ctx, rowKey)
 	if errors.Is(err, platform.ErrNotFound) {
-		begin := r.first - 1
-		return fixed{Last: begin, Sent: begin}, 0, nil
+		before := r.firstWindow - 1
+		return reportState{Last: before, Sent: before}, 0, nil
 	}
 	if err != nil {
-		return fixed{}, 0, err
+		return reportState{}, 0, err
 	}
-	var kept fixed
-	err = json.Unmarshal(row.Value, &kept)
-	return kept, row.Revision, errors.Wrap(err, "usage: decode what was reported")
+	var stored reportState
+	err = json.Unmarshal(row.Value, &stored)
+	return stored, row.Revision, errors.Wrap(err, "usage: decode the state of the reports")
 }
 
-// complete is the newest window whose counts are complete.
-func (r *Reporter) complete() usage.Window {
+// lastComplete returns the newest window whose counts are complete.
+func (r *Reporter) lastComplete() usage.Window {
 	return usage.WindowAt(r.now().Add(-r.settings.SettleTime), r.settings.Length) - 1
 }
 
-// fix writes the counts of the windows that are complete.
-func (r *Reporter) fix(ctx context.Context, grant lease.Grant) error {
-	next := r.next(r.complete())
-	if next.Last == r.row.Last {
+// finalize writes the counts of the complete windows to the row.
+func (r *Reporter) finalize(ctx context.Context, grant lease.Grant) error {
+	next := r.stateUpTo(r.lastComplete())
+	if next.Last == r.state.Last {
 		return nil
 	}
-	if given := next.Sent - r.row.Sent; r.revision > 0 && given > 0 {
-		r.log.Warn("usage: windows given up, they waited for too long", "windows", int64(given), "up_to", next.Sent, "epoch", grant.Epoch)
-		meter("given_up").Inc(int64(given))
+	if dropped := next.Sent - r.state.Sent; r.revision > 0 && dropped > 0 {
+		r.log.Warn("usage: windows dropped, not sent in time", "windows", int64(dropped), "up_to", next.Sent, "epoch", grant.Epoch)
+		counter("given_up").Inc(int64(dropped))
 	}
 	return r.write(ctx, grant, next)
 }
 
-// write writes the row. Its revision is checked, so that no write that was sent before, and
-// arrives late, undoes it; and the epoch, so that only the newest holder writes.
-func (r *Reporter) write(ctx context.Context, grant lease.Grant, next fixed) error {
+// write writes the row. The check of its revision ensures that an earlier write that arrives late does not
+// overwrite it. The check of the epoch ensures that only the newest holder writes.
+func (r *Reporter) write(ctx context.Context, grant lease.Grant, next reportState) error {
 	next.Generation = platform.EraOf(grant.EpochRevision)
 	value, err := json.Marshal(next)
 	if err != nil {
-		return errors.Wrap(err, "usage: encode what is to be reported")
+		return errors.Wrap(err, "usage: encode the state of the reports")
 	}
 	revision, err := r.table.Commit(ctx, platform.Txn{
 		Checks: []platform.Check{
@@ -195,48 +196,48 @@
 	if err != nil {
 		return err
 	}
-	r.row, r.revision = next, revision
+	r.state, r.revision = next, revision
 	return nil
 }
 
-// next is the row with the windows up to one. Windows in which nobody asked for anything
-// before the first that has counts are left out.
-func (r *Reporter) next(upTo usage.Window) fixed {
-	next := fixed{Generation: r.row.Generation, Last: r.row.Last, Sent: max(r.row.Sent, upTo-MaxUnsent), Windows: map[usage.Window]usage.Counts{}}
-	for window := next.Sent + 1; window <= r.row.Last; window++ {
-		next.Windows[window] = r.row.Windows[window]
+// stateUpTo returns the state with the windows up to upTo. Windows without requests are left out until the
+// first window with counts.
+func (r *Reporter) stateUpTo(upTo usage.Window) reportState {
+	next := reportState{Generation: r.state.Generation, Last: r.state.Last, Sent: max(r.state.Sent, upTo-MaxUnsent), Windows: map[usage.Window]usage.Counts{}}
+	for window := next.Sent + 1; window <= r.state.Last; window++ {
+		next.Windows[window] = r.state.Windows[window]
 	}
-	begun := r.revision > 0
-	for window := max(r.row.Last, next.Sent) + 1; window <= upTo; window++ {
+	started := r.revision > 0
+	for window := max(r.state.Last, next.Sent) + 1; window <= upTo; window++ {
 		counts := r.total(window)
-		if !begun && len(counts) == 0 {
+		if !started && len(counts) == 0 {
 			continue
 		}
-		if !begun {
-			begun, next.Sent = true, window-1
+		if !started {
+			started, next.Sent = true, window-1
 		}
 		next.Windows[window], next.Last = counts, window
 	}
 	return next
 }
 
-// send sends the oldest window that was not sent, and tells whether the platform took it.
+// send sends the oldest window that was not sent, and reports whether the platform accepted it.
 func (r *Reporter) send(ctx context.Context, grant lease.Grant) bool {
-	window := r.row.Sent + 1
-	counts := r.row.Windows[window]
+	window := r.state.Sent + 1
+	counts := r.state.Windows[window]
 	err := r.sender.Report(ctx, Report{Window: window, Counts: counts, Holder: r.settings.Instance, Epoch: grant.Epoch})
 	age := r.now().Sub(window.End(r.settings.Length))
 	r.log.Info("usage: reported", "window", window, "organisations", len(counts), "requests", counts.Sum(),
 		"holder", r.settings.Instance, "epoch", grant.Epoch, "after_end", age, "error", err)
 	if err != nil {
-		meter("failed").Inc(1)
+		counter("failed").Inc(1)
 		return false
 	}
-	meter("reported").Inc(1)
-	r.row.Sent = window
+	counter("reported").Inc(1)
+	r.state.Sent = window
 	return true
 }
 
-func meter(name string) metrics.Counter {
+func counter(name string) metrics.Counter {
 	return metrics.GetOrRegisterCounter("usage."+name, metrics.DefaultRegistry)
 }
--- a/internal/usagereport/reporter_test.go
+++ b/internal/usagereport/reporter_test.go
@@ -23,35 +23,35 @@
 	length    = 5 * time.Second
 )
 
-// fakeTable is the platform's table. Its commits fail by script: not done, done and not
-// answered, or done later if their checks hold then.
+// fakeTable is the platform's table. result decides what happens to a call: a commit may not be applied, be
+// applied without a response, or be applied later if its checks still hold then.
 type fakeTable struct {
 	platform.Table
 	rows     map[string]platform.Row
 	revision int64
-	late     []platform.Txn
-	fate     func() fate
+	delayed  []platform.Txn
+	result   func() callResult
 }
 
-// fate of a call.
-type fate int
+// callResult is what happens to a call.
+type callResult int
 
 const (
-	answered fate = iota
-	lostAnswer
-	notDone
-	doneLater
+	applied callResult = iota
+	responseLost
+	notApplied
+	appliedLater
 )
 
-var errNoAnswer = errors.New("no answer")
+var errNoResponse = errors.New("no response")
 
 func newTable() *fakeTable {
-	return &fakeTable{rows: map[string]platform.Row{}, fate: func() fate { return answered }}
+	return &fakeTable{rows: map[string]platform.Row{}, result: func() callResult { return applied }}
 }
 
 func (f *fakeTable) Get(_ context.Context, key string) (platform.Row, error) {
-	if f.fate() == notDone {
-		return platform.Row{}, errNoAnswer
+	if f.result() == notApplied {
+		return platform.Row{}, errNoResponse
 	}
 	row, ok := f.rows[key]
 	if !ok {
@@ -61,13 +61,13 @@
 }
 
 func (f *fakeTable) Commit(_ context.Context, txn platform.Txn) (int64, error) {
-	switch f.fate() {
-	case notDone:
+	switch f.result() {
+	case notApplied:
 		return 0, platform.ErrUnavailable
-	case doneLater:
-		f.late = append(f.late, txn)
+	case appliedLater:
+		f.delayed = append(f.delayed, txn)
 		return 0, platform.ErrUnknown
-	case lostAnswer:
+	case responseLost:
 		_, _ = f.apply(txn)
 		return 0, platform.ErrUnknown
 	default:
@@ -88,153 +88,154 @@
 	return f.revision, nil
 }
 
-// takeOver writes the epoch's row as a takeover does.
-func (f *fakeTable) takeOver(epoch int64) lease.Grant {
+// newGrant writes the row of the epoch, as a takeover does, and returns the new grant.
+func (f *fakeTable) newGrant(epoch int64) lease.Grant {
 	key := leaserows.EpochKey(leaseName)
 	f.revision++
 	f.rows[key] = platform.Row{Key: key, Revision: f.revision}
 	return lease.Grant{Epoch: epoch, EpochRevision: f.revision}
 }
 
-// fakePlatform takes reports.
+// fakePlatform receives reports.
 type fakePlatform struct {
-	fate func() fate
-	// counts are the first ones that came for each window.
+	result func() callResult
+	// counts holds the last counts that arrived for each window.
 	counts map[usage.Window]usage.Counts
-	broken string
-	// sent counts the calls.
-	sent int
+	// mismatch describes a window for which different counts arrived.
+	mismatch string
+	// calls counts the calls of Report.
+	calls int
 }
 
 func (f *fakePlatform) Report(_ context.Context, r Report) error {
-	f.sent++
-	how := f.fate()
-	if how == notDone || how == doneLater {
-		return errNoAnswer
+	f.calls++
+	how := f.result()
+	if how == notApplied || how == appliedLater {
+		return errNoResponse
 	}
 	if first, ok := f.counts[r.Window]; ok && fmt.Sprint(first) != fmt.Sprint(r.Counts) {
-		f.broken = fmt.Sprintf("window %d: %v, and %v before", r.Window, r.Counts, first)
+		f.mismatch = fmt.Sprintf("window %d: %v, and %v before", r.Window, r.Counts, first)
 	}
 	f.counts[r.Window] = r.Counts
-	if how == lostAnswer {
-		return errNoAnswer
+	if how == responseLost {
+		return errNoResponse
 	}
 	return nil
 }
 
-// rig is two instances that take turns as the holder, in the time of a day.
-type rig struct {
-	table    *fakeTable
-	platform *fakePlatform
-	now      time.Time
-	totals   map[usage.Window]usage.Counts
-	grants   [2]lease.Grant
-	list     [2]*Reporter
-	epoch    int64
-	// era counts the returns of the table from a copy.
-	era int64
+// fixture is two instances that may both be the lease holder, with a simulated time of day.
+type fixture struct {
+	table     *fakeTable
+	platform  *fakePlatform
+	now       time.Time
+	totals    map[usage.Window]usage.Counts
+	grants    [2]lease.Grant
+	reporters [2]*Reporter
+	epoch     int64
+	// generation is the restore generation of the table.
+	generation int64
 }
 
-func newRig(f func() fate) *rig {
-	r := &rig{table: newTable(), platform: &fakePlatform{counts: map[usage.Window]usage.Counts{}, fate: f}, now: time.Unix(1000, 0), totals: map[usage.Window]usage.Counts{}}
-	r.table.fate = f
-	for i := range r.list {
-		r.start(i)
+func newFixture(f func() callResult) *fixture {
+	r := &fixture{table: newTable(), platform: &fakePlatform{counts: map[usage.Window]usage.Counts{}, result: f}, now: time.Unix(1000, 0), totals: map[usage.Window]usage.Counts{}}
+	r.table.result = f
+	for i := range r.reporters {
+		r.restart(i)
 	}
 	r.takeOver(0)
 	return r
 }
 
-// start starts an instance's process anew.
-func (r *rig) start(i int) {
+// restart restarts the process of an instance.
+func (r *fixture) restart(i int) {
 	s := Settings{Instance: fmt.Sprint("inst-", i), Lease: leaseName, Length: length, SettleTime: time.Second}
-	total := func(w usage.Window) usage.Counts { // what is known grows, and differs by instance
+	total := func(w usage.Window) usage.Counts { // the known counts grow, so a later holder may know more
 		return maps.Clone(r.totals[w])
 	}
-	r.list[i] = NewReporter(s, r.table, r.platform, total, func() time.Time { return r.now }, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	r.reporters[i] = NewReporter(s, r.table, r.platform, total, func() time.Time { return r.now }, slog.New(slog.NewTextHandler(io.Discard, nil)))
 }
 
-func (r *rig) takeOver(i int) {
+func (r *fixture) takeOver(i int) {
 	r.epoch++
-	r.grants[i] = r.table.takeOver(r.epoch)
-	r.list[i].Reset()
+	r.grants[i] = r.table.newGrant(r.epoch)
+	r.reporters[i].Reset()
 }
 
-func (r *rig) began(w usage.Window) {
+func (r *fixture) countRequest(w usage.Window) {
 	if r.totals[w] == nil {
 		r.totals[w] = usage.Counts{}
 	}
 	r.totals[w]["x"]++
 }
 
-func good() fate { return answered }
+func alwaysApplied() callResult { return applied }
 
-// TestAWindowIsReportedOnce: whatever becomes of calls, whoever is killed between any two
-// of them, and though an earlier holder goes on, no two counts of a window are sent; and
-// once all is well, each window is reported in time.
-func TestAWindowIsReportedOnce(t *testing.T) {
+// TestOnlyOneCountOfAWindowIsSent guards against two different counts of a window. Calls fail in any way,
+// processes are killed between any two calls, and earlier holders continue. Once the failures end, each
+// window must be reported in time.
+func TestOnlyOneCountOfAWindowIsSent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		well := false
-		r := newRig(func() fate {
-			if well {
-				return answered
+		healthy := false
+		r := newFixture(func() callResult {
+			if healthy {
+				return applied
 			}
-			return rapid.SampledFrom([]fate{answered, answered, answered, lostAnswer, notDone, doneLater}).Draw(t, "fate")
+			return rapid.SampledFrom([]callResult{applied, applied, applied, responseLost, notApplied, appliedLater}).Draw(t, "fate")
 		})
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			i := rapid.IntRange(0, 1).Draw(t, "instance")
 			switch rapid.IntRange(0, 6).Draw(t, "step") {
 			case 0, 1:
-				r.list[i].Do(context.Background(), r.grants[i]) // also by one that is not the holder any more
+				r.reporters[i].Do(context.Background(), r.grants[i]) // may no longer hold the lease
 			case 2:
 				r.takeOver(i)
 			case 3:
-				r.start(i)
+				r.restart(i)
 			case 4:
 				r.now = r.now.Add(time.Duration(rapid.IntRange(0, 7000).Draw(t, "ms")) * time.Millisecond)
 			case 5:
-				r.began(usage.WindowAt(r.now, length) - usage.Window(rapid.IntRange(0, 2).Draw(t, "late")))
+				r.countRequest(usage.WindowAt(r.now, length) - usage.Window(rapid.IntRange(0, 2).Draw(t, "late")))
 			case 6:
-				if n := len(r.table.late); n > 0 {
-					_, _ = r.table.apply(r.table.late[0]) // if its checks hold still
-					r.table.late = r.table.late[1:]
+				if n := len(r.table.delayed); n > 0 {
+					_, _ = r.table.apply(r.table.delayed[0]) // if its checks still hold
+					r.table.delayed = r.table.delayed[1:]
 				}
 			}
-			if r.platform.broken != "" {
-				t.Fatal(r.platform.broken)
+			if r.platform.mismatch != "" {
+				t.Fatal(r.platform.mismatch)
 			}
 		}
-		well = true
+		healthy = true
 		r.takeOver(0)
-		r.began(usage.WindowAt(r.now, length))
+		r.countRequest(usage.WindowAt(r.now, length))
 		last := usage.WindowAt(r.now, length)
 		for range 4 {
 			r.now = r.now.Add(length)
-			r.list[0].Do(context.Background(), r.grants[0])
-			r.list[0].Do(context.Background(), r.grants[0])
+			r.reporters[0].Do(context.Background(), r.grants[0])
+			r.reporters[0].Do(context.Background(), r.grants[0])
 		}
-		if _, ok := r.platform.counts[last]; !ok || r.platform.broken != "" {
-			t.Fatalf("window %d was not reported once all was well, %s", last, r.platform.broken)
+		if _, ok := r.platform.counts[last]; !ok || r.platform.mismatch != "" {
+			t.Fatalf("window %d was not reported after the failures ended, %s", last, r.platform.mismatch)
 		}
 	})
 }
 
-// TestAWindowIsReportedOnceItIsComplete: not before, and with no report of those in which
-// nobody had asked for anything yet.
-func TestAWindowIsReportedOnceItIsComplete(t *testing.T) {
-	r := newRig(good)
+// TestWindowIsReportedWhenComplete guards against reports of incomplete windows, and of the windows before
+// the first request.
+func TestWindowIsReportedWhenComplete(t *testing.T) {
+	r := newFixture(alwaysApplied)
 	first := usage.WindowAt(r.now, length)
-	do := func() { r.list[0].Do(context.Background(), r.grants[0]) }
+	do := func() { r.reporters[0].Do(context.Background(), r.grants[0]) }
 	r.now = first.End(length).Add(2 * time.Second)
 	do()
 	if len(r.platform.counts) != 0 {
-		t.Errorf("%v, though nobody asked", r.platform.counts)
+		t.Errorf("%v without any request", r.platform.counts)
 	}
-	r.began(first + 1)
+	r.countRequest(first + 1)
 	r.now = (first + 1).End(length).Add(900 * time.Millisecond)
 	do()
 	if len(r.platform.counts) != 0 {
-		t.Errorf("%v before it settled", r.platform.counts)
+		t.Errorf("%v before the window was complete", r.platform.counts)
 	}
 	r.now = r.now.Add(200 * time.Millisecond)
 	do()
@@ -248,142 +249,145 @@
 	}
 }
 
-// TestAReportThatWaitedForTooLongIsGivenUp: the platform was away for a minute.
-func TestAReportThatWaitedForTooLongIsGivenUp(t *testing.T) {
-	away := true
-	r := newRig(good)
-	r.platform.fate = func() fate {
-		if away {
-			return notDone
+// TestOldUnsentReportsAreDropped has the platform unavailable for more than a minute, which is longer than
+// MaxUnsent windows.
+func TestOldUnsentReportsAreDropped(t *testing.T) {
+	unavailable := true
+	r := newFixture(alwaysApplied)
+	r.platform.result = func() callResult {
+		if unavailable {
+			return notApplied
 		}
-		return answered
+		return applied
 	}
 	for range 20 {
-		r.began(usage.WindowAt(r.now, length))
+		r.countRequest(usage.WindowAt(r.now, length))
 		r.now = r.now.Add(length)
-		r.list[0].Do(context.Background(), r.grants[0])
+		r.reporters[0].Do(context.Background(), r.grants[0])
 	}
-	away = false
-	r.list[0].Do(context.Background(), r.grants[0])
+	unavailable = false
+	r.reporters[0].Do(context.Background(), r.grants[0])
 	if n := len(r.platform.counts); n != MaxUnsent {
 		t.Errorf("%d windows were reported, want %d", n, MaxUnsent)
 	}
 }
 
-// TestTheNextHolderSendsAgainWhatIsNotKnownToHaveCome, and nothing else: what was sent is
-// kept at once, so that old reports do not stand before those that are due when the
-// platform is slow.
-func TestTheNextHolderSendsAgainWhatIsNotKnownToHaveCome(t *testing.T) {
-	r := newRig(good)
+// TestNextHolderSendsOnlyUnacknowledgedWindows guards against a holder that sends windows again that the
+// platform has accepted. If the platform is slow, they would delay the reports that are due. So each holder
+// records sent windows at once.
+func TestNextHolderSendsOnlyUnacknowledgedWindows(t *testing.T) {
+	r := newFixture(alwaysApplied)
 	for range 3 {
-		r.began(usage.WindowAt(r.now, length))
+		r.countRequest(usage.WindowAt(r.now, length))
 		r.now = r.now.Add(length)
-		r.list[0].Do(context.Background(), r.grants[0])
+		r.reporters[0].Do(context.Background(), r.grants[0])
 	}
-	r.platform.sent = 0
+	r.platform.calls = 0
 	r.now = r.now.Add(length)
 	r.takeOver(1)
-	r.list[1].Do(context.Background(), r.grants[1])
-	if r.platform.sent != 1 {
-		t.Errorf("%d reports, want that of one window", r.platform.sent)
+	r.reporters[1].Do(context.Background(), r.grants[1])
+	if r.platform.calls != 1 {
+		t.Errorf("%d reports, want one", r.platform.calls)
 	}
 }
 
-// scripted returns the fates one after another, then good ones.
-func scripted(fates ...fate) func() fate {
-	return func() fate {
-		if len(fates) == 0 {
-			return answered
+// scripted returns the given results one after the other, then applied.
+func scripted(results ...callResult) func() callResult {
+	return func() callResult {
+		if len(results) == 0 {
+			return applied
 		}
-		next := fates[0]
-		fates = fates[1:]
+		next := results[0]
+		results = results[1:]
 		return next
 	}
 }
 
-// TestALateWriteUndoesNothing: a write without an answer arrives after the window's counts
-// were fixed anew and sent. The next holder must not find the older ones.
-func TestALateWriteUndoesNothing(t *testing.T) {
-	r := newRig(scripted(answered, doneLater)) // of the read and the write
-	r.began(usage.WindowAt(r.now, length))
+// TestDelayedWriteDoesNotOverwrite guards against a write without a response that arrives after the window's
+// counts were finalized again and sent. The next holder must not read the older counts.
+func TestDelayedWriteDoesNotOverwrite(t *testing.T) {
+	r := newFixture(scripted(applied, appliedLater)) // results of the read and the write
+	r.countRequest(usage.WindowAt(r.now, length))
 	r.now = r.now.Add(length + 2*time.Second)
-	r.list[0].Do(context.Background(), r.grants[0])
-	r.began(usage.WindowAt(r.now, length) - 1) // a total that came late
-	r.list[0].Do(context.Background(), r.grants[0])
-	_, _ = r.table.apply(r.table.late[0])
+	r.reporters[0].Do(context.Background(), r.grants[0])
+	r.countRequest(usage.WindowAt(r.now, length) - 1) // a total that arrived late
+	r.reporters[0].Do(context.Background(), r.grants[0])
+	_, _ = r.table.apply(r.table.delayed[0])
 	r.takeOver(1)
-	r.list[1].Do(context.Background(), r.grants[1])
-	if len(r.platform.counts) != 1 || r.platform.broken != "" {
-		t.Errorf("%v, %s", r.platform.counts, r.platform.broken)
+	r.reporters[1].Do(context.Background(), r.grants[1])
+	if len(r.platform.counts) != 1 || r.platform.mismatch != "" {
+		t.Errorf("%v, %s", r.platform.counts, r.platform.mismatch)
 	}
 }
 
-// TestAnEarlierHolderReportsNothingNew: another one has taken over since its last look.
-func TestAnEarlierHolderReportsNothingNew(t *testing.T) {
-	r := newRig(good)
-	r.list[0].Do(context.Background(), r.grants[0])
-	r.began(usage.WindowAt(r.now, length))
+// TestEarlierHolderFinalizesNothing guards against a holder that finalizes windows after another one has
+// taken over the lease.
+func TestEarlierHolderFinalizesNothing(t *testing.T) {
+	r := newFixture(alwaysApplied)
+	r.reporters[0].Do(context.Background(), r.grants[0])
+	r.countRequest(usage.WindowAt(r.now, length))
 	r.now = r.now.Add(length + 2*time.Second)
 	r.takeOver(1)
-	r.list[0].Do(context.Background(), r.grants[0])
+	r.reporters[0].Do(context.Background(), r.grants[0])
 	if len(r.platform.counts) != 0 {
 		t.Errorf("%v", r.platform.counts)
 	}
 }
 
-// TestTheNextHolderSendsWhatWasFixed: the one before fixed the counts and was killed before
-// it sent them, or before it was told that they came; more became known since.
-func TestTheNextHolderSendsWhatWasFixed(t *testing.T) {
-	for _, how := range []fate{notDone, lostAnswer} {
-		r := newRig(good)
-		r.platform.fate = scripted(how)
-		r.began(usage.WindowAt(r.now, length))
+// TestNextHolderSendsFinalizedCounts guards against a new holder that sends newer counts than the finalized
+// ones. The previous holder finalized the counts and was killed before it sent them, or before it received
+// the platform's response. More requests became known since then.
+func TestNextHolderSendsFinalizedCounts(t *testing.T) {
+	for _, how := range []callResult{notApplied, responseLost} {
+		r := newFixture(alwaysApplied)
+		r.platform.result = scripted(how)
+		r.countRequest(usage.WindowAt(r.now, length))
 		r.now = r.now.Add(length + 2*time.Second)
-		r.list[0].Do(context.Background(), r.grants[0])
-		r.began(usage.WindowAt(r.now, length) - 1)
+		r.reporters[0].Do(context.Background(), r.grants[0])
+		r.countRequest(usage.WindowAt(r.now, length) - 1)
 		r.takeOver(1)
-		r.list[1].Do(context.Background(), r.grants[1])
-		if n := r.platform.counts[usage.WindowAt(r.now, length)-1]["x"]; n != 1 || r.platform.broken != "" {
-			t.Errorf("%d, want the 1 that was fixed, %s", n, r.platform.broken)
+		r.reporters[1].Do(context.Background(), r.grants[1])
+		if n := r.platform.counts[usage.WindowAt(r.now, length)-1]["x"]; n != 1 || r.platform.mismatch != "" {
+			t.Errorf("%d, want the 1 that was finalized, %s", n, r.platform.mismatch)
 		}
 	}
 }
 
-// comeBack has the table come back from a copy, in a new era, and an instance hold the lease in it.
-func (r *rig) comeBack(rows map[string]platform.Row, holder int, resumed bool) {
-	r.era++
-	r.table.rows, r.table.revision = map[string]platform.Row{}, platform.RevisionOf(r.era, r.table.revision)
+// restore restores the table from a copy, in a new restore generation, and has an instance hold the lease.
+func (r *fixture) restore(rows map[string]platform.Row, holder int, resumed bool) {
+	r.generation++
+	r.table.rows, r.table.revision = map[string]platform.Row{}, platform.RevisionOf(r.generation, r.table.revision)
 	for key, row := range rows {
-		row.Revision = platform.RevisionOf(r.era, platform.CounterOf(row.Revision))
+		row.Revision = platform.RevisionOf(r.generation, platform.CounterOf(row.Revision))
 		r.table.rows[key] = row
 	}
 	r.takeOver(holder)
 	r.grants[holder].TableRestored, r.grants[holder].Resumed = true, resumed
 }
 
-// TestAWindowThatTheStoreLostIsNotCountedAnew guards against two counts of a window: the store came
-// back from a copy without the row that fixed it, or with an older one, and more is known since, or
-// less at a holder that has just begun.
-func TestAWindowThatTheStoreLostIsNotCountedAnew(t *testing.T) {
-	for _, without := range []bool{true, false} {
+// TestWindowMissingAfterRestoreIsNotCountedAgain guards against two different counts of a window. The store
+// was restored from a copy without the row of the finalized counts, or with an older one. By then the holder
+// knows of more requests, or of fewer if its process has just started.
+func TestWindowMissingAfterRestoreIsNotCountedAgain(t *testing.T) {
+	for _, withoutRow := range []bool{true, false} {
 		for name, next := range map[string]struct {
-			holder  int
-			resumed bool
-			started bool
+			holder    int
+			resumed   bool
+			restarted bool
 		}{
-			"the same holder":          {0, true, false},
-			"another one":              {1, false, false},
-			"one that has just begun":  {1, false, true},
-			"one that had it long ago": {0, false, false},
+			"the same holder":                {0, true, false},
+			"another holder":                 {1, false, false},
+			"a holder that has just started": {1, false, true},
+			"an earlier holder":              {0, false, false},
 		} {
-			r := newRig(good)
+			r := newFixture(alwaysApplied)
 			report := func(i int) {
-				r.began(usage.WindowAt(r.now, length))
+				r.countRequest(usage.WindowAt(r.now, length))
 				r.now = r.now.Add(length + time.Second)
-				r.list[i].Do(context.Background(), r.grants[i])
+				r.reporters[i].Do(context.Background(), r.grants[i])
 			}
 			copied := maps.Clone(r.table.rows)
-			if !without {
+			if !withoutRow {
 				report(0)
 				copied = maps.Clone(r.table.rows)
 			}
@@ -391,17 +395,17 @@
 			report(0)
 			reported := len(r.platform.counts)
 			for window := range r.totals {
-				r.began(window) // what was not known when they were fixed
+				r.countRequest(window) // not known when the counts were finalized
 			}
-			if next.started {
-				r.start(next.holder)
+			if next.restarted {
+				r.restart(next.holder)
 			}
-			r.comeBack(copied, next.holder, next.resumed)
-			r.list[next.holder].Do(context.Background(), r.grants[next.holder])
+			r.restore(copied, next.holder, next.resumed)
+			r.reporters[next.holder].Do(context.Background(), r.grants[next.holder])
 			report(next.holder)
 			report(next.holder)
-			if r.platform.broken != "" || len(r.platform.counts) != reported+2 {
-				t.Errorf("%s, without the row %t: %q, %d windows, want %d", name, without, r.platform.broken, len(r.platform.counts), reported+2)
+			if r.platform.mismatch != "" || len(r.platform.counts) != reported+2 {
+				t.Errorf("%s, without the row %t: %q, %d windows, want %d", name, withoutRow, r.platform.mismatch, len(r.platform.counts), reported+2)
 			}
 		}
 	}
