--- a/internal/gossip/process_test.go
+++ b/internal/gossip/process_test.go
@@ -347,7 +347,7 @@
 	seeded, err := r.links.AddInstance(r.ctx, "inst-5", "zona-4")
 	r.must(err)
 	r.untilServes(4, "old")
-	if !strings.Contains(seeded.Control.Log(), "list taken from a peer") {
+	if !strings.Contains(seeded.Control.Log(), "members: instance list received from a peer") {
 		t.Errorf("log of the seeded instance:\n%s", seeded.Control.Log())
 	}
 }
