--- a/internal/intent/apply.go
+++ b/internal/intent/apply.go
@@ -13,13 +13,13 @@
 type applier struct {
 	file   *tomlfile.File
 	target *config.Config
-	// asked are the engines whose wanted state the intent asks for, by itself
+	// requested are the engines whose wanted state the intent asks for, by itself
 	// or by its model or pool.
-	asked map[string]bool
+	requested map[string]bool
 }
 
-// set copies a given value.
-func set[T any](into *T, given *T) {
+// setIfGiven copies a given value.
+func setIfGiven[T any](into *T, given *T) {
 	if given != nil {
 		*into = *given
 	}
@@ -40,19 +40,19 @@
 	for i, m := range models {
 		match := func(c *config.Model) bool { return c.Name == m.Name }
 		if m.Remove {
-			a.remove(fmt.Sprintf("model.%d", i), m.Name, a.target.Model(m.Name) != nil)
+			a.checkRemoval(fmt.Sprintf("model.%d", i), m.Name, a.target.Model(m.Name) != nil)
 			a.target.Models = slices.DeleteFunc(a.target.Models, func(c config.Model) bool { return match(&c) })
 			continue
 		}
 		c, _ := upsert(&a.target.Models, match)
 		c.Name = m.Name
-		set(&c.Version, m.Version)
-		set(&c.Adapters, m.Adapters)
-		set(&c.Callers, m.Callers)
-		set(&c.MaxPromptTokens, m.MaxPromptTokens)
-		set(&c.WeightBytes, m.WeightBytes)
+		setIfGiven(&c.Version, m.Version)
+		setIfGiven(&c.Adapters, m.Adapters)
+		setIfGiven(&c.Callers, m.Callers)
+		setIfGiven(&c.MaxPromptTokens, m.MaxPromptTokens)
+		setIfGiven(&c.WeightBytes, m.WeightBytes)
 		if m.Version != nil || m.Adapters != nil {
-			a.askPools(func(p *config.Pool) bool { return p.Model == m.Name })
+			a.requestPools(func(p *config.Pool) bool { return p.Model == m.Name })
 		}
 	}
 }
@@ -61,7 +61,7 @@
 	for i, p := range pools {
 		match := func(c *config.Pool) bool { return c.Name == p.Name }
 		if p.Remove {
-			a.remove(fmt.Sprintf("pool.%d", i), p.Name, a.target.Pool(p.Name) != nil)
+			a.checkRemoval(fmt.Sprintf("pool.%d", i), p.Name, a.target.Pool(p.Name) != nil)
 			a.target.Pools = slices.DeleteFunc(a.target.Pools, func(c config.Pool) bool { return match(&c) })
 			continue
 		}
@@ -70,16 +70,16 @@
 			c.RoleChangeWeight = 1
 		}
 		c.Name = p.Name
-		set(&c.Model, p.Model)
+		setIfGiven(&c.Model, p.Model)
 		if p.Model != nil {
-			a.askPools(func(c *config.Pool) bool { return c.Name == p.Name })
+			a.requestPools(func(c *config.Pool) bool { return c.Name == p.Name })
 		}
-		set(&c.Region, p.Region)
-		set(&c.MinServing, p.MinServing)
-		set(&c.MinPrefill, p.MinPrefill)
-		set(&c.MaxPrefill, p.MaxPrefill)
-		set(&c.MinDecode, p.MinDecode)
-		set(&c.RoleChangeWeight, p.RoleChangeWeight)
+		setIfGiven(&c.Region, p.Region)
+		setIfGiven(&c.MinServing, p.MinServing)
+		setIfGiven(&c.MinPrefill, p.MinPrefill)
+		setIfGiven(&c.MaxPrefill, p.MaxPrefill)
+		setIfGiven(&c.MinDecode, p.MinDecode)
+		setIfGiven(&c.RoleChangeWeight, p.RoleChangeWeight)
 	}
 }
 
@@ -91,7 +91,7 @@
 		}
 		a.engine(e)
 	}
-	a.wantModels()
+	a.setWantedStates()
 }
 
 func (a *applier) engine(e Engine) {
@@ -102,37 +102,37 @@
 		c.Fencing = config.FencingIgnore
 		c.Want.Role = config.RoleMixed
 	}
-	set(&c.Address, e.Address)
-	set(&c.Zone, e.Zone)
+	setIfGiven(&c.Address, e.Address)
+	setIfGiven(&c.Zone, e.Zone)
 	if added || e.Pool != nil {
-		a.asked[e.ID] = true
+		a.requested[e.ID] = true
 	}
-	set(&c.Pool, e.Pool)
-	set(&c.Leave, e.Leave)
-	set(&c.Fencing, (*config.Fencing)(e.Fencing))
-	set(&c.Want.Role, (*config.Role)(e.Role))
+	setIfGiven(&c.Pool, e.Pool)
+	setIfGiven(&c.Leave, e.Leave)
+	setIfGiven(&c.Fencing, (*config.Fencing)(e.Fencing))
+	setIfGiven(&c.Want.Role, (*config.Role)(e.Role))
 }
 
-// askPools asks for the model's state on the engines of the pools that match
+// requestPools asks for the model's state on the engines of the pools that match
 // picks.
-func (a *applier) askPools(match func(*config.Pool) bool) {
+func (a *applier) requestPools(match func(*config.Pool) bool) {
 	for i := range a.target.Engines {
 		e := &a.target.Engines[i]
 		if pool := a.target.Pool(e.Pool); pool != nil && match(pool) {
-			a.asked[e.ID] = true
+			a.requested[e.ID] = true
 		}
 	}
 }
 
-// wantModels gives each engine that the intent asks for the wanted state of
+// setWantedStates gives each engine that the intent asks for the wanted state of
 // its pool's model. Other engines keep what they want: after a cancelled plan
 // that is not what their model says, and an intent for something else must not
 // take the cancelled change up again.
-func (a *applier) wantModels() {
+func (a *applier) setWantedStates() {
 	for i := range a.target.Engines {
 		e := &a.target.Engines[i]
 		pool := a.target.Pool(e.Pool)
-		if pool == nil || !a.asked[e.ID] {
+		if pool == nil || !a.requested[e.ID] {
 			continue
 		}
 		model := a.target.Model(pool.Model)
@@ -147,7 +147,7 @@
 
 func (a *applier) removeEngine(key, id string) {
 	e := a.target.Engine(id)
-	a.remove(key, id, e != nil)
+	a.checkRemoval(key, id, e != nil)
 	if e == nil {
 		return
 	}
@@ -162,14 +162,14 @@
 	for i, s := range services {
 		match := func(c *config.Service) bool { return c.Name == s.Name }
 		if s.Remove {
-			a.remove(fmt.Sprintf("service.%d", i), s.Name, slices.ContainsFunc(a.target.Services, func(c config.Service) bool { return match(&c) }))
+			a.checkRemoval(fmt.Sprintf("service.%d", i), s.Name, slices.ContainsFunc(a.target.Services, func(c config.Service) bool { return match(&c) }))
 			a.target.Services = slices.DeleteFunc(a.target.Services, func(c config.Service) bool { return match(&c) })
 			continue
 		}
 		c, _ := upsert(&a.target.Services, match)
 		c.Name = s.Name
-		set(&c.Prefix, s.Prefix)
-		set(&c.NonIdempotent, s.NonIdempotent)
+		setIfGiven(&c.Prefix, s.Prefix)
+		setIfGiven(&c.NonIdempotent, s.NonIdempotent)
 		a.upstreams(c, s.Upstreams)
 	}
 }
@@ -183,9 +183,9 @@
 		}
 		c, _ := upsert(&service.Upstreams, match)
 		c.ID = u.ID
-		set(&c.Address, u.Address)
-		set(&c.Zone, u.Zone)
-		set(&c.Leave, u.Leave)
+		setIfGiven(&c.Address, u.Address)
+		setIfGiven(&c.Zone, u.Zone)
+		setIfGiven(&c.Leave, u.Leave)
 	}
 }
 
@@ -193,21 +193,21 @@
 	for i, o := range organisations {
 		match := func(c *config.Organisation) bool { return c.Name == o.Name }
 		if o.Remove {
-			a.remove(fmt.Sprintf("organisation.%d", i), o.Name, slices.ContainsFunc(a.target.Organisations, func(c config.Organisation) bool { return match(&c) }))
+			a.checkRemoval(fmt.Sprintf("organisation.%d", i), o.Name, slices.ContainsFunc(a.target.Organisations, func(c config.Organisation) bool { return match(&c) }))
 			a.target.Organisations = slices.DeleteFunc(a.target.Organisations, func(c config.Organisation) bool { return match(&c) })
 			continue
 		}
 		c, _ := upsert(&a.target.Organisations, match)
 		c.Name = o.Name
-		set(&c.KeyHashes, o.KeyHashes)
-		set(&c.RequestsPerSecond, o.RequestsPerSecond)
-		set(&c.Burst, o.Burst)
-		set(&c.Share, o.Share)
+		setIfGiven(&c.KeyHashes, o.KeyHashes)
+		setIfGiven(&c.RequestsPerSecond, o.RequestsPerSecond)
+		setIfGiven(&c.Burst, o.Burst)
+		setIfGiven(&c.Share, o.Share)
 	}
 }
 
-// remove records a finding when there is nothing to remove.
-func (a *applier) remove(key, name string, found bool) {
+// checkRemoval records a finding when there is nothing to checkRemoval.
+func (a *applier) checkRemoval(key, name string, found bool) {
 	if !found {
 		a.file.Add(key, "nothing named %q to remove", name)
 	}
--- a/internal/intent/check.go
+++ b/internal/intent/check.go
@@ -13,19 +13,19 @@
 )
 
 var (
-	nameShape = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
-	hashShape = regexp.MustCompile(`^[0-9a-f]{64}$`)
+	namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
+	hashPattern = regexp.MustCompile(`^[0-9a-f]{64}$`)
 )
 
-// checkShape records what is wrong with the file whatever it is applied to.
-func checkShape(file *tomlfile.File, in *Intent) {
+// checkEntries records what is wrong with the file whatever it is applied to.
+func checkEntries(file *tomlfile.File, in *Intent) {
 	if in.Name == "" {
 		file.Add("name", "an intent needs a name")
 	}
 	seen := map[string]bool{}
 	named := func(kind string, i int, key, name string) {
 		path := fmt.Sprintf("%s.%d", kind, i)
-		if !nameShape.MatchString(name) {
+		if !namePattern.MatchString(name) {
 			file.Add(path+"."+key, "%q is no name: want letters, digits, dot, dash or underscore, 63 at most", name)
 		}
 		if seen[kind+"/"+name] {
@@ -101,7 +101,7 @@
 	}
 	for i, u := range s.Upstreams {
 		at := fmt.Sprintf("%s.upstream.%d", path, i)
-		if !nameShape.MatchString(u.ID) {
+		if !namePattern.MatchString(u.ID) {
 			file.Add(at+".id", "%q is no name", u.ID)
 		}
 		checkAddress(file, at, u.Address)
@@ -119,7 +119,7 @@
 func checkOrganisation(file *tomlfile.File, path string, o Organisation) {
 	if o.KeyHashes != nil {
 		for i, h := range *o.KeyHashes {
-			if !hashShape.MatchString(h) {
+			if !hashPattern.MatchString(h) {
 				file.Add(fmt.Sprintf("%s.key_hashes.%d", path, i), "want a SHA-256 sum in lower-case hexadecimal")
 			}
 		}
@@ -135,42 +135,42 @@
 	}
 }
 
-// checkWhole records what does not fit in the configuration as a whole. Places
+// checkTarget records what does not fit in the configuration as a whole. Places
 // are those of the intent's own entries where it has them.
-func checkWhole(file *tomlfile.File, in *Intent, target *config.Config) {
+func checkTarget(file *tomlfile.File, in *Intent, target *config.Config) {
 	for _, p := range target.Pools {
-		key := keyOf("pool", in.Pools, func(d Pool) bool { return d.Name == p.Name })
+		key := entryKey("pool", in.Pools, func(d Pool) bool { return d.Name == p.Name })
 		if target.Model(p.Model) == nil {
 			file.Add(key+".model", "pool %q has no model %q", p.Name, p.Model)
 		}
 	}
 	addresses := map[string]string{}
 	for _, e := range target.Engines {
-		key := keyOf("engine", in.Engines, func(d Engine) bool { return d.ID == e.ID })
+		key := entryKey("engine", in.Engines, func(d Engine) bool { return d.ID == e.ID })
 		if target.Pool(e.Pool) == nil {
 			file.Add(key+".pool", "engine %q has no pool %q", e.ID, e.Pool)
 		}
 		if e.Address == "" {
 			file.Add(key+".address", "engine %q needs an address", e.ID)
 		}
-		checkTwice(file, key+".address", addresses, e.Address, e.ID)
+		checkAddressUnique(file, key+".address", addresses, e.Address, e.ID)
 	}
 	for _, s := range target.Services {
-		key := keyOf("service", in.Services, func(d Service) bool { return d.Name == s.Name })
+		key := entryKey("service", in.Services, func(d Service) bool { return d.Name == s.Name })
 		if s.Prefix == "" {
 			file.Add(key+".prefix", "service %q needs a prefix", s.Name)
 		}
 		for _, u := range s.Upstreams {
-			checkTwice(file, key+".upstream", addresses, u.Address, u.ID)
+			checkAddressUnique(file, key+".upstream", addresses, u.Address, u.ID)
 		}
 	}
-	checkKeys(file, in, target)
+	checkKeysUnique(file, in, target)
 }
 
-func checkKeys(file *tomlfile.File, in *Intent, target *config.Config) {
+func checkKeysUnique(file *tomlfile.File, in *Intent, target *config.Config) {
 	owners := map[string]string{}
 	for _, o := range target.Organisations {
-		key := keyOf("organisation", in.Organisations, func(d Organisation) bool { return d.Name == o.Name })
+		key := entryKey("organisation", in.Organisations, func(d Organisation) bool { return d.Name == o.Name })
 		for _, h := range o.KeyHashes {
 			if owner, taken := owners[h]; taken {
 				file.Add(key+".key_hashes", "organisations %q and %q share a key", owner, o.Name)
@@ -180,7 +180,7 @@
 	}
 }
 
-func checkTwice(file *tomlfile.File, key string, addresses map[string]string, address, id string) {
+func checkAddressUnique(file *tomlfile.File, key string, addresses map[string]string, address, id string) {
 	if address == "" {
 		return
 	}
@@ -190,8 +190,8 @@
 	addresses[address] = id
 }
 
-// keyOf returns the dotted key of the intent's entry that match picks.
-func keyOf[T any](kind string, items []T, match func(T) bool) string {
+// entryKey returns the dotted key of the intent's entry that match picks.
+func entryKey[T any](kind string, items []T, match func(T) bool) string {
 	if i := slices.IndexFunc(items, match); i >= 0 {
 		return fmt.Sprintf("%s.%d", kind, i)
 	}
--- a/internal/intent/intent.go
+++ b/internal/intent/intent.go
@@ -92,7 +92,7 @@
 	in := &Intent{}
 	file := tomlfile.Decode(name, data, in)
 	if file.Parsed() {
-		checkShape(file, in)
+		checkEntries(file, in)
 	}
 	return in, file.Findings()
 }
@@ -105,19 +105,19 @@
 	file := tomlfile.Decode(name, data, in)
 	failed := file.Findings().Failed()
 	if file.Parsed() {
-		checkShape(file, in)
+		checkEntries(file, in)
 	}
 	if failed {
 		return nil, in, file.Findings()
 	}
 	target := base.Clone()
-	a := applier{file: file, target: target, asked: map[string]bool{}}
+	a := applier{file: file, target: target, requested: map[string]bool{}}
 	a.models(in.Models)
 	a.pools(in.Pools)
 	a.engines(in.Engines)
 	a.services(in.Services)
 	a.organisations(in.Organisations)
-	checkWhole(file, in, target)
+	checkTarget(file, in, target)
 	if file.Findings().Failed() {
 		return nil, in, file.Findings()
 	}
--- a/internal/intent/intent_test.go
+++ b/internal/intent/intent_test.go
@@ -24,7 +24,7 @@
 pool = "p"
 `
 
-func TestFindingsAreToldTogether(t *testing.T) {
+func TestAllFindingsAreReported(t *testing.T) {
 	base, _, findings := Apply("base.toml", []byte(baseIntent), &config.Config{})
 	if base == nil {
 		t.Fatal(findings)
@@ -69,9 +69,9 @@
 	}
 }
 
-// TestOtherEnginesKeepWhatTheyWant applies an intent for one engine after a
+// TestOtherEnginesKeepWantedState applies an intent for one engine after a
 // cancelled plan left another at an older version than its model's.
-func TestOtherEnginesKeepWhatTheyWant(t *testing.T) {
+func TestOtherEnginesKeepWantedState(t *testing.T) {
 	base, _, _ := Apply("base.toml", []byte(baseIntent), &config.Config{})
 	base.Models[0].Version = "2"
 	target, _, findings := Apply("f.toml", []byte("name = \"x\"\n[[engine]]\nid = \"e1\"\nleave = true\n"), base)
--- a/internal/plan/build.go
+++ b/internal/plan/build.go
@@ -9,33 +9,33 @@
 	"sassafrasfield/internal/rollout"
 )
 
-// Costs are the expected times of changes.
+// Costs are the expected durations of changes.
 type Costs struct {
-	// ChangeSeconds is a change of role, or of model or version without the
-	// transfer of weights; LoadSeconds the loading of adapters.
+	// ChangeSeconds is the duration of a change of role, model or version, without the transfer of weights.
+	// LoadSeconds is the time to load adapters.
 	ChangeSeconds float64
 	LoadSeconds   float64
-	// WeightRate is the weight store's rate in bytes a second; 0 is unknown.
+	// WeightRate is the rate of the weight store in bytes per second; 0 if unknown.
 	WeightRate float64
-	// TargetLoadTime is within which an engine should get its weights; it bounds the
-	// loads at once, see rollout.ParallelLoads.
+	// TargetLoadTime is the time within which an engine should load its weights. It limits the concurrent
+	// loads, see rollout.ParallelLoads.
 	TargetLoadTime time.Duration
 }
 
-// Build compares two configurations and returns the steps between them.
+// Build compares two configurations and returns the plan that leads from one to the other.
 func Build(from, to *config.Config, costs Costs) *Plan {
 	b := builder{from: from, to: to, costs: costs, plan: &Plan{BuiltFrom: from.Intent, State: StateDeclared}}
 	for i := range to.Engines {
-		b.engine(&to.Engines[i])
+		b.addEngineStep(&to.Engines[i])
 	}
 	if len(b.plan.Steps) == 0 || settingsDiffer(from, to) {
 		b.add(Step{Kind: KindConfigure, Text: "put the declared settings in force"})
 	}
-	b.order()
-	b.estimate()
-	b.predict()
-	b.warn()
-	b.refuse()
+	b.sortSteps()
+	b.estimateOutSeconds()
+	b.predictEffects()
+	b.addWarnings()
+	b.addRefusals()
 	return b.plan
 }
 
@@ -50,8 +50,8 @@
 	b.plan.Steps = append(b.plan.Steps, step)
 }
 
-// order sorts the steps so that what adds capacity comes first.
-func (b *builder) order() {
+// sortSteps sorts the steps so that those that add capacity come first, and numbers them.
+func (b *builder) sortSteps() {
 	slices.SortStableFunc(b.plan.Steps, func(x, y Step) int {
 		return slices.Index(kindOrder, x.Kind) - slices.Index(kindOrder, y.Kind)
 	})
@@ -60,15 +60,15 @@
 	}
 }
 
-// changed tells whether the intent asks for something else of an engine.
-func changed(before, after *config.Engine) bool {
+// wantChanged reports whether the intent changes what is wanted of an engine.
+func wantChanged(before, after *config.Engine) bool {
 	return before == nil || before.Leave != after.Leave || !before.Want.Equal(after.Want)
 }
 
-// engine adds the step of one engine, if the intent changes it.
-func (b *builder) engine(e *config.Engine) {
+// addEngineStep adds the step of an engine if the intent changes it.
+func (b *builder) addEngineStep(e *config.Engine) {
 	before := b.from.Engine(e.ID)
-	if !changed(before, e) || rollout.Converged(e) {
+	if !wantChanged(before, e) || rollout.Converged(e) {
 		return
 	}
 	step := Step{Pool: e.Pool, Engine: e.ID}
@@ -76,10 +76,10 @@
 	case e.Leave:
 		step.Kind, step.Text = KindWithdraw, fmt.Sprintf("drain %s and take it out", e.ID)
 	case e.Routing != config.RoutingServing:
-		step.Kind, step.Text = KindReturn, fmt.Sprintf("bring %s into service with %s", e.ID, describe(e.Want))
+		step.Kind, step.Text = KindReturn, fmt.Sprintf("bring %s into service with %s", e.ID, describeState(e.Want))
 	case e.Loaded.Disruptive(e.Want):
 		step.Kind = KindChange
-		step.Text = fmt.Sprintf("drain %s, change it to %s, bring it back", e.ID, describe(e.Want))
+		step.Text = fmt.Sprintf("drain %s, change it to %s, bring it back", e.ID, describeState(e.Want))
 	default:
 		step.Kind = KindLoad
 		step.Text = fmt.Sprintf("load adapters %v into %s while it serves", e.Want.Adapters, e.ID)
@@ -87,8 +87,8 @@
 	b.add(step)
 }
 
-// weightSeconds is how long an engine's change loads weights when it has the
-// weight store to itself.
+// weightSeconds returns the time to load weights for an engine's change, in seconds, if no other engine
+// uses the weight store.
 func (b *builder) weightSeconds(e *config.Engine) float64 {
 	model := b.to.Model(e.Want.Model)
 	if model == nil || b.costs.WeightRate == 0 || !rollout.NeedsWeights(e.Loaded, e.Want) {
@@ -97,35 +97,35 @@
 	return float64(model.WeightBytes) / b.costs.WeightRate
 }
 
-// estimate fills in how long each engine is out. Loads at once share the
-// weight store's rate.
-func (b *builder) estimate() {
+// estimateOutSeconds sets the time that each engine is out of service. Concurrent loads share the rate of
+// the weight store.
+func (b *builder) estimateOutSeconds() {
 	for i := range b.plan.Steps {
 		step := &b.plan.Steps[i]
 		if step.Kind != KindChange {
 			continue
 		}
 		e := b.to.Engine(step.Engine)
-		step.OutSeconds = b.costs.ChangeSeconds + b.weightSeconds(e)*float64(b.loadsAtOnce(e))
+		step.OutSeconds = b.costs.ChangeSeconds + b.weightSeconds(e)*float64(b.concurrentLoads(e))
 	}
 }
 
-// loadsAtOnce is how many engines of an engine's pool are expected to load
-// weights at the same time.
-func (b *builder) loadsAtOnce(e *config.Engine) int {
+// concurrentLoads returns how many engines of the pool of an engine are expected to load weights at the
+// same time.
+func (b *builder) concurrentLoads(e *config.Engine) int {
 	pool, model := b.to.Pool(e.Pool), b.to.Model(e.Want.Model)
 	if model == nil || model.WeightBytes == 0 || b.costs.WeightRate == 0 {
 		return 1
 	}
 	loads := rollout.ParallelLoads(b.costs.WeightRate, model.WeightBytes, b.costs.TargetLoadTime, 1)
-	return max(1, min(loads, b.capacityOf(pool).parallel, b.count(e.Pool, KindChange)))
+	return max(1, min(loads, b.capacityOf(pool).maxConcurrent, b.countSteps(e.Pool, KindChange)))
 }
 
-func describe(s config.EngineState) string {
+func describeState(s config.EngineState) string {
 	return fmt.Sprintf("%s version %s, adapters %v, role %s", s.Model, s.Version, s.Adapters, s.Role)
 }
 
-// settingsDiffer compares what is in no engine.
+// settingsDiffer reports whether anything but the engines differs.
 func settingsDiffer(from, to *config.Config) bool {
 	a, b := *from, *to
 	a.Engines, b.Engines = nil, nil
@@ -133,8 +133,8 @@
 	return string(a.Encode()) != string(b.Encode())
 }
 
-// count is the number of a pool's steps of a kind.
-func (b *builder) count(pool string, kind Kind) int {
+// countSteps returns the number of steps of a kind in a pool.
+func (b *builder) countSteps(pool string, kind Kind) int {
 	n := 0
 	for _, step := range b.plan.Steps {
 		if step.Pool == pool && step.Kind == kind {
--- a/internal/plan/capacity.go
+++ b/internal/plan/capacity.go
@@ -5,18 +5,18 @@
 	"sassafrasfield/internal/rollout"
 )
 
-// capacity of a pool in engines that serve.
-type capacity struct {
+// poolCapacity is the number of serving engines of a pool before, during and after a plan.
+type poolCapacity struct {
 	before, lowest, after int
-	// parallel is how many engines may be out for a change at once; below 1
-	// the floor allows none.
-	parallel int
+	// maxConcurrent is how many engines may be out of service for a change at a time. Below 1, MinServing
+	// allows none.
+	maxConcurrent int
 }
 
-// capacityOf predicts the capacity of a pool of the target.
-func (b *builder) capacityOf(pool *config.Pool) capacity {
-	var c capacity
-	c.before = serving(b.from, pool.Name)
+// capacityOf predicts the capacity of a pool of the target configuration.
+func (b *builder) capacityOf(pool *config.Pool) poolCapacity {
+	var c poolCapacity
+	c.before = countServing(b.from, pool.Name)
 	total := 0
 	for _, e := range b.to.PoolEngines(pool.Name) {
 		if !e.Leave {
@@ -24,18 +24,18 @@
 		}
 	}
 	c.after = total
-	returns, changes := b.count(pool.Name, KindReturn), b.count(pool.Name, KindChange)
-	withdrawals := b.count(pool.Name, KindWithdraw)
+	returns, changes := b.countSteps(pool.Name, KindReturn), b.countSteps(pool.Name, KindChange)
+	withdrawals := b.countSteps(pool.Name, KindWithdraw)
 	spare := min(c.before+returns, c.after) - pool.MinServing
-	c.parallel = min(rollout.MaxOut(total), spare)
-	out := min(max(c.parallel, 0), changes)
-	floor := min(c.before, pool.MinServing)
-	c.lowest = min(c.before, c.after, max(c.before-withdrawals-out, floor))
+	c.maxConcurrent = min(rollout.MaxOut(total), spare)
+	out := min(max(c.maxConcurrent, 0), changes)
+	minimum := min(c.before, pool.MinServing)
+	c.lowest = min(c.before, c.after, max(c.before-withdrawals-out, minimum))
 	return c
 }
 
-// serving counts the engines of a pool in routing.
-func serving(doc *config.Config, pool string) int {
+// countServing returns the number of engines of a pool that are in routing.
+func countServing(doc *config.Config, pool string) int {
 	n := 0
 	for _, e := range doc.PoolEngines(pool) {
 		if e.Routing == config.RoutingServing {
@@ -45,8 +45,8 @@
 	return n
 }
 
-// predict fills in the effects on each model, and the time.
-func (b *builder) predict() {
+// predictEffects sets the effects on each model and the duration of the plan.
+func (b *builder) predictEffects() {
 	index := map[string]int{}
 	effect := func(model string) *Effect {
 		i, ok := index[model]
@@ -64,18 +64,18 @@
 		e.Before += c.before
 		e.Lowest += c.lowest
 		e.After += c.after
-		b.plan.Seconds = max(b.plan.Seconds, b.seconds(pool, c))
+		b.plan.Seconds = max(b.plan.Seconds, b.durationSeconds(pool, c))
 	}
 	for i := range b.from.Pools {
 		if pool := &b.from.Pools[i]; b.to.Pool(pool.Name) == nil {
-			effect(pool.Model).Before += serving(b.from, pool.Name)
+			effect(pool.Model).Before += countServing(b.from, pool.Name)
 		}
 	}
 }
 
-// seconds is the expected time of a pool's steps. Pools go on side by side;
-// the weight store's rate is shared, so that loads at once do not add to it.
-func (b *builder) seconds(pool *config.Pool, c capacity) float64 {
+// durationSeconds returns the expected duration of a pool's steps in seconds. Pools change concurrently.
+// Loads share the rate of the weight store, so concurrent loads take as long in total as consecutive ones.
+func (b *builder) durationSeconds(pool *config.Pool, c poolCapacity) float64 {
 	weights, changes := 0.0, 0
 	for _, step := range b.plan.Steps {
 		if step.Pool != pool.Name || step.Kind != KindChange {
@@ -84,9 +84,9 @@
 		changes++
 		weights += b.weightSeconds(b.to.Engine(step.Engine))
 	}
-	rounds := (changes + max(c.parallel, 1) - 1) / max(c.parallel, 1)
+	rounds := (changes + max(c.maxConcurrent, 1) - 1) / max(c.maxConcurrent, 1)
 	total := float64(rounds)*b.costs.ChangeSeconds + weights
-	if b.count(pool.Name, KindLoad) > 0 || b.count(pool.Name, KindReturn) > 0 {
+	if b.countSteps(pool.Name, KindLoad) > 0 || b.countSteps(pool.Name, KindReturn) > 0 {
 		total = max(total, b.costs.LoadSeconds)
 	}
 	return total
--- a/internal/plan/check.go
+++ b/internal/plan/check.go
@@ -15,8 +15,8 @@
 	b.plan.Refusals = append(b.plan.Refusals, fmt.Sprintf(format, args...))
 }
 
-// warn tells of what an operator may not have meant.
-func (b *builder) warn() {
+// addWarnings adds warnings about effects that the operator may not have intended.
+func (b *builder) addWarnings() {
 	for _, effect := range b.plan.Effects {
 		switch {
 		case effect.After == 1 && effect.Before != 1:
@@ -28,10 +28,10 @@
 		}
 	}
 	for i := range b.from.Pools {
-		b.warnZones(&b.from.Pools[i])
+		b.warnAboutZones(&b.from.Pools[i])
 	}
 	for i := range b.from.Models {
-		b.warnCallers(&b.from.Models[i])
+		b.warnAboutCallers(&b.from.Models[i])
 	}
 	for i := range b.from.Organisations {
 		name := b.from.Organisations[i].Name
@@ -41,24 +41,24 @@
 	}
 }
 
-// warnZones names the zones that lose their last engine of a pool.
-func (b *builder) warnZones(pool *config.Pool) {
-	kept := map[string]bool{}
+// warnAboutZones adds a warning for each zone that loses its last engine of a pool.
+func (b *builder) warnAboutZones(pool *config.Pool) {
+	remaining := map[string]bool{}
 	for _, e := range b.to.PoolEngines(pool.Name) {
 		if !e.Leave {
-			kept[e.Zone] = true
+			remaining[e.Zone] = true
 		}
 	}
 	for _, e := range b.from.PoolEngines(pool.Name) {
-		if !e.Leave && !kept[e.Zone] {
-			kept[e.Zone] = true
+		if !e.Leave && !remaining[e.Zone] {
+			remaining[e.Zone] = true
 			b.warning("zone %s is left without an engine of pool %s", e.Zone, pool.Name)
 		}
 	}
 }
 
-// warnCallers names who loses a model or one of its adapters.
-func (b *builder) warnCallers(before *config.Model) {
+// warnAboutCallers adds warnings for callers that lose a model or one of its adapters.
+func (b *builder) warnAboutCallers(before *config.Model) {
 	after := b.to.Model(before.Name)
 	if after == nil {
 		b.warning("model %s is removed; callers that ask for it are refused", before.Name)
@@ -70,49 +70,52 @@
 		}
 	}
 	for _, o := range b.to.Organisations {
-		if mayUse(before, o.Name) && !mayUse(after, o.Name) {
+		if mayCall(before, o.Name) && !mayCall(after, o.Name) {
 			b.warning("organisation %s loses model %s", o.Name, before.Name)
 		}
 	}
 }
 
-func mayUse(m *config.Model, organisation string) bool {
+func mayCall(m *config.Model, organisation string) bool {
 	return len(m.Callers) == 0 || slices.Contains(m.Callers, organisation)
 }
 
-// refuse tells what forbids the plan as things stand.
-func (b *builder) refuse() {
+// addRefusals adds the reasons why the plan can't be confirmed in the current configuration.
+func (b *builder) addRefusals() {
 	for i := range b.to.Pools {
-		b.refuseFloor(&b.to.Pools[i])
+		b.refuseBelowMinServing(&b.to.Pools[i])
 	}
 	for i := range b.from.Engines {
 		b.refuseContradiction(&b.from.Engines[i])
 	}
 	for i := range b.from.Pools {
-		b.refuseUsed(&b.from.Pools[i])
+		b.refuseModelChange(&b.from.Pools[i])
 	}
 }
 
-func (b *builder) refuseFloor(pool *config.Pool) {
+// refuseBelowMinServing refuses plans that leave a pool with too few engines, or change its MinServing
+// while another plan is in progress.
+func (b *builder) refuseBelowMinServing(pool *config.Pool) {
 	c := b.capacityOf(pool)
-	touched := b.count(pool.Name, KindWithdraw) + b.count(pool.Name, KindReturn) + b.count(pool.Name, KindChange)
+	affected := b.countSteps(pool.Name, KindWithdraw) + b.countSteps(pool.Name, KindReturn) + b.countSteps(pool.Name, KindChange)
 	before := b.from.Pool(pool.Name)
-	raised := before == nil || before.MinServing != pool.MinServing
+	minServingChanged := before == nil || before.MinServing != pool.MinServing
 	switch {
-	case c.after < pool.MinServing && (touched > 0 || raised):
+	case c.after < pool.MinServing && (affected > 0 || minServingChanged):
 		b.refusal("pool %s would keep %d engines, fewer than its min_serving %d", pool.Name, c.after, pool.MinServing)
-	case c.parallel < 1 && b.count(pool.Name, KindChange) > 0:
+	case c.maxConcurrent < 1 && b.countSteps(pool.Name, KindChange) > 0:
 		b.refusal("pool %s can't take an engine out for a change: min_serving %d leaves none to spare", pool.Name, pool.MinServing)
 	}
-	if running := runningIn(b.from, pool.Name); raised && before != nil && running != "" {
+	if running := planInProgress(b.from, pool.Name); minServingChanged && before != nil && running != "" {
 		b.refusal("pool %s is being changed by plan %s, which was built for min_serving %d; wait for it or cancel it", pool.Name, running, before.MinServing)
 	}
 }
 
-// refuseContradiction compares an engine with what the intent makes of it.
+// refuseContradiction refuses changes of an engine that another plan is changing, and moves of an engine in
+// service.
 func (b *builder) refuseContradiction(before *config.Engine) {
 	after := b.to.Engine(before.ID)
-	if before.Plan != "" && (after == nil || changed(before, after)) {
+	if before.Plan != "" && (after == nil || wantChanged(before, after)) {
 		b.refusal("engine %s is still being changed by plan %s; wait for it or cancel it", before.ID, before.Plan)
 	}
 	if after == nil || before.Routing == config.RoutingOut {
@@ -126,16 +129,16 @@
 	}
 }
 
-// refuseUsed refuses to take the model of a pool away while engines serve it.
-func (b *builder) refuseUsed(pool *config.Pool) {
+// refuseModelChange refuses to change the model of a pool while another plan changes the pool's engines.
+func (b *builder) refuseModelChange(pool *config.Pool) {
 	after := b.to.Pool(pool.Name)
-	if after != nil && after.Model != pool.Model && runningIn(b.from, pool.Name) != "" {
-		b.refusal("pool %s is being changed by plan %s; wait for it or cancel it", pool.Name, runningIn(b.from, pool.Name))
+	if after != nil && after.Model != pool.Model && planInProgress(b.from, pool.Name) != "" {
+		b.refusal("pool %s is being changed by plan %s; wait for it or cancel it", pool.Name, planInProgress(b.from, pool.Name))
 	}
 }
 
-// runningIn names a plan that still changes engines of a pool.
-func runningIn(doc *config.Config, pool string) string {
+// planInProgress returns the ID of a plan that still changes engines of a pool, or the empty string.
+func planInProgress(doc *config.Config, pool string) string {
 	for _, e := range doc.PoolEngines(pool) {
 		if e.Plan != "" {
 			return e.Plan
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -1,5 +1,7 @@
-// Package plan works out what an intent would do, as steps that an operator
-// can read before anything changes. It is pure.
+// Package plan computes the effects of an intent before anything changes. It compares the current
+// configuration with the one that the intent asks for, and returns a plan for operators: the steps, the
+// predicted effects, warnings and refusals. It also tracks the progress of confirmed plans and cancels
+// them. It has no side effects.
 package plan
 
 import (
@@ -11,35 +13,35 @@
 	"sassafrasfield/internal/config"
 )
 
-// State of a plan, as its row has it.
+// State is the stored state of a plan.
 type State string
 
 // States of a plan.
 const (
-	// StateDeclared plans wait for a confirmation.
+	// StateDeclared plans await confirmation.
 	StateDeclared State = "declared"
 	// StateConfirmed plans were accepted as a version.
 	StateConfirmed State = "confirmed"
-	// StateCancelled plans were given up, before or after the confirmation.
+	// StateCancelled plans were cancelled, before or after the confirmation.
 	StateCancelled State = "cancelled"
-	// StateRefused plans can't be confirmed any more.
+	// StateRefused plans can no longer be confirmed.
 	StateRefused State = "refused"
 )
 
-// Kind of a step.
+// Kind is the kind of a step.
 type Kind string
 
-// Kinds of step, in the order of a plan: what adds capacity comes first.
+// Kinds of steps, in the order of a plan. Steps that add capacity come first.
 const (
-	// KindConfigure puts settings in force that touch no engine.
+	// KindConfigure applies settings that do not affect an engine.
 	KindConfigure Kind = "configure"
 	// KindReturn brings an engine into service.
 	KindReturn Kind = "return"
 	// KindLoad loads adapters into a serving engine.
 	KindLoad Kind = "load"
-	// KindChange takes an engine out, changes it and brings it back.
+	// KindChange drains an engine, changes it and returns it to service.
 	KindChange Kind = "change"
-	// KindWithdraw drains an engine and takes it out.
+	// KindWithdraw drains an engine and takes it out of service.
 	KindWithdraw Kind = "withdraw"
 )
 
@@ -52,50 +54,50 @@
 	Pool   string `json:"pool,omitempty"`
 	Engine string `json:"engine,omitempty"`
 	Text   string `json:"text"`
-	// OutSeconds is the expected time out of service, after draining.
+	// OutSeconds is the expected time out of service in seconds, without the draining.
 	OutSeconds float64 `json:"out_seconds,omitempty"`
-	// Cancelled is true when the plan was cancelled before the step started.
+	// Cancelled is true if the plan was cancelled before the step started.
 	Cancelled bool `json:"cancelled,omitempty"`
 }
 
-// Effect is the predicted change in a model's serving engines.
+// Effect is the predicted change of the number of engines that serve a model.
 type Effect struct {
 	Model  string `json:"model"`
 	Before int    `json:"before"`
-	// Lowest is the fewest engines that serve at any step.
+	// Lowest is the smallest number of serving engines at any step.
 	Lowest int `json:"lowest"`
 	After  int `json:"after"`
 }
 
-// Plan is a declared intent with what it would do.
+// Plan is a declared intent and its predicted effects.
 type Plan struct {
 	ID       string `json:"id"`
 	Name     string `json:"name"`
 	Operator string `json:"operator"`
-	// BuiltFrom is the intent number of the configuration it was built from.
+	// BuiltFrom is the intent number of the configuration from which the plan was built.
 	BuiltFrom int64    `json:"built_from"`
 	Steps     []Step   `json:"steps"`
 	Effects   []Effect `json:"effects"`
-	// Seconds is the expected time of all steps, without the time in which
-	// engines finish their streams.
+	// Seconds is the expected duration of all steps in seconds, without the time in which engines finish
+	// their streams.
 	Seconds  float64  `json:"seconds"`
 	Warnings []string `json:"warnings,omitempty"`
-	// Refusals are what forbids the plan as things stand.
+	// Refusals are the reasons why the plan can't be confirmed in the current configuration.
 	Refusals []string `json:"refusals,omitempty"`
 	State    State    `json:"state"`
-	// Reason of the state, when it needs one.
+	// Reason explains the state where necessary.
 	Reason string `json:"reason,omitempty"`
-	// Version that the confirmation created; 0 before.
+	// Version is the version that the confirmation created; 0 before.
 	Version int64 `json:"version"`
 	// ConfirmedBy is the operator who confirmed the plan.
 	ConfirmedBy string `json:"confirmed_by,omitempty"`
-	// File and Source are the intent as it was declared. A confirmation
-	// applies it again.
+	// File and Source are the name and the content of the declared intent file. The confirmation applies it
+	// again.
 	File   string `json:"file"`
 	Source []byte `json:"source"`
 }
 
-// Key is the table key of a plan.
+// Key returns the table key of a plan.
 func Key(id string) string {
 	return "plan/" + id
 }
@@ -109,22 +111,21 @@
 	return data
 }
 
-// Decode reads a plan that Encode wrote.
+// Decode parses a plan that was written by Encode.
 func Decode(data []byte) (*Plan, error) {
 	p := &Plan{}
 	return p, errors.Wrap(json.Unmarshal(data, p), "plan: decode")
 }
 
-// SameSteps tells whether two plans do the same to the same engines.
+// SameSteps reports whether two plans have the same kinds of steps for the same engines.
 func (p *Plan) SameSteps(other *Plan) bool {
 	return slices.EqualFunc(p.Steps, other.Steps, func(a, b Step) bool {
 		return a.Kind == b.Kind && a.Engine == b.Engine
 	})
 }
 
-// ClaimEngines makes the plan's engines its own in the document that its confirmation
-// creates. Until they have arrived, or the plan is cancelled, an intent that
-// would change them contradicts it.
+// ClaimEngines assigns the engines of the plan to it in the document that its confirmation creates. Until
+// they have converged, or the plan is cancelled, an intent that would change them is refused.
 func (p *Plan) ClaimEngines(doc *config.Config) {
 	for _, step := range p.Steps {
 		if e := doc.Engine(step.Engine); e != nil {
@@ -133,7 +134,7 @@
 	}
 }
 
-// RunningIDs names the plans that still have engines to change, in order.
+// RunningIDs returns the IDs of the plans that still change engines, in the order of the engines.
 func RunningIDs(doc *config.Config) []string {
 	var ids []string
 	for i := range doc.Engines {
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -8,66 +8,66 @@
 	"sassafrasfield/internal/config"
 )
 
-func state(version string) config.EngineState {
+func versionState(version string) config.EngineState {
 	return config.EngineState{Model: "m", Version: version, Role: config.RoleMixed}
 }
 
-// fleet returns a document with engines that all serve version 1.
-func fleet(floor int, ids ...string) *config.Config {
+// newConfig returns a configuration whose engines all serve version 1.
+func newConfig(minServing int, ids ...string) *config.Config {
 	doc := &config.Config{
 		Version: 7, Intent: 3,
 		Models:        []config.Model{{Name: "m", Version: "1", WeightBytes: 100}},
-		Pools:         []config.Pool{{Name: "p", Model: "m", MinServing: floor}},
+		Pools:         []config.Pool{{Name: "p", Model: "m", MinServing: minServing}},
 		Organisations: []config.Organisation{{Name: "qoton"}, {Name: "agedim"}},
 	}
 	for i, id := range ids {
 		doc.Engines = append(doc.Engines, config.Engine{
-			ID: id, Zone: []string{"hall-a", "hall-b"}[i%2], Pool: "p", Want: state("1"), Loaded: state("1"), Routing: config.RoutingServing,
+			ID: id, Zone: []string{"hall-a", "hall-b"}[i%2], Pool: "p", Want: versionState("1"), Loaded: versionState("1"), Routing: config.RoutingServing,
 		})
 	}
 	return doc
 }
 
-func wantVersion(doc *config.Config, version string, ids ...string) {
+func setWantedVersion(doc *config.Config, version string, ids ...string) {
 	for _, id := range ids {
-		doc.Engine(id).Want = state(version)
+		doc.Engine(id).Want = versionState(version)
 	}
 }
 
-func TestPlans(t *testing.T) {
+func TestBuild(t *testing.T) {
 	costs := Costs{ChangeSeconds: 5, LoadSeconds: 1, WeightRate: 10}
 	cases := []struct {
-		name   string
-		floor  int
-		base   func(*config.Config)
-		change func(*config.Config)
-		kinds  []Kind
-		effect Effect
-		// seconds out of the last step, and a part of the one warning or
-		// refusal that is expected.
+		name       string
+		minServing int
+		base       func(*config.Config)
+		change     func(*config.Config)
+		kinds      []Kind
+		effect     Effect
+		// out is the OutSeconds of the last step. warning and refusal are parts of the expected ones, of
+		// which there is at most one each.
 		out              float64
 		warning, refusal string
 	}{
 		{
-			name: "version change", floor: 2, kinds: []Kind{KindChange, KindChange, KindChange, KindChange},
-			change: func(d *config.Config) { wantVersion(d, "2", "a", "b", "c", "d") },
+			name: "version change", minServing: 2, kinds: []Kind{KindChange, KindChange, KindChange, KindChange},
+			change: func(d *config.Config) { setWantedVersion(d, "2", "a", "b", "c", "d") },
 			effect: Effect{Model: "m", Before: 4, Lowest: 3, After: 4}, out: 15,
 		},
 		{
-			name: "floor leaves none to spare", floor: 4, kinds: []Kind{KindChange},
-			change: func(d *config.Config) { wantVersion(d, "2", "a") },
+			name: "floor leaves none to spare", minServing: 4, kinds: []Kind{KindChange},
+			change: func(d *config.Config) { setWantedVersion(d, "2", "a") },
 			effect: Effect{Model: "m", Before: 4, Lowest: 4, After: 4}, out: 15, refusal: "none to spare",
 		},
 		{
-			name: "withdrawal below the floor", floor: 4, kinds: []Kind{KindWithdraw},
+			name: "withdrawal below the floor", minServing: 4, kinds: []Kind{KindWithdraw},
 			change: func(d *config.Config) { d.Engine("a").Leave = true },
 			effect: Effect{Model: "m", Before: 4, Lowest: 3, After: 3}, refusal: "fewer than its min_serving",
 		},
 		{
-			name: "replacement adds before it takes away", floor: 4, kinds: []Kind{KindReturn, KindWithdraw},
+			name: "replacement adds before it takes away", minServing: 4, kinds: []Kind{KindReturn, KindWithdraw},
 			change: func(d *config.Config) {
 				d.Engine("a").Leave = true
-				d.Engines = append(d.Engines, config.Engine{ID: "e", Zone: "hall-a", Pool: "p", Want: state("1"), Routing: config.RoutingOut})
+				d.Engines = append(d.Engines, config.Engine{ID: "e", Zone: "hall-a", Pool: "p", Want: versionState("1"), Routing: config.RoutingOut})
 			},
 			effect: Effect{Model: "m", Before: 4, Lowest: 4, After: 4},
 		},
@@ -83,7 +83,7 @@
 		},
 		{
 			name: "another plan changes the engine", kinds: []Kind{KindWithdraw},
-			base:   func(d *config.Config) { d.Engine("a").Want, d.Engine("a").Plan = state("2"), "other" },
+			base:   func(d *config.Config) { d.Engine("a").Want, d.Engine("a").Plan = versionState("2"), "other" },
 			change: func(d *config.Config) { d.Engine("a").Leave = true },
 			effect: Effect{Model: "m", Before: 4, Lowest: 3, After: 3}, refusal: "being changed by plan other",
 		},
@@ -95,7 +95,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			from := fleet(c.floor, "a", "b", "c", "d")
+			from := newConfig(c.minServing, "a", "b", "c", "d")
 			if c.base != nil {
 				c.base(from)
 			}
@@ -109,30 +109,30 @@
 			if !slices.Equal(kinds, c.kinds) || p.Effects[0] != c.effect || p.Steps[len(kinds)-1].OutSeconds != c.out {
 				t.Errorf("steps %+v, effects %+v", p.Steps, p.Effects)
 			}
-			checkOne(t, "warnings", p.Warnings, c.warning)
-			checkOne(t, "refusals", p.Refusals, c.refusal)
+			checkFindings(t, "warnings", p.Warnings, c.warning)
+			checkFindings(t, "refusals", p.Refusals, c.refusal)
 		})
 	}
 }
 
-func checkOne(t *testing.T, what string, got []string, want string) {
+func checkFindings(t *testing.T, kind string, got []string, want string) {
 	t.Helper()
 	if (want == "" && len(got) > 0) || (want != "" && (len(got) != 1 || !strings.Contains(got[0], want))) {
-		t.Errorf("%s %q, want %q", what, got, want)
+		t.Errorf("%s %q, want %q", kind, got, want)
 	}
 }
 
-// TestCancelKeepsWhatHasNotStarted cancels a plan with one step done, one
-// started and one that waits.
-func TestCancelKeepsWhatHasNotStarted(t *testing.T) {
-	from := fleet(0, "a", "b", "c")
+// TestCancelRevertsStepsThatHaveNotStarted cancels a plan with one completed step, one that has started and
+// one that has not.
+func TestCancelRevertsStepsThatHaveNotStarted(t *testing.T) {
+	from := newConfig(0, "a", "b", "c")
 	to := from.Clone()
-	wantVersion(to, "2", "a", "b", "c")
+	setWantedVersion(to, "2", "a", "b", "c")
 	p := Build(from, to, Costs{})
 	p.ID, p.State, p.Version = "x", StateConfirmed, 8
 	p.ClaimEngines(to)
 	to.Version = 8
-	to.Engine("a").Loaded, to.Engine("a").Plan = state("2"), ""
+	to.Engine("a").Loaded, to.Engine("a").Plan = versionState("2"), ""
 	to.Engine("b").Routing = config.RoutingDraining
 	if got := p.ProgressIn(to).Steps; !slices.Equal(got, []StepState{StepDone, StepRunning, StepWaiting}) {
 		t.Errorf("before: %v", got)
@@ -140,7 +140,7 @@
 	if !p.Cancel(to) {
 		t.Fatal("nothing to cancel")
 	}
-	if !to.Engine("b").Want.Equal(state("2")) || !to.Engine("c").Want.Equal(state("1")) || len(RunningIDs(to)) != 0 {
+	if !to.Engine("b").Want.Equal(versionState("2")) || !to.Engine("c").Want.Equal(versionState("1")) || len(RunningIDs(to)) != 0 {
 		t.Errorf("engines %+v", to.Engines)
 	}
 	if got := p.ProgressIn(to); got.State != "cancelled" || !slices.Equal(got.Steps, []StepState{StepDone, StepRunning, StepCancelled}) {
--- a/internal/plan/progress.go
+++ b/internal/plan/progress.go
@@ -5,7 +5,7 @@
 	"sassafrasfield/internal/rollout"
 )
 
-// StepState of a step of a confirmed plan, by the newest configuration.
+// StepState is the state of a step according to the newest configuration.
 type StepState string
 
 // States of a step.
@@ -16,26 +16,26 @@
 	StepCancelled StepState = "cancelled"
 )
 
-// Progress of a plan as an operator reads it.
+// Progress is the progress of a plan as shown to operators.
 type Progress struct {
-	// State is that of the row, but running or done for a confirmed plan.
+	// State is the state of the plan. A confirmed plan is running or done instead.
 	State string
-	// Steps has the state of each step.
+	// Steps are the states of the steps.
 	Steps []StepState
 }
 
-// States that Progress adds to those of the row.
+// States of a confirmed plan in Progress.
 const (
 	ProgressRunning = "running"
 	ProgressDone    = "done"
 )
 
-// ProgressIn tells how far the plan is in a configuration.
-func (p *Plan) ProgressIn(now *config.Config) Progress {
+// ProgressIn returns the progress of the plan in a configuration.
+func (p *Plan) ProgressIn(current *config.Config) Progress {
 	progress := Progress{State: string(p.State)}
 	done := true
 	for _, step := range p.Steps {
-		state := p.stepState(step, now)
+		state := p.stepState(step, current)
 		done = done && state == StepDone
 		progress.Steps = append(progress.Steps, state)
 	}
@@ -48,17 +48,17 @@
 	return progress
 }
 
-func (p *Plan) stepState(step Step, now *config.Config) StepState {
+func (p *Plan) stepState(step Step, current *config.Config) StepState {
 	if step.Cancelled {
 		return StepCancelled
 	}
-	if p.Version == 0 || now.Version < p.Version {
+	if p.Version == 0 || current.Version < p.Version {
 		if p.State == StateCancelled || p.State == StateRefused {
 			return StepCancelled
 		}
 		return StepWaiting
 	}
-	e := now.Engine(step.Engine)
+	e := current.Engine(step.Engine)
 	switch {
 	case step.Kind == KindConfigure || e == nil:
 		return StepDone
@@ -71,9 +71,9 @@
 	}
 }
 
-// Cancel changes a document so that what the plan has not started stays as it
-// is, and marks those steps. What was started is finished. It tells whether
-// anything was left to cancel or to finish.
+// Cancel cancels the plan in a document. Engines whose steps have not started keep their current state, and
+// these steps are marked as cancelled. Steps that have started will be completed. Cancel reports whether
+// any step was left to cancel or to complete.
 func (p *Plan) Cancel(doc *config.Config) bool {
 	left := false
 	for i := range p.Steps {
@@ -84,14 +84,15 @@
 		}
 		left = true
 		e.Plan = ""
-		step.Cancelled = keepAsIs(e)
+		step.Cancelled = keepCurrentState(e)
 	}
 	p.State = StateCancelled
 	return left
 }
 
-// keepAsIs makes an engine want what it has, unless its change has started.
-func keepAsIs(e *config.Engine) bool {
+// keepCurrentState sets the wanted state of an engine to its current one. It returns false if the engine's
+// change has started.
+func keepCurrentState(e *config.Engine) bool {
 	switch e.Routing {
 	case config.RoutingServing:
 		e.Leave, e.Want = false, e.Loaded
