--- a/internal/control/leasemetrics.go
+++ b/internal/control/leasemetrics.go
@@ -6,8 +6,8 @@
 	"sassafrasfield/internal/bootclock"
 )
 
-// leaseMetrics count what happens to leases. docs/operate/leases-and-orders.md
-// says what to do about them.
+// leaseMetrics count the events of leases. docs/operate/leases-and-orders.md
+// says how to react to them.
 type leaseMetrics struct {
 	taken, lost, released  metrics.Counter
 	reads, writes, unknown metrics.Counter
@@ -27,8 +27,8 @@
 	}
 }
 
-// count sets the gauge of leases held.
-func (m *leaseMetrics) count(machines map[string]*poolLease) {
+// updateHeld sets the gauge of leases held.
+func (m *leaseMetrics) updateHeld(machines map[string]*poolLease) {
 	held := int64(0)
 	for _, p := range machines {
 		if _, ok := p.machine.Held(bootclock.Now()); ok {
@@ -38,18 +38,18 @@
 	m.held.Update(held)
 }
 
-// orderMetrics count what happens to orders.
+// orderMetrics count the events of orders.
 type orderMetrics struct {
-	sent, answered, failed, fenced, lapsed metrics.Counter
+	sent, answered, failed, fencedOff, expired metrics.Counter
 }
 
 func newOrderMetrics() *orderMetrics {
 	registry := metrics.DefaultRegistry
 	return &orderMetrics{
-		sent:     metrics.GetOrRegisterCounter("order.sent", registry),
-		answered: metrics.GetOrRegisterCounter("order.answered", registry),
-		failed:   metrics.GetOrRegisterCounter("order.failed", registry),
-		fenced:   metrics.GetOrRegisterCounter("order.fenced_off", registry),
-		lapsed:   metrics.GetOrRegisterCounter("order.lapsed", registry),
+		sent:      metrics.GetOrRegisterCounter("order.sent", registry),
+		answered:  metrics.GetOrRegisterCounter("order.answered", registry),
+		failed:    metrics.GetOrRegisterCounter("order.failed", registry),
+		fencedOff: metrics.GetOrRegisterCounter("order.fenced_off", registry),
+		expired:   metrics.GetOrRegisterCounter("order.lapsed", registry),
 	}
 }
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -11,48 +11,49 @@
 	"sassafrasfield/internal/platform"
 )
 
-// forgetAfter is how long an instance that is in no list stays known after it
-// was last heard of.
-const forgetAfter = time.Minute
+// unlistedTTL is how long an instance that is not listed stays known after its
+// last request.
+const unlistedTTL = time.Minute
 
-// heardInstance is an instance that asked this one something.
-type heardInstance struct {
+// seenInstance is an instance that sent a request to this one, and when.
+type seenInstance struct {
 	instance platform.Instance
 	at       time.Duration
 }
 
-// members keeps the newest instance list, and the instances that were heard of
-// but are not listed. While the platform does not answer, the last list
-// stands; without one, that of a peer.
+// members holds the newest instance list, and the instances that sent requests
+// but are not listed. While the platform does not answer, the last list stays
+// valid; if there is none, the list of a peer is used.
 type members struct {
 	list platform.InstanceList
 	log  *slog.Logger
-	// changed is called after each new list, with when it was asked for.
-	changed func(asked time.Duration)
+	// onList is called after each new list, with the time when the list was
+	// requested.
+	onList func(requestedAt time.Duration)
 
-	mu        sync.Mutex // protects all below
-	instances []platform.Instance
-	heard     map[string]heardInstance
+	mu           sync.Mutex // protects the fields below
+	instances    []platform.Instance
+	unlistedSeen map[string]seenInstance
 }
 
 func newMembers(list platform.InstanceList, log *slog.Logger) *members {
-	return &members{list: list, log: log, heard: map[string]heardInstance{}}
+	return &members{list: list, log: log, unlistedSeen: map[string]seenInstance{}}
 }
 
 func (m *members) refresh(ctx context.Context) {
-	asked := bootclock.Now()
+	requestedAt := bootclock.Now()
 	instances, err := m.list.Instances(ctx)
 	if err != nil {
 		m.log.Debug("members: the instance list did not answer", "error", err)
 		return
 	}
 	m.mu.Lock()
-	m.instances = sortedByID(instances)
+	m.instances = sortByID(instances)
 	m.mu.Unlock()
-	m.changed(asked)
+	m.onList(requestedAt)
 }
 
-// adopt takes a peer's list, unless there is one already, and tells whether it
+// adopt sets the list to a peer's if there is none yet, and reports whether it
 // did.
 func (m *members) adopt(instances []platform.Instance) bool {
 	m.mu.Lock()
@@ -60,14 +61,14 @@
 	if len(m.instances) > 0 || len(instances) == 0 {
 		return false
 	}
-	m.instances = sortedByID(instances)
-	m.log.Info("members: list taken from a peer", "instances", len(instances))
+	m.instances = sortByID(instances)
+	m.log.Info("members: instance list received from a peer", "instances", len(instances))
 	return true
 }
 
-// hear takes that an instance asked something, and tells whether it was not
-// known.
-func (m *members) hear(instance platform.Instance) bool {
+// noteCaller records that an instance sent a request, and reports whether the
+// instance was unknown before.
+func (m *members) noteCaller(instance platform.Instance) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, listed := range m.instances {
@@ -75,13 +76,13 @@
 			return false
 		}
 	}
-	_, known := m.heard[instance.ID]
-	m.heard[instance.ID] = heardInstance{instance: instance, at: bootclock.Now()}
+	_, known := m.unlistedSeen[instance.ID]
+	m.unlistedSeen[instance.ID] = seenInstance{instance: instance, at: bootclock.Now()}
 	return !known
 }
 
-// all returns the list. Treat it as read-only.
-func (m *members) all() []platform.Instance {
+// listed returns all listed instances. Treat the result as read-only.
+func (m *members) listed() []platform.Instance {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.instances
@@ -90,7 +91,7 @@
 // own returns the listed instances that run this system.
 func (m *members) own() []platform.Instance {
 	var own []platform.Instance
-	for _, instance := range m.all() {
+	for _, instance := range m.listed() {
 		if instance.Kind == platform.KindOwn && instance.Control != "" {
 			own = append(own, instance)
 		}
@@ -98,18 +99,19 @@
 	return own
 }
 
-// unlisted returns the instances that were heard of and are not listed. It
-// forgets those that are listed now or were not heard of for long.
+// unlisted returns the instances that sent requests and are not listed. It
+// removes the instances that are listed now, and those whose last request is
+// older than unlistedTTL.
 func (m *members) unlisted() []platform.Instance {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, listed := range m.instances {
-		delete(m.heard, listed.ID)
+		delete(m.unlistedSeen, listed.ID)
 	}
 	var out []platform.Instance
-	for id, h := range m.heard {
-		if bootclock.Now()-h.at > forgetAfter {
-			delete(m.heard, id)
+	for id, h := range m.unlistedSeen {
+		if bootclock.Now()-h.at > unlistedTTL {
+			delete(m.unlistedSeen, id)
 			continue
 		}
 		out = append(out, h.instance)
@@ -117,14 +119,15 @@
 	return out
 }
 
-// known returns the instances that run this system, listed or heard of, by id.
-func (m *members) known() []platform.Instance {
-	return sortedByID(append(m.own(), m.unlisted()...))
+// withUnlisted returns the instances that run this system, listed or not,
+// sorted by ID.
+func (m *members) withUnlisted() []platform.Instance {
+	return sortByID(append(m.own(), m.unlisted()...))
 }
 
-// idAt returns the id of the listed instance with a control address, or "".
+// idAt returns the ID of the listed instance with a control address, or "".
 func (m *members) idAt(control string) string {
-	for _, instance := range m.all() {
+	for _, instance := range m.listed() {
 		if instance.Control == control {
 			return instance.ID
 		}
@@ -132,10 +135,11 @@
 	return ""
 }
 
-// leavingUpstreams returns the ids of upstreams that the list calls leaving.
-func (m *members) leavingUpstreams() []string {
+// drainingUpstreams returns the IDs of the upstreams that the list has as
+// draining.
+func (m *members) drainingUpstreams() []string {
 	var ids []string
-	for _, instance := range m.all() {
+	for _, instance := range m.listed() {
 		if instance.Kind == platform.KindUpstream && instance.State == platform.InstanceLeaving {
 			ids = append(ids, instance.ID)
 		}
@@ -143,28 +147,30 @@
 	return ids
 }
 
+// memberLoop periodically reads the instance list.
 func (d *Daemon) memberLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		d.members.refresh(ctx)
-		wait(ctx, d.listPeriod(), nil)
+		wait(ctx, d.listReadPeriod(), nil)
 	}
 }
 
-// listPeriod is the time between this daemon's reads of the list. The list is
-// long where there are many instances, and peers tell of what leaves, so that
-// each reads it less often then.
-func (d *Daemon) listPeriod() time.Duration {
+// listReadPeriod returns the time between this daemon's reads of the list. With
+// many instances the list is long, and peers report draining upstreams too, so
+// each instance reads it less often.
+func (d *Daemon) listReadPeriod() time.Duration {
 	share := time.Duration(len(d.members.own())) * time.Second / time.Duration(d.settings.Spread.ListReads)
 	return max(d.settings.Spread.ListEvery, share)
 }
 
-// listRead takes a list that the platform answered with.
-func (d *Daemon) listRead(asked time.Duration) {
-	d.spread.listRead(asked, d.members.leavingUpstreams())
-	d.membersChanged()
+// onInstanceList applies a list that the platform answered with.
+func (d *Daemon) onInstanceList(requestedAt time.Duration) {
+	d.spread.onInstanceList(requestedAt, d.members.drainingUpstreams())
+	d.updatePeers()
 }
 
-// adoptList takes a peer's list of own instances when there is none here.
+// adoptList sets the list to a peer's list of own instances if there is none
+// yet.
 func (d *Daemon) adoptList(messages []*sfv1.OwnInstance) {
 	var instances []platform.Instance
 	for _, msg := range messages {
@@ -174,23 +180,24 @@
 		})
 	}
 	if d.members.adopt(instances) {
-		d.membersChanged()
+		d.updatePeers()
 	}
 }
 
-// heardOf takes that a peer asked something.
-func (d *Daemon) heardOf(msg *sfv1.ExchangeRequest) {
+// notePeer records that a peer sent an exchange request.
+func (d *Daemon) notePeer(msg *sfv1.ExchangeRequest) {
 	instance := platform.Instance{ID: msg.From, Kind: platform.KindOwn, Zone: msg.Zone, Control: msg.Control}
 	if instance.ID == d.settings.Instance || instance.Control == "" {
 		return
 	}
-	if d.members.hear(instance) {
-		d.membersChanged()
+	if d.members.noteCaller(instance) {
+		d.updatePeers()
 	}
 }
 
-// membersChanged tells the decisions whom there is to ask.
-func (d *Daemon) membersChanged() {
+// updatePeers passes the current members and the addresses of the peers to the
+// spreader.
+func (d *Daemon) updatePeers() {
 	own := d.members.own()
 	var peers []string
 	for _, instance := range append(own, d.members.unlisted()...) {
@@ -201,12 +208,12 @@
 	if len(peers) == 0 {
 		peers = d.settings.Spread.Seeds
 	}
-	d.spread.listed(own, peers)
+	d.spread.setMembers(own, peers)
 }
 
-// listRead takes which upstreams a list called leaving.
-func (s *spreader) listRead(asked time.Duration, leaving []string) {
+// onInstanceList merges the upstreams that an instance list has as draining.
+func (s *spreader) onInstanceList(requestedAt time.Duration, draining []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.leaving.MergeList(asked, leaving)
+	s.draining.MergeList(requestedAt, draining)
 }
