--- a/internal/control/demand.go
+++ b/internal/control/demand.go
@@ -16,21 +16,22 @@
 	"sassafrasfield/internal/platform"
 )
 
-// DemandSettings set how the entries' shares of the organisations' rates are
-// kept up to date.
+// DemandSettings determine how often the entries' shares of the organisations'
+// rate limits are updated.
 type DemandSettings struct {
 	// Every is the mean time between exchanges. Default 1s.
 	Every time.Duration `toml:"every"`
-	// Keep is how long an instance's demand counts after it was reported.
-	// Default 3s.
+	// Keep is how long an instance's reported demand is counted. Default 3s.
 	Keep time.Duration `toml:"keep"`
 }
 
-// demand adds up the demand for the organisations whose home this process is.
+// demand sums the demand of the organisations whose home is this instance (see
+// limit.Home).
 type demand struct {
-	rng *rand.Rand // used by the demand loop alone
-	// asked are the homes of the last exchange; used by the demand loop alone.
-	asked []string
+	rng *rand.Rand // used only by the demand loop
+	// lastHomes are the instances that demand was reported to in the last
+	// exchange. Used only by the demand loop.
+	lastHomes []string
 
 	mu     sync.Mutex // protects totals
 	totals *limit.Totals
@@ -49,8 +50,8 @@
 	return d.totals.Report(from, rates, now)
 }
 
-// demandLoop brings the entry's demand to the organisations' homes and the
-// totals back, with jitter.
+// demandLoop periodically exchanges demand, with a jitter of half the period
+// either way.
 func (d *Daemon) demandLoop(ctx context.Context) {
 	every := d.settings.Demand.Every
 	for ctx.Err() == nil {
@@ -59,8 +60,10 @@
 	}
 }
 
-// exchangeDemand is one exchange. A home that does not answer is left out, and
-// the entry goes back to an equal share when its totals get old.
+// exchangeDemand reports the demand of the local entry to the homes of its
+// organisations, and passes the totals that they answer with to the entry. A
+// home that does not answer is skipped. The entry falls back to an equal share
+// when its totals are too old.
 func (d *Daemon) exchangeDemand(ctx context.Context) {
 	live := map[string]platform.Instance{}
 	var ids []string
@@ -71,7 +74,7 @@
 		}
 	}
 	if len(ids) == 0 {
-		return // no list yet; the entry keeps what it was told last
+		return // no list yet; the entry keeps its last totals
 	}
 	own, err := d.entry.client.Demand(ctx, connect.NewRequest(&sfv1.DemandRequest{}))
 	if err != nil {
@@ -79,10 +82,10 @@
 		return
 	}
 	share := &sfv1.ShareRequest{Entries: int32(len(ids))}
-	homes := byHome(own.Msg.Demand, ids)
-	d.demand.asked = withdraw(homes, d.demand.asked, live)
+	homes := groupByHome(own.Msg.Demand, ids)
+	d.demand.lastHomes = addWithdrawals(homes, d.demand.lastHomes, live)
 	for home, rates := range homes {
-		totals, err := d.askHome(ctx, live[home], rates)
+		totals, err := d.requestTotals(ctx, live[home], rates)
 		if err != nil {
 			d.log.Debug("demand: a home did not answer", "peer", home, "error", err)
 			continue
@@ -94,7 +97,8 @@
 	}
 }
 
-func byHome(rates []*sfv1.OrganisationRate, ids []string) map[string][]*sfv1.OrganisationRate {
+// groupByHome groups rates by the home of their organisation.
+func groupByHome(rates []*sfv1.OrganisationRate, ids []string) map[string][]*sfv1.OrganisationRate {
 	homes := map[string][]*sfv1.OrganisationRate{}
 	for _, rate := range rates {
 		if home := limit.Home(rate.Organisation, ids); home != "" {
@@ -104,22 +108,23 @@
 	return homes
 }
 
-// withdraw adds the homes that were told of some demand in the last exchange
-// and of none now, and returns the homes that were told of some now.
-func withdraw(homes map[string][]*sfv1.OrganisationRate, before []string, live map[string]platform.Instance) []string {
-	told := slices.Collect(maps.Keys(homes))
+// addWithdrawals adds an empty report for each home that received demand in the
+// last exchange and has none now. It returns the homes that have demand now.
+func addWithdrawals(homes map[string][]*sfv1.OrganisationRate, before []string, live map[string]platform.Instance) []string {
+	current := slices.Collect(maps.Keys(homes))
 	for _, home := range before {
 		if _, ok := live[home]; ok && homes[home] == nil {
 			homes[home] = []*sfv1.OrganisationRate{}
 		}
 	}
-	return told
+	return current
 }
 
-func (d *Daemon) askHome(ctx context.Context, home platform.Instance, rates []*sfv1.OrganisationRate) ([]*sfv1.OrganisationRate, error) {
+// requestTotals reports rates to a home and returns the totals.
+func (d *Daemon) requestTotals(ctx context.Context, home platform.Instance, rates []*sfv1.OrganisationRate) ([]*sfv1.OrganisationRate, error) {
 	request := &sfv1.TotalRequest{From: d.settings.Instance, Demand: rates}
 	if home.ID == d.settings.Instance {
-		return d.addUp(request), nil
+		return d.addDemand(request), nil
 	}
 	response, err := d.peer(home.Control).Total(ctx, connect.NewRequest(request))
 	if err != nil {
@@ -128,7 +133,9 @@
 	return response.Msg.Totals, nil
 }
 
-func (d *Daemon) addUp(request *sfv1.TotalRequest) []*sfv1.OrganisationRate {
+// addDemand records an instance's demand and returns the totals of its
+// organisations.
+func (d *Daemon) addDemand(request *sfv1.TotalRequest) []*sfv1.OrganisationRate {
 	rates := make(map[string]float64, len(request.Demand))
 	for _, rate := range request.Demand {
 		rates[rate.Organisation] = float64(rate.Rate)
@@ -143,5 +150,5 @@
 
 // Total implements the PeerService.
 func (p *peerService) Total(_ context.Context, req *connect.Request[sfv1.TotalRequest]) (*connect.Response[sfv1.TotalResponse], error) {
-	return connect.NewResponse(&sfv1.TotalResponse{Totals: p.daemon.addUp(req.Msg)}), nil
+	return connect.NewResponse(&sfv1.TotalResponse{Totals: p.daemon.addDemand(req.Msg)}), nil
 }
--- a/internal/control/rolesobserve.go
+++ b/internal/control/rolesobserve.go
@@ -17,16 +17,17 @@
 	"sassafrasfield/internal/roles"
 )
 
-// reportMark is the newest report seen of an engine.
-type reportMark struct {
+// lastReport identifies the newest report of an engine, and when it was first
+// seen.
+type lastReport struct {
 	boot string
 	seq  int64
 	at   time.Duration
 }
 
-// observeEngines reads the load report of each engine. A report that has been
-// the newest for long is none.
-func (r *rolePolicy) observeEngines(ctx context.Context, known *poolRoles, engines []*config.Engine) []roles.Engine {
+// observeEngines reads the load report of each engine. A report that has not
+// been replaced by a newer one within stale_after is ignored.
+func (r *rolePolicy) observeEngines(ctx context.Context, state *poolRoles, engines []*config.Engine) []roles.Engine {
 	views := make([]roles.Engine, len(engines))
 	reports := make([]*engine.Report, len(engines))
 	var work sync.WaitGroup
@@ -38,62 +39,62 @@
 		})
 	}
 	work.Wait()
-	leaving := r.daemon.members.leavingUpstreams()
+	draining := r.daemon.members.drainingUpstreams()
 	for i, e := range engines {
 		views[i] = roles.Engine{
 			ID: e.ID, Role: e.Loaded.Role, Changing: e.Loaded.Role != e.Want.Role,
-			Serving: e.Routing == config.RoutingServing && !e.Leave && !slices.Contains(leaving, e.ID),
+			Serving: e.Routing == config.RoutingServing && !e.Leave && !slices.Contains(draining, e.ID),
 		}
-		if reports[i] != nil && known.fresh(e.ID, *reports[i], bootclock.Now(), r.daemon.settings.Roles.StaleAfter) {
-			fill(&views[i], *reports[i])
+		if reports[i] != nil && state.isRecent(e.ID, *reports[i], bootclock.Now(), r.daemon.settings.Roles.StaleAfter) {
+			copyReport(&views[i], *reports[i])
 		}
 	}
 	return views
 }
 
-// fresh tells whether a report is a newer one than the last, or the last was
-// newer a short while ago.
-func (p *poolRoles) fresh(id string, report engine.Report, now, staleAfter time.Duration) bool {
-	mark, ok := p.reports[id]
-	if !ok || mark.boot != report.Boot || mark.seq < report.Seq {
-		p.reports[id] = reportMark{boot: report.Boot, seq: report.Seq, at: now}
+// isRecent reports whether a report is newer than the last one, or the last one
+// was first seen within staleAfter.
+func (p *poolRoles) isRecent(id string, report engine.Report, now, staleAfter time.Duration) bool {
+	last, ok := p.reports[id]
+	if !ok || last.boot != report.Boot || last.seq < report.Seq {
+		p.reports[id] = lastReport{boot: report.Boot, seq: report.Seq, at: now}
 		return true
 	}
-	return now-mark.at <= staleAfter
+	return now-last.at <= staleAfter
 }
 
-func fill(view *roles.Engine, report engine.Report) {
+func copyReport(view *roles.Engine, report engine.Report) {
 	view.Reported = true
 	view.PrefillRate, view.DecodeRate = report.PrefillRate, report.DecodeRate
 	view.PrefillQueue = report.PrefillTokens
 	view.Running, view.Waiting = report.Running, report.Waiting
 }
 
-// demandRound is what the instances answered in one round.
+// demandRound is the result of querying the instances once.
 type demandRound struct {
-	instances, asked, answered int
-	pools                      map[string]*sfv1.PoolDemand
+	instances, queried, answered int
+	pools                        map[string]*sfv1.PoolDemand
 }
 
-// of returns the demand of one pool.
-func (d demandRound) of(pool string) roles.Demand {
+// forPool returns the demand of one pool.
+func (d demandRound) forPool(pool string) roles.Demand {
 	sum := d.pools[pool]
 	return roles.Demand{
 		Prefill: sum.GetPrefillTokens(), Decode: sum.GetDecodeTokens(),
-		Instances: d.instances, Asked: d.asked, Answered: d.answered,
+		Instances: d.instances, Asked: d.queried, Answered: d.answered,
 	}
 }
 
-// observeDemand asks the instances for their measured demand: each of them, or
-// a random part where there are many.
+// observeDemand queries the instances for their measured demand: all of them,
+// or a random sample of ask_at_most.
 func (d *Daemon) observeDemand(ctx context.Context) demandRound {
 	own := d.members.own()
 	round := demandRound{instances: len(own), pools: map[string]*sfv1.PoolDemand{}}
-	asked := sample(own, d.settings.Roles.AskAtMost)
-	round.asked = len(asked)
-	answers := make([]*sfv1.InForceResponse, len(asked))
+	queried := sampleInstances(own, d.settings.Roles.AskAtMost)
+	round.queried = len(queried)
+	answers := make([]*sfv1.InForceResponse, len(queried))
 	var work sync.WaitGroup
-	for i, instance := range asked {
+	for i, instance := range queried {
 		work.Go(func() {
 			response, err := d.peer(instance.Control).InForce(ctx, connect.NewRequest(&sfv1.InForceRequest{}))
 			if err == nil && response.Msg.EntryKnown {
@@ -123,8 +124,9 @@
 	}
 }
 
-// sample returns all instances, or as many as limit at random.
-func sample(instances []platform.Instance, limit int) []platform.Instance {
+// sampleInstances returns all instances, or a random sample if there are more
+// than limit.
+func sampleInstances(instances []platform.Instance, limit int) []platform.Instance {
 	if len(instances) <= limit {
 		return instances
 	}
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -20,20 +20,21 @@
 )
 
 // rolloutLoop brings the pools whose lease is held to the confirmed state. Each
-// pool is stepped by itself, so that one with slow engines holds up no other.
+// pool is stepped independently, so that slow engines of one pool do not delay
+// another.
 func (d *Daemon) rolloutLoop(ctx context.Context) {
 	paces := map[string]*pace{}
 	var work sync.WaitGroup
-	every(ctx, d.settings.Rollout.StepEvery, func(ctx context.Context) {
-		d.watcher.noteListed(d.members.own(), bootclock.Now())
+	runPeriodically(ctx, d.settings.Rollout.StepEvery, func(ctx context.Context) {
+		d.history.noteListed(d.members.own(), bootclock.Now())
 		for _, pool := range d.leases.heldPools() {
 			p, ok := paces[pool]
 			if !ok {
-				p = &pace{shortest: d.settings.Rollout.StepEvery}
+				p = &pace{minPeriod: d.settings.Rollout.StepEvery}
 				paces[pool] = p
 			}
 			doc := d.holder.Current()
-			if p.begin(bootclock.Now(), doc.Version, d.longestPause(doc, pool)) {
+			if p.begin(bootclock.Now(), doc.Version, d.maxStepPeriod(doc, pool)) {
 				work.Go(func() { p.end(bootclock.Now(), d.stepAndLog(ctx, pool)) })
 			}
 		}
@@ -41,39 +42,40 @@
 	work.Wait()
 }
 
-// longestPause is the most time between looks at a pool.
-func (d *Daemon) longestPause(doc *config.Config, pool string) time.Duration {
-	if settled(doc, pool) {
+// maxStepPeriod returns the longest time between steps of a pool.
+func (d *Daemon) maxStepPeriod(doc *config.Config, pool string) time.Duration {
+	if poolConverged(doc, pool) {
 		return d.settings.Rollout.WatchEvery
 	}
 	return d.settings.Rollout.WaitEvery
 }
 
-// stepAndLog tells whether anything was done for the pool.
+// stepAndLog steps a pool, logs an error, and reports whether anything was
+// done.
 func (d *Daemon) stepAndLog(ctx context.Context, pool string) bool {
 	acted, err := d.stepPool(ctx, pool)
 	if err != nil {
-		d.log.Info("rollout: a step did not succeed", "pool", pool, "error", err)
+		d.log.Info("rollout: step failed", "pool", pool, "error", err)
 	}
 	return acted
 }
 
-// stepPool looks at one pool and carries out what may be done now.
+// stepPool observes one pool and carries out the actions that are allowed now.
 func (d *Daemon) stepPool(ctx context.Context, pool string) (acted bool, err error) {
 	auth, held := d.leases.held(pool)
 	if !held {
 		return false, nil
 	}
-	ctx, span := startStep(ctx, pool, auth)
+	ctx, span := startStepSpan(ctx, pool, auth)
 	defer span.End()
-	if !settled(d.holder.Current(), pool) {
-		if err := d.poll(ctx); err != nil {
+	if !poolConverged(d.holder.Current(), pool) {
+		if err := d.pollTable(ctx); err != nil {
 			return false, err
 		}
 	}
 	doc := d.holder.Current()
 	if doc.Pool(pool) == nil {
-		return false, nil // removed; its lease is given up on the way
+		return false, nil // removed; syncPools releases its lease
 	}
 	view, err := d.observe(ctx, doc, pool)
 	if err != nil {
@@ -88,8 +90,9 @@
 	return len(actions) > 0, nil
 }
 
-// settled tells whether the configuration has nothing left to do for a pool.
-func settled(doc *config.Config, pool string) bool {
+// poolConverged reports whether all engines of a pool have the state that the
+// configuration wants.
+func poolConverged(doc *config.Config, pool string) bool {
 	for _, e := range doc.PoolEngines(pool) {
 		if !rollout.Converged(e) {
 			return false
@@ -101,9 +104,9 @@
 func (d *Daemon) carryOut(ctx context.Context, pool string, auth authority, view rollout.View, action rollout.Action) error {
 	switch a := action.(type) {
 	case rollout.UpdateRouting:
-		return d.mark(ctx, pool, auth, view, a)
+		return d.updateRouting(ctx, pool, auth, view, a)
 	case rollout.SendOrder:
-		return d.order(ctx, pool, auth, view, a)
+		return d.sendCurrentOrder(ctx, pool, auth, view, a)
 	case rollout.CloseOrder:
 		row := view.Orders[a.Engine]
 		row.State = order.StateDone
@@ -115,71 +118,71 @@
 	return errors.Errorf("rollout: unknown action %T", action)
 }
 
-// order sends an order if the view is known for sure to be the newest. Reads
-// may have been stale, and a holder that has just taken over may not know of
-// versions that the last one wrote; an order that rests on such a view could
-// reach an engine that is back in routing.
-func (d *Daemon) order(ctx context.Context, pool string, auth authority, view rollout.View, send rollout.SendOrder) error {
+// sendCurrentOrder sends an order if a transaction proves that the view is the
+// newest. Reads may have been stale, and a holder that has just acquired the
+// lease may not know of versions that the last one wrote. An order that was
+// based on such a view could reach an engine that is back in routing.
+func (d *Daemon) sendCurrentOrder(ctx context.Context, pool string, auth authority, view rollout.View, send rollout.SendOrder) error {
 	head, doc, err := d.versions.NewestFrom(ctx, d.holder.Current())
 	if err != nil {
 		return err
 	}
-	stands, err := d.versions.HeadUnchanged(ctx, head)
+	unchanged, err := d.versions.HeadUnchanged(ctx, head)
 	if err != nil {
 		return err
 	}
-	if !stands || !sameEngine(view.Config, doc, send.Engine) {
-		return errors.Errorf("rollout: the view of %s is old", send.Engine)
+	if !unchanged || !sameEngine(view.Config, doc, send.Engine) {
+		return errors.Errorf("rollout: the view of engine %s is stale", send.Engine)
 	}
 	failpoint.Hit("control.rollout.before_order")
-	d.watcher.ordered(send.Engine, bootclock.Now())
+	d.history.noteOrder(send.Engine, bootclock.Now())
 	err = d.sendOrder(ctx, pool, auth, view, send)
 	failpoint.Hit("control.rollout.after_order")
 	return err
 }
 
-// mark appends a version with the changes whose engine is still as the
-// decision saw it.
-func (d *Daemon) mark(ctx context.Context, pool string, auth authority, view rollout.View, mark rollout.UpdateRouting) error {
+// updateRouting appends a version with those changes whose engine is unchanged
+// since the decision.
+func (d *Daemon) updateRouting(ctx context.Context, pool string, auth authority, view rollout.View, update rollout.UpdateRouting) error {
 	head, doc, err := d.versions.NewestFrom(ctx, d.holder.Current())
 	if err != nil {
 		return err
 	}
 	doc.Version = head.Version + 1
-	var made []rollout.Change
-	for _, change := range mark.Changes {
+	var applied []rollout.Change
+	for _, change := range update.Changes {
 		if sameEngine(view.Config, doc, change.Engine) {
 			change.Apply(doc)
-			made = append(made, change)
+			applied = append(applied, change)
 		}
 	}
-	if len(made) == 0 {
+	if len(applied) == 0 {
 		return nil
 	}
-	entry := versions.Entry{Author: d.settings.Instance, Summary: summary(made), Accepted: time.Now().UnixMilli()}
-	ctx, cancel, err := d.mayAccept(ctx, doc.Version)
+	entry := versions.Entry{Author: d.settings.Instance, Summary: routingSummary(applied), Accepted: time.Now().UnixMilli()}
+	ctx, cancel, err := d.prepareAccept(ctx, doc.Version)
 	defer cancel()
 	if err != nil {
 		return err
 	}
-	extra := platform.Txn{Checks: []platform.Check{auth.check(pool)}}
-	failpoint.Hit("control.rollout.before_" + string(made[0].Reason))
+	extra := platform.Txn{Checks: []platform.Check{auth.epochCheck(pool)}}
+	failpoint.Hit("control.rollout.before_" + string(applied[0].Reason))
 	if err := d.versions.Append(ctx, head, doc, entry, extra); err != nil {
 		return err
 	}
-	failpoint.Hit("control.rollout.after_" + string(made[0].Reason))
-	d.log.Info("rollout: marked", "what", entry.Summary, "version", doc.Version)
-	d.learn(doc, "self")
+	failpoint.Hit("control.rollout.after_" + string(applied[0].Reason))
+	d.log.Info("rollout: routing updated", "what", entry.Summary, "version", doc.Version)
+	d.adoptConfig(doc, "self")
 	return nil
 }
 
-// sameEngine tells whether two documents agree on an engine.
+// sameEngine reports whether an engine is the same in two documents.
 func sameEngine(a, b *config.Config, id string) bool {
 	return reflect.DeepEqual(a.Engine(id), b.Engine(id))
 }
 
-// summary tells in the history what a mark changed.
-func summary(changes []rollout.Change) string {
+// routingSummary describes changes of routing for the history.
+func routingSummary(changes []rollout.Change) string {
 	parts := make([]string, 0, len(changes))
 	for _, c := range changes {
 		parts = append(parts, fmt.Sprintf("engine %s is %s (%s)", c.Engine, c.Routing, c.Reason))
