--- a/internal/httpserver/httpserver.go
+++ b/internal/httpserver/httpserver.go
@@ -23,8 +23,8 @@
 	Address string
 	// ReadyAddress and ReadyPath are where the balancer asks for readiness.
 	ReadyAddress, ReadyPath string
-	// Grace is how long the process may take to end.
-	Grace time.Duration
+	// GracePeriod is how long the process may take to end.
+	GracePeriod time.Duration
 	// Notice is how long the balancer takes to see that an instance is not
 	// ready.
 	Notice time.Duration
@@ -84,10 +84,10 @@
 
 // stop ends the service as the package's comment says.
 func (s *Server) stop(public, probe *http.Server) error {
-	deadline := time.Now().Add(s.settings.Grace - margin)
+	deadline := time.Now().Add(s.settings.GracePeriod - margin)
 	s.stopping.Store(true)
-	s.log.Info("front: stopping, not ready any more", "in_flight", s.inFlight.Load(), "grace", s.settings.Grace)
-	time.Sleep(min(s.settings.Notice, s.settings.Grace/2))
+	s.log.Info("front: stopping, not ready any more", "in_flight", s.inFlight.Load(), "grace", s.settings.GracePeriod)
+	time.Sleep(min(s.settings.Notice, s.settings.GracePeriod/2))
 	s.closing()
 	public.SetKeepAlivesEnabled(false)
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
--- a/internal/httpserver/httpserver_test.go
+++ b/internal/httpserver/httpserver_test.go
@@ -32,7 +32,7 @@
 	t.Helper()
 	s = Settings{
 		Address: address(t), ReadyAddress: address(t), ReadyPath: "/ready",
-		Grace: 10 * time.Second, Notice: notice, Limits: func() routes.Limits { return limits },
+		GracePeriod: 10 * time.Second, Notice: notice, Limits: func() routes.Limits { return limits },
 	}
 	release = make(chan struct{})
 	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -95,7 +95,7 @@
 }
 
 func TestAnInstanceThatCannotServeIsNotReady(t *testing.T) {
-	s := Settings{Address: address(t), ReadyAddress: address(t), ReadyPath: "/ready", Grace: time.Second, Limits: noLimits}
+	s := Settings{Address: address(t), ReadyAddress: address(t), ReadyPath: "/ready", GracePeriod: time.Second, Limits: noLimits}
 	server := New(s, http.NotFoundHandler(), func() bool { return false }, func() {}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -116,7 +116,7 @@
 // on a kept connection was read while the connection was being closed, and was
 // run though its answer could not be delivered.
 func TestTheHandlerIsToldBeforeIdleConnectionsClose(t *testing.T) {
-	s := Settings{Address: address(t), ReadyAddress: address(t), ReadyPath: "/ready", Grace: time.Second, Limits: noLimits}
+	s := Settings{Address: address(t), ReadyAddress: address(t), ReadyPath: "/ready", GracePeriod: time.Second, Limits: noLimits}
 	conn := make(chan net.Conn, 1)
 	told := make(chan bool, 1)
 	closing := func() {
