--- a/internal/httpserver/httpserver.go
+++ b/internal/httpserver/httpserver.go
@@ -25,9 +25,9 @@
 	ReadyAddress, ReadyPath string
 	// GracePeriod is how long the process may take to end.
 	GracePeriod time.Duration
-	// Notice is how long the balancer takes to see that an instance is not
+	// DrainDelay is how long the balancer takes to see that an instance is not
 	// ready.
-	Notice time.Duration
+	DrainDelay time.Duration
 	// Limits returns those of the configuration in force; zero ones bound
 	// nothing.
 	Limits func() routes.Limits
@@ -87,7 +87,7 @@
 	deadline := time.Now().Add(s.settings.GracePeriod - margin)
 	s.stopping.Store(true)
 	s.log.Info("front: stopping, not ready any more", "in_flight", s.inFlight.Load(), "grace", s.settings.GracePeriod)
-	time.Sleep(min(s.settings.Notice, s.settings.GracePeriod/2))
+	time.Sleep(min(s.settings.DrainDelay, s.settings.GracePeriod/2))
 	s.closing()
 	public.SetKeepAlivesEnabled(false)
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
--- a/internal/httpserver/httpserver_test.go
+++ b/internal/httpserver/httpserver_test.go
@@ -32,7 +32,7 @@
 	t.Helper()
 	s = Settings{
 		Address: address(t), ReadyAddress: address(t), ReadyPath: "/ready",
-		GracePeriod: 10 * time.Second, Notice: notice, Limits: func() routes.Limits { return limits },
+		GracePeriod: 10 * time.Second, DrainDelay: notice, Limits: func() routes.Limits { return limits },
 	}
 	release = make(chan struct{})
 	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
