--- a/internal/intent/apply.go
+++ b/internal/intent/apply.go
@@ -8,24 +8,22 @@
 	"sassafrasfield/internal/tomlfile"
 )
 
-// applier changes target by the parts of an intent, and records findings in
-// file.
+// applier applies the parts of an intent to target, and adds findings to file.
 type applier struct {
 	file   *tomlfile.File
 	target *config.Config
-	// requested are the engines whose wanted state the intent asks for, by itself
-	// or by its model or pool.
+	// requested are the engines whose wanted state the intent changes, directly or by their model or pool.
 	requested map[string]bool
 }
 
-// setIfGiven copies a given value.
-func setIfGiven[T any](into *T, given *T) {
+// setIfGiven copies a value if it was given.
+func setIfGiven[T any](target *T, given *T) {
 	if given != nil {
-		*into = *given
+		*target = *given
 	}
 }
 
-// upsert finds the element that match picks, or adds an empty one.
+// upsert returns the element that matches, or adds an empty one.
 func upsert[T any](items *[]T, match func(*T) bool) (item *T, added bool) {
 	for i := range *items {
 		if match(&(*items)[i]) {
@@ -113,8 +111,7 @@
 	setIfGiven(&c.Want.Role, (*config.Role)(e.Role))
 }
 
-// requestPools asks for the model's state on the engines of the pools that match
-// picks.
+// requestPools marks the engines of all matching pools as requested.
 func (a *applier) requestPools(match func(*config.Pool) bool) {
 	for i := range a.target.Engines {
 		e := &a.target.Engines[i]
@@ -124,10 +121,9 @@
 	}
 }
 
-// setWantedStates gives each engine that the intent asks for the wanted state of
-// its pool's model. Other engines keep what they want: after a cancelled plan
-// that is not what their model says, and an intent for something else must not
-// take the cancelled change up again.
+// setWantedStates sets the wanted state of the requested engines to that of their pool's model. Other
+// engines keep their wanted state. After a cancelled plan it differs from the model's, and an unrelated
+// intent must not resume the cancelled change.
 func (a *applier) setWantedStates() {
 	for i := range a.target.Engines {
 		e := &a.target.Engines[i]
@@ -206,7 +202,7 @@
 	}
 }
 
-// checkRemoval records a finding when there is nothing to checkRemoval.
+// checkRemoval adds a finding if the object to remove does not exist.
 func (a *applier) checkRemoval(key, name string, found bool) {
 	if !found {
 		a.file.Add(key, "nothing named %q to remove", name)
--- a/internal/intent/check.go
+++ b/internal/intent/check.go
@@ -17,13 +17,13 @@
 	hashPattern = regexp.MustCompile(`^[0-9a-f]{64}$`)
 )
 
-// checkEntries records what is wrong with the file whatever it is applied to.
+// checkEntries adds the findings that do not depend on the configuration to which the intent is applied.
 func checkEntries(file *tomlfile.File, in *Intent) {
 	if in.Name == "" {
 		file.Add("name", "an intent needs a name")
 	}
 	seen := map[string]bool{}
-	named := func(kind string, i int, key, name string) {
+	checkName := func(kind string, i int, key, name string) {
 		path := fmt.Sprintf("%s.%d", kind, i)
 		if !namePattern.MatchString(name) {
 			file.Add(path+"."+key, "%q is no name: want letters, digits, dot, dash or underscore, 63 at most", name)
@@ -34,25 +34,25 @@
 		seen[kind+"/"+name] = true
 	}
 	for i, m := range in.Models {
-		named("model", i, "name", m.Name)
+		checkName("model", i, "name", m.Name)
 		if m.WeightBytes != nil && *m.WeightBytes < 0 {
 			file.Add(fmt.Sprintf("model.%d.weight_bytes", i), "want 0 or more, not %d", *m.WeightBytes)
 		}
 	}
 	for i, p := range in.Pools {
-		named("pool", i, "name", p.Name)
+		checkName("pool", i, "name", p.Name)
 		checkPool(file, fmt.Sprintf("pool.%d", i), p)
 	}
 	for i, e := range in.Engines {
-		named("engine", i, "id", e.ID)
+		checkName("engine", i, "id", e.ID)
 		checkEngine(file, fmt.Sprintf("engine.%d", i), e)
 	}
 	for i, s := range in.Services {
-		named("service", i, "name", s.Name)
+		checkName("service", i, "name", s.Name)
 		checkService(file, fmt.Sprintf("service.%d", i), s)
 	}
 	for i, o := range in.Organisations {
-		named("organisation", i, "name", o.Name)
+		checkName("organisation", i, "name", o.Name)
 		checkOrganisation(file, fmt.Sprintf("organisation.%d", i), o)
 	}
 }
@@ -100,11 +100,11 @@
 		file.Add(path+".prefix", "want a path such as /bales, outside /v1, not %q", *s.Prefix)
 	}
 	for i, u := range s.Upstreams {
-		at := fmt.Sprintf("%s.upstream.%d", path, i)
+		upstreamPath := fmt.Sprintf("%s.upstream.%d", path, i)
 		if !namePattern.MatchString(u.ID) {
-			file.Add(at+".id", "%q is no name", u.ID)
+			file.Add(upstreamPath+".id", "%q is no name", u.ID)
 		}
-		checkAddress(file, at, u.Address)
+		checkAddress(file, upstreamPath, u.Address)
 	}
 	if s.NonIdempotent == nil {
 		return
@@ -135,8 +135,8 @@
 	}
 }
 
-// checkTarget records what does not fit in the configuration as a whole. Places
-// are those of the intent's own entries where it has them.
+// checkTarget adds the findings about the resulting configuration. Their positions are those of the
+// intent's entries for the objects, if it has any.
 func checkTarget(file *tomlfile.File, in *Intent, target *config.Config) {
 	for _, p := range target.Pools {
 		key := entryKey("pool", in.Pools, func(d Pool) bool { return d.Name == p.Name })
@@ -167,6 +167,7 @@
 	checkKeysUnique(file, in, target)
 }
 
+// checkKeysUnique adds a finding for each key that belongs to two organisations.
 func checkKeysUnique(file *tomlfile.File, in *Intent, target *config.Config) {
 	owners := map[string]string{}
 	for _, o := range target.Organisations {
@@ -180,6 +181,8 @@
 	}
 }
 
+// checkAddressUnique adds a finding if an upstream has the address of another one. addresses maps the
+// addresses seen so far to their upstreams.
 func checkAddressUnique(file *tomlfile.File, key string, addresses map[string]string, address, id string) {
 	if address == "" {
 		return
@@ -190,7 +193,7 @@
 	addresses[address] = id
 }
 
-// entryKey returns the dotted key of the intent's entry that match picks.
+// entryKey returns the dotted key of the intent's entry that matches, or only the kind if there is none.
 func entryKey[T any](kind string, items []T, match func(T) bool) string {
 	if i := slices.IndexFunc(items, match); i >= 0 {
 		return fmt.Sprintf("%s.%d", kind, i)
--- a/internal/intent/intent.go
+++ b/internal/intent/intent.go
@@ -1,6 +1,6 @@
-// Package intent reads the operators' intent files and works out the
-// configuration that an intent asks for. An intent is partial: it names the
-// objects it changes, and leaves the rest as they are.
+// Package intent parses the intent files of operators and applies them to a configuration. An intent is
+// partial: it lists the objects to change, and leaves all others unchanged. The result is the new
+// configuration, or a list of findings with their positions in the file.
 package intent
 
 import (
@@ -9,8 +9,7 @@
 	"sassafrasfield/internal/tomlfile"
 )
 
-// Intent is the content of an intent file. A nil field was not given, and
-// leaves what stands.
+// Intent is the content of an intent file. A nil field was not given and leaves the value unchanged.
 type Intent struct {
 	Name          string         `toml:"name"`
 	Models        []Model        `toml:"model"`
@@ -20,7 +19,7 @@
 	Organisations []Organisation `toml:"organisation"`
 }
 
-// Model declares a model that callers may ask for.
+// Model declares a model that callers may request.
 type Model struct {
 	Name            string    `toml:"name"`
 	Version         *string   `toml:"version"`
@@ -44,7 +43,7 @@
 	Remove           bool     `toml:"remove"`
 }
 
-// Engine declares an engine, or that it should leave or come back.
+// Engine declares an engine, or whether it is to be withdrawn from or returned to service.
 type Engine struct {
 	ID      string  `toml:"id"`
 	Address *string `toml:"address"`
@@ -67,7 +66,7 @@
 	Remove        bool              `toml:"remove"`
 }
 
-// ServiceUpstream declares one instance of a plain service.
+// ServiceUpstream declares an upstream of a plain service.
 type ServiceUpstream struct {
 	ID      string  `toml:"id"`
 	Address *string `toml:"address"`
@@ -76,7 +75,7 @@
 	Remove  bool    `toml:"remove"`
 }
 
-// Organisation declares a caller's organisation and its limits.
+// Organisation declares an organisation of callers and its limits.
 type Organisation struct {
 	Name              string    `toml:"name"`
 	KeyHashes         *[]string `toml:"key_hashes"`
@@ -86,8 +85,8 @@
 	Remove            bool      `toml:"remove"`
 }
 
-// Parse reads an intent file. The findings of a file that stands by itself
-// are in the list; whether it fits a configuration is for Apply.
+// Parse parses an intent file and checks it without a configuration. Apply also checks whether the intent
+// can be applied to a configuration.
 func Parse(name string, data []byte) (*Intent, finding.List) {
 	in := &Intent{}
 	file := tomlfile.Decode(name, data, in)
@@ -97,9 +96,8 @@
 	return in, file.Findings()
 }
 
-// Apply works out the configuration that the intent asks for on top of base.
-// The result has the base's numbers; base is left as it is. With findings that
-// forbid the intent the configuration is nil.
+// Apply returns the configuration that results from applying the intent to base. It has the version and
+// intent numbers of base, which is not modified. The configuration is nil if the findings include an error.
 func Apply(name string, data []byte, base *config.Config) (*config.Config, *Intent, finding.List) {
 	in := &Intent{}
 	file := tomlfile.Decode(name, data, in)
--- a/internal/intent/intent_test.go
+++ b/internal/intent/intent_test.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// TestOtherEnginesKeepWantedState applies an intent for one engine after a
-// cancelled plan left another at an older version than its model's.
+// TestOtherEnginesKeepWantedState applies an intent for one engine, after a cancelled plan has left another
+// one at an older version than that of its model.
 func TestOtherEnginesKeepWantedState(t *testing.T) {
 	base, _, _ := Apply("base.toml", []byte(baseIntent), &config.Config{})
 	base.Models[0].Version = "2"
@@ -80,10 +80,10 @@
 	}
 	for _, e := range target.Engines {
 		if e.Want.Version != "1" {
-			t.Errorf("%s wants version %s, which nobody asked for", e.ID, e.Want.Version)
+			t.Errorf("%s wants version %s, which no intent requested", e.ID, e.Want.Version)
 		}
 	}
 	if target, _, _ = Apply("f.toml", []byte("name = \"x\"\n[[model]]\nname = \"m\"\nversion = \"2\"\n"), base); target.Engine("e1").Want.Version != "2" {
-		t.Error("an intent for the model does not reach its engines")
+		t.Error("an intent for the model does not change its engines")
 	}
 }
--- a/internal/plan/check.go
+++ b/internal/plan/check.go
@@ -111,8 +111,8 @@
 	}
 }
 
-// refuseContradiction refuses changes of an engine that another plan is changing, and moves of an engine in
-// service.
+// refuseContradiction refuses changes of an engine that another plan is changing, and changes of the address
+// or the pool of an engine that has not been withdrawn.
 func (b *builder) refuseContradiction(before *config.Engine) {
 	after := b.to.Engine(before.ID)
 	if before.Plan != "" && (after == nil || wantChanged(before, after)) {
