--- /dev/null
+++ b/internal/entry/write_deadline.go
@@ -0,0 +1,50 @@
+package entry
+
+import (
+	"context"
+	"net"
+	"net/http"
+	"time"
+)
+
+// writeChunkBytes is the maximum number of bytes written under one write deadline.
+const writeChunkBytes = 64 << 10
+
+// deadlineWriter writes answers to callers, and fails if a caller reads nothing for the timeout.
+type deadlineWriter struct {
+	w       http.ResponseWriter
+	timeout time.Duration
+}
+
+// writeAll writes the data in chunks. Each chunk has the full timeout.
+func (d deadlineWriter) writeAll(data []byte) error {
+	for len(data) > 0 {
+		part := data[:min(len(data), writeChunkBytes)]
+		d.extendDeadline()
+		if _, err := d.w.Write(part); err != nil {
+			return err
+		}
+		data = data[len(part):]
+	}
+	return nil
+}
+
+// flush sends the buffered data.
+func (d deadlineWriter) flush() error {
+	d.extendDeadline()
+	return http.NewResponseController(d.w).Flush()
+}
+
+// extendDeadline renews the write deadline. The next request on the connection clears it.
+func (d deadlineWriter) extendDeadline() {
+	_ = http.NewResponseController(d.w).SetWriteDeadline(time.Now().Add(d.timeout)) // a response recorder in tests has no deadline
+}
+
+// limitWriteBuffer limits the kernel's send buffer, which holds data that the caller has not read.
+// Otherwise the kernel would grow the buffer, to megabytes on a fast network.
+func (s *Server) limitWriteBuffer(ctx context.Context, conn net.Conn) context.Context {
+	if tcp, ok := conn.(*net.TCPConn); ok {
+		_ = tcp.SetWriteBuffer(s.settings.Limits.WriteBufferBytes) // on an error the kernel's default limit applies
+	}
+	return ctx
+}
