--- a/internal/callerapi/callerapi.go
+++ b/internal/callerapi/callerapi.go
@@ -1,6 +1,5 @@
-// Package callerapi has the messages of the protocol that callers speak: the
-// OpenAI-style completions interface. Source: the published API reference of
-// that protocol.
+// Package callerapi defines the messages of the protocol between callers and sf-entry, the OpenAI-style
+// completions API. Source: the published API reference of that protocol.
 package callerapi
 
 import (
@@ -10,34 +9,32 @@
 	"github.com/pkg/errors"
 )
 
-// Headers of ours in addition to the protocol.
+// Headers that extend the protocol.
 const (
-	// HeaderPriority is a whole number; a higher one goes first.
+	// HeaderPriority is an integer; requests with a higher one are served first.
 	HeaderPriority = "X-Priority"
-	// HeaderDeadline is the time to the first token that the caller can bear,
-	// in milliseconds.
+	// HeaderDeadline is the longest time to the first token that the caller accepts, in milliseconds.
 	HeaderDeadline = "X-Deadline-Ms"
-	// HeaderIdempotencyKey names a call to a plain service that may come
-	// twice.
+	// HeaderIdempotencyKey identifies a call to a plain service that may be sent more than once.
 	HeaderIdempotencyKey = "Idempotency-Key"
-	// HeaderRequestID has the id of a completion in its answer.
+	// HeaderRequestID is the id of a completion, in its response.
 	HeaderRequestID = "X-Request-Id"
 	// HeaderOutcome repeats Error.Outcome.
 	HeaderOutcome = "X-Outcome"
 )
 
-// Outcome tells whether a refused request ran.
+// Outcome says whether a refused or failed request ran.
 type Outcome string
 
-// Outcomes of a request that got no answer.
+// Outcomes of a request that got no complete answer.
 const (
 	// OutcomeNotRun: nothing of the request ran.
 	OutcomeNotRun Outcome = "not_run"
-	// OutcomeUnknown: it may have run.
+	// OutcomeUnknown: the request may have run.
 	OutcomeUnknown Outcome = "unknown"
 )
 
-// Error is the protocol's error object with our outcome.
+// Error is the protocol's error object, extended by the outcome.
 type Error struct {
 	Message string  `json:"message"`
 	Type    string  `json:"type"`
@@ -46,7 +43,7 @@
 	Outcome Outcome `json:"outcome,omitempty"`
 }
 
-// ErrorBody is the body of an error answer.
+// ErrorBody is the body of an error response.
 type ErrorBody struct {
 	Error Error `json:"error"`
 }
@@ -104,10 +101,10 @@
 	return nil
 }
 
-// Stop is where an answer ends: a string or a list of at most four.
+// Stop lists the strings that end an answer: a string or a list of at most four.
 type Stop []string
 
-// maxStops is the protocol's bound.
+// maxStops is the protocol's limit.
 const maxStops = 4
 
 // UnmarshalJSON implements json.Unmarshaler.
@@ -129,12 +126,12 @@
 
 // StreamOptions are options of a streamed answer.
 type StreamOptions struct {
-	// IncludeUsage asks for a last chunk with the count of tokens.
+	// IncludeUsage requests a final chunk with the token counts.
 	IncludeUsage bool `json:"include_usage"`
 }
 
-// Request is a completion or chat completion. Fields of the protocol that are
-// not here are accepted and ignored.
+// Request is a completion or chat completion request. Fields of the protocol that are not listed here are
+// accepted and ignored.
 type Request struct {
 	Model               string    `json:"model"`
 	Messages            []Message `json:"messages"`
@@ -154,7 +151,7 @@
 	Stop             Stop           `json:"stop"`
 }
 
-// Text returns the prompt as one text.
+// Text returns the prompt as a single text.
 func (r *Request) Text() string {
 	if len(r.Messages) == 0 {
 		return string(r.Prompt)
@@ -169,7 +166,7 @@
 	return text.String()
 }
 
-// Limit returns the bound on the answer, or fallback when none is given.
+// Limit returns the maximum number of tokens of the answer, or fallback if the request sets none.
 func (r *Request) Limit(fallback int) int {
 	if r.MaxCompletionTokens != nil {
 		return *r.MaxCompletionTokens
@@ -180,14 +177,14 @@
 	return fallback
 }
 
-// SplitModel reads "model", "model:adapter" and either with "@version".
+// SplitModel parses "model" or "model:adapter", each optionally followed by "@version".
 func SplitModel(name string) (model, adapter, version string) {
 	name, version, _ = strings.Cut(name, "@")
 	model, adapter, _ = strings.Cut(name, ":")
 	return model, adapter, version
 }
 
-// Response is an answer, or one chunk of a streamed one.
+// Response is an answer or a chunk of a streamed answer.
 type Response struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -197,7 +194,7 @@
 	Usage   *Usage   `json:"usage,omitempty"`
 }
 
-// Choice is the one answer of a Response.
+// Choice is the only choice of a Response.
 type Choice struct {
 	Index        int          `json:"index"`
 	Text         *string      `json:"text,omitempty"`
@@ -212,14 +209,14 @@
 	Content string `json:"content"`
 }
 
-// Usage counts tokens.
+// Usage has the token counts of a request.
 type Usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// ModelList answers /v1/models.
+// ModelList is the response to /v1/models.
 type ModelList struct {
 	Object string      `json:"object"`
 	Data   []ModelItem `json:"data"`
--- a/internal/callerapi/callerapi_test.go
+++ b/internal/callerapi/callerapi_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestStockBodies reads bodies as client libraries send them.
-func TestStockBodies(t *testing.T) {
+// TestClientLibraryBodies decodes request bodies as common client libraries send them.
+func TestClientLibraryBodies(t *testing.T) {
 	cases := []struct {
 		name, body, text string
 		limit            int
@@ -30,14 +30,14 @@
 	}
 }
 
-func TestBadBodies(t *testing.T) {
+func TestInvalidBodies(t *testing.T) {
 	for _, body := range []string{
 		`{"stop":[1]}`, `{"stop":["1","2","3","4","5"]}`, `{"prompt":["a","b"]}`, `{"prompt":3}`,
 		`{"messages":[{"role":"user","content":[{"type":"image_url"}]}]}`, `{"messages":[{"role":"user","content":3}]}`,
 	} {
 		var req Request
 		if err := json.Unmarshal([]byte(body), &req); err == nil {
-			t.Errorf("%s was taken", body)
+			t.Errorf("%s was accepted", body)
 		}
 	}
 }
--- a/internal/entry/admission_queue_test.go
+++ b/internal/entry/admission_queue_test.go
@@ -42,7 +42,7 @@
 	}
 	left := make(chan *admit.Refusal, 1)
 	callerCtx, disconnect := context.WithCancel(ctx)
-	go func() { left <- a.acquire(callerCtx, request("disconnected"), false) }()
+	go func() { left <- a.acquire(callerCtx, request("leaver"), false) }()
 	waiting(1)
 	disconnect()
 	if refused := <-left; refused == nil {
@@ -50,7 +50,7 @@
 	}
 	waiting(0)
 	stayed := make(chan *admit.Refusal, 1)
-	go func() { stayed <- a.acquire(ctx, request("remaining"), false) }()
+	go func() { stayed <- a.acquire(ctx, request("stayer"), false) }()
 	waiting(1)
 	a.release(first)
 	if refused := <-stayed; refused != nil {
--- a/internal/entry/crash_check_test.go
+++ b/internal/entry/crash_check_test.go
@@ -32,7 +32,7 @@
 	}{
 		"refused connection":                {[]error{engine.ErrUnreachable}, true, 1},
 		"refused connection after timeouts": {[]error{engine.ErrBroken, engine.ErrBroken, engine.ErrUnreachable}, true, 3},
-		"response":                          {[]error{nil}, false, 1},
+		"answers":                           {[]error{nil}, false, 1},
 		"response after a timeout":          {[]error{engine.ErrBroken, nil}, false, 2},
 		"refused request":                   {[]error{engine.ErrNotRun}, false, 1},
 	} {
--- a/internal/httpserver/httpserver.go
+++ b/internal/httpserver/httpserver.go
@@ -1,7 +1,6 @@
-// Package httpserver serves callers over HTTP and stops without cutting one off:
-// when the process is told to end it first says that it is not ready, serves on
-// until the balancer has noticed, then takes no new connection and finishes
-// what it has.
+// Package httpserver serves callers over HTTP and shuts down without aborting requests. On shutdown it
+// first reports that the instance is not ready and continues to serve until the load balancer has noticed.
+// Then it accepts no new connections and completes the requests in flight.
 package httpserver
 
 import (
@@ -19,17 +18,15 @@
 
 // Settings of a Server.
 type Settings struct {
-	// Address for callers.
+	// Address is the address for callers.
 	Address string
-	// ReadyAddress and ReadyPath are where the balancer asks for readiness.
+	// ReadyAddress and ReadyPath are where the load balancer probes readiness.
 	ReadyAddress, ReadyPath string
-	// GracePeriod is how long the process may take to end.
+	// GracePeriod is the maximum duration of the shutdown.
 	GracePeriod time.Duration
-	// DrainDelay is how long the balancer takes to see that an instance is not
-	// ready.
+	// DrainDelay is how long the load balancer takes to notice that an instance is not ready.
 	DrainDelay time.Duration
-	// Limits returns those of the configuration in force; zero ones bound
-	// nothing.
+	// Limits returns the limits of the configuration in force. A limit of zero is no limit.
 	Limits func() routes.Limits
 }
 
@@ -44,26 +41,26 @@
 	inFlight atomic.Int64
 }
 
-// New returns a server. Ready tells whether requests can be served. Closing is
-// called before idle connections are closed: a request that crosses that is
-// read, though its connection is gone, and the handler must refuse it from then
-// on, so that nothing runs whose answer cannot be delivered.
+// New returns a server. The function ready reports whether requests can be served. The server calls
+// closing before it closes idle connections. A request that arrives while its idle connection is being
+// closed may still be read, so the handler must refuse all requests after this call: otherwise a request
+// runs whose response cannot be delivered.
 func New(s Settings, handler http.Handler, ready func() bool, closing func(), log *slog.Logger) *Server {
 	return &Server{settings: s, handler: handler, ready: ready, closing: closing, log: log}
 }
 
-// margin is kept of the grace for the end of the process itself.
-const margin = 500 * time.Millisecond
+// exitMargin is the part of the grace period that is reserved for the exit of the process.
+const exitMargin = 500 * time.Millisecond
 
-// Run serves until the context ends and the requests under way are done, or
-// the grace is over.
+// Run serves until the context is cancelled, then completes the requests in flight within the grace
+// period.
 func (s *Server) Run(ctx context.Context) error {
 	public := &http.Server{
 		Handler:           http.HandlerFunc(s.serve),
-		ReadHeaderTimeout: headerAtMost, IdleTimeout: idleAtMost, MaxHeaderBytes: headerBytesAtMost,
+		ReadHeaderTimeout: maxHeaderTimeout, IdleTimeout: maxIdleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ConnState: connState, ErrorLog: slog.NewLogLogger(s.log.Handler(), slog.LevelDebug),
 	}
-	probe := &http.Server{Handler: http.HandlerFunc(s.serveReady), ReadHeaderTimeout: headerAtMost}
+	probe := &http.Server{Handler: http.HandlerFunc(s.serveReady), ReadHeaderTimeout: maxHeaderTimeout}
 	failed := make(chan error, 2)
 	for server, address := range map[*http.Server]string{public: s.settings.Address, probe: s.settings.ReadyAddress} {
 		listener, err := net.Listen("tcp", address)
@@ -82,21 +79,21 @@
 	return s.stop(public, probe)
 }
 
-// stop ends the service as the package's comment says.
+// stop shuts the server down as the package comment describes.
 func (s *Server) stop(public, probe *http.Server) error {
-	deadline := time.Now().Add(s.settings.GracePeriod - margin)
+	deadline := time.Now().Add(s.settings.GracePeriod - exitMargin)
 	s.stopping.Store(true)
-	s.log.Info("front: stopping, not ready any more", "in_flight", s.inFlight.Load(), "grace", s.settings.GracePeriod)
+	s.log.Info("front: shutting down, reporting not ready", "in_flight", s.inFlight.Load(), "grace", s.settings.GracePeriod)
 	time.Sleep(min(s.settings.DrainDelay, s.settings.GracePeriod/2))
 	s.closing()
 	public.SetKeepAlivesEnabled(false)
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	err := public.Shutdown(ctx)
-	_ = probe.Close() // nobody is asked any more
+	_ = probe.Close() // no probes are expected any more
 	s.log.Info("front: stopped", "in_flight", s.inFlight.Load(), "error", err)
 	if errors.Is(err, context.DeadlineExceeded) {
-		return nil // the grace is over; what was left is in the line above
+		return nil // the log line above has the number of aborted requests
 	}
 	return errors.Wrap(err, "front: stop")
 }
--- a/internal/httpserver/httpserver_test.go
+++ b/internal/httpserver/httpserver_test.go
@@ -17,7 +17,7 @@
 	"sassafrasfield/internal/routes"
 )
 
-func address(t *testing.T) string {
+func freeAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -27,30 +27,30 @@
 	return listener.Addr().String()
 }
 
-// running starts a server whose requests wait for release.
-func running(t *testing.T, notice time.Duration, limits routes.Limits) (s Settings, release chan struct{}, stop func() error) {
+// startServer starts a server whose requests to /wait block until release is closed.
+func startServer(t *testing.T, drainDelay time.Duration, limits routes.Limits) (s Settings, release chan struct{}, stop func() error) {
 	t.Helper()
 	s = Settings{
-		Address: address(t), ReadyAddress: address(t), ReadyPath: "/ready",
-		GracePeriod: 10 * time.Second, DrainDelay: notice, Limits: func() routes.Limits { return limits },
+		Address: freeAddress(t), ReadyAddress: freeAddress(t), ReadyPath: "/ready",
+		GracePeriod: 10 * time.Second, DrainDelay: drainDelay, Limits: func() routes.Limits { return limits },
 	}
 	release = make(chan struct{})
 	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/wait" {
 			<-release
 		}
-		_, _ = io.WriteString(w, "whole") // the caller is the test
+		_, _ = io.WriteString(w, "whole") // an error shows in the test's response
 	})
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
+	result := make(chan error, 1)
 	server := New(s, handler, func() bool { return true }, func() {}, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	go func() { ended <- server.Run(ctx) }()
+	go func() { result <- server.Run(ctx) }()
 	for status(s.ReadyAddress, "/ready") != http.StatusOK {
 		time.Sleep(time.Millisecond)
 	}
 	return s, release, func() error {
 		cancel()
-		return <-ended
+		return <-result
 	}
 }
 
@@ -63,8 +63,8 @@
 	return response.StatusCode
 }
 
-func TestStopFinishesWhatIsUnderWay(t *testing.T) {
-	s, release, stop := running(t, 50*time.Millisecond, routes.Limits{})
+func TestShutdownCompletesRequestsInFlight(t *testing.T) {
+	s, release, stop := startServer(t, 50*time.Millisecond, routes.Limits{})
 	got := make(chan string, 1)
 	go func() {
 		response, err := http.Get("http://" + s.Address + "/wait")
@@ -73,33 +73,33 @@
 			return
 		}
 		defer response.Body.Close()
-		body, _ := io.ReadAll(response.Body) // a cut body differs
+		body, _ := io.ReadAll(response.Body) // a truncated body differs
 		got <- string(body)
 	}()
 	time.Sleep(10 * time.Millisecond)
-	ended := make(chan error, 1)
-	go func() { ended <- stop() }()
+	result := make(chan error, 1)
+	go func() { result <- stop() }()
 	for status(s.ReadyAddress, "/ready") == http.StatusOK {
 		time.Sleep(time.Millisecond)
 	}
 	if code := status(s.Address, "/"); code != http.StatusOK {
-		t.Errorf("a new request before the balancer can know: status %d", code)
+		t.Errorf("a new request before the load balancer can notice: status %d", code)
 	}
 	close(release)
 	if text := <-got; text != "whole" {
 		t.Errorf("got %q", text)
 	}
-	if err := <-ended; err != nil {
+	if err := <-result; err != nil {
 		t.Error(err)
 	}
 }
 
-func TestAnInstanceThatCannotServeIsNotReady(t *testing.T) {
-	s := Settings{Address: address(t), ReadyAddress: address(t), ReadyPath: "/ready", GracePeriod: time.Second, Limits: noLimits}
+func TestInstanceThatCannotServeIsNotReady(t *testing.T) {
+	s := Settings{Address: freeAddress(t), ReadyAddress: freeAddress(t), ReadyPath: "/ready", GracePeriod: time.Second, Limits: noLimits}
 	server := New(s, http.NotFoundHandler(), func() bool { return false }, func() {}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- server.Run(ctx) }()
+	result := make(chan error, 1)
+	go func() { result <- server.Run(ctx) }()
 	for status(s.ReadyAddress, "/ready") == 0 {
 		time.Sleep(time.Millisecond)
 	}
@@ -107,29 +107,29 @@
 		t.Errorf("status %d", code)
 	}
 	cancel()
-	if err := <-ended; err != nil {
+	if err := <-result; err != nil {
 		t.Error(err)
 	}
 }
 
-// TestTheHandlerIsToldBeforeIdleConnectionsClose was found by a hunt: a request
-// on a kept connection was read while the connection was being closed, and was
-// run though its answer could not be delivered.
-func TestTheHandlerIsToldBeforeIdleConnectionsClose(t *testing.T) {
-	s := Settings{Address: address(t), ReadyAddress: address(t), ReadyPath: "/ready", GracePeriod: time.Second, Limits: noLimits}
+// TestClosingIsCalledBeforeIdleConnectionsClose guards against a request on a kept-alive connection that
+// is read while the connection is being closed. Such a request ran although its response could not be
+// delivered.
+func TestClosingIsCalledBeforeIdleConnectionsClose(t *testing.T) {
+	s := Settings{Address: freeAddress(t), ReadyAddress: freeAddress(t), ReadyPath: "/ready", GracePeriod: time.Second, Limits: noLimits}
 	conn := make(chan net.Conn, 1)
-	told := make(chan bool, 1)
+	stillOpen := make(chan bool, 1)
 	closing := func() {
 		c := <-conn
 		_ = c.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
 		_, err := c.Read(make([]byte, 1))
 		var timeout net.Error
-		told <- errors.As(err, &timeout) && timeout.Timeout() // the connection is still open
+		stillOpen <- errors.As(err, &timeout) && timeout.Timeout() // on a timeout the connection is still open
 	}
 	server := New(s, http.NotFoundHandler(), func() bool { return true }, closing, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- server.Run(ctx) }()
+	result := make(chan error, 1)
+	go func() { result <- server.Run(ctx) }()
 	for status(s.ReadyAddress, "/ready") == 0 {
 		time.Sleep(time.Millisecond)
 	}
@@ -145,34 +145,33 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, _ = io.Copy(io.Discard, response.Body) // short
+	_, _ = io.Copy(io.Discard, response.Body) // reads the short body so that the connection becomes idle
 	conn <- c
 	cancel()
-	if !<-told {
+	if !<-stillOpen {
 		t.Error("the idle connection was closed first")
 	}
-	<-ended
+	<-result
 }
 
-// dial opens a connection to the server and sends what is given.
-func dial(t *testing.T, s Settings, sent string) (net.Conn, *bufio.Reader) {
+// dial opens a connection to the server and sends the text.
+func dial(t *testing.T, s Settings, text string) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	conn, err := net.Dial("tcp", s.Address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	if _, err := io.WriteString(conn, sent); err != nil {
+	if _, err := io.WriteString(conn, text); err != nil {
 		t.Fatal(err)
 	}
 	return conn, bufio.NewReader(conn)
 }
 
-// TestTheConfiguredLimitsHoldOnConnections waits for the server to close an idle
-// connection, and one whose header does not come, without any bound but the
-// limits: without them the test would wait for minutes.
-func TestTheConfiguredLimitsHoldOnConnections(t *testing.T) {
-	s, _, _ := running(t, 0, routes.Limits{IdleTimeout: 50 * time.Millisecond, HeaderTimeout: 100 * time.Millisecond})
+// TestConfiguredLimitsApplyToConnections waits until the server closes an idle connection and one whose
+// header is incomplete. The test has no other timeout: without the limits it would wait for minutes.
+func TestConfiguredLimitsApplyToConnections(t *testing.T) {
+	s, _, _ := startServer(t, 0, routes.Limits{IdleTimeout: 50 * time.Millisecond, HeaderTimeout: 100 * time.Millisecond})
 	const request = "GET / HTTP/1.1\r\nHost: h\r\n\r\n"
 	_, idle := dial(t, s, request)
 	response, err := http.ReadResponse(idle, nil)
@@ -187,13 +186,12 @@
 	}
 	_, slow := dial(t, s, request[:10])
 	if text, err := io.ReadAll(slow); err != nil || strings.Contains(string(text), "200") {
-		t.Errorf("a header that does not come: %q, %v", text, err)
+		t.Errorf("an incomplete header: %q, %v", text, err)
 	}
 }
 
-// TestTheLimitsMayChangeWhileRunning changes the limits of one connection as a
-// new configuration does.
-func TestTheLimitsMayChangeWhileRunning(t *testing.T) {
+// TestLimitsMayChangeWhileRunning changes the limits of a connection as a new configuration does.
+func TestLimitsMayChangeWhileRunning(t *testing.T) {
 	var limits atomic.Pointer[routes.Limits]
 	limits.Store(&routes.Limits{})
 	conn := &limitedConn{Conn: deadlines{}, limits: func() routes.Limits { return *limits.Load() }}
@@ -212,7 +210,7 @@
 	}
 }
 
-// deadlines is a connection that tells the deadlines set as errors.
+// deadlines is a connection that returns each deadline that is set as an error.
 type deadlines struct{ net.Conn }
 
 type deadline struct{ at time.Time }
@@ -222,8 +220,8 @@
 // SetReadDeadline implements net.Conn.
 func (deadlines) SetReadDeadline(t time.Time) error { return deadline{t} }
 
-func TestAHeaderOverTheLimitIsRefused(t *testing.T) {
-	s, _, _ := running(t, 0, routes.Limits{MaxHeaderBytes: 100})
+func TestHeaderOverLimitIsRefused(t *testing.T) {
+	s, _, _ := startServer(t, 0, routes.Limits{MaxHeaderBytes: 100})
 	for size, want := range map[int]int{10: http.StatusOK, 200: http.StatusRequestHeaderFieldsTooLarge} {
 		_, r := dial(t, s, "GET / HTTP/1.1\r\nHost: h\r\nX-Long: "+strings.Repeat("x", size)+"\r\n\r\n")
 		response, err := http.ReadResponse(r, nil)
--- a/internal/httpserver/limits.go
+++ b/internal/httpserver/limits.go
@@ -9,18 +9,17 @@
 	"sassafrasfield/internal/routes"
 )
 
-// Bounds that hold while there is no configuration, and where it has none.
+// Upper bounds, which also apply if the configuration sets no limits or there is no configuration.
 const (
-	// idleAtMost is beyond the longest time that callers keep a connection.
-	idleAtMost = 10 * time.Minute
-	// headerAtMost bounds the reading of a request's header.
-	headerAtMost = 10 * time.Second
-	// headerBytesAtMost bounds a request's header; operators allow 16 KiB.
-	headerBytesAtMost = 64 << 10
+	// maxIdleTimeout is longer than callers keep idle connections.
+	maxIdleTimeout = 10 * time.Minute
+	// maxHeaderTimeout bounds the time to read a request's header.
+	maxHeaderTimeout = 10 * time.Second
+	// maxHeaderBytes bounds the size of a request's header; operators allow 16 KiB.
+	maxHeaderBytes = 64 << 10
 )
 
-// limitedListener puts the limits of the configuration in force on the
-// connections that it accepts.
+// limitedListener applies the limits of the configuration in force to the connections that it accepts.
 type limitedListener struct {
 	net.Listener
 	limits func() routes.Limits
@@ -35,10 +34,10 @@
 	return &limitedConn{Conn: conn, limits: l.limits}, nil
 }
 
-// limitedConn shortens the read deadlines that the HTTP server sets to the
-// limits in force at that moment. The server's own are fixed at its start. It
-// sets one when a connection falls idle, after it has told connState, takes that
-// one back with the first byte, and sets one for the reading of each header.
+// limitedConn shortens the read deadlines that the HTTP server sets, according to the limits in force at
+// that moment. The limits of the HTTP server itself are fixed when it starts. The HTTP server sets a
+// deadline when a connection becomes idle, after it has called connState, removes it at the first byte of
+// the next request, and sets a deadline for reading each header.
 type limitedConn struct {
 	net.Conn
 	limits func() routes.Limits
@@ -61,14 +60,14 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// connState tells a connection that it falls idle.
+// connState marks a connection as idle.
 func connState(conn net.Conn, state http.ConnState) {
 	if c, ok := conn.(*limitedConn); ok && state == http.StateIdle {
 		c.idle.Store(true)
 	}
 }
 
-// headerSize is the size of a request's header in bytes.
+// headerSize returns the size of a request's header in bytes.
 func headerSize(r *http.Request) int {
 	const separators = len(": ") + len("\r\n")
 	size := len(r.Method) + len(r.RequestURI) + len(r.Host)
@@ -80,7 +79,7 @@
 	return size
 }
 
-// headerTooLarge tells whether a request's header is over the limit.
+// headerTooLarge reports whether a request's header exceeds the limit.
 func (s *Server) headerTooLarge(r *http.Request) bool {
 	limit := s.settings.Limits().MaxHeaderBytes
 	return limit > 0 && headerSize(r) > limit
