--- a/internal/rolekeeper/lease.go
+++ b/internal/rolekeeper/lease.go
@@ -15,8 +15,8 @@
 	return lease.Settings{Term: term, RenewEvery: term / 2, RetryEvery: term / 10, Margin: term / 10}
 }
 
-// rankSettings returns the settings that determine which instances watch the lease. Three do, so that the
-// others cause no load on the store.
+// rankSettings returns the settings that determine which instances watch the lease: three of
+// them. The others do not access the store.
 func (k *Keeper) rankSettings() lease.RankSettings {
 	return lease.RankSettings{Watchers: 3, ReadEvery: k.settings.LeaseTerm / 2, RankDelay: k.settings.LeaseTerm / 10}
 }
@@ -99,9 +99,9 @@
 }
 
 // earlierOrdersArrived reports whether all orders of earlier holders have arrived, which takes the length
-// of a lease term at most. A process need not wait if it is the first holder, or was the last one: then
-// there are no orders of another holder. Without the wait, a report that is due after an outage of the
-// store is sent in time.
+// of a lease term at most. A process does not wait if it is the first holder or was the last one,
+// because then there are no orders of another holder. So a report that is due after an outage of the store
+// can still be sent in time.
 func (k *Keeper) earlierOrdersArrived(grant lease.Grant) bool {
 	return grant.First || grant.Resumed || bootclock.Now()-k.heldSince >= k.settings.LeaseTerm
 }
--- a/internal/rolekeeper/rolekeeper.go
+++ b/internal/rolekeeper/rolekeeper.go
@@ -39,8 +39,8 @@
 	Holder string
 	// Epoch is the fencing number.
 	Epoch int64
-	// AcceptedOrders is the engine's count of accepted orders that the order expects. If the engine has
-	// another count, the order has no effect, however late it arrives.
+	// AcceptedOrders is the expected EngineState.AcceptedOrders of the engine. If the engine has another
+	// count, the order has no effect, however late it arrives.
 	AcceptedOrders int64
 }
 
@@ -59,7 +59,7 @@
 	// CheckEvery is the time between two checks of the split.
 	CheckEvery time.Duration
 	// MaxConcurrentChanges is the maximum number of engines that change their roles at a time while requests
-	// are served. The limit is higher where the share SplitPolicy.MaxPrefillDecrease of the engines is more.
+	// are served. The fraction SplitPolicy.MaxPrefillDecrease of the engines applies instead if it is larger.
 	MaxConcurrentChanges int
 	// AnnounceDelay is the time between the announcement to all instances that an engine accepts no requests
 	// and the order to the engine. The engine would refuse requests that are sent to it after the order.
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -52,7 +52,7 @@
 	// without heartbeats refuses requests, plus the time for which a disconnected daemon keeps an old
 	// version in force.
 	InstanceTimeout time.Duration
-	// UnreachableAfter is the time without an answer after which an engine is removed from routing.
+	// UnreachableAfter is the time without an answer after which a serving engine is marked as draining.
 	UnreachableAfter time.Duration
 	// MaxLoads is the maximum number of engines that load weights at a time; 0 means no limit.
 	MaxLoads int
