--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -254,7 +254,7 @@
 
 // nextEpoch returns an epoch above all that were assigned.
 func (l *Lease) nextEpoch() int64 {
-	return max(l.maxEpoch, platform.EraOf(l.revision)*epochsPerGeneration) + 1
+	return max(l.maxEpoch, platform.RestoreGenerationOf(l.revision)*epochsPerGeneration) + 1
 }
 
 // isInvolved reports whether this process watches the lease, holds it, or has a
@@ -330,7 +330,7 @@
 	if l.row.Holder != "" || l.tableRestored {
 		return false
 	}
-	return platform.EraOf(l.revision) == 0 || l.revisionSeenAt-l.firstReadAt >= l.settings.Term
+	return platform.RestoreGenerationOf(l.revision) == 0 || l.revisionSeenAt-l.firstReadAt >= l.settings.Term
 }
 
 // readDue reports whether a read is due: every ReadEvery, and once more at the
--- a/internal/lease/outcome.go
+++ b/internal/lease/outcome.go
@@ -35,7 +35,7 @@
 	}
 	l.readSoon = false
 	l.lastReadAt = now
-	if l.known && platform.EraOf(revision) > platform.EraOf(l.revision) {
+	if l.known && platform.RestoreGenerationOf(revision) > platform.RestoreGenerationOf(l.revision) {
 		defer l.markRestored()
 	}
 	if l.known && revision == l.revision {
--- a/internal/lease/restore_test.go
+++ b/internal/lease/restore_test.go
@@ -179,7 +179,7 @@
 		w.t.Fatalf("no process has given an order since %s, now is %s", w.last.at, w.now)
 	}
 	for _, o := range w.processes {
-		if grant, held := o.machine.Held(w.now); held && platform.EraOf(grant.EpochRevision) != w.table.generation {
+		if grant, held := o.machine.Held(w.now); held && platform.RestoreGenerationOf(grant.EpochRevision) != w.table.generation {
 			w.t.Fatalf("%s depends on an epoch row that is missing after a restore", o.name)
 		}
 	}
--- a/internal/platform/revision.go
+++ b/internal/platform/revision.go
@@ -12,8 +12,8 @@
 // before the counter. A counter of 0 stands for a row that is not there.
 func RevisionOf(era, counter int64) int64 { return era<<counterBits | counter }
 
-// EraOf is the era of a revision: how often the table had come back from an older copy.
-func EraOf(revision int64) int64 { return revision >> counterBits }
+// RestoreGenerationOf is the era of a revision: how often the table had come back from an older copy.
+func RestoreGenerationOf(revision int64) int64 { return revision >> counterBits }
 
 // CounterOf is a revision without its era.
 func CounterOf(revision int64) int64 { return revision & (1<<counterBits - 1) }
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -91,7 +91,7 @@
 	withMassDeletion := r.tablesWithMassDeletion(rows, now)
 	for _, row := range rows {
 		before := r.rows[row.Key]
-		if row.Revision <= before.Revision || platform.EraOf(row.Revision) < platform.EraOf(r.newest[row.Table]) {
+		if row.Revision <= before.Revision || platform.RestoreGenerationOf(row.Revision) < platform.RestoreGenerationOf(r.newest[row.Table]) {
 			continue
 		}
 		r.newest[row.Table] = max(r.newest[row.Table], row.Revision)
@@ -144,20 +144,20 @@
 		return false
 	}
 	before, known := r.held[read.Key]
-	written := known && platform.EraOf(before.row.Revision) == platform.EraOf(read.Revision) && read.Revision > before.row.Revision
-	return !written && platform.EraOf(read.Revision) > platform.EraOf(held.Revision)
+	written := known && platform.RestoreGenerationOf(before.row.Revision) == platform.RestoreGenerationOf(read.Revision) && read.Revision > before.row.Revision
+	return !written && platform.RestoreGenerationOf(read.Revision) > platform.RestoreGenerationOf(held.Revision)
 }
 
 // isOlderDocument reports whether a row of a newer restore generation is an earlier document than
 // the held one.
 func (r *Replica) isOlderDocument(held, read Row) bool {
 	return r.settings.Older != nil && held.Revision > 0 && !held.Deleted && !read.Deleted &&
-		platform.EraOf(read.Revision) > platform.EraOf(held.Revision) && r.settings.Older(held, read)
+		platform.RestoreGenerationOf(read.Revision) > platform.RestoreGenerationOf(held.Revision) && r.settings.Older(held, read)
 }
 
 // unchanged reports whether a row of a newer restore generation has the same content as before.
 func unchanged(before, row Row) bool {
-	return before.Revision > 0 && platform.EraOf(row.Revision) > platform.EraOf(before.Revision) &&
+	return before.Revision > 0 && platform.RestoreGenerationOf(row.Revision) > platform.RestoreGenerationOf(before.Revision) &&
 		before.Deleted == row.Deleted && bytes.Equal(before.Value, row.Value)
 }
 
@@ -166,7 +166,7 @@
 	generations, given := map[string]int64{}, map[Key]bool{}
 	for _, row := range rows {
 		given[row.Key] = true
-		if generation := platform.EraOf(row.Revision); r.newest[row.Table] > 0 && generation > platform.EraOf(r.newest[row.Table]) {
+		if generation := platform.RestoreGenerationOf(row.Revision); r.newest[row.Table] > 0 && generation > platform.RestoreGenerationOf(r.newest[row.Table]) {
 			generations[row.Table] = max(generations[row.Table], generation)
 		}
 	}
@@ -196,7 +196,7 @@
 			continue
 		}
 		delete(r.held, key)
-		outdated := platform.EraOf(held.row.Revision) < platform.EraOf(r.newest[key.Table])
+		outdated := platform.RestoreGenerationOf(held.row.Revision) < platform.RestoreGenerationOf(r.newest[key.Table])
 		if held.row.Revision > r.rows[key].Revision && !outdated {
 			r.rows[key] = held.row
 			changes = append(changes, held.row)
@@ -216,7 +216,7 @@
 	all := slices.Clone(rows)
 	for key, row := range r.rows {
 		if key.Table == table && !row.Deleted && !present[key] && row.Revision < revision {
-			restored := platform.EraOf(row.Revision) < platform.EraOf(revision)
+			restored := platform.RestoreGenerationOf(row.Revision) < platform.RestoreGenerationOf(revision)
 			all = append(all, Row{Key: key, Revision: revision, Deleted: true, MissingAfterRestore: restored})
 		}
 	}
--- a/internal/replica/restore_test.go
+++ b/internal/replica/restore_test.go
@@ -55,7 +55,7 @@
 // readInto updates a replica from the store: by the feed if it has the history, else by a full read.
 func (s *restorableStore) readInto(r *Replica, now time.Duration) {
 	after := r.ReadRevision(table)
-	if platform.EraOf(after) == s.generation && after > 0 && platform.CounterOf(after) >= s.restoredAt {
+	if platform.RestoreGenerationOf(after) == s.generation && after > 0 && platform.CounterOf(after) >= s.restoredAt {
 		var rows []Row
 		for _, row := range s.changes {
 			if row.Revision > after {
@@ -195,8 +195,8 @@
 	}
 	newcomer.Apply(r.Since(nil), 0)
 	for name, replica := range map[string]*Replica{"the holder": r, "a newcomer": newcomer} {
-		if row, _ := replica.Get(keyOf(1)); string(row.Value) != "5" || platform.EraOf(row.Revision) != 2 {
-			t.Errorf("%s has %q of restore generation %d", name, row.Value, platform.EraOf(row.Revision))
+		if row, _ := replica.Get(keyOf(1)); string(row.Value) != "5" || platform.RestoreGenerationOf(row.Revision) != 2 {
+			t.Errorf("%s has %q of restore generation %d", name, row.Value, platform.RestoreGenerationOf(row.Revision))
 		}
 		if changes := replica.Apply(doc("6", 2, 87), 0); len(changes) != 1 || string(changes[0].Value) != "6" {
 			t.Errorf("%s: a document written after the restore is not a change: %v", name, changes)
--- a/internal/rowsync/rowsync.go
+++ b/internal/rowsync/rowsync.go
@@ -266,10 +266,10 @@
 	}
 	f.recordSuccess(table)
 	f.mu.Lock()
-	if before := f.copy.ReadRevision(table); before > 0 && platform.EraOf(revision) > platform.EraOf(before) {
+	if before := f.copy.ReadRevision(table); before > 0 && platform.RestoreGenerationOf(revision) > platform.RestoreGenerationOf(before) {
 		f.copy.HoldDeletions(f.now() + f.settings.HoldDeletions)
 		f.log.Warn("follow: the store was restored from an older copy", "table", table, "revision", platform.CounterOf(revision),
-			"before", platform.CounterOf(before), "era", platform.EraOf(revision))
+			"before", platform.CounterOf(before), "era", platform.RestoreGenerationOf(revision))
 	}
 	changes := f.copy.Replace(table, rows, revision, f.now())
 	f.synced[table] = true
--- a/internal/usagereport/reporter.go
+++ b/internal/usagereport/reporter.go
@@ -130,7 +130,7 @@
 	if err != nil {
 		return err
 	}
-	switch generation := platform.EraOf(grant.EpochRevision); {
+	switch generation := platform.RestoreGenerationOf(grant.EpochRevision); {
 	case stored.Generation >= generation:
 	case grant.TableRestored && grant.Resumed && r.state.Last > 0:
 		r.log.Warn("usage: store restored from an older copy, keeping the finalized windows", "up_to", r.state.Last, "store_has", stored.Last)
@@ -181,7 +181,7 @@
 // write writes the row. The check of its revision ensures that an earlier write that arrives late does not
 // overwrite it. The check of the epoch ensures that only the newest holder writes.
 func (r *Reporter) write(ctx context.Context, grant lease.Grant, next reportState) error {
-	next.Generation = platform.EraOf(grant.EpochRevision)
+	next.Generation = platform.RestoreGenerationOf(grant.EpochRevision)
 	value, err := json.Marshal(next)
 	if err != nil {
 		return errors.Wrap(err, "usage: encode the state of the reports")
