--- a/internal/platform/revision.go
+++ b/internal/platform/revision.go
@@ -4,8 +4,8 @@
 // them in 35 years.
 const counterBits = 40
 
-// MaxEra is the highest era that a revision can have.
-const MaxEra = 1 << 22
+// MaxRestoreGeneration is the highest era that a revision can have.
+const MaxRestoreGeneration = 1 << 22
 
 // RevisionOf is the revision of a write. A table that comes back from an older copy gives counters
 // out again, and what it lost never counts again: so the era, which rises with each return, orders
