--- a/internal/control/leasehandover.go
+++ b/internal/control/leasehandover.go
@@ -113,7 +113,7 @@
 // isShuttingDown reports whether the platform is about to remove an instance.
 func (l *leases) isShuttingDown(id string) bool {
 	return slices.ContainsFunc(l.daemon.members.own(), func(i platform.Instance) bool {
-		return i.ID == id && i.State == platform.InstanceLeaving
+		return i.ID == id && i.State == platform.InstanceShuttingDown
 	})
 }
 
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -140,7 +140,7 @@
 func (m *members) drainingUpstreams() []string {
 	var ids []string
 	for _, instance := range m.listed() {
-		if instance.Kind == platform.KindUpstream && instance.State == platform.InstanceLeaving {
+		if instance.Kind == platform.KindUpstream && instance.State == platform.InstanceShuttingDown {
 			ids = append(ids, instance.ID)
 		}
 	}
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -81,8 +81,8 @@
 const (
 	// InstanceLive instances run.
 	InstanceLive InstanceState = "live"
-	// InstanceLeaving instances are about to be taken away.
-	InstanceLeaving InstanceState = "leaving"
+	// InstanceShuttingDown instances are about to be taken away.
+	InstanceShuttingDown InstanceState = "leaving"
 )
 
 // InstanceKind tells what an instance runs.
--- a/internal/scenario/harness.go
+++ b/internal/scenario/harness.go
@@ -266,7 +266,7 @@
 func (h *Harness) MarkLeaving(ctx context.Context, id string, leaving bool) error {
 	state := platform.InstanceLive
 	if leaving {
-		state = platform.InstanceLeaving
+		state = platform.InstanceShuttingDown
 	}
 	return h.Fleet.List(ctx, platform.Instance{ID: id, Kind: platform.KindUpstream, State: state})
 }
