--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -24,7 +24,7 @@
 		return nil, err
 	}
 	for engineID, row := range orders {
-		orders[engineID] = row.Under(auth.epoch)
+		orders[engineID] = row.AtEpoch(auth.epoch)
 	}
 	return orders, nil
 }
--- a/internal/lease/modelorders_test.go
+++ b/internal/lease/modelorders_test.go
@@ -72,7 +72,7 @@
 	}
 	row := p.orderCall.cell.order
 	row.Revision = p.orderCall.cell.revision
-	row = row.Under(p.grant.Epoch)
+	row = row.AtEpoch(p.grant.Epoch)
 	p.step = journalling
 	if row.State == order.StateOpen && row.Settled(w.engines[p.target].status) {
 		row.State = order.StateDone
--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -72,7 +72,7 @@
 // row is r: the open order again, whatever is wanted now, or else a new one
 // with the id.
 func (r Row) Next(epoch int64, engineID string, want config.EngineState, id string) Row {
-	next := r.Under(epoch)
+	next := r.AtEpoch(epoch)
 	next.Sends++
 	if r.State != StateOpen {
 		next.ID, next.Engine, next.Want, next.State = id, engineID, want, StateOpen
@@ -80,10 +80,10 @@
 	return next
 }
 
-// Under returns the row as the holder of an epoch sees it: an order that an
+// AtEpoch returns the row as the holder of an epoch sees it: an order that an
 // earlier holder sent counts as not sent. A copy of it that is still on its
 // way can do no more than the same order sent again, until that is settled.
-func (r Row) Under(epoch int64) Row {
+func (r Row) AtEpoch(epoch int64) Row {
 	if r.Epoch != epoch {
 		r.Epoch, r.Sends = epoch, 0
 	}
