--- a/internal/control/spread.go
+++ b/internal/control/spread.go
@@ -16,35 +16,38 @@
 	"sassafrasfield/internal/platform"
 )
 
-// spreader feeds the decisions of the packages gossip and freshness, and
-// carries out what they say. It counts its time on the boot clock, so that
-// evidence ages while the process is frozen or the machine suspended.
+// spreader distributes configuration versions between the instances. It passes
+// its inputs to the packages gossip and freshness, and carries out the actions
+// that they return. It uses the boot clock, so that evidence also ages while
+// the process is frozen or the machine is suspended.
 type spreader struct {
-	daemon *Daemon
-	log    *slog.Logger
-	meters spreadMeters
-	// wake is sent to when queue has got actions.
+	daemon  *Daemon
+	log     *slog.Logger
+	metrics spreadMetrics
+	// wake is signalled when actions are added to queue.
 	wake chan struct{}
 
-	mu      sync.Mutex // protects all below
-	machine *gossip.Machine
-	fresh   *freshness.State
-	leaving *gossip.DrainingSet
-	queue   []gossip.Action
-	// tableError is why the last read of the table failed; "" when it did not.
+	mu       sync.Mutex // protects the fields below
+	machine  *gossip.Machine
+	fresh    *freshness.State
+	draining *gossip.DrainingSet
+	queue    []gossip.Action
+	// tableError is the error of the last read of the table, or "" if it
+	// succeeded.
 	tableError string
 	wasFresh   bool
 }
 
-// spreadMeters count what the spread costs.
-type spreadMeters struct {
+// spreadMetrics count the exchanges and table reads, and show the current
+// state.
+type spreadMetrics struct {
 	exchanges, offers, documents, deltas, polls, failed metrics.Counter
 	version, fresh, voter                               metrics.Gauge
 }
 
-func newSpreadMeters(registry metrics.Registry) spreadMeters {
+func newSpreadMetrics(registry metrics.Registry) spreadMetrics {
 	counter := func(name string) metrics.Counter { return metrics.GetOrRegisterCounter("spread."+name, registry) }
-	return spreadMeters{
+	return spreadMetrics{
 		exchanges: counter("exchanges"), offers: counter("offers"), documents: counter("documents_sent"), deltas: counter("deltas_sent"),
 		polls: counter("head_reads"), failed: counter("peer_failures"),
 		version: metrics.GetOrRegisterGauge("spread.version", registry),
@@ -65,13 +68,14 @@
 		FreshFor: s.FreshFor, AcceptWithin: s.AcceptWithin, ReadLag: s.ReadLag,
 	}, bootclock.Now())
 	return &spreader{
-		daemon: d, log: log, meters: newSpreadMeters(metrics.DefaultRegistry),
+		daemon: d, log: log, metrics: newSpreadMetrics(metrics.DefaultRegistry),
 		wake: make(chan struct{}, 1), machine: machine, fresh: fresh,
-		leaving: gossip.NewDrainingSet(s.ListLag),
+		draining: gossip.NewDrainingSet(s.ListLag),
 	}
 }
 
-// wait ends after the period, when the channel is closed, or with the context.
+// wait returns after the period, when the channel receives or is closed, or
+// when the context ends.
 func wait(ctx context.Context, period time.Duration, wake <-chan struct{}) {
 	timer := time.NewTimer(period)
 	defer timer.Stop()
@@ -82,12 +86,12 @@
 	}
 }
 
-// loop carries out what the machine asks for until the context ends.
+// loop carries out the machine's actions until the context ends.
 func (s *spreader) loop(ctx context.Context) {
 	var work sync.WaitGroup
 	defer work.Wait()
 	for ctx.Err() == nil {
-		actions, next := s.due()
+		actions, next := s.dueActions()
 		for _, action := range actions {
 			work.Go(func() { s.carryOut(ctx, action) })
 		}
@@ -95,50 +99,51 @@
 	}
 }
 
-// due takes the actions that are due, and the time until the next ones are.
-func (s *spreader) due() ([]gossip.Action, time.Duration) {
+// dueActions returns the actions that are due, and the time until the next
+// ones.
+func (s *spreader) dueActions() ([]gossip.Action, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := bootclock.Now()
-	ticked, next := s.machine.Tick(now, s.hurried(now))
+	ticked, next := s.machine.Tick(now, s.needsContacts(now))
 	actions := append(s.queue, ticked...)
 	s.queue = nil
 	s.noteFreshness(s.fresh.Status(now))
 	if s.fresh.Voter() {
-		s.meters.voter.Update(1)
+		s.metrics.voter.Update(1)
 	}
 	return actions, next - now
 }
 
-// hurried tells whether the answers of a majority may soon be needed, because
-// the table has not been read for a while.
-func (s *spreader) hurried(now time.Duration) bool {
+// needsContacts reports whether the answers of a majority may be needed soon,
+// because the last known read of the table is too old.
+func (s *spreader) needsContacts(now time.Duration) bool {
 	age, seen := s.fresh.TableAge(now)
 	return !seen || age > s.daemon.settings.Spread.FreshFor/3
 }
 
-// noteFreshness logs a change of the decision.
+// noteFreshness logs a change between fresh and not fresh. The mutex must be
+// held.
 func (s *spreader) noteFreshness(status freshness.Status) {
 	if status.Fresh == s.wasFresh {
 		return
 	}
 	s.wasFresh = status.Fresh
 	if status.Fresh {
-		s.meters.fresh.Update(1)
+		s.metrics.fresh.Update(1)
 		s.log.Info("spread: the configuration is the newest", "by", status.Rule)
 		return
 	}
-	s.meters.fresh.Update(0)
+	s.metrics.fresh.Update(0)
 	s.log.Warn("spread: the configuration may be out of date", "reason", status.Reason)
 }
 
-// enqueue has the loop carry out actions, and look at what is due. The mutex
-// is held.
+// enqueue adds actions to the queue and wakes the loop. The mutex must be held.
 func (s *spreader) enqueue(actions []gossip.Action) {
 	s.queue = append(s.queue, actions...)
 	select {
 	case s.wake <- struct{}{}:
-	default: // the loop was woken already
+	default: // already signalled
 	}
 }
 
@@ -147,15 +152,15 @@
 	case gossip.PollHead:
 		s.pollHead(ctx)
 	case gossip.Load:
-		s.load(ctx, a.Version)
+		s.loadVersion(ctx, a.Version)
 	case gossip.Exchange:
 		s.exchange(ctx, a.Peer)
 	case gossip.Offer:
-		s.offer(ctx, a.Peer)
+		s.offerVersion(ctx, a.Peer)
 	case gossip.Send:
-		s.send(ctx, a.Peer, a.PeerVersion)
+		s.sendUpdate(ctx, a.Peer, a.PeerVersion)
 	case gossip.Fetch:
-		s.fetch(ctx, a.Peer)
+		s.fetchUpdate(ctx, a.Peer)
 	}
 }
 
@@ -171,9 +176,10 @@
 	s.enqueue(nil)
 }
 
-// readHead reads the head's version, and takes it as evidence.
+// readHead reads the head's version and records the read as evidence of
+// freshness.
 func (s *spreader) readHead(ctx context.Context) (int64, error) {
-	s.meters.polls.Inc(1)
+	s.metrics.polls.Inc(1)
 	sent := bootclock.Now()
 	head, err := s.daemon.versions.Head(ctx)
 	s.mu.Lock()
@@ -187,17 +193,17 @@
 	return head.Version, nil
 }
 
-func (s *spreader) load(ctx context.Context, version int64) {
+func (s *spreader) loadVersion(ctx context.Context, version int64) {
 	doc, err := s.daemon.versions.Load(ctx, version)
 	if err != nil {
 		s.log.Debug("spread: the table did not answer", "error", err)
 		return
 	}
-	s.daemon.learn(doc, "table")
+	s.daemon.adoptConfig(doc, "table")
 }
 
-// poll reads the newest version from the table at once.
-func (d *Daemon) poll(ctx context.Context) error {
+// pollTable reads the newest version from the table immediately.
+func (d *Daemon) pollTable(ctx context.Context) error {
 	head, err := d.spread.readHead(ctx)
 	if err != nil || head <= d.holder.Current().Version {
 		return err
@@ -206,37 +212,39 @@
 	if err != nil {
 		return err
 	}
-	d.learn(doc, "table")
+	d.adoptConfig(doc, "table")
 	return nil
 }
 
-// learn takes a configuration from any source.
-func (d *Daemon) learn(doc *config.Config, source string) {
+// adoptConfig sets the held configuration if doc is newer. The source is only
+// logged.
+func (d *Daemon) adoptConfig(doc *config.Config, source string) {
 	if d.holder.SetIfNewer(doc) {
 		d.log.Info("spread: version learned", "version", doc.Version, "source", source)
 	}
-	d.spread.holds(d.holder.Current().Version)
+	d.spread.setHeldVersion(d.holder.Current().Version)
 }
 
-// holds takes that the holder has a version now.
-func (s *spreader) holds(version int64) {
+// setHeldVersion records the version that the holder has now.
+func (s *spreader) setHeldVersion(version int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.meters.version.Update(version)
+	s.metrics.version.Update(version)
 	s.fresh.SetHeld(version)
 	s.enqueue(s.machine.OnNewVersion(version))
 }
 
-// offered takes that a peer holds a version, and returns what to answer.
-func (s *spreader) offered(version int64) int64 {
+// onOffer records that a peer holds a version, and returns the version to
+// answer with.
+func (s *spreader) onOffer(version int64) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fresh.NoteVersion(version)
 	return s.machine.OnOffer(bootclock.Now(), version)
 }
 
-// listed takes the instance list, as it was asked for at a time.
-func (s *spreader) listed(members []platform.Instance, peers []string) {
+// setMembers sets the listed own instances and the addresses of the peers.
+func (s *spreader) setMembers(members []platform.Instance, peers []string) {
 	ids := make([]string, len(members))
 	for i, instance := range members {
 		ids[i] = instance.ID
@@ -247,7 +255,7 @@
 	s.machine.SetPeers(peers)
 }
 
-// status decides whether the configuration may be taken for the newest.
+// status returns whether the configuration can be treated as the newest.
 func (s *spreader) status() freshness.Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -258,29 +266,29 @@
 	return status
 }
 
-// leavingUpstreams returns the ids of upstreams that are leaving by the
-// platform's word.
-func (s *spreader) leavingUpstreams() []string {
+// drainingUpstreams returns the IDs of the upstreams that the platform
+// announced as draining.
+func (s *spreader) drainingUpstreams() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var ids []string
-	for id := range s.leaving.Ages(bootclock.Now()) {
+	for id := range s.draining.Ages(bootclock.Now()) {
 		ids = append(ids, id)
 	}
 	return ids
 }
 
-func (s *spreader) callContext(ctx context.Context) (context.Context, context.CancelFunc) {
+func (s *spreader) peerContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, s.daemon.settings.Spread.PeerTimeout)
 }
 
-func (s *spreader) peerAnswered(peer string, version int64) {
+func (s *spreader) onPeerVersion(peer string, version int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.enqueue(s.machine.OnPeerAnswer(bootclock.Now(), peer, version))
 }
 
 func (s *spreader) peerFailed(peer string, err error) {
-	s.meters.failed.Inc(1)
-	s.log.Debug("spread: a peer did not answer", "peer", peer, "error", err)
+	s.metrics.failed.Inc(1)
+	s.log.Debug("spread: call to a peer failed", "peer", peer, "error", err)
 }
--- a/internal/control/spread_bench_test.go
+++ b/internal/control/spread_bench_test.go
@@ -26,45 +26,47 @@
 	"sassafrasfield/internal/versions"
 )
 
-// countedConn counts the bytes of a client's connections, both ways.
-type countedConn struct {
+// countingConn counts the bytes of a client's connections in both directions.
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (c countedConn) Read(p []byte) (int, error) {
+func (c countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c countedConn) Write(p []byte) (int, error) {
+func (c countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-// countedTransport counts the bytes and the calls to peers.
-type countedTransport struct {
+// countingTransport counts the calls to peers, and the bytes of its
+// connections.
+type countingTransport struct {
 	*http.Transport
 	calls *atomic.Int64
 }
 
-func (t *countedTransport) RoundTrip(req *http.Request) (*http.Response, error) {
+func (t *countingTransport) RoundTrip(req *http.Request) (*http.Response, error) {
 	t.calls.Add(1)
 	return t.Transport.RoundTrip(req)
 }
 
-func newCountedTransport(bytes, calls *atomic.Int64) *countedTransport {
-	t := &countedTransport{Transport: peerTransport(), calls: calls}
+func newCountingTransport(bytes, calls *atomic.Int64) *countingTransport {
+	t := &countingTransport{Transport: peerTransport(), calls: calls}
 	t.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := (&net.Dialer{}).DialContext(ctx, network, address)
-		return countedConn{conn, bytes}, err
+		return countingConn{conn, bytes}, err
 	}
 	return t
 }
 
-// benchFleet is a number of sf-control daemons in one process, on loopback.
+// benchFleet is a set of sf-control daemons in one process, connected through
+// loopback addresses.
 type benchFleet struct {
 	b           *testing.B
 	daemons     []*Daemon
@@ -76,8 +78,8 @@
 
 func newBenchFleet(b *testing.B, n, engines int) *benchFleet {
 	b.Helper()
-	stand := testservers.NewPlatform(1e9)
-	server := httptest.NewServer(stand.Handler())
+	standin := testservers.NewPlatform(1e9)
+	server := httptest.NewServer(standin.Handler())
 	b.Cleanup(server.Close)
 	address := strings.TrimPrefix(server.URL, "http://")
 	f := &benchFleet{b: b, table: platform.NewClient(address, 10*time.Second), engines: engines}
@@ -91,9 +93,9 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		d.http = &http.Client{Timeout: time.Second, Transport: newCountedTransport(&f.sent, &f.calls)}
+		d.http = &http.Client{Timeout: time.Second, Transport: newCountingTransport(&f.sent, &f.calls)}
 		f.daemons = append(f.daemons, d)
-		f.list(address, s)
+		f.registerInstance(address, s)
 	}
 	for _, d := range f.daemons {
 		go func() {
@@ -102,12 +104,12 @@
 			}
 		}()
 	}
-	f.change()
-	f.reached()
+	f.appendVersion()
+	f.waitForVersion()
 	return f
 }
 
-func (f *benchFleet) list(address string, s *Settings) {
+func (f *benchFleet) registerInstance(address string, s *Settings) {
 	body := fmt.Sprintf(`{"id":%q,"kind":"own","zone":%q,"state":"live","control":%q}`, s.Instance, s.Zone, s.Listen)
 	res, err := http.Post("http://"+address+testservers.PathSetInstance, "application/json", strings.NewReader(body))
 	if err != nil {
@@ -116,11 +118,12 @@
 	res.Body.Close()
 }
 
-// change accepts a version at the first daemon.
-func (f *benchFleet) change() {
+// appendVersion appends a version to the table and gives it to the first
+// daemon.
+func (f *benchFleet) appendVersion() {
 	f.version++
 	doc := targetDocument(f.engines, f.version)
-	doc.Pools = nil // no leases: the spread alone is measured
+	doc.Pools = nil // without pools there are no leases, so only the distribution is measured
 	log := versions.Log{Table: f.table}
 	head, err := log.Head(context.Background())
 	if err != nil {
@@ -129,11 +132,12 @@
 	if err := log.Append(context.Background(), head, doc, versions.Entry{}, platform.Txn{}); err != nil {
 		f.b.Fatal(err)
 	}
-	f.daemons[0].learn(doc, "self")
+	f.daemons[0].adoptConfig(doc, "self")
 }
 
-// reached waits until all have the version, and returns the times.
-func (f *benchFleet) reached() []time.Duration {
+// waitForVersion waits until all daemons hold the version, and returns the
+// sorted times that they took.
+func (f *benchFleet) waitForVersion() []time.Duration {
 	start := time.Now()
 	times := make([]time.Duration, len(f.daemons))
 	for done := 0; done < len(times) && !f.b.Failed(); time.Sleep(time.Millisecond) {
@@ -148,7 +152,8 @@
 	return times
 }
 
-// targetDocument has the shape of the target: 31 models, 220 organisations.
+// targetDocument returns a document with the shape of the target fleet: 31
+// models and 220 organisations.
 func targetDocument(engines int, version int64) *config.Config {
 	doc := &config.Config{Version: version, Intent: version}
 	for m := range 31 {
@@ -179,15 +184,15 @@
 	return doc
 }
 
-// BenchmarkSpread measures the spread between real daemons. Run it with
-// -benchtime 1x; each line is one window of the seconds named.
+// BenchmarkSpread measures the distribution of versions between real daemons.
+// Run it with -benchtime 1x; each line is the result of one window.
 func BenchmarkSpread(b *testing.B) {
 	const window = 12 * time.Second
 	for _, n := range []int{9, 50, 200} {
 		for _, perMinute := range []int{0, 10} {
 			b.Run(fmt.Sprintf("daemons=%d/changes=%d", n, perMinute), func(b *testing.B) {
 				f := newBenchFleet(b, n, 0)
-				time.Sleep(2 * time.Second) // the first connections are made
+				time.Sleep(2 * time.Second) // lets the daemons open their first connections
 				for range b.N {
 					f.measure(window, perMinute)
 				}
@@ -196,15 +201,15 @@
 	}
 }
 
-// measure reports bytes, calls and times of one window.
+// measure reports the bytes, calls and latencies of one window.
 func (f *benchFleet) measure(window time.Duration, perMinute int) {
 	polls := metrics.GetOrRegisterCounter("spread.head_reads", metrics.DefaultRegistry)
 	sent, calls, reads := f.sent.Load(), f.calls.Load(), polls.Count()
 	var times []time.Duration
 	end := time.Now().Add(window)
 	for perMinute > 0 && time.Now().Before(end) {
-		f.change()
-		times = append(times, f.reached()...)
+		f.appendVersion()
+		times = append(times, f.waitForVersion()...)
 		time.Sleep(time.Minute / time.Duration(perMinute))
 	}
 	time.Sleep(time.Until(end))
@@ -220,8 +225,8 @@
 	}
 }
 
-// BenchmarkChange measures what one change costs beyond the idle traffic, with
-// the target's document.
+// BenchmarkChange measures the cost of one change in addition to the idle
+// traffic, with the target document.
 func BenchmarkChange(b *testing.B) {
 	for _, engines := range []int{20, 400, 1900} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
@@ -233,8 +238,8 @@
 	}
 }
 
-// BenchmarkDocumentSize reports the bytes of the document that 31 models and
-// 220 organisations give, whole and as connect sends it.
+// BenchmarkDocumentSize reports the size of the target document, plain and
+// compressed as connect sends it.
 func BenchmarkDocumentSize(b *testing.B) {
 	for _, engines := range []int{20, 400, 1900} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
@@ -244,7 +249,7 @@
 			for b.Loop() {
 				packed.Reset()
 				w := gzip.NewWriter(&packed)
-				_, _ = w.Write(doc.Encode()) // a buffer takes all
+				_, _ = w.Write(doc.Encode()) // a buffer never fails
 				_ = w.Close()
 			}
 			b.ReportMetric(float64(len(data)), "bytes")
@@ -253,7 +258,7 @@
 	}
 }
 
-// BenchmarkDocumentDecode is the time that a daemon reads a document in.
+// BenchmarkDocumentDecode measures the time to decode a document.
 func BenchmarkDocumentDecode(b *testing.B) {
 	data := targetDocument(1900, 1000).Encode()
 	for b.Loop() {
--- /dev/null
+++ b/internal/instance/quarantine.go
@@ -0,0 +1,155 @@
+package instance
+
+import (
+	"context"
+	"encoding/json"
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/pkg/errors"
+
+	"sassafrasfield/internal/platform"
+	"sassafrasfield/internal/quarantine"
+	"sassafrasfield/internal/replica"
+)
+
+// QuarantinePrefix is the prefix of the keys of the rows that name quarantined contents. All instances
+// follow these rows. So an instance that has just started refuses the contents too, even after all
+// instances were restarted.
+const QuarantinePrefix = "apart/"
+
+// Timings of the quarantine rows.
+const (
+	// persistRetryInterval is the pause after a failed write.
+	persistRetryInterval = time.Second
+	// expireInterval is the time between two removals of expired quarantines.
+	expireInterval = time.Minute
+	// loadTimeout is how long after its start an instance waits for these rows. After that it is ready
+	// without them, because the store may have lost only this table.
+	loadTimeout = 3 * time.Second
+)
+
+// maxRowsPerCommit is the limit of the platform's store on the rows of one transaction.
+const maxRowsPerCommit = 100
+
+// quarantineRow is the stored value of a quarantined content.
+type quarantineRow struct {
+	// Times is how often the content was quarantined.
+	Times int `json:"times"`
+	// Instance is the name of the instance that quarantined it, for operators.
+	Instance string `json:"instance"`
+}
+
+// ready reports whether this instance can serve requests.
+func (in *Instance) ready() bool {
+	if !in.relay.Ready() || in.relay.Impaired() {
+		return false
+	}
+	return time.Since(in.started) > loadTimeout || slices.Contains(in.follower.LoadedTables(), in.adapter.QuarantineTable)
+}
+
+// applyQuarantineRows applies changed quarantine rows.
+func (in *Instance) applyQuarantineRows(rows []replica.Row) {
+	for _, row := range rows {
+		if row.Table != in.adapter.QuarantineTable {
+			continue
+		}
+		if err := in.applyQuarantineRow(row); err != nil {
+			in.log.Error("instance: invalid quarantine row", "key", row.Key.Key, "error", err)
+		}
+	}
+}
+
+func (in *Instance) applyQuarantineRow(row replica.Row) error {
+	content, err := quarantine.ParseContent(strings.TrimPrefix(row.Key.Key, QuarantinePrefix))
+	if err != nil {
+		return err
+	}
+	if row.MissingAfterRestore {
+		in.keepMissing(content, row.Revision)
+		return nil
+	}
+	if row.Deleted {
+		in.relay.Release(content)
+		in.log.Info("instance: content released", "content", content, "revision", row.Revision)
+		return nil
+	}
+	var stored quarantineRow
+	if err := json.Unmarshal(row.Value, &stored); err != nil {
+		return errors.Wrap(err, "instance: content")
+	}
+	in.relay.Quarantine(content, stored.Times)
+	in.log.Info("instance: content set apart", "content", content, "times", stored.Times, "by", stored.Instance, "revision", row.Revision)
+	return nil
+}
+
+// keepMissing keeps a content quarantined whose row is missing after a restore of the store. All instances
+// know the content, so it is enough that the hubs write its row again.
+func (in *Instance) keepMissing(content quarantine.Content, revision int64) {
+	writes := in.peers.IsHub()
+	if writes {
+		in.relay.PersistAgain(content)
+	}
+	in.log.Warn("instance: quarantine row missing after a restore", "content", content, "revision", revision, "writes_it_again", writes)
+}
+
+// persistQuarantines writes the rows of quarantined contents, and removes those of released contents.
+func (in *Instance) persistQuarantines(ctx context.Context) {
+	wait := expireInterval
+	for {
+		timer := time.NewTimer(wait)
+		select {
+		case <-ctx.Done():
+			timer.Stop()
+			return
+		case <-in.relay.PersistNeeded():
+		case <-timer.C:
+			in.relay.ExpireQuarantines(in.peers.IsHub())
+		}
+		timer.Stop()
+		wait = expireInterval
+		if !in.writeQuarantineRows(ctx) {
+			wait = persistRetryInterval
+		}
+	}
+}
+
+// quarantineWrite returns the write of a content's row. The row is removed if times is 0.
+func (in *Instance) quarantineWrite(content quarantine.Content, times int) platform.Write {
+	write := platform.Write{Key: QuarantinePrefix + content.String()}
+	if times == 0 {
+		write.Delete = true
+		return write
+	}
+	value, err := json.Marshal(quarantineRow{Times: times, Instance: in.settings.Self.Name})
+	if err != nil {
+		panic(errors.Wrap(err, "instance: content")) // encoding a number and a string never fails
+	}
+	write.Value = value
+	return write
+}
+
+// writeQuarantineRows writes the rows that are not persisted yet, and reports whether all are persisted.
+// Rows are written unconditionally. If two instances quarantine a content, the last write may be that of
+// the instance with the lower count. An instance that starts then ends the quarantine earlier.
+func (in *Instance) writeQuarantineRows(ctx context.Context) bool {
+	unpersisted, txn := in.relay.Unpersisted(), platform.Txn{}
+	for content, times := range unpersisted {
+		if len(txn.Writes) == maxRowsPerCommit {
+			delete(unpersisted, content)
+			continue
+		}
+		txn.Writes = append(txn.Writes, in.quarantineWrite(content, times))
+	}
+	if len(txn.Writes) == 0 {
+		return true
+	}
+	if _, err := in.adapter.Table.Commit(ctx, txn); err != nil {
+		in.log.Info("instance: quarantine rows not written, retrying", "contents", len(unpersisted), "error", err)
+		return false
+	}
+	in.relay.MarkPersisted(unpersisted)
+	in.log.Info("instance: quarantine rows written", "contents", len(unpersisted))
+	return len(in.relay.Unpersisted()) == 0
+}
--- a/internal/intent/check.go
+++ b/internal/intent/check.go
@@ -13,19 +13,19 @@
 )
 
 var (
-	nameShape = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
-	hashShape = regexp.MustCompile(`^[0-9a-f]{64}$`)
+	namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
+	hashPattern = regexp.MustCompile(`^[0-9a-f]{64}$`)
 )
 
-// checkShape records what is wrong with the file whatever it is applied to.
-func checkShape(file *tomlfile.File, in *Intent) {
+// checkEntries adds the findings that do not depend on the configuration to which the intent is applied.
+func checkEntries(file *tomlfile.File, in *Intent) {
 	if in.Name == "" {
 		file.Add("name", "an intent needs a name")
 	}
 	seen := map[string]bool{}
-	named := func(kind string, i int, key, name string) {
+	checkName := func(kind string, i int, key, name string) {
 		path := fmt.Sprintf("%s.%d", kind, i)
-		if !nameShape.MatchString(name) {
+		if !namePattern.MatchString(name) {
 			file.Add(path+"."+key, "%q is no name: want letters, digits, dot, dash or underscore, 63 at most", name)
 		}
 		if seen[kind+"/"+name] {
@@ -34,25 +34,25 @@
 		seen[kind+"/"+name] = true
 	}
 	for i, m := range in.Models {
-		named("model", i, "name", m.Name)
+		checkName("model", i, "name", m.Name)
 		if m.WeightBytes != nil && *m.WeightBytes < 0 {
 			file.Add(fmt.Sprintf("model.%d.weight_bytes", i), "want 0 or more, not %d", *m.WeightBytes)
 		}
 	}
 	for i, p := range in.Pools {
-		named("pool", i, "name", p.Name)
+		checkName("pool", i, "name", p.Name)
 		checkPool(file, fmt.Sprintf("pool.%d", i), p)
 	}
 	for i, e := range in.Engines {
-		named("engine", i, "id", e.ID)
+		checkName("engine", i, "id", e.ID)
 		checkEngine(file, fmt.Sprintf("engine.%d", i), e)
 	}
 	for i, s := range in.Services {
-		named("service", i, "name", s.Name)
+		checkName("service", i, "name", s.Name)
 		checkService(file, fmt.Sprintf("service.%d", i), s)
 	}
 	for i, o := range in.Organisations {
-		named("organisation", i, "name", o.Name)
+		checkName("organisation", i, "name", o.Name)
 		checkOrganisation(file, fmt.Sprintf("organisation.%d", i), o)
 	}
 }
@@ -100,11 +100,11 @@
 		file.Add(path+".prefix", "want a path such as /bales, outside /v1, not %q", *s.Prefix)
 	}
 	for i, u := range s.Upstreams {
-		at := fmt.Sprintf("%s.upstream.%d", path, i)
-		if !nameShape.MatchString(u.ID) {
-			file.Add(at+".id", "%q is no name", u.ID)
+		upstreamPath := fmt.Sprintf("%s.upstream.%d", path, i)
+		if !namePattern.MatchString(u.ID) {
+			file.Add(upstreamPath+".id", "%q is no name", u.ID)
 		}
-		checkAddress(file, at, u.Address)
+		checkAddress(file, upstreamPath, u.Address)
 	}
 	if s.NonIdempotent == nil {
 		return
@@ -119,7 +119,7 @@
 func checkOrganisation(file *tomlfile.File, path string, o Organisation) {
 	if o.KeyHashes != nil {
 		for i, h := range *o.KeyHashes {
-			if !hashShape.MatchString(h) {
+			if !hashPattern.MatchString(h) {
 				file.Add(fmt.Sprintf("%s.key_hashes.%d", path, i), "want a SHA-256 sum in lower-case hexadecimal")
 			}
 		}
@@ -135,42 +135,43 @@
 	}
 }
 
-// checkWhole records what does not fit in the configuration as a whole. Places
-// are those of the intent's own entries where it has them.
-func checkWhole(file *tomlfile.File, in *Intent, target *config.Config) {
+// checkTarget adds the findings about the resulting configuration. Their positions are those of the
+// intent's entries for the objects, if it has any.
+func checkTarget(file *tomlfile.File, in *Intent, target *config.Config) {
 	for _, p := range target.Pools {
-		key := keyOf("pool", in.Pools, func(d Pool) bool { return d.Name == p.Name })
+		key := entryKey("pool", in.Pools, func(d Pool) bool { return d.Name == p.Name })
 		if target.Model(p.Model) == nil {
 			file.Add(key+".model", "pool %q has no model %q", p.Name, p.Model)
 		}
 	}
 	addresses := map[string]string{}
 	for _, e := range target.Engines {
-		key := keyOf("engine", in.Engines, func(d Engine) bool { return d.ID == e.ID })
+		key := entryKey("engine", in.Engines, func(d Engine) bool { return d.ID == e.ID })
 		if target.Pool(e.Pool) == nil {
 			file.Add(key+".pool", "engine %q has no pool %q", e.ID, e.Pool)
 		}
 		if e.Address == "" {
 			file.Add(key+".address", "engine %q needs an address", e.ID)
 		}
-		checkTwice(file, key+".address", addresses, e.Address, e.ID)
+		checkAddressUnique(file, key+".address", addresses, e.Address, e.ID)
 	}
 	for _, s := range target.Services {
-		key := keyOf("service", in.Services, func(d Service) bool { return d.Name == s.Name })
+		key := entryKey("service", in.Services, func(d Service) bool { return d.Name == s.Name })
 		if s.Prefix == "" {
 			file.Add(key+".prefix", "service %q needs a prefix", s.Name)
 		}
 		for _, u := range s.Upstreams {
-			checkTwice(file, key+".upstream", addresses, u.Address, u.ID)
+			checkAddressUnique(file, key+".upstream", addresses, u.Address, u.ID)
 		}
 	}
-	checkKeys(file, in, target)
+	checkKeysUnique(file, in, target)
 }
 
-func checkKeys(file *tomlfile.File, in *Intent, target *config.Config) {
+// checkKeysUnique adds a finding for each key that belongs to two organisations.
+func checkKeysUnique(file *tomlfile.File, in *Intent, target *config.Config) {
 	owners := map[string]string{}
 	for _, o := range target.Organisations {
-		key := keyOf("organisation", in.Organisations, func(d Organisation) bool { return d.Name == o.Name })
+		key := entryKey("organisation", in.Organisations, func(d Organisation) bool { return d.Name == o.Name })
 		for _, h := range o.KeyHashes {
 			if owner, taken := owners[h]; taken {
 				file.Add(key+".key_hashes", "organisations %q and %q share a key", owner, o.Name)
@@ -180,7 +181,9 @@
 	}
 }
 
-func checkTwice(file *tomlfile.File, key string, addresses map[string]string, address, id string) {
+// checkAddressUnique adds a finding if an upstream has the address of another one. addresses maps the
+// addresses seen so far to their upstreams.
+func checkAddressUnique(file *tomlfile.File, key string, addresses map[string]string, address, id string) {
 	if address == "" {
 		return
 	}
@@ -190,8 +193,8 @@
 	addresses[address] = id
 }
 
-// keyOf returns the dotted key of the intent's entry that match picks.
-func keyOf[T any](kind string, items []T, match func(T) bool) string {
+// entryKey returns the dotted key of the intent's entry that matches, or only the kind if there is none.
+func entryKey[T any](kind string, items []T, match func(T) bool) string {
 	if i := slices.IndexFunc(items, match); i >= 0 {
 		return fmt.Sprintf("%s.%d", kind, i)
 	}
--- a/internal/intent/intent_test.go
+++ b/internal/intent/intent_test.go
@@ -24,7 +24,7 @@
 pool = "p"
 `
 
-func TestFindingsAreToldTogether(t *testing.T) {
+func TestAllFindingsAreReported(t *testing.T) {
 	base, _, findings := Apply("base.toml", []byte(baseIntent), &config.Config{})
 	if base == nil {
 		t.Fatal(findings)
@@ -69,9 +69,9 @@
 	}
 }
 
-// TestOtherEnginesKeepWhatTheyWant applies an intent for one engine after a
-// cancelled plan left another at an older version than its model's.
-func TestOtherEnginesKeepWhatTheyWant(t *testing.T) {
+// TestOtherEnginesKeepWantedState applies an intent for one engine, after a cancelled plan has left another
+// one at an older version than that of its model.
+func TestOtherEnginesKeepWantedState(t *testing.T) {
 	base, _, _ := Apply("base.toml", []byte(baseIntent), &config.Config{})
 	base.Models[0].Version = "2"
 	target, _, findings := Apply("f.toml", []byte("name = \"x\"\n[[engine]]\nid = \"e1\"\nleave = true\n"), base)
@@ -80,10 +80,10 @@
 	}
 	for _, e := range target.Engines {
 		if e.Want.Version != "1" {
-			t.Errorf("%s wants version %s, which nobody asked for", e.ID, e.Want.Version)
+			t.Errorf("%s wants version %s, which no intent requested", e.ID, e.Want.Version)
 		}
 	}
 	if target, _, _ = Apply("f.toml", []byte("name = \"x\"\n[[model]]\nname = \"m\"\nversion = \"2\"\n"), base); target.Engine("e1").Want.Version != "2" {
-		t.Error("an intent for the model does not reach its engines")
+		t.Error("an intent for the model does not change its engines")
 	}
 }
