--- a/internal/usage/due.go
+++ b/internal/usage/due.go
@@ -2,21 +2,21 @@
 
 import "slices"
 
-// toldAtMost bounds the totals in one report: 64 of them take some 1,400 bytes of a
-// datagram's 4,096. The others wait for the next report, 0.1 or 0.2 s later.
-const toldAtMost = 64
+// maxTotalsPerReport bounds the totals in one report. 64 totals take about 1,400 of a datagram's 4,096 bytes.
+// The others are sent in the next report, 0.1 or 0.2 s later.
+const maxTotalsPerReport = 64
 
-// due are the totals that the next report tells.
-type due map[Window]map[string]bool
+// dueTotals is the set of the totals that the next reports must contain.
+type dueTotals map[Window]map[string]bool
 
-func (d due) add(window Window, organisation string) {
+func (d dueTotals) add(window Window, organisation string) {
 	if d[window] == nil {
 		d[window] = map[string]bool{}
 	}
 	d[window][organisation] = true
 }
 
-func (d due) forget(oldest Window) {
+func (d dueTotals) dropBefore(oldest Window) {
 	for window := range d {
 		if window < oldest {
 			delete(d, window)
@@ -24,14 +24,14 @@
 	}
 }
 
-// take removes and returns some of them, those of the newest windows first: these change,
-// and they are not reported yet.
-func (d due) take(total func(Window) Counts) []Count {
+// next removes and returns the totals for one report. Those of the newest windows come first, because they
+// still change and have not been reported to the platform yet.
+func (d dueTotals) next(total func(Window) Counts) []Count {
 	var list []Count
-	for _, window := range d.ordered() {
+	for _, window := range d.newestFirst() {
 		counts := total(window)
 		for organisation := range d[window] {
-			if len(list) == toldAtMost {
+			if len(list) == maxTotalsPerReport {
 				return list
 			}
 			list = append(list, Count{Window: window, Organisation: organisation, Requests: counts[organisation]})
@@ -42,7 +42,7 @@
 	return list
 }
 
-func (d due) ordered() []Window {
+func (d dueTotals) newestFirst() []Window {
 	var list []Window
 	for window := range d {
 		list = append(list, window)
@@ -52,33 +52,35 @@
 	return list
 }
 
-// DueOwn returns the totals of this instance that changed since they were told.
+// DueOwn returns the totals of this instance that are due in its next report: those that changed since they
+// were reported, and those to republish.
 func (t *Tally) DueOwn() []Count {
-	return t.ownDue.take(func(w Window) Counts { return t.own[w] })
+	return t.ownDue.next(func(w Window) Counts { return t.own[w] })
 }
 
-// DueZone returns the totals of the zone that changed since they were told.
+// DueZone returns the totals of the zone that are due in its next report: those that changed since they were
+// reported, and those to republish.
 func (t *Tally) DueZone() []Count {
-	return t.zoneDue.take(t.zone)
+	return t.zoneDue.next(t.zoneTotal)
 }
 
-// Republish has the next reports tell all totals of the windows from one on: some reports
-// may have been lost, and some receivers have just started.
+// Republish makes all totals of the windows since from due in the next reports, because reports may have been
+// lost and receivers may have just started.
 func (t *Tally) Republish(from Window) {
-	t.own.all(from, t.ownDue)
-	t.own.all(from, t.zoneDue)
+	t.own.markDue(from, t.ownDue)
+	t.own.markDue(from, t.zoneDue)
 	for _, w := range t.sources {
-		w.all(from, t.zoneDue)
+		w.markDue(from, t.zoneDue)
 	}
 }
 
-func (w windows) all(from Window, tell due) {
+func (w windows) markDue(from Window, due dueTotals) {
 	for window, counts := range w {
 		if window < from {
 			continue
 		}
 		for organisation := range counts {
-			tell.add(window, organisation)
+			due.add(window, organisation)
 		}
 	}
 }
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestWindowsAreThoseOfTheClock(t *testing.T) {
+func TestWindowsFollowTheClock(t *testing.T) {
 	const length = 5 * time.Second
 	at := time.Unix(1767225604, 0) // four seconds into a window
 	w := WindowAt(at, length)
@@ -16,25 +16,25 @@
 		t.Errorf("window %d ends at %s", w, w.End(length))
 	}
 	if WindowAt(w.End(length), length) != w+1 {
-		t.Error("a window's end is not the next one's")
+		t.Error("a window does not end at the beginning of the next one")
 	}
 }
 
-// TestTotalsAreNotLostWithReports: instances of two zones count, tell in any order, and
-// reports are lost or come twice. No total is ever above the truth; once all was told
-// again, each is the truth. The load is a few requests a second at each of many instances,
-// of which a datagram or two in a hundred are lost; here any are.
-func TestTotalsAreNotLostWithReports(t *testing.T) {
+// TestTotalsSurviveLostReports has instances of two zones count and report in any order, while reports are
+// lost or repeated. No known total may exceed the true one, and after all totals were republished each must
+// be exact. In production, many instances count a few requests per second each, and one or two datagrams in a
+// hundred are lost. Here any report may be lost.
+func TestTotalsSurviveLostReports(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zones := map[string][]*Tally{"a": {NewTally(), NewTally(), NewTally()}, "b": {NewTally(), NewTally()}}
 		truth := map[Window]Counts{}
-		tell := func(zone string, i int) {
+		report := func(zone string, i int) {
 			counts := zones[zone][i].DueOwn()
 			for range rapid.IntRange(0, 2).Draw(t, "copies") {
 				zones[zone][0].MergeInstance(Source{Name: fmt.Sprint(zone, i)}, counts)
 			}
 		}
-		tellZone := func(from, to string, copies int) {
+		reportZone := func(from, to string, copies int) {
 			counts := zones[from][0].DueZone()
 			for range copies {
 				zones[to][0].MergeZone(from, counts)
@@ -53,13 +53,13 @@
 				truth[window][org]++
 			case 2:
 				if i > 0 {
-					tell(zone, i)
+					report(zone, i)
 				}
 			case 3:
-				tellZone("a", "b", rapid.IntRange(0, 2).Draw(t, "copies"))
-				tellZone("b", "a", rapid.IntRange(0, 2).Draw(t, "copies"))
+				reportZone("a", "b", rapid.IntRange(0, 2).Draw(t, "copies"))
+				reportZone("b", "a", rapid.IntRange(0, 2).Draw(t, "copies"))
 			}
-			below(t, zones["a"][0], truth)
+			checkNotAbove(t, zones["a"][0], truth)
 		}
 		for zone, list := range zones {
 			for i := range list[1:] {
@@ -68,7 +68,7 @@
 			}
 		}
 		zones["b"][0].Republish(0)
-		tellZone("b", "a", 1)
+		reportZone("b", "a", 1)
 		for window, counts := range truth {
 			if got := zones["a"][0].Total(window); fmt.Sprint(got) != fmt.Sprint(counts) {
 				t.Fatalf("window %d: %v, want %v", window, got, counts)
@@ -77,18 +77,19 @@
 	})
 }
 
-func below(t *rapid.T, tally *Tally, truth map[Window]Counts) {
+func checkNotAbove(t *rapid.T, tally *Tally, truth map[Window]Counts) {
 	for window, counts := range truth {
 		for org, n := range tally.Total(window) {
 			if n > counts[org] {
-				t.Fatalf("window %d: %d of %s, more than there were: %d", window, n, org, counts[org])
+				t.Fatalf("window %d: %d of %s, more than the true %d", window, n, org, counts[org])
 			}
 		}
 	}
 }
 
-// TestAnInstanceThatStartsAgainLosesNothingThatItTold: its new counts come on top.
-func TestAnInstanceThatStartsAgainLosesNothingThatItTold(t *testing.T) {
+// TestReportedTotalsSurviveRestart guards against the counts of a restarted process replacing those that its
+// previous process reported. They must be added.
+func TestReportedTotalsSurviveRestart(t *testing.T) {
 	hub := NewTally()
 	hub.MergeInstance(Source{Name: "i", Boot: 1}, []Count{{Window: 1, Organisation: "x", Requests: 3}})
 	hub.MergeInstance(Source{Name: "i", Boot: 2}, []Count{{Window: 1, Organisation: "x", Requests: 1}})
@@ -97,16 +98,16 @@
 	}
 }
 
-// TestALongReportIsToldInParts: each organisation of 220 asked for something.
-func TestALongReportIsToldInParts(t *testing.T) {
+// TestManyTotalsAreSplitIntoReports has requests of 220 organisations, more than fit one report.
+func TestManyTotalsAreSplitIntoReports(t *testing.T) {
 	tally, hub := NewTally(), NewTally()
 	const organisations = 220
 	for i := range organisations {
 		tally.CountRequest(1, fmt.Sprint("organisation ", i))
 	}
-	for range organisations/toldAtMost + 1 {
+	for range organisations/maxTotalsPerReport + 1 {
 		counts := tally.DueOwn()
-		if len(counts) > toldAtMost {
+		if len(counts) > maxTotalsPerReport {
 			t.Fatalf("%d in one report", len(counts))
 		}
 		hub.MergeInstance(Source{Name: "i"}, counts)
@@ -116,7 +117,7 @@
 	}
 }
 
-func TestOldWindowsAreForgotten(t *testing.T) {
+func TestOldWindowsAreDropped(t *testing.T) {
 	tally := NewTally()
 	tally.CountRequest(1, "x")
 	tally.MergeInstance(Source{Name: "i"}, []Count{{Window: 1, Organisation: "x", Requests: 3}})
@@ -129,10 +130,10 @@
 	}
 }
 
-// TestTheNewestWindowsAreToldFirst: the load is 82 organisations in each of ten windows, as
-// after half a minute, told again each second by reports that take 64 totals each 0.2 s. A
-// request that begins must be told within a second all the same.
-func TestTheNewestWindowsAreToldFirst(t *testing.T) {
+// TestNewestWindowsAreReportedFirst guards against new totals that wait behind republished ones. There are 82
+// organisations in each of ten windows, as after half a minute of requests. They are republished each second,
+// in reports of 64 totals each 0.2 s. A request that begins must still be reported within a second.
+func TestNewestWindowsAreReportedFirst(t *testing.T) {
 	tally, hub := NewTally(), NewTally()
 	for window := range Window(10) {
 		for i := range 82 {
