--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -1,14 +1,16 @@
-// Package outcome follows one request from its arrival to its whole answer,
-// and has the one truthful word on it at each moment. It is pure.
+// Package outcome tracks one request from its arrival to its complete answer, and determines at each moment
+// whether the request ran, did not run, or may have run.
+//
+// Inputs are the events of the request. Outputs are its stage and its outcome. The package does no I/O.
 package outcome
 
 import "github.com/pkg/errors"
 
-// Stage of a request.
+// Stage is the progress of a request.
 type Stage int
 
-// Stages, in the order in which a request goes through them. A keyless
-// request is never Claimed.
+// The stages, in the order in which a request passes through them. A request without an idempotency key is
+// never Claimed.
 const (
 	Received Stage = iota
 	Admitted
@@ -18,40 +20,39 @@
 	Done
 )
 
-// Event is what happened to a request.
+// Event is something that happens to a request.
 type Event int
 
-// Events of a request.
+// The events of a request.
 const (
-	// Admit: the request was checked and may go on.
+	// Admit: the request was checked and may proceed.
 	Admit Event = iota
-	// Claim: its idempotency key is this run's.
+	// Claim: its idempotency key was claimed for this run.
 	Claim
-	// Send: from here on bytes of it may leave.
+	// Send: from now on bytes of the request may be sent.
 	Send
-	// Refuse: the upstream said that it ran nothing, or no byte left.
+	// Refuse: the upstream answered that it ran nothing, or no byte was sent.
 	Refuse
-	// Lose: the upstream gives no word any more.
+	// Lose: the upstream sends no further response, so the outcome of the attempt is unknown.
 	Lose
-	// Answer: the answer's first part came.
+	// Answer: the first part of the answer arrived.
 	Answer
-	// Finish: the answer is whole.
+	// Finish: the answer is complete.
 	Finish
-	// Continue: another upstream goes on with the run that was lost, from a copy
-	// of its state; that is no second run.
+	// Continue: another upstream continues the lost run from a copy of its state. This is not a second run.
 	Continue
 )
 
-// Outcome is what may be told of a request.
+// Outcome is what is known about whether a request ran.
 type Outcome int
 
-// Words, from what is known.
+// The outcomes.
 const (
-	// NotRun: nothing of the request ran.
+	// NotRun: no part of the request ran.
 	NotRun Outcome = iota
 	// Unknown: it may have run.
 	Unknown
-	// Answered: it ran, and the answer is whole.
+	// Answered: it ran, and the answer is complete.
 	Answered
 )
 
@@ -63,36 +64,35 @@
 	ErrSecondRun = errors.New("outcome: may have run already")
 )
 
-// Request is one request's progress. The zero value was received and must run
-// at most once.
+// Request is the progress of one request. The zero value is a request that was received and must run at most
+// once.
 type Request struct {
-	// Repeatable requests may be sent again after their outcome was lost.
+	// Repeatable requests may be sent again after the outcome of an attempt was lost.
 	Repeatable bool
 
 	stage Stage
-	// before is the stage that the last Send left.
-	before Stage
-	// doubtful is true once an attempt's outcome was lost.
-	doubtful bool
+	// stageBeforeSend is the stage before the last Send.
+	stageBeforeSend Stage
+	// mayHaveRun is true after the outcome of an attempt was lost.
+	mayHaveRun bool
 }
 
-// Stage returns the stage reached.
+// Stage returns the stage that the request has reached.
 func (r Request) Stage() Stage { return r.stage }
 
-// Outcome returns what may be told now.
+// Outcome returns what is known now.
 func (r Request) Outcome() Outcome {
 	switch {
 	case r.stage == Done:
 		return Answered
-	case r.doubtful || r.stage >= Sent:
+	case r.mayHaveRun || r.stage >= Sent:
 		return Unknown
 	default:
 		return NotRun
 	}
 }
 
-// Apply returns the request after the event. On an error the request is as
-// before.
+// Apply returns the request after the event. On an error it returns the request unchanged.
 func (r Request) Apply(event Event) (Request, error) {
 	next := r
 	switch {
@@ -101,16 +101,16 @@
 	case event == Claim && r.stage == Admitted:
 		next.stage = Claimed
 	case event == Send && (r.stage == Admitted || r.stage == Claimed):
-		if r.doubtful && !r.Repeatable {
+		if r.mayHaveRun && !r.Repeatable {
 			return r, ErrSecondRun
 		}
-		next.before, next.stage = r.stage, Sent
-	case event == Continue && r.doubtful && (r.stage == Admitted || r.stage == Claimed):
-		next.before, next.stage = r.stage, Sent
+		next.stageBeforeSend, next.stage = r.stage, Sent
+	case event == Continue && r.mayHaveRun && (r.stage == Admitted || r.stage == Claimed):
+		next.stageBeforeSend, next.stage = r.stage, Sent
 	case event == Refuse && r.stage == Sent:
-		next.stage = r.before
+		next.stage = r.stageBeforeSend
 	case event == Lose && (r.stage == Sent || r.stage == Answering):
-		next.stage, next.doubtful = r.before, true
+		next.stage, next.mayHaveRun = r.stageBeforeSend, true
 	case event == Answer && r.stage == Sent:
 		next.stage = Answering
 	case event == Finish && r.stage == Answering:
--- a/internal/outcome/outcome_test.go
+++ b/internal/outcome/outcome_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestWordIsTrue feeds any events to a request and compares the word with a
-// record of what the upstream may have done.
-func TestWordIsTrue(t *testing.T) {
+// TestOutcomeIsTrue applies random events to a request and compares its outcome with a record of what the
+// upstreams may have run.
+func TestOutcomeIsTrue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		request := Request{Repeatable: rapid.Bool().Draw(t, "repeatable")}
 		mayHaveRun, open, sends := 0, false, 0
@@ -32,7 +32,7 @@
 			case Continue:
 				open, sends = true, sends+1
 				if mayHaveRun == 0 {
-					t.Fatalf("gone on with a run that never was")
+					t.Fatalf("continued without a lost run")
 				}
 			case Refuse:
 				open = false
@@ -41,10 +41,10 @@
 				mayHaveRun++
 			}
 			if request.Outcome() == NotRun && (open || mayHaveRun > 0) {
-				t.Fatalf("told not run at stage %d after %d sends", request.Stage(), sends)
+				t.Fatalf("outcome is not run at stage %d after %d sends", request.Stage(), sends)
 			}
 			if (request.Outcome() == Answered) != (request.Stage() == Done) {
-				t.Fatalf("told answered at stage %d", request.Stage())
+				t.Fatalf("outcome is answered at stage %d", request.Stage())
 			}
 		}
 	})
@@ -65,7 +65,7 @@
 	cases := []struct {
 		name   string
 		events []Event
-		word   Outcome
+		want   Outcome
 		err    error
 	}{
 		{"admitted", []Event{Admit}, NotRun, nil},
@@ -75,17 +75,17 @@
 		{"refused", []Event{Admit, Claim, Send, Refuse}, NotRun, nil},
 		{"lost", []Event{Admit, Send, Lose}, Unknown, nil},
 		{"lost, sent again", []Event{Admit, Send, Lose, Send}, Unknown, ErrSecondRun},
-		{"lost, gone on elsewhere", []Event{Admit, Send, Lose, Continue, Answer, Finish}, Answered, nil},
+		{"lost, continued elsewhere", []Event{Admit, Send, Lose, Continue, Answer, Finish}, Answered, nil},
 		{"lost, no copy elsewhere", []Event{Admit, Send, Lose, Continue, Refuse}, Unknown, nil},
-		{"gone on with nothing", []Event{Admit, Continue}, NotRun, ErrOrder},
+		{"continued without a lost run", []Event{Admit, Continue}, NotRun, ErrOrder},
 		{"answered", []Event{Admit, Send, Answer, Finish}, Answered, nil},
 		{"refused while answering", []Event{Admit, Send, Answer, Refuse}, Unknown, ErrOrder},
 		{"sent before admitted", []Event{Send}, NotRun, ErrOrder},
 	}
 	for _, c := range cases {
 		request, err := apply(c.events...)
-		if !errors.Is(err, c.err) || request.Outcome() != c.word {
-			t.Errorf("%s: word %d and %v, want %d and %v", c.name, request.Outcome(), err, c.word, c.err)
+		if !errors.Is(err, c.err) || request.Outcome() != c.want {
+			t.Errorf("%s: outcome %d and %v, want %d and %v", c.name, request.Outcome(), err, c.want, c.err)
 		}
 	}
 }
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -1,6 +1,8 @@
-// Package routes holds the routes of one version of the operators'
-// configuration, and finds the route and the service of a request. It is plain
-// data with pure functions.
+// Package routes holds one version of the operators' configuration, and finds the route, the service and the
+// organisation of a request.
+//
+// Inputs are the decoded configuration and the host, path and API key of a request. The package consists of
+// plain data and pure functions.
 package routes
 
 import (
@@ -10,7 +12,7 @@
 	"sassafrasfield/internal/apikey"
 )
 
-// Kind tells what of a route's requests may be repeated.
+// Kind is the class of a route's requests. It determines which of them may be repeated.
 type Kind int
 
 const (
@@ -18,12 +20,12 @@
 	Idempotent Kind = iota
 	// NonIdempotent requests may run at most once.
 	NonIdempotent
-	// Generation requests are answered by a stream of events of a model. They
-	// may run once, unless the route is resumable.
+	// Generation requests are answered by a stream of a model's events. They may run once, unless the route
+	// is resumable.
 	Generation
 )
 
-// String returns the kind's name in logs.
+// String returns the name of the kind in logs.
 func (k Kind) String() string {
 	switch k {
 	case Idempotent:
@@ -35,10 +37,10 @@
 	}
 }
 
-// Share is a service's part of a route's traffic.
+// Share is the part of a route's traffic that goes to one service.
 type Share struct {
 	Service string
-	// Weight relative to the route's other shares.
+	// Weight is relative to the weights of the route's other shares.
 	Weight float64
 }
 
@@ -46,81 +48,81 @@
 type Route struct {
 	Name string
 	Host string
-	// Prefix of the path; it begins and ends with a slash.
+	// Prefix is the prefix of the path. It begins and ends with a slash.
 	Prefix string
 	Kind   Kind
-	// Resumable generations may go on at another engine after the last event.
+	// Resumable generations may continue on another engine after the last event.
 	Resumable bool
-	// Timeout is how long a request may wait for its answer; 0 is no bound.
+	// Timeout is how long a request may wait for its answer; 0 means no limit.
 	Timeout time.Duration
-	// Objective is the time in which an answer is on time.
+	// Objective is the latency objective: an answer within this time is on time.
 	Objective time.Duration
-	// MaxPause is the longest pause between two events that is on time.
+	// MaxPause is the latency objective of each event after the first: the longest pause between two events
+	// that is on time.
 	MaxPause time.Duration
-	// WaitBudget is how long callers wait for the first event of a stream, or the next
-	// one; 0 when that is not known.
+	// WaitBudget is how long callers wait for the first or next event of a stream; 0 if that is not known.
 	WaitBudget time.Duration
-	// MaxAttempts is how many upstreams one request may run on.
+	// MaxAttempts is the number of upstreams on which one request may run.
 	MaxAttempts int
-	// Priority of the route; 0 is the most urgent.
+	// Priority is the priority of the route; 0 is the most urgent.
 	Priority int
-	// Shares has one entry for a route that is not split.
+	// Shares has one entry if the traffic is not split.
 	Shares []Share
-	// Public routes ask for no API key.
+	// Public routes require no API key.
 	Public bool
 }
 
-// Organisation is a caller's.
+// Organisation is an organisation to which callers belong.
 type Organisation struct {
-	// Name is told to upstreams.
+	// Name is sent to upstreams.
 	Name string
-	// Priority takes the place of the route's; nil for an organisation without one.
+	// Priority replaces the route's priority; nil if the organisation has none.
 	Priority *int
 }
 
-// Service is a group of upstreams that are alike.
+// Service is a group of interchangeable upstreams.
 type Service struct {
 	Name       string
 	HealthPath string
-	// MaxConns is how many connections an upstream takes from all instances.
+	// MaxConns is the number of connections that an upstream accepts from all instances together.
 	MaxConns int
 	// Engine is set for a service of model engines.
 	Engine *EngineLimits
-	// Scale is set for a service whose upstreams may be ordered.
+	// Scale is set for a service whose upstreams can be scaled.
 	Scale *ScaleLimits
 }
 
-// ScaleLimits are what the operators' configuration allows for a service.
+// ScaleLimits bounds the scaling of a service.
 type ScaleLimits struct {
-	// Min and Max bound the upstreams of both kinds together in each zone.
+	// Min and Max bound the number of upstreams in each zone, spot and on-demand together.
 	Min, Max int
-	// Boot is the time from an order to the first request that a new upstream takes.
+	// Boot is the time from an order to the first request that the new upstream accepts.
 	Boot time.Duration
-	// SpotPrice is a spot upstream's price as a part of a lasting one's; 0 where there
-	// are no spot upstreams.
+	// SpotPrice is the price of a spot upstream as a fraction of that of an on-demand one; 0 if there are no
+	// spot upstreams.
 	SpotPrice float64
-	// ZonePrices are the prices of a second by zone, to one another.
+	// ZonePrices holds the price per second of each zone, relative to the other zones.
 	ZonePrices map[string]float64
 }
 
-// EngineLimits are what a service's engines bear.
+// EngineLimits is the capacity of each engine of a service.
 type EngineLimits struct {
-	// Slots is how many requests an engine runs at a time.
+	// Slots is the number of requests that an engine runs at a time.
 	Slots int
-	// KVTokens is the KV cache's size in tokens.
+	// KVTokens is the size of the KV cache in tokens.
 	KVTokens int
-	// TransferTime is the time to send a token's KV cache to another engine of the
-	// zone, in nanoseconds.
+	// TransferTime is the time to send the KV cache of one token to another engine of the zone, in
+	// nanoseconds.
 	TransferTime float64
-	// EventTokens is how many tokens an event of a stream has.
+	// EventTokens is the number of tokens in one event of a stream.
 	EventTokens int
-	// KVHold is how long a prefilled KV cache is kept for its taker.
+	// KVHold is how long a prefilled KV cache is kept for the engine that fetches it.
 	KVHold time.Duration
-	// RoleSwitch is how long an engine is away when its role changes.
+	// RoleSwitch is how long an engine is unavailable while its role changes.
 	RoleSwitch time.Duration
 }
 
-// Limits bound what callers may send.
+// Limits bounds what callers may send.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
@@ -134,14 +136,14 @@
 	Routes   []Route
 	Services map[string]Service
 	Limits   Limits
-	// Keys finds the organisation of a request. It is nil for a configuration without
-	// organisations, whose routes ask for no key.
+	// Keys maps API keys to organisations. It is nil for a configuration without organisations, whose routes
+	// require no key.
 	Keys *apikey.Table[*Organisation]
 
 	byHost map[string][]*Route
 }
 
-// NewTable returns the table of a version.
+// NewTable returns the table of one version of the configuration.
 func NewTable(version int64, routes []Route, services []Service, limits Limits) *Table {
 	t := &Table{
 		Version: version, Routes: routes, Limits: limits,
@@ -157,16 +159,16 @@
 	return t
 }
 
-// Identity is who a request comes from, as a configuration tells.
+// Identity is the origin of a request according to the configuration.
 type Identity struct {
-	// Organisation is nil for a request of nobody's, on a route that allows this.
+	// Organisation is nil for a request without a known key, on a route that allows this.
 	Organisation *Organisation
-	// KeyChecked tells that keys are this system's to read: an upstream gets none.
+	// KeyChecked is true if this system checks API keys. Then no key is forwarded to upstreams.
 	KeyChecked bool
 }
 
-// Identify returns who a request on a route comes from; false when the route asks for a
-// key and the request bears none that an organisation has.
+// Identify returns the identity of a request on a route. It returns false if the route requires a key and the
+// request carries none that belongs to an organisation.
 func (t *Table) Identify(r *Route, c apikey.Credential) (Identity, bool) {
 	if t.Keys == nil {
 		return Identity{}, true
@@ -175,7 +177,7 @@
 	return Identity{Organisation: owner, KeyChecked: true}, known || r.Public
 }
 
-// Name is the organisation's name; empty for nobody's.
+// Name returns the name of the organisation; empty if there is none.
 func (i Identity) Name() string {
 	if i.Organisation == nil {
 		return ""
@@ -183,7 +185,7 @@
 	return i.Organisation.Name
 }
 
-// Priority is that of its requests on a route; 0 is the most urgent.
+// Priority returns the priority of the requests on a route; 0 is the most urgent.
 func (i Identity) Priority(r *Route) int {
 	if i.Organisation == nil || i.Organisation.Priority == nil {
 		return r.Priority
@@ -191,8 +193,7 @@
 	return *i.Organisation.Priority
 }
 
-// Match returns the route of the host with the longest prefix of the path, or
-// nil.
+// Match returns the route of the host whose prefix is the longest that matches the path, or nil.
 func (t *Table) Match(host, path string) *Route {
 	var best *Route
 	for _, r := range t.byHost[host] {
@@ -203,16 +204,16 @@
 	return best
 }
 
-// Pick returns the service for a draw from [0, 1), by the weights of the
-// route's shares; "" when the route has none.
+// Pick returns the service for a random draw from [0, 1), by the weights of the route's shares. It returns ""
+// if the route has no shares.
 func (r *Route) Pick(draw float64) string {
 	total := 0.0
 	for _, s := range r.Shares {
 		total += s.Weight
 	}
-	rest := draw * total
+	remaining := draw * total
 	for _, s := range r.Shares {
-		if rest -= s.Weight; rest < 0 {
+		if remaining -= s.Weight; remaining < 0 {
 			return s.Service
 		}
 	}
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -10,7 +10,7 @@
 	}, []Service{{Name: "one"}, {Name: "two"}}, Limits{})
 }
 
-func TestMatchTakesTheLongestPrefixOfTheHost(t *testing.T) {
+func TestMatchReturnsLongestPrefixOfHost(t *testing.T) {
 	for _, c := range []struct{ host, path, want string }{
 		{"a.example", "/x/1", "short"},
 		{"a.example", "/x/y/1", "long"},
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestPickFollowsTheWeights(t *testing.T) {
+func TestPickFollowsWeights(t *testing.T) {
 	long := table().Match("a.example", "/x/y/")
 	for draw, want := range map[float64]string{0: "one", 0.89: "one", 0.91: "two", 0.999: "two"} {
 		if got := long.Pick(draw); got != want {
@@ -37,6 +37,6 @@
 		}
 	}
 	if got := (&Route{}).Pick(0.5); got != "" {
-		t.Errorf("a route without shares gives %q", got)
+		t.Errorf("service %q of a route without shares", got)
 	}
 }
