--- a/internal/apikey/apikey.go
+++ b/internal/apikey/apikey.go
@@ -1,9 +1,10 @@
-// Package apikey finds out whose request it is. It reads the API key that a request
-// bears and looks its owner up. Keys are kept as hashes alone: no log line, metric or
-// error that is made of these types can show one.
+// Package apikey determines the owner of a request. It reads the API key that a request carries and looks up
+// its owner. Only the hashes of keys are kept, so no log line, metric or error that is made of these types
+// can reveal a key.
 //
-// It is pure, and may import nothing of the project. Callers: entry and relay (requests),
-// routes and platform (the configuration's keys).
+// Inputs are the headers of requests and the hashes of the configured keys. The output is the owner of a key.
+// The package does no I/O and must not import other packages of this project. Callers: entry and relay
+// (requests), routes and platform (the keys of the configuration).
 package apikey
 
 import (
@@ -15,22 +16,22 @@
 	"github.com/pkg/errors"
 )
 
-// Header is the header field that bears a key.
+// Header is the header field that carries a key.
 const Header = "Authorization"
 
-// scheme is the one in which keys are given; its case does not matter.
+// scheme is the authentication scheme of keys. It is compared without regard to case.
 const scheme = "bearer"
 
-// Challenge tells a caller without a valid key how to give one, in WWW-Authenticate.
+// Challenge is the value of WWW-Authenticate in the answer to a caller without a valid key.
 const Challenge = "Bearer"
 
-// Hash is the SHA-256 sum of a key.
+// Hash is the SHA-256 hash of a key.
 type Hash [sha256.Size]byte
 
 // HashOf returns the hash of a key.
 func HashOf(key string) Hash { return sha256.Sum256([]byte(key)) }
 
-// ParseHash decodes a hash from hexadecimal.
+// ParseHash decodes a hexadecimal hash.
 func ParseHash(text string) (Hash, error) {
 	var h Hash
 	if hex.DecodedLen(len(text)) != len(h) {
@@ -40,29 +41,29 @@
 	return h, errors.Wrap(err, "apikey: hash")
 }
 
-// Credential is what a request bears. The zero value is no key.
+// Credential is the key that a request carries, as a hash. The zero value is a request without a key.
 type Credential struct {
-	hash  Hash
-	given bool
+	hash    Hash
+	present bool
 }
 
-// Read returns the credential of a request's header. A request with several of the fields
-// says nothing that can be relied on, and counts as one without a key.
+// Read returns the credential in a request's header. A request with several Authorization fields is
+// ambiguous, and is treated as one without a key.
 func Read(header http.Header) Credential {
 	fields := header[Header]
 	if len(fields) != 1 {
 		return Credential{}
 	}
-	given, key, _ := strings.Cut(strings.Trim(fields[0], " \t"), " ")
+	givenScheme, key, _ := strings.Cut(strings.Trim(fields[0], " \t"), " ")
 	key = strings.TrimLeft(key, " ")
-	if !strings.EqualFold(given, scheme) || key == "" {
+	if !strings.EqualFold(givenScheme, scheme) || key == "" {
 		return Credential{}
 	}
-	return Credential{hash: HashOf(key), given: true}
+	return Credential{hash: HashOf(key), present: true}
 }
 
-// Table finds the owner of a key. It is immutable once it is in use, and a lookup takes
-// the same time for any number of keys.
+// Table maps keys to their owners. It must not be changed once it is in use. The time of a lookup does not
+// depend on the number of keys.
 type Table[O any] struct {
 	owners map[Hash]O
 }
@@ -70,7 +71,7 @@
 // NewTable returns an empty table.
 func NewTable[O any]() *Table[O] { return &Table[O]{owners: map[Hash]O{}} }
 
-// Add gives a key to an owner unless it has one, and returns whose it is then.
+// Add assigns a key to an owner unless it has one already, and returns the owner of the key.
 func (t *Table[O]) Add(key Hash, owner O) O {
 	if first, taken := t.owners[key]; taken {
 		return first
@@ -79,9 +80,9 @@
 	return owner
 }
 
-// Owner returns the owner of a credential's key; false when nobody owns it.
+// Owner returns the owner of a credential's key; false if there is none.
 func (t *Table[O]) Owner(c Credential) (O, bool) {
-	if !c.given {
+	if !c.present {
 		var none O
 		return none, false
 	}
@@ -89,5 +90,5 @@
 	return owner, ok
 }
 
-// Len counts the keys.
+// Len returns the number of keys.
 func (t *Table[O]) Len() int { return len(t.owners) }
--- a/internal/apikey/apikey_test.go
+++ b/internal/apikey/apikey_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// key is the one that the tests' table knows.
+// key is the only key in the table of the tests.
 const key = "m82thhkmgjqnirth5mgj"
 
 func table() *Table[string] {
@@ -17,9 +17,9 @@
 	return t
 }
 
-// TestEachFormThatHTTPAllows: whoever writes the scheme in another case, or more spaces
-// before the key, has given the key; whatever can be read in two ways has not.
-func TestEachFormThatHTTPAllows(t *testing.T) {
+// TestReadAcceptsUnambiguousForms checks that the case of the scheme and additional spaces before the key are
+// accepted, and that ambiguous fields are not.
+func TestReadAcceptsUnambiguousForms(t *testing.T) {
 	for name, c := range map[string]struct {
 		fields []string
 		owner  string
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestNoPrintShowsAKey(t *testing.T) {
+func TestFormattedValuesDoNotRevealKeys(t *testing.T) {
 	c := Read(http.Header{Header: {"Bearer " + key}})
 	for _, text := range []string{fmt.Sprintf("%v", c), fmt.Sprintf("%+v", c), fmt.Sprintf("%#v", c), fmt.Sprintf("%+v", table())} {
 		if strings.Contains(text, key) {
@@ -60,37 +60,38 @@
 	}
 }
 
-func TestAKeyStaysWithItsFirstOwner(t *testing.T) {
+func TestKeyStaysWithFirstOwner(t *testing.T) {
 	keys := table()
 	if owner := keys.Add(HashOf(key), "another"); owner != "mill" {
-		t.Errorf("it is given to %q", owner)
+		t.Errorf("it is assigned to %q", owner)
 	}
 	if owner, _ := keys.Owner(Read(http.Header{Header: {"Bearer " + key}})); owner != "mill" {
 		t.Errorf("owner %q", owner)
 	}
 }
 
-func TestAHashIsReadAsItIsWritten(t *testing.T) {
+func TestParseHash(t *testing.T) {
 	h := HashOf(key)
 	if got, err := ParseHash(hex.EncodeToString(h[:])); err != nil || got != h {
 		t.Errorf("%x, %v", got, err)
 	}
 	for _, text := range []string{"", "12", strings.Repeat("x", 64), strings.Repeat("1", 66)} {
 		if _, err := ParseHash(text); err == nil {
-			t.Errorf("%q is taken", text)
+			t.Errorf("%q is accepted", text)
 		}
 	}
 }
 
-// TestALookupAllocatesNothing: it is done for each request, and again before each send.
-func TestALookupAllocatesNothing(t *testing.T) {
+// TestLookupDoesNotAllocate guards the cost of a lookup, which is done for each request and again before each
+// send.
+func TestLookupDoesNotAllocate(t *testing.T) {
 	keys, c := table(), Read(http.Header{Header: {"Bearer " + key}})
 	if n := testing.AllocsPerRun(100, func() { keys.Owner(c) }); n != 0 {
 		t.Errorf("%v allocations", n)
 	}
 }
 
-// FuzzRead: no field makes it fail, and only the key itself is known.
+// FuzzRead checks that no field causes a panic, and that only the key itself has an owner.
 func FuzzRead(f *testing.F) {
 	for _, field := range []string{"Bearer " + key, "bearer  x", "", " \t ", "Bearer \x00", "Basic a:b"} {
 		f.Add(field)
@@ -98,7 +99,7 @@
 	f.Fuzz(func(t *testing.T, field string) {
 		_, known := table().Owner(Read(http.Header{Header: {field}}))
 		if known && !strings.HasSuffix(strings.TrimRight(field, " \t"), key) {
-			t.Errorf("%q is known", field)
+			t.Errorf("%q has an owner", field)
 		}
 	})
 }
--- a/internal/ownlink/ownlink.go
+++ b/internal/ownlink/ownlink.go
@@ -1,27 +1,32 @@
-// Package ownlink tells whether an instance's own link is to blame that its requests reach
-// no upstream: connections to many upstreams at once fall silent, as happens on a small
-// link whose queue is longer than a connection's timeout. Others can serve what comes here
-// then, and an instance that hears nothing, stood still, or knows that it lacks what others
-// have, cannot know which upstreams leave.
+// Package ownlink determines whether an instance should stop forwarding requests because of its own network
+// link or its outdated state. Other instances can then serve these requests.
 //
-// It is pure: times are passed in, on the instance's monotonic clock. Caller: relay.
+// On a saturated link, connections to many upstreams time out at once. This happens on a small link whose
+// queue delays packets for longer than a connection's timeout. An instance that receives no reports, was
+// suspended, or knows that it lacks rows that others have, cannot know which upstreams are draining.
+//
+// Inputs are the results of connections to upstreams, the arrival of reports of other instances, and whether
+// rows are missing. The output is the Impairment. The package does no I/O: times are passed in, on the
+// instance's monotonic clock. Caller: relay.
 package ownlink
 
 import "time"
 
-// Settings of a Link.
+// Settings configures a Link.
 type Settings struct {
-	// Window is for how long a silent connection, or an answer, counts.
+	// Window is how long a connection timeout or an answer counts.
 	Window time.Duration
-	// MinUpstreams is how many different ones must have been silent: more than one
-	// crash takes with it that one instance happens to ask at the same time.
+	// MinUpstreams is the number of different upstreams whose connections must have timed out. It must exceed
+	// the number of upstreams that one crash takes down and that one instance happens to contact at the same
+	// time.
 	MinUpstreams int
-	// MaxStaleness is how long an instance may hear nothing of the others until it does
-	// not send, if it is its link, and how long it may lack rows that others have: the
-	// bound on requests to upstreams that leave, less the time for a request to arrive.
+	// MaxStaleness is how long an instance may receive no reports of other instances because of its link, and
+	// how long it may lack rows that others have, before it stops sending. A gap of this length between calls
+	// of SetBehind counts as a suspension. The value is the time within which requests to a draining upstream
+	// must end, less the time for a request to arrive.
 	MaxStaleness time.Duration
-	// CatchUpTime is how long an instance that stood still takes to read what the others told
-	// meanwhile: they tell it anew within a part of this.
+	// CatchUpTime is the time after a suspension in which an instance reads what the others reported
+	// meanwhile. They republish it within a part of this time.
 	CatchUpTime time.Duration
 }
 
@@ -30,118 +35,120 @@
 	return Settings{Window: time.Second, MinUpstreams: 4, MaxStaleness: 1500 * time.Millisecond, CatchUpTime: 300 * time.Millisecond}
 }
 
-// Link is what is known of the instance's own link. It is not safe for concurrent use.
+// Link is the state of the instance's own link. It is not safe for concurrent use.
 type Link struct {
 	settings Settings
-	// silent and answered are when connections to upstreams last fell silent, and when
-	// upstreams last answered.
-	silent, answered map[string]time.Duration
-	// heardAt is when another instance was last heard of; 0 before the first time.
-	heardAt time.Duration
-	// behind: others have rows that this instance lacks, as is known since behindAt.
-	behind   bool
-	behindAt time.Duration
-	// looked: it was looked for that, last at lookedAt. The process stood still if it was
-	// not for long, and woke at wokeAt.
-	looked, woke     bool
-	lookedAt, wokeAt time.Duration
+	// timeouts and answers hold when connections to each upstream last timed out, and when each upstream last
+	// answered.
+	timeouts, answers map[string]time.Duration
+	// peerReportAt is when the last report of another instance arrived; 0 before the first one.
+	peerReportAt time.Duration
+	// behind is true while others are known to have rows that this instance lacks, since behindSince.
+	behind      bool
+	behindSince time.Duration
+	// updated is true after the first call of SetBehind. The last call was at updatedAt. After a long gap
+	// between calls, the process resumed at resumedAt, and catchingUp is true until it has caught up.
+	updated, catchingUp  bool
+	updatedAt, resumedAt time.Duration
 }
 
-// New returns a link of which nothing is known.
+// New returns a Link without any observations.
 func New(s Settings) *Link {
-	return &Link{settings: s, silent: map[string]time.Duration{}, answered: map[string]time.Duration{}}
+	return &Link{settings: s, timeouts: map[string]time.Duration{}, answers: map[string]time.Duration{}}
 }
 
-// RecordTimeout notes that no connection to an upstream came about in time.
-func (l *Link) RecordTimeout(upstream string, now time.Duration) { l.silent[upstream] = now }
+// RecordTimeout records that a connection to an upstream was not established in time.
+func (l *Link) RecordTimeout(upstream string, now time.Duration) { l.timeouts[upstream] = now }
 
-// RecordAnswer notes that an upstream answered, or that its machine refused a connection.
-func (l *Link) RecordAnswer(upstream string, now time.Duration) { l.answered[upstream] = now }
+// RecordAnswer records that an upstream answered, or that its machine refused a connection.
+func (l *Link) RecordAnswer(upstream string, now time.Duration) { l.answers[upstream] = now }
 
-// RecordPeerReport notes a word from another instance.
-func (l *Link) RecordPeerReport(now time.Duration) { l.heardAt = now }
+// RecordPeerReport records that a report of another instance arrived.
+func (l *Link) RecordPeerReport(now time.Duration) { l.peerReportAt = now }
 
-// SetBehind notes whether other instances are known to have rows that this one lacks. It is
-// to be called a few times a second: the process stood still where it was not.
+// SetBehind records whether other instances are known to have rows that this one lacks. It must be called
+// several times per second: a long gap between calls is taken for a suspension of the process.
 func (l *Link) SetBehind(behind bool, now time.Duration) {
-	if l.stoodStill(now) {
-		l.woke, l.wokeAt = true, now
+	if l.stalled(now) {
+		l.catchingUp, l.resumedAt = true, now
 	}
-	l.looked, l.lookedAt = true, now
+	l.updated, l.updatedAt = true, now
 	if behind && !l.behind {
-		l.behindAt = now
+		l.behindSince = now
 	}
 	l.behind = behind
-	l.woke = l.woke && !l.settled(now)
+	l.catchingUp = l.catchingUp && !l.caughtUp(now)
 }
 
-// stoodStill tells that nothing was looked for so long that upstreams may have left.
-func (l *Link) stoodStill(now time.Duration) bool {
-	return l.looked && now-l.lookedAt >= l.settings.MaxStaleness
+// stalled reports whether SetBehind was not called for so long that upstreams may have begun to drain
+// unnoticed.
+func (l *Link) stalled(now time.Duration) bool {
+	return l.updated && now-l.updatedAt >= l.settings.MaxStaleness
 }
 
-// settled tells whether an instance that woke knows what it missed, or that nobody tells.
-func (l *Link) settled(now time.Duration) bool {
-	awake := now - l.wokeAt
-	heard := l.heardAt > l.wokeAt && !l.behind
-	return awake >= l.settings.MaxStaleness || heard && awake >= l.settings.CatchUpTime
+// caughtUp reports whether a resumed instance has received what it missed, or has waited so long that no
+// instance seems to send it.
+func (l *Link) caughtUp(now time.Duration) bool {
+	elapsed := now - l.resumedAt
+	current := l.peerReportAt > l.resumedAt && !l.behind
+	return elapsed >= l.settings.MaxStaleness || current && elapsed >= l.settings.CatchUpTime
 }
 
-// Impairment is why nothing should be sent on; empty for none.
+// Impairment is the reason why requests should not be forwarded; empty for none.
 type Impairment string
 
-// Troubles.
+// The impairments. Their texts are the reasons in refusals.
 const (
-	// Saturated: connections to many upstreams are not answered.
+	// Saturated: connections to many upstreams time out.
 	Saturated Impairment = "own link is choked"
-	// Isolated: besides, no other instance has been heard of for long.
+	// Isolated: in addition, no report of another instance has arrived for MaxStaleness.
 	Isolated Impairment = "own link is choked, and nobody is heard of"
-	// Behind: others have had rows for long that this instance lacks.
+	// Behind: for MaxStaleness, this instance has lacked rows that others have.
 	Behind Impairment = "others have rows that are not here"
-	// Stalled: it was not looked for long at what others tell, or that has just begun
-	// again.
+	// Stalled: the process was suspended, or it has just resumed and has not caught up.
 	Stalled Impairment = "stood still, and has not caught up"
 )
 
-// Impairment tells whether nothing should be sent on now, and why.
+// Impairment returns why requests should not be forwarded now; empty if they should.
 func (l *Link) Impairment(now time.Duration) Impairment {
 	switch {
-	case l.stoodStill(now), l.woke:
-		return Stalled // it has not read yet which upstreams left meanwhile
-	case l.behind && now-l.behindAt >= l.settings.MaxStaleness:
-		return Behind // whatever is answered: it hears of rows, and cannot get them
-	case len(l.silent) < l.settings.MinUpstreams:
+	case l.stalled(now), l.catchingUp:
+		return Stalled // it does not know yet which upstreams began to drain meanwhile
+	case l.behind && now-l.behindSince >= l.settings.MaxStaleness:
+		return Behind // even if upstreams answer: it learns of newer rows but cannot get them
+	case len(l.timeouts) < l.settings.MinUpstreams:
 		return ""
-	case l.heardAt > 0 && now-l.heardAt >= l.settings.MaxStaleness:
-		return l.deaf()
+	case l.peerReportAt > 0 && now-l.peerReportAt >= l.settings.MaxStaleness:
+		return l.isolated()
 	default:
-		return l.choked(now)
+		return l.saturated(now)
 	}
 }
 
-// deaf is the trouble of an instance that hears of nobody, if its link fell silent about
-// then. What is answered meanwhile does not tell which upstreams leave.
-func (l *Link) deaf() Impairment {
-	if countSince(l.silent, l.heardAt-l.settings.Window) >= l.settings.MinUpstreams {
+// isolated returns Isolated if connections to many upstreams timed out since shortly before the last report
+// of another instance. Later answers do not show which upstreams are draining.
+func (l *Link) isolated() Impairment {
+	if countSince(l.timeouts, l.peerReportAt-l.settings.Window) >= l.settings.MinUpstreams {
 		return Isolated
 	}
 	return ""
 }
 
-// choked is the trouble of an instance that reaches many upstreams no more, and fewer still.
-func (l *Link) choked(now time.Duration) Impairment {
+// saturated returns Saturated if recently connections to many upstreams timed out, and fewer upstreams
+// answered.
+func (l *Link) saturated(now time.Duration) Impairment {
 	since := now - l.settings.Window
-	silent, answered := countSince(l.silent, since), countSince(l.answered, since)
-	l.forget(since)
-	if silent >= l.settings.MinUpstreams && silent > answered {
+	timeouts, answers := countSince(l.timeouts, since), countSince(l.answers, since)
+	l.dropBefore(since)
+	if timeouts >= l.settings.MinUpstreams && timeouts > answers {
 		return Saturated
 	}
 	return ""
 }
 
-// forget drops what counts no more.
-func (l *Link) forget(before time.Duration) {
-	for _, list := range []map[string]time.Duration{l.silent, l.answered} {
+// dropBefore drops the entries that no longer count.
+func (l *Link) dropBefore(before time.Duration) {
+	for _, list := range []map[string]time.Duration{l.timeouts, l.answers} {
 		for upstream, at := range list {
 			if at < before {
 				delete(list, upstream)
