--- a/internal/entry/generation.go
+++ b/internal/entry/generation.go
@@ -50,8 +50,8 @@
 	return s.finalRefusal(comp, g.attempts.Outcome(), g.attempts.LastError())
 }
 
-// resume continues the stream of an earlier answer if its engine still holds it. It reports in over
-// whether the answer has ended, so that no other engine is to be tried.
+// resume continues the stream of an earlier answer if its engine still holds it. If over is true, the
+// answer has ended with err, and no other engine is tried.
 func (g *generation) resume(ctx context.Context) (over bool, err error) {
 	token := g.comp.resume
 	g.assembler = stream.NewAssembler(token.Next, token.Sum)
@@ -68,7 +68,7 @@
 	return false, nil
 }
 
-// isFinal reports whether the result err, which may be nil, leaves nothing to retry.
+// isFinal reports whether nothing is left to retry after err, which may be nil.
 func isFinal(err error) bool {
 	return err == nil || errors.Is(err, errCallerGone) || errors.Is(err, errStopping)
 }
--- a/internal/entry/routing.go
+++ b/internal/entry/routing.go
@@ -218,15 +218,15 @@
 func (s *state) updateGauges(now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	charges, shunned := 0, 0
+	charges, excluded := 0, 0
 	for _, e := range s.engines {
 		upstream := s.table.Upstream(e.ID)
 		charges += upstream.Charges()
 		if s.table.Silent(e.ID, now) || upstream.Health.Ejected(now) {
-			shunned++
+			excluded++
 		}
 	}
 	s.meters.charges.Update(int64(charges))
-	s.meters.excluded.Update(int64(shunned))
+	s.meters.excluded.Update(int64(excluded))
 	s.meters.lag.Update(s.table.Traffic.Lag().Milliseconds())
 }
--- a/internal/entry/stall_timer.go
+++ b/internal/entry/stall_timer.go
@@ -38,7 +38,7 @@
 // expired handles the expiry of the timer while the given number of pieces is unread: it returns
 // errStalled or extends the wait. It extends the wait if there are unread pieces, and also if the timer
 // fired late: then this process itself was suspended, and pieces may have arrived that are not read yet.
-// It extends the wait for a late timer only once in a row.
+// It does not extend the wait twice in a row because of a late timer.
 func (t *stallTimer) expired(now time.Duration, unread int) error {
 	if unread == 0 && (t.extended || !t.pace.Overslept(now-t.start)) {
 		return errStalled
