--- a/internal/apikey/apikey.go
+++ b/internal/apikey/apikey.go
@@ -73,7 +73,7 @@
 
 // Add assigns a key to an owner unless it has one already, and returns the owner of the key.
 func (t *Table[O]) Add(key Hash, owner O) O {
-	if first, taken := t.owners[key]; taken {
+	if first, exists := t.owners[key]; exists {
 		return first
 	}
 	t.owners[key] = owner
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -156,9 +156,9 @@
 // Timings of the counts of the instances that share the retry budget.
 const (
 	budgetInterval = time.Second
-	// budgetStartDelay is the time from the start to the first count. When all instances of a deployment
-	// start, they have not received reports of one another before, and each would use all of the pools
-	// alone. Instances report every 0.1 to 0.4 s.
+	// budgetStartDelay is the time from the start to the first count. If all instances of a deployment start
+	// at the same time, they may not have received reports of one another before, and each would use the
+	// whole pools for itself. Instances report every 0.1 to 0.4 s.
 	budgetStartDelay = 3 * time.Second
 	// minPoolHubDuration is how long an instance must have been its zone's hub before it opens the zone's
 	// pool. If two instances assume that they are the hub, they find out within this time.
@@ -199,7 +199,7 @@
 	return serve(in.settings.Metrics, mux)
 }
 
-// applyRows applies changed rows of the store.
+// applyRows applies changed rows: of the configuration, of upstreams, and of quarantined contents.
 func (in *Instance) applyRows(rows []replica.Row) {
 	table, err := in.adapter.Documents.Routes(rows)
 	if err != nil {
--- a/internal/instance/quarantine.go
+++ b/internal/instance/quarantine.go
@@ -14,9 +14,9 @@
 	"sassafrasfield/internal/replica"
 )
 
-// QuarantinePrefix is the prefix of the keys of the rows that name quarantined contents. All instances
-// follow these rows. So an instance that has just started refuses the contents too, even after all
-// instances were restarted.
+// QuarantinePrefix is the prefix of the keys of the rows that list quarantined contents. All instances follow
+// these rows. So an instance that has just started refuses the contents too, even if all instances were
+// restarted.
 const QuarantinePrefix = "apart/"
 
 // Timings of the quarantine rows.
@@ -131,8 +131,8 @@
 }
 
 // writeQuarantineRows writes the rows that are not persisted yet, and reports whether all are persisted.
-// Rows are written unconditionally. If two instances quarantine a content, the last write may be that of
-// the instance with the lower count. An instance that starts then ends the quarantine earlier.
+// Rows are written unconditionally. If two instances quarantine a content, the one that lags behind may write
+// last, with a lower count. An instance that starts after that ends the quarantine earlier.
 func (in *Instance) writeQuarantineRows(ctx context.Context) bool {
 	unpersisted, txn := in.relay.Unpersisted(), platform.Txn{}
 	for content, times := range unpersisted {
--- a/internal/instance/times.go
+++ b/internal/instance/times.go
@@ -10,7 +10,7 @@
 	"sassafrasfield/internal/upstreamstate"
 )
 
-// timesLogInterval is the time between two log lines about a service's engine times.
+// timesLogInterval is the time between two logs of the engine times.
 const timesLogInterval = 5 * time.Second
 
 // logEngineTimes logs the learned times of each service's engines while requests arrive.
--- a/internal/ownlink/ownlink.go
+++ b/internal/ownlink/ownlink.go
@@ -67,7 +67,7 @@
 func (l *Link) RecordPeerReport(now time.Duration) { l.peerReportAt = now }
 
 // SetBehind records whether other instances are known to have rows that this one lacks. It must be called
-// several times per second: a long gap between calls is taken for a suspension of the process.
+// several times per second: a long gap between calls counts as a suspension of the process.
 func (l *Link) SetBehind(behind bool, now time.Duration) {
 	if l.stalled(now) {
 		l.catchingUp, l.resumedAt = true, now
--- a/internal/ownlink/ownlink_test.go
+++ b/internal/ownlink/ownlink_test.go
@@ -40,12 +40,12 @@
 		l.RecordAnswer(fmt.Sprint("good ", i), 10*time.Second)
 	}
 	if l.impaired(10 * time.Second) {
-		t.Error("the crashes are taken for a saturated link")
+		t.Error("the crashes are mistaken for a saturated link")
 	}
 	l = New(DefaultSettings())
 	recordTimeouts(l, 10*time.Second, 3)
 	if l.impaired(10 * time.Second) {
-		t.Error("timeouts of three upstreams are taken for a saturated link")
+		t.Error("timeouts of three upstreams are mistaken for a saturated link")
 	}
 }
 
--- a/internal/usage/due.go
+++ b/internal/usage/due.go
@@ -64,8 +64,8 @@
 	return t.zoneDue.next(t.zoneTotal)
 }
 
-// Republish makes all totals of the windows since from due in the next reports, because reports may have been
-// lost and receivers may have just started.
+// Republish marks all totals of the window from and of later windows as due in the next reports, because
+// reports may have been lost and receivers may have just started.
 func (t *Tally) Republish(from Window) {
 	t.own.markDue(from, t.ownDue)
 	t.own.markDue(from, t.zoneDue)
@@ -74,6 +74,7 @@
 	}
 }
 
+// markDue adds the totals of the window from and of later windows to due.
 func (w windows) markDue(from Window, due dueTotals) {
 	for window, counts := range w {
 		if window < from {
--- a/internal/usagereport/reporter.go
+++ b/internal/usagereport/reporter.go
@@ -1,5 +1,5 @@
 // Package usagereport reports the usage of each organisation to the platform, one time window after the
-// other, as a duty of the lease holder. The holder finalizes the counts of a window in a row of the
+// other, as a duty of the lease holder. The holder writes the final counts of a window to a row of the
 // platform's table before it sends them, and the next holder sends the counts of that row. So two different
 // counts of a window are never sent, no matter which calls or holders fail.
 //
