--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -27,15 +27,15 @@
 	PathWeights   = "/weights"
 )
 
-// maxReplyBytes bounds what is read of one reply.
+// maxReplyBytes bounds how much of one reply is read.
 const maxReplyBytes = 64 << 20
 
-// KeyRequest asks for one row.
+// KeyRequest requests one row.
 type KeyRequest struct {
 	Key string `json:"key"`
 }
 
-// ListRequest asks for the rows under a prefix.
+// ListRequest requests the rows whose key has a prefix.
 type ListRequest struct {
 	Prefix string `json:"prefix"`
 }
@@ -45,23 +45,23 @@
 	Rows []Row `json:"rows"`
 }
 
-// CommitReply answers a Txn.
+// CommitReply answers a Txn with the revision of its writes.
 type CommitReply struct {
 	Revision int64 `json:"revision"`
 }
 
-// InstancesReply answers a call for the instance list.
+// InstancesReply answers a request for the instance list.
 type InstancesReply struct {
 	Instances []Instance `json:"instances"`
 }
 
-// WeightsReply answers a call for the weight store's limit.
+// WeightsReply answers a request for the rate limit of the weight store.
 type WeightsReply struct {
 	BytesPerSecond float64 `json:"bytes_per_second"`
 }
 
-// Client speaks the platform's HTTP interface. It is safe for use by several
-// goroutines.
+// Client calls the platform over its HTTP interface. It is safe for concurrent
+// use.
 type Client struct {
 	base    string
 	http    *http.Client
@@ -70,8 +70,8 @@
 
 var _ Platform = (*Client)(nil)
 
-// NewClient returns a client for the platform at address (host:port). Each
-// call ends after timeout at the latest.
+// NewClient returns a client for the platform at address (host:port). The
+// timeout bounds each call.
 func NewClient(address string, timeout time.Duration) *Client {
 	transport := &http.Transport{MaxIdleConnsPerHost: 16, IdleConnTimeout: time.Minute}
 	return &Client{
@@ -162,7 +162,8 @@
 	return readReply(res, reply)
 }
 
-// classify tells a call that surely had no effect from one that may have had.
+// classify maps a transport error to ErrUnavailable if the call cannot have had
+// an effect, and to ErrUnknown otherwise.
 func classify(err error) error {
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return errors.WithMessage(ErrUnavailable, err.Error())
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,7 +1,7 @@
-// Package platform is the edge to what the platform gives: a transactional
-// table, an object store, a lagging instance list and a rate-limited weight
-// store. The rest of the system knows these interfaces alone; Client is the
-// one adapter.
+// Package platform defines the interfaces to the platform's services: a
+// transactional table, an object store, an instance list that lags behind, and
+// a rate-limited weight store. The rest of the system depends on these
+// interfaces only. Client implements them over HTTP.
 package platform
 
 import (
@@ -15,7 +15,7 @@
 	// ErrConflict: a check of the transaction did not hold; nothing was
 	// written.
 	ErrConflict = errors.New("platform: conflict")
-	// ErrUnavailable: the service did not take the call; nothing was written.
+	// ErrUnavailable: the service did not accept the call; nothing was written.
 	ErrUnavailable = errors.New("platform: unavailable")
 	// ErrUnknown: the call may or may not have taken effect. Read back before
 	// anything depends on it.
@@ -28,26 +28,27 @@
 type Row struct {
 	Key   string `json:"key"`
 	Value []byte `json:"value"`
-	// Revision rises with each write to the table, see RevisionOf; it is never 0 for
-	// a row that exists.
+	// Revision rises with each write to the table, see RevisionOf. It is never 0
+	// for a row that exists.
 	Revision int64 `json:"revision"`
 }
 
-// Check is a condition of a transaction: the row has the revision; 0, or a
-// revision with a counter of 0, means that there is no such row.
+// Check is a condition of a transaction: the row must have the revision. A
+// revision of 0, or one whose counter is 0, requires that the row does not exist.
 type Check struct {
 	Key      string `json:"key"`
 	Revision int64  `json:"revision"`
 }
 
-// Write sets a row, or removes it.
+// Write sets or deletes a row.
 type Write struct {
 	Key    string `json:"key"`
 	Value  []byte `json:"value,omitempty"`
 	Delete bool   `json:"delete,omitempty"`
 }
 
-// Txn is applied whole if each check holds, and else not at all.
+// Txn is a transaction. All its writes are applied if every check holds;
+// otherwise none is.
 type Txn struct {
 	Checks []Check `json:"checks,omitempty"`
 	Writes []Write `json:"writes,omitempty"`
@@ -56,36 +57,36 @@
 // Table is the transactional table service. Reads may be served from a stale
 // copy; the checks of a transaction never are.
 type Table interface {
-	// Get returns a row, or ErrNotFound. With it, the row's revision has the era
-	// in which there was none.
+	// Get returns a row, or ErrNotFound. With ErrNotFound, the restore generation
+	// of the returned row's revision is the one in which the row did not exist.
 	Get(ctx context.Context, key string) (Row, error)
-	// List returns the rows whose key has the prefix, ordered by key.
+	// List returns the rows whose key has the prefix, sorted by key.
 	List(ctx context.Context, prefix string) ([]Row, error)
 	// Commit applies the transaction and returns its revision. Its errors are
 	// ErrConflict, ErrUnavailable and ErrUnknown.
 	Commit(ctx context.Context, txn Txn) (int64, error)
 }
 
-// Objects is the object store. Objects are written once.
+// Objects is the object store. Callers write each object only once.
 type Objects interface {
-	// PutObject writes an object; writing the same name again replaces it.
+	// PutObject writes an object. Writing the same name again replaces it.
 	PutObject(ctx context.Context, name string, data []byte) error
 	// GetObject returns an object, or ErrNotFound.
 	GetObject(ctx context.Context, name string) ([]byte, error)
 }
 
-// InstanceState is the platform's word on an instance.
+// InstanceState is the state of an instance as the platform reports it.
 type InstanceState string
 
 // States of an instance.
 const (
-	// InstanceLive instances run.
+	// InstanceLive instances are running.
 	InstanceLive InstanceState = "live"
-	// InstanceShuttingDown instances are about to be taken away.
+	// InstanceShuttingDown instances are about to be removed by the platform.
 	InstanceShuttingDown InstanceState = "leaving"
 )
 
-// InstanceKind tells what an instance runs.
+// InstanceKind is the kind of process that an instance runs.
 type InstanceKind string
 
 // Kinds of instance.
@@ -96,30 +97,31 @@
 	KindUpstream InstanceKind = "upstream"
 )
 
-// Instance is one line of the instance list.
+// Instance is one entry of the instance list.
 type Instance struct {
 	ID    string        `json:"id"`
 	Kind  InstanceKind  `json:"kind"`
 	Zone  string        `json:"zone"`
 	State InstanceState `json:"state"`
-	// Control is host:port of sf-control on an own instance.
+	// Control is the host:port of sf-control; set if Kind is KindOwn.
 	Control string `json:"control,omitempty"`
-	// Entry is host:port of sf-entry on an own instance.
+	// Entry is the host:port of sf-entry; set if Kind is KindOwn.
 	Entry string `json:"entry,omitempty"`
 }
 
-// InstanceList is the lagging list of instances.
+// InstanceList lists the platform's instances. The list lags behind the real
+// state.
 type InstanceList interface {
 	Instances(ctx context.Context) ([]Instance, error)
 }
 
-// WeightStore tells the limit on loading weights.
+// WeightStore reports the rate limit on loading model weights.
 type WeightStore interface {
-	// WeightRate returns the bytes a second that all loads share.
+	// WeightRate returns the limit in bytes per second that all loads share.
 	WeightRate(ctx context.Context) (float64, error)
 }
 
-// Platform is all of it.
+// Platform combines all services of the platform.
 type Platform interface {
 	Table
 	Objects
--- a/internal/platform/revision.go
+++ b/internal/platform/revision.go
@@ -1,19 +1,21 @@
 package platform
 
-// counterBits are the bits of a revision that its counter takes: a thousand writes a second fill
-// them in 35 years.
+// counterBits is the number of low bits of a revision that hold the write counter. At a thousand
+// writes per second the counter overflows after 35 years.
 const counterBits = 40
 
-// MaxRestoreGeneration is the highest era that a revision can have.
+// MaxRestoreGeneration is the highest restore generation that a revision can hold.
 const MaxRestoreGeneration = 1 << 22
 
-// RevisionOf is the revision of a write. A table that comes back from an older copy gives counters
-// out again, and what it lost never counts again: so the era, which rises with each return, orders
-// before the counter. A counter of 0 stands for a row that is not there.
-func RevisionOf(era, counter int64) int64 { return era<<counterBits | counter }
+// RevisionOf returns the revision of a write. A table restored from an older copy assigns counters
+// a second time, and the writes lost in the restore must never compare as newer. So the restore
+// generation, which rises with each restore, takes the high bits and the counter the low bits.
+// A counter of 0 means that the row does not exist.
+func RevisionOf(generation, counter int64) int64 { return generation<<counterBits | counter }
 
-// RestoreGenerationOf is the era of a revision: how often the table had come back from an older copy.
+// RestoreGenerationOf returns the restore generation of a revision: how many times the table had
+// been restored from an older copy.
 func RestoreGenerationOf(revision int64) int64 { return revision >> counterBits }
 
-// CounterOf is a revision without its era.
+// CounterOf returns the write counter of a revision.
 func CounterOf(revision int64) int64 { return revision & (1<<counterBits - 1) }
