--- a/internal/bootclock/bootclock.go
+++ b/internal/bootclock/bootclock.go
@@ -1,5 +1,5 @@
-// Package bootclock is a monotonic clock that goes on while the machine is
-// suspended, unlike the one behind time.Since.
+// Package bootclock reads a monotonic clock that keeps running while the machine
+// is suspended, unlike the clock that time.Since uses.
 package bootclock
 
 import (
@@ -9,8 +9,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now returns the time since the machine's start. It means nothing on another
-// machine.
+// Now returns the time since the machine booted. Values of different machines
+// are not comparable.
 func Now() time.Duration {
 	var at unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &at); err != nil {
--- a/internal/failpoint/failpoint.go
+++ b/internal/failpoint/failpoint.go
@@ -1,8 +1,8 @@
-// Package failpoint lets a process test stop or end a process at a named point
-// of its work. It does nothing unless the environment variable SF_FAILPOINTS
-// is set, as in "control.order.before_send=stop,once.claimed=kill@2": at the
-// point the process sends itself SIGSTOP or SIGKILL, at its first passing or
-// at the one numbered after @.
+// Package failpoint lets a test stop or kill a process at a named point of its
+// code. It does nothing unless the environment variable SF_FAILPOINTS is set, as
+// in "control.order.before_send=stop,once.claimed=kill@2". The process sends
+// itself SIGSTOP or SIGKILL when it reaches the point for the first time, or for
+// the time whose number follows the @.
 package failpoint
 
 import (
@@ -16,14 +16,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// Variable is the environment variable that switches points on.
+// Variable is the environment variable that enables failpoints.
 const Variable = "SF_FAILPOINTS"
 
-// point is one switched-on point.
+// point is one enabled failpoint.
 type point struct {
 	signal syscall.Signal
-	// left is how many more passings there are until the signal.
-	left int
+	// hitsLeft is the number of hits until the signal is sent, the one that sends it included.
+	hitsLeft int
 }
 
 var (
@@ -32,8 +32,8 @@
 	points map[string]*point
 )
 
-// Hit marks a point of the work. It returns at once unless the point is
-// switched on.
+// Hit marks a failpoint in the code. It returns at once unless the failpoint is
+// enabled.
 func Hit(name string) {
 	once.Do(load)
 	if len(points) == 0 {
@@ -45,17 +45,17 @@
 		mu.Unlock()
 		return
 	}
-	p.left--
-	due := p.left == 0
+	p.hitsLeft--
+	due := p.hitsLeft == 0
 	mu.Unlock()
 	if due {
 		deliver(p.signal)
 	}
 }
 
-// deliver sends a signal to the calling thread. A signal to the process could
-// be taken by another thread, and this one would run on past the point until
-// the stop reaches it.
+// deliver sends a signal to the calling thread. A signal to the process could be
+// delivered to another thread, and this thread would run past the failpoint until
+// the stop takes effect on it.
 func deliver(signal syscall.Signal) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -66,7 +66,7 @@
 	points = parse(os.Getenv(Variable))
 }
 
-// parse reads the variable. What it does not understand it leaves out.
+// parse parses the value of Variable. It skips items that it cannot parse.
 func parse(text string) map[string]*point {
 	parsed := map[string]*point{}
 	for _, item := range strings.Split(text, ",") {
@@ -75,15 +75,15 @@
 			continue
 		}
 		action, number, _ := strings.Cut(action, "@")
-		passing, err := strconv.Atoi(number)
+		hits, err := strconv.Atoi(number)
 		if err != nil {
-			passing = 1
+			hits = 1
 		}
 		switch action {
 		case "stop":
-			parsed[name] = &point{signal: syscall.SIGSTOP, left: passing}
+			parsed[name] = &point{signal: syscall.SIGSTOP, hitsLeft: hits}
 		case "kill":
-			parsed[name] = &point{signal: syscall.SIGKILL, left: passing}
+			parsed[name] = &point{signal: syscall.SIGKILL, hitsLeft: hits}
 		}
 	}
 	return parsed
--- a/internal/failpoint/failpoint_test.go
+++ b/internal/failpoint/failpoint_test.go
@@ -10,10 +10,10 @@
 	if len(points) != 2 {
 		t.Fatalf("%d points, want 2", len(points))
 	}
-	if p := points["a"]; p.signal != syscall.SIGSTOP || p.left != 1 {
+	if p := points["a"]; p.signal != syscall.SIGSTOP || p.hitsLeft != 1 {
 		t.Errorf("a: %+v", p)
 	}
-	if p := points["b"]; p.signal != syscall.SIGKILL || p.left != 3 {
+	if p := points["b"]; p.signal != syscall.SIGKILL || p.hitsLeft != 3 {
 		t.Errorf("b: %+v", p)
 	}
 }
--- a/internal/finding/finding.go
+++ b/internal/finding/finding.go
@@ -1,5 +1,5 @@
-// Package finding collects what is wrong in a file that a person wrote, each
-// with its place, so that all of it is reported at once.
+// Package finding represents the errors and warnings in a file that a person
+// wrote. Each finding has its position, and all are reported at once.
 package finding
 
 import (
@@ -8,9 +8,9 @@
 	"strings"
 )
 
-// Finding is one thing wrong, or worth a warning, at one place of a file.
+// Finding is one error or warning at one position of a file.
 type Finding struct {
-	// File is the name as the operator gave it.
+	// File is the file name as the operator gave it.
 	File string `json:"file"`
 	// Line and Column count from 1; 0 means the file as a whole.
 	Line   int `json:"line"`
@@ -19,7 +19,7 @@
 	Key string `json:"key,omitempty"`
 	// Message is one sentence without a full stop.
 	Message string `json:"message"`
-	// Warning is true when the finding does not forbid the file.
+	// Warning is true if the finding does not make the file invalid.
 	Warning bool `json:"warning,omitempty"`
 }
 
@@ -36,10 +36,10 @@
 	return fmt.Sprintf("%s:%d:%d: %s%s%s", f.File, f.Line, f.Column, level, key, f.Message)
 }
 
-// List is a set of findings. The zero value is empty and ready for use.
+// List is a list of findings. The zero value is empty and ready for use.
 type List []Finding
 
-// Sort orders the findings by place.
+// Sort sorts the findings by position.
 func (l List) Sort() {
 	sort.SliceStable(l, func(i, j int) bool {
 		if l[i].Line != l[j].Line {
@@ -49,7 +49,7 @@
 	})
 }
 
-// Failed tells whether any finding is more than a warning.
+// Failed reports whether any finding is an error rather than a warning.
 func (l List) Failed() bool {
 	for _, f := range l {
 		if !f.Warning {
@@ -59,7 +59,7 @@
 	return false
 }
 
-// Error joins the findings, one a line, so that a List serves as an error.
+// Error implements error. It returns the findings, one per line.
 func (l List) Error() string {
 	lines := make([]string, 0, len(l))
 	for _, f := range l {
@@ -68,8 +68,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Err returns the list as an error, or nil when nothing in it forbids the
-// file.
+// Err returns the list as an error, or nil if it has only warnings or is empty.
 func (l List) Err() error {
 	if !l.Failed() {
 		return nil
--- a/internal/logging/bounded.go
+++ b/internal/logging/bounded.go
@@ -8,27 +8,28 @@
 	"time"
 )
 
-// Bounded is a writer of log lines that never blocks its callers and bounds the
-// lines a second. What it leaves out is counted, and the count is written as
-// soon as there is room.
+// Bounded is a writer of log lines that never blocks its callers and limits the
+// lines per second. It counts the lines that it drops and writes the count before
+// the next line.
 type Bounded struct {
-	lines   chan []byte
-	perSec  int
-	dropped atomic.Int64
-	done    chan struct{}
-	closing sync.Once
+	lines        chan []byte
+	maxPerSecond int
+	dropped      atomic.Int64
+	done         chan struct{}
+	closeOnce    sync.Once
 
-	mu     sync.Mutex // protects second and inSec
-	second int64
-	inSec  int
+	mu            sync.Mutex // protects second and linesInSecond
+	second        int64
+	linesInSecond int
 }
 
-// lineBuffer is how many lines may wait for the output.
-const lineBuffer = 512
+// lineBufferSize is the number of lines that may wait for the output.
+const lineBufferSize = 512
 
-// NewBounded returns a writer to w that takes at most perSecond lines a second.
+// NewBounded returns a writer to w that accepts at most perSecond lines per
+// second.
 func NewBounded(w io.Writer, perSecond int) *Bounded {
-	b := &Bounded{lines: make(chan []byte, lineBuffer), perSec: perSecond, done: make(chan struct{})}
+	b := &Bounded{lines: make(chan []byte, lineBufferSize), maxPerSecond: perSecond, done: make(chan struct{})}
 	go b.run(w)
 	return b
 }
@@ -39,40 +40,42 @@
 		b.dropped.Add(1)
 		return len(line), nil
 	}
-	kept := append([]byte(nil), line...)
+	copied := append([]byte(nil), line...)
 	select {
-	case b.lines <- kept:
+	case b.lines <- copied:
 	default:
 		b.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
-// allowed counts the line in its second. A clock that steps begins a second.
+// allowed counts a line in its second and reports whether it is within the limit.
+// A clock step starts a new second.
 func (b *Bounded) allowed(second int64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if second != b.second {
-		b.second, b.inSec = second, 0
+		b.second, b.linesInSecond = second, 0
 	}
-	b.inSec++
-	return b.inSec <= b.perSec
+	b.linesInSecond++
+	return b.linesInSecond <= b.maxPerSecond
 }
 
 func (b *Bounded) run(w io.Writer) {
 	defer close(b.done)
 	for line := range b.lines {
 		if n := b.dropped.Swap(0); n > 0 {
-			fmt.Fprintf(w, "level=WARN msg=\"logging: lines left out\" count=%d\n", n)
+			fmt.Fprintf(w, "level=WARN msg=\"logging: lines dropped\" count=%d\n", n)
 		}
 		if _, err := w.Write(line); err != nil {
-			b.dropped.Add(1) // nobody reads; there is nowhere to say so
+			b.dropped.Add(1) // the output is broken, so the error cannot be logged
 		}
 	}
 }
 
-// Close writes what waits. Lines after it are lost.
+// Close writes the waiting lines and stops the writer. Write must not be called
+// after it.
 func (b *Bounded) Close() {
-	b.closing.Do(func() { close(b.lines) })
+	b.closeOnce.Do(func() { close(b.lines) })
 	<-b.done
 }
--- a/internal/logging/bounded_test.go
+++ b/internal/logging/bounded_test.go
@@ -7,37 +7,37 @@
 	"testing"
 )
 
-// gate is an output that takes nothing until it is opened.
-type gate struct {
+// blockedWriter is an output whose writes block until open is closed.
+type blockedWriter struct {
 	open chan struct{}
 	mu   sync.Mutex // protects out
 	out  bytes.Buffer
 }
 
-func (g *gate) Write(p []byte) (int, error) {
-	<-g.open
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.out.Write(p)
+func (w *blockedWriter) Write(p []byte) (int, error) {
+	<-w.open
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.out.Write(p)
 }
 
-func TestBoundedNeverBlocksAndCountsWhatItLeavesOut(t *testing.T) {
-	g := &gate{open: make(chan struct{})}
-	b := NewBounded(g, 1<<20)
-	for range 3 * lineBuffer {
+func TestBoundedNeverBlocksAndCountsDroppedLines(t *testing.T) {
+	output := &blockedWriter{open: make(chan struct{})}
+	b := NewBounded(output, 1<<20)
+	for range 3 * lineBufferSize {
 		if _, err := b.Write([]byte("line\n")); err != nil {
 			t.Fatal(err)
 		}
 	}
-	close(g.open)
+	close(output.open)
 	b.Close()
-	if !strings.Contains(g.out.String(), "lines left out\" count=") {
-		t.Error("no word of the lines left out")
+	if !strings.Contains(output.out.String(), "lines dropped\" count=") {
+		t.Error("the count of dropped lines was not written")
 	}
 }
 
-func TestBoundedBoundsTheLinesOfASecond(t *testing.T) {
-	b := &Bounded{perSec: 2}
+func TestBoundedLimitsLinesPerSecond(t *testing.T) {
+	b := &Bounded{maxPerSecond: 2}
 	got := []bool{b.allowed(7), b.allowed(7), b.allowed(7), b.allowed(8)}
 	for i, want := range []bool{true, true, false, true} {
 		if got[i] != want {
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -22,7 +22,7 @@
 	return Settings{Level: "info", Format: "text"}
 }
 
-// Check records faults under the key.
+// Check records invalid values as findings. The key is that of the table.
 func (s Settings) Check(file *tomlfile.File, key string) {
 	if !slices.Contains([]string{"debug", "info", "warn", "error"}, s.Level) {
 		file.Add(key+".level", "want debug, info, warn or error, not %q", s.Level)
@@ -32,8 +32,8 @@
 	}
 }
 
-// New returns a logger that writes to w and marks each line with the program
-// and the instance.
+// New returns a logger that writes to w and adds the program and the instance
+// to each line as attributes.
 func New(s Settings, w io.Writer, program, instance string) *slog.Logger {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(s.Level)); err != nil {
@@ -47,7 +47,8 @@
 	return slog.New(handler).With("program", program, "instance", instance)
 }
 
-// plainError keeps the stack of an error, which some carry, out of a line.
+// plainError logs an error as its message only, without the stack trace that some
+// errors carry.
 func plainError(_ []string, attr slog.Attr) slog.Attr {
 	if err, ok := attr.Value.Any().(error); ok {
 		attr.Value = slog.StringValue(err.Error())
@@ -55,7 +56,8 @@
 	return attr
 }
 
-// Part returns a logger for one part of a program, marked by a fixed prefix.
+// Part returns a logger for one part of a program, which adds the part to each
+// line as an attribute.
 func Part(log *slog.Logger, part string) *slog.Logger {
 	return log.With("part", part)
 }
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestLevelHoldsLinesBack(t *testing.T) {
+func TestLevelFiltersLines(t *testing.T) {
 	for level, want := range map[string]int{"debug": 4, "info": 3, "warn": 2, "error": 1} {
 		var out bytes.Buffer
 		log := New(Settings{Level: level, Format: "text"}, &out, "sf-entry", "inst-1")
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestAnErrorTakesOneLineWithoutItsStack(t *testing.T) {
+func TestErrorIsLoggedOnOneLineWithoutStack(t *testing.T) {
 	var out bytes.Buffer
 	New(Settings{Level: "info", Format: "text"}, &out, "sf-entry", "inst-1").Info("x: failed", "error", errors.New("no answer"))
 	if got := out.String(); !strings.Contains(got, `error="no answer"`) || strings.Contains(got, "logging_test.go") {
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits for a time that a context may cut short.
+// Package pause provides a sleep that ends early when a context does.
 package pause
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits, and reports false when the context ends first.
+// For waits for d and returns true, or returns false if the context ends first.
 func For(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/pause/pause_test.go
+++ b/internal/pause/pause_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-func TestAContextCutsAPauseShort(t *testing.T) {
+func TestForReturnsFalseWhenTheContextEnds(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	if !For(ctx, time.Millisecond) {
-		t.Error("the pause was cut short")
+		t.Error("For returned false although the context had not ended")
 	}
 	time.AfterFunc(time.Millisecond, cancel)
 	if For(ctx, time.Hour) {
-		t.Error("an hour passed")
+		t.Error("For returned true although the context had ended")
 	}
 }
--- a/internal/program/example_test.go
+++ b/internal/program/example_test.go
@@ -18,14 +18,14 @@
 	"sassafrasfield/platform"
 )
 
-// update writes the examples again; `make generate` sets it.
+// update rewrites the examples; `make generate` sets it.
 var update = flag.Bool("update", false, "write the examples under configs/ again")
 
-// examples are the annotated settings files, by program.
+// examples returns the annotated settings file of each program, by program name.
 func examples(root string) map[string]annotate.Example {
-	common := func(title string, s any, own map[string]string) annotate.Example {
-		own["instance"], own["zone"], own["platform"] = `"inst-1"`, `"hall-a"`, `"10.0.0.10:7000"`
-		return annotate.Example{Root: root, Title: title, Settings: s, Values: own}
+	common := func(title string, s any, values map[string]string) annotate.Example {
+		values["instance"], values["zone"], values["platform"] = `"inst-1"`, `"hall-a"`, `"10.0.0.10:7000"`
+		return annotate.Example{Root: root, Title: title, Settings: s, Values: values}
 	}
 	const title = "Settings with every key. The values are the defaults, but for names and addresses, " +
 		"which have none. Durations are strings such as \"250ms\". `make generate` writes this file."
@@ -62,19 +62,19 @@
 			t.Fatal(err)
 		}
 		if string(data) != want {
-			t.Errorf("%s lags behind the settings struct; run `make generate`", path)
+			t.Errorf("%s is out of date with the settings struct; run `make generate`", path)
 		}
 		file := tomlfile.Decode(path, data, example.Settings)
 		for _, key := range annotate.Keys(example.Settings) {
 			if !file.Has(key) {
-				t.Errorf("%s lacks %s", path, key)
+				t.Errorf("%s does not set %s", path, key)
 			}
 		}
 	}
 }
 
-// TestEachKeyIsExplained wants a comment on each key of each program.
-func TestEachKeyIsExplained(t *testing.T) {
+// TestEachKeyHasAComment checks that each key of each program's example has a comment.
+func TestEachKeyHasAComment(t *testing.T) {
 	root, err := testfleet.Root()
 	if err != nil {
 		t.Fatal(err)
@@ -84,13 +84,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, bare := range regexp.MustCompile(`\n#\n.*`).FindAllString(text, -1) {
-			t.Errorf("%s: a key has no comment: %s", name, strings.TrimPrefix(bare, "\n#\n"))
+		for _, uncommented := range regexp.MustCompile(`\n#\n.*`).FindAllString(text, -1) {
+			t.Errorf("%s: a key has no comment: %s", name, strings.TrimPrefix(uncommented, "\n#\n"))
 		}
 	}
 }
 
-func TestCheckSettingsOfTheRealPrograms(t *testing.T) {
+func TestCheckSettingsFlagOfBuiltPrograms(t *testing.T) {
 	bin, err := testfleet.Bin()
 	if err != nil {
 		t.Fatal(err)
@@ -101,24 +101,24 @@
 	}
 	dir := t.TempDir()
 	for name, example := range examples(root) {
-		good := filepath.Join(root, "configs", name+".toml")
-		checkSettings(t, filepath.Join(bin, name), good, program.ExitOK, good+": no findings\n")
-		data, err := os.ReadFile(good)
+		valid := filepath.Join(root, "configs", name+".toml")
+		checkSettings(t, filepath.Join(bin, name), valid, program.ExitOK, valid+": no findings\n")
+		data, err := os.ReadFile(valid)
 		if err != nil {
 			t.Fatal(err)
 		}
-		bad := filepath.Join(dir, name+".toml")
+		invalid := filepath.Join(dir, name+".toml")
 		text := strings.Replace(string(data), example.Values[listenKey(name)], `"nowhere"`, 1) + "surprise = 1\n"
-		if err := os.WriteFile(bad, []byte(text), 0o644); err != nil {
+		if err := os.WriteFile(invalid, []byte(text), 0o644); err != nil {
 			t.Fatal(err)
 		}
-		checkSettings(t, filepath.Join(bin, name), bad, program.ExitUsage, "surprise: unknown key\n")
+		checkSettings(t, filepath.Join(bin, name), invalid, program.ExitUsage, "surprise: unknown key\n")
 		missing := filepath.Join(dir, "missing.toml")
 		checkSettings(t, filepath.Join(bin, name), missing, program.ExitUsage, "no such file")
 	}
 }
 
-// listenKey is the key of a program's first address.
+// listenKey returns the key of a program's first listen address.
 func listenKey(name string) string {
 	if name == "sf-instance" {
 		return "listen.front"
--- a/internal/program/linked_test.go
+++ b/internal/program/linked_test.go
@@ -12,8 +12,8 @@
 	"sassafrasfield/internal/testfleet"
 )
 
-// TestProgramsAreLinkedToTheCLibrary wants dynamic executables that load the C
-// library, built with cgo.
+// TestProgramsAreLinkedToTheCLibrary checks that the programs are built with cgo
+// as dynamic executables that load the C library.
 func TestProgramsAreLinkedToTheCLibrary(t *testing.T) {
 	bin, err := testfleet.Bin()
 	if err != nil {
@@ -32,11 +32,11 @@
 		}
 		isC := func(library string) bool { return strings.HasPrefix(library, "libc.") }
 		if !slices.ContainsFunc(libraries, isC) {
-			t.Errorf("%s loads %v, and no C library", name, libraries)
+			t.Errorf("%s loads %v, which has no C library", name, libraries)
 		}
-		interpreted := func(p *elf.Prog) bool { return p.Type == elf.PT_INTERP }
-		if !slices.ContainsFunc(file.Progs, interpreted) {
-			t.Errorf("%s is a static program", name)
+		isInterpreter := func(p *elf.Prog) bool { return p.Type == elf.PT_INTERP }
+		if !slices.ContainsFunc(file.Progs, isInterpreter) {
+			t.Errorf("%s is a static executable", name)
 		}
 		info, err := buildinfo.ReadFile(path)
 		if err != nil {
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -1,5 +1,6 @@
-// Package program starts a daemon: settings, logs, traces and signals, the
-// same for each of them.
+// Package program is the common main function of the daemons: it parses the
+// command line, loads the settings, sets up logs, traces and signal handling,
+// and runs the daemon.
 package program
 
 import (
@@ -19,7 +20,7 @@
 	"sassafrasfield/internal/tracing"
 )
 
-// Exit codes of each program.
+// Exit codes of all programs.
 const (
 	ExitOK      = 0
 	ExitFailed  = 1
@@ -28,35 +29,36 @@
 	ExitUnknown = 4
 )
 
-// flushTimeout bounds the writing of the last spans.
+// flushTimeout bounds the export of the last spans at shutdown.
 const flushTimeout = 2 * time.Second
 
-// linesPerSecond bounds the log of a daemon: some ten lines for each of the
-// requests that one instance takes at the most, as docs/OPERATIONS.md reckons.
-const linesPerSecond = 500
+// maxLogLinesPerSecond limits the log of a daemon: about ten lines for each
+// request per second at the maximum load of one instance, see docs/OPERATIONS.md.
+const maxLogLinesPerSecond = 500
 
-// Common are the settings that each daemon has.
+// Common holds the settings that all daemons have.
 type Common struct {
 	Instance string
 	Log      logging.Settings
 	Trace    tracing.Settings
 }
 
-// Daemon is what Main starts.
+// Daemon describes a program that Main runs.
 type Daemon struct {
 	Name string
 	Help string
-	// SettingsVariable is an environment variable that may name the settings
-	// file instead of the flag; empty for none.
+	// SettingsVariable is an environment variable that may give the path of the
+	// settings file instead of the flag; empty for none.
 	SettingsVariable string
-	// Settings holds the defaults and takes the file.
+	// Settings holds the defaults; the settings file is loaded into it.
 	Settings settings.Checker
-	// Common returns the common part of Settings, once they are read.
+	// Common returns the common part of Settings. It is called after they are
+	// loaded.
 	Common func() Common
-	// Run works until the context ends.
+	// Run runs the daemon until the context ends.
 	Run func(ctx context.Context, log *slog.Logger) error
-	// Reload takes the settings file anew, on SIGHUP and when it has changed;
-	// nil when the daemon cannot.
+	// Reload reloads the settings file, on SIGHUP and when the file has changed;
+	// nil if the daemon does not support it.
 	Reload func(path string, log *slog.Logger)
 }
 
@@ -89,22 +91,22 @@
 
 func (d Daemon) run(path string) int {
 	common := d.Common()
-	output := logging.NewBounded(os.Stdout, linesPerSecond)
+	output := logging.NewBounded(os.Stdout, maxLogLinesPerSecond)
 	defer output.Close()
 	log := logging.New(common.Log, output, d.Name, common.Instance)
-	slog.SetDefault(log) // libraries that log by themselves get the same bounds
+	slog.SetDefault(log) // libraries that use the default logger get the same limits
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	go d.reloads(ctx, path, log)
+	go d.watchReloads(ctx, path, log)
 	flush, err := tracing.Setup(ctx, common.Trace, d.Name, common.Instance)
 	if err != nil {
 		log.Error("program: tracing could not start", "error", err)
 		return ExitFailed
 	}
 	err = d.Run(ctx, log)
-	ending, cancel := context.WithTimeout(context.Background(), flushTimeout)
+	flushCtx, cancel := context.WithTimeout(context.Background(), flushTimeout)
 	defer cancel()
-	_ = flush(ending) // spans are best effort
+	_ = flush(flushCtx) // export of spans is best effort
 	if err != nil {
 		log.Error("program: ended", "error", err)
 		return ExitFailed
@@ -113,7 +115,7 @@
 	return ExitOK
 }
 
-// Version returns the module's version as the build recorded it.
+// Version returns the module's version as recorded in the build information.
 func Version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/internal/program/reload.go
+++ b/internal/program/reload.go
@@ -9,19 +9,19 @@
 	"time"
 )
 
-// watchEvery is the time between looks at the settings file, which may change
+// fileCheckInterval is the time between checks of the settings file, which may change
 // without a signal.
-const watchEvery = 2 * time.Second
+const fileCheckInterval = 2 * time.Second
 
-// reloads has the settings taken anew, on SIGHUP and when the file's time of
-// change moves, until the context ends. Without Reload, SIGHUP is only logged:
-// it must not end the process.
-func (d Daemon) reloads(ctx context.Context, path string, log *slog.Logger) {
+// watchReloads calls Reload on SIGHUP and when the file's modification time
+// changes, until the context ends. Without Reload, SIGHUP is only logged, since
+// it must not terminate the process.
+func (d Daemon) watchReloads(ctx context.Context, path string, log *slog.Logger) {
 	hangup := make(chan os.Signal, 1)
-	signal.Notify(hangup, syscall.SIGHUP) // for good: one that comes while the process stops must not end it
-	ticker := time.NewTicker(watchEvery)
+	signal.Notify(hangup, syscall.SIGHUP) // never reset: a SIGHUP during shutdown must not kill the process
+	ticker := time.NewTicker(fileCheckInterval)
 	defer ticker.Stop()
-	seen := changedAt(path)
+	seen := modTimeOf(path)
 	for {
 		select {
 		case <-ctx.Done():
@@ -29,20 +29,20 @@
 		case <-hangup:
 			log.Info("program: SIGHUP", "reloads", d.Reload != nil)
 		case <-ticker.C:
-			if changedAt(path).Equal(seen) {
+			if modTimeOf(path).Equal(seen) {
 				continue
 			}
 		}
-		seen = changedAt(path)
+		seen = modTimeOf(path)
 		if d.Reload != nil {
 			d.Reload(path, log)
 		}
 	}
 }
 
-// changedAt is when a file was changed; the zero time when that cannot be told,
-// which counts as no change.
-func changedAt(path string) time.Time {
+// modTimeOf returns a file's modification time. It returns the zero time if the file
+// cannot be examined.
+func modTimeOf(path string) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
 		return time.Time{}
--- a/internal/program/settings_test.go
+++ b/internal/program/settings_test.go
@@ -11,11 +11,11 @@
 	"sassafrasfield/internal/settings"
 )
 
-// entryNames are the keys without defaults; cases add to them.
-const entryNames = "instance = \"i\"\nzone = \"z\"\nplatform = \"127.0.0.1:1\"\n"
+// requiredEntryKeys sets the keys without defaults; the cases add to it.
+const requiredEntryKeys = "instance = \"i\"\nzone = \"z\"\nplatform = \"127.0.0.1:1\"\n"
 
-// TestSettingsFindings loads faulty files: all findings come together, each
-// with its line and column.
+// TestSettingsFindings checks that all findings of an invalid settings file are
+// reported together, each with its line and column.
 func TestSettingsFindings(t *testing.T) {
 	cases := map[string]struct {
 		into settings.Checker
@@ -23,7 +23,7 @@
 		want []string
 	}{
 		"nothing wrong": {
-			entry.DefaultSettings(), entryNames + "listen = \"127.0.0.1:2\"\nlocal = \"127.0.0.1:3\"\n", nil,
+			entry.DefaultSettings(), requiredEntryKeys + "listen = \"127.0.0.1:2\"\nlocal = \"127.0.0.1:3\"\n", nil,
 		},
 		"names and addresses missing": {entry.DefaultSettings(), "", []string{
 			"1:1: instance: must be set",
@@ -51,7 +51,7 @@
 		},
 		"an address used twice and values out of range": {
 			entry.DefaultSettings(),
-			entryNames + "listen = \"127.0.0.1:2\"\nlocal = \"127.0.0.1:2\"\nstale_after = \"1ms\"\n[engine]\nattempts = 0\n[log]\nlevel = \"loud\"\n[trace]\nratio = 2\notlp = \"nowhere\"\n",
+			requiredEntryKeys + "listen = \"127.0.0.1:2\"\nlocal = \"127.0.0.1:2\"\nstale_after = \"1ms\"\n[engine]\nattempts = 0\n[log]\nlevel = \"loud\"\n[trace]\nratio = 2\notlp = \"nowhere\"\n",
 			[]string{
 				"5:1: local: 127.0.0.1:2 is used by listen too",
 				"6:1: stale_after: want 100ms to 10m0s, not 1ms",
@@ -70,13 +70,13 @@
 				`5:1: local: want an IP number with a port, not "127.0.0.1"`,
 			},
 		},
-		"a table that is none": {entry.DefaultSettings(), "limits = 5\n" + entryNames + "listen = \"127.0.0.1:2\"\nlocal = \"127.0.0.1:3\"\n", []string{"1:1: limits: want a table"}},
+		"a table that is none": {entry.DefaultSettings(), "limits = 5\n" + requiredEntryKeys + "listen = \"127.0.0.1:2\"\nlocal = \"127.0.0.1:3\"\n", []string{"1:1: limits: want a table"}},
 		"a syntax fault comes alone": {
 			entry.DefaultSettings(), "instance = \"i\"\nzone = \n", []string{"2:"},
 		},
 		"a renewal that is too rare for the term": {
 			control.DefaultSettings(),
-			entryNames + "listen = \"127.0.0.1:2\"\nentry_local = \"127.0.0.1:3\"\n[lease]\nterm = \"1s\"\nrenew_every = \"900ms\"\ncall_timeout = \"200ms\"\n",
+			requiredEntryKeys + "listen = \"127.0.0.1:2\"\nentry_local = \"127.0.0.1:3\"\n[lease]\nterm = \"1s\"\nrenew_every = \"900ms\"\ncall_timeout = \"200ms\"\n",
 			[]string{"8:1: lease.renew_every: want 1ms to 500ms, not 900ms"},
 		},
 	}
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -16,22 +16,22 @@
 	return list
 }
 
-func first(key string, list []string) string {
+func firstRanked(key string, list []string) string {
 	return slices.MinFunc(list, func(a, b string) int { return Compare(key, a, b) })
 }
 
-func TestANodeThatGoesMovesOnlyItsKeys(t *testing.T) {
+func TestRemovedNodeMovesOnlyItsKeys(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		key := rapid.StringN(1, 20, -1).Draw(t, "key")
 		list := nodes(rapid.IntRange(2, 30).Draw(t, "nodes"))
-		gone := rapid.IntRange(0, len(list)-1).Draw(t, "gone")
-		before := first(key, list)
-		if before == list[gone] {
+		removed := rapid.IntRange(0, len(list)-1).Draw(t, "gone")
+		before := firstRanked(key, list)
+		if before == list[removed] {
 			return
 		}
-		left := slices.Delete(slices.Clone(list), gone, gone+1)
-		if after := first(key, left); after != before {
-			t.Fatalf("moved from %s to %s when %s went", before, after, list[gone])
+		remaining := slices.Delete(slices.Clone(list), removed, removed+1)
+		if after := firstRanked(key, remaining); after != before {
+			t.Fatalf("the key moved from %s to %s after the removal of %s", before, after, list[removed])
 		}
 	})
 }
--- a/internal/selfkill/selfkill_test.go
+++ b/internal/selfkill/selfkill_test.go
@@ -10,10 +10,11 @@
 	"sassafrasfield/internal/bootclock"
 )
 
-// roleVariable makes the test binary play a process with an armed timer.
+// roleVariable is the environment variable that makes the test binary run as a
+// child process with a timer.
 const roleVariable = "SF_SELFKILL_ROLE"
 
-// killAfter is how long after its start a child has itself killed.
+// killAfter is the time after its start at which a child's timer expires.
 const killAfter = 300 * time.Millisecond
 
 func TestMain(m *testing.M) {
@@ -29,8 +30,8 @@
 	}
 }
 
-// child arms a timer, stops itself if told to, and writes a line if it gets to
-// run past the instant.
+// child arms a timer, freezes itself if asked to, and writes a line if it is
+// still running a minute after the timer's expiry.
 func child(freeze bool) {
 	at := bootclock.Now() + killAfter
 	if _, err := Arm(at); err != nil {
@@ -46,7 +47,8 @@
 	_, _ = os.Stdout.WriteString("ran on")
 }
 
-// disarmed arms and disarms a timer and outlives its instant.
+// disarmed arms and disarms a timer, and exits after the time at which the timer
+// would have expired.
 func disarmed() {
 	at := bootclock.Now() + killAfter
 	timer, err := Arm(at)
@@ -62,19 +64,19 @@
 	os.Exit(0)
 }
 
-// run starts this test binary in a role and returns what it wrote and how it
-// ended.
+// run starts this test binary in a role and returns its output and its exit
+// status.
 func run(t *testing.T, role string) (string, syscall.WaitStatus) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), roleVariable+"="+role)
-	output, _ := cmd.Output() // the exit status is looked at below
+	output, _ := cmd.Output() // the caller checks the exit status
 	return string(output), cmd.ProcessState.Sys().(syscall.WaitStatus)
 }
 
-// TestTimerEndsTheProcess: a frozen process and a running one are killed; the
-// frozen one is never woken by anybody.
-func TestTimerEndsTheProcess(t *testing.T) {
+// TestTimerKillsFrozenAndRunningProcess checks that the timer kills a frozen process
+// and a running one. Nothing resumes the frozen process.
+func TestTimerKillsFrozenAndRunningProcess(t *testing.T) {
 	for _, role := range []string{"frozen", "running"} {
 		output, status := run(t, role)
 		if !status.Signaled() || status.Signal() != syscall.SIGKILL || output != "" {
--- a/internal/settings/annotate/annotate.go
+++ b/internal/settings/annotate/annotate.go
@@ -1,6 +1,6 @@
-// Package annotate writes the annotated example of a settings file from the
-// settings struct: each key with the field's doc comment and its default. The
-// examples under configs/ come from it, so they cannot lag behind the code.
+// Package annotate generates an annotated example of a settings file from the
+// settings struct: each key with the field's doc comment and its default. It
+// generates the examples under configs/, so they stay in step with the code.
 package annotate
 
 import (
@@ -13,28 +13,28 @@
 	"github.com/pkg/errors"
 )
 
-// modulePath is the prefix of the import paths of this repository.
+// modulePath is the import path prefix of the packages of this repository.
 const modulePath = "sassafrasfield/"
 
 // tagName is the struct tag that holds the key of a field.
 const tagName = "toml"
 
-// lineWidth is where comment lines are broken.
+// lineWidth is the column at which comment lines are wrapped.
 const lineWidth = 78
 
-// Example describes one file.
+// Example describes one example file.
 type Example struct {
-	// Root is the folder of the repository, whose sources hold the comments.
+	// Root is the root folder of the repository, whose sources contain the comments.
 	Root string
-	// Title is the comment at the top.
+	// Title is the comment at the top of the file.
 	Title string
-	// Settings is a pointer to a settings struct with its defaults.
+	// Settings is a pointer to a settings struct that holds the defaults.
 	Settings any
-	// Values are the TOML values shown for keys that have no default.
+	// Values holds, by key, the TOML values shown for keys that have no default.
 	Values map[string]string
 }
 
-// Write returns the example's text.
+// Write returns the text of the example.
 func (e Example) Write() (string, error) {
 	w := &writer{example: e, docs: map[string]map[string]string{}}
 	w.comment(e.Title)
@@ -69,11 +69,11 @@
 type writer struct {
 	example Example
 	text    strings.Builder
-	// docs holds the field comments of each struct type read so far.
+	// docs caches the field comments of each struct type, by type and field name.
 	docs map[string]map[string]string
 }
 
-// table writes the scalar fields of a struct, and its tables after them.
+// table writes the scalar fields of a struct, followed by its tables.
 func (w *writer) table(prefix string, value reflect.Value) error {
 	docs, err := w.fieldDocs(value.Type())
 	if err != nil {
@@ -103,7 +103,8 @@
 	return nil
 }
 
-// value formats a default, or the example's own value.
+// value returns the example's value of the key if it has one, and the formatted
+// default otherwise.
 func (w *writer) value(key string, value reflect.Value) string {
 	if shown, ok := w.example.Values[key]; ok {
 		return shown
@@ -127,19 +128,19 @@
 	}
 }
 
-// shortDuration leaves out the zero parts, as in "10m" for "10m0s".
+// shortDuration formats a duration without trailing zero units: "10m", not "10m0s".
 func shortDuration(d time.Duration) string {
 	text := d.String()
-	if cut, ok := strings.CutSuffix(text, "m0s"); ok {
-		text = cut + "m"
+	if minutes, ok := strings.CutSuffix(text, "m0s"); ok {
+		text = minutes + "m"
 	}
-	if cut, ok := strings.CutSuffix(text, "h0m"); ok {
-		text = cut + "h"
+	if hours, ok := strings.CutSuffix(text, "h0m"); ok {
+		text = hours + "h"
 	}
 	return text
 }
 
-// comment writes a text as comment lines.
+// comment writes a text as wrapped comment lines.
 func (w *writer) comment(text string) {
 	line := "#"
 	for _, word := range strings.Fields(text) {
@@ -152,7 +153,7 @@
 	fmt.Fprintln(&w.text, line)
 }
 
-// fieldDocs returns the comments of a struct's fields.
+// fieldDocs returns the comments of a struct's fields, by field name.
 func (w *writer) fieldDocs(t reflect.Type) (map[string]string, error) {
 	name := t.PkgPath() + "." + t.Name()
 	if docs, ok := w.docs[name]; ok {
@@ -160,7 +161,7 @@
 	}
 	path, ok := strings.CutPrefix(t.PkgPath(), modulePath)
 	if !ok {
-		return nil, errors.Errorf("annotate: %s is not of this repository", name)
+		return nil, errors.Errorf("annotate: %s is not a type of this repository", name)
 	}
 	docs, err := readDocs(filepath.Join(w.example.Root, path), t.Name())
 	w.docs[name] = docs
--- a/internal/settings/annotate/source.go
+++ b/internal/settings/annotate/source.go
@@ -10,7 +10,7 @@
 )
 
 // readDocs returns the doc comment of each field of a struct type that is
-// declared in a folder.
+// declared in the Go files of a folder.
 func readDocs(dir, typeName string) (map[string]string, error) {
 	paths, err := filepath.Glob(filepath.Join(dir, "*.go"))
 	if err != nil {
@@ -21,14 +21,14 @@
 		if err != nil {
 			return nil, errors.Wrap(err, "annotate")
 		}
-		if found := structNamed(file, typeName); found != nil {
-			return commentsOf(found), nil
+		if found := findStruct(file, typeName); found != nil {
+			return fieldComments(found), nil
 		}
 	}
 	return nil, errors.Errorf("annotate: %s has no struct %s", dir, typeName)
 }
 
-func structNamed(file *ast.File, name string) *ast.StructType {
+func findStruct(file *ast.File, name string) *ast.StructType {
 	object := file.Scope.Lookup(name)
 	if object == nil {
 		return nil
@@ -37,13 +37,13 @@
 	if !ok {
 		return nil
 	}
-	found, _ := spec.Type.(*ast.StructType) // nil when it is another type
+	found, _ := spec.Type.(*ast.StructType) // nil if it is not a struct
 	return found
 }
 
-// commentsOf returns the fields' comments. A comment holds for the fields below
-// it too that have none of their own.
-func commentsOf(s *ast.StructType) map[string]string {
+// fieldComments returns the comment of each field, by name. A field without a comment
+// gets the comment of the nearest field above that has one.
+func fieldComments(s *ast.StructType) map[string]string {
 	docs := map[string]string{}
 	last := ""
 	for _, field := range s.Fields.List {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads a program's settings file strictly: all findings are
-// reported together, each with its place. Each slice keeps its own settings
-// struct beside its code; this package has what they share.
+// Package settings loads a program's settings file strictly: all findings are
+// reported together, each with its line and column. Each package defines its own
+// settings struct next to its code; this package has the functions they share.
 package settings
 
 import (
@@ -16,12 +16,12 @@
 
 // Checker is a settings struct that checks its own values.
 type Checker interface {
-	// Check records what is wrong with the values in the file.
+	// Check records a finding in the file for each invalid value.
 	Check(file *tomlfile.File)
 }
 
-// Load reads the file into the settings, which hold the defaults, and checks
-// them. The error is a finding.List when the file has faults.
+// Load decodes the file into the settings, which hold the defaults, and checks
+// them. The error is a finding.List if the file is invalid.
 func Load(path string, into Checker) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -34,7 +34,8 @@
 	return file.Findings().Err()
 }
 
-// Addresses checks addresses for their form and for double use.
+// Addresses checks that addresses are well formed and that no two keys listen
+// on the same address.
 type Addresses struct {
 	File *tomlfile.File
 	seen map[string]string
@@ -65,14 +66,14 @@
 	}
 }
 
-// Between checks that a duration lies within bounds.
+// Between checks that a duration is within bounds, both inclusive.
 func Between(file *tomlfile.File, key string, value, low, high time.Duration) {
 	if value < low || value > high {
 		file.Add(key, "want %s to %s, not %s", low, high, value)
 	}
 }
 
-// IntBetween checks that a number lies within bounds.
+// IntBetween checks that a number is within bounds, both inclusive.
 func IntBetween(file *tomlfile.File, key string, value, low, high int) {
 	if value < low || value > high {
 		file.Add(key, "want %d to %d, not %d", low, high, value)
--- a/internal/tomlfile/position.go
+++ b/internal/tomlfile/position.go
@@ -7,13 +7,13 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// position is a place in the file; both numbers count from 1.
+// position is a position in the file; both numbers count from 1.
 type position struct {
 	line, column int
 }
 
-// indexPositions maps each dotted key of the file to its place. Elements of an
-// array of tables are numbered from 0, as in "engine.0.id".
+// indexPositions maps each dotted key of the file to its position. Elements of
+// an array of tables are numbered from 0, as in "engine.0.id".
 func indexPositions(data []byte) map[string]position {
 	index := map[string]position{}
 	counts := map[string]int{}
@@ -41,7 +41,7 @@
 	return index
 }
 
-// indexInline adds the keys of inline tables and of arrays of them.
+// indexInline adds the keys of inline tables, also of those within arrays.
 func indexInline(p *unstable.Parser, key string, value *unstable.Node, index map[string]position) {
 	switch value.Kind {
 	case unstable.InlineTable:
@@ -76,7 +76,7 @@
 }
 
 // resolve turns the path of a table into an indexed path: each part that
-// names an array of tables gets the number of its newest element.
+// names an array of tables gets the number of its latest element.
 func resolve(path []string, counts map[string]int) string {
 	resolved := ""
 	for _, part := range path {
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,7 +1,7 @@
 // Package tomlfile decodes a TOML file into a struct strictly. Unlike a plain
-// decoder it goes on after the first fault: unknown keys, wrong types and
-// whatever the caller's own checks add are reported together, each with its
-// line and column.
+// decoder it continues after the first error: unknown keys, wrong types and the
+// findings of the caller's own checks are reported together, each with its line
+// and column.
 package tomlfile
 
 import (
@@ -20,7 +20,7 @@
 // tagName is the struct tag that holds the key of a field.
 const tagName = "toml"
 
-// File is a decoded file with the places of its keys.
+// File is a decoded file with the positions of its keys and its findings.
 type File struct {
 	name      string
 	positions map[string]position
@@ -30,13 +30,13 @@
 
 // Decode parses data and fills into, which must be a pointer to a struct
 // whose fields carry toml tags. Fields of type time.Duration take strings
-// such as "250ms". Read the findings with File.Findings; a file with a syntax
-// fault has just that one.
+// such as "250ms". File.Findings returns the findings; a file with a syntax
+// error has only that finding.
 func Decode(name string, data []byte, into any) *File {
 	f := &File{name: name, positions: map[string]position{}}
 	var tree map[string]any
 	if err := toml.Unmarshal(data, &tree); err != nil {
-		f.addSyntax(err)
+		f.addSyntaxError(err)
 		return f
 	}
 	f.parsed = true
@@ -45,50 +45,50 @@
 	return f
 }
 
-// Parsed tells whether the file is TOML at all. Checks of the values make
-// sense then, also beside other findings.
+// Parsed reports whether the file is valid TOML. If so, its values can be
+// checked even if there are findings.
 func (f *File) Parsed() bool { return f.parsed }
 
-// Add records a finding at the place of the key. A key that the file does not
-// have falls back to the nearest enclosing table. Only the first finding of a
-// key counts: a value of the wrong type is not found to be out of range too.
+// Add records a finding at the position of the key, or of the nearest enclosing
+// table if the file does not have the key. Only the first finding of a key is
+// kept, so that a value of the wrong type is not also reported as out of range.
 func (f *File) Add(key, format string, args ...any) {
 	f.add(key, false, format, args...)
 }
 
-// Warn records a finding that does not forbid the file.
+// Warn records a warning: a finding that does not make the file invalid.
 func (f *File) Warn(key, format string, args ...any) {
 	f.add(key, true, format, args...)
 }
 
-// Findings returns what was found so far, ordered by place.
+// Findings returns the findings so far, sorted by position.
 func (f *File) Findings() finding.List {
 	f.findings.Sort()
 	return f.findings
 }
 
-// Has tells whether the file sets the key.
+// Has reports whether the file sets the key.
 func (f *File) Has(key string) bool {
 	_, ok := f.positions[key]
 	return ok
 }
 
 func (f *File) add(key string, warning bool, format string, args ...any) {
-	if !warning && f.faulty(key) {
+	if !warning && f.hasError(key) {
 		return
 	}
-	at := f.place(key)
+	at := f.positionOf(key)
 	f.findings = append(f.findings, finding.Finding{
 		File: f.name, Line: at.line, Column: at.column,
 		Key: key, Message: fmt.Sprintf(format, args...), Warning: warning,
 	})
 }
 
-func (f *File) faulty(key string) bool {
+func (f *File) hasError(key string) bool {
 	return slices.ContainsFunc(f.findings, func(g finding.Finding) bool { return g.Key == key && !g.Warning })
 }
 
-func (f *File) place(key string) position {
+func (f *File) positionOf(key string) position {
 	for key != "" {
 		if at, ok := f.positions[key]; ok {
 			return at
@@ -102,7 +102,7 @@
 	return position{line: 1, column: 1}
 }
 
-func (f *File) addSyntax(err error) {
+func (f *File) addSyntaxError(err error) {
 	var decode *toml.DecodeError
 	line, column := 1, 1
 	if errors.As(err, &decode) {
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// sample has each kind of field that Decode knows.
+// sample has a field of each kind that Decode supports.
 type sample struct {
 	Name    string        `toml:"name"`
 	Count   int           `toml:"count"`
@@ -26,7 +26,7 @@
 	Sub  []item `toml:"sub"`
 }
 
-func TestDecodeTakesEachKind(t *testing.T) {
+func TestDecodeAcceptsEachKind(t *testing.T) {
 	var got sample
 	file := Decode("f", []byte("name = \"n\"\ncount = 2\nshare = 1\non = true\nwait = \"250ms\"\nmaybe = 0\nwords = [\"a\"]\ninner = { id = \"x\" }\n[[item]]\nid = \"y\"\n"), &got)
 	if file.Findings().Failed() {
@@ -38,9 +38,9 @@
 	}
 }
 
-// TestPlaces wants each finding at its own line and column, in nested arrays
-// of tables, inline tables and arrays too.
-func TestPlaces(t *testing.T) {
+// TestFindingsHaveLineAndColumn checks the line and column of findings, also within
+// nested arrays of tables, inline tables and arrays.
+func TestFindingsHaveLineAndColumn(t *testing.T) {
 	text := strings.Join([]string{
 		`words = ["a", 2]`,
 		`inner = { id = "x", port = "p" }`,
@@ -90,7 +90,7 @@
 		file := Decode("f", data, &sample{})
 		for _, finding := range file.Findings() {
 			if finding.Line < 1 || finding.Column < 1 {
-				t.Errorf("a finding without a place: %s", finding)
+				t.Errorf("a finding without a position: %s", finding)
 			}
 		}
 	})
--- a/internal/wallclock/wallclock.go
+++ b/internal/wallclock/wallclock.go
@@ -1,9 +1,10 @@
-// Package wallclock tells the time of day as it was when the process started, and as it has
-// gone on since by the clock that nobody sets. So a step of the machine's time of day moves
-// nothing that this process counts; what is relied on is that the time was right at its
-// start, within the time that is left before counts are taken for complete.
+// Package wallclock provides a time of day that does not jump when the system clock is set. It
+// reads the system clock once, when the process starts, and advances with the boot clock from then
+// on. So a step of the system clock does not affect anything that this process counts by time. The
+// system clock must be right when the process starts, within the time that remains before counts are
+// treated as complete.
 //
-// Callers: relay (windows of usage), instance.
+// Callers: relay (usage windows), instance.
 package wallclock
 
 import (
@@ -12,20 +13,20 @@
 	"sassafrasfield/internal/bootclock"
 )
 
-// Clock is safe for use by several goroutines.
+// Clock is a time of day that advances with the boot clock. It is safe for concurrent use.
 type Clock struct {
 	start time.Time
 	boot  time.Duration
 }
 
-// New returns a clock that starts with the machine's time of day.
-func New() Clock { return at(time.Now(), bootclock.Now()) }
+// New returns a clock that starts at the system's time of day.
+func New() Clock { return startingAt(time.Now(), bootclock.Now()) }
 
-func at(start time.Time, boot time.Duration) Clock {
-	return Clock{start: start.Round(0), boot: boot} // without the steady reading, which stands while suspended
+func startingAt(start time.Time, boot time.Duration) Clock {
+	return Clock{start: start.Round(0), boot: boot} // strips the monotonic reading, which stops during suspend
 }
 
-// Now is the time of day.
-func (c Clock) Now() time.Time { return c.after(bootclock.Now()) }
+// Now returns the time of day.
+func (c Clock) Now() time.Time { return c.atBootTime(bootclock.Now()) }
 
-func (c Clock) after(boot time.Duration) time.Time { return c.start.Add(boot - c.boot) }
+func (c Clock) atBootTime(boot time.Duration) time.Time { return c.start.Add(boot - c.boot) }
