--- a/internal/stream/assembler.go
+++ b/internal/stream/assembler.go
@@ -27,8 +27,8 @@
 	ErrAhead = errors.New("stream: pieces too far ahead")
 )
 
-// Ready is a piece whose turn has come.
-type Ready struct {
+// OrderedPiece is a piece whose turn has come.
+type OrderedPiece struct {
 	engine.Piece
 	// Sum is Assembler.Sum after the piece.
 	Sum uint64
@@ -78,7 +78,7 @@
 // Add takes a piece as it came and returns the pieces that are now in order,
 // none for one that is repeated or before its turn. Errors: ErrDiverged,
 // ErrAhead.
-func (a *Assembler) Add(piece engine.Piece) (ready []Ready, err error) {
+func (a *Assembler) Add(piece engine.Piece) (ready []OrderedPiece, err error) {
 	if piece.N < a.due || a.done {
 		return nil, nil
 	}
@@ -133,7 +133,7 @@
 	return nil
 }
 
-func (a *Assembler) take(piece engine.Piece) Ready {
+func (a *Assembler) take(piece engine.Piece) OrderedPiece {
 	a.next++
 	a.due = a.next
 	if len(a.tail) == Overlap {
@@ -143,7 +143,7 @@
 	a.tail = append(a.tail, piece.Text)
 	a.sum = sumOf(a.tail)
 	a.done = piece.Finish != ""
-	return Ready{Piece: piece, Sum: a.sum}
+	return OrderedPiece{Piece: piece, Sum: a.sum}
 }
 
 // sumOf is a checksum of texts and of where each ends.
