--- a/internal/stream/assembler.go
+++ b/internal/stream/assembler.go
@@ -22,9 +22,9 @@
 var (
 	// ErrDiverged: the engine makes another text than the one received.
 	ErrDiverged = errors.New("stream: the engine makes another text")
-	// ErrAhead: too many pieces came before their turn; the stream is as good
+	// ErrTooFarAhead: too many pieces came before their turn; the stream is as good
 	// as broken.
-	ErrAhead = errors.New("stream: pieces too far ahead")
+	ErrTooFarAhead = errors.New("stream: pieces too far ahead")
 )
 
 // OrderedPiece is a piece whose turn has come.
@@ -107,7 +107,7 @@
 
 func (a *Assembler) keep(piece engine.Piece) error {
 	if len(a.ahead) >= maxAhead {
-		return ErrAhead
+		return ErrTooFarAhead
 	}
 	if a.ahead == nil {
 		a.ahead = map[int]engine.Piece{}
--- a/internal/stream/stream_test.go
+++ b/internal/stream/stream_test.go
@@ -103,7 +103,7 @@
 			t.Fatal(err)
 		}
 	}
-	if _, err := assembler.Add(engine.Piece{N: maxAhead + 1}); !errors.Is(err, ErrAhead) {
+	if _, err := assembler.Add(engine.Piece{N: maxAhead + 1}); !errors.Is(err, ErrTooFarAhead) {
 		t.Fatalf("error %v, want ErrAhead", err)
 	}
 }
