--- a/internal/entry/completions.go
+++ b/internal/entry/completions.go
@@ -30,7 +30,7 @@
 // sink receives the pieces of an answer in order.
 type sink interface {
 	// piece receives one piece. The token lets the caller resume after it.
-	piece(piece engine.Piece, token stream.Token) error
+	piece(piece engine.Piece, token stream.ResumeToken) error
 	// keepAlive tells the caller that the answer is still in progress.
 	keepAlive() error
 }
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -148,7 +148,7 @@
 		return err
 	}
 	for n, p := range ready {
-		token := stream.Token{
+		token := stream.ResumeToken{
 			Request: f.comp.id, Engine: f.engineID, Version: f.comp.version, Seed: f.comp.seed,
 			Next: before + n + 1, Sum: ready[n].Sum, Done: p.Finish != "",
 		}
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -53,7 +53,7 @@
 	streamed     bool
 	includeUsage bool
 	// resume is the token of an interrupted answer that is to be resumed, or nil.
-	resume *stream.Token
+	resume *stream.ResumeToken
 	// content is the hash of the requested content, which is the same when the request is sent again.
 	content quarantine.Content
 }
--- a/internal/entry/sink.go
+++ b/internal/entry/sink.go
@@ -121,7 +121,7 @@
 	finishReason string
 }
 
-func (w *bufferedResponse) piece(piece engine.Piece, _ stream.Token) error {
+func (w *bufferedResponse) piece(piece engine.Piece, _ stream.ResumeToken) error {
 	w.text.WriteString(piece.Text)
 	if piece.Finish != "" {
 		w.finishReason = string(piece.Finish)
@@ -169,7 +169,7 @@
 	s.c.Response().WriteHeader(http.StatusOK)
 }
 
-func (s *streamedResponse) piece(piece engine.Piece, token stream.Token) error {
+func (s *streamedResponse) piece(piece engine.Piece, token stream.ResumeToken) error {
 	s.start()
 	var finish *string
 	if piece.Finish != "" {
--- a/internal/fuzz/callers_test.go
+++ b/internal/fuzz/callers_test.go
@@ -33,8 +33,8 @@
 
 // FuzzResumeToken reads what a caller sends back as Last-Event-ID.
 func FuzzResumeToken(f *testing.F) {
-	f.Add(stream.Token{Request: "r-1", Engine: "engine-1", Version: "1", Seed: -7, Next: 3, Sum: 0xabc}.String())
-	f.Add(stream.Token{Request: "r", Engine: "e", Version: "a/b c", Next: 1, Done: true}.String())
+	f.Add(stream.ResumeToken{Request: "r-1", Engine: "engine-1", Version: "1", Seed: -7, Next: 3, Sum: 0xabc}.String())
+	f.Add(stream.ResumeToken{Request: "r", Engine: "e", Version: "a/b c", Next: 1, Done: true}.String())
 	f.Add("r/e/%zz/1/1/1")
 	f.Add("r/e//99999999999999999999/1/1")
 	f.Fuzz(func(t *testing.T, text string) {
--- a/internal/stream/stream_test.go
+++ b/internal/stream/stream_test.go
@@ -109,7 +109,7 @@
 }
 
 func TestTokenComesBack(t *testing.T) {
-	for _, token := range []Token{
+	for _, token := range []ResumeToken{
 		{Request: "a-1", Engine: "engine.1", Seed: -5, Next: 3, Sum: 0xfe},
 		{Request: "a-1", Engine: "e", Version: "2026/1 b", Seed: 1, Next: 9, Sum: 1, Done: true},
 	} {
--- a/internal/stream/token.go
+++ b/internal/stream/token.go
@@ -9,9 +9,9 @@
 	"github.com/pkg/errors"
 )
 
-// Token is the id of a server-sent event. With the request's body it lets any
+// ResumeToken is the id of a server-sent event. With the request's body it lets any
 // instance go on with the answer.
-type Token struct {
+type ResumeToken struct {
 	// Request names the stream at the engine.
 	Request string
 	// Engine that the stream ran on.
@@ -36,13 +36,13 @@
 const doneMark = "/done"
 
 // String encodes the token.
-func (t Token) String() string {
+func (t ResumeToken) String() string {
 	return string(t.Append(nil))
 }
 
 // Append encodes the token at the end of b. It is called for each token of each
 // answer.
-func (t Token) Append(b []byte) []byte {
+func (t ResumeToken) Append(b []byte) []byte {
 	for _, part := range []string{t.Request, t.Engine, url.PathEscape(t.Version)} {
 		b = append(b, part...)
 		b = append(b, '/')
@@ -59,29 +59,29 @@
 }
 
 // ParseToken reads what Token.String wrote.
-func ParseToken(text string) (Token, error) {
+func ParseToken(text string) (ResumeToken, error) {
 	if !tokenShape.MatchString(text) {
-		return Token{}, errors.New("no resume token of this system")
+		return ResumeToken{}, errors.New("no resume token of this system")
 	}
 	text, done := strings.CutSuffix(text, doneMark)
 	parts := strings.Split(text, "/")
 	version, err := url.PathUnescape(parts[2])
 	if err != nil {
-		return Token{}, errors.Wrap(err, "resume token: version")
+		return ResumeToken{}, errors.Wrap(err, "resume token: version")
 	}
 	seed, err := strconv.ParseInt(parts[3], 10, 64)
 	if err != nil {
-		return Token{}, errors.Wrap(err, "resume token: seed")
+		return ResumeToken{}, errors.Wrap(err, "resume token: seed")
 	}
 	next, err := strconv.Atoi(parts[4])
 	if err != nil {
-		return Token{}, errors.Wrap(err, "resume token: number")
+		return ResumeToken{}, errors.Wrap(err, "resume token: number")
 	}
 	sum, err := strconv.ParseUint(parts[5], 16, 64)
 	if err != nil {
-		return Token{}, errors.Wrap(err, "resume token: checksum")
+		return ResumeToken{}, errors.Wrap(err, "resume token: checksum")
 	}
-	return Token{
+	return ResumeToken{
 		Request: parts[0], Engine: parts[1], Version: version,
 		Seed: seed, Next: next, Sum: sum, Done: done,
 	}, nil
