--- a/internal/answers/whole_test.go
+++ b/internal/answers/whole_test.go
@@ -44,7 +44,7 @@
 // engineOf returns the engine that an event's id names.
 func (f *fixture) engineOf(id string) int {
 	f.t.Helper()
-	token, err := stream.ParseToken(id)
+	token, err := stream.ParseResumeToken(id)
 	f.must(err)
 	for n, e := range f.Engines {
 		if e.ID == token.Engine {
@@ -217,7 +217,7 @@
 	if got := f.stream(entry, other, 0, nil); got.Status != 400 {
 		t.Errorf("another question: told %+v", got)
 	}
-	token, err := stream.ParseToken(first.LastID)
+	token, err := stream.ParseResumeToken(first.LastID)
 	f.must(err)
 	token.Done, token.Next = false, 100
 	c.LastEventID = token.String()
--- a/internal/demo/points.go
+++ b/internal/demo/points.go
@@ -150,7 +150,7 @@
 	case <-ctx.Done():
 		return "", errors.New("no event came")
 	case id := <-ids:
-		token, err := stream.ParseToken(id)
+		token, err := stream.ParseResumeToken(id)
 		return token.Engine, err
 	}
 }
--- a/internal/entry/resume.go
+++ b/internal/entry/resume.go
@@ -25,7 +25,7 @@
 		c.id = uuid.NewString() + "-" + binding
 		return nil
 	}
-	parsed, err := stream.ParseToken(token)
+	parsed, err := stream.ParseResumeToken(token)
 	if err != nil {
 		return badRequest(headerLastEventID, err.Error())
 	}
--- a/internal/fuzz/callers_test.go
+++ b/internal/fuzz/callers_test.go
@@ -38,11 +38,11 @@
 	f.Add("r/e/%zz/1/1/1")
 	f.Add("r/e//99999999999999999999/1/1")
 	f.Fuzz(func(t *testing.T, text string) {
-		token, err := stream.ParseToken(text)
+		token, err := stream.ParseResumeToken(text)
 		if err != nil {
 			return
 		}
-		again, err := stream.ParseToken(token.String())
+		again, err := stream.ParseResumeToken(token.String())
 		if err != nil || again != token {
 			t.Errorf("%q reads as %+v, written and read again as %+v (%v)", text, token, again, err)
 		}
--- a/internal/scenario/commands_call.go
+++ b/internal/scenario/commands_call.go
@@ -33,7 +33,7 @@
 // Expected returns the whole answer that each engine makes to a chat with one
 // version of the model, which the id of an event names.
 func Expected(chat testcaller.Chat, eventID string) string {
-	token, err := stream.ParseToken(eventID)
+	token, err := stream.ParseResumeToken(eventID)
 	if err != nil {
 		return "an answer with event ids; " + err.Error()
 	}
@@ -101,7 +101,7 @@
 		return errors.Wrapf(err, "%+v, %v", f.answer, f.err)
 	}
 	s.streams[args[0]] = f
-	token, err := stream.ParseToken(id)
+	token, err := stream.ParseResumeToken(id)
 	ts.Setenv(args[0], token.Engine)
 	return errors.WithStack(err)
 }
--- a/internal/stream/stream_test.go
+++ b/internal/stream/stream_test.go
@@ -113,13 +113,13 @@
 		{Request: "a-1", Engine: "engine.1", Seed: -5, Next: 3, Sum: 0xfe},
 		{Request: "a-1", Engine: "e", Version: "2026/1 b", Seed: 1, Next: 9, Sum: 1, Done: true},
 	} {
-		back, err := ParseToken(token.String())
+		back, err := ParseResumeToken(token.String())
 		if err != nil || back != token {
 			t.Errorf("%s came back as %+v, %v", token, back, err)
 		}
 	}
 	for _, text := range []string{"", "a/b", "a/b/c/1/2/xyz", "a/b/c/1/2/3/4", "a/b/c/99999999999999999999/2/3", "a\n/b/c/1/2/3"} {
-		if _, err := ParseToken(text); err == nil {
+		if _, err := ParseResumeToken(text); err == nil {
 			t.Errorf("%q was taken", text)
 		}
 	}
--- a/internal/stream/token.go
+++ b/internal/stream/token.go
@@ -58,8 +58,8 @@
 	return b
 }
 
-// ParseToken reads what Token.String wrote.
-func ParseToken(text string) (ResumeToken, error) {
+// ParseResumeToken reads what Token.String wrote.
+func ParseResumeToken(text string) (ResumeToken, error) {
 	if !tokenShape.MatchString(text) {
 		return ResumeToken{}, errors.New("no resume token of this system")
 	}
