--- a/internal/relay/eventforwarder.go
+++ b/internal/relay/eventforwarder.go
@@ -21,7 +21,7 @@
 	// idleTimeout is how long the stream may be silent before it is stopped; 0 for no bound.
 	idleTimeout time.Duration
 	cancel      context.CancelFunc
-	events      stream.Events
+	events      stream.EventSplitter
 	// lastEvent is the id of the last event that was written to the caller.
 	lastEvent string
 }
--- a/internal/stream/events.go
+++ b/internal/stream/events.go
@@ -8,10 +8,10 @@
 	idField  = []byte("id:")
 )
 
-// Events cuts the bytes of a stream of server-sent events, whose content nobody
+// EventSplitter cuts the bytes of a stream of server-sent events, whose content nobody
 // looks at, into whole events. A stream that breaks inside an event can go on
 // after the last whole one at another engine.
-type Events struct {
+type EventSplitter struct {
 	pending []byte
 	lastID  string
 	count   int
@@ -19,7 +19,7 @@
 
 // Add takes bytes as they came and returns the whole events among what is not
 // returned yet; nil when none is whole.
-func (e *Events) Add(came []byte) []byte {
+func (e *EventSplitter) Add(came []byte) []byte {
 	e.pending = append(e.pending, came...)
 	end := bytes.LastIndex(e.pending, eventEnd)
 	if end < 0 {
@@ -35,13 +35,13 @@
 }
 
 // LastID is the id of the last whole event that had one.
-func (e *Events) LastID() string { return e.lastID }
+func (e *EventSplitter) LastID() string { return e.lastID }
 
 // Count is the number of whole events so far.
-func (e *Events) Count() int { return e.count }
+func (e *EventSplitter) Count() int { return e.count }
 
 // Cut tells whether a part of an event is left over.
-func (e *Events) Cut() bool { return len(bytes.TrimSpace(e.pending)) > 0 }
+func (e *EventSplitter) Cut() bool { return len(bytes.TrimSpace(e.pending)) > 0 }
 
 // lastID returns the id of the last event that has one.
 func lastID(events []byte) string {
--- a/internal/stream/events_test.go
+++ b/internal/stream/events_test.go
@@ -11,7 +11,7 @@
 func TestEventsAreCutWholeWhereverTheBytesBreak(t *testing.T) {
 	const text = "id: 1\ndata: a\n\nid: 2\ndata: b\n\ndata: without an id\n\nid: 4\nda"
 	rapid.Check(t, func(t *rapid.T) {
-		var events Events
+		var events EventSplitter
 		var got strings.Builder
 		for rest := text; rest != ""; {
 			n := rapid.IntRange(1, len(rest)).Draw(t, "bytes")
@@ -32,7 +32,7 @@
 }
 
 func TestAStreamThatEndsBetweenEventsIsNotCut(t *testing.T) {
-	var events Events
+	var events EventSplitter
 	events.Add([]byte("id: 7\ndata: a\n\n\n"))
 	if events.Cut() || events.LastID() != "7" || events.Count() == 0 {
 		t.Errorf("cut %t, last id %q", events.Cut(), events.LastID())
