--- a/internal/relay/eventforwarder.go
+++ b/internal/relay/eventforwarder.go
@@ -43,7 +43,7 @@
 			return err
 		}
 		switch {
-		case err == io.EOF && p.events.Cut():
+		case err == io.EOF && p.events.HasPartial():
 			return errPartialEvent
 		case err == io.EOF:
 			return nil
--- a/internal/stream/events.go
+++ b/internal/stream/events.go
@@ -40,8 +40,8 @@
 // Count is the number of whole events so far.
 func (e *EventSplitter) Count() int { return e.count }
 
-// Cut tells whether a part of an event is left over.
-func (e *EventSplitter) Cut() bool { return len(bytes.TrimSpace(e.pending)) > 0 }
+// HasPartial tells whether a part of an event is left over.
+func (e *EventSplitter) HasPartial() bool { return len(bytes.TrimSpace(e.pending)) > 0 }
 
 // lastID returns the id of the last event that has one.
 func lastID(events []byte) string {
--- a/internal/stream/events_test.go
+++ b/internal/stream/events_test.go
@@ -25,8 +25,8 @@
 		if want := strings.TrimSuffix(text, "id: 4\nda"); got.String() != want {
 			t.Fatalf("got %q, want %q", got.String(), want)
 		}
-		if events.LastID() != "2" || !events.Cut() {
-			t.Fatalf("last id %q, cut %t", events.LastID(), events.Cut())
+		if events.LastID() != "2" || !events.HasPartial() {
+			t.Fatalf("last id %q, cut %t", events.LastID(), events.HasPartial())
 		}
 	})
 }
@@ -34,7 +34,7 @@
 func TestAStreamThatEndsBetweenEventsIsNotCut(t *testing.T) {
 	var events EventSplitter
 	events.Add([]byte("id: 7\ndata: a\n\n\n"))
-	if events.Cut() || events.LastID() != "7" || events.Count() == 0 {
-		t.Errorf("cut %t, last id %q", events.Cut(), events.LastID())
+	if events.HasPartial() || events.LastID() != "7" || events.Count() == 0 {
+		t.Errorf("cut %t, last id %q", events.HasPartial(), events.LastID())
 	}
 }
