--- a/internal/entry/stall_timer.go
+++ b/internal/entry/stall_timer.go
@@ -9,7 +9,7 @@
 // stallTimer limits the wait for an engine's next piece. It is used by one goroutine. Times are on the
 // server's monotonic clock.
 type stallTimer struct {
-	pace  *stream.Pace
+	pace  *stream.GapTracker
 	timer *time.Timer
 	// start is when the wait began.
 	start time.Duration
--- a/internal/stream/pace.go
+++ b/internal/stream/pace.go
@@ -5,23 +5,23 @@
 // gapWeight is the weight of the newest gap in the smoothed one.
 const gapWeight = 0.2
 
-// Pace learns the gaps between the pieces of one engine.
-type Pace struct {
+// GapTracker learns the gaps between the pieces of one engine.
+type GapTracker struct {
 	settings StallSettings
 	pieces   int
 	gap      time.Duration
 }
 
 // NewPace returns the pace of a stream that has not begun.
-func NewPace(settings StallSettings) *Pace {
-	return &Pace{settings: settings}
+func NewPace(settings StallSettings) *GapTracker {
+	return &GapTracker{settings: settings}
 }
 
 // Began tells whether a piece came.
-func (p *Pace) Began() bool { return p.pieces > 0 }
+func (p *GapTracker) Began() bool { return p.pieces > 0 }
 
 // Piece notes a piece that came after the gap.
-func (p *Pace) Piece(gap time.Duration) {
+func (p *GapTracker) Piece(gap time.Duration) {
 	p.pieces++
 	switch p.pieces {
 	case 1: // the wait for the first piece says nothing about the pace
@@ -39,12 +39,12 @@
 // Overslept tells whether a patience that was noticed after waited ran out so
 // late that this process slept meanwhile. Pieces may then lie unread, and the
 // engine is not to blame.
-func (p *Pace) Overslept(waited time.Duration) bool {
+func (p *GapTracker) Overslept(waited time.Duration) bool {
 	return waited > p.Patience()+oversleep
 }
 
 // Patience is how long the next piece may take.
-func (p *Pace) Patience() time.Duration {
+func (p *GapTracker) Patience() time.Duration {
 	if p.pieces == 0 {
 		return p.settings.FirstPieceTimeout
 	}
