--- a/internal/entry/stall_timer.go
+++ b/internal/entry/stall_timer.go
@@ -19,7 +19,7 @@
 
 // newStallTimer starts the wait for the first piece.
 func newStallTimer(settings stream.StallSettings, now time.Duration) *stallTimer {
-	pace := stream.NewPace(settings)
+	pace := stream.NewGapTracker(settings)
 	return &stallTimer{pace: pace, timer: time.NewTimer(pace.Patience()), start: now}
 }
 
--- a/internal/stream/pace.go
+++ b/internal/stream/pace.go
@@ -12,8 +12,8 @@
 	gap      time.Duration
 }
 
-// NewPace returns the pace of a stream that has not begun.
-func NewPace(settings StallSettings) *GapTracker {
+// NewGapTracker returns the pace of a stream that has not begun.
+func NewGapTracker(settings StallSettings) *GapTracker {
 	return &GapTracker{settings: settings}
 }
 
--- a/internal/stream/stream_test.go
+++ b/internal/stream/stream_test.go
@@ -126,7 +126,7 @@
 }
 
 func TestPatienceFollowsThePace(t *testing.T) {
-	pace := NewPace(StallSettings{FirstPieceTimeout: time.Minute, Factor: 20, Least: time.Second, Most: 10 * time.Second})
+	pace := NewGapTracker(StallSettings{FirstPieceTimeout: time.Minute, Factor: 20, Least: time.Second, Most: 10 * time.Second})
 	if pace.Patience() != time.Minute {
 		t.Fatalf("before the first piece: %s", pace.Patience())
 	}
