--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -86,11 +86,11 @@
 				return err
 			}
 		case <-probeTicker.C:
-			if !stall.pace.Began() {
+			if !stall.pace.Started() {
 				s.background.Go(func() { s.probe(ctx, f.client, probes) })
 			}
 		case err := <-probes:
-			if err != nil && !stall.pace.Began() {
+			if err != nil && !stall.pace.Started() {
 				return errors.WithMessage(errStalled, err.Error())
 			}
 		case <-keepAliveTicker.C:
@@ -109,7 +109,7 @@
 	if a.err != nil {
 		return a.err
 	}
-	if !stall.pace.Began() {
+	if !stall.pace.Started() {
 		s.state.started(f.engineID, f.comp.id)
 		s.admission.firstToken(f.comp)
 	}
--- a/internal/stream/pace.go
+++ b/internal/stream/pace.go
@@ -17,8 +17,8 @@
 	return &GapTracker{settings: settings}
 }
 
-// Began tells whether a piece came.
-func (p *GapTracker) Began() bool { return p.pieces > 0 }
+// Started tells whether a piece came.
+func (p *GapTracker) Started() bool { return p.pieces > 0 }
 
 // Piece notes a piece that came after the gap.
 func (p *GapTracker) Piece(gap time.Duration) {
