--- a/internal/entry/stall_timer.go
+++ b/internal/entry/stall_timer.go
@@ -25,7 +25,7 @@
 
 // pieceArrived records the arrival of a piece.
 func (t *stallTimer) pieceArrived(now time.Duration) {
-	t.pace.Piece(now - t.start)
+	t.pace.RecordPiece(now - t.start)
 }
 
 // restart starts the wait for the next piece.
--- a/internal/stream/pace.go
+++ b/internal/stream/pace.go
@@ -20,8 +20,8 @@
 // Started tells whether a piece came.
 func (p *GapTracker) Started() bool { return p.pieces > 0 }
 
-// Piece notes a piece that came after the gap.
-func (p *GapTracker) Piece(gap time.Duration) {
+// RecordPiece notes a piece that came after the gap.
+func (p *GapTracker) RecordPiece(gap time.Duration) {
 	p.pieces++
 	switch p.pieces {
 	case 1: // the wait for the first piece says nothing about the pace
--- a/internal/stream/stream_test.go
+++ b/internal/stream/stream_test.go
@@ -130,12 +130,12 @@
 	if pace.Patience() != time.Minute {
 		t.Fatalf("before the first piece: %s", pace.Patience())
 	}
-	pace.Piece(30 * time.Second)
+	pace.RecordPiece(30 * time.Second)
 	for _, c := range []struct{ gap, want time.Duration }{
 		{20 * time.Millisecond, time.Second}, {100 * time.Millisecond, 2 * time.Second}, {time.Second, 10 * time.Second},
 	} {
 		for range 100 {
-			pace.Piece(c.gap)
+			pace.RecordPiece(c.gap)
 		}
 		if off := pace.Patience() - c.want; off.Abs() > c.want/10 {
 			t.Errorf("gap %s: patience %s, want about %s", c.gap, pace.Patience(), c.want)
