--- a/internal/entry/stall_timer.go
+++ b/internal/entry/stall_timer.go
@@ -40,7 +40,7 @@
 // fired late: then this process itself was suspended, and pieces may have arrived that are not read yet.
 // It extends the wait for a late timer only once in a row.
 func (t *stallTimer) expired(now time.Duration, unread int) error {
-	if unread == 0 && (t.extended || !t.pace.Overslept(now-t.start)) {
+	if unread == 0 && (t.extended || !t.pace.FiredLate(now-t.start)) {
 		return errStalled
 	}
 	t.extended = true
--- a/internal/stream/pace.go
+++ b/internal/stream/pace.go
@@ -36,10 +36,10 @@
 // been frozen, or starved of its processor.
 const oversleep = 100 * time.Millisecond
 
-// Overslept tells whether a patience that was noticed after waited ran out so
+// FiredLate tells whether a patience that was noticed after waited ran out so
 // late that this process slept meanwhile. Pieces may then lie unread, and the
 // engine is not to blame.
-func (p *GapTracker) Overslept(waited time.Duration) bool {
+func (p *GapTracker) FiredLate(waited time.Duration) bool {
 	return waited > p.Patience()+oversleep
 }
 
