--- a/internal/entry/stall_timer.go
+++ b/internal/entry/stall_timer.go
@@ -20,7 +20,7 @@
 // newStallTimer starts the wait for the first piece.
 func newStallTimer(settings stream.StallSettings, now time.Duration) *stallTimer {
 	pace := stream.NewGapTracker(settings)
-	return &stallTimer{pace: pace, timer: time.NewTimer(pace.Patience()), start: now}
+	return &stallTimer{pace: pace, timer: time.NewTimer(pace.Timeout()), start: now}
 }
 
 // pieceArrived records the arrival of a piece.
@@ -32,7 +32,7 @@
 func (t *stallTimer) restart(now time.Duration) {
 	t.start = now
 	t.extended = false
-	t.timer.Reset(t.pace.Patience())
+	t.timer.Reset(t.pace.Timeout())
 }
 
 // expired handles the expiry of the timer while the given number of pieces is unread: it returns
@@ -45,6 +45,6 @@
 	}
 	t.extended = true
 	t.start = now
-	t.timer.Reset(t.pace.Patience())
+	t.timer.Reset(t.pace.Timeout())
 	return nil
 }
--- a/internal/stream/pace.go
+++ b/internal/stream/pace.go
@@ -40,11 +40,11 @@
 // late that this process slept meanwhile. Pieces may then lie unread, and the
 // engine is not to blame.
 func (p *GapTracker) FiredLate(waited time.Duration) bool {
-	return waited > p.Patience()+oversleep
+	return waited > p.Timeout()+oversleep
 }
 
-// Patience is how long the next piece may take.
-func (p *GapTracker) Patience() time.Duration {
+// Timeout is how long the next piece may take.
+func (p *GapTracker) Timeout() time.Duration {
 	if p.pieces == 0 {
 		return p.settings.FirstPieceTimeout
 	}
--- a/internal/stream/stream_test.go
+++ b/internal/stream/stream_test.go
@@ -127,8 +127,8 @@
 
 func TestPatienceFollowsThePace(t *testing.T) {
 	pace := NewGapTracker(StallSettings{FirstPieceTimeout: time.Minute, Factor: 20, Least: time.Second, Most: 10 * time.Second})
-	if pace.Patience() != time.Minute {
-		t.Fatalf("before the first piece: %s", pace.Patience())
+	if pace.Timeout() != time.Minute {
+		t.Fatalf("before the first piece: %s", pace.Timeout())
 	}
 	pace.RecordPiece(30 * time.Second)
 	for _, c := range []struct{ gap, want time.Duration }{
@@ -137,8 +137,8 @@
 		for range 100 {
 			pace.RecordPiece(c.gap)
 		}
-		if off := pace.Patience() - c.want; off.Abs() > c.want/10 {
-			t.Errorf("gap %s: patience %s, want about %s", c.gap, pace.Patience(), c.want)
+		if off := pace.Timeout() - c.want; off.Abs() > c.want/10 {
+			t.Errorf("gap %s: patience %s, want about %s", c.gap, pace.Timeout(), c.want)
 		}
 	}
 }
