--- a/internal/stream/settings.go
+++ b/internal/stream/settings.go
@@ -22,8 +22,8 @@
 	// Factor times the usual gap between pieces is what a later piece may
 	// take, within Least and Most. Default 20.
 	Factor float64 `toml:"factor"`
-	// Least and Most bound the wait for a later piece. Default 1s and 10s.
-	Least time.Duration `toml:"least"`
+	// MinWait and Most bound the wait for a later piece. Default 1s and 10s.
+	MinWait time.Duration `toml:"least"`
 	Most  time.Duration `toml:"most"`
 }
 
@@ -34,7 +34,7 @@
 		FirstPieceTimeout: time.Minute,
 		ProbeEvery:        time.Second,
 		Factor:            20,
-		Least:             time.Second,
+		MinWait:             time.Second,
 		Most:              10 * time.Second,
 	}
 }
@@ -47,6 +47,6 @@
 	if s.Factor < 1 || s.Factor > 1e6 {
 		file.Add(table+".factor", "want 1 to 1000000, not %g", s.Factor)
 	}
-	settings.Between(file, table+".least", s.Least, time.Millisecond, time.Hour)
-	settings.Between(file, table+".most", s.Most, s.Least, time.Hour)
+	settings.Between(file, table+".least", s.MinWait, time.Millisecond, time.Hour)
+	settings.Between(file, table+".most", s.Most, s.MinWait, time.Hour)
 }
