--- a/internal/stream/pace.go
+++ b/internal/stream/pace.go
@@ -49,5 +49,5 @@
 		return p.settings.FirstPieceTimeout
 	}
 	wait := time.Duration(p.settings.Factor * float64(p.gap))
-	return min(max(wait, p.settings.MinWait), p.settings.Most)
+	return min(max(wait, p.settings.MinWait), p.settings.MaxWait)
 }
--- a/internal/stream/settings.go
+++ b/internal/stream/settings.go
@@ -24,7 +24,7 @@
 	Factor float64 `toml:"factor"`
 	// MinWait and Most bound the wait for a later piece. Default 1s and 10s.
 	MinWait time.Duration `toml:"least"`
-	Most  time.Duration `toml:"most"`
+	MaxWait  time.Duration `toml:"most"`
 }
 
 // DefaultStall returns the defaults.
@@ -35,7 +35,7 @@
 		ProbeEvery:        time.Second,
 		Factor:            20,
 		MinWait:             time.Second,
-		Most:              10 * time.Second,
+		MaxWait:              10 * time.Second,
 	}
 }
 
@@ -48,5 +48,5 @@
 		file.Add(table+".factor", "want 1 to 1000000, not %g", s.Factor)
 	}
 	settings.Between(file, table+".least", s.MinWait, time.Millisecond, time.Hour)
-	settings.Between(file, table+".most", s.Most, s.MinWait, time.Hour)
+	settings.Between(file, table+".most", s.MaxWait, s.MinWait, time.Hour)
 }
