--- a/internal/stream/pace.go
+++ b/internal/stream/pace.go
@@ -48,6 +48,6 @@
 	if p.pieces == 0 {
 		return p.settings.FirstPieceTimeout
 	}
-	wait := time.Duration(p.settings.Factor * float64(p.gap))
+	wait := time.Duration(p.settings.GapFactor * float64(p.gap))
 	return min(max(wait, p.settings.MinWait), p.settings.MaxWait)
 }
--- a/internal/stream/settings.go
+++ b/internal/stream/settings.go
@@ -19,9 +19,9 @@
 	// for its status, which tells a long queue from a frozen engine. An engine
 	// that does not answer within AcceptTimeout is given up. Default 1s.
 	ProbeEvery time.Duration `toml:"probe_every"`
-	// Factor times the usual gap between pieces is what a later piece may
+	// GapFactor times the usual gap between pieces is what a later piece may
 	// take, within Least and Most. Default 20.
-	Factor float64 `toml:"factor"`
+	GapFactor float64 `toml:"factor"`
 	// MinWait and Most bound the wait for a later piece. Default 1s and 10s.
 	MinWait time.Duration `toml:"least"`
 	MaxWait  time.Duration `toml:"most"`
@@ -33,7 +33,7 @@
 		AcceptTimeout:     2 * time.Second,
 		FirstPieceTimeout: time.Minute,
 		ProbeEvery:        time.Second,
-		Factor:            20,
+		GapFactor:            20,
 		MinWait:             time.Second,
 		MaxWait:              10 * time.Second,
 	}
@@ -44,8 +44,8 @@
 	settings.Between(file, table+".accept_timeout", s.AcceptTimeout, 10*time.Millisecond, time.Minute)
 	settings.Between(file, table+".first_piece_timeout", s.FirstPieceTimeout, 10*time.Millisecond, time.Hour)
 	settings.Between(file, table+".probe_every", s.ProbeEvery, 10*time.Millisecond, time.Hour)
-	if s.Factor < 1 || s.Factor > 1e6 {
-		file.Add(table+".factor", "want 1 to 1000000, not %g", s.Factor)
+	if s.GapFactor < 1 || s.GapFactor > 1e6 {
+		file.Add(table+".factor", "want 1 to 1000000, not %g", s.GapFactor)
 	}
 	settings.Between(file, table+".least", s.MinWait, time.Millisecond, time.Hour)
 	settings.Between(file, table+".most", s.MaxWait, s.MinWait, time.Hour)
--- a/internal/stream/stream_test.go
+++ b/internal/stream/stream_test.go
@@ -126,7 +126,7 @@
 }
 
 func TestPatienceFollowsThePace(t *testing.T) {
-	pace := NewGapTracker(StallSettings{FirstPieceTimeout: time.Minute, Factor: 20, MinWait: time.Second, MaxWait: 10 * time.Second})
+	pace := NewGapTracker(StallSettings{FirstPieceTimeout: time.Minute, GapFactor: 20, MinWait: time.Second, MaxWait: 10 * time.Second})
 	if pace.Timeout() != time.Minute {
 		t.Fatalf("before the first piece: %s", pace.Timeout())
 	}
