--- a/internal/entry/plain.go
+++ b/internal/entry/plain.go
@@ -191,7 +191,7 @@
 			Message: "the idempotency key was used with another call", Type: "invalid_request_error",
 			Code: "idempotency_key_reused", Outcome: callerapi.OutcomeNotRun,
 		}}
-	case errors.Is(err, idempotency.ErrRunning):
+	case errors.Is(err, idempotency.ErrInProgress):
 		r := unknownOutcome("in_progress", "the key is claimed, and no answer can be read yet; ask again with the same key")
 		r.status, r.retryAfter = http.StatusConflict, defaultRetryAfter
 		return r
--- a/internal/idempotency/idempotency.go
+++ b/internal/idempotency/idempotency.go
@@ -28,8 +28,8 @@
 	ErrNotRun = errors.New("once: not run")
 	// ErrUnknown: the call may have run, and nobody will ever know more.
 	ErrUnknown = errors.New("once: outcome unknown")
-	// ErrRunning: the key is claimed, and no answer can be read yet.
-	ErrRunning = errors.New("once: claimed and not answered")
+	// ErrInProgress: the key is claimed, and no answer can be read yet.
+	ErrInProgress = errors.New("once: claimed and not answered")
 	// ErrMismatch: the key was used with another call before.
 	ErrMismatch = errors.New("once: the key belongs to another call")
 )
@@ -88,7 +88,7 @@
 		}
 		revision, err = r.claim(ctx, key, claim, base)
 		if errors.Is(err, platform.ErrConflict) {
-			return service.Answer{}, ErrRunning
+			return service.Answer{}, ErrInProgress
 		}
 	}
 	if err != nil {
@@ -160,7 +160,7 @@
 	if readErr != nil {
 		// The row is there: the commit's check said so. The read is stale, or
 		// did not come through.
-		return service.Answer{}, errors.WithMessage(ErrRunning, readErr.Error())
+		return service.Answer{}, errors.WithMessage(ErrInProgress, readErr.Error())
 	}
 	if row.Call != claim.Call {
 		return service.Answer{}, ErrMismatch
@@ -185,7 +185,7 @@
 	}
 	data, err := r.store.GetObject(ctx, row.Object)
 	if err != nil {
-		return service.Answer{}, errors.WithMessage(ErrRunning, err.Error())
+		return service.Answer{}, errors.WithMessage(ErrInProgress, err.Error())
 	}
 	var answer service.Answer
 	if err := json.Unmarshal(data, &answer); err != nil {
@@ -200,11 +200,11 @@
 	overdue := r.watch.overdue(key, revision, time.Since(r.start))
 	r.mu.Unlock()
 	if !overdue {
-		return ErrRunning
+		return ErrInProgress
 	}
 	row.State = StateUnknown
 	if _, err := r.write(ctx, key, revision, row); err != nil {
-		return errors.WithMessage(ErrRunning, err.Error())
+		return errors.WithMessage(ErrInProgress, err.Error())
 	}
 	r.mu.Lock()
 	r.watch.forget(key)
--- a/internal/idempotency/idempotency_test.go
+++ b/internal/idempotency/idempotency_test.go
@@ -111,7 +111,7 @@
 	b := newBench(t, quick())
 	b.want(t, b.first, nil, 1)
 	b.platform.SetFaults(testservers.PlatformFaults{StaleReadMs: 60000})
-	b.want(t, b.second, ErrRunning, 1)
+	b.want(t, b.second, ErrInProgress, 1)
 }
 
 func TestTableOutage(t *testing.T) {
@@ -231,13 +231,13 @@
 		})
 	}()
 	<-claimed
-	b.want(t, b.second, ErrRunning, 0)
+	b.want(t, b.second, ErrInProgress, 0)
 	for {
 		_, err := b.do(b.second)
 		if errors.Is(err, ErrUnknown) {
 			break
 		}
-		if !errors.Is(err, ErrRunning) {
+		if !errors.Is(err, ErrInProgress) {
 			t.Fatal(err)
 		}
 		time.Sleep(10 * time.Millisecond)
