--- a/internal/answers/once_test.go
+++ b/internal/answers/once_test.go
@@ -27,7 +27,7 @@
 		{idempotency.PointClaimed, http.StatusConflict, 0},
 		{idempotency.PointSent, http.StatusConflict, -1},
 		{idempotency.PointAnswered, http.StatusConflict, 1},
-		{idempotency.PointKept, http.StatusOK, 1},
+		{idempotency.PointStored, http.StatusOK, 1},
 	}
 	victim := f.Instances[0]
 	for n, step := range steps {
--- a/internal/idempotency/keep.go
+++ b/internal/idempotency/keep.go
@@ -34,7 +34,7 @@
 		claim.State, claim.Answer = StateAnswered, &answer
 	}
 	r.soon(ctx, key, func(ctx context.Context) error { return r.keep(ctx, key, claim, revision) })
-	failpoint.Hit(PointKept)
+	failpoint.Hit(PointStored)
 	if runErr != nil {
 		return service.Answer{}, errors.WithMessage(ErrUnknown, runErr.Error())
 	}
