--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -190,8 +190,8 @@
 	Close() error
 }
 
-// Numbered is a Stream of an engine that numbers the requests it takes.
-type Numbered interface {
+// NumberedStream is a Stream of an engine that numbers the requests it takes.
+type NumberedStream interface {
 	// Accepted returns the engine's boot and the value of its count
 	// Report.Accepted at this request; an empty boot when it gave none.
 	Accepted() (boot string, number int64)
