--- a/internal/idempotency/idempotency.go
+++ b/internal/idempotency/idempotency.go
@@ -40,7 +40,7 @@
 	PointClaimed     = "once.claimed"
 	PointSent        = "once.sent"
 	PointAnswered    = "once.answered"
-	PointStored        = "once.kept"
+	PointStored      = "once.kept"
 )
 
 // Store is the part of the platform that keyed calls need.
--- a/internal/stream/settings.go
+++ b/internal/stream/settings.go
@@ -24,7 +24,7 @@
 	GapFactor float64 `toml:"factor"`
 	// MinWait and Most bound the wait for a later piece. Default 1s and 10s.
 	MinWait time.Duration `toml:"least"`
-	MaxWait  time.Duration `toml:"most"`
+	MaxWait time.Duration `toml:"most"`
 }
 
 // DefaultStall returns the defaults.
@@ -33,9 +33,9 @@
 		AcceptTimeout:     2 * time.Second,
 		FirstPieceTimeout: time.Minute,
 		ProbeEvery:        time.Second,
-		GapFactor:            20,
-		MinWait:             time.Second,
-		MaxWait:              10 * time.Second,
+		GapFactor:         20,
+		MinWait:           time.Second,
+		MaxWait:           10 * time.Second,
 	}
 }
 
