--- a/internal/stream/stream_test.go
+++ b/internal/stream/stream_test.go
@@ -103,42 +103,42 @@
 			t.Fatal(err)
 		}
 	}
-	if _, err := assembler.Add(engine.Piece{N: maxAhead + 1}); !errors.Is(err, ErrAhead) {
+	if _, err := assembler.Add(engine.Piece{N: maxAhead + 1}); !errors.Is(err, ErrTooFarAhead) {
 		t.Fatalf("error %v, want ErrAhead", err)
 	}
 }
 
 func TestTokenComesBack(t *testing.T) {
-	for _, token := range []Token{
+	for _, token := range []ResumeToken{
 		{Request: "a-1", Engine: "engine.1", Seed: -5, Next: 3, Sum: 0xfe},
 		{Request: "a-1", Engine: "e", Version: "2026/1 b", Seed: 1, Next: 9, Sum: 1, Done: true},
 	} {
-		back, err := ParseToken(token.String())
+		back, err := ParseResumeToken(token.String())
 		if err != nil || back != token {
 			t.Errorf("%s came back as %+v, %v", token, back, err)
 		}
 	}
 	for _, text := range []string{"", "a/b", "a/b/c/1/2/xyz", "a/b/c/1/2/3/4", "a/b/c/99999999999999999999/2/3", "a\n/b/c/1/2/3"} {
-		if _, err := ParseToken(text); err == nil {
+		if _, err := ParseResumeToken(text); err == nil {
 			t.Errorf("%q was taken", text)
 		}
 	}
 }
 
 func TestPatienceFollowsThePace(t *testing.T) {
-	pace := NewPace(StallSettings{FirstPieceTimeout: time.Minute, Factor: 20, Least: time.Second, Most: 10 * time.Second})
-	if pace.Patience() != time.Minute {
-		t.Fatalf("before the first piece: %s", pace.Patience())
+	pace := NewGapTracker(StallSettings{FirstPieceTimeout: time.Minute, GapFactor: 20, MinWait: time.Second, MaxWait: 10 * time.Second})
+	if pace.Timeout() != time.Minute {
+		t.Fatalf("before the first piece: %s", pace.Timeout())
 	}
-	pace.Piece(30 * time.Second)
+	pace.RecordPiece(30 * time.Second)
 	for _, c := range []struct{ gap, want time.Duration }{
 		{20 * time.Millisecond, time.Second}, {100 * time.Millisecond, 2 * time.Second}, {time.Second, 10 * time.Second},
 	} {
 		for range 100 {
-			pace.Piece(c.gap)
+			pace.RecordPiece(c.gap)
 		}
-		if off := pace.Patience() - c.want; off.Abs() > c.want/10 {
-			t.Errorf("gap %s: patience %s, want about %s", c.gap, pace.Patience(), c.want)
+		if off := pace.Timeout() - c.want; off.Abs() > c.want/10 {
+			t.Errorf("gap %s: patience %s, want about %s", c.gap, pace.Timeout(), c.want)
 		}
 	}
 }
