--- a/internal/relay/eventforwarder.go
+++ b/internal/relay/eventforwarder.go
@@ -21,7 +21,7 @@
 	// idleTimeout is how long the stream may be silent before it is stopped; 0 for no bound.
 	idleTimeout time.Duration
 	cancel      context.CancelFunc
-	events      stream.Events
+	events      stream.EventSplitter
 	// lastEvent is the id of the last event that was written to the caller.
 	lastEvent string
 }
@@ -43,7 +43,7 @@
 			return err
 		}
 		switch {
-		case err == io.EOF && p.events.Cut():
+		case err == io.EOF && p.events.HasPartial():
 			return errPartialEvent
 		case err == io.EOF:
 			return nil
