--- a/internal/gossip/process_test.go
+++ b/internal/gossip/process_test.go
@@ -392,13 +392,13 @@
 	r := newRig(t)
 	r.must(r.links.CutPlatform("inst-2"))
 	r.must(r.links.CutPlatform("inst-3"))
-	r.must(r.fleet.List(r.ctx, platform.Instance{ID: "old", Kind: platform.KindUpstream, Zone: "zona-4", State: platform.InstanceLeaving}))
+	r.must(r.fleet.SetInstance(r.ctx, platform.Instance{ID: "old", Kind: platform.KindUpstream, Zone: "zona-4", State: platform.InstanceLeaving}))
 	r.untilRefuses(0, "not_run")
 	r.must(r.links.CutPlatform("inst-1"))
 	for i := range 3 {
 		r.untilRefuses(i, "not_run")
 	}
-	r.must(r.fleet.List(r.ctx, platform.Instance{ID: "old", Kind: platform.KindUpstream, Zone: "zona-4", State: platform.InstanceLive}))
+	r.must(r.fleet.SetInstance(r.ctx, platform.Instance{ID: "old", Kind: platform.KindUpstream, Zone: "zona-4", State: platform.InstanceLive}))
 	r.links.Heal()
 	for i := range 3 {
 		r.untilServes(i, "old")
--- a/internal/scenario/harness.go
+++ b/internal/scenario/harness.go
@@ -268,7 +268,7 @@
 	if leaving {
 		state = platform.InstanceLeaving
 	}
-	return h.Fleet.List(ctx, platform.Instance{ID: id, Kind: platform.KindUpstream, State: state})
+	return h.Fleet.SetInstance(ctx, platform.Instance{ID: id, Kind: platform.KindUpstream, State: state})
 }
 
 // Holder returns the id of the instance that holds a pool's lease by the
--- a/internal/testfleet/fleet.go
+++ b/internal/testfleet/fleet.go
@@ -132,8 +132,8 @@
 	return Post(ctx, f.platformDirect, testservers.PathFault, faults, nil)
 }
 
-// List sets a line of the instance list.
-func (f *Fleet) List(ctx context.Context, instance platform.Instance) error {
+// SetInstance sets a line of the instance list.
+func (f *Fleet) SetInstance(ctx context.Context, instance platform.Instance) error {
 	return Post(ctx, f.platformDirect, testservers.PathSetInstance, instance, nil)
 }
 
@@ -150,7 +150,7 @@
 	if err := untilListens(ctx, e.Address); err != nil {
 		return e, err
 	}
-	return e, f.List(ctx, platform.Instance{ID: id, Kind: platform.KindUpstream, Zone: zone, State: platform.InstanceLive})
+	return e, f.SetInstance(ctx, platform.Instance{ID: id, Kind: platform.KindUpstream, Zone: zone, State: platform.InstanceLive})
 }
 
 // AddService starts a stand-in plain service.
@@ -165,7 +165,7 @@
 	if err := untilListens(ctx, s.Address); err != nil {
 		return s, err
 	}
-	return s, f.List(ctx, platform.Instance{ID: id, Kind: platform.KindUpstream, Zone: zone, State: platform.InstanceLive})
+	return s, f.SetInstance(ctx, platform.Instance{ID: id, Kind: platform.KindUpstream, Zone: zone, State: platform.InstanceLive})
 }
 
 // untilListens waits until a stand-in takes connections.
@@ -194,7 +194,7 @@
 		return nil, err
 	}
 	f.Instances = append(f.Instances, i)
-	return i, f.List(ctx, platform.Instance{
+	return i, f.SetInstance(ctx, platform.Instance{
 		ID: id, Kind: platform.KindOwn, Zone: zone, State: platform.InstanceLive,
 		Control: i.ControlAt, Entry: i.EntryAddress,
 	})
