--- a/internal/answers/fixture_test.go
+++ b/internal/answers/fixture_test.go
@@ -132,7 +132,7 @@
 }
 
 func (f *fixture) sfctl(args ...string) (string, error) {
-	args = append([]string{"--control", f.Instances[0].ControlAt, "--operator", "test", "--timeout", "60s"}, args...)
+	args = append([]string{"--control", f.Instances[0].ControlAddress, "--operator", "test", "--timeout", "60s"}, args...)
 	output, err := exec.CommandContext(f.ctx, filepath.Join(f.Bin, "sfctl"), args...).CombinedOutput()
 	return string(output), err
 }
--- a/internal/bench/rolesfleet.go
+++ b/internal/bench/rolesfleet.go
@@ -84,7 +84,7 @@
 			return err
 		}
 	}
-	f.operator = sfv1connect.NewOperatorServiceClient(http.DefaultClient, "http://"+f.Instances[0].ControlAt)
+	f.operator = sfv1connect.NewOperatorServiceClient(http.DefaultClient, "http://"+f.Instances[0].ControlAddress)
 	return testfleet.Until(ctx, "sf-control answers", func() bool {
 		_, err := f.operator.SystemStatus(ctx, connect.NewRequest(&sfv1.SystemStatusRequest{}))
 		return err == nil
--- a/internal/control/authority_bench_test.go
+++ b/internal/control/authority_bench_test.go
@@ -99,7 +99,7 @@
 // leaseCalls returns the sums of the daemons' counters.
 func (r *rig) leaseCalls() (reads, writes float64) {
 	for _, i := range r.fleet.Instances {
-		res, err := http.Get("http://" + i.ControlAt + "/metrics")
+		res, err := http.Get("http://" + i.ControlAddress + "/metrics")
 		r.must(err)
 		counts := decodeCounts(r, res)
 		reads += counts["lease.reads"].Count
--- a/internal/demo/points.go
+++ b/internal/demo/points.go
@@ -20,7 +20,7 @@
 
 // sfctl runs the operators' tool against an instance.
 func (d *Demo) sfctl(ctx context.Context, i *testfleet.Instance, args ...string) (string, error) {
-	args = append([]string{"--control", i.ControlAt, "--operator", "demo", "--timeout", "30s"}, args...)
+	args = append([]string{"--control", i.ControlAddress, "--operator", "demo", "--timeout", "30s"}, args...)
 	output, err := exec.CommandContext(ctx, filepath.Join(d.fleet.Bin, "sfctl"), args...).CombinedOutput()
 	return string(output), errors.Wrapf(err, "sfctl %s: %s", strings.Join(args, " "), output)
 }
--- a/internal/entry/fleet_test.go
+++ b/internal/entry/fleet_test.go
@@ -95,7 +95,7 @@
 		return err
 	}
 	sfctl := func(args ...string) ([]byte, error) {
-		args = append([]string{"--control", fleet.Instances[0].ControlAt, "--operator", "test", "--timeout", "30s"}, args...)
+		args = append([]string{"--control", fleet.Instances[0].ControlAddress, "--operator", "test", "--timeout", "30s"}, args...)
 		return exec.CommandContext(ctx, filepath.Join(fleet.Bin, "sfctl"), args...).CombinedOutput()
 	}
 	err := testfleet.Until(ctx, "sf-control answers", func() bool {
--- a/internal/gossip/process_test.go
+++ b/internal/gossip/process_test.go
@@ -77,7 +77,7 @@
 	for i, instance := range r.fleet.Instances {
 		r.untilServes(i, "old")
 		r.until("the instance counts in a majority", func() bool {
-			return strings.Contains(probe(instance.ControlAt, "/metrics"), `"spread.voter":{"value":1}`)
+			return strings.Contains(probe(instance.ControlAddress, "/metrics"), `"spread.voter":{"value":1}`)
 		})
 	}
 	return r
@@ -231,7 +231,7 @@
 	r.until("the evidence from the table has expired", func() bool { return time.Now().After(ended) })
 	for i := range 3 {
 		control := r.fleet.Instances[i].Control
-		r.until("freshness comes from the majority", func() bool { return strings.Contains(probe(r.fleet.Instances[i].ControlAt, "/readyz"), "by majority") })
+		r.until("freshness comes from the majority", func() bool { return strings.Contains(probe(r.fleet.Instances[i].ControlAddress, "/readyz"), "by majority") })
 		if strings.Contains(control.Log(), "may be out of date") {
 			t.Errorf("inst-%d was temporarily not fresh:\n%s", i+1, control.Log())
 		}
@@ -250,7 +250,7 @@
 	r.must(r.links.CutPlatform("inst-3"))
 	r.must(r.links.CutPeers("inst-1", testfleet.ToUpstream))
 	for _, i := range []int{1, 2} {
-		r.until("the majority keeps serving", func() bool { return strings.Contains(probe(r.fleet.Instances[i].ControlAt, "/readyz"), "by majority") })
+		r.until("the majority keeps serving", func() bool { return strings.Contains(probe(r.fleet.Instances[i].ControlAddress, "/readyz"), "by majority") })
 	}
 	outcome := r.confirm(0)
 	if outcome.Outcome != "refused" || !strings.Contains(outcome.Reason, "1 of 3 listed answer, 2 are needed") {
@@ -264,7 +264,7 @@
 // confirm declares an intent at an instance and confirms it.
 func (r *rig) confirm(instance int) *sfv1.ConfirmResponse {
 	r.t.Helper()
-	client := sfv1connect.NewOperatorServiceClient(http.DefaultClient, "http://"+r.fleet.Instances[instance].ControlAt)
+	client := sfv1connect.NewOperatorServiceClient(http.DefaultClient, "http://"+r.fleet.Instances[instance].ControlAddress)
 	intent := "name = \"share\"\n[[organisation]]\nname = \"agedim\"\nshare = 2.0\n"
 	declared, err := client.Declare(r.ctx, connect.NewRequest(&sfv1.DeclareRequest{File: "share.toml", Intent: []byte(intent), Operator: "test"}))
 	r.must(err)
@@ -334,13 +334,13 @@
 // without seeds must report why it is not ready.
 func TestStartWithTableDown(t *testing.T) {
 	r := newRig(t)
-	seeds := fmt.Sprintf("seeds = [%q, %q]\n", r.fleet.Instances[0].ControlAt, r.fleet.Instances[1].ControlAt)
+	seeds := fmt.Sprintf("seeds = [%q, %q]\n", r.fleet.Instances[0].ControlAddress, r.fleet.Instances[1].ControlAddress)
 	r.must(r.fleet.PlatformFault(r.ctx, testservers.PlatformFaults{Down: true}))
 	isolated, err := r.links.AddInstance(r.ctx, "inst-4", "zona-4")
 	r.must(err)
 	reason := ""
 	r.until("an instance without peers says why it is not ready", func() bool {
-		reason = probe(isolated.ControlAt, "/readyz")
+		reason = probe(isolated.ControlAddress, "/readyz")
 		return strings.Contains(reason, "no configuration known yet") && strings.Contains(reason, "unavailable")
 	})
 	r.fleet.ControlTables += seeds
@@ -411,7 +411,7 @@
 	r := newRig(t)
 	r.fleet.Instances[2].Control.Signal(syscall.SIGSTOP)
 	defer r.fleet.Instances[2].Control.Signal(syscall.SIGCONT)
-	client := sfv1connect.NewOperatorServiceClient(http.DefaultClient, "http://"+r.fleet.Instances[0].ControlAt)
+	client := sfv1connect.NewOperatorServiceClient(http.DefaultClient, "http://"+r.fleet.Instances[0].ControlAddress)
 	response, err := client.Instances(r.ctx, connect.NewRequest(&sfv1.InstancesRequest{}))
 	r.must(err)
 	shown := map[string]bool{}
--- a/internal/operatorcli/confirm_bench_test.go
+++ b/internal/operatorcli/confirm_bench_test.go
@@ -58,7 +58,7 @@
 // timeConfirm confirms a plan through the first instance.
 func (f *planFleet) timeConfirm(text string) (answered, inForce, done time.Duration) {
 	view := f.declare(text)
-	client := sfv1connect.NewOperatorServiceClient(http.DefaultClient, "http://"+f.Instances[0].ControlAt)
+	client := sfv1connect.NewOperatorServiceClient(http.DefaultClient, "http://"+f.Instances[0].ControlAddress)
 	started := time.Now()
 	response, err := client.Confirm(f.ctx, connect.NewRequest(&sfv1.ConfirmRequest{PlanId: view.ID, Operator: "bench"}))
 	f.must(err)
@@ -79,7 +79,7 @@
 }
 
 func (f *planFleet) waitInForce(instance int, version int64) {
-	client := sfv1connect.NewPeerServiceClient(http.DefaultClient, "http://"+f.Instances[instance].ControlAt)
+	client := sfv1connect.NewPeerServiceClient(http.DefaultClient, "http://"+f.Instances[instance].ControlAddress)
 	for f.ctx.Err() == nil {
 		seen, err := client.InForce(f.ctx, connect.NewRequest(&sfv1.InForceRequest{}))
 		if err == nil && seen.Msg.EntryVersion >= version {
--- a/internal/operatorcli/fleet_test.go
+++ b/internal/operatorcli/fleet_test.go
@@ -111,7 +111,7 @@
 func (f *planFleet) sfctl(instance int, operator string, args ...string) (code int, output string) {
 	var out bytes.Buffer
 	cli := operatorcli.CLI{Out: &out, Err: &out}
-	code = cli.Run(append([]string{"--control", f.Instances[instance].ControlAt, "--operator", operator, "--timeout", "20s"}, args...))
+	code = cli.Run(append([]string{"--control", f.Instances[instance].ControlAddress, "--operator", operator, "--timeout", "20s"}, args...))
 	return code, out.String()
 }
 
--- a/internal/roles/process_test.go
+++ b/internal/roles/process_test.go
@@ -107,7 +107,7 @@
 }
 
 func (f *fleet) sfctlAt(instance *testfleet.Instance, args ...string) (string, error) {
-	args = append([]string{"--control", instance.ControlAt, "--operator", "op", "--timeout", "30s"}, args...)
+	args = append([]string{"--control", instance.ControlAddress, "--operator", "op", "--timeout", "30s"}, args...)
 	output, err := exec.CommandContext(f.ctx, filepath.Join(f.Bin, "sfctl"), args...).CombinedOutput()
 	return string(output), err
 }
--- a/internal/scenario/harness.go
+++ b/internal/scenario/harness.go
@@ -127,7 +127,7 @@
 // Sfctl runs the operators' tool against an instance, and returns what it
 // printed and its exit code.
 func (h *Harness) Sfctl(ctx context.Context, i *testfleet.Instance, args ...string) (output string, code int, err error) {
-	args = append([]string{"--control", i.ControlAt, "--operator", "scenario", "--timeout", "60s"}, args...)
+	args = append([]string{"--control", i.ControlAddress, "--operator", "scenario", "--timeout", "60s"}, args...)
 	cmd := exec.CommandContext(ctx, filepath.Join(h.Fleet.Bin, "sfctl"), args...)
 	printed, err := cmd.CombinedOutput()
 	var exit *exec.ExitError
--- a/internal/testfleet/fleet.go
+++ b/internal/testfleet/fleet.go
@@ -64,7 +64,7 @@
 // Instance is one instance with both daemons.
 type Instance struct {
 	ID, Zone                              string
-	EntryAddress, LocalAddress, ControlAt string
+	EntryAddress, LocalAddress, ControlAddress string
 	Entry, Control                        *Process
 }
 
@@ -183,7 +183,7 @@
 // AddInstance reserves addresses, writes settings, starts both daemons and
 // lists the instance.
 func (f *Fleet) AddInstance(ctx context.Context, id, zone string) (*Instance, error) {
-	i := &Instance{ID: id, Zone: zone, EntryAddress: f.Address(), LocalAddress: f.Address(), ControlAt: f.Address()}
+	i := &Instance{ID: id, Zone: zone, EntryAddress: f.Address(), LocalAddress: f.Address(), ControlAddress: f.Address()}
 	if err := f.writeSettings(i); err != nil {
 		return nil, err
 	}
@@ -196,7 +196,7 @@
 	f.Instances = append(f.Instances, i)
 	return i, f.SetInstance(ctx, platform.Instance{
 		ID: id, Kind: platform.KindOwn, Zone: zone, State: platform.InstanceLive,
-		Control: i.ControlAt, Entry: i.EntryAddress,
+		Control: i.ControlAddress, Entry: i.EntryAddress,
 	})
 }
 
@@ -221,7 +221,7 @@
 func (f *Fleet) writeSettings(i *Instance) error {
 	common := fmt.Sprintf("instance = %q\nzone = %q\nplatform = %q\n", i.ID, i.Zone, f.PlatformAddress)
 	entry := common + fmt.Sprintf("listen = %q\nlocal = %q\n", i.EntryAddress, i.LocalAddress) + f.EntryExtra + f.EntryTables
-	control := common + fmt.Sprintf("listen = %q\nentry_local = %q\n", i.ControlAt, i.LocalAddress) + f.ControlExtra + f.ControlTables
+	control := common + fmt.Sprintf("listen = %q\nentry_local = %q\n", i.ControlAddress, i.LocalAddress) + f.ControlExtra + f.ControlTables
 	if err := os.WriteFile(f.settingsPath(i, "entry"), []byte(entry), 0o644); err != nil {
 		return errors.WithStack(err)
 	}
