--- a/internal/gossip/process_test.go
+++ b/internal/gossip/process_test.go
@@ -72,7 +72,7 @@
 		_, err := r.links.AddInstance(ctx, fmt.Sprintf("inst-%d", i+1), "zona-4")
 		r.must(err)
 	}
-	r.until("each instance knows its peers", func() bool { return r.links.Peers() == 6 })
+	r.until("each instance knows its peers", func() bool { return r.links.PeerLinkCount() == 6 })
 	r.commitVersion(1, "old")
 	for i, instance := range r.fleet.Instances {
 		r.untilServes(i, "old")
--- a/internal/testfleet/links.go
+++ b/internal/testfleet/links.go
@@ -204,8 +204,8 @@
 	}
 }
 
-// Peers is the number of pairs that have a link.
-func (l *Links) Peers() int {
+// PeerLinkCount is the number of pairs that have a link.
+func (l *Links) PeerLinkCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.peers)
