--- a/internal/gossip/process_test.go
+++ b/internal/gossip/process_test.go
@@ -214,7 +214,7 @@
 func TestInstanceThatOnlyReceivesRequestsRefuses(t *testing.T) {
 	r := newRig(t)
 	r.must(r.links.CutPlatform("inst-3"))
-	r.must(r.links.CutFrom("inst-3"))
+	r.must(r.links.CutOutgoing("inst-3"))
 	r.untilRefuses(2, "may be out of date")
 	r.commitVersion(2, "new")
 	r.links.Heal()
--- a/internal/testfleet/links.go
+++ b/internal/testfleet/links.go
@@ -176,9 +176,9 @@
 	return nil
 }
 
-// CutFrom swallows the requests that an instance sends to its peers; theirs
+// CutOutgoing swallows the requests that an instance sends to its peers; theirs
 // still arrive and are answered.
-func (l *Links) CutFrom(id string) error {
+func (l *Links) CutOutgoing(id string) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for pair, proxy := range l.peers {
