--- a/internal/answers/shutdown_test.go
+++ b/internal/answers/shutdown_test.go
@@ -82,7 +82,7 @@
 	go b.Run(f.ctx)
 	stopLoad := make(chan struct{})
 	f.until("the balancer knows all", func() bool {
-		return b.Sends(f.Instances[0].EntryAddress) && b.Sends(f.Instances[1].EntryAddress) && b.Sends(f.Instances[2].EntryAddress)
+		return b.SendsTo(f.Instances[0].EntryAddress) && b.SendsTo(f.Instances[1].EntryAddress) && b.SendsTo(f.Instances[2].EntryAddress)
 	})
 	c := chat(21, 60)
 	l := &load{f: f, b: b, chat: c, want: undisturbedText(c)}
@@ -94,7 +94,7 @@
 		f.stopGently(i.Control)
 		f.must(f.StartControl(i))
 		f.must(f.StartEntry(i))
-		f.until("the balancer sends again", func() bool { return b.Sends(i.EntryAddress) })
+		f.until("the balancer sends again", func() bool { return b.SendsTo(i.EntryAddress) })
 	}
 	close(stopLoad)
 	work.Wait()
--- a/internal/testfleet/balancer.go
+++ b/internal/testfleet/balancer.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// Sends tells whether the balancer sends to the address.
-func (b *Balancer) Sends(address string) bool {
+// SendsTo tells whether the balancer sends to the address.
+func (b *Balancer) SendsTo(address string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.up[address]
