--- a/internal/answers/fixture_test.go
+++ b/internal/answers/fixture_test.go
@@ -208,9 +208,9 @@
 	f.must(testfleet.Post(f.ctx, f.Engines[n].Address, testservers.PathFault, faults, nil))
 }
 
-func (f *fixture) engineBook(n int) testservers.Book {
+func (f *fixture) engineBook(n int) testservers.EngineRecord {
 	f.t.Helper()
-	var book testservers.Book
+	var book testservers.EngineRecord
 	f.must(testfleet.Post(f.ctx, f.Engines[n].Address, testservers.PathBook, nil, &book))
 	return book
 }
--- a/internal/bench/frozen_test.go
+++ b/internal/bench/frozen_test.go
@@ -60,7 +60,7 @@
 // started counts the streams that the engine apart began.
 func (f *fleet) started(t *testing.T, ctx context.Context) int {
 	t.Helper()
-	var book testservers.Book
+	var book testservers.EngineRecord
 	if err := testfleet.Post(ctx, f.doc.Engines[2].Address, testservers.PathBook, nil, &book); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/control/authority_test.go
+++ b/internal/control/authority_test.go
@@ -165,8 +165,8 @@
 	r.waitUntil(id+" holds the lease", func() bool { return r.holds(id, 0) })
 }
 
-func (r *rig) book(i int) testservers.Book {
-	var book testservers.Book
+func (r *rig) book(i int) testservers.EngineRecord {
+	var book testservers.EngineRecord
 	r.must(testfleet.Post(r.ctx, r.fleet.Engines[i].Address, testservers.PathBook, nil, &book))
 	return book
 }
--- a/internal/entry/fleet_test.go
+++ b/internal/entry/fleet_test.go
@@ -126,7 +126,7 @@
 	t.Helper()
 	total := 0
 	for _, e := range fleet.Engines {
-		var book testservers.Book
+		var book testservers.EngineRecord
 		if err := testfleet.Post(ctx, e.Address, testservers.PathBook, nil, &book); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/operatorcli/fleet_test.go
+++ b/internal/operatorcli/fleet_test.go
@@ -186,9 +186,9 @@
 }
 
 // book reads an engine's own record.
-func (f *planFleet) book(e *testfleet.Engine) testservers.Book {
+func (f *planFleet) book(e *testfleet.Engine) testservers.EngineRecord {
 	f.t.Helper()
-	var book testservers.Book
+	var book testservers.EngineRecord
 	f.must(testfleet.Post(f.ctx, e.Address, testservers.PathBook, nil, &book))
 	return book
 }
--- a/internal/roles/process_test.go
+++ b/internal/roles/process_test.go
@@ -127,9 +127,9 @@
 	}
 }
 
-func (f *fleet) book(e *testfleet.Engine) testservers.Book {
+func (f *fleet) book(e *testfleet.Engine) testservers.EngineRecord {
 	f.t.Helper()
-	var book testservers.Book
+	var book testservers.EngineRecord
 	must(f.t, testfleet.Post(f.ctx, e.Address, testservers.PathBook, nil, &book))
 	return book
 }
--- a/internal/scenario/check.go
+++ b/internal/scenario/check.go
@@ -19,13 +19,13 @@
 type upstreamBooks struct {
 	// ran counts streams by the name in the prompt, runs the calls by body.
 	ran, runs map[string]int
-	engines   map[string]testservers.Book
+	engines   map[string]testservers.EngineRecord
 }
 
 func readBooks(ctx context.Context, h *Harness) (upstreamBooks, error) {
-	all := upstreamBooks{ran: map[string]int{}, runs: map[string]int{}, engines: map[string]testservers.Book{}}
+	all := upstreamBooks{ran: map[string]int{}, runs: map[string]int{}, engines: map[string]testservers.EngineRecord{}}
 	for _, e := range h.Fleet.Engines {
-		var b testservers.Book
+		var b testservers.EngineRecord
 		if err := testfleet.Post(ctx, e.Address, testservers.PathBook, nil, &b); err != nil {
 			return all, err
 		}
--- a/internal/scenario/commands_call.go
+++ b/internal/scenario/commands_call.go
@@ -225,7 +225,7 @@
 func cmdCutStreams(s *script, _ *testscript.TestScript, args []string) error {
 	total := 0
 	for _, e := range s.harness.Fleet.Engines {
-		var book testservers.Book
+		var book testservers.EngineRecord
 		if err := testfleet.Post(s.ctx, e.Address, testservers.PathBook, nil, &book); err != nil {
 			return err
 		}
--- a/internal/testservers/engine.go
+++ b/internal/testservers/engine.go
@@ -63,8 +63,8 @@
 	SlowFactor float64 `json:"slow_factor"`
 }
 
-// Book is the engine's own record, for tests to compare with the callers'.
-type Book struct {
+// EngineRecord is the engine's own record, for tests to compare with the callers'.
+type EngineRecord struct {
 	// Orders in the order they took effect.
 	Orders []engine.Order `json:"orders"`
 	// Refused are orders that the fencing number refused.
@@ -120,7 +120,7 @@
 	cache    *prefixCache
 	exports  map[string]kvEntry // offered to other engines, by handle
 	imports  map[string]kvEntry // brought from other engines, by handle
-	book     Book
+	book     EngineRecord
 	// forgotten is when ended streams were last looked for.
 	forgotten time.Time
 }
