--- a/internal/answers/fixture_test.go
+++ b/internal/answers/fixture_test.go
@@ -194,7 +194,7 @@
 	f.t.Helper()
 	total := map[string]int{}
 	for _, s := range f.Services {
-		var book testservers.ServiceBook
+		var book testservers.ServiceRecord
 		f.must(testfleet.Post(f.ctx, s.Address, testservers.PathBook, nil, &book))
 		for lot, runs := range book.Bodies {
 			total[lot] += runs
--- a/internal/demo/points.go
+++ b/internal/demo/points.go
@@ -80,7 +80,7 @@
 		fmt.Fprintf(d.Out, "%s answers %s\n", i.ID, strings.TrimSpace(string(body)))
 		answers = append(answers, string(body))
 	}
-	var book testservers.ServiceBook
+	var book testservers.ServiceRecord
 	if err := testfleet.Post(ctx, d.fleet.Services[0].Address, testservers.PathBook, nil, &book); err != nil {
 		return "", err
 	}
--- a/internal/entry/admission_test.go
+++ b/internal/entry/admission_test.go
@@ -114,7 +114,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var book testservers.ServiceBook
+	var book testservers.ServiceRecord
 	if err := testfleet.Post(ctx, fleet.Services[0].Address, testservers.PathBook, nil, &book); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scenario/check.go
+++ b/internal/scenario/check.go
@@ -35,7 +35,7 @@
 		}
 	}
 	for _, s := range h.Fleet.Services {
-		var b testservers.ServiceBook
+		var b testservers.ServiceRecord
 		if err := testfleet.Post(ctx, s.Address, testservers.PathBook, nil, &b); err != nil {
 			return all, err
 		}
--- a/internal/scenario/commands_call.go
+++ b/internal/scenario/commands_call.go
@@ -208,7 +208,7 @@
 func cmdRuns(s *script, _ *testscript.TestScript, args []string) error {
 	total := 0
 	for _, service := range s.harness.Fleet.Services {
-		var book testservers.ServiceBook
+		var book testservers.ServiceRecord
 		if err := testfleet.Post(s.ctx, service.Address, testservers.PathBook, nil, &book); err != nil {
 			return err
 		}
--- a/internal/testservers/service.go
+++ b/internal/testservers/service.go
@@ -21,8 +21,8 @@
 	Refuse bool `json:"refuse"`
 }
 
-// ServiceBook is the service's own record of runs, by "METHOD path".
-type ServiceBook struct {
+// ServiceRecord is the service's own record of runs, by "METHOD path".
+type ServiceRecord struct {
 	Runs map[string]int `json:"runs"`
 	// Bodies counts the runs by request body.
 	Bodies map[string]int `json:"bodies"`
@@ -34,13 +34,13 @@
 
 	mu     sync.Mutex // protects all below
 	faults ServiceFaults
-	book   ServiceBook
+	book   ServiceRecord
 	runs   int
 }
 
 // NewService returns a stand-in service.
 func NewService(id string) *Service {
-	return &Service{id: id, book: ServiceBook{Runs: map[string]int{}, Bodies: map[string]int{}}}
+	return &Service{id: id, book: ServiceRecord{Runs: map[string]int{}, Bodies: map[string]int{}}}
 }
 
 // Handler serves all paths but the switches.
