--- a/internal/answers/bench_test.go
+++ b/internal/answers/bench_test.go
@@ -130,7 +130,7 @@
 	p, err := f.Start(e.ID, "sf-standin", args...)
 	f.must(err)
 	e.Process = p
-	f.until(e.ID+" answers", func() bool { return testfleet.Post(f.ctx, e.Address, testservers.PathBook, nil, nil) == nil })
+	f.until(e.ID+" answers", func() bool { return testfleet.Post(f.ctx, e.Address, testservers.PathRecord, nil, nil) == nil })
 }
 
 func ms(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
--- a/internal/answers/fixture_test.go
+++ b/internal/answers/fixture_test.go
@@ -195,7 +195,7 @@
 	total := map[string]int{}
 	for _, s := range f.Services {
 		var book testservers.ServiceRecord
-		f.must(testfleet.Post(f.ctx, s.Address, testservers.PathBook, nil, &book))
+		f.must(testfleet.Post(f.ctx, s.Address, testservers.PathRecord, nil, &book))
 		for lot, runs := range book.Bodies {
 			total[lot] += runs
 		}
@@ -211,7 +211,7 @@
 func (f *fixture) engineBook(n int) testservers.EngineRecord {
 	f.t.Helper()
 	var book testservers.EngineRecord
-	f.must(testfleet.Post(f.ctx, f.Engines[n].Address, testservers.PathBook, nil, &book))
+	f.must(testfleet.Post(f.ctx, f.Engines[n].Address, testservers.PathRecord, nil, &book))
 	return book
 }
 
--- a/internal/bench/frozen_test.go
+++ b/internal/bench/frozen_test.go
@@ -61,7 +61,7 @@
 func (f *fleet) started(t *testing.T, ctx context.Context) int {
 	t.Helper()
 	var book testservers.EngineRecord
-	if err := testfleet.Post(ctx, f.doc.Engines[2].Address, testservers.PathBook, nil, &book); err != nil {
+	if err := testfleet.Post(ctx, f.doc.Engines[2].Address, testservers.PathRecord, nil, &book); err != nil {
 		t.Fatal(err)
 	}
 	return book.Started
--- a/internal/control/authority_test.go
+++ b/internal/control/authority_test.go
@@ -167,7 +167,7 @@
 
 func (r *rig) book(i int) testservers.EngineRecord {
 	var book testservers.EngineRecord
-	r.must(testfleet.Post(r.ctx, r.fleet.Engines[i].Address, testservers.PathBook, nil, &book))
+	r.must(testfleet.Post(r.ctx, r.fleet.Engines[i].Address, testservers.PathRecord, nil, &book))
 	return book
 }
 
--- a/internal/demo/points.go
+++ b/internal/demo/points.go
@@ -81,7 +81,7 @@
 		answers = append(answers, string(body))
 	}
 	var book testservers.ServiceRecord
-	if err := testfleet.Post(ctx, d.fleet.Services[0].Address, testservers.PathBook, nil, &book); err != nil {
+	if err := testfleet.Post(ctx, d.fleet.Services[0].Address, testservers.PathRecord, nil, &book); err != nil {
 		return "", err
 	}
 	runs := book.Runs["POST /bales/certificates"]
--- a/internal/entry/admission_test.go
+++ b/internal/entry/admission_test.go
@@ -115,7 +115,7 @@
 		t.Fatal(err)
 	}
 	var book testservers.ServiceRecord
-	if err := testfleet.Post(ctx, fleet.Services[0].Address, testservers.PathBook, nil, &book); err != nil {
+	if err := testfleet.Post(ctx, fleet.Services[0].Address, testservers.PathRecord, nil, &book); err != nil {
 		t.Fatal(err)
 	}
 	if ran := book.Runs["POST /portal/status"]; ran != len(accepted) || refused == 0 {
--- a/internal/entry/fleet_test.go
+++ b/internal/entry/fleet_test.go
@@ -127,7 +127,7 @@
 	total := 0
 	for _, e := range fleet.Engines {
 		var book testservers.EngineRecord
-		if err := testfleet.Post(ctx, e.Address, testservers.PathBook, nil, &book); err != nil {
+		if err := testfleet.Post(ctx, e.Address, testservers.PathRecord, nil, &book); err != nil {
 			t.Fatal(err)
 		}
 		total += book.Started
--- a/internal/operatorcli/fleet_test.go
+++ b/internal/operatorcli/fleet_test.go
@@ -189,7 +189,7 @@
 func (f *planFleet) book(e *testfleet.Engine) testservers.EngineRecord {
 	f.t.Helper()
 	var book testservers.EngineRecord
-	f.must(testfleet.Post(f.ctx, e.Address, testservers.PathBook, nil, &book))
+	f.must(testfleet.Post(f.ctx, e.Address, testservers.PathRecord, nil, &book))
 	return book
 }
 
--- a/internal/roles/process_test.go
+++ b/internal/roles/process_test.go
@@ -130,7 +130,7 @@
 func (f *fleet) book(e *testfleet.Engine) testservers.EngineRecord {
 	f.t.Helper()
 	var book testservers.EngineRecord
-	must(f.t, testfleet.Post(f.ctx, e.Address, testservers.PathBook, nil, &book))
+	must(f.t, testfleet.Post(f.ctx, e.Address, testservers.PathRecord, nil, &book))
 	return book
 }
 
--- a/internal/scenario/check.go
+++ b/internal/scenario/check.go
@@ -26,7 +26,7 @@
 	all := upstreamBooks{ran: map[string]int{}, runs: map[string]int{}, engines: map[string]testservers.EngineRecord{}}
 	for _, e := range h.Fleet.Engines {
 		var b testservers.EngineRecord
-		if err := testfleet.Post(ctx, e.Address, testservers.PathBook, nil, &b); err != nil {
+		if err := testfleet.Post(ctx, e.Address, testservers.PathRecord, nil, &b); err != nil {
 			return all, err
 		}
 		all.engines[e.ID] = b
@@ -36,7 +36,7 @@
 	}
 	for _, s := range h.Fleet.Services {
 		var b testservers.ServiceRecord
-		if err := testfleet.Post(ctx, s.Address, testservers.PathBook, nil, &b); err != nil {
+		if err := testfleet.Post(ctx, s.Address, testservers.PathRecord, nil, &b); err != nil {
 			return all, err
 		}
 		for body, n := range b.Bodies {
--- a/internal/scenario/commands_call.go
+++ b/internal/scenario/commands_call.go
@@ -209,7 +209,7 @@
 	total := 0
 	for _, service := range s.harness.Fleet.Services {
 		var book testservers.ServiceRecord
-		if err := testfleet.Post(s.ctx, service.Address, testservers.PathBook, nil, &book); err != nil {
+		if err := testfleet.Post(s.ctx, service.Address, testservers.PathRecord, nil, &book); err != nil {
 			return err
 		}
 		total += book.Runs["POST /bales/certificates"]
@@ -226,7 +226,7 @@
 	total := 0
 	for _, e := range s.harness.Fleet.Engines {
 		var book testservers.EngineRecord
-		if err := testfleet.Post(s.ctx, e.Address, testservers.PathBook, nil, &book); err != nil {
+		if err := testfleet.Post(s.ctx, e.Address, testservers.PathRecord, nil, &book); err != nil {
 			return err
 		}
 		total += book.Cut
--- a/internal/testservers/engine.go
+++ b/internal/testservers/engine.go
@@ -85,8 +85,8 @@
 	Reused   int `json:"reused"`
 }
 
-// PathBook returns the Book.
-const PathBook = "/book"
+// PathRecord returns the Book.
+const PathRecord = "/book"
 
 // reportEvery is the time between snapshots for load reports.
 const reportEvery = 50 * time.Millisecond
@@ -174,7 +174,7 @@
 	mux.HandleFunc(engine.PathExport, e.export)
 	mux.HandleFunc(engine.PathImport, e.importKV)
 	mux.HandleFunc(PathKVData, e.kvData)
-	mux.HandleFunc(PathBook, func(w http.ResponseWriter, _ *http.Request) {
+	mux.HandleFunc(PathRecord, func(w http.ResponseWriter, _ *http.Request) {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		reply(w, e.book)
--- a/internal/testservers/service.go
+++ b/internal/testservers/service.go
@@ -47,7 +47,7 @@
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("/", s.run)
-	mux.HandleFunc(PathBook, func(w http.ResponseWriter, _ *http.Request) {
+	mux.HandleFunc(PathRecord, func(w http.ResponseWriter, _ *http.Request) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		reply(w, s.book)
