--- a/internal/scenario/callers.go
+++ b/internal/scenario/callers.go
@@ -113,7 +113,7 @@
 // request of which nothing came is given up when the callers stop.
 func (c *callers) stream(name string, rng *rand.Rand) {
 	record := &chatRecord{name: name, notRun: true, chat: testcaller.Chat{
-		Model: ModelName, Prompt: testservers.BookMark + name + " what does the ledger say?",
+		Model: ModelName, Prompt: testservers.CountedPromptMark + name + " what does the ledger say?",
 		MaxTokens: 20 + rng.IntN(60), Seed: int64(rng.IntN(1 << 30)),
 	}}
 	for c.ctx.Err() == nil && !record.whole && !record.gone {
--- a/internal/testservers/booked.go
+++ b/internal/testservers/booked.go
@@ -6,13 +6,13 @@
 	"sassafrasfield/internal/engine"
 )
 
-// BookMark begins a word of a prompt that the engine counts in Book.Ran, so
+// CountedPromptMark begins a word of a prompt that the engine counts in Book.Ran, so
 // that a test can tell whether a request ran at all.
-const BookMark = "book/"
+const CountedPromptMark = "book/"
 
 // bookRan counts a request whose prompt has a marked word. The lock is held.
 func (e *Engine) bookRan(req engine.Request) {
-	_, rest, marked := strings.Cut(req.Prompt, BookMark)
+	_, rest, marked := strings.Cut(req.Prompt, CountedPromptMark)
 	if !marked {
 		return
 	}
