--- a/internal/entry/quarantine_test.go
+++ b/internal/entry/quarantine_test.go
@@ -19,7 +19,7 @@
 	ctx := testContext(t)
 	fleet := startFleet(ctx, t, fleetOptions{instances: 1, engines: 5})
 	for _, e := range fleet.Engines {
-		setFaults(ctx, t, e, testservers.EngineFaults{EndOn: crashingPrompt})
+		setFaults(ctx, t, e, testservers.EngineFaults{CrashOn: crashingPrompt})
 	}
 	ask := func(prompt string) testcaller.Answer {
 		t.Helper()
--- a/internal/testservers/engine.go
+++ b/internal/testservers/engine.go
@@ -53,8 +53,8 @@
 	Disorder bool `json:"disorder"`
 	// Refuse answers new streams with 503.
 	Refuse bool `json:"refuse"`
-	// EndOn is a part of the prompts that end the engine's process; empty for none.
-	EndOn string `json:"end_on"`
+	// CrashOn is a part of the prompts that end the engine's process; empty for none.
+	CrashOn string `json:"end_on"`
 	// DropEvents leaves gaps in the cache events.
 	DropEvents bool `json:"drop_events"`
 	// OtherText makes new streams another text than other engines make.
--- a/internal/testservers/stream.go
+++ b/internal/testservers/stream.go
@@ -45,7 +45,7 @@
 	if req.Attach {
 		return nil, "", http.StatusNotFound
 	}
-	if e.faults.EndOn != "" && strings.Contains(req.Prompt, e.faults.EndOn) {
+	if e.faults.CrashOn != "" && strings.Contains(req.Prompt, e.faults.CrashOn) {
 		os.Exit(endedCode)
 	}
 	changingModel := e.changing && e.state.Disruptive(e.last.Want)
