--- a/internal/answers/fixture_test.go
+++ b/internal/answers/fixture_test.go
@@ -229,7 +229,7 @@
 func undisturbedText(c testcaller.Chat) string {
 	return testservers.NewText(engine.Request{
 		Model: c.Model, Version: "1", Prompt: "user: " + c.Prompt + "\n", MaxTokens: c.MaxTokens, Seed: c.Seed,
-	}).Whole()
+	}).FullText()
 }
 
 func ended(done <-chan struct{}) bool {
--- a/internal/operatorcli/fleet_test.go
+++ b/internal/operatorcli/fleet_test.go
@@ -272,7 +272,7 @@
 		whole := testservers.NewText(engine.Request{
 			Model: modelName, Version: strconv.Itoa(version), Prompt: "user: " + prompt + "\n",
 			MaxTokens: maxTokens, Seed: seed,
-		}).Whole()
+		}).FullText()
 		if text == whole {
 			return true
 		}
--- a/internal/roles/process_test.go
+++ b/internal/roles/process_test.go
@@ -138,7 +138,7 @@
 func expected(chat testcaller.Chat) string {
 	return testservers.NewText(engine.Request{
 		Model: model, Version: "1", Prompt: "user: " + chat.Prompt + "\n", MaxTokens: chat.MaxTokens, Seed: chat.Seed,
-	}).Whole()
+	}).FullText()
 }
 
 // stream requests an answer and compares it with the expected one byte for byte.
--- a/internal/scenario/commands_call.go
+++ b/internal/scenario/commands_call.go
@@ -45,7 +45,7 @@
 	body := callerapi.Request{Messages: []callerapi.Message{{Role: "user", Content: callerapi.Content(chat.Prompt)}}}
 	return testservers.NewText(engine.Request{
 		Model: name, Adapter: adapter, Version: version, Prompt: body.Text(), MaxTokens: chat.MaxTokens, Seed: chat.Seed,
-	}).Whole()
+	}).FullText()
 }
 
 // newChat reads the number of tokens and makes a request with a seed of its
--- a/internal/testservers/text.go
+++ b/internal/testservers/text.go
@@ -50,8 +50,8 @@
 	return engine.Piece{N: n, Text: words[xxhash.Sum64(number[:])%uint64(len(words))] + " "}
 }
 
-// Whole returns the answer in one piece.
-func (t Text) Whole() string {
+// FullText returns the answer in one piece.
+func (t Text) FullText() string {
 	var text strings.Builder
 	for n := range t.length {
 		text.WriteString(t.Piece(n).Text)
