--- a/internal/gossip/process_test.go
+++ b/internal/gossip/process_test.go
@@ -231,7 +231,9 @@
 	r.until("the evidence from the table has expired", func() bool { return time.Now().After(ended) })
 	for i := range 3 {
 		control := r.fleet.Instances[i].Control
-		r.until("freshness comes from the majority", func() bool { return strings.Contains(probe(r.fleet.Instances[i].ControlAddress, "/readyz"), "by majority") })
+		r.until("freshness comes from the majority", func() bool {
+			return strings.Contains(probe(r.fleet.Instances[i].ControlAddress, "/readyz"), "by majority")
+		})
 		if strings.Contains(control.Log(), "may be out of date") {
 			t.Errorf("inst-%d was temporarily not fresh:\n%s", i+1, control.Log())
 		}
@@ -250,7 +252,9 @@
 	r.must(r.links.CutPlatform("inst-3"))
 	r.must(r.links.CutPeers("inst-1", testfleet.ToUpstream))
 	for _, i := range []int{1, 2} {
-		r.until("the majority keeps serving", func() bool { return strings.Contains(probe(r.fleet.Instances[i].ControlAddress, "/readyz"), "by majority") })
+		r.until("the majority keeps serving", func() bool {
+			return strings.Contains(probe(r.fleet.Instances[i].ControlAddress, "/readyz"), "by majority")
+		})
 	}
 	outcome := r.confirm(0)
 	if outcome.Outcome != "refused" || !strings.Contains(outcome.Reason, "1 of 3 listed answer, 2 are needed") {
--- a/internal/testfleet/fleet.go
+++ b/internal/testfleet/fleet.go
@@ -63,9 +63,9 @@
 
 // Instance is one instance with both daemons.
 type Instance struct {
-	ID, Zone                              string
+	ID, Zone                                   string
 	EntryAddress, LocalAddress, ControlAddress string
-	Entry, Control                        *Process
+	Entry, Control                             *Process
 }
 
 // Engine is one stand-in engine.
