--- a/internal/answers/fixture_test.go
+++ b/internal/answers/fixture_test.go
@@ -132,7 +132,7 @@
 }
 
 func (f *fixture) sfctl(args ...string) (string, error) {
-	args = append([]string{"--control", f.Instances[0].ControlAt, "--operator", "test", "--timeout", "60s"}, args...)
+	args = append([]string{"--control", f.Instances[0].ControlAddress, "--operator", "test", "--timeout", "60s"}, args...)
 	output, err := exec.CommandContext(f.ctx, filepath.Join(f.Bin, "sfctl"), args...).CombinedOutput()
 	return string(output), err
 }
@@ -194,8 +194,8 @@
 	f.t.Helper()
 	total := map[string]int{}
 	for _, s := range f.Services {
-		var book testservers.ServiceBook
-		f.must(testfleet.Post(f.ctx, s.Address, testservers.PathBook, nil, &book))
+		var book testservers.ServiceRecord
+		f.must(testfleet.Post(f.ctx, s.Address, testservers.PathRecord, nil, &book))
 		for lot, runs := range book.Bodies {
 			total[lot] += runs
 		}
@@ -208,10 +208,10 @@
 	f.must(testfleet.Post(f.ctx, f.Engines[n].Address, testservers.PathFault, faults, nil))
 }
 
-func (f *fixture) engineBook(n int) testservers.Book {
+func (f *fixture) engineBook(n int) testservers.EngineRecord {
 	f.t.Helper()
-	var book testservers.Book
-	f.must(testfleet.Post(f.ctx, f.Engines[n].Address, testservers.PathBook, nil, &book))
+	var book testservers.EngineRecord
+	f.must(testfleet.Post(f.ctx, f.Engines[n].Address, testservers.PathRecord, nil, &book))
 	return book
 }
 
@@ -229,7 +229,7 @@
 func undisturbedText(c testcaller.Chat) string {
 	return testservers.NewText(engine.Request{
 		Model: c.Model, Version: "1", Prompt: "user: " + c.Prompt + "\n", MaxTokens: c.MaxTokens, Seed: c.Seed,
-	}).Whole()
+	}).FullText()
 }
 
 func ended(done <-chan struct{}) bool {
--- a/internal/control/authority_test.go
+++ b/internal/control/authority_test.go
@@ -165,9 +165,9 @@
 	r.waitUntil(id+" holds the lease", func() bool { return r.holds(id, 0) })
 }
 
-func (r *rig) book(i int) testservers.Book {
-	var book testservers.Book
-	r.must(testfleet.Post(r.ctx, r.fleet.Engines[i].Address, testservers.PathBook, nil, &book))
+func (r *rig) book(i int) testservers.EngineRecord {
+	var book testservers.EngineRecord
+	r.must(testfleet.Post(r.ctx, r.fleet.Engines[i].Address, testservers.PathRecord, nil, &book))
 	return book
 }
 
--- a/internal/demo/points.go
+++ b/internal/demo/points.go
@@ -20,7 +20,7 @@
 
 // sfctl runs the operators' tool against an instance.
 func (d *Demo) sfctl(ctx context.Context, i *testfleet.Instance, args ...string) (string, error) {
-	args = append([]string{"--control", i.ControlAt, "--operator", "demo", "--timeout", "30s"}, args...)
+	args = append([]string{"--control", i.ControlAddress, "--operator", "demo", "--timeout", "30s"}, args...)
 	output, err := exec.CommandContext(ctx, filepath.Join(d.fleet.Bin, "sfctl"), args...).CombinedOutput()
 	return string(output), errors.Wrapf(err, "sfctl %s: %s", strings.Join(args, " "), output)
 }
@@ -80,8 +80,8 @@
 		fmt.Fprintf(d.Out, "%s answers %s\n", i.ID, strings.TrimSpace(string(body)))
 		answers = append(answers, string(body))
 	}
-	var book testservers.ServiceBook
-	if err := testfleet.Post(ctx, d.fleet.Services[0].Address, testservers.PathBook, nil, &book); err != nil {
+	var book testservers.ServiceRecord
+	if err := testfleet.Post(ctx, d.fleet.Services[0].Address, testservers.PathRecord, nil, &book); err != nil {
 		return "", err
 	}
 	runs := book.Runs["POST /bales/certificates"]
