--- a/internal/operatorcli/fleet_test.go
+++ b/internal/operatorcli/fleet_test.go
@@ -111,7 +111,7 @@
 func (f *planFleet) sfctl(instance int, operator string, args ...string) (code int, output string) {
 	var out bytes.Buffer
 	cli := operatorcli.CLI{Out: &out, Err: &out}
-	code = cli.Run(append([]string{"--control", f.Instances[instance].ControlAt, "--operator", operator, "--timeout", "20s"}, args...))
+	code = cli.Run(append([]string{"--control", f.Instances[instance].ControlAddress, "--operator", operator, "--timeout", "20s"}, args...))
 	return code, out.String()
 }
 
@@ -186,10 +186,10 @@
 }
 
 // book reads an engine's own record.
-func (f *planFleet) book(e *testfleet.Engine) testservers.Book {
+func (f *planFleet) book(e *testfleet.Engine) testservers.EngineRecord {
 	f.t.Helper()
-	var book testservers.Book
-	f.must(testfleet.Post(f.ctx, e.Address, testservers.PathBook, nil, &book))
+	var book testservers.EngineRecord
+	f.must(testfleet.Post(f.ctx, e.Address, testservers.PathRecord, nil, &book))
 	return book
 }
 
@@ -272,7 +272,7 @@
 		whole := testservers.NewText(engine.Request{
 			Model: modelName, Version: strconv.Itoa(version), Prompt: "user: " + prompt + "\n",
 			MaxTokens: maxTokens, Seed: seed,
-		}).Whole()
+		}).FullText()
 		if text == whole {
 			return true
 		}
--- a/internal/scenario/commands_call.go
+++ b/internal/scenario/commands_call.go
@@ -33,7 +33,7 @@
 // Expected returns the whole answer that each engine makes to a chat with one
 // version of the model, which the id of an event names.
 func Expected(chat testcaller.Chat, eventID string) string {
-	token, err := stream.ParseToken(eventID)
+	token, err := stream.ParseResumeToken(eventID)
 	if err != nil {
 		return "an answer with event ids; " + err.Error()
 	}
@@ -45,7 +45,7 @@
 	body := callerapi.Request{Messages: []callerapi.Message{{Role: "user", Content: callerapi.Content(chat.Prompt)}}}
 	return testservers.NewText(engine.Request{
 		Model: name, Adapter: adapter, Version: version, Prompt: body.Text(), MaxTokens: chat.MaxTokens, Seed: chat.Seed,
-	}).Whole()
+	}).FullText()
 }
 
 // newChat reads the number of tokens and makes a request with a seed of its
@@ -101,7 +101,7 @@
 		return errors.Wrapf(err, "%+v, %v", f.answer, f.err)
 	}
 	s.streams[args[0]] = f
-	token, err := stream.ParseToken(id)
+	token, err := stream.ParseResumeToken(id)
 	ts.Setenv(args[0], token.Engine)
 	return errors.WithStack(err)
 }
@@ -208,8 +208,8 @@
 func cmdRuns(s *script, _ *testscript.TestScript, args []string) error {
 	total := 0
 	for _, service := range s.harness.Fleet.Services {
-		var book testservers.ServiceBook
-		if err := testfleet.Post(s.ctx, service.Address, testservers.PathBook, nil, &book); err != nil {
+		var book testservers.ServiceRecord
+		if err := testfleet.Post(s.ctx, service.Address, testservers.PathRecord, nil, &book); err != nil {
 			return err
 		}
 		total += book.Runs["POST /bales/certificates"]
@@ -225,8 +225,8 @@
 func cmdCutStreams(s *script, _ *testscript.TestScript, args []string) error {
 	total := 0
 	for _, e := range s.harness.Fleet.Engines {
-		var book testservers.Book
-		if err := testfleet.Post(s.ctx, e.Address, testservers.PathBook, nil, &book); err != nil {
+		var book testservers.EngineRecord
+		if err := testfleet.Post(s.ctx, e.Address, testservers.PathRecord, nil, &book); err != nil {
 			return err
 		}
 		total += book.Cut
--- a/internal/stream/assembler.go
+++ b/internal/stream/assembler.go
@@ -22,13 +22,13 @@
 var (
 	// ErrDiverged: the engine makes another text than the one received.
 	ErrDiverged = errors.New("stream: the engine makes another text")
-	// ErrAhead: too many pieces came before their turn; the stream is as good
+	// ErrTooFarAhead: too many pieces came before their turn; the stream is as good
 	// as broken.
-	ErrAhead = errors.New("stream: pieces too far ahead")
+	ErrTooFarAhead = errors.New("stream: pieces too far ahead")
 )
 
-// Ready is a piece whose turn has come.
-type Ready struct {
+// OrderedPiece is a piece whose turn has come.
+type OrderedPiece struct {
 	engine.Piece
 	// Sum is Assembler.Sum after the piece.
 	Sum uint64
@@ -78,7 +78,7 @@
 // Add takes a piece as it came and returns the pieces that are now in order,
 // none for one that is repeated or before its turn. Errors: ErrDiverged,
 // ErrAhead.
-func (a *Assembler) Add(piece engine.Piece) (ready []Ready, err error) {
+func (a *Assembler) Add(piece engine.Piece) (ready []OrderedPiece, err error) {
 	if piece.N < a.due || a.done {
 		return nil, nil
 	}
@@ -107,7 +107,7 @@
 
 func (a *Assembler) keep(piece engine.Piece) error {
 	if len(a.ahead) >= maxAhead {
-		return ErrAhead
+		return ErrTooFarAhead
 	}
 	if a.ahead == nil {
 		a.ahead = map[int]engine.Piece{}
@@ -133,7 +133,7 @@
 	return nil
 }
 
-func (a *Assembler) take(piece engine.Piece) Ready {
+func (a *Assembler) take(piece engine.Piece) OrderedPiece {
 	a.next++
 	a.due = a.next
 	if len(a.tail) == Overlap {
@@ -143,7 +143,7 @@
 	a.tail = append(a.tail, piece.Text)
 	a.sum = sumOf(a.tail)
 	a.done = piece.Finish != ""
-	return Ready{Piece: piece, Sum: a.sum}
+	return OrderedPiece{Piece: piece, Sum: a.sum}
 }
 
 // sumOf is a checksum of texts and of where each ends.
--- a/internal/testfleet/fleet.go
+++ b/internal/testfleet/fleet.go
@@ -63,9 +63,9 @@
 
 // Instance is one instance with both daemons.
 type Instance struct {
-	ID, Zone                              string
-	EntryAddress, LocalAddress, ControlAt string
-	Entry, Control                        *Process
+	ID, Zone                                   string
+	EntryAddress, LocalAddress, ControlAddress string
+	Entry, Control                             *Process
 }
 
 // Engine is one stand-in engine.
@@ -132,8 +132,8 @@
 	return Post(ctx, f.platformDirect, testservers.PathFault, faults, nil)
 }
 
-// List sets a line of the instance list.
-func (f *Fleet) List(ctx context.Context, instance platform.Instance) error {
+// SetInstance sets a line of the instance list.
+func (f *Fleet) SetInstance(ctx context.Context, instance platform.Instance) error {
 	return Post(ctx, f.platformDirect, testservers.PathSetInstance, instance, nil)
 }
 
@@ -150,7 +150,7 @@
 	if err := untilListens(ctx, e.Address); err != nil {
 		return e, err
 	}
-	return e, f.List(ctx, platform.Instance{ID: id, Kind: platform.KindUpstream, Zone: zone, State: platform.InstanceLive})
+	return e, f.SetInstance(ctx, platform.Instance{ID: id, Kind: platform.KindUpstream, Zone: zone, State: platform.InstanceLive})
 }
 
 // AddService starts a stand-in plain service.
@@ -165,7 +165,7 @@
 	if err := untilListens(ctx, s.Address); err != nil {
 		return s, err
 	}
-	return s, f.List(ctx, platform.Instance{ID: id, Kind: platform.KindUpstream, Zone: zone, State: platform.InstanceLive})
+	return s, f.SetInstance(ctx, platform.Instance{ID: id, Kind: platform.KindUpstream, Zone: zone, State: platform.InstanceLive})
 }
 
 // untilListens waits until a stand-in takes connections.
@@ -183,7 +183,7 @@
 // AddInstance reserves addresses, writes settings, starts both daemons and
 // lists the instance.
 func (f *Fleet) AddInstance(ctx context.Context, id, zone string) (*Instance, error) {
-	i := &Instance{ID: id, Zone: zone, EntryAddress: f.Address(), LocalAddress: f.Address(), ControlAt: f.Address()}
+	i := &Instance{ID: id, Zone: zone, EntryAddress: f.Address(), LocalAddress: f.Address(), ControlAddress: f.Address()}
 	if err := f.writeSettings(i); err != nil {
 		return nil, err
 	}
@@ -194,9 +194,9 @@
 		return nil, err
 	}
 	f.Instances = append(f.Instances, i)
-	return i, f.List(ctx, platform.Instance{
+	return i, f.SetInstance(ctx, platform.Instance{
 		ID: id, Kind: platform.KindOwn, Zone: zone, State: platform.InstanceLive,
-		Control: i.ControlAt, Entry: i.EntryAddress,
+		Control: i.ControlAddress, Entry: i.EntryAddress,
 	})
 }
 
@@ -221,7 +221,7 @@
 func (f *Fleet) writeSettings(i *Instance) error {
 	common := fmt.Sprintf("instance = %q\nzone = %q\nplatform = %q\n", i.ID, i.Zone, f.PlatformAddress)
 	entry := common + fmt.Sprintf("listen = %q\nlocal = %q\n", i.EntryAddress, i.LocalAddress) + f.EntryExtra + f.EntryTables
-	control := common + fmt.Sprintf("listen = %q\nentry_local = %q\n", i.ControlAt, i.LocalAddress) + f.ControlExtra + f.ControlTables
+	control := common + fmt.Sprintf("listen = %q\nentry_local = %q\n", i.ControlAddress, i.LocalAddress) + f.ControlExtra + f.ControlTables
 	if err := os.WriteFile(f.settingsPath(i, "entry"), []byte(entry), 0o644); err != nil {
 		return errors.WithStack(err)
 	}
--- a/internal/testservers/engine.go
+++ b/internal/testservers/engine.go
@@ -53,8 +53,8 @@
 	Disorder bool `json:"disorder"`
 	// Refuse answers new streams with 503.
 	Refuse bool `json:"refuse"`
-	// EndOn is a part of the prompts that end the engine's process; empty for none.
-	EndOn string `json:"end_on"`
+	// CrashOn is a part of the prompts that end the engine's process; empty for none.
+	CrashOn string `json:"end_on"`
 	// DropEvents leaves gaps in the cache events.
 	DropEvents bool `json:"drop_events"`
 	// OtherText makes new streams another text than other engines make.
@@ -63,8 +63,8 @@
 	SlowFactor float64 `json:"slow_factor"`
 }
 
-// Book is the engine's own record, for tests to compare with the callers'.
-type Book struct {
+// EngineRecord is the engine's own record, for tests to compare with the callers'.
+type EngineRecord struct {
 	// Orders in the order they took effect.
 	Orders []engine.Order `json:"orders"`
 	// Refused are orders that the fencing number refused.
@@ -85,8 +85,8 @@
 	Reused   int `json:"reused"`
 }
 
-// PathBook returns the Book.
-const PathBook = "/book"
+// PathRecord returns the Book.
+const PathRecord = "/book"
 
 // reportEvery is the time between snapshots for load reports.
 const reportEvery = 50 * time.Millisecond
@@ -120,7 +120,7 @@
 	cache    *prefixCache
 	exports  map[string]kvEntry // offered to other engines, by handle
 	imports  map[string]kvEntry // brought from other engines, by handle
-	book     Book
+	book     EngineRecord
 	// forgotten is when ended streams were last looked for.
 	forgotten time.Time
 }
@@ -174,7 +174,7 @@
 	mux.HandleFunc(engine.PathExport, e.export)
 	mux.HandleFunc(engine.PathImport, e.importKV)
 	mux.HandleFunc(PathKVData, e.kvData)
-	mux.HandleFunc(PathBook, func(w http.ResponseWriter, _ *http.Request) {
+	mux.HandleFunc(PathRecord, func(w http.ResponseWriter, _ *http.Request) {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		reply(w, e.book)
