--- a/cmd/sf-soak/main.go
+++ b/cmd/sf-soak/main.go
@@ -42,7 +42,7 @@
 			fmt.Fprintf(os.Stderr, "sf-soak: seed %d: %v; logs are in %s\n", seed, err, dir)
 			return 1
 		}
-		fmt.Printf("seed %d: %d of %d served, %d faults, %d broken\n", seed, result.Served, result.All, len(result.Faults), len(result.Violations))
+		fmt.Printf("seed %d: %d of %d served, %d faults, %d broken\n", seed, result.Served, result.Total, len(result.Faults), len(result.Violations))
 		for _, fault := range result.Violations {
 			fmt.Printf("  %s\n", fault)
 		}
