--- a/cmd/sf-control/main.go
+++ b/cmd/sf-control/main.go
@@ -1,4 +1,5 @@
-// Command sf-control is the control side of an instance.
+// Command sf-control runs the control plane of an instance: leases, plans and
+// the distribution of the configuration.
 package main
 
 import (
--- a/cmd/sf-demo/main.go
+++ b/cmd/sf-demo/main.go
@@ -1,5 +1,5 @@
-// Command sf-demo runs the main job of the system with real processes and
-// prints what held.
+// Command sf-demo runs a demonstration of the system with real processes and
+// prints the properties that it checked.
 package main
 
 import (
--- a/cmd/sf-entry/main.go
+++ b/cmd/sf-entry/main.go
@@ -1,4 +1,5 @@
-// Command sf-entry is the data path of an instance.
+// Command sf-entry runs the data path of an instance: it accepts requests of
+// callers and routes them to upstreams.
 package main
 
 import (
--- a/cmd/sf-instance/main.go
+++ b/cmd/sf-instance/main.go
@@ -1,5 +1,5 @@
-// Command sf-instance is all of an instance on the users' platform: the data
-// path, and the duties that one instance at a time has.
+// Command sf-instance runs an instance on the users' platform in one process: the
+// data path, and the duties that one instance at a time performs.
 package main
 
 import (
--- a/cmd/sf-load/main.go
+++ b/cmd/sf-load/main.go
@@ -1,5 +1,5 @@
-// Command sf-load offers an open-loop load to entries and prints what callers
-// saw as JSON; it also runs the comparisons of docs/MEASUREMENTS.md.
+// Command sf-load sends an open-loop load to entries and prints the results as
+// seen by callers, as JSON. It also runs the comparisons of docs/MEASUREMENTS.md.
 package main
 
 import (
@@ -19,8 +19,8 @@
 	"sassafrasfield/internal/loadgen"
 )
 
-// answersWithin bounds the wait for the last answers of a run.
-const answersWithin = time.Minute
+// answerTimeout bounds the wait for the last answers after the load of a run has ended.
+const answerTimeout = time.Minute
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
@@ -32,7 +32,7 @@
 	roles := rolesCommand(app)
 	model := modelCommand(app)
 	commands := map[string]func(context.Context) error{
-		run.name: run.do, compare.name: compare.do, overhead.name: overhead.do, roles.name: roles.do, model.name: model.do,
+		run.name: run.action, compare.name: compare.action, overhead.name: overhead.action, roles.name: roles.action, model.name: model.action,
 	}
 	if err := commands[kingpin.MustParse(app.Parse(os.Args[1:]))](ctx); err != nil {
 		fmt.Fprintln(os.Stderr, "sf-load:", err)
@@ -41,11 +41,11 @@
 }
 
 type command struct {
-	name string
-	do   func(context.Context) error
+	name   string
+	action func(context.Context) error
 }
 
-// runCommand offers one load to running entries.
+// runCommand sends one load to entries that are already running.
 func runCommand(app *kingpin.Application) command {
 	cmd := app.Command("run", "Offer a load to entries that run already.")
 	targets := cmd.Flag("target", "Entry (host:port); repeat for more.").Required().Strings()
@@ -61,8 +61,8 @@
 	prompt := cmd.Flag("prompt", "Mean prompt tokens.").Default("500").Int()
 	answer := cmd.Flag("answer", "Mean answer tokens.").Default("50").Int()
 	retry := cmd.Flag("retry", "Come back after a refusal when Retry-After says so.").Bool()
-	return command{name: cmd.FullCommand(), do: func(ctx context.Context) error {
-		ctx, cancel := context.WithTimeout(ctx, *duration+answersWithin)
+	return command{name: cmd.FullCommand(), action: func(ctx context.Context) error {
+		ctx, cancel := context.WithTimeout(ctx, *duration+answerTimeout)
 		defer cancel()
 		result, err := loadgen.Run(ctx, loadgen.Options{Targets: *targets, Seed: *seed, Scenario: loadgen.Scenario{
 			Name: "run", Model: *model, Keys: *keys, Prefixes: *prefixes, HonourRetryAfter: *retry,
@@ -79,7 +79,7 @@
 	}}
 }
 
-// compareCommand sets the routing policies beside each other.
+// compareCommand compares the routing policies.
 func compareCommand(app *kingpin.Application) command {
 	cmd := app.Command("compare", "Set the routing policies beside each other, on fleets that it starts.")
 	bin := cmd.Flag("bin", "Folder of the built programs.").Default("bin").String()
@@ -92,7 +92,7 @@
 	entries := cmd.Flag("entries", "Entries of each fleet.").Default(strconv.Itoa(bench.Entries)).Int()
 	reportEvery := cmd.Flag("report-every", "Time between an entry's reads of an engine's report.").Default("200ms").Duration()
 	variants := cmd.Flag("variant", "First letter of a variant; repeat for more. All when none is given.").Strings()
-	return command{name: cmd.FullCommand(), do: func(ctx context.Context) error {
+	return command{name: cmd.FullCommand(), action: func(ctx context.Context) error {
 		dir, err := os.MkdirTemp("", "sf-bench-")
 		if err != nil {
 			return err
@@ -106,12 +106,13 @@
 	}}
 }
 
-// overheadCommand measures what sf-entry adds to a direct connection.
+// overheadCommand measures the overhead of sf-entry over a direct connection to
+// an engine.
 func overheadCommand(app *kingpin.Application) command {
 	cmd := app.Command("overhead", "Measure what one sf-entry adds to a direct connection to an engine, and its memory per stream.")
 	bin := cmd.Flag("bin", "Folder of the built programs.").Default("bin").String()
 	out := cmd.Flag("out", "Folder for the results.").Default("out").String()
-	return command{name: cmd.FullCommand(), do: func(ctx context.Context) error {
+	return command{name: cmd.FullCommand(), action: func(ctx context.Context) error {
 		dir, err := os.MkdirTemp("", "sf-bench-")
 		if err != nil {
 			return err
--- a/cmd/sf-load/model.go
+++ b/cmd/sf-load/model.go
@@ -12,12 +12,13 @@
 	"sassafrasfield/internal/settings"
 )
 
-// modelCommand plays load patterns under policies in the model of the engines.
+// modelCommand simulates load patterns under policies in the model of the
+// engines.
 func modelCommand(app *kingpin.Application) command {
 	cmd := app.Command("model", "Play load patterns under policies in virtual time, and write a table and a plot. Example: sf-load model examples/model/splits.toml")
 	file := cmd.Arg("study", "TOML file with patterns, policies and seeds.").Required().String()
 	out := cmd.Flag("out", "Folder for the results.").Default("out").String()
-	return command{name: cmd.FullCommand(), do: func(context.Context) error {
+	return command{name: cmd.FullCommand(), action: func(context.Context) error {
 		study := &model.Study{}
 		if err := settings.Load(*file, study); err != nil {
 			return err
@@ -26,8 +27,8 @@
 	}}
 }
 
-// writeStudy writes the table to the standard output and, with the plot, into a
-// folder.
+// writeStudy writes the table of results to standard output and to a folder, and
+// the plot to that folder.
 func writeStudy(out string, results []*model.Result) error {
 	if err := os.MkdirAll(out, 0o755); err != nil {
 		return errors.Wrap(err, "sf-load")
--- a/cmd/sf-load/roles.go
+++ b/cmd/sf-load/roles.go
@@ -9,7 +9,7 @@
 	"sassafrasfield/internal/bench"
 )
 
-// rolesCommand sets ways to give engines their roles beside each other.
+// rolesCommand compares ways to assign roles to engines.
 func rolesCommand(app *kingpin.Application) command {
 	cmd := app.Command("roles", "Set fixed roles, the role policy and mixed engines beside each other, on fleets that it starts.")
 	bin := cmd.Flag("bin", "Folder of the built programs.").Default("bin").String()
@@ -23,7 +23,7 @@
 	engines := cmd.Flag("engines", "Engines.").Default("10").Int()
 	deployments := bench.Deployments()
 	name := cmd.Flag("deployment", "Deployment whose load is offered.").Default(deployments[0].Name).Enum(deployments[0].Name, deployments[1].Name)
-	return command{name: cmd.FullCommand(), do: func(ctx context.Context) error {
+	return command{name: cmd.FullCommand(), action: func(ctx context.Context) error {
 		dir, err := os.MkdirTemp("", "sf-bench-")
 		if err != nil {
 			return err
--- a/cmd/sf-soak/main.go
+++ b/cmd/sf-soak/main.go
@@ -1,5 +1,5 @@
-// Command sf-soak runs real instances under random faults, seed after seed, and
-// prints what broke.
+// Command sf-soak runs real instances under random faults, one run per seed, and
+// prints the violations that it found.
 package main
 
 import (
@@ -23,7 +23,7 @@
 	instances := app.Flag("instances", "Instances in each run.").Default("3").Int()
 	kingpin.MustParse(app.Parse(os.Args[1:]))
 	if *first == 0 {
-		*first = uint64(time.Now().UnixNano() % 1_000_000) // short, to be typed again
+		*first = uint64(time.Now().UnixNano() % 1_000_000) // short, so that the seed is easy to type for a rerun
 	}
 	os.Exit(run(*bin, *first, *seeds, *duration, *instances))
 }
@@ -43,8 +43,8 @@
 			return 1
 		}
 		fmt.Printf("seed %d: %d of %d served, %d faults, %d broken\n", seed, result.Served, result.All, len(result.Faults), len(result.Broken))
-		for _, fault := range result.Broken {
-			fmt.Printf("  %s\n", fault)
+		for _, violation := range result.Broken {
+			fmt.Printf("  %s\n", violation)
 		}
 		if len(result.Broken) > 0 {
 			fmt.Printf("  logs: %s\n", dir)
--- a/cmd/sf-standin/main.go
+++ b/cmd/sf-standin/main.go
@@ -1,4 +1,4 @@
-// Command sf-standin stands in for the platform, engines or a plain service in
+// Command sf-standin simulates the platform, engines or a plain service for
 // tests, load runs and the demo.
 package main
 
@@ -56,32 +56,33 @@
 	return server.ListenAndServe()
 }
 
-// engineFlags adds the flags of an engine; call the result after parsing.
+// engineFlags adds the flags of an engine. The returned function builds the
+// options from the flags and must be called after parsing.
 func engineFlags(cmd *kingpin.CmdClause) func(id string) testservers.EngineOptions {
 	model := cmd.Flag("model", "Model loaded at start.").String()
 	version := cmd.Flag("model-version", "Version loaded at start.").String()
 	adapters := cmd.Flag("adapter", "Adapter loaded at start.").Strings()
 	role := cmd.Flag("role", "Role at start.").Default("mixed").String()
 	fencing := cmd.Flag("fencing", "Refuse or ignore old fencing numbers.").Default("refuse").Enum("refuse", "ignore")
-	prefill := cmd.Flag("prefill-rate", "Prompt tokens a second.").Default("8000").Float64()
-	budget := cmd.Flag("prefill-budget", "Prompt tokens in one step of the batch.").Default("512").Int()
-	decode := cmd.Flag("decode-rate", "Tokens a second of one stream alone in the batch.").Default("50").Float64()
-	perStream := cmd.Flag("step-per-stream", "What each further stream adds to a step.").Default("200us").Duration()
-	running := cmd.Flag("max-running", "Streams in the batch.").Default("32").Int()
-	blocks := cmd.Flag("kv-blocks", "Pieces of KV memory.").Default("4000").Int()
+	prefillRate := cmd.Flag("prefill-rate", "Prompt tokens a second.").Default("8000").Float64()
+	prefillBudget := cmd.Flag("prefill-budget", "Prompt tokens in one step of the batch.").Default("512").Int()
+	decodeRate := cmd.Flag("decode-rate", "Tokens a second of one stream alone in the batch.").Default("50").Float64()
+	stepPerStream := cmd.Flag("step-per-stream", "What each further stream adds to a step.").Default("200us").Duration()
+	maxRunning := cmd.Flag("max-running", "Streams in the batch.").Default("32").Int()
+	kvBlocks := cmd.Flag("kv-blocks", "Pieces of KV memory.").Default("4000").Int()
 	blockTokens := cmd.Flag("block-tokens", "Tokens in a piece.").Default("16").Int()
-	lag := cmd.Flag("report-lag", "Age of load reports.").Default("0s").Duration()
+	reportLag := cmd.Flag("report-lag", "Age of load reports.").Default("0s").Duration()
 	kvRate := cmd.Flag("kv-rate", "Tokens of KV cache that another engine reads a second.").Default("200000").Float64()
-	change := cmd.Flag("change-time", "Time of a disruptive order.").Default("2s").Duration()
-	load := cmd.Flag("load-time", "Time to load adapters.").Default("500ms").Duration()
+	changeTime := cmd.Flag("change-time", "Time of a disruptive order.").Default("2s").Duration()
+	loadTime := cmd.Flag("load-time", "Time to load adapters.").Default("500ms").Duration()
 	return func(id string) testservers.EngineOptions {
 		return testservers.EngineOptions{
 			ID:      id,
 			Initial: config.EngineState{Model: *model, Version: *version, Adapters: *adapters, Role: config.Role(*role)},
-			Fencing: config.Fencing(*fencing), PrefillRate: *prefill, PrefillBudget: *budget,
-			DecodeRate: *decode, StepPerStream: *perStream,
-			MaxRunning: *running, KVBlocks: *blocks, BlockTokens: *blockTokens,
-			ReportLag: *lag, ChangeTime: *change, LoadTime: *load, KVRate: *kvRate,
+			Fencing: config.Fencing(*fencing), PrefillRate: *prefillRate, PrefillBudget: *prefillBudget,
+			DecodeRate: *decodeRate, StepPerStream: *stepPerStream,
+			MaxRunning: *maxRunning, KVBlocks: *kvBlocks, BlockTokens: *blockTokens,
+			ReportLag: *reportLag, ChangeTime: *changeTime, LoadTime: *loadTime, KVRate: *kvRate,
 		}
 	}
 }
--- a/cmd/sfctl/main.go
+++ b/cmd/sfctl/main.go
@@ -1,4 +1,4 @@
-// Command sfctl is the operators' tool.
+// Command sfctl is the operators' command-line tool.
 package main
 
 import (
--- a/internal/operatorcli/check_test.go
+++ b/internal/operatorcli/check_test.go
@@ -11,7 +11,7 @@
 	"sassafrasfield/internal/program"
 )
 
-func TestCheckTellsAllFindings(t *testing.T) {
+func TestCheckReportsAllFindings(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "intent.toml")
 	cases := []struct {
 		file     string
@@ -26,11 +26,11 @@
 		if err := os.WriteFile(path, []byte(c.file), 0o644); err != nil {
 			t.Fatal(err)
 		}
-		var out, told bytes.Buffer
-		cli := operatorcli.CLI{Out: &out, Err: &told}
+		var out, errOut bytes.Buffer
+		cli := operatorcli.CLI{Out: &out, Err: &errOut}
 		code := cli.Run([]string{"check", path})
-		if code != c.code || strings.Count(told.String(), path+":") != c.findings {
-			t.Errorf("%q: code %d, told %s", c.file, code, told.String())
+		if code != c.code || strings.Count(errOut.String(), path+":") != c.findings {
+			t.Errorf("%q: code %d, printed %s", c.file, code, errOut.String())
 		}
 	}
 	cli := operatorcli.CLI{Out: &bytes.Buffer{}, Err: &bytes.Buffer{}}
--- a/internal/operatorcli/confirm.go
+++ b/internal/operatorcli/confirm.go
@@ -11,13 +11,13 @@
 	"sassafrasfield/internal/gen/sf/v1/sfv1connect"
 )
 
-// Outcomes as sf-control tells them.
+// Outcomes in responses of sf-control.
 const (
 	outcomeAccepted = "accepted"
 	outcomeUnknown  = "unknown"
 )
 
-// States as sf-control tells them.
+// States of plans and steps in responses of sf-control.
 const (
 	stateDeclared  = "declared"
 	stateDone      = "done"
@@ -26,42 +26,44 @@
 	stepDone       = "done"
 )
 
-// A confirmation whose answer was lost is read back so many times.
+// After a lost response to a confirmation, the plan is read up to readBackAttempts
+// times, with a pause of readBackInterval after each read.
 const (
 	readBackAttempts = 10
-	readBackPause    = 300 * time.Millisecond
+	readBackInterval = 300 * time.Millisecond
 )
 
-// confirmOrReadBack confirms the plan. When the answer is lost, the plan's row
-// tells what came of it.
+// confirmOrReadBack confirms the plan. If the response is lost or the outcome is
+// unknown, it reads the outcome from the plan.
 func (c *CLI) confirmOrReadBack(ctx context.Context, client sfv1connect.OperatorServiceClient) (*sfv1.ConfirmResponse, error) {
 	response, err := client.Confirm(ctx, connect.NewRequest(&sfv1.ConfirmRequest{PlanId: c.planID, Operator: c.operator}))
 	switch {
 	case err == nil && response.Msg.Outcome != outcomeUnknown:
 		return response.Msg, nil
-	case err != nil && answered(err):
+	case err != nil && definiteError(err):
 		return nil, err
 	}
 	return c.readBack(ctx, client), nil
 }
 
-// answered tells whether an error came from sf-control itself, with nothing
-// written.
-func answered(err error) bool {
+// definiteError reports whether an error was returned by sf-control itself, which
+// means that nothing was written.
+func definiteError(err error) bool {
 	code := connect.CodeOf(err)
 	return code == connect.CodeNotFound || code == connect.CodeInvalidArgument || code == connect.CodeUnimplemented
 }
 
-// readBack looks at the plan until it is no longer just declared.
+// readBack polls the plan until its state is no longer declared, and returns the
+// outcome. The outcome is unknown if that takes too many attempts.
 func (c *CLI) readBack(ctx context.Context, client sfv1connect.OperatorServiceClient) *sfv1.ConfirmResponse {
 	for range readBackAttempts {
 		response, err := client.GetPlan(ctx, connect.NewRequest(&sfv1.GetPlanRequest{PlanId: c.planID}))
 		if err == nil && response.Msg.Plan.State != stateDeclared {
-			return c.verdictOf(response.Msg.Plan)
+			return c.outcomeFromPlan(response.Msg.Plan)
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(readBackPause):
+		case <-time.After(readBackInterval):
 		}
 	}
 	return &sfv1.ConfirmResponse{
@@ -70,7 +72,7 @@
 	}
 }
 
-func (c *CLI) verdictOf(p *sfv1.Plan) *sfv1.ConfirmResponse {
+func (c *CLI) outcomeFromPlan(p *sfv1.Plan) *sfv1.ConfirmResponse {
 	if p.Version > 0 && p.ConfirmedBy == c.operator {
 		return &sfv1.ConfirmResponse{Outcome: outcomeAccepted, Version: p.Version, Reason: "(the answer was lost, the plan's row tells)"}
 	}
--- a/internal/operatorcli/confirm_bench_test.go
+++ b/internal/operatorcli/confirm_bench_test.go
@@ -16,13 +16,14 @@
 	"sassafrasfield/internal/testservers"
 )
 
-// confirmations is how many plans each cell of the benchmark confirms.
+// confirmations is the number of plans of each kind that each sub-benchmark
+// confirms.
 const confirmations = 20
 
-// BenchmarkConfirm measures, with the settings' defaults, the time from the
-// call of Confirm until it is answered, until the version is in force on each
-// instance, and until a plan that changes one engine's role is done (the
-// stand-in takes 200 ms for it).
+// BenchmarkConfirm measures, with the default settings, the time from the call
+// of Confirm until the response, until the version is in force on each instance,
+// and until a plan that changes one engine's role is done (the simulated engine
+// takes 200 ms for the change).
 func BenchmarkConfirm(b *testing.B) {
 	for _, instances := range []int{3, 9} {
 		for _, delay := range []int{0, 200} {
@@ -55,7 +56,8 @@
 	report(b, "done", done)
 }
 
-// timeConfirm confirms a plan through the first instance.
+// timeConfirm declares and confirms a plan through the first instance and returns
+// the times that BenchmarkConfirm measures.
 func (f *planFleet) timeConfirm(text string) (answered, inForce, done time.Duration) {
 	view := f.declare(text)
 	client := sfv1connect.NewOperatorServiceClient(http.DefaultClient, "http://"+f.Instances[0].ControlAddress)
--- a/internal/operatorcli/fleet_test.go
+++ b/internal/operatorcli/fleet_test.go
@@ -28,8 +28,8 @@
 	apiKey    = "key-of-studio"
 )
 
-// fastControl makes takeovers and steps quick; the bounds that safety rests on
-// stay as they are.
+// fastControl shortens lease takeovers and steps. The bounds on which safety
+// depends keep their defaults.
 const fastControl = `[lease]
 term = "800ms"
 renew_every = "200ms"
@@ -46,15 +46,16 @@
 unreachable_after = "1s"
 `
 
-// planFleet is a fleet with one pool, and sfctl.
+// planFleet is a fleet with one pool, with helpers that run sfctl.
 type planFleet struct {
 	*testfleet.Fleet
 	t   testing.TB
 	ctx context.Context
 }
 
-// startFleet starts a fleet whose first configuration is in force. Control has
-// further settings of each sf-control.
+// startFleet starts a fleet and waits until its first plan is done. The argument
+// control is added to the settings file of each sf-control, and flags to the
+// command line of each engine.
 func startFleet(ctx context.Context, t testing.TB, control string, instances, engines int, flags ...string) *planFleet {
 	t.Helper()
 	bin, err := testfleet.Bin()
@@ -74,8 +75,8 @@
 		_, err := f.AddInstance(ctx, fmt.Sprintf("inst-%d", i), "hall-a")
 		f.must(err)
 	}
-	f.must(testfleet.Until(ctx, "each sf-control answers", f.allAnswer))
-	f.carryOut(f.firstIntent())
+	f.must(testfleet.Until(ctx, "each sf-control answers", f.allControlsAnswer))
+	f.applyIntent(f.initialIntent())
 	return f
 }
 
@@ -86,7 +87,7 @@
 	}
 }
 
-func (f *planFleet) allAnswer() bool {
+func (f *planFleet) allControlsAnswer() bool {
 	for i := range f.Instances {
 		if code, _ := f.sfctl(i, "ana", "status"); code != program.ExitOK {
 			return false
@@ -95,7 +96,7 @@
 	return true
 }
 
-func (f *planFleet) firstIntent() string {
+func (f *planFleet) initialIntent() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "[[model]]\nname = %q\nversion = \"1\"\n", modelName)
 	fmt.Fprintf(&text, "[[pool]]\nname = \"main\"\nmodel = %q\nmin_serving = 1\n", modelName)
@@ -107,7 +108,7 @@
 	return text.String()
 }
 
-// sfctl runs the operators' tool against an instance.
+// sfctl runs sfctl against an instance and returns its exit code and output.
 func (f *planFleet) sfctl(instance int, operator string, args ...string) (code int, output string) {
 	var out bytes.Buffer
 	cli := operatorcli.CLI{Out: &out, Err: &out}
@@ -115,7 +116,7 @@
 	return code, out.String()
 }
 
-// planView is what the tests read of a plan's JSON.
+// planView has the fields of a plan's JSON that the tests read.
 type planView struct {
 	ID       string   `json:"id"`
 	State    string   `json:"state"`
@@ -133,7 +134,7 @@
 	path := filepath.Join(f.Dir, "intent.toml")
 	f.must(os.WriteFile(path, []byte("name = \"test\"\n"+text), 0o644))
 	var view planView
-	f.must(testfleet.Until(f.ctx, "an instance takes the intent", func() bool {
+	f.must(testfleet.Until(f.ctx, "an instance accepts the intent", func() bool {
 		for i := range f.Instances {
 			_, output := f.sfctl(i, "ana", "-o", "json", "declare", path)
 			if json.Unmarshal([]byte(output), &view) == nil && view.ID != "" {
@@ -157,14 +158,15 @@
 	return view
 }
 
-// confirm confirms through any instance, again when the answer was lost.
+// confirm confirms a plan through any instance. It retries if the call fails, if
+// the outcome is unknown, or if the refusal is for lack of a majority.
 func (f *planFleet) confirm(id string) {
 	f.t.Helper()
-	told := ""
+	confirmed := ""
 	f.must(testfleet.Until(f.ctx, "the plan is confirmed", func() bool {
 		for i := range f.Instances {
 			code, output := f.sfctl(i, "ana", "confirm", id)
-			told = output
+			confirmed = output
 			if code == program.ExitOK {
 				return true
 			}
@@ -174,33 +176,33 @@
 		}
 		return false
 	}))
-	f.t.Logf("confirmed %s: %s", id, strings.TrimSpace(told))
+	f.t.Logf("confirmed %s: %s", id, strings.TrimSpace(confirmed))
 }
 
-// carryOut declares and confirms an intent, and waits until it is done.
-func (f *planFleet) carryOut(text string) {
+// applyIntent declares and confirms an intent, and waits until its plan is done.
+func (f *planFleet) applyIntent(text string) {
 	f.t.Helper()
 	view := f.declare(text)
 	f.confirm(view.ID)
 	f.must(testfleet.Until(f.ctx, "plan "+view.ID+" is done", func() bool { return f.plan(view.ID).State == "done" }))
 }
 
-// book reads an engine's own record.
-func (f *planFleet) book(e *testfleet.Engine) testservers.EngineRecord {
+// engineRecord reads an engine's own record of its requests.
+func (f *planFleet) engineRecord(e *testfleet.Engine) testservers.EngineRecord {
 	f.t.Helper()
-	var book testservers.EngineRecord
-	f.must(testfleet.Post(f.ctx, e.Address, testservers.PathRecord, nil, &book))
-	return book
+	var record testservers.EngineRecord
+	f.must(testfleet.Post(f.ctx, e.Address, testservers.PathRecord, nil, &record))
+	return record
 }
 
-// callers stream answers without pause, each through an instance of its own,
-// until they are stopped.
+// callers stream answers without pause until they are stopped, with one caller
+// per instance.
 type callers struct {
 	f    *planFleet
 	stop chan struct{}
 	work sync.WaitGroup
 
-	mu      sync.Mutex // protects answers
+	mu      sync.Mutex // protects answers and faults
 	answers map[int64]testcaller.Answer
 	faults  []string
 }
@@ -230,13 +232,13 @@
 	}
 }
 
-// What each stream asks.
+// Parameters of the request of each stream.
 const (
 	prompt    = "which palette fits"
 	maxTokens = 150
 )
 
-// stream streams one answer of up to a second and a half.
+// stream streams one answer, which takes up to 1.5 seconds.
 func (f *planFleet) stream(instance int, seed int64) (testcaller.Answer, error) {
 	ctx, cancel := context.WithTimeout(f.ctx, 30*time.Second)
 	defer cancel()
@@ -244,9 +246,10 @@
 	return testcaller.New(apiKey).Stream(ctx, f.Instances[instance].EntryAddress, chat, nil)
 }
 
-// check stops the callers and compares each answer, byte for byte, with what
-// an undisturbed engine makes. The version may change under the callers, and
-// the text with it: an answer is the whole text of one version.
+// check stops the callers and compares each answer, byte for byte, with the
+// answer of an engine without faults. The model version, and with it the text,
+// may change during the test: each answer must be the complete text of one
+// version.
 func (c *callers) check() {
 	c.f.t.Helper()
 	close(c.stop)
@@ -255,37 +258,37 @@
 		c.f.t.Error(fault)
 	}
 	for seed, answer := range c.answers {
-		if !wholeOfOneVersion(seed, answer.Text) {
-			c.f.t.Errorf("seed %d: %d bytes that are no version's whole answer", seed, len(answer.Text))
+		if !isCompleteAnswer(seed, answer.Text) {
+			c.f.t.Errorf("seed %d: %d bytes that are not the complete answer of any version", seed, len(answer.Text))
 		}
 	}
 	if !c.f.t.Failed() {
-		c.f.t.Logf("%d streams whole", len(c.answers))
+		c.f.t.Logf("%d streams complete", len(c.answers))
 	}
 }
 
 // lastVersion is the highest version that the tests declare.
 const lastVersion = 20
 
-func wholeOfOneVersion(seed int64, text string) bool {
+func isCompleteAnswer(seed int64, text string) bool {
 	for version := 1; version <= lastVersion; version++ {
-		whole := testservers.NewText(engine.Request{
+		complete := testservers.NewText(engine.Request{
 			Model: modelName, Version: strconv.Itoa(version), Prompt: "user: " + prompt + "\n",
 			MaxTokens: maxTokens, Seed: seed,
 		}).FullText()
-		if text == whole {
+		if text == complete {
 			return true
 		}
 	}
 	return false
 }
 
-// nothingCut checks the engines' own records.
-func (f *planFleet) nothingCut() {
+// checkNoStreamCut checks in the engines' own records that no stream was cut.
+func (f *planFleet) checkNoStreamCut() {
 	f.t.Helper()
 	for _, e := range f.Engines {
-		if book := f.book(e); book.Cut != 0 {
-			f.t.Errorf("%s cut %d streams", e.ID, book.Cut)
+		if record := f.engineRecord(e); record.Cut != 0 {
+			f.t.Errorf("%s cut %d streams", e.ID, record.Cut)
 		}
 	}
 }
--- a/internal/operatorcli/holderkill_test.go
+++ b/internal/operatorcli/holderkill_test.go
@@ -12,8 +12,9 @@
 	"sassafrasfield/internal/testfleet"
 )
 
-// holderPoints are the steps of a planned change at which its holder is killed.
-var holderPoints = []string{
+// killPoints are the failpoints in a planned change at which the lease holder is
+// killed.
+var killPoints = []string{
 	"control.rollout.before_drain", "control.rollout.after_drain",
 	"control.rollout.before_order", "control.order.after_journal",
 	"control.order.before_send", "control.order.after_send", "control.rollout.after_order",
@@ -22,7 +23,7 @@
 	"control.rollout.before_withdraw", "control.rollout.after_withdraw",
 }
 
-// plannedChanges are carried out in turn until each point was met.
+// plannedChanges are applied in rotation until each failpoint was hit.
 var plannedChanges = []string{
 	"[[model]]\nname = \"critique\"\nversion = \"%d\"\n",
 	"[[engine]]\nid = \"engine-2\"\nleave = true # %d\n",
@@ -31,18 +32,19 @@
 	"[[engine]]\nid = \"engine-1\"\nrole = \"mixed\" # %d\n",
 }
 
-// killer restarts each sf-control that a point killed, with the next point.
-type killer struct {
-	f        *planFleet
-	left     []string
-	assigned []string
-	killed   []string
+// holderKiller restarts each sf-control that was killed at a failpoint, with the next
+// failpoint enabled.
+type holderKiller struct {
+	f             *planFleet
+	pendingPoints []string
+	assigned      []string
+	killed        []string
 }
 
-func (k *killer) restart(i int) {
+func (k *holderKiller) restart(i int) {
 	point := ""
-	if len(k.left) > 0 {
-		point, k.left = k.left[0], k.left[1:]
+	if len(k.pendingPoints) > 0 {
+		point, k.pendingPoints = k.pendingPoints[0], k.pendingPoints[1:]
 	}
 	k.assigned[i] = point
 	k.f.Environment = nil
@@ -52,13 +54,13 @@
 	k.f.must(k.f.StartControl(k.f.Instances[i]))
 }
 
-// supervise restarts what has ended.
-func (k *killer) supervise() {
+// supervise restarts each sf-control that has exited.
+func (k *holderKiller) supervise() {
 	for i, instance := range k.f.Instances {
 		select {
 		case <-instance.Control.Done():
 			if k.assigned[i] == "" {
-				k.f.t.Fatalf("%s ended without a point", instance.ID)
+				k.f.t.Fatalf("sf-control of %s exited with no failpoint enabled", instance.ID)
 			}
 			k.killed = append(k.killed, k.assigned[i])
 			k.restart(i)
@@ -67,10 +69,11 @@
 	}
 }
 
-// moveLease kills each holder without a point until one with a point is the holder. So
-// each change begins under one, and meets its point if the change has that step.
-func (k *killer) moveLease() {
-	k.f.must(testfleet.Until(k.f.ctx, "an sf-control with a point holds the lease", func() bool {
+// moveLease kills each lease holder that has no failpoint enabled, until one that has holds the
+// lease. So each change starts under such a holder, and hits its failpoint if the change has that
+// step.
+func (k *holderKiller) moveLease() {
+	k.f.must(testfleet.Until(k.f.ctx, "an sf-control with a failpoint holds the lease", func() bool {
 		k.supervise()
 		i := k.f.holder()
 		if i >= 0 && k.assigned[i] == "" {
@@ -82,7 +85,7 @@
 	}))
 }
 
-// holder returns the instance that holds the lease, by its own word; -1 while none does.
+// holder returns the index of the instance that reports to hold the lease, or -1 if none does.
 func (f *planFleet) holder() int {
 	for i, instance := range f.Instances {
 		var list struct {
@@ -104,30 +107,30 @@
 	return -1
 }
 
-// done tells whether each point was met.
-func (k *killer) done() bool {
-	return len(k.killed) == len(holderPoints)
+// allPointsHit reports whether each failpoint was hit.
+func (k *holderKiller) allPointsHit() bool {
+	return len(k.killed) == len(killPoints)
 }
 
-// TestHolderKilledAtEveryStep changes version, roles and membership of a pool
-// under long streams, with the lease's holder killed at each step in turn. No
-// stream is cut, and each plan ends.
-func TestHolderKilledAtEveryStep(t *testing.T) {
+// TestLeaseHolderKilledAtEachStep changes the version, roles and membership of a
+// pool during long streams, and kills the lease holder at each step in turn. No
+// stream may be cut, and each plan must complete.
+func TestLeaseHolderKilledAtEachStep(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 	defer cancel()
 	f := startFleet(ctx, t, fastControl, 3, 3, "--change-time", "200ms")
-	k := &killer{f: f, left: slices.Clone(holderPoints), assigned: make([]string, len(f.Instances))}
+	k := &holderKiller{f: f, pendingPoints: slices.Clone(killPoints), assigned: make([]string, len(f.Instances))}
 	for i, instance := range f.Instances {
 		instance.Control.Kill()
 		k.restart(i)
 	}
 	streams := f.startCallers()
-	for round := 0; !k.done(); round++ {
-		// Each change is carried out under a point's holder once it comes round, and
-		// each point is a step of one of the changes.
-		if round > len(holderPoints)*len(plannedChanges) {
-			t.Fatalf("met only %v; %v wait", k.killed, k.assigned)
+	for round := 0; !k.allPointsHit(); round++ {
+		// Each failpoint is in a step of one of the changes, so it takes at most one
+		// rotation of the changes to hit it.
+		if round > len(killPoints)*len(plannedChanges) {
+			t.Fatalf("hit only %v; still enabled: %v", k.killed, k.assigned)
 		}
 		k.moveLease()
 		view := f.declare(fmt.Sprintf(plannedChanges[round%len(plannedChanges)], round+2))
@@ -139,5 +142,5 @@
 	}
 	t.Logf("killed at %v", k.killed)
 	streams.check()
-	f.nothingCut()
+	f.checkNoStreamCut()
 }
--- a/internal/operatorcli/inspect.go
+++ b/internal/operatorcli/inspect.go
@@ -31,7 +31,7 @@
 	return c.printRunning(response.Msg.Running)
 }
 
-// printRunning prints a line for each plan that still changes engines.
+// printRunning prints a line for each plan that is still changing engines.
 func (c *CLI) printRunning(plans []*sfv1.Plan) error {
 	if len(plans) == 0 {
 		return nil
--- a/internal/operatorcli/operatorcli.go
+++ b/internal/operatorcli/operatorcli.go
@@ -1,4 +1,5 @@
-// Package operatorcli has the commands of sfctl.
+// Package operatorcli implements the commands of sfctl. They call the operator
+// service of an sf-control and print its responses as tables or JSON.
 package operatorcli
 
 import (
@@ -20,14 +21,14 @@
 	"sassafrasfield/internal/program"
 )
 
-// help is what sfctl says of itself.
+// help is the description that sfctl prints in its help text.
 const help = `Declare intents, read their plans, confirm them and follow them.
 
 Exit codes: 0 done or accepted; 1 the call failed; 2 wrong arguments; 3 refused, nothing was changed; 4 the outcome is not known, ask again.
 
 Completion for bash: eval "$(sfctl --completion-script-bash)"; for zsh with --completion-script-zsh.`
 
-// CLI is one call of sfctl.
+// CLI is one invocation of sfctl.
 type CLI struct {
 	Out io.Writer
 	Err io.Writer
@@ -42,13 +43,13 @@
 	limit    int32
 }
 
-// errExit ends the program with a code; the reason was told already.
-type errExit int
+// exitError makes sfctl exit with a code. The reason has already been printed.
+type exitError int
 
 // Error implements error.
-func (e errExit) Error() string { return fmt.Sprintf("exit code %d", int(e)) }
+func (e exitError) Error() string { return fmt.Sprintf("exit code %d", int(e)) }
 
-// Run parses the arguments, carries the command out and returns the exit code.
+// Run parses the arguments, runs the command and returns the exit code.
 func (c *CLI) Run(args []string) int {
 	app := kingpin.New("sfctl", help)
 	app.Version(program.Version())
@@ -110,7 +111,7 @@
 }
 
 func (c *CLI) exitCode(err error) int {
-	var exit errExit
+	var exit exitError
 	switch {
 	case err == nil:
 		return program.ExitOK
@@ -132,7 +133,7 @@
 		fmt.Fprintln(c.Err, f)
 	}
 	if findings.Failed() {
-		return errExit(program.ExitRefused)
+		return exitError(program.ExitRefused)
 	}
 	fmt.Fprintf(c.Out, "%s: no findings that forbid it\n", c.file)
 	return nil
@@ -158,14 +159,14 @@
 			return err
 		}
 		c.printFindings(response.Msg.Findings)
-		return errExit(program.ExitRefused)
+		return exitError(program.ExitRefused)
 	}
 	c.printFindings(response.Msg.Findings)
 	if err := c.printPlan(response.Msg.Plan); err != nil {
 		return err
 	}
 	if len(response.Msg.Plan.Refusals) > 0 {
-		return errExit(program.ExitRefused)
+		return exitError(program.ExitRefused)
 	}
 	return nil
 }
@@ -200,9 +201,9 @@
 	switch response.Outcome {
 	case outcomeAccepted:
 	case outcomeUnknown:
-		return errExit(program.ExitUnknown)
+		return exitError(program.ExitUnknown)
 	default:
-		return errExit(program.ExitRefused)
+		return exitError(program.ExitRefused)
 	}
 	if c.follow {
 		return c.followPlan(ctx, client)
@@ -226,8 +227,8 @@
 	case outcomeAccepted:
 		return nil
 	case outcomeUnknown:
-		return errExit(program.ExitUnknown)
+		return exitError(program.ExitUnknown)
 	default:
-		return errExit(program.ExitRefused)
+		return exitError(program.ExitRefused)
 	}
 }
--- a/internal/operatorcli/print.go
+++ b/internal/operatorcli/print.go
@@ -12,7 +12,7 @@
 	sfv1 "sassafrasfield/internal/gen/sf/v1"
 )
 
-// json prints a message when JSON is asked for, and reports whether it did.
+// json prints a message if the output format is JSON, and reports whether it did.
 func (c *CLI) json(message proto.Message) (bool, error) {
 	if c.output != "json" {
 		return false, nil
@@ -25,7 +25,7 @@
 	return true, err
 }
 
-// table prints rows in columns.
+// table prints rows in aligned columns.
 func (c *CLI) table(header string, rows [][]string) error {
 	w := tabwriter.NewWriter(c.Out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, header)
@@ -49,7 +49,7 @@
 	if done, err := c.json(p); done {
 		return err
 	}
-	c.printPlanHead(p)
+	c.printPlanSummary(p)
 	var steps [][]string
 	for _, s := range p.Steps {
 		steps = append(steps, []string{fmt.Sprint(s.Number), s.Kind, s.State, fmt.Sprintf("%.0fs", s.OutSeconds), s.Text, s.Detail})
@@ -73,8 +73,9 @@
 	return nil
 }
 
-// printPlanHead prints where a plan stands, and who is behind it.
-func (c *CLI) printPlanHead(p *sfv1.Plan) {
+// printPlanSummary prints the state of a plan, its operator, and its expected
+// duration.
+func (c *CLI) printPlanSummary(p *sfv1.Plan) {
 	fmt.Fprintf(c.Out, "plan %s (%s) by %s: %s, built from change %d\n", p.Id, p.IntentName, p.Operator, p.State, p.BuiltFrom)
 	if p.Version > 0 {
 		fmt.Fprintf(c.Out, "confirmed by %s as version %d\n", p.ConfirmedBy, p.Version)
--- a/internal/operatorcli/races_test.go
+++ b/internal/operatorcli/races_test.go
@@ -17,13 +17,14 @@
 )
 
 const (
-	leaveEngine = "[[engine]]\nid = %q\nleave = true\n"
-	floorIntent = "[[pool]]\nname = \"main\"\nmin_serving = %d\n"
-	versionTo   = "[[model]]\nname = \"critique\"\nversion = \"%d\"\n"
+	leaveIntent   = "[[engine]]\nid = %q\nleave = true\n"
+	floorIntent   = "[[pool]]\nname = \"main\"\nmin_serving = %d\n"
+	versionIntent = "[[model]]\nname = \"critique\"\nversion = \"%d\"\n"
 )
 
-// TestOperatorsRace goes through the operators' races in one fleet.
-func TestOperatorsRace(t *testing.T) {
+// TestConcurrentOperatorsAndFaults runs concurrent operators' actions, lost
+// replies and crashes in one fleet.
+func TestConcurrentOperatorsAndFaults(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 	defer cancel()
@@ -34,12 +35,12 @@
 	}{
 		{"two confirm at once", (*planFleet).twoConfirmAtOnce},
 		{"the reply to a confirmation is lost", (*planFleet).confirmWithLostReplies},
-		{"the asked instance dies after the write", (*planFleet).confirmerDies},
+		{"the asked instance dies after the write", (*planFleet).confirmingInstanceDies},
 		{"the table is down", (*planFleet).confirmWithTableDown},
 		{"an intent contradicts a running plan, which is then cancelled", (*planFleet).contradictAndCancel},
-		{"an engine crashes partway through a change", (*planFleet).crashPartway},
-		{"an engine loses its state while it serves", (*planFleet).loseState},
-		{"an engine dies for good in a plan", (*planFleet).dieInPlan},
+		{"an engine crashes partway through a change", (*planFleet).enginesCrashDuringChange},
+		{"an engine loses its state while it serves", (*planFleet).engineLosesState},
+		{"an engine dies for good in a plan", (*planFleet).engineDiesInPlan},
 	} {
 		ok := t.Run(race.name, func(t *testing.T) {
 			sub := *f
@@ -52,8 +53,8 @@
 	}
 }
 
-// twoConfirmAtOnce: exactly one of two conflicting plans is accepted, and the
-// other operator is told what changed.
+// twoConfirmAtOnce checks that exactly one of two conflicting plans is accepted,
+// and that the response to the other operator names the accepted plan.
 func (f *planFleet) twoConfirmAtOnce() {
 	for round := range 5 {
 		first, second := f.declare(fmt.Sprintf(floorIntent, 1)), f.declare(fmt.Sprintf(floorIntent, 2))
@@ -73,32 +74,32 @@
 			f.t.Fatalf("round %d: codes %v, outputs %q", round, codes, outputs)
 		}
 		if !strings.Contains(outputs[loser], ids[1-loser]) {
-			f.t.Fatalf("the loser was not told of plan %s: %s", ids[1-loser], outputs[loser])
+			f.t.Fatalf("the refusal does not name plan %s: %s", ids[1-loser], outputs[loser])
 		}
 		if state := f.plan(ids[loser]).State; state != "refused" {
-			f.t.Fatalf("the loser's plan is %s", state)
+			f.t.Fatalf("the refused operator's plan is %s", state)
 		}
 	}
-	f.carryOut(fmt.Sprintf(floorIntent, 1))
+	f.applyIntent(fmt.Sprintf(floorIntent, 1))
 }
 
-// confirmWithLostReplies: the write takes effect, its reply is lost, and reads
-// come from an old copy.
+// confirmWithLostReplies confirms a plan while the write takes effect but its
+// reply is lost, and reads return stale rows.
 func (f *planFleet) confirmWithLostReplies() {
 	view := f.declare(fmt.Sprintf(floorIntent, 2))
 	f.must(f.PlatformFault(f.ctx, testservers.PlatformFaults{LoseReplies: 2, LosePrefix: "version/", StaleReadMs: 400}))
 	code, output := f.sfctl(0, "ana", "confirm", view.ID)
 	f.must(f.PlatformFault(f.ctx, testservers.PlatformFaults{}))
 	if code != program.ExitOK {
-		f.t.Fatalf("told %d, %s", code, output)
+		f.t.Fatalf("sfctl exited with code %d: %s", code, output)
 	}
 	if n := f.timesAccepted(view.ID); n != 1 {
 		f.t.Fatalf("accepted %d times", n)
 	}
-	f.carryOut(fmt.Sprintf(floorIntent, 1))
+	f.applyIntent(fmt.Sprintf(floorIntent, 1))
 }
 
-// timesAccepted counts a plan's versions in the history.
+// timesAccepted returns the number of versions of a plan in the history.
 func (f *planFleet) timesAccepted(id string) int {
 	f.t.Helper()
 	code, output := f.sfctl(1, "ben", "history", "--limit", "200")
@@ -108,33 +109,33 @@
 	return strings.Count(output, id)
 }
 
-// confirmerDies: the process that was asked is killed after the write. The
-// outcome is told as unknown, or as accepted once the plan's row tells; asking
-// again is safe.
-func (f *planFleet) confirmerDies() {
+// confirmingInstanceDies kills the instance that confirms a plan after its write.
+// sfctl reports the outcome as unknown while it cannot read the plan, and as
+// accepted afterwards. Confirming again is safe.
+func (f *planFleet) confirmingInstanceDies() {
 	victim := f.Instances[2]
 	victim.Control.Kill()
 	f.Environment = []string{failpoint.Variable + "=control.operator.after_accept=kill"}
 	f.must(f.StartControl(victim))
 	f.Environment = nil
-	f.must(testfleet.Until(f.ctx, "the instance answers", f.allAnswer))
+	f.must(testfleet.Until(f.ctx, "the instance answers", f.allControlsAnswer))
 	view := f.declare(fmt.Sprintf(floorIntent, 2))
 	code, output := f.sfctl(2, "ana", "confirm", view.ID)
 	if code != program.ExitUnknown {
-		f.t.Fatalf("told %d, %s", code, output)
+		f.t.Fatalf("sfctl exited with code %d: %s", code, output)
 	}
 	f.must(f.StartControl(victim))
 	if code, output = f.sfctl(0, "ana", "confirm", view.ID); code != program.ExitOK {
-		f.t.Fatalf("told %d, %s", code, output)
+		f.t.Fatalf("sfctl exited with code %d: %s", code, output)
 	}
 	if code, output = f.sfctl(0, "ben", "confirm", view.ID); code != program.ExitRefused || !strings.Contains(output, "ana confirmed") {
-		f.t.Fatalf("another operator was told %d, %s", code, output)
+		f.t.Fatalf("another operator got code %d, %s", code, output)
 	}
 	if n := f.timesAccepted(view.ID); n != 1 {
 		f.t.Fatalf("accepted %d times", n)
 	}
-	f.must(testfleet.Until(f.ctx, "the instance answers", f.allAnswer))
-	f.carryOut(fmt.Sprintf(floorIntent, 1))
+	f.must(testfleet.Until(f.ctx, "the instance answers", f.allControlsAnswer))
+	f.applyIntent(fmt.Sprintf(floorIntent, 1))
 }
 
 func (f *planFleet) confirmWithTableDown() {
@@ -143,16 +144,17 @@
 	code, output := f.sfctl(0, "ana", "confirm", view.ID)
 	f.must(f.PlatformFault(f.ctx, testservers.PlatformFaults{}))
 	if code == program.ExitOK || f.plan(view.ID).State != "declared" {
-		f.t.Fatalf("told %d, %s", code, output)
+		f.t.Fatalf("sfctl exited with code %d: %s", code, output)
 	}
 	f.confirm(view.ID)
-	f.carryOut(fmt.Sprintf(floorIntent, 1))
+	f.applyIntent(fmt.Sprintf(floorIntent, 1))
 }
 
-// contradictAndCancel holds a version change on its first engine by a stream.
+// contradictAndCancel keeps a version change running on its first engine with
+// streams, declares an intent that contradicts it, and then cancels the change.
 func (f *planFleet) contradictAndCancel() {
 	streams := f.startCallers()
-	running := f.declare(fmt.Sprintf(versionTo, 2))
+	running := f.declare(fmt.Sprintf(versionIntent, 2))
 	f.confirm(running.ID)
 	started := ""
 	f.must(testfleet.Until(f.ctx, "a step has started", func() bool {
@@ -163,12 +165,12 @@
 		}
 		return started != ""
 	}))
-	other := f.declare(fmt.Sprintf(leaveEngine, started))
+	other := f.declare(fmt.Sprintf(leaveIntent, started))
 	if len(other.Refusals) != 1 || !strings.Contains(other.Refusals[0], running.ID) {
-		f.t.Errorf("the contradiction is not told: %q", other.Refusals)
+		f.t.Errorf("the contradicting plan's refusals do not name the running plan: %q", other.Refusals)
 	}
 	if code, output := f.sfctl(1, "ben", "confirm", other.ID); code != program.ExitRefused || !strings.Contains(output, running.ID) {
-		f.t.Errorf("confirming it: %d, %s", code, output)
+		f.t.Errorf("confirming the contradicting plan: code %d, %s", code, output)
 	}
 	if code, output := f.sfctl(0, "ana", "status"); code != program.ExitOK || !strings.Contains(output, running.ID) {
 		f.t.Errorf("status: %s", output)
@@ -189,11 +191,11 @@
 		f.t.Errorf("%d steps cancelled, engines should have %v", cancelled, wanted)
 	}
 	streams.check()
-	f.nothingCut()
-	f.carryOut(fmt.Sprintf(versionTo, 3))
+	f.checkNoStreamCut()
+	f.applyIntent(fmt.Sprintf(versionIntent, 3))
 }
 
-// status reads an engine's state back.
+// status reads an engine's status; it is empty if the engine does not answer.
 func (f *planFleet) status(e *testfleet.Engine) engine.Status {
 	status, err := engine.NewClient(e.Address, 5*time.Second).Status(f.ctx)
 	if err != nil {
@@ -202,7 +204,8 @@
 	return status
 }
 
-// loadedVersions counts the engines by the version that they have.
+// loadedVersions returns the number of engines by the version that they have
+// loaded.
 func (f *planFleet) loadedVersions() map[string]int {
 	counts := map[string]int{}
 	for _, e := range f.Engines {
@@ -211,7 +214,8 @@
 	return counts
 }
 
-// wantedVersions counts the engines by the version that they should have.
+// wantedVersions returns the number of engines by the version that they should
+// have loaded.
 func (f *planFleet) wantedVersions() map[string]int {
 	f.t.Helper()
 	var view struct {
@@ -229,9 +233,9 @@
 	return counts
 }
 
-// crashPartway crashes each engine in the middle of its change.
-func (f *planFleet) crashPartway() {
-	view := f.declare(fmt.Sprintf(versionTo, 4))
+// enginesCrashDuringChange crashes each engine during its change.
+func (f *planFleet) enginesCrashDuringChange() {
+	view := f.declare(fmt.Sprintf(versionIntent, 4))
 	f.confirm(view.ID)
 	crashed := map[string]bool{}
 	f.must(testfleet.Until(f.ctx, "the plan is done", func() bool {
@@ -248,9 +252,9 @@
 	}
 }
 
-// loseState restarts a serving engine with the version of its first start. It
-// is out of routing until it has the wanted one again.
-func (f *planFleet) loseState() {
+// engineLosesState restarts a serving engine, which then has the version of its
+// first start. It gets no requests until it has the wanted version again.
+func (f *planFleet) engineLosesState() {
 	victim := f.Engines[0]
 	f.must(testfleet.Post(f.ctx, victim.Address, testservers.PathFault, testservers.EngineFaults{Crash: true}, nil))
 	f.must(testfleet.Until(f.ctx, "the engine is back with the wanted version", func() bool {
@@ -261,21 +265,21 @@
 	}))
 }
 
-// dieInPlan kills an engine in its change. The plan tells what it waits for;
-// cancelled, it makes way for the withdrawal of the dead engine.
-func (f *planFleet) dieInPlan() {
+// engineDiesInPlan kills an engine permanently during its change. The plan reports
+// what it waits for. After it is cancelled, the dead engine can be taken out.
+func (f *planFleet) engineDiesInPlan() {
 	victim := f.Engines[2]
 	running := f.declare(fmt.Sprintf("[[engine]]\nid = %q\nrole = \"decode\"\n", victim.ID))
 	f.confirm(running.ID)
 	f.must(testfleet.Until(f.ctx, "the engine is changing", func() bool { return f.status(victim).Changing }))
 	victim.Process.Kill()
-	f.must(testfleet.Until(f.ctx, "the plan tells what it waits for", func() bool {
+	f.must(testfleet.Until(f.ctx, "the plan reports what it waits for", func() bool {
 		return strings.Contains(fmt.Sprint(f.plan(running.ID).Steps), "does not answer")
 	}))
 	if code, output := f.sfctl(0, "ana", "cancel", running.ID); code != program.ExitOK {
 		f.t.Fatalf("cancel: %s", output)
 	}
-	f.carryOut(fmt.Sprintf(leaveEngine, victim.ID))
+	f.applyIntent(fmt.Sprintf(leaveIntent, victim.ID))
 	if _, engines := f.sfctl(0, "ana", "engines"); strings.Count(engines, " out ") != 1 {
 		f.t.Errorf("engines: %s", engines)
 	}
--- a/internal/operatorcli/silent_test.go
+++ b/internal/operatorcli/silent_test.go
@@ -12,7 +12,7 @@
 	"sassafrasfield/internal/testfleet"
 )
 
-// shortFreshness shortens what silent_after has to exceed.
+// shortFreshness lowers silent_after and the durations that it has to exceed.
 const shortFreshness = fastControl + `silent_after = "4s"
 [spread]
 fresh_for = "1s"
@@ -22,11 +22,11 @@
 poll_every = "300ms"
 `
 
-// TestFrozenInstanceHoldsUpNoPlan freezes both daemons of an instance in the
-// middle of a stream, and changes the role of the stream's engine. The plan goes
-// on without the instance and cuts nothing: once it wakes, its caller gets the
-// rest of the answer.
-func TestFrozenInstanceHoldsUpNoPlan(t *testing.T) {
+// TestFrozenInstanceDoesNotBlockPlan freezes both daemons of an instance during a
+// stream, and changes the role of the stream's engine. The plan must complete
+// without the instance and must not cut the stream: once the instance resumes,
+// its caller gets the rest of the answer.
+func TestFrozenInstanceDoesNotBlockPlan(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 	defer cancel()
@@ -52,10 +52,10 @@
 	frozen.Entry.Signal(syscall.SIGCONT)
 	frozen.Control.Signal(syscall.SIGCONT)
 	work.Wait()
-	if err != nil || !answer.Done || !wholeOfOneVersion(7, answer.Text) {
+	if err != nil || !answer.Done || !isCompleteAnswer(7, answer.Text) {
 		t.Errorf("the frozen instance's caller got %d bytes: %v, %+v", len(answer.Text), err, answer.Error)
 	}
-	f.nothingCut()
+	f.checkNoStreamCut()
 }
 
 // busyEngine returns the engine that runs a stream.
