--- a/internal/testservers/batch.go
+++ b/internal/testservers/batch.go
@@ -9,36 +9,36 @@
 	"sassafrasfield/internal/engine"
 )
 
-// charsPerToken is the stand-in's tokenizer.
+// charsPerToken approximates a tokenizer: a prompt has one token for each that many bytes.
 const charsPerToken = 4
 
-// streamKept is how long an ended stream can still be attached to, and
-// forgetEvery how often those past it are looked for.
+// endedStreamRetention is how long a client can still attach to an ended stream.
+// evictionInterval is the time between two removals of streams past that age.
 const (
-	streamKept  = 30 * time.Second
-	forgetEvery = time.Second
+	endedStreamRetention = 30 * time.Second
+	evictionInterval     = time.Second
 )
 
-// generation is one stream at the engine.
+// generation is the state of one stream at the engine.
 type generation struct {
 	req          engine.Request
-	number       int64 // of Report.Accepted
+	number       int64 // value of Report.Accepted after this stream was accepted
 	promptTokens int
 	prefillLeft  int
 	hashes       []uint64
 	blocks       int
 	text         Text
-	made         int // tokens generated, counted from 0
+	generated    int // tokens generated so far, including those before req.From
 	broken       bool
 	endedAt      time.Time
 	changed      *sync.Cond // on the engine's lock; signalled after each token
 }
 
 func (g *generation) ended() bool {
-	return g.broken || g.made >= g.text.length
+	return g.broken || g.generated >= g.text.length
 }
 
-// loop runs the batch, a step at a time. It sleeps while there is no work.
+// loop runs the batch step by step. It blocks while there are no streams.
 func (e *Engine) loop() {
 	due := time.Now()
 	for {
@@ -46,7 +46,7 @@
 		for len(e.running)+len(e.waiting) == 0 {
 			e.work.Wait()
 		}
-		work := e.plan()
+		work := e.planStep()
 		e.mu.Unlock()
 		if now := time.Now(); due.Before(now) {
 			due = now
@@ -54,29 +54,29 @@
 		due = due.Add(work.duration)
 		time.Sleep(time.Until(due))
 		e.mu.Lock()
-		e.finish(work)
+		e.finishStep(work)
 		e.mu.Unlock()
 	}
 }
 
-// step is the work of one step of the batch.
+// step is the work planned for one step of the batch.
 type step struct {
 	duration time.Duration
 	decode   []*generation
 	prefill  []chunk
 }
 
-// chunk is a part of a prompt.
+// chunk is a part of a prompt that one step prefills.
 type chunk struct {
 	g      *generation
 	tokens int
 }
 
-// plan chooses a step's work: a token for each stream past its prompt, and
-// prompt tokens up to the budget, by priority. Both share the step, so that
-// long prompts slow the others' tokens down.
-func (e *Engine) plan() step {
-	e.admit()
+// planStep selects the work of a step: one token for each stream that has finished prefill, and
+// prompt tokens up to the prefill budget in order of priority. Prefill and decode share the step,
+// so long prompts slow down the decoding of other streams. The lock is held.
+func (e *Engine) planStep() step {
+	e.admitWaiting()
 	var s step
 	budget := e.options.PrefillBudget
 	for _, g := range e.running {
@@ -100,8 +100,9 @@
 	return s
 }
 
-// finish books a step's work. Streams that were cut meanwhile stay as they are.
-func (e *Engine) finish(s step) {
+// finishStep applies the results of a step. Streams that broke during the step are left unchanged.
+// The lock is held.
+func (e *Engine) finishStep(s step) {
 	for _, c := range s.prefill {
 		if c.g.broken {
 			continue
@@ -115,21 +116,22 @@
 		if g.broken {
 			continue
 		}
-		g.made = min(g.made+1, g.text.length)
+		g.generated = min(g.generated+1, g.text.length)
 		g.changed.Broadcast()
 		if g.ended() {
-			e.drop(g)
+			e.removeFromBatch(g)
 		}
 	}
-	if now := time.Now(); now.Sub(e.forgotten) > forgetEvery {
-		e.forgotten = now
-		e.forget(now)
+	if now := time.Now(); now.Sub(e.lastEviction) > evictionInterval {
+		e.lastEviction = now
+		e.evictEndedStreams(now)
 	}
 }
 
-// admit moves waiting streams into the batch, by priority, while there is
-// room, and keeps the batch in the order of priority.
-func (e *Engine) admit() {
+// admitWaiting moves waiting streams into the batch in order of priority while there is room, and
+// keeps the batch sorted by priority. A stream that needs more KV blocks than are free is admitted
+// only to an empty batch. The lock is held.
+func (e *Engine) admitWaiting() {
 	byPriority := func(a, b *generation) int { return cmp.Compare(b.req.Priority, a.req.Priority) }
 	slices.SortStableFunc(e.waiting, byPriority)
 	for len(e.waiting) > 0 && len(e.running) < e.options.MaxRunning {
@@ -139,8 +141,8 @@
 		}
 		e.waiting = e.waiting[1:]
 		e.running = append(e.running, g)
-		// The last token of a prompt is always processed: it makes the first
-		// token of the answer.
+		// The last token of a prompt is processed even if it is cached, because it yields the
+		// first token of the answer.
 		hit := e.cache.hit(g.hashes, e.options.BlockTokens)
 		g.prefillLeft = max(1, g.prefillLeft-hit)
 	}
@@ -155,18 +157,21 @@
 	return max(0, free)
 }
 
-// drop takes a stream out of the batch; it can still be attached to.
-func (e *Engine) drop(g *generation) {
+// removeFromBatch removes a stream from the batch. Clients can still attach to it until
+// evictEndedStreams deletes it. The lock is held.
+func (e *Engine) removeFromBatch(g *generation) {
 	e.running = slices.DeleteFunc(e.running, func(o *generation) bool { return o == g })
 	e.waiting = slices.DeleteFunc(e.waiting, func(o *generation) bool { return o == g })
 	g.endedAt = time.Now()
 	g.changed.Broadcast()
 }
 
-func (e *Engine) forget(now time.Time) {
-	e.forgetKV(now)
+// evictEndedStreams deletes streams that ended longer ago than endedStreamRetention, and expired
+// KV cache. The lock is held.
+func (e *Engine) evictEndedStreams(now time.Time) {
+	e.evictExpiredKV(now)
 	for id, g := range e.streams {
-		if !g.endedAt.IsZero() && now.Sub(g.endedAt) > streamKept {
+		if !g.endedAt.IsZero() && now.Sub(g.endedAt) > endedStreamRetention {
 			delete(e.streams, id)
 		}
 	}
--- a/internal/testservers/booked.go
+++ b/internal/testservers/booked.go
@@ -6,19 +6,19 @@
 	"sassafrasfield/internal/engine"
 )
 
-// CountedPromptMark begins a word of a prompt that the engine counts in Book.Ran, so
-// that a test can tell whether a request ran at all.
+// CountedPromptMark precedes a name in a prompt. The engine counts the streams started for each
+// name in EngineRecord.Ran, so that a test can check how often a request ran.
 const CountedPromptMark = "book/"
 
-// bookRan counts a request whose prompt has a marked word. The lock is held.
-func (e *Engine) bookRan(req engine.Request) {
+// countRun counts a request whose prompt contains CountedPromptMark. The lock is held.
+func (e *Engine) countRun(req engine.Request) {
 	_, rest, marked := strings.Cut(req.Prompt, CountedPromptMark)
 	if !marked {
 		return
 	}
-	if e.book.Ran == nil {
-		e.book.Ran = map[string]int{}
+	if e.record.Ran == nil {
+		e.record.Ran = map[string]int{}
 	}
 	name, _, _ := strings.Cut(rest, " ")
-	e.book.Ran[strings.TrimSpace(name)]++
+	e.record.Ran[strings.TrimSpace(name)]++
 }
--- a/internal/testservers/cache.go
+++ b/internal/testservers/cache.go
@@ -6,62 +6,61 @@
 	"sassafrasfield/internal/engine"
 )
 
-// eventsKept bounds the cache events that can still be read.
-const eventsKept = 8192
+// maxEvents is the least number of recent cache events that stay readable.
+const maxEvents = 8192
 
-// prefixCache remembers which blocks of prompts were processed; the least
-// recently used one is dropped first.
+// prefixCache is an LRU cache of the prompt blocks that were processed.
 type prefixCache struct {
 	capacity int
 	blocks   map[uint64]*list.Element
-	used     *list.List // of uint64, the most recently used first
+	recency  *list.List // of uint64 block hashes, most recently used first
 	events   []engine.CacheEvent
 	seq      int64
 }
 
 func newPrefixCache(capacity int) *prefixCache {
-	return &prefixCache{capacity: capacity, blocks: map[uint64]*list.Element{}, used: list.New()}
+	return &prefixCache{capacity: capacity, blocks: map[uint64]*list.Element{}, recency: list.New()}
 }
 
-// hit returns how many tokens of the prompt are cached.
+// hit returns the number of leading prompt tokens that are cached, and marks their blocks as used.
 func (c *prefixCache) hit(hashes []uint64, blockTokens int) int {
 	for i, block := range hashes {
 		element, ok := c.blocks[block]
 		if !ok {
 			return i * blockTokens
 		}
-		c.used.MoveToFront(element)
+		c.recency.MoveToFront(element)
 	}
 	return len(hashes) * blockTokens
 }
 
-// store caches the blocks of a prompt that was processed.
+// store adds the blocks of a processed prompt, evicts the least recently used blocks above the
+// capacity, and records an event for each change.
 func (c *prefixCache) store(hashes []uint64) {
 	for _, block := range hashes {
 		if element, ok := c.blocks[block]; ok {
-			c.used.MoveToFront(element)
+			c.recency.MoveToFront(element)
 			continue
 		}
-		c.blocks[block] = c.used.PushFront(block)
-		c.event(block, true)
-		if c.used.Len() > c.capacity {
-			oldest := c.used.Remove(c.used.Back()).(uint64)
+		c.blocks[block] = c.recency.PushFront(block)
+		c.addEvent(block, true)
+		if c.recency.Len() > c.capacity {
+			oldest := c.recency.Remove(c.recency.Back()).(uint64)
 			delete(c.blocks, oldest)
-			c.event(oldest, false)
+			c.addEvent(oldest, false)
 		}
 	}
 }
 
-func (c *prefixCache) event(block uint64, stored bool) {
+func (c *prefixCache) addEvent(block uint64, stored bool) {
 	c.seq++
 	c.events = append(c.events, engine.CacheEvent{Seq: c.seq, Block: block, Stored: stored})
-	if len(c.events) > 2*eventsKept {
-		c.events = append([]engine.CacheEvent(nil), c.events[eventsKept:]...)
+	if len(c.events) > 2*maxEvents {
+		c.events = append([]engine.CacheEvent(nil), c.events[maxEvents:]...)
 	}
 }
 
-// since returns the events after a sequence number; gaps leaves each third
-// out.
+// since returns the events after a sequence number. With gaps, every third event is left out.
 func (c *prefixCache) since(after int64, gaps bool) []engine.CacheEvent {
 	events := []engine.CacheEvent{}
 	if len(c.events) == 0 {
--- a/internal/testservers/engine.go
+++ b/internal/testservers/engine.go
@@ -12,117 +12,116 @@
 	"sassafrasfield/internal/engine"
 )
 
-// EngineOptions describe a stand-in engine.
+// EngineOptions configures a stand-in engine.
 type EngineOptions struct {
 	ID      string
 	Initial config.EngineState
 	Fencing config.Fencing
-	// PrefillRate and DecodeRate are in tokens a second; DecodeRate is for one
-	// stream alone in the batch.
+	// PrefillRate and DecodeRate are in tokens per second. DecodeRate applies to a single stream
+	// alone in the batch.
 	PrefillRate float64
 	DecodeRate  float64
 	// PrefillBudget bounds the prompt tokens of one step.
 	PrefillBudget int
-	// StepPerStream is what each further stream adds to a step.
+	// StepPerStream is the time that each additional decoding stream adds to a step.
 	StepPerStream time.Duration
-	// MaxRunning bounds the batch.
+	// MaxRunning bounds the streams in the batch.
 	MaxRunning int
-	// KVBlocks and BlockTokens are the memory for KV cache.
+	// KVBlocks is the KV cache memory in blocks, and BlockTokens the tokens per block.
 	KVBlocks    int
 	BlockTokens int
-	// ReportLag is the age of load reports, until SetFaults says otherwise.
+	// ReportLag is the age of load reports until SetFaults changes it.
 	ReportLag time.Duration
-	// ChangeTime is how long a disruptive order takes, LoadTime one for
-	// adapters.
+	// ChangeTime is the duration of a disruptive order. LoadTime is that of an order that only
+	// changes adapters.
 	ChangeTime time.Duration
 	LoadTime   time.Duration
-	// KVRate is how many tokens of KV cache another engine can read a second; 0
-	// is no limit.
+	// KVRate is the rate in tokens per second at which another engine can read KV cache. 0 means
+	// no limit.
 	KVRate float64
 }
 
-// EngineFaults are the faults of a stand-in engine. The zero value has none.
+// EngineFaults are the faults that a stand-in engine injects. The zero value injects none.
 type EngineFaults struct {
-	// ReportLagMs serves load reports that are that old.
+	// ReportLagMs is the age in milliseconds of the load reports that are served.
 	ReportLagMs int `json:"report_lag_ms"`
-	// Crash drops all streams and loaded state once, as a restart would.
+	// Crash drops all streams and loaded state once, as a process restart would.
 	Crash bool `json:"crash"`
-	// BreakAfter breaks each new stream after that many pieces; 0 is off.
+	// BreakAfter breaks each stream after that many pieces were sent. 0 disables it.
 	BreakAfter int `json:"break_after"`
-	// Disorder sends pieces out of order and twice.
+	// Disorder sends pieces out of order and some of them twice.
 	Disorder bool `json:"disorder"`
-	// Refuse answers new streams with 503.
+	// Refuse rejects new streams with status 503.
 	Refuse bool `json:"refuse"`
-	// CrashOn is a part of the prompts that end the engine's process; empty for none.
+	// CrashOn is a substring of prompts that make the engine's process exit. Empty disables it.
 	CrashOn string `json:"end_on"`
-	// DropEvents leaves gaps in the cache events.
+	// DropEvents leaves out every third cache event.
 	DropEvents bool `json:"drop_events"`
-	// OtherText makes new streams another text than other engines make.
+	// OtherText makes new streams generate a text that differs from that of other engines.
 	OtherText bool `json:"other_text"`
-	// SlowFactor stretches each step; 0 and 1 are normal speed.
+	// SlowFactor multiplies the duration of each step if it is greater than 1.
 	SlowFactor float64 `json:"slow_factor"`
 }
 
-// EngineRecord is the engine's own record, for tests to compare with the callers'.
+// EngineRecord is what the engine counted itself. Tests compare it with the results of the callers.
 type EngineRecord struct {
-	// Orders in the order they took effect.
+	// Orders are the accepted orders, oldest first.
 	Orders []engine.Order `json:"orders"`
-	// Refused are orders that the fencing number refused.
+	// Refused are the orders rejected for an outdated fencing number.
 	Refused []engine.Order `json:"refused"`
-	// Cut counts streams that an order or a crash cut off.
+	// Cut counts the unfinished streams that an order, a crash or BreakAfter broke.
 	Cut int `json:"cut"`
-	// Cancelled counts streams that were cancelled.
+	// Cancelled counts the streams that were cancelled.
 	Cancelled int `json:"cancelled"`
 	Started   int `json:"started"`
-	// Ran counts the streams that were started for each marked prompt; see
-	// BookMark.
+	// Ran counts the streams started for each marked prompt. See CountedPromptMark.
 	Ran map[string]int `json:"ran,omitempty"`
-	// Exported and Imported count transfers of KV cache that began at this
-	// engine, and those that it took whole. Reused counts streams that were
-	// started from an import.
+	// Exported counts the transfers of KV cache that other engines began to read from this one.
+	// Imported counts those that this engine read completely. Reused counts the streams started
+	// from an import.
 	Exported int `json:"exported"`
 	Imported int `json:"imported"`
 	Reused   int `json:"reused"`
 }
 
-// PathRecord returns the Book.
+// PathRecord returns the EngineRecord or ServiceRecord.
 const PathRecord = "/book"
 
-// reportEvery is the time between snapshots for load reports.
-const reportEvery = 50 * time.Millisecond
+// reportInterval is the time between two snapshots for load reports.
+const reportInterval = 50 * time.Millisecond
 
-// reportsKept bounds the snapshots that are kept for lag.
-const reportsKept = 400
+// maxReports bounds the snapshots kept to serve old load reports.
+const maxReports = 400
 
-// recentKept is how many request ids a report names.
-const recentKept = 64
+// maxRecent bounds the request ids listed in a report.
+const maxRecent = 64
 
-// Engine is a stand-in engine. Its loop (batch.go) advances all streams.
+// Engine is a stand-in of a model engine. Its loop (batch.go) advances all streams.
 type Engine struct {
 	options EngineOptions
 
-	mu       sync.Mutex // protects all below
-	work     *sync.Cond // signalled when a stream arrives
-	faults   EngineFaults
-	boot     string
-	boots    int
-	state    config.EngineState
-	changing bool
-	fault    string
-	last     engine.Order
-	streams  map[string]*generation
-	waiting  []*generation
-	running  []*generation
-	accepted int64
-	recent   []string
-	reports  []engine.Report
-	seq      int64
-	cache    *prefixCache
-	exports  map[string]kvEntry // offered to other engines, by handle
-	imports  map[string]kvEntry // brought from other engines, by handle
-	book     EngineRecord
-	// forgotten is when ended streams were last looked for.
-	forgotten time.Time
+	mu        sync.Mutex // protects all below
+	work      *sync.Cond // signalled when a stream arrives
+	faults    EngineFaults
+	boot      string
+	boots     int
+	state     config.EngineState
+	changing  bool
+	fault     string
+	lastOrder engine.Order
+	streams   map[string]*generation
+	waiting   []*generation
+	running   []*generation
+	accepted  int64
+	recent    []string
+	reports   []engine.Report
+	seq       int64
+	cache     *prefixCache
+	exports   map[string]kvEntry // readable by other engines, by handle
+	imports   map[string]kvEntry // read from other engines, by handle
+	record    EngineRecord
+	// lastEviction is when evictEndedStreams last ran.
+	lastEviction time.Time
 }
 
 // NewEngine starts a stand-in engine.
@@ -136,16 +135,16 @@
 	return e
 }
 
-// restart puts the engine in the state of a fresh process. The lock is held,
-// or the engine not yet shared.
+// restart resets the engine to the state of a new process. The lock is held, or the engine is not
+// yet shared.
 func (e *Engine) restart() {
 	for _, g := range e.streams {
-		e.cut(g)
+		e.breakStream(g)
 	}
 	e.boots++
 	e.boot = fmt.Sprintf("%s-%d-%d", e.options.ID, time.Now().UnixNano(), e.boots)
 	e.state = e.options.Initial
-	e.changing, e.fault, e.last = false, "", engine.Order{}
+	e.changing, e.fault, e.lastOrder = false, "", engine.Order{}
 	e.streams = map[string]*generation{}
 	e.waiting, e.running, e.recent, e.reports = nil, nil, nil, nil
 	e.accepted, e.seq = 0, 0
@@ -153,16 +152,16 @@
 	e.cache = newPrefixCache(e.options.KVBlocks / 2)
 }
 
-// cut breaks a stream off.
-func (e *Engine) cut(g *generation) {
+// breakStream breaks a stream and counts it if it was unfinished. The lock is held.
+func (e *Engine) breakStream(g *generation) {
 	if !g.ended() {
-		e.book.Cut++
+		e.record.Cut++
 	}
 	g.broken = true
 	g.changed.Broadcast()
 }
 
-// Handler serves the engine's interface and the fault switches.
+// Handler serves the engine's interface, its record and the setting of faults.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc(engine.PathGenerate, e.generate)
@@ -177,11 +176,11 @@
 	mux.HandleFunc(PathRecord, func(w http.ResponseWriter, _ *http.Request) {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		reply(w, e.book)
+		writeJSON(w, e.record)
 	})
 	mux.HandleFunc(PathFault, func(w http.ResponseWriter, r *http.Request) {
 		var faults EngineFaults
-		if read(w, r, &faults) {
+		if readJSON(w, r, &faults) {
 			e.SetFaults(faults)
 		}
 	})
@@ -201,15 +200,15 @@
 
 func (e *Engine) cancel(w http.ResponseWriter, r *http.Request) {
 	var id engine.StreamID
-	if !read(w, r, &id) {
+	if !readJSON(w, r, &id) {
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if g, ok := e.streams[id.ID]; ok && !g.ended() {
-		e.book.Cancelled++
+		e.record.Cancelled++
 		g.broken = true
-		e.drop(g)
+		e.removeFromBatch(g)
 	}
 }
 
@@ -223,7 +222,7 @@
 			if r.URL.Query().Get("recent") == "0" {
 				report.Recent = nil
 			}
-			reply(w, report)
+			writeJSON(w, report)
 			return
 		}
 	}
@@ -232,10 +231,10 @@
 
 func (e *Engine) reportLoop() {
 	for {
-		time.Sleep(reportEvery)
+		time.Sleep(reportInterval)
 		e.mu.Lock()
 		e.reports = append(e.reports, e.snapshot())
-		if len(e.reports) > reportsKept {
+		if len(e.reports) > maxReports {
 			e.reports = e.reports[1:]
 		}
 		e.mu.Unlock()
@@ -253,12 +252,12 @@
 		Accepted: e.accepted, Recent: slices.Clone(e.recent),
 		Running: len(e.running), Waiting: len(e.waiting), PrefillTokens: prefill,
 		KVBlocksFree: e.blocksFree(), KVBlocksTotal: e.options.KVBlocks,
-		PrefillRate: e.options.PrefillRate, DecodeRate: e.fullDecodeRate(),
+		PrefillRate: e.options.PrefillRate, DecodeRate: e.fullBatchDecodeRate(),
 	}
 }
 
-// fullDecodeRate is that of a full batch, in tokens a second.
-func (e *Engine) fullDecodeRate() float64 {
+// fullBatchDecodeRate returns the decode rate of a full batch in tokens per second.
+func (e *Engine) fullBatchDecodeRate() float64 {
 	streams := float64(e.options.MaxRunning)
 	return streams / (1/e.options.DecodeRate + (streams-1)*e.options.StepPerStream.Seconds())
 }
@@ -267,34 +266,35 @@
 	after, _ := strconv.ParseInt(r.URL.Query().Get("after"), 10, 64) // 0 reads all
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	reply(w, engine.CacheEvents{Boot: e.boot, Events: e.cache.since(after, e.faults.DropEvents)})
+	writeJSON(w, engine.CacheEvents{Boot: e.boot, Events: e.cache.since(after, e.faults.DropEvents)})
 }
 
 func (e *Engine) order(w http.ResponseWriter, r *http.Request) {
 	var order engine.Order
-	if !read(w, r, &order) {
+	if !readJSON(w, r, &order) {
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.options.Fencing == config.FencingRefuse && order.Fence < e.last.Fence {
-		e.book.Refused = append(e.book.Refused, order)
+	if e.options.Fencing == config.FencingRefuse && order.Fence < e.lastOrder.Fence {
+		e.record.Refused = append(e.record.Refused, order)
 		http.Error(w, "fenced off", http.StatusPreconditionFailed)
 		return
 	}
-	if e.changing && e.last.ID == order.ID {
-		e.book.Orders = append(e.book.Orders, order)
-		e.last.Fence = order.Fence
+	if e.changing && e.lastOrder.ID == order.ID {
+		e.record.Orders = append(e.record.Orders, order)
+		e.lastOrder.Fence = order.Fence
 	} else {
-		e.take(order)
+		e.startOrder(order)
 	}
-	reply(w, e.statusNow())
+	writeJSON(w, e.statusNow())
 }
 
-// take begins to carry an order out.
-func (e *Engine) take(order engine.Order) {
-	e.book.Orders = append(e.book.Orders, order)
-	e.last = order
+// startOrder begins to execute an order. A disruptive order breaks all streams and drops exported
+// and imported KV cache. The lock is held.
+func (e *Engine) startOrder(order engine.Order) {
+	e.record.Orders = append(e.record.Orders, order)
+	e.lastOrder = order
 	if e.state.Equal(order.Want) {
 		return
 	}
@@ -302,7 +302,7 @@
 	if e.state.Disruptive(order.Want) {
 		duration = e.options.ChangeTime
 		for _, g := range e.streams {
-			e.cut(g)
+			e.breakStream(g)
 		}
 		e.waiting, e.running = nil, nil
 		e.exports, e.imports = map[string]kvEntry{}, map[string]kvEntry{}
@@ -312,7 +312,7 @@
 	time.AfterFunc(duration, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		if e.boot == boot && e.last.ID == order.ID {
+		if e.boot == boot && e.lastOrder.ID == order.ID {
 			e.state, e.changing = order.Want, false
 		}
 	})
@@ -321,13 +321,14 @@
 func (e *Engine) status(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	reply(w, e.statusNow())
+	writeJSON(w, e.statusNow())
 }
 
+// statusNow returns the current status. The lock is held.
 func (e *Engine) statusNow() engine.Status {
 	return engine.Status{
 		Engine: e.options.ID, Boot: e.boot, State: e.state, Changing: e.changing,
-		LastOrder: e.last.ID, LastFence: e.last.Fence,
+		LastOrder: e.lastOrder.ID, LastFence: e.lastOrder.Fence,
 		Running: len(e.running) + len(e.waiting), Fault: e.fault,
 	}
 }
--- a/internal/testservers/host.go
+++ b/internal/testservers/host.go
@@ -10,8 +10,8 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// ServeEngines runs one engine for each id in this process: the first listens
-// on address (host:port), the others on the ports that follow.
+// ServeEngines runs one engine for each id in this process. The first listens on address
+// (host:port), the others on consecutive ports after it.
 func ServeEngines(address string, ids []string, options func(id string) EngineOptions) error {
 	host, portText, err := net.SplitHostPort(address)
 	if err != nil {
--- a/internal/testservers/http.go
+++ b/internal/testservers/http.go
@@ -1,6 +1,6 @@
-// Package testservers has small stand-ins of what surrounds the system: the
-// platform's service, model engines and plain services. It is scaffolding for
-// tests, load runs and the demo. Faults are switched at run time.
+// Package testservers provides small HTTP stand-ins of the systems that the fleet depends on: the
+// platform's service, model engines and plain services. Tests, load runs and the demo use them.
+// Faults can be changed at run time, by a method or at PathFault.
 package testservers
 
 import (
@@ -9,17 +9,18 @@
 	"sync"
 )
 
-// PathFault switches faults of a stand-in at run time.
+// PathFault replaces the faults of a stand-in at run time.
 const PathFault = "/fault"
 
-// reply writes a JSON answer.
-func reply(w http.ResponseWriter, value any) {
+// writeJSON writes value as the JSON response body.
+func writeJSON(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(value) // the client has gone
+	_ = json.NewEncoder(w).Encode(value) // an error means that the client disconnected
 }
 
-// read decodes a JSON body and reports whether it could.
-func read(w http.ResponseWriter, r *http.Request, into any) bool {
+// readJSON decodes a JSON request body and reports whether it succeeded. On failure it responds
+// with status 400.
+func readJSON(w http.ResponseWriter, r *http.Request, into any) bool {
 	if err := json.NewDecoder(r.Body).Decode(into); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return false
@@ -27,11 +28,11 @@
 	return true
 }
 
-// PathTraces returns the trace contexts that a stand-in has seen.
+// PathTraces returns the trace contexts that a stand-in received.
 const PathTraces = "/traces"
 
-// tracesKept bounds the trace contexts that are kept.
-const tracesKept = 4096
+// maxTraces bounds the recorded trace contexts. Later ones are not recorded.
+const maxTraces = 4096
 
 // SeenTrace is a call that carried a W3C trace context.
 type SeenTrace struct {
@@ -39,8 +40,8 @@
 	Traceparent string `json:"traceparent"`
 }
 
-// RecordTraces keeps the trace context of each call to next, and serves them
-// at PathTraces.
+// RecordTraces records the trace context of each call to next and serves the records at
+// PathTraces.
 func RecordTraces(next http.Handler) http.Handler {
 	var mu sync.Mutex // protects seen
 	var seen []SeenTrace
@@ -48,10 +49,10 @@
 		mu.Lock()
 		if r.URL.Path == PathTraces {
 			defer mu.Unlock()
-			reply(w, seen)
+			writeJSON(w, seen)
 			return
 		}
-		if parent := r.Header.Get("Traceparent"); parent != "" && len(seen) < tracesKept {
+		if parent := r.Header.Get("Traceparent"); parent != "" && len(seen) < maxTraces {
 			seen = append(seen, SeenTrace{Path: r.URL.Path, Traceparent: parent})
 		}
 		mu.Unlock()
--- a/internal/testservers/kv.go
+++ b/internal/testservers/kv.go
@@ -14,20 +14,20 @@
 // PathKVData is where an importing engine reads exported KV cache.
 const PathKVData = "/kv/data"
 
-// kvKept is how long KV cache waits to be read, or to be used.
-const kvKept = 30 * time.Second
+// kvRetention is how long exported KV cache can be read and imported KV cache can be used.
+const kvRetention = 30 * time.Second
 
-// kvEntry is KV cache of a prompt.
+// kvEntry is the KV cache of one prompt.
 type kvEntry struct {
-	tokens int
-	until  time.Time
+	tokens    int
+	expiresAt time.Time
 }
 
-// export offers the KV cache of a stream's prompt to another engine. The offer
-// is gone once it was read, after kvKept, at a crash, and with a disruptive order.
+// export makes the KV cache of a stream's prompt readable by another engine. It is removed once it
+// was read, after kvRetention, at a crash and by a disruptive order.
 func (e *Engine) export(w http.ResponseWriter, r *http.Request) {
 	var id engine.StreamID
-	if !read(w, r, &id) {
+	if !readJSON(w, r, &id) {
 		return
 	}
 	e.mu.Lock()
@@ -39,17 +39,17 @@
 	}
 	handle := "kv-" + e.boot + "-" + id.ID
 	tokens := g.promptTokens - g.prefillLeft
-	e.exports[handle] = kvEntry{tokens: tokens, until: time.Now().Add(kvKept)}
-	reply(w, engine.KVExport{Handle: handle, Source: r.Host, Tokens: tokens})
+	e.exports[handle] = kvEntry{tokens: tokens, expiresAt: time.Now().Add(kvRetention)}
+	writeJSON(w, engine.KVExport{Handle: handle, Source: r.Host, Tokens: tokens})
 }
 
-// kvData sends exported KV cache, at the pace of KVRate.
+// kvData sends exported KV cache after the time that the transfer takes at KVRate.
 func (e *Engine) kvData(w http.ResponseWriter, r *http.Request) {
 	handle := r.URL.Query().Get("handle")
 	e.mu.Lock()
 	entry, ok := e.exports[handle]
 	if ok {
-		e.book.Exported++
+		e.record.Exported++
 	}
 	e.mu.Unlock()
 	if !ok {
@@ -67,10 +67,10 @@
 		panic(http.ErrAbortHandler) // breaks the connection
 	}
 	delete(e.exports, handle)
-	reply(w, engine.KVExport{Handle: handle, Tokens: entry.tokens})
+	writeJSON(w, engine.KVExport{Handle: handle, Tokens: entry.tokens})
 }
 
-// transferTime is how long a read of KV cache takes; a rate of 0 is no limit.
+// transferTime returns the duration of a read of KV cache. It is 0 if KVRate is not set.
 func (e *Engine) transferTime(tokens int) time.Duration {
 	if e.options.KVRate <= 0 {
 		return 0
@@ -81,7 +81,7 @@
 // importKV reads KV cache from the engine that exported it.
 func (e *Engine) importKV(w http.ResponseWriter, r *http.Request) {
 	var kv engine.KVExport
-	if !read(w, r, &kv) {
+	if !readJSON(w, r, &kv) {
 		return
 	}
 	e.mu.Lock()
@@ -94,8 +94,8 @@
 		http.Error(w, "the KV cache could not be read", http.StatusBadGateway)
 		return
 	}
-	e.imports[kv.Handle] = kvEntry{tokens: got.Tokens, until: time.Now().Add(kvKept)}
-	e.book.Imported++
+	e.imports[kv.Handle] = kvEntry{tokens: got.Tokens, expiresAt: time.Now().Add(kvRetention)}
+	e.record.Imported++
 }
 
 func fetchKV(r *http.Request, kv engine.KVExport) (engine.KVExport, error) {
@@ -116,23 +116,23 @@
 	return got, errors.WithStack(json.NewDecoder(res.Body).Decode(&got))
 }
 
-// takeImport uses imported KV cache up, and returns its tokens; 0 for none. The
-// lock is held.
-func (e *Engine) takeImport(handle string) int {
+// consumeImport removes imported KV cache and returns its number of tokens, or 0 if there is none.
+// The lock is held.
+func (e *Engine) consumeImport(handle string) int {
 	entry, ok := e.imports[handle]
 	if !ok {
 		return 0
 	}
 	delete(e.imports, handle)
-	e.book.Reused++
+	e.record.Reused++
 	return entry.tokens
 }
 
-// forgetKV drops KV cache that nobody came for. The lock is held.
-func (e *Engine) forgetKV(now time.Time) {
+// evictExpiredKV deletes exports and imports that were not used in time. The lock is held.
+func (e *Engine) evictExpiredKV(now time.Time) {
 	for _, entries := range []map[string]kvEntry{e.exports, e.imports} {
 		for handle, entry := range entries {
-			if now.After(entry.until) {
+			if now.After(entry.expiresAt) {
 				delete(entries, handle)
 			}
 		}
--- a/internal/testservers/service.go
+++ b/internal/testservers/service.go
@@ -10,51 +10,51 @@
 	"sassafrasfield/internal/service"
 )
 
-// ServiceFaults are the faults of a plain service's stand-in.
+// ServiceFaults are the faults that a plain service's stand-in injects. The zero value injects none.
 type ServiceFaults struct {
-	// DelayMs is added to each call.
+	// DelayMs delays each call by that many milliseconds.
 	DelayMs int `json:"delay_ms"`
-	// LoseReplies is how many of the next calls run and break the connection
-	// in place of an answer.
+	// LoseReplies is the number of the next calls that run but close the connection without a
+	// reply.
 	LoseReplies int `json:"lose_replies"`
-	// Refuse answers each call with 503 and "not run".
+	// Refuse answers each call with status 503 and marks it as not run.
 	Refuse bool `json:"refuse"`
 }
 
-// ServiceRecord is the service's own record of runs, by "METHOD path".
+// ServiceRecord counts the runs of the service. The keys of Runs have the form "METHOD path".
 type ServiceRecord struct {
 	Runs map[string]int `json:"runs"`
 	// Bodies counts the runs by request body.
 	Bodies map[string]int `json:"bodies"`
 }
 
-// Service is the stand-in of a plain service: each run gets a number.
+// Service is the stand-in of a plain service. It numbers the runs and answers with the number.
 type Service struct {
 	id string
 
 	mu     sync.Mutex // protects all below
 	faults ServiceFaults
-	book   ServiceRecord
+	record ServiceRecord
 	runs   int
 }
 
 // NewService returns a stand-in service.
 func NewService(id string) *Service {
-	return &Service{id: id, book: ServiceRecord{Runs: map[string]int{}, Bodies: map[string]int{}}}
+	return &Service{id: id, record: ServiceRecord{Runs: map[string]int{}, Bodies: map[string]int{}}}
 }
 
-// Handler serves all paths but the switches.
+// Handler serves the record and the setting of faults. All other paths run a call.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("/", s.run)
 	mux.HandleFunc(PathRecord, func(w http.ResponseWriter, _ *http.Request) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		reply(w, s.book)
+		writeJSON(w, s.record)
 	})
 	mux.HandleFunc(PathFault, func(w http.ResponseWriter, r *http.Request) {
 		var faults ServiceFaults
-		if read(w, r, &faults) {
+		if readJSON(w, r, &faults) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			s.faults = faults
@@ -77,20 +77,21 @@
 		http.Error(w, "not run", http.StatusServiceUnavailable)
 		return
 	}
-	number, lost := s.record(r, string(body))
+	number, lost := s.countRun(r, string(body))
 	time.Sleep(time.Duration(faults.DelayMs) * time.Millisecond)
 	if lost {
 		panic(http.ErrAbortHandler) // closes the connection without a reply
 	}
-	reply(w, map[string]any{"service": s.id, "run": number, "call": fmt.Sprintf("%s %s", r.Method, r.URL.Path)})
+	writeJSON(w, map[string]any{"service": s.id, "run": number, "call": fmt.Sprintf("%s %s", r.Method, r.URL.Path)})
 }
 
-func (s *Service) record(r *http.Request, body string) (number int, lost bool) {
+// countRun counts a run and returns its number, and whether the reply is to be lost.
+func (s *Service) countRun(r *http.Request, body string) (number int, lost bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.runs++
-	s.book.Runs[r.Method+" "+r.URL.Path]++
-	s.book.Bodies[body]++
+	s.record.Runs[r.Method+" "+r.URL.Path]++
+	s.record.Bodies[body]++
 	if s.faults.LoseReplies > 0 {
 		s.faults.LoseReplies--
 		return s.runs, true
--- a/internal/testservers/stream.go
+++ b/internal/testservers/stream.go
@@ -16,10 +16,10 @@
 // generate starts a stream, or attaches to one, and sends its pieces.
 func (e *Engine) generate(w http.ResponseWriter, r *http.Request) {
 	var req engine.Request
-	if !read(w, r, &req) {
+	if !readJSON(w, r, &req) {
 		return
 	}
-	g, boot, status := e.begin(req)
+	g, boot, status := e.attachOrStart(req)
 	if g == nil {
 		http.Error(w, "not run", status)
 		return
@@ -28,14 +28,16 @@
 	w.Header().Set(engine.HeaderBoot, boot)
 	w.Header().Set(engine.HeaderAccepted, strconv.FormatInt(g.number, 10))
 	w.WriteHeader(http.StatusOK)
-	_ = http.NewResponseController(w).Flush() // the client has gone
+	_ = http.NewResponseController(w).Flush() // an error means that the client disconnected
 	e.send(w, r, g, req.From)
 }
 
-// endedCode is the exit code of an engine that a prompt ended.
-const endedCode = 70
+// crashExitCode is the exit code of an engine process that EngineFaults.CrashOn ended.
+const crashExitCode = 70
 
-func (e *Engine) begin(req engine.Request) (g *generation, boot string, status int) {
+// attachOrStart returns the existing stream of the request's id, or starts a new one if the engine
+// can serve the request. Without a stream, status is the HTTP status of the refusal.
+func (e *Engine) attachOrStart(req engine.Request) (g *generation, boot string, status int) {
 	hashes := engine.BlockHashes(req.Prompt, e.options.BlockTokens, 0)
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -46,9 +48,9 @@
 		return nil, "", http.StatusNotFound
 	}
 	if e.faults.CrashOn != "" && strings.Contains(req.Prompt, e.faults.CrashOn) {
-		os.Exit(endedCode)
+		os.Exit(crashExitCode)
 	}
-	changingModel := e.changing && e.state.Disruptive(e.last.Want)
+	changingModel := e.changing && e.state.Disruptive(e.lastOrder.Want)
 	if e.faults.Refuse || changingModel || e.state.Model != req.Model {
 		return nil, "", http.StatusServiceUnavailable
 	}
@@ -64,11 +66,12 @@
 	return e.start(req, hashes), e.boot, http.StatusOK
 }
 
+// start queues a new stream. The lock is held.
 func (e *Engine) start(req engine.Request, hashes []uint64) *generation {
 	req.Version = e.state.Version
 	tokens := (len(req.Prompt)+charsPerToken-1)/charsPerToken + req.From
-	g := &generation{req: req, hashes: hashes, promptTokens: tokens, made: req.From, changed: sync.NewCond(&e.mu)}
-	g.prefillLeft = tokens - e.takeImport(req.KVHandle)
+	g := &generation{req: req, hashes: hashes, promptTokens: tokens, generated: req.From, changed: sync.NewCond(&e.mu)}
+	g.prefillLeft = tokens - e.consumeImport(req.KVHandle)
 	if e.faults.OtherText {
 		req.Seed++
 	}
@@ -78,17 +81,17 @@
 	g.number = e.accepted
 	e.streams[req.ID] = g
 	e.waiting = append(e.waiting, g)
-	e.book.Started++
-	e.bookRan(req)
+	e.record.Started++
+	e.countRun(req)
 	e.recent = append(e.recent, req.ID)
-	if len(e.recent) > recentKept {
+	if len(e.recent) > maxRecent {
 		e.recent = e.recent[1:]
 	}
 	e.work.Signal()
 	return g
 }
 
-// send writes pieces as they are made, from the one numbered from.
+// send writes the pieces of a stream as they are generated, beginning with number from.
 func (e *Engine) send(w http.ResponseWriter, r *http.Request, g *generation, from int) {
 	stop := context.AfterFunc(r.Context(), func() {
 		e.mu.Lock()
@@ -100,7 +103,7 @@
 	controller := http.NewResponseController(w)
 	sent := 0
 	for n := from; n <= g.text.length; {
-		pieces, faults := e.await(r.Context(), g, n)
+		pieces, faults := e.awaitPieces(r.Context(), g, n)
 		if len(pieces) == 0 {
 			panic(http.ErrAbortHandler) // breaks the connection
 		}
@@ -114,8 +117,8 @@
 			}
 			sent++
 			if faults.BreakAfter > 0 && sent >= faults.BreakAfter {
-				_ = controller.Flush() // broken off all the same
-				e.breakOff(g)
+				_ = controller.Flush() // the stream breaks in any case
+				e.breakAndRemove(g)
 				panic(http.ErrAbortHandler)
 			}
 		}
@@ -125,16 +128,16 @@
 	}
 }
 
-func (e *Engine) breakOff(g *generation) {
+func (e *Engine) breakAndRemove(g *generation) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.cut(g)
-	e.drop(g)
+	e.breakStream(g)
+	e.removeFromBatch(g)
 }
 
-// await returns the pieces that are made from number n on; none when the
-// stream broke or its reader left.
-func (e *Engine) await(ctx context.Context, g *generation, n int) ([]engine.Piece, EngineFaults) {
+// awaitPieces waits for pieces from number n on and returns all that are available. It returns none
+// if the stream broke or ctx ended.
+func (e *Engine) awaitPieces(ctx context.Context, g *generation, n int) ([]engine.Piece, EngineFaults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for {
@@ -142,7 +145,7 @@
 			return nil, e.faults
 		}
 		var pieces []engine.Piece
-		for ; n < g.made || (n == g.text.length && g.made == g.text.length); n++ {
+		for ; n < g.generated || (n == g.text.length && g.generated == g.text.length); n++ {
 			pieces = append(pieces, g.text.Piece(n))
 		}
 		if len(pieces) > 0 {
@@ -152,11 +155,11 @@
 	}
 }
 
-// disorder swaps and repeats pieces.
+// disorder reverses the pieces and sends the first of the result twice.
 func disorder(pieces []engine.Piece) []engine.Piece {
 	mixed := slices.Clone(pieces)
 	slices.Reverse(mixed)
-	// The last piece ends the connection's reading, so it stays last.
+	// The client stops reading at the piece with a finish reason, so that piece stays last.
 	slices.SortStableFunc(mixed, func(a, b engine.Piece) int { return len(a.Finish) - len(b.Finish) })
 	return append([]engine.Piece{mixed[0]}, mixed...)
 }
