--- a/internal/testcaller/testcaller.go
+++ b/internal/testcaller/testcaller.go
@@ -1,5 +1,6 @@
-// Package testcaller is a small client of the callers' protocol, for the demo,
-// the tests and the load runs.
+// Package testcaller is a small client of the HTTP API that the system offers to callers. It sends
+// requests with an API key and parses streamed chat completions. The demo, tests and load runs use
+// it.
 package testcaller
 
 import (
@@ -22,44 +23,45 @@
 	HTTP *http.Client
 }
 
-// New returns a caller with connections of its own.
+// New returns a caller with its own connection pool.
 func New(key string) *Caller {
 	return &Caller{Key: key, HTTP: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}}
 }
 
-// Chat is a streamed chat completion.
+// Chat is a request for a streamed chat completion.
 type Chat struct {
 	Model     string
 	Prompt    string
 	MaxTokens int
 	Seed      int64
-	// LastEventID resumes a broken answer.
+	// LastEventID is the id of the last event received of an interrupted answer. It resumes that
+	// answer.
 	LastEventID string
 	Header      http.Header
 }
 
-// Answer is what came of a streamed request.
+// Answer is the received part of the answer to a streamed request.
 type Answer struct {
-	// Text that came, in order of arrival.
+	// Text is the received text in order of arrival.
 	Text string
-	// LastID is the id of the last event; it resumes the answer.
+	// LastID is the id of the last event. As Chat.LastEventID it resumes the answer.
 	LastID string
-	// Finish is the finish reason; empty when none came.
+	// Finish is the finish reason, or empty if none was received.
 	Finish string
-	// Done is true when the closing event came.
+	// Done reports whether the closing event [DONE] was received.
 	Done   bool
 	Status int
-	// Error is the error object of a refusal or of an error event.
+	// Error is the error object of a response with a status other than 200, or of an error event.
 	Error *callerapi.Error
-	// RetryAfter is the header of that name.
+	// RetryAfter is the value of the Retry-After header.
 	RetryAfter string
 }
 
-// Event is called for each event of a stream, with its id and text.
+// Event is a callback for each event of a stream, with the event's id and text.
 type Event func(id, text string)
 
-// Stream sends a chat completion and reads events until the end. The error is
-// that of the connection; the answer holds what came before it.
+// Stream requests a chat completion and reads events until the answer ends. The error is a
+// connection or decoding error; the answer then holds what was received before it.
 func (c *Caller) Stream(ctx context.Context, entry string, chat Chat, onEvent Event) (Answer, error) {
 	body, err := json.Marshal(map[string]any{
 		"model": chat.Model, "stream": true, "max_tokens": chat.MaxTokens, "seed": chat.Seed,
@@ -85,10 +87,10 @@
 		answer.Error = readError(res.Body)
 		return answer, nil
 	}
-	return answer, answer.read(res.Body, onEvent)
+	return answer, answer.readEvents(res.Body, onEvent)
 }
 
-// Post sends one request with the caller's key.
+// Post sends one POST request with the caller's API key.
 func (c *Caller) Post(ctx context.Context, entry, path string, header http.Header, body []byte) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+entry+path, bytes.NewReader(body))
 	if err != nil {
@@ -111,8 +113,9 @@
 	return &message.Error
 }
 
-// read takes the events of a stream.
-func (a *Answer) read(body io.Reader, onEvent Event) error {
+// readEvents reads the events of a stream into the answer. It returns io.ErrUnexpectedEOF if the
+// stream ends without a closing event or an error event.
+func (a *Answer) readEvents(body io.Reader, onEvent Event) error {
 	lines := bufio.NewScanner(body)
 	id := ""
 	for lines.Scan() {
@@ -125,7 +128,7 @@
 				a.Done = true
 				return nil
 			}
-			if err := a.take(id, value, onEvent); err != nil {
+			if err := a.applyEvent(id, value, onEvent); err != nil {
 				return err
 			}
 		}
@@ -139,7 +142,9 @@
 	return errors.WithStack(io.ErrUnexpectedEOF)
 }
 
-func (a *Answer) take(id, data string, onEvent Event) error {
+// applyEvent adds the data of one event to the answer and calls onEvent.
+// applyEvent adds the data of one event to the answer and calls onEvent.
+func (a *Answer) applyEvent(id, data string, onEvent Event) error {
 	var chunk struct {
 		callerapi.Response
 		Error *callerapi.Error `json:"error"`
--- a/internal/testfleet/balancer.go
+++ b/internal/testfleet/balancer.go
@@ -7,27 +7,27 @@
 	"time"
 )
 
-// probeEvery is the time between two probes of a Balancer.
-const probeEvery = 20 * time.Millisecond
+// probeInterval is the time between two probes of a Balancer.
+const probeInterval = 20 * time.Millisecond
 
-// Balancer picks ready instances for a caller, as the platform's balancer
-// does: from probes that take effect after a lag.
+// Balancer selects ready instances for a caller. As with the platform's balancer, the result of a
+// readiness probe takes effect after a lag.
 type Balancer struct {
 	addresses []string
 	lag       time.Duration
 
-	mu   sync.Mutex // protects both below
-	up   map[string]bool
-	turn int
+	mu    sync.Mutex // protects the fields below
+	ready map[string]bool
+	next  int
 }
 
-// NewBalancer returns a balancer before the addresses of sf-entry. It sends to
-// none of them until it runs.
+// NewBalancer returns a balancer for addresses of sf-entry. It selects none of them until Run has
+// probed them.
 func NewBalancer(lag time.Duration, addresses ...string) *Balancer {
-	return &Balancer{addresses: addresses, lag: lag, up: map[string]bool{}}
+	return &Balancer{addresses: addresses, lag: lag, ready: map[string]bool{}}
 }
 
-// Run probes until the context ends.
+// Run probes all addresses until the context ends.
 func (b *Balancer) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, address := range b.addresses {
@@ -35,38 +35,38 @@
 			time.AfterFunc(b.lag, func() {
 				b.mu.Lock()
 				defer b.mu.Unlock()
-				b.up[address] = ready
+				b.ready[address] = ready
 			})
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(probeEvery):
+		case <-time.After(probeInterval):
 		}
 	}
 }
 
-// SendsTo tells whether the balancer sends to the address.
+// SendsTo reports whether the balancer sends requests to the address.
 func (b *Balancer) SendsTo(address string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.up[address]
+	return b.ready[address]
 }
 
-// Pick returns the next address in turn that it sends to, or "".
+// Pick returns the next ready address in round-robin order, or "" if none is ready.
 func (b *Balancer) Pick() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for range b.addresses {
-		b.turn++
-		address := b.addresses[b.turn%len(b.addresses)]
-		if b.up[address] {
+		b.next++
+		address := b.addresses[b.next%len(b.addresses)]
+		if b.ready[address] {
 			return address
 		}
 	}
 	return ""
 }
 
-// Ready tells whether a daemon says that it is ready.
+// Ready reports whether the daemon at address answers its readiness probe with status 200.
 func Ready(ctx context.Context, address string) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/readyz", nil)
 	if err != nil {
--- a/internal/testfleet/build.go
+++ b/internal/testfleet/build.go
@@ -9,10 +9,10 @@
 	"github.com/pkg/errors"
 )
 
-// binVariable names a folder with the built programs.
+// binVariable is the environment variable with the folder of the built programs.
 const binVariable = "SF_BIN"
 
-// buildOnce builds the programs once for a test process.
+// buildOnce builds the programs once per test process.
 var buildOnce = sync.OnceValues(func() (string, error) {
 	if bin := os.Getenv(binVariable); bin != "" {
 		return bin, nil
@@ -31,13 +31,13 @@
 	return bin, errors.Wrapf(err, "build: %s", output)
 })
 
-// Bin returns a folder with the built programs: the one that SF_BIN names, or
-// else a fresh build.
+// Bin returns a folder with the built programs: the value of SF_BIN if it is set, otherwise a new
+// build in a temporary folder.
 func Bin() (string, error) {
 	return buildOnce()
 }
 
-// Root returns the folder of the repository.
+// Root returns the root folder of the repository, found by its go.mod.
 func Root() (string, error) {
 	dir, err := os.Getwd()
 	if err != nil {
--- a/internal/testfleet/fleet.go
+++ b/internal/testfleet/fleet.go
@@ -1,6 +1,6 @@
-// Package testfleet starts the real programs as processes on loopback, for the
-// demo and the process tests. It is scaffolding: the product starts no
-// processes.
+// Package testfleet starts the built programs and the stand-ins of their dependencies as processes
+// on loopback addresses. The demo and the process tests use it; the product itself starts no
+// processes. It also provides fault-injecting proxies between the processes.
 package testfleet
 
 import (
@@ -23,28 +23,28 @@
 	"sassafrasfield/internal/testservers"
 )
 
-// firstPort of a fleet; each fleet has an address of its own in 127.0.0.0/8,
-// so that ports never clash.
+// firstPort is the port below the first one that a fleet assigns. Each fleet has its own IP address
+// in 127.0.0.0/8, so the ports of several fleets do not collide.
 const firstPort = 7000
 
-// fleets counts the fleets of this process.
+// fleets counts the fleets created in this process.
 var fleets atomic.Int64
 
 // Fleet is a set of processes with their settings files.
 type Fleet struct {
-	// Bin is the folder of the built programs, Dir that of settings and logs.
+	// Bin is the folder of the built programs. Dir is the folder of settings and logs.
 	Bin string
 	Dir string
-	// IP is the fleet's own loopback address.
+	// IP is the loopback address of this fleet.
 	IP string
-	// PlatformAddress is where instances reach the platform; set it to a
-	// proxy's before AddInstance to inject faults.
+	// PlatformAddress is the address of the platform in the settings of new instances. To inject
+	// faults, set it to the address of a proxy before AddInstance.
 	PlatformAddress string
-	// Environment is added to the environment of the processes started next,
-	// such as failpoint.Variable.
+	// Environment is added to the environment of processes started later, for example
+	// failpoint.Variable.
 	Environment []string
-	// ControlExtra and EntryExtra are lines added to each settings file, at
-	// its top level; ControlTables and EntryTables go to its end.
+	// ControlExtra and EntryExtra are top-level lines added to each settings file. ControlTables
+	// and EntryTables are appended at its end.
 	ControlExtra, EntryExtra   string
 	ControlTables, EntryTables string
 
@@ -55,26 +55,26 @@
 
 	platformDirect string
 
-	mu       sync.Mutex // protects all below
-	nextPort int
-	all      []*Process
-	proxies  []*toxiproxy.Proxy
+	mu        sync.Mutex // protects all below
+	nextPort  int
+	processes []*Process
+	proxies   []*toxiproxy.Proxy
 }
 
-// Instance is one instance with both daemons.
+// Instance is an instance with its two daemons, sf-entry and sf-control.
 type Instance struct {
 	ID, Zone                                   string
 	EntryAddress, LocalAddress, ControlAddress string
 	Entry, Control                             *Process
 }
 
-// Engine is one stand-in engine.
+// Engine is a stand-in engine.
 type Engine struct {
 	ID, Zone, Address string
 	Process           *Process
 }
 
-// Service is one stand-in service.
+// Service is a stand-in of a plain service.
 type Service struct {
 	ID, Zone, Address string
 	Process           *Process
@@ -87,7 +87,7 @@
 	return &Fleet{Bin: bin, Dir: dir, IP: ip, nextPort: firstPort}
 }
 
-// Address reserves an address.
+// Address reserves an unused host:port of the fleet.
 func (f *Fleet) Address() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -95,7 +95,7 @@
 	return fmt.Sprintf("%s:%d", f.IP, f.nextPort)
 }
 
-// Start starts a program; its output goes to a log file in Dir.
+// Start starts a program. Its output is appended to the file NAME.log in Dir.
 func (f *Fleet) Start(name, program string, args ...string) (*Process, error) {
 	p, err := start(name, filepath.Join(f.Bin, program), filepath.Join(f.Dir, name+".log"), f.Environment, args)
 	if err != nil {
@@ -103,11 +103,11 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.all = append(f.all, p)
+	f.processes = append(f.processes, p)
 	return p, nil
 }
 
-// StartPlatform starts the platform's stand-in.
+// StartPlatform starts the platform's stand-in and waits until it answers.
 func (f *Fleet) StartPlatform(ctx context.Context) error {
 	f.platformDirect = f.Address()
 	f.PlatformAddress = f.platformDirect
@@ -122,22 +122,22 @@
 	})
 }
 
-// PlatformClient returns a client that goes around any proxy.
+// PlatformClient returns a client that connects to the platform without a proxy.
 func (f *Fleet) PlatformClient() *platform.Client {
 	return platform.NewClient(f.platformDirect, 5*time.Second)
 }
 
-// PlatformFault switches the platform's faults.
+// PlatformFault replaces the platform's faults.
 func (f *Fleet) PlatformFault(ctx context.Context, faults testservers.PlatformFaults) error {
 	return Post(ctx, f.platformDirect, testservers.PathFault, faults, nil)
 }
 
-// SetInstance sets a line of the instance list.
+// SetInstance adds or replaces an entry of the platform's instance list.
 func (f *Fleet) SetInstance(ctx context.Context, instance platform.Instance) error {
 	return Post(ctx, f.platformDirect, testservers.PathSetInstance, instance, nil)
 }
 
-// AddEngine starts a stand-in engine with further flags.
+// AddEngine starts a stand-in engine with additional flags and adds it to the instance list.
 func (f *Fleet) AddEngine(ctx context.Context, id, zone string, flags ...string) (*Engine, error) {
 	e := &Engine{ID: id, Zone: zone, Address: f.Address()}
 	args := append([]string{"--listen", e.Address, "engine", "--id", id}, flags...)
@@ -147,13 +147,13 @@
 	}
 	e.Process = p
 	f.Engines = append(f.Engines, e)
-	if err := untilListens(ctx, e.Address); err != nil {
+	if err := waitForListener(ctx, e.Address); err != nil {
 		return e, err
 	}
 	return e, f.SetInstance(ctx, platform.Instance{ID: id, Kind: platform.KindUpstream, Zone: zone, State: platform.InstanceLive})
 }
 
-// AddService starts a stand-in plain service.
+// AddService starts a stand-in of a plain service and adds it to the instance list.
 func (f *Fleet) AddService(ctx context.Context, id, zone string) (*Service, error) {
 	s := &Service{ID: id, Zone: zone, Address: f.Address()}
 	p, err := f.Start(id, "sf-standin", "--listen", s.Address, "service", "--id", id)
@@ -162,26 +162,26 @@
 	}
 	s.Process = p
 	f.Services = append(f.Services, s)
-	if err := untilListens(ctx, s.Address); err != nil {
+	if err := waitForListener(ctx, s.Address); err != nil {
 		return s, err
 	}
 	return s, f.SetInstance(ctx, platform.Instance{ID: id, Kind: platform.KindUpstream, Zone: zone, State: platform.InstanceLive})
 }
 
-// untilListens waits until a stand-in takes connections.
-func untilListens(ctx context.Context, address string) error {
-	return Until(ctx, address+" takes connections", func() bool {
+// waitForListener waits until a stand-in accepts connections.
+func waitForListener(ctx context.Context, address string) error {
+	return Until(ctx, address+" accepts connections", func() bool {
 		conn, err := net.Dial("tcp", address)
 		if err != nil {
 			return false
 		}
-		_ = conn.Close() // nothing was sent on it
+		_ = conn.Close() // nothing was sent on the connection
 		return true
 	})
 }
 
-// AddInstance reserves addresses, writes settings, starts both daemons and
-// lists the instance.
+// AddInstance reserves addresses, writes settings, starts both daemons and adds the instance to the
+// instance list.
 func (f *Fleet) AddInstance(ctx context.Context, id, zone string) (*Instance, error) {
 	i := &Instance{ID: id, Zone: zone, EntryAddress: f.Address(), LocalAddress: f.Address(), ControlAddress: f.Address()}
 	if err := f.writeSettings(i); err != nil {
@@ -200,14 +200,14 @@
 	})
 }
 
-// StartEntry starts, or starts again, an instance's sf-entry.
+// StartEntry starts or restarts the sf-entry of an instance.
 func (f *Fleet) StartEntry(i *Instance) error {
 	p, err := f.Start(i.ID+"-entry", "sf-entry", "--settings", f.settingsPath(i, "entry"))
 	i.Entry = p
 	return err
 }
 
-// StartControl starts, or starts again, an instance's sf-control.
+// StartControl starts or restarts the sf-control of an instance.
 func (f *Fleet) StartControl(i *Instance) error {
 	p, err := f.Start(i.ID+"-control", "sf-control", "--settings", f.settingsPath(i, "control"))
 	i.Control = p
@@ -228,12 +228,11 @@
 	return errors.WithStack(os.WriteFile(f.settingsPath(i, "control"), []byte(control), 0o644))
 }
 
-// Stop kills each process that still runs, waits for its end, and stops the
-// proxies.
+// Stop kills the remaining processes, waits until they exited and stops the proxies.
 func (f *Fleet) Stop() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, p := range f.all {
+	for _, p := range f.processes {
 		p.Kill()
 	}
 	for _, p := range f.proxies {
@@ -241,19 +240,20 @@
 	}
 }
 
-// Until waits for a condition. The context bounds the wait.
+// Until polls condition until it is true or the context ends. The error contains the description
+// what.
 func Until(ctx context.Context, what string, condition func() bool) error {
 	for !condition() {
 		select {
 		case <-ctx.Done():
-			return errors.Errorf("never came true: %s", what)
+			return errors.Errorf("condition not met before the context ended: %s", what)
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
 	return nil
 }
 
-// Post sends a JSON body and decodes the JSON answer, if reply is not nil.
+// Post sends a JSON body and decodes the JSON response into answer, unless answer is nil.
 func Post(ctx context.Context, address, path string, body, answer any) error {
 	data, err := json.Marshal(body)
 	if err != nil {
--- a/internal/testfleet/links.go
+++ b/internal/testfleet/links.go
@@ -18,78 +18,79 @@
 	"sassafrasfield/internal/platform"
 )
 
-// Links gives each instance its own view of the platform and of its peers, so
-// that it can be cut off from the one, the other or both. Instance i reaches
-// the platform through a proxy, and a front behind it that rewrites the
-// instance list: i reaches peer j through a proxy of the pair (i, j).
+// Links puts proxies between each instance and the platform and between each pair of instances, so
+// that an instance can be cut off from the platform, from its peers or from both. Instance i reaches
+// the platform through a fault-injecting proxy, followed by an HTTP server that rewrites the
+// addresses in the instance list so that i reaches peer j through the proxy of the pair (i, j).
 type Links struct {
 	fleet *Fleet
 
-	mu     sync.Mutex // protects all below
-	fronts []*httptest.Server
-	tables map[string]*Proxy
-	peers  map[[2]string]*Proxy
+	mu              sync.Mutex // protects all below
+	rewriters       []*httptest.Server
+	platformProxies map[string]*Proxy
+	peerProxies     map[[2]string]*Proxy
 }
 
-// NewLinks returns links for a fleet whose platform runs. Start the instances
-// with its AddInstance.
+// NewLinks returns links for a fleet whose platform is running. Start the instances with
+// Links.AddInstance.
 func NewLinks(f *Fleet) *Links {
-	return &Links{fleet: f, tables: map[string]*Proxy{}, peers: map[[2]string]*Proxy{}}
+	return &Links{fleet: f, platformProxies: map[string]*Proxy{}, peerProxies: map[[2]string]*Proxy{}}
 }
 
-// Close ends the fronts. The fleet's Stop ends the proxies.
+// Close stops the rewriting servers. Fleet.Stop stops the proxies.
 func (l *Links) Close() {
 	l.mu.Lock()
-	fronts := l.fronts
-	l.mu.Unlock() // a front that answers still may take it
-	for _, front := range fronts {
-		front.CloseClientConnections()
-		front.Close()
+	servers := l.rewriters
+	l.mu.Unlock() // a server that is still answering may need the lock
+	for _, server := range servers {
+		server.CloseClientConnections()
+		server.Close()
 	}
 }
 
-// AddInstance starts an instance behind links of its own.
+// AddInstance starts an instance that uses its own links.
 func (l *Links) AddInstance(ctx context.Context, id, zone string) (*Instance, error) {
-	if err := l.open(id); err != nil {
+	if err := l.openPlatformLink(id); err != nil {
 		return nil, err
 	}
 	return l.fleet.AddInstance(ctx, id, zone)
 }
 
-// open makes the way of an instance to the platform, and has the fleet give it
-// to the next instance.
-func (l *Links) open(id string) error {
+// openPlatformLink creates the link between an instance and the platform, and sets it as the
+// platform's address for the next instance of the fleet.
+func (l *Links) openPlatformLink(id string) error {
 	target := &url.URL{Scheme: "http", Host: l.fleet.platformDirect}
-	front := httptest.NewUnstartedServer(forwarder{
+	server := httptest.NewUnstartedServer(rewritingProxy{
 		target: target, rewrite: func(res *http.Response) error { return l.rewrite(id, res) },
 	})
 	listener, err := net.Listen("tcp", l.fleet.Address())
 	if err != nil {
 		return errors.WithStack(err)
 	}
-	front.Listener.Close()
-	front.Listener = listener
-	front.Start()
+	server.Listener.Close()
+	server.Listener = listener
+	server.Start()
 	proxy, err := l.fleet.Proxy(id+"-platform", listener.Addr().String())
 	if err != nil {
 		return err
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.fronts = append(l.fronts, front)
-	l.tables[id] = proxy
+	l.rewriters = append(l.rewriters, server)
+	l.platformProxies[id] = proxy
 	l.fleet.PlatformAddress = proxy.Address
 	return nil
 }
 
-// forwarder passes requests on to a target, and its answers back after a change.
-type forwarder struct {
+// rewritingProxy forwards requests to a target and changes the responses with rewrite.
+type rewritingProxy struct {
 	target  *url.URL
 	rewrite func(*http.Response) error
 }
 
-// ServeHTTP implements http.Handler. Where the target breaks off, so does it.
-func (f forwarder) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+// ServeHTTP implements http.Handler. If the exchange with the target fails, it aborts the
+// connection to the client.
+func (f rewritingProxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	out := r.Clone(r.Context())
 	out.URL.Scheme, out.URL.Host, out.RequestURI = f.target.Scheme, f.target.Host, ""
 	res, err := http.DefaultTransport.RoundTrip(out)
@@ -107,7 +108,8 @@
 	}
 }
 
-// rewrite puts the addresses of an instance's own links into the list.
+// rewrite replaces the peers' addresses in an instance list by those of the links of instance id.
+// Other responses are left unchanged.
 func (l *Links) rewrite(id string, res *http.Response) error {
 	if res.Request.URL.Path != platform.PathInstances || res.StatusCode != http.StatusOK {
 		return nil
@@ -117,15 +119,15 @@
 		return errors.WithStack(err)
 	}
 	for i := range list.Instances {
-		line := &list.Instances[i]
-		if line.Kind != platform.KindOwn || line.ID == id {
+		entry := &list.Instances[i]
+		if entry.Kind != platform.KindOwn || entry.ID == id {
 			continue
 		}
-		proxy, err := l.link(id, line.ID, line.Control)
+		proxy, err := l.peerProxy(id, entry.ID, entry.Control)
 		if err != nil {
 			return err
 		}
-		line.Control = proxy.Address
+		entry.Control = proxy.Address
 	}
 	data, err := json.Marshal(list)
 	if err != nil {
@@ -137,35 +139,35 @@
 	return nil
 }
 
-// link returns the proxy of a pair, made at the first call.
-func (l *Links) link(from, to, address string) (*Proxy, error) {
+// peerProxy returns the proxy of a pair and creates it at the first call.
+func (l *Links) peerProxy(from, to, address string) (*Proxy, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	pair := [2]string{from, to}
-	if proxy, ok := l.peers[pair]; ok {
+	if proxy, ok := l.peerProxies[pair]; ok {
 		return proxy, nil
 	}
 	proxy, err := l.fleet.Proxy(from+"-"+to, address)
 	if err == nil {
-		l.peers[pair] = proxy
+		l.peerProxies[pair] = proxy
 	}
 	return proxy, err
 }
 
-// CutPlatform swallows what an instance sends to the platform, the instance
-// list included.
+// CutPlatform discards all requests of an instance to the platform, including those for the
+// instance list.
 func (l *Links) CutPlatform(id string) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.tables[id].Cut(ToUpstream)
+	return l.platformProxies[id].Cut(ToUpstream)
 }
 
-// CutPeers swallows the requests between an instance and its peers, or, in the
-// other direction, the answers.
+// CutPeers discards the requests between an instance and its peers with direction ToUpstream, or
+// the responses with FromUpstream.
 func (l *Links) CutPeers(id string, direction Direction) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for pair, proxy := range l.peers {
+	for pair, proxy := range l.peerProxies {
 		if pair[0] != id && pair[1] != id {
 			continue
 		}
@@ -176,12 +178,12 @@
 	return nil
 }
 
-// CutOutgoing swallows the requests that an instance sends to its peers; theirs
+// CutOutgoing discards the requests that an instance sends to its peers. Requests of the peers
 // still arrive and are answered.
 func (l *Links) CutOutgoing(id string) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for pair, proxy := range l.peers {
+	for pair, proxy := range l.peerProxies {
 		if pair[0] != id {
 			continue
 		}
@@ -192,21 +194,21 @@
 	return nil
 }
 
-// Heal ends all cuts.
+// Heal removes all cuts.
 func (l *Links) Heal() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, proxy := range l.tables {
+	for _, proxy := range l.platformProxies {
 		proxy.Heal()
 	}
-	for _, proxy := range l.peers {
+	for _, proxy := range l.peerProxies {
 		proxy.Heal()
 	}
 }
 
-// PeerLinkCount is the number of pairs that have a link.
+// PeerLinkCount returns the number of ordered pairs of instances that have a link.
 func (l *Links) PeerLinkCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.peers)
+	return len(l.peerProxies)
 }
--- a/internal/testfleet/process.go
+++ b/internal/testfleet/process.go
@@ -9,10 +9,10 @@
 	"github.com/pkg/errors"
 )
 
-// Process is a started program.
+// Process is a program that was started, and may have exited since.
 type Process struct {
 	Name string
-	// LogPath has what the program wrote.
+	// LogPath is the file with the program's standard output and standard error.
 	LogPath string
 
 	cmd  *exec.Cmd
@@ -31,7 +31,7 @@
 	cmd := exec.Command(path, args...)
 	cmd.Stdout, cmd.Stderr = log, log
 	cmd.Env = append(os.Environ(), environment...)
-	// The processes end with the one that started them, however it ends.
+	// The kernel kills the process when its parent exits, whatever the cause.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
 		return nil, errors.Wrap(err, name)
@@ -51,33 +51,33 @@
 
 // Signal sends a signal to the process.
 func (p *Process) Signal(signal syscall.Signal) {
-	_ = p.cmd.Process.Signal(signal) // it may have ended already
+	_ = p.cmd.Process.Signal(signal) // the process may have exited already
 }
 
-// Kill ends the process with SIGKILL and waits for its end.
+// Kill sends SIGKILL to the process and waits until it exited.
 func (p *Process) Kill() {
 	p.Signal(syscall.SIGKILL)
 	<-p.done
 }
 
-// Pid is the process's id.
+// Pid returns the process id.
 func (p *Process) Pid() int { return p.cmd.Process.Pid }
 
-// PID returns the process's id.
+// PID returns the process id.
 func (p *Process) PID() int { return p.cmd.Process.Pid }
 
-// Done is closed when the process has ended.
+// Done returns a channel that is closed when the process has exited.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
-// Err returns how the process ended; nil is exit code 0.
+// Err returns the exit error of the process. It is nil while the process runs and after exit code 0.
 func (p *Process) Err() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.err
 }
 
-// Log returns what the program wrote so far.
+// Log returns the content of the log file.
 func (p *Process) Log() string {
-	data, _ := os.ReadFile(p.LogPath) // none yet: empty
+	data, _ := os.ReadFile(p.LogPath) // an unreadable log counts as empty
 	return string(data)
 }
