--- a/internal/scenario/callers.go
+++ b/internal/scenario/callers.go
@@ -14,12 +14,12 @@
 	"sassafrasfield/internal/testservers"
 )
 
-// patience is how long a caller waits for the next event before it goes on at
+// stallTimeout is how long a caller waits for the next event before it goes on at
 // another instance.
-const patience = 4 * time.Second
+const stallTimeout = 4 * time.Second
 
-// askAgainAfter is the caller's pause after a refusal.
-const askAgainAfter = 100 * time.Millisecond
+// retryDelay is the caller's pause after a refusal.
+const retryDelay = 100 * time.Millisecond
 
 // chatRecord is a caller's own record of one streamed request.
 type chatRecord struct {
@@ -27,13 +27,13 @@
 	chat testcaller.Chat
 	// text that came, over all attempts.
 	text string
-	// whole is true when the closing event came.
-	whole bool
+	// complete is true when the closing event came.
+	complete bool
 	// notRun is true when each attempt was answered "not run".
 	notRun bool
-	// gone is true when the entry told that no engine serves the version any
+	// versionRemoved is true when the entry told that no engine serves the version any
 	// more that began the answer: it was broken off, and replaced meanwhile.
-	gone bool
+	versionRemoved bool
 }
 
 // callRecord is a caller's own record of one call that may run once at most.
@@ -43,12 +43,12 @@
 	answer string
 	// notRun is true when each attempt was answered "not run".
 	notRun bool
-	// different is true when two answers under one key were not the same.
-	different bool
+	// conflicting is true when two answers under one key were not the same.
+	conflicting bool
 }
 
-// book is what the callers asked and got.
-type book struct {
+// callerRecords is what the callers asked and got.
+type callerRecords struct {
 	mu    sync.Mutex // protects all below
 	chats []*chatRecord
 	calls []*callRecord
@@ -57,7 +57,7 @@
 // callers ask until they are told to stop, and finish what they began.
 type callers struct {
 	harness *Harness
-	book    *book
+	book    *callerRecords
 	ctx     context.Context
 	stop    chan struct{}
 	work    sync.WaitGroup
@@ -65,7 +65,7 @@
 
 // startCallers starts callers with names and choices that follow from the
 // seed.
-func startCallers(ctx context.Context, h *Harness, b *book, round string, seed uint64, count int) *callers {
+func startCallers(ctx context.Context, h *Harness, b *callerRecords, round string, seed uint64, count int) *callers {
 	c := &callers{harness: h, book: b, ctx: ctx, stop: make(chan struct{})}
 	for n := range count {
 		c.work.Go(func() {
@@ -116,7 +116,7 @@
 		Model: ModelName, Prompt: testservers.CountedPromptMark + name + " what does the ledger say?",
 		MaxTokens: 20 + rng.IntN(60), Seed: int64(rng.IntN(1 << 30)),
 	}}
-	for c.ctx.Err() == nil && !record.whole && !record.gone {
+	for c.ctx.Err() == nil && !record.complete && !record.versionRemoved {
 		if record.text == "" && c.stopped() {
 			break
 		}
@@ -130,11 +130,11 @@
 func (c *callers) attempt(record *chatRecord, entry string) {
 	ctx, cancel := context.WithCancel(c.ctx)
 	defer cancel()
-	stalled := time.AfterFunc(patience, cancel)
+	stalled := time.AfterFunc(stallTimeout, cancel)
 	defer stalled.Stop()
-	answer, err := c.harness.Caller.Stream(ctx, entry, record.chat, func(string, string) { stalled.Reset(patience) })
+	answer, err := c.harness.Caller.Stream(ctx, entry, record.chat, func(string, string) { stalled.Reset(stallTimeout) })
 	record.text += answer.Text
-	record.whole = answer.Done
+	record.complete = answer.Done
 	if answer.LastID != "" {
 		record.chat.LastEventID = answer.LastID
 	}
@@ -142,9 +142,9 @@
 	if !refused && !neverSent(err) {
 		record.notRun = false
 	}
-	record.gone = answer.Error != nil && answer.Error.Code == "cannot_resume"
-	if !record.whole {
-		time.Sleep(askAgainAfter)
+	record.versionRemoved = answer.Error != nil && answer.Error.Code == "cannot_resume"
+	if !record.complete {
+		time.Sleep(retryDelay)
 	}
 }
 
@@ -162,7 +162,7 @@
 		if c.tryCall(record, c.entry(rng), header) || c.ctx.Err() != nil {
 			break
 		}
-		time.Sleep(askAgainAfter)
+		time.Sleep(retryDelay)
 	}
 	if keyed && record.answer != "" {
 		c.tryCall(record, c.entry(rng), header) // asked again, the answer is the same
@@ -174,7 +174,7 @@
 
 // tryCall sends one call and tells whether it was answered.
 func (c *callers) tryCall(record *callRecord, entry string, header http.Header) bool {
-	ctx, cancel := context.WithTimeout(c.ctx, 2*patience)
+	ctx, cancel := context.WithTimeout(c.ctx, 2*stallTimeout)
 	defer cancel()
 	res, err := c.harness.Caller.Post(ctx, entry, "/bales/certificates", header, []byte(record.body))
 	if err != nil {
@@ -190,7 +190,7 @@
 		return false
 	}
 	if record.answer != "" && record.answer != string(body) {
-		record.different = true
+		record.conflicting = true
 	}
 	record.answer = string(body)
 	return true
--- a/internal/scenario/check.go
+++ b/internal/scenario/check.go
@@ -15,15 +15,15 @@
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// upstreamBooks are what the engines and services say that they ran.
-type upstreamBooks struct {
+// upstreamRecords are what the engines and services say that they ran.
+type upstreamRecords struct {
 	// ran counts streams by the name in the prompt, runs the calls by body.
 	ran, runs map[string]int
 	engines   map[string]testservers.EngineRecord
 }
 
-func readBooks(ctx context.Context, h *Harness) (upstreamBooks, error) {
-	all := upstreamBooks{ran: map[string]int{}, runs: map[string]int{}, engines: map[string]testservers.EngineRecord{}}
+func readUpstreamRecords(ctx context.Context, h *Harness) (upstreamRecords, error) {
+	all := upstreamRecords{ran: map[string]int{}, runs: map[string]int{}, engines: map[string]testservers.EngineRecord{}}
 	for _, e := range h.Fleet.Engines {
 		var b testservers.EngineRecord
 		if err := testfleet.Post(ctx, e.Address, testservers.PathRecord, nil, &b); err != nil {
@@ -48,7 +48,7 @@
 
 // compare returns what of the callers' book does not agree with the upstreams'
 // books.
-func (b *book) compare(up upstreamBooks) []string {
+func (b *callerRecords) compare(up upstreamRecords) []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var wrong []string
@@ -64,10 +64,10 @@
 func (r *chatRecord) compare(ran int) []string {
 	var wrong []string
 	want := Expected(r.chat, r.chat.LastEventID)
-	if r.whole && r.text != want {
+	if r.complete && r.text != want {
 		wrong = append(wrong, fmt.Sprintf("chat %s: the answer is %q, want %q", r.name, r.text, want))
 	}
-	if !r.whole && !r.gone && r.text != "" {
+	if !r.complete && !r.versionRemoved && r.text != "" {
 		wrong = append(wrong, fmt.Sprintf("chat %s: accepted, and never answered whole: %q", r.name, r.text))
 	}
 	if r.notRun && ran > 0 {
@@ -87,7 +87,7 @@
 	if r.notRun && runs > 0 {
 		wrong = append(wrong, fmt.Sprintf("call %s: told \"not run\", and it ran", r.body))
 	}
-	if r.different {
+	if r.conflicting {
 		wrong = append(wrong, fmt.Sprintf("call %s: two different answers under one key", r.body))
 	}
 	return wrong
@@ -95,7 +95,7 @@
 
 // compareOrders returns orders that took effect after one with a higher
 // fencing number.
-func compareOrders(up upstreamBooks) []string {
+func compareOrders(up upstreamRecords) []string {
 	var wrong []string
 	for id, b := range up.engines {
 		highest := int64(0)
--- a/internal/scenario/commands_call.go
+++ b/internal/scenario/commands_call.go
@@ -22,12 +22,12 @@
 // prompt of the scripts' requests.
 const prompt = "Is this grade claim consistent with the history of lot 4471?"
 
-// followed is a streamed answer that a script follows.
-type followed struct {
+// streamedAnswer is a streamed answer that a script follows.
+type streamedAnswer struct {
 	chat   testcaller.Chat
 	answer testcaller.Answer
 	err    error
-	ended  chan struct{}
+	done   chan struct{}
 }
 
 // Expected returns the whole answer that each engine makes to a chat with one
@@ -37,10 +37,10 @@
 	if err != nil {
 		return "an answer with event ids; " + err.Error()
 	}
-	return wholeText(chat, token.Version)
+	return fullText(chat, token.Version)
 }
 
-func wholeText(chat testcaller.Chat, version string) string {
+func fullText(chat testcaller.Chat, version string) string {
 	name, adapter, _ := callerapi.SplitModel(chat.Model)
 	body := callerapi.Request{Messages: []callerapi.Message{{Role: "user", Content: callerapi.Content(chat.Prompt)}}}
 	return testservers.NewText(engine.Request{
@@ -53,7 +53,7 @@
 func (s *script) newChat(tokens string) (testcaller.Chat, error) {
 	n, err := strconv.Atoi(tokens)
 	chat := testcaller.Chat{Model: ModelName, Prompt: prompt, MaxTokens: n, Seed: int64(len(s.streams)) << 20}
-	for err == nil && len(strings.Fields(wholeText(chat, "1"))) < n {
+	for err == nil && len(strings.Fields(fullText(chat, "1"))) < n {
 		chat.Seed++
 	}
 	return chat, errors.WithStack(err)
@@ -91,7 +91,7 @@
 	if err != nil {
 		return err
 	}
-	var f *followed
+	var f *streamedAnswer
 	id := ""
 	err = s.until("a first event", func() bool {
 		f, id = s.follow(s.harness.Instance(args[1]).EntryAddress, chat)
@@ -108,11 +108,11 @@
 
 // follow starts an answer and returns with the id of its first event, or with
 // "" when it ended before.
-func (s *script) follow(entry string, chat testcaller.Chat) (*followed, string) {
-	f := &followed{chat: chat, ended: make(chan struct{})}
+func (s *script) follow(entry string, chat testcaller.Chat) (*streamedAnswer, string) {
+	f := &streamedAnswer{chat: chat, done: make(chan struct{})}
 	first := make(chan string, 1)
 	go func() {
-		defer close(f.ended)
+		defer close(f.done)
 		f.answer, f.err = s.harness.Caller.Stream(s.ctx, entry, chat, func(id, _ string) {
 			select {
 			case first <- id:
@@ -123,7 +123,7 @@
 	select {
 	case id := <-first:
 		return f, id
-	case <-f.ended:
+	case <-f.done:
 		return f, ""
 	}
 }
@@ -131,7 +131,7 @@
 // cmdWhole: whole NAME. It waits for the end of an answer and wants all of it,
 // byte for byte.
 func cmdWhole(s *script, _ *testscript.TestScript, args []string) error {
-	f, err := s.ended(args)
+	f, err := s.waitForStream(args)
 	if err != nil {
 		return err
 	}
@@ -143,19 +143,19 @@
 
 // cmdBroken: broken NAME. It waits for the end of an answer and wants it cut.
 func cmdBroken(s *script, _ *testscript.TestScript, args []string) error {
-	f, err := s.ended(args)
+	f, err := s.waitForStream(args)
 	if err == nil && f.answer.Done {
 		return errors.New("the answer is whole")
 	}
 	return err
 }
 
-func (s *script) ended(args []string) (*followed, error) {
+func (s *script) waitForStream(args []string) (*streamedAnswer, error) {
 	if len(args) != 1 || s.streams[args[0]] == nil {
 		return nil, errors.New("want the name of a stream")
 	}
 	select {
-	case <-s.streams[args[0]].ended:
+	case <-s.streams[args[0]].done:
 		return s.streams[args[0]], nil
 	case <-s.ctx.Done():
 		return nil, errors.New("the stream did not end")
@@ -168,7 +168,7 @@
 	if len(args) != 2 || s.harness.Instance(args[1]) == nil {
 		return errors.New("resume: want the name of a stream and an instance")
 	}
-	f, err := s.ended(args[:1])
+	f, err := s.waitForStream(args[:1])
 	if err != nil {
 		return err
 	}
--- a/internal/scenario/faults.go
+++ b/internal/scenario/faults.go
@@ -52,13 +52,13 @@
 type fault struct {
 	kind faultKind
 	// target is the number of the instance or engine, from 0.
-	target int
-	way    direction
+	target    int
+	direction direction
 }
 
 // String names the fault for a person.
 func (f fault) String() string {
-	return fmt.Sprintf("%s (%d, %s)", f.kind, f.target+1, f.way)
+	return fmt.Sprintf("%s (%d, %s)", f.kind, f.target+1, f.direction)
 }
 
 // pair is two faults of one round.
@@ -69,7 +69,7 @@
 	rng := rand.New(rand.NewPCG(seed, 0))
 	draw := func(kind faultKind) fault {
 		ways := []direction{cutTo, cutFrom, cutBoth}
-		return fault{kind: kind, target: rng.IntN(targets), way: ways[rng.IntN(len(ways))]}
+		return fault{kind: kind, target: rng.IntN(targets), direction: ways[rng.IntN(len(ways))]}
 	}
 	var pairs []pair
 	for range rounds {
@@ -102,11 +102,11 @@
 	case freezeControl:
 		instance.Control.Signal(syscall.SIGSTOP)
 	case cutPlatform:
-		return cutProxy(j.harness.PlatformProxies[instance.ID], f.way)
+		return cutProxy(j.harness.PlatformProxies[instance.ID], f.direction)
 	case slowPlatform, platformDown, lostReplies, staleReads:
 		return j.injectPlatform(ctx, f)
 	case lostAnswers:
-		return j.serviceFaults(ctx, testservers.ServiceFaults{LoseReplies: 2})
+		return j.injectServices(ctx, testservers.ServiceFaults{LoseReplies: 2})
 	default:
 		return j.injectEngine(ctx, f)
 	}
@@ -133,7 +133,7 @@
 	faults := &j.engines[n]
 	switch f.kind {
 	case cutEngine:
-		return cutProxy(j.harness.UpstreamProxies[e.ID], f.way)
+		return cutProxy(j.harness.UpstreamProxies[e.ID], f.direction)
 	case slowEngine:
 		return j.harness.UpstreamProxies[e.ID].Slow(testfleet.FromUpstream, 150)
 	case crashEngine:
@@ -147,7 +147,7 @@
 	return testfleet.Post(ctx, e.Address, testservers.PathFault, *faults, nil)
 }
 
-func (j *injector) serviceFaults(ctx context.Context, faults testservers.ServiceFaults) error {
+func (j *injector) injectServices(ctx context.Context, faults testservers.ServiceFaults) error {
 	for _, s := range j.harness.Fleet.Services {
 		if err := testfleet.Post(ctx, s.Address, testservers.PathFault, faults, nil); err != nil {
 			return err
@@ -181,7 +181,7 @@
 			return err
 		}
 	}
-	if err := j.serviceFaults(ctx, testservers.ServiceFaults{}); err != nil {
+	if err := j.injectServices(ctx, testservers.ServiceFaults{}); err != nil {
 		return err
 	}
 	for _, proxy := range j.harness.PlatformProxies {
@@ -197,12 +197,12 @@
 	for _, i := range j.harness.Fleet.Instances {
 		i.Entry.Signal(syscall.SIGCONT)
 		i.Control.Signal(syscall.SIGCONT)
-		if ended(i.Entry) {
+		if exited(i.Entry) {
 			if err := j.harness.Fleet.StartEntry(i); err != nil {
 				return err
 			}
 		}
-		if ended(i.Control) {
+		if exited(i.Control) {
 			if err := j.harness.Fleet.StartControl(i); err != nil {
 				return err
 			}
@@ -211,7 +211,7 @@
 	return nil
 }
 
-func ended(p *testfleet.Process) bool {
+func exited(p *testfleet.Process) bool {
 	select {
 	case <-p.Done():
 		return true
--- a/internal/scenario/pages_test.go
+++ b/internal/scenario/pages_test.go
@@ -57,9 +57,9 @@
 	return all.String()
 }
 
-// TestEachCommandOnThePagesRuns wants each sfctl command of the operators'
+// TestEachDocumentedCommandIsScripted wants each sfctl command of the operators'
 // pages, with its flags, in one of the scripts.
-func TestEachCommandOnThePagesRuns(t *testing.T) {
+func TestEachDocumentedCommandIsScripted(t *testing.T) {
 	run := map[string]bool{}
 	scripted := regexp.MustCompile(`(?m)^!? *(?:sfctl|exits \d|until '[^']*'(?:\S*'[^']*')*) (.*)$`)
 	for _, match := range scripted.FindAllStringSubmatch(readAll(t, "internal/scenario/testdata/*.txtar"), -1) {
--- a/internal/scenario/pairs.go
+++ b/internal/scenario/pairs.go
@@ -19,9 +19,9 @@
 
 // Times of a round: the load runs alone, then with one fault, then with both.
 const (
-	beforeFaults  = 300 * time.Millisecond
-	betweenFaults = 400 * time.Millisecond
-	underFaults   = 2500 * time.Millisecond
+	loadBeforeFaults   = 300 * time.Millisecond
+	delayBetweenFaults = 400 * time.Millisecond
+	faultDuration      = 2500 * time.Millisecond
 )
 
 // Pairs is a seeded run over pairs of faults under load.
@@ -61,7 +61,7 @@
 		return Result{}, err
 	}
 	watch := startWatcher(ctx, h)
-	records, op, faults := &book{}, &operator{harness: h}, newInjector(h)
+	records, op, faults := &callerRecords{}, &operator{harness: h}, newInjector(h)
 	for n, drawn := range drawPairs(p.Seed, p.Rounds, pairInstances) {
 		fmt.Fprintf(p.Out, "seed %d round %d: %s with %s\n", p.Seed, n, drawn.first, drawn.second)
 		if err := p.round(ctx, h, n, drawn, records, op, faults, watch); err != nil {
@@ -69,25 +69,25 @@
 			return Result{}, errors.Wrapf(err, "round %d", n)
 		}
 	}
-	return p.settle(ctx, h, records, op, watch)
+	return p.collectResult(ctx, h, records, op, watch)
 }
 
 // round runs one pair under load, heals it, and waits until the newest version
 // is in force everywhere.
-func (p Pairs) round(ctx context.Context, h *Harness, n int, drawn pair, records *book, op *operator, faults *injector, watch *watcher) error {
+func (p Pairs) round(ctx context.Context, h *Harness, n int, drawn pair, records *callerRecords, op *operator, faults *injector, watch *watcher) error {
 	load := startCallers(ctx, h, records, fmt.Sprintf("s%d-r%d", p.Seed, n), p.Seed+uint64(n), pairCallers)
 	changed := make(chan struct{})
-	time.Sleep(beforeFaults)
+	time.Sleep(loadBeforeFaults)
 	err := faults.inject(ctx, drawn.first)
 	go func() {
 		defer close(changed)
 		op.change(ctx, n)
 	}()
-	time.Sleep(betweenFaults)
+	time.Sleep(delayBetweenFaults)
 	if err == nil {
 		err = faults.inject(ctx, drawn.second)
 	}
-	time.Sleep(underFaults)
+	time.Sleep(faultDuration)
 	if healed := faults.heal(ctx); err == nil {
 		err = healed
 	}
@@ -100,18 +100,18 @@
 	if err := faults.restart(); err != nil {
 		return err
 	}
-	_, err = watch.inForceEverywhere(ctx)
+	_, err = watch.waitInForceEverywhere(ctx)
 	return err
 }
 
-// settle compares all books at the end.
-func (p Pairs) settle(ctx context.Context, h *Harness, records *book, op *operator, watch *watcher) (Result, error) {
+// collectResult compares all books at the end.
+func (p Pairs) collectResult(ctx context.Context, h *Harness, records *callerRecords, op *operator, watch *watcher) (Result, error) {
 	result := Result{Wrong: watch.finish(), Accepted: len(op.accepted)}
-	up, err := readBooks(ctx, h)
+	up, err := readUpstreamRecords(ctx, h)
 	if err != nil {
 		return result, err
 	}
-	missing, err := op.missing(ctx)
+	missing, err := op.missingPlans(ctx)
 	if err != nil {
 		return result, err
 	}
@@ -120,10 +120,10 @@
 	result.Wrong = append(result.Wrong, compareOrders(up)...)
 	for _, r := range records.chats {
 		result.Chats++
-		if r.whole {
+		if r.complete {
 			result.Whole++
 		}
-		if r.gone {
+		if r.versionRemoved {
 			result.Gone++
 		}
 	}
--- a/internal/scenario/pairs_test.go
+++ b/internal/scenario/pairs_test.go
@@ -16,9 +16,9 @@
 	pairsRounds = flag.Int("pairs.rounds", 3, "rounds of the run over pairs of faults")
 )
 
-// TestTwoFaults runs pairs of faults under load and compares the callers' book
+// TestPairsOfFaults runs pairs of faults under load and compares the callers' book
 // with those of the engines and services.
-func TestTwoFaults(t *testing.T) {
+func TestPairsOfFaults(t *testing.T) {
 	bin, err := testfleet.Bin()
 	if err != nil {
 		t.Fatal(err)
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestPairsFollowFromTheSeed(t *testing.T) {
+func TestPairsAreDeterminedBySeed(t *testing.T) {
 	first, again, other := drawPairs(7, 50, 3), drawPairs(7, 50, 3), drawPairs(8, 50, 3)
 	same := true
 	for n := range first {
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -15,8 +15,8 @@
 // scriptTimeout bounds one script.
 const scriptTimeout = 100 * time.Second
 
-// scriptsAtOnce bounds the fleets that run at the same time.
-const scriptsAtOnce = 3
+// maxParallelScripts bounds the fleets that run at the same time.
+const maxParallelScripts = 3
 
 // stateKey is the key of a script's state in its environment.
 type stateKey struct{}
@@ -28,13 +28,13 @@
 	// via is the instance that sfctl talks to.
 	via string
 	// streams are the answers that the script follows, by name.
-	streams map[string]*followed
+	streams map[string]*streamedAnswer
 }
 
 // Params returns what testscript needs to run the scripts of a folder. The
 // commands are listed in testdata/README.md.
 func Params(dir, bin string) testscript.Params {
-	slots := make(chan struct{}, scriptsAtOnce)
+	slots := make(chan struct{}, maxParallelScripts)
 	return testscript.Params{
 		Dir: dir,
 		Setup: func(env *testscript.Env) error {
@@ -65,7 +65,7 @@
 	h.EngineFlags = []string{"--change-time", "200ms", "--load-time", "100ms"}
 	h.Fleet.EntryExtra = "balancer_lag = \"100ms\"\n"
 	h.Fleet.EntryTables = "[engine]\ntimeout = \"2s\"\n"
-	env.Values[stateKey{}] = &script{ctx: ctx, harness: h, via: "inst-1", streams: map[string]*followed{}}
+	env.Values[stateKey{}] = &script{ctx: ctx, harness: h, via: "inst-1", streams: map[string]*streamedAnswer{}}
 	env.Defer(func() {
 		cancel()
 		h.Fleet.Stop()
--- a/internal/scenario/versions.go
+++ b/internal/scenario/versions.go
@@ -23,8 +23,8 @@
 	stop    context.CancelFunc
 	done    sync.WaitGroup
 
-	mu    sync.Mutex // protects wrong
-	wrong []string
+	mu         sync.Mutex // protects wrong
+	violations []string
 }
 
 func startWatcher(ctx context.Context, h *Harness) *watcher {
@@ -43,7 +43,7 @@
 		version, ready, ok := w.read(ctx, i)
 		if ok && version < highest && ready {
 			w.mu.Lock()
-			w.wrong = append(w.wrong, fmt.Sprintf("%s: ready with version %d after %d was in force", i.ID, version, highest))
+			w.violations = append(w.violations, fmt.Sprintf("%s: ready with version %d after %d was in force", i.ID, version, highest))
 			w.mu.Unlock()
 		}
 		highest = max(highest, version)
@@ -66,12 +66,12 @@
 	w.done.Wait()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.wrong
+	return w.violations
 }
 
-// inForceEverywhere waits until each entry has at least the version of the
+// waitInForceEverywhere waits until each entry has at least the version of the
 // table's head in force, and returns that version.
-func (w *watcher) inForceEverywhere(ctx context.Context) (int64, error) {
+func (w *watcher) waitInForceEverywhere(ctx context.Context) (int64, error) {
 	log := versions.Log{Table: w.harness.Fleet.PlatformClient()}
 	head, err := log.Head(ctx)
 	if err != nil {
@@ -101,7 +101,7 @@
 		intent = fmt.Sprintf("name = \"round-%d\"\n[[model]]\nname = %q\nversion = \"%d\"\n", round, ModelName, round+2)
 	}
 	for _, i := range o.harness.Fleet.Instances {
-		ctx, cancel := context.WithTimeout(ctx, 2*patience)
+		ctx, cancel := context.WithTimeout(ctx, 2*stallTimeout)
 		id, err := o.harness.Declare(ctx, i, intent)
 		if err == nil {
 			output, code, err := o.harness.Sfctl(ctx, i, "confirm", id)
@@ -115,9 +115,9 @@
 	}
 }
 
-// missing returns accepted plans that the log of versions does not have just
+// missingPlans returns accepted plans that the log of versions does not have just
 // once.
-func (o *operator) missing(ctx context.Context) ([]string, error) {
+func (o *operator) missingPlans(ctx context.Context) ([]string, error) {
 	log := versions.Log{Table: o.harness.Fleet.PlatformClient()}
 	entries, err := log.List(ctx, 1<<20)
 	if err != nil {
