--- a/internal/peers/grants.go
+++ b/internal/peers/grants.go
@@ -128,7 +128,7 @@
 		case <-resend.C:
 			r.sendGrantRequest(id, request, coordinator)
 		case <-timer.C:
-			r.exchange.log.Info("peers: no answer from the coordinator of the grants", "coordinator", coordinator)
+			r.exchange.log.Info("peers: no word from the coordinator of the grants", "coordinator", coordinator)
 			return quota.Verdict{RetryIn: quota.NoCoordinatorRetry}
 		case <-ctx.Done():
 			return quota.Verdict{RetryIn: quota.NoCoordinatorRetry}
