--- a/internal/quota/table.go
+++ b/internal/quota/table.go
@@ -131,8 +131,8 @@
 	return limits
 }
 
-// Forget deletes the entry of an upstream.
-func (t *Table) Forget(upstream uint32) { delete(t.entries, upstream) }
+// Remove deletes the entry of an upstream.
+func (t *Table) Remove(upstream uint32) { delete(t.entries, upstream) }
 
 // ApplyAnnouncement applies an announcement in an answer to this instance. It returns the change, and whether
 // there is one.
--- a/internal/upstreamstate/upstreamstate.go
+++ b/internal/upstreamstate/upstreamstate.go
@@ -156,7 +156,7 @@
 	defer s.mu.Unlock()
 	n, ok := s.nodes[u.ID]
 	if ok && n.StartedAt != u.StartedAt {
-		s.limits.announcements.Forget(n.hash)
+		s.limits.announcements.Remove(n.hash)
 		delete(s.limits.exhausted, n.hash)
 		delete(s.limits.backoffs, n.hash)
 		s.removeNode(n)
