--- a/internal/fanout/inbox.go
+++ b/internal/fanout/inbox.go
@@ -106,8 +106,8 @@
 	return batch
 }
 
-// Forget drops all data of an instance.
-func (b *Inbox) Forget(id ID) {
+// Remove drops all data of an instance.
+func (b *Inbox) Remove(id ID) {
 	delete(b.newest, id)
 	delete(b.queued, id)
 }
--- a/internal/peers/members.go
+++ b/internal/peers/members.go
@@ -170,7 +170,7 @@
 	if e.byID[id] == peer {
 		delete(e.byID, id)
 		e.roster.Forget(id)
-		e.inbox.Forget(id)
+		e.inbox.Remove(id)
 	}
 }
 
