--- a/internal/fanout/roster.go
+++ b/internal/fanout/roster.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// Forget removes an instance.
-func (r *Roster) Forget(id ID) { delete(r.members, id) }
+// Remove removes an instance.
+func (r *Roster) Remove(id ID) { delete(r.members, id) }
 
 // KnownCount returns the number of instances in the roster, including this one.
 func (r *Roster) KnownCount() int { return len(r.members) + 1 }
--- a/internal/peers/members.go
+++ b/internal/peers/members.go
@@ -169,7 +169,7 @@
 	id := peer.ID()
 	if e.byID[id] == peer {
 		delete(e.byID, id)
-		e.roster.Forget(id)
+		e.roster.Remove(id)
 		e.inbox.Remove(id)
 	}
 }
