--- a/internal/fanout/roster.go
+++ b/internal/fanout/roster.go
@@ -133,9 +133,9 @@
 	return rank
 }
 
-// ShouldRelay reports whether this instance is to pass reports on. It is if no live instance ranks
+// IsHub reports whether this instance is to pass reports on. It is if no live instance ranks
 // before it, or if those that do have sent no batch for takeoverAfter times their number.
-func (r *Roster) ShouldRelay(now time.Duration) bool {
+func (r *Roster) IsHub(now time.Duration) bool {
 	rank := r.Rank(now)
 	if rank == 0 {
 		return true
--- a/internal/fanout/roster_test.go
+++ b/internal/fanout/roster_test.go
@@ -50,8 +50,8 @@
 	ids := ranked(5)
 	for i, id := range ids {
 		r := rosterOf(id, ids, 0)
-		if r.Rank(0) != i || r.ShouldRelay(0) != (i == 0) {
-			t.Errorf("rank %d: got rank %d, passes reports on %t", i, r.Rank(0), r.ShouldRelay(0))
+		if r.Rank(0) != i || r.IsHub(0) != (i == 0) {
+			t.Errorf("rank %d: got rank %d, passes reports on %t", i, r.Rank(0), r.IsHub(0))
 		}
 	}
 }
@@ -65,11 +65,11 @@
 			r.MarkAlive(id, 2*time.Second)
 		}
 		takeover := time.Second + time.Duration(rank)*takeoverAfter
-		if r.ShouldRelay(takeover) || !r.ShouldRelay(takeover+time.Millisecond) {
-			t.Errorf("rank %d passes reports on %t at %s, then %t", rank, r.ShouldRelay(takeover), takeover, r.ShouldRelay(takeover+time.Millisecond))
+		if r.IsHub(takeover) || !r.IsHub(takeover+time.Millisecond) {
+			t.Errorf("rank %d passes reports on %t at %s, then %t", rank, r.IsHub(takeover), takeover, r.IsHub(takeover+time.Millisecond))
 		}
 		r.BatchReceived(ids[0], takeover+2*time.Millisecond)
-		if r.ShouldRelay(takeover + 3*time.Millisecond) {
+		if r.IsHub(takeover + 3*time.Millisecond) {
 			t.Errorf("rank %d still passes reports on though the first is back", rank)
 		}
 	}
--- a/internal/peers/members.go
+++ b/internal/peers/members.go
@@ -91,7 +91,7 @@
 
 // isHub is IsHub. The lock is held.
 func (e *Exchange) isHub(now time.Duration) bool {
-	isHub := e.roster.ShouldRelay(now)
+	isHub := e.roster.IsHub(now)
 	if isHub != e.wasHub {
 		e.wasHub, e.hubSince = isHub, now
 		e.log.Info("peers: hub role changed", "passes", isHub, "rank", e.roster.Rank(now), "known", e.roster.KnownCount())
