--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// Drop removes an upstream, unless it has a stream of this instance.
-func (t *Table) Drop(id string) {
+// Remove removes an upstream, unless it has a stream of this instance.
+func (t *Table) Remove(id string) {
 	if u, ok := t.upstreams[id]; ok && u.Streams == 0 {
 		delete(t.upstreams, id)
 	}
--- a/internal/upstreamstate/upstreamstate.go
+++ b/internal/upstreamstate/upstreamstate.go
@@ -196,7 +196,7 @@
 		return
 	}
 	s.removeNode(n)
-	s.loads.Drop(id)
+	s.loads.Remove(id)
 }
 
 // removeNode removes what is known about one incarnation of an upstream. The lock is held.
--- a/internal/upstreamstate/work.go
+++ b/internal/upstreamstate/work.go
@@ -52,7 +52,7 @@
 	s.loads.End(id, request, now)
 	n, ok := s.nodes[id]
 	if !ok {
-		s.loads.Drop(id)
+		s.loads.Remove(id)
 		return
 	}
 	s.changed(n)
