--- a/internal/usagereport/reporter.go
+++ b/internal/usagereport/reporter.go
@@ -40,8 +40,8 @@
 type Settings struct {
 	// Instance is the name of this instance, which the reports carry.
 	Instance string
-	// Lease is the name of the lease whose holder reports.
-	Lease string
+	// LeaseName is the name of the lease whose holder reports.
+	LeaseName string
 	// Length is the length of a window.
 	Length time.Duration
 	// SettleTime is the time from a window's end until its counts are treated as complete. Totals reach the
@@ -188,7 +188,7 @@
 	}
 	revision, err := r.table.Commit(ctx, platform.Txn{
 		Checks: []platform.Check{
-			{Key: leaserows.EpochKey(r.settings.Lease), Revision: grant.EpochRevision},
+			{Key: leaserows.EpochKey(r.settings.LeaseName), Revision: grant.EpochRevision},
 			{Key: rowKey, Revision: r.revision},
 		},
 		Writes: []platform.Write{{Key: rowKey, Value: value}},
--- a/internal/usagereport/reporter_test.go
+++ b/internal/usagereport/reporter_test.go
@@ -148,7 +148,7 @@
 
 // restart restarts the process of an instance.
 func (r *fixture) restart(i int) {
-	s := Settings{Instance: fmt.Sprint("inst-", i), Lease: leaseName, Length: length, SettleTime: time.Second}
+	s := Settings{Instance: fmt.Sprint("inst-", i), LeaseName: leaseName, Length: length, SettleTime: time.Second}
 	total := func(w usage.Window) usage.Counts { // the known counts grow, so a later holder may know more
 		return maps.Clone(r.totals[w])
 	}
