--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -96,8 +96,8 @@
 type ScaleLimits struct {
 	// Min and Max bound the number of upstreams in each zone, spot and on-demand together.
 	Min, Max int
-	// Boot is the time from an order to the first request that the new upstream accepts.
-	Boot time.Duration
+	// BootTime is the time from an order to the first request that the new upstream accepts.
+	BootTime time.Duration
 	// SpotPrice is the price of a spot upstream as a fraction of that of an on-demand one; 0 if there are no
 	// spot upstreams.
 	SpotPrice float64
--- a/internal/scaling/scaler.go
+++ b/internal/scaling/scaler.go
@@ -201,7 +201,7 @@
 		engines := next[i]
 		for _, kind := range state.kinds() {
 			group := EngineGroup{Service: s.Name, Zone: zone.Name, Kind: kind}
-			if k.due(group, engines[kind], zone.Engines[kind], s.Limits.Boot) && ctx.Err() == nil {
+			if k.due(group, engines[kind], zone.Engines[kind], s.Limits.BootTime) && ctx.Err() == nil {
 				k.order(ctx, Order{EngineGroup: group, Engines: engines[kind], Holder: k.instance, Epoch: grant.Epoch}, zone, wanted[i])
 			}
 		}
--- a/internal/scaling/scaling_test.go
+++ b/internal/scaling/scaling_test.go
@@ -13,7 +13,7 @@
 // sameCount runs as many engines as the deployment began with.
 var sameCount = Settings{EngineShare: 1, OnDemandAfter: defaultOnDemandAfter, MaxConcurrentChanges: defaultMaxConcurrentChanges}
 
-var limits = routes.ScaleLimits{Min: 1, Max: 30, Boot: 4 * time.Second, SpotPrice: 0.18}
+var limits = routes.ScaleLimits{Min: 1, Max: 30, BootTime: 4 * time.Second, SpotPrice: 0.18}
 
 func zones(engines ...EngineCounts) []Zone {
 	list := make([]Zone, len(engines))
