--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -26,8 +26,8 @@
 // ModelName is the demo's one model.
 const ModelName = "provenance"
 
-// Row is one point that held or fell.
-type Row struct {
+// Result is one point that held or fell.
+type Result struct {
 	What   string
 	Detail string
 	Err    error
@@ -46,7 +46,7 @@
 	fleet  *testfleet.Fleet
 	caller *testcaller.Caller
 	prompt string
-	rows   []Row
+	rows   []Result
 }
 
 // Run starts the fleet, goes through the points and stops all processes. It
@@ -74,7 +74,7 @@
 	for _, point := range points {
 		fmt.Fprintf(d.Out, "\n== %s\n", point.what)
 		detail, err := point.run(ctx)
-		d.rows = append(d.rows, Row{What: point.what, Detail: detail, Err: err})
+		d.rows = append(d.rows, Result{What: point.what, Detail: detail, Err: err})
 		if err != nil {
 			break
 		}
