--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -20,8 +20,8 @@
 	"sassafrasfield/internal/testfleet"
 )
 
-// Key is the API key of the demo's one organisation.
-const Key = "demo-key-of-qoton-trace"
+// APIKey is the API key of the demo's one organisation.
+const APIKey = "demo-key-of-qoton-trace"
 
 // ModelName is the demo's one model.
 const ModelName = "provenance"
@@ -53,7 +53,7 @@
 // returns an error when a point fell.
 func (d *Demo) Run(ctx context.Context) error {
 	d.fleet = testfleet.New(d.Bin, d.Dir)
-	d.caller = testcaller.New(Key)
+	d.caller = testcaller.New(APIKey)
 	defer d.fleet.Stop()
 	started := time.Now()
 	prompt, err := os.ReadFile(filepath.Join(d.Root, "examples", "demo", "prompt.txt"))
@@ -128,7 +128,7 @@
 	if err := testfleet.Until(ctx, "each sf-control answers", d.controlsAnswer); err != nil {
 		return "", err
 	}
-	sum := sha256.Sum256([]byte(Key))
+	sum := sha256.Sum256([]byte(APIKey))
 	path, err := d.render("base.toml", map[string]any{
 		"Engines": d.fleet.Engines, "Services": d.fleet.Services, "KeyHash": hex.EncodeToString(sum[:]),
 	})
