--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -28,7 +28,7 @@
 
 // Result is one point that held or fell.
 type Result struct {
-	What   string
+	Step   string
 	Detail string
 	Err    error
 }
@@ -74,7 +74,7 @@
 	for _, point := range points {
 		fmt.Fprintf(d.Out, "\n== %s\n", point.what)
 		detail, err := point.run(ctx)
-		d.rows = append(d.rows, Result{What: point.what, Detail: detail, Err: err})
+		d.rows = append(d.rows, Result{Step: point.what, Detail: detail, Err: err})
 		if err != nil {
 			break
 		}
@@ -94,7 +94,7 @@
 			result, row.Detail = "FELL", row.Err.Error()
 			failed = row.Err
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\n", result, row.What, row.Detail)
+		fmt.Fprintf(w, "%s\t%s\t%s\n", result, row.Step, row.Detail)
 	}
 	if err := w.Flush(); err != nil {
 		return errors.WithStack(err)
