--- a/cmd/sf-load/model.go
+++ b/cmd/sf-load/model.go
@@ -22,7 +22,7 @@
 		if err := settings.Load(*file, study); err != nil {
 			return err
 		}
-		return writeStudy(*out, study.Play())
+		return writeStudy(*out, study.Run())
 	}}
 }
 
--- a/internal/model/study.go
+++ b/internal/model/study.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// Play plays all patterns under all policies.
-func (s *Study) Play() []*Result {
+// Run plays all patterns under all policies.
+func (s *Study) Run() []*Result {
 	var results []*Result
 	for _, pattern := range s.Pattern {
 		for _, policy := range s.Policy {
--- a/internal/model/study_test.go
+++ b/internal/model/study_test.go
@@ -17,7 +17,7 @@
 		t.Fatal(err)
 	}
 	study.Seeds, study.Policy, study.Pattern[0].Length = study.Seeds[:1], study.Policy[:2], time.Second
-	results := study.Play()
+	results := study.Run()
 	var table bytes.Buffer
 	if err := WriteTable(&table, results); err != nil {
 		t.Fatal(err)
