--- a/internal/model/pattern.go
+++ b/internal/model/pattern.go
@@ -18,7 +18,7 @@
 	Fleet  Fleet         `toml:"fleet"`
 	Class  []Class       `toml:"class"`
 	// Lost engines.
-	Lost []Loss `toml:"lost"`
+	Lost []Outage `toml:"lost"`
 }
 
 // Fleet is the instances and the engines.
@@ -90,9 +90,9 @@
 	Times float64       `toml:"times"`
 }
 
-// Loss is a number of engines that are gone for a time; those that return do so as
+// Outage is a number of engines that are gone for a time; those that return do so as
 // decode engines with empty memory.
-type Loss struct {
+type Outage struct {
 	At      time.Duration `toml:"at"`
 	For     time.Duration `toml:"for"`
 	Engines int           `toml:"engines"`
