--- a/internal/model/pattern.go
+++ b/internal/model/pattern.go
@@ -94,7 +94,7 @@
 // decode engines with empty memory.
 type Outage struct {
 	At      time.Duration `toml:"at"`
-	For     time.Duration `toml:"for"`
+	Duration     time.Duration `toml:"for"`
 	Engines int           `toml:"engines"`
 }
 
--- a/internal/model/run.go
+++ b/internal/model/run.go
@@ -276,7 +276,7 @@
 			switch {
 			case r.now >= l.At && r.now < l.At+tick:
 				r.crash(e)
-			case r.now >= l.At+l.For && r.now < l.At+l.For+tick:
+			case r.now >= l.At+l.Duration && r.now < l.At+l.Duration+tick:
 				r.comeBack(e)
 			}
 		}
