--- a/internal/model/model_test.go
+++ b/internal/model/model_test.go
@@ -68,7 +68,7 @@
 func TestLostEnginesComeBack(t *testing.T) {
 	p := surge()
 	p.Class[0].Bursts = nil
-	p.Lost = []Outage{{At: 4 * time.Second, Duration: 2 * time.Second, Engines: 4}}
+	p.Outages = []Outage{{At: 4 * time.Second, Duration: 2 * time.Second, Engines: 4}}
 	p.Length = 12 * time.Second
 	r := Run(p, Policy{}, 1)
 	t.Logf("missed %.3f, %.3f; %d orders, %d refused", r.Missed("summary"), r.Missed("question"), r.Orders, r.Refused)
--- a/internal/model/pattern.go
+++ b/internal/model/pattern.go
@@ -17,8 +17,8 @@
 	Length time.Duration `toml:"length"`
 	Fleet  Fleet         `toml:"fleet"`
 	Class  []Class       `toml:"class"`
-	// Lost engines.
-	Lost []Outage `toml:"lost"`
+	// Outages engines.
+	Outages []Outage `toml:"lost"`
 }
 
 // Fleet is the instances and the engines.
--- a/internal/model/run.go
+++ b/internal/model/run.go
@@ -270,7 +270,7 @@
 
 // lose takes engines away and brings them back.
 func (r *run) lose() {
-	for _, l := range r.pattern.Lost {
+	for _, l := range r.pattern.Outages {
 		for i := range l.Engines {
 			e := r.engines[i*len(r.engines)/l.Engines]
 			switch {
