--- a/internal/model/pattern.go
+++ b/internal/model/pattern.go
@@ -86,7 +86,7 @@
 // Burst multiplies a class's rate for a time. Bursts that overlap multiply.
 type Burst struct {
 	From  time.Duration `toml:"from"`
-	For   time.Duration `toml:"for"`
+	Duration   time.Duration `toml:"for"`
 	Times float64       `toml:"times"`
 }
 
@@ -102,7 +102,7 @@
 func (c Class) rateAt(now time.Duration) float64 {
 	rate := c.Rate
 	for _, b := range c.Bursts {
-		if now >= b.From && now < b.From+b.For {
+		if now >= b.From && now < b.From+b.Duration {
 			rate *= b.Times
 		}
 	}
