--- a/internal/model/pattern.go
+++ b/internal/model/pattern.go
@@ -87,7 +87,7 @@
 type Burst struct {
 	From  time.Duration `toml:"from"`
 	Duration   time.Duration `toml:"for"`
-	Times float64       `toml:"times"`
+	Factor float64       `toml:"times"`
 }
 
 // Outage is a number of engines that are gone for a time; those that return do so as
@@ -103,7 +103,7 @@
 	rate := c.Rate
 	for _, b := range c.Bursts {
 		if now >= b.From && now < b.From+b.Duration {
-			rate *= b.Times
+			rate *= b.Factor
 		}
 	}
 	return rate
--- a/internal/model/patterns_test.go
+++ b/internal/model/patterns_test.go
@@ -26,14 +26,14 @@
 	var list []Burst
 	for i, times := range waves {
 		from := 3*time.Second + time.Duration(i)*(wave+time.Second)
-		list = append(list, Burst{From: from, Duration: wave, Times: times})
+		list = append(list, Burst{From: from, Duration: wave, Factor: times})
 	}
 	for i := range 11 {
 		times := first
 		if i%2 == 1 {
 			times = second
 		}
-		list = append(list, Burst{From: time.Second + time.Duration(i)*short, Duration: short, Times: times})
+		list = append(list, Burst{From: time.Second + time.Duration(i)*short, Duration: short, Factor: times})
 	}
 	return list
 }
@@ -49,12 +49,12 @@
 			{
 				Name: "summary", Rate: 195, Shared: 6300, Own: 2890, Answer: 78, Spread: 0.7, Parts: 669, Skew: 0.3,
 				Objective: 200 * time.Millisecond, Pause: 200 * time.Millisecond, Patience: 2 * time.Second,
-				Bursts: append(bursts(0.56, 1.65, 0.35, 1.9), Burst{From: 16200 * time.Millisecond, Duration: 5 * time.Second, Times: 2}),
+				Bursts: append(bursts(0.56, 1.65, 0.35, 1.9), Burst{From: 16200 * time.Millisecond, Duration: 5 * time.Second, Factor: 2}),
 			},
 			{
 				Name: "question", Rate: 29, Shared: 79, Own: 141, Answer: 4600, Spread: 0.6, Parts: 222, Skew: 0.3, Priority: 1,
 				Objective: 150 * time.Millisecond, Pause: 200 * time.Millisecond, Patience: 2 * time.Second,
-				Bursts: append(bursts(1.67, 0.56, 1.6, 0.49), Burst{From: 21200 * time.Millisecond, Duration: 5 * time.Second, Times: 2}),
+				Bursts: append(bursts(1.67, 0.56, 1.6, 0.49), Burst{From: 21200 * time.Millisecond, Duration: 5 * time.Second, Factor: 2}),
 			},
 		},
 	}
@@ -65,7 +65,7 @@
 func surge() Pattern {
 	p := alternating()
 	p.Name, p.Length = "three times the long prompts for four seconds", 10*time.Second
-	p.Class[0].Bursts = []Burst{{From: 3 * time.Second, Duration: 4 * time.Second, Times: 3}}
+	p.Class[0].Bursts = []Burst{{From: 3 * time.Second, Duration: 4 * time.Second, Factor: 3}}
 	p.Class[1].Bursts = nil
 	return p
 }
@@ -85,7 +85,7 @@
 			{
 				Name: "check", Rate: 28, Shared: 350, Own: 1110, Answer: 175, Spread: 0.7, Parts: 100, Skew: 0.5, Priority: 1,
 				Objective: 500 * time.Millisecond, Pause: 300 * time.Millisecond, Patience: 2400 * time.Millisecond,
-				Bursts: []Burst{{From: 5 * time.Second, Duration: 14 * time.Second, Times: 1.9}},
+				Bursts: []Burst{{From: 5 * time.Second, Duration: 14 * time.Second, Factor: 1.9}},
 			},
 		},
 	}
