--- a/internal/model/pattern.go
+++ b/internal/model/pattern.go
@@ -78,7 +78,7 @@
 	// Objective to the first event, Pause between events, Patience of the caller.
 	Objective time.Duration `toml:"objective"`
 	Pause     time.Duration `toml:"pause"`
-	Patience  time.Duration `toml:"patience"`
+	WaitBudget  time.Duration `toml:"patience"`
 	Priority  int           `toml:"priority"`
 	Bursts    []Burst       `toml:"burst"`
 }
--- a/internal/model/run.go
+++ b/internal/model/run.go
@@ -149,7 +149,7 @@
 	waited := now - req.arrived
 	return upstreamstate.PlacementRequest{
 		ID: req.id, Service: service, Prompt: req.prompt,
-		Objective: req.class.Objective - waited, RemainingWait: req.class.Patience - waited,
+		Objective: req.class.Objective - waited, RemainingWait: req.class.WaitBudget - waited,
 	}
 }
 
@@ -256,7 +256,7 @@
 		if req.over {
 			return true
 		}
-		if req.first > 0 || r.now-req.arrived < req.class.Patience {
+		if req.first > 0 || r.now-req.arrived < req.class.WaitBudget {
 			return false
 		}
 		r.free(req)
--- a/internal/model/study.go
+++ b/internal/model/study.go
@@ -49,7 +49,7 @@
 		file.Add("pattern.fleet", "%s: want an instance, two engines, and their slots, memory and event_tokens", p.Name)
 	}
 	for _, c := range p.Class {
-		if c.Rate <= 0 || c.Own <= 0 || c.Answer <= 0 || c.Patience <= 0 {
+		if c.Rate <= 0 || c.Own <= 0 || c.Answer <= 0 || c.WaitBudget <= 0 {
 			file.Add("pattern.class", "%s, %s: rate, own, answer and patience must be above 0", p.Name, c.Name)
 		}
 	}
