--- a/internal/model/engine.go
+++ b/internal/model/engine.go
@@ -199,7 +199,7 @@
 	for _, w := range append([]*work(nil), e.running...) {
 		if w.tokens == w.req.answer {
 			started = append(started, w)
-		} else if gap > w.req.class.Pause {
+		} else if gap > w.req.class.MaxGap {
 			w.req.paused = true
 		}
 		if w.tokens -= tokens; w.tokens <= 0 {
--- a/internal/model/pattern.go
+++ b/internal/model/pattern.go
@@ -77,7 +77,7 @@
 	Shift time.Duration `toml:"shift"`
 	// Objective to the first event, Pause between events, Patience of the caller.
 	Objective time.Duration `toml:"objective"`
-	Pause     time.Duration `toml:"pause"`
+	MaxGap     time.Duration `toml:"pause"`
 	WaitBudget  time.Duration `toml:"patience"`
 	Priority  int           `toml:"priority"`
 	Bursts    []Burst       `toml:"burst"`
--- a/internal/model/patterns_test.go
+++ b/internal/model/patterns_test.go
@@ -48,12 +48,12 @@
 		Class: []Class{
 			{
 				Name: "summary", Rate: 195, Shared: 6300, Own: 2890, Answer: 78, Spread: 0.7, Parts: 669, Skew: 0.3,
-				Objective: 200 * time.Millisecond, Pause: 200 * time.Millisecond, WaitBudget: 2 * time.Second,
+				Objective: 200 * time.Millisecond, MaxGap: 200 * time.Millisecond, WaitBudget: 2 * time.Second,
 				Bursts: append(bursts(0.56, 1.65, 0.35, 1.9), Burst{From: 16200 * time.Millisecond, Duration: 5 * time.Second, Factor: 2}),
 			},
 			{
 				Name: "question", Rate: 29, Shared: 79, Own: 141, Answer: 4600, Spread: 0.6, Parts: 222, Skew: 0.3, Priority: 1,
-				Objective: 150 * time.Millisecond, Pause: 200 * time.Millisecond, WaitBudget: 2 * time.Second,
+				Objective: 150 * time.Millisecond, MaxGap: 200 * time.Millisecond, WaitBudget: 2 * time.Second,
 				Bursts: append(bursts(1.67, 0.56, 1.6, 0.49), Burst{From: 21200 * time.Millisecond, Duration: 5 * time.Second, Factor: 2}),
 			},
 		},
@@ -80,11 +80,11 @@
 		Class: []Class{
 			{
 				Name: "audit", Rate: 24, Shared: 13300, Own: 3720, Answer: 120, Spread: 0.7, Parts: 80, Skew: 0.5,
-				Objective: 800 * time.Millisecond, Pause: 300 * time.Millisecond, WaitBudget: 3200 * time.Millisecond,
+				Objective: 800 * time.Millisecond, MaxGap: 300 * time.Millisecond, WaitBudget: 3200 * time.Millisecond,
 			},
 			{
 				Name: "check", Rate: 28, Shared: 350, Own: 1110, Answer: 175, Spread: 0.7, Parts: 100, Skew: 0.5, Priority: 1,
-				Objective: 500 * time.Millisecond, Pause: 300 * time.Millisecond, WaitBudget: 2400 * time.Millisecond,
+				Objective: 500 * time.Millisecond, MaxGap: 300 * time.Millisecond, WaitBudget: 2400 * time.Millisecond,
 				Bursts: []Burst{{From: 5 * time.Second, Duration: 14 * time.Second, Factor: 1.9}},
 			},
 		},
