--- a/internal/model/keeper.go
+++ b/internal/model/keeper.go
@@ -33,7 +33,7 @@
 		return
 	}
 	list := r.seen()
-	if r.policy.Follows {
+	if r.policy.AdaptSplit {
 		times := view.Times(service)
 		balance.StepMillis, balance.StepMillisPerRequest = 1e3*times.Step.Seconds(), 1e3*times.StepPerRequest.Seconds()
 		balance.Slots = times.Slots
--- a/internal/model/policy.go
+++ b/internal/model/policy.go
@@ -13,8 +13,8 @@
 	Name string `toml:"name"`
 	// Prefill is how many of 18 engines begin in prefill; 0 for the default.
 	Prefill int `toml:"prefill_of_18"`
-	// Follows tells that the split follows the use.
-	Follows bool `toml:"follows"`
+	// AdaptSplit tells that the split follows the use.
+	AdaptSplit bool `toml:"follows"`
 	// InOrder has prompts processed in the order in which they come.
 	InOrder bool `toml:"in_order"`
 	// Exact has the instances know what the engines take from the start.
