--- a/internal/model/model_test.go
+++ b/internal/model/model_test.go
@@ -27,7 +27,7 @@
 // TestLearnedTimesServeAsKnownOnes has engines four times as fast as the prior says.
 func TestLearnedTimesServeAsKnownOnes(t *testing.T) {
 	p := surge()
-	learned, exact := Run(p, Policy{}, 1), Run(p, Policy{Exact: true}, 1)
+	learned, exact := Run(p, Policy{}, 1), Run(p, Policy{KnownTimes: true}, 1)
 	t.Logf("credit %.3f learned, %.3f exact", learned.Credit(), exact.Credit())
 	if learned.Credit() < exact.Credit()-0.04 {
 		t.Error("what is learned serves less")
--- a/internal/model/policy.go
+++ b/internal/model/policy.go
@@ -17,8 +17,8 @@
 	AdaptSplit bool `toml:"follows"`
 	// InOrder has prompts processed in the order in which they come.
 	InOrder bool `toml:"in_order"`
-	// Exact has the instances know what the engines take from the start.
-	Exact bool `toml:"exact"`
+	// KnownTimes has the instances know what the engines take from the start.
+	KnownTimes bool `toml:"exact"`
 	// MemoryPrice is what all of an engine's memory is worth; 0 for the default.
 	MemoryPrice time.Duration `toml:"memory_price"`
 }
@@ -44,7 +44,7 @@
 
 func (p Policy) prior(spec EngineSpec) estimate.Prior {
 	prior := estimate.DefaultPrior()
-	if p.Exact {
+	if p.KnownTimes {
 		prior.TokenTime, prior.PairTime, prior.Overhead = spec.TokenTime, spec.PairTime, spec.Overhead
 		prior.Step, prior.StepPerRequest = spec.Step, spec.StepPerRequest
 	}
