--- a/internal/model/engine.go
+++ b/internal/model/engine.go
@@ -42,7 +42,7 @@
 }
 
 func newEngine(id, zone string, role config.Role, spec EngineSpec) *engine {
-	return &engine{id: id, zone: zone, role: role, wanted: role, spec: spec, cache: newCache(spec.Memory)}
+	return &engine{id: id, zone: zone, role: role, wanted: role, spec: spec, cache: newCache(spec.MemoryTokens)}
 }
 
 // takes tells whether the engine takes requests.
--- a/internal/model/pattern.go
+++ b/internal/model/pattern.go
@@ -51,8 +51,8 @@
 	// steps, at half the speed.
 	Chunk int `toml:"chunk"`
 	Slots int `toml:"slots"`
-	// Memory in tokens, EventTokens in each event of a stream.
-	Memory      int `toml:"memory"`
+	// MemoryTokens in tokens, EventTokens in each event of a stream.
+	MemoryTokens      int `toml:"memory"`
 	EventTokens int `toml:"event_tokens"`
 	// RoleChange is how long an engine is away once its answers have ended.
 	RoleChange time.Duration `toml:"role_change"`
--- a/internal/model/patterns_test.go
+++ b/internal/model/patterns_test.go
@@ -7,7 +7,7 @@
 	return EngineSpec{
 		TokenTime: 4237, PairTime: 0.138, TransferTime: 109, Step: 637 * time.Microsecond,
 		StepPerRequest: 3190 * time.Nanosecond, StepPerContext: 2130 * time.Nanosecond, Chunk: 512, Slots: 64,
-		Memory: 370000, EventTokens: 52, RoleChange: 3 * time.Second,
+		MemoryTokens: 370000, EventTokens: 52, RoleChange: 3 * time.Second,
 	}
 }
 
@@ -16,7 +16,7 @@
 	return EngineSpec{
 		TokenTime: 16300, PairTime: 0.525, TransferTime: 760, Overhead: 90 * time.Millisecond, Step: 4550 * time.Microsecond,
 		StepPerRequest: 181 * time.Microsecond, StepPerContext: 3660 * time.Nanosecond, Chunk: 1024, Slots: 64,
-		Memory: 467273, EventTokens: 7, RoleChange: 3 * time.Second,
+		MemoryTokens: 467273, EventTokens: 7, RoleChange: 3 * time.Second,
 	}
 }
 
--- a/internal/model/run.go
+++ b/internal/model/run.go
@@ -115,7 +115,7 @@
 		Outliers: load.DefaultOutlierRules(), Seed: uint64(i) + 1,
 	})
 	in.picture.SetRoutes(routes.NewTable(1, nil, []routes.Service{{Name: service, Engine: &routes.EngineLimits{
-		Slots: spec.Slots, KVTokens: spec.Memory, TransferTime: spec.TransferTime, EventTokens: spec.EventTokens,
+		Slots: spec.Slots, KVTokens: spec.MemoryTokens, TransferTime: spec.TransferTime, EventTokens: spec.EventTokens,
 		RoleSwitch: spec.RoleChange,
 	}}}, routes.Limits{}), 0)
 	for _, e := range r.engines {
--- a/internal/model/study.go
+++ b/internal/model/study.go
@@ -45,7 +45,7 @@
 	if p.Length < tick || p.Length > time.Hour {
 		file.Add("pattern.length", "%s: want %s to an hour, not %s", p.Name, tick, p.Length)
 	}
-	if p.Fleet.Instances < 1 || p.Fleet.Engines < 2 || p.Fleet.Engine.Slots < 1 || p.Fleet.Engine.Memory < 1 || p.Fleet.Engine.EventTokens < 1 {
+	if p.Fleet.Instances < 1 || p.Fleet.Engines < 2 || p.Fleet.Engine.Slots < 1 || p.Fleet.Engine.MemoryTokens < 1 || p.Fleet.Engine.EventTokens < 1 {
 		file.Add("pattern.fleet", "%s: want an instance, two engines, and their slots, memory and event_tokens", p.Name)
 	}
 	for _, c := range p.Class {
