--- a/internal/model/run.go
+++ b/internal/model/run.go
@@ -192,7 +192,7 @@
 func (r *run) settle(e *engine) {
 	prompted, started, ended := e.advance(r.now)
 	for _, w := range prompted {
-		r.result.Fresh += w.fresh
+		r.result.PrefilledTokens += w.fresh
 		if e.role == config.RolePrefill {
 			r.handOver(e, w)
 			continue
