--- a/internal/model/model_test.go
+++ b/internal/model/model_test.go
@@ -9,7 +9,7 @@
 	p := surge()
 	p.Length = 3 * time.Second
 	a, b := Run(p, Policy{}, 1), Run(p, Policy{}, 1)
-	if a.Credit() != b.Credit() || a.PrefilledTokens != b.PrefilledTokens || a.Moved != b.Moved {
+	if a.Credit() != b.Credit() || a.PrefilledTokens != b.PrefilledTokens || a.TransferredTokens != b.TransferredTokens {
 		t.Errorf("%+v and %+v", a, b)
 	}
 }
--- a/internal/model/result.go
+++ b/internal/model/result.go
@@ -11,8 +11,8 @@
 	Pattern, Policy string
 	// Classes by name.
 	Classes map[string]*ClassResult
-	// PrefilledTokens tokens were processed in prompts, Moved ones sent between engines.
-	PrefilledTokens, Moved int
+	// PrefilledTokens tokens were processed in prompts, TransferredTokens ones sent between engines.
+	PrefilledTokens, TransferredTokens int
 	// Orders to engines, and requests that engines Refused.
 	Orders, Refused int
 }
--- a/internal/model/run.go
+++ b/internal/model/run.go
@@ -229,7 +229,7 @@
 	}
 	to := r.byID[chosen.ID]
 	fetched := max(0, req.prompt.Tokens-to.cache.has(req.prompt))
-	r.result.Moved += fetched
+	r.result.TransferredTokens += fetched
 	req.engine, req.cachedHere, req.sent = to, chosen.Aggregate.CachedTokens, r.now+e.spec.Overhead
 	if to.role != config.RoleDecode || to.gone {
 		req.at.picture.RequestDone(to.id, req.id, r.now)
--- a/internal/model/study.go
+++ b/internal/model/study.go
@@ -77,7 +77,7 @@
 			c := r.Classes[name]
 			lines = append(lines, fmt.Sprintf("%s\t%s\t%s\t%d\t%.3f\t%.3f\t%.1f\t%.1f\t%.1f\t%.1f\t%d\t%.3f", r.Pattern, r.Policy, name, c.Asked,
 				r.OnTime(name), r.Missed(name), float64(c.First.ValueAtQuantile(50))/microsPerMilli, float64(c.First.ValueAtQuantile(99))/microsPerMilli,
-				float64(r.PrefilledTokens)/million, float64(r.Moved)/million, r.Orders, r.Credit()))
+				float64(r.PrefilledTokens)/million, float64(r.TransferredTokens)/million, r.Orders, r.Credit()))
 		}
 	}
 	_, err := io.WriteString(w, strings.Join(lines, "\n")+"\n")
