--- a/internal/model/result.go
+++ b/internal/model/result.go
@@ -19,7 +19,7 @@
 
 // ClassResult is what came of a class's requests.
 type ClassResult struct {
-	Asked, OnTime, Late, Missed int
+	Requests, OnTime, Late, Missed int
 	// First is the time to the first event, in microseconds.
 	First *hdrhistogram.Histogram
 }
@@ -41,7 +41,7 @@
 // answered takes note of a request that has its whole answer.
 func (r *Result) answered(req *request) {
 	c := r.Classes[req.class.Name]
-	c.Asked++
+	c.Requests++
 	first := req.first - req.arrived
 	_ = c.First.RecordValue(min(histogramMax, first.Microseconds())) // within bounds
 	if first <= req.class.Objective && !req.paused {
@@ -54,7 +54,7 @@
 // left takes note of a request whose caller left.
 func (r *Result) left(req *request) {
 	c := r.Classes[req.class.Name]
-	c.Asked++
+	c.Requests++
 	c.Missed++
 }
 
@@ -76,13 +76,13 @@
 // an answer.
 func (r *Result) OnTime(class string) float64 {
 	c := r.Classes[class]
-	return float64(c.OnTime) / float64(max(1, c.Asked))
+	return float64(c.OnTime) / float64(max(1, c.Requests))
 }
 
 // Missed is the part of a class's requests that got no answer.
 func (r *Result) Missed(class string) float64 {
 	c := r.Classes[class]
-	return float64(c.Missed) / float64(max(1, c.Asked))
+	return float64(c.Missed) / float64(max(1, c.Requests))
 }
 
 // lateCredit is what a late answer counts for, against one that is on time: about
@@ -94,7 +94,7 @@
 func (r *Result) Credit() float64 {
 	sum := 0.0
 	for _, c := range r.Classes {
-		sum += (float64(c.OnTime) + lateCredit*float64(c.Late)) / float64(max(1, c.Asked))
+		sum += (float64(c.OnTime) + lateCredit*float64(c.Late)) / float64(max(1, c.Requests))
 	}
 	return sum / float64(len(r.Classes))
 }
