--- a/internal/model/result.go
+++ b/internal/model/result.go
@@ -20,8 +20,8 @@
 // ClassResult is what came of a class's requests.
 type ClassResult struct {
 	Requests, OnTime, Late, Missed int
-	// First is the time to the first event, in microseconds.
-	First *hdrhistogram.Histogram
+	// FirstEvent is the time to the first event, in microseconds.
+	FirstEvent *hdrhistogram.Histogram
 }
 
 // Bounds of the histograms: microseconds to a minute, to two digits.
@@ -33,7 +33,7 @@
 func newResult(p Pattern, policy Policy) *Result {
 	r := &Result{Pattern: p.Name, Policy: policy.Name, Classes: map[string]*ClassResult{}}
 	for _, c := range p.Class {
-		r.Classes[c.Name] = &ClassResult{First: hdrhistogram.New(1, histogramMax, histogramDigits)}
+		r.Classes[c.Name] = &ClassResult{FirstEvent: hdrhistogram.New(1, histogramMax, histogramDigits)}
 	}
 	return r
 }
@@ -43,7 +43,7 @@
 	c := r.Classes[req.class.Name]
 	c.Requests++
 	first := req.first - req.arrived
-	_ = c.First.RecordValue(min(histogramMax, first.Microseconds())) // within bounds
+	_ = c.FirstEvent.RecordValue(min(histogramMax, first.Microseconds())) // within bounds
 	if first <= req.class.Objective && !req.paused {
 		c.OnTime++
 		return
--- a/internal/model/study.go
+++ b/internal/model/study.go
@@ -76,7 +76,7 @@
 		for _, name := range r.names() {
 			c := r.Classes[name]
 			lines = append(lines, fmt.Sprintf("%s\t%s\t%s\t%d\t%.3f\t%.3f\t%.1f\t%.1f\t%.1f\t%.1f\t%d\t%.3f", r.Pattern, r.Policy, name, c.Requests,
-				r.OnTime(name), r.Missed(name), float64(c.First.ValueAtQuantile(50))/microsPerMilli, float64(c.First.ValueAtQuantile(99))/microsPerMilli,
+				r.OnTime(name), r.Missed(name), float64(c.FirstEvent.ValueAtQuantile(50))/microsPerMilli, float64(c.FirstEvent.ValueAtQuantile(99))/microsPerMilli,
 				float64(r.PrefilledTokens)/million, float64(r.TransferredTokens)/million, r.Orders, r.Credit()))
 		}
 	}
