--- a/internal/bench/report.go
+++ b/internal/bench/report.go
@@ -77,7 +77,7 @@
 	}
 	fields = append(fields, number(r.Goodput))
 	for _, q := range []float64{
-		r.FirstToken.P50, r.FirstToken.P95, r.FirstToken.P99, r.Between.P50, r.Between.P95, r.Between.P99,
+		r.FirstToken.P50, r.FirstToken.P95, r.FirstToken.P99, r.InterToken.P50, r.InterToken.P95, r.InterToken.P99,
 	} {
 		fields = append(fields, number(q))
 	}
@@ -134,9 +134,9 @@
 		mean(func(c Cell) float64 { return c.Result.FirstToken.P50 }),
 		mean(func(c Cell) float64 { return c.Result.FirstToken.P95 }),
 		mean(func(c Cell) float64 { return c.Result.FirstToken.P99 }),
-		mean(func(c Cell) float64 { return c.Result.Between.P50 }),
-		mean(func(c Cell) float64 { return c.Result.Between.P95 }),
-		mean(func(c Cell) float64 { return c.Result.Between.P99 }),
+		mean(func(c Cell) float64 { return c.Result.InterToken.P50 }),
+		mean(func(c Cell) float64 { return c.Result.InterToken.P95 }),
+		mean(func(c Cell) float64 { return c.Result.InterToken.P99 }),
 		mean(func(c Cell) float64 { return float64(c.Result.Late) }),
 		mean(func(c Cell) float64 { return float64(c.Result.Refused) }),
 		mean(func(c Cell) float64 { return float64(c.Result.Broken) }),
--- a/internal/bench/roles.go
+++ b/internal/bench/roles.go
@@ -172,7 +172,7 @@
 		good = append(good, fmt.Sprintf("%.1f", 100*r.GoodShare()))
 		changes = append(changes, fmt.Sprint(len(cells[i].Changes)))
 		for j, x := range []float64{
-			r.Goodput, r.FirstToken.P50, r.FirstToken.P95, r.FirstToken.P99, r.Between.P50, r.Between.P95, r.Between.P99,
+			r.Goodput, r.FirstToken.P50, r.FirstToken.P95, r.FirstToken.P99, r.InterToken.P50, r.InterToken.P95, r.InterToken.P99,
 			float64(r.Late), float64(r.Refused), float64(r.Broken),
 		} {
 			sum[j] += x
--- a/internal/loadgen/result.go
+++ b/internal/loadgen/result.go
@@ -20,7 +20,7 @@
 	// Goodput is good answers a second of arrivals.
 	Goodput    float64   `json:"goodput"`
 	FirstToken Quantiles `json:"first_token_ms"`
-	Between    Quantiles `json:"between_tokens_ms"`
+	InterToken    Quantiles `json:"between_tokens_ms"`
 	// Calls to the plain service, those without an answer, and their times.
 	Calls       int       `json:"calls"`
 	CallsFailed int       `json:"calls_failed"`
@@ -129,7 +129,7 @@
 	defer b.mu.Unlock()
 	b.result.Goodput = float64(b.result.Good) / duration.Seconds()
 	b.result.FirstToken = QuantilesOf(b.firstToken)
-	b.result.Between = QuantilesOf(b.between)
+	b.result.InterToken = QuantilesOf(b.between)
 	b.result.Call = QuantilesOf(b.call)
 	return b.result
 }
