--- a/cmd/sf-load/main.go
+++ b/cmd/sf-load/main.go
@@ -68,7 +68,7 @@
 			Name: "run", Model: *model, Keys: *keys, Prefixes: *prefixes, HonourRetryAfter: *retry,
 			Classes: []loadgen.Class{{Name: "all", PromptTokens: *prompt, AnswerTokens: *answer, Shared: *shared}},
 			Phases:  []loadgen.Phase{{Duration: *duration, Rate: *rate, Mix: []float64{1}}},
-			Bounds:  loadgen.Bounds{FirstToken: *firstToken, Token: *token},
+			Bounds:  loadgen.Bounds{FirstToken: *firstToken, MeanInterToken: *token},
 		}})
 		if err != nil {
 			return err
--- a/internal/bench/roles.go
+++ b/internal/bench/roles.go
@@ -123,7 +123,7 @@
 	scenario := o.Deployment.Scenario(o.Phase, o.Rate)
 	scenario.Keys = keys()
 	scenario.CallRate = 0
-	scenario.Bounds.Token = o.Token
+	scenario.Bounds.MeanInterToken = o.Token
 	turns := scenario.Phases[:2]
 	scenario.Phases = nil
 	for i := range o.Phases {
--- a/internal/loadgen/loadgen_test.go
+++ b/internal/loadgen/loadgen_test.go
@@ -62,7 +62,7 @@
 	}))
 	defer server.Close()
 	scenario := Scenario{
-		Keys: []string{"k"}, Prefixes: 1, Bounds: Bounds{FirstToken: 250 * time.Millisecond, Token: time.Second},
+		Keys: []string{"k"}, Prefixes: 1, Bounds: Bounds{FirstToken: 250 * time.Millisecond, MeanInterToken: time.Second},
 		Classes: []Class{{PromptTokens: 10, AnswerTokens: 2}},
 		Phases:  []Phase{{Duration: time.Second, Rate: 40, Mix: []float64{1}}},
 	}
--- a/internal/loadgen/result.go
+++ b/internal/loadgen/result.go
@@ -106,7 +106,7 @@
 	for _, gap := range o.gaps {
 		_ = b.between.RecordValue(gap.Microseconds())
 	}
-	if o.firstToken <= b.bounds.FirstToken && o.pace() <= b.bounds.Token {
+	if o.firstToken <= b.bounds.FirstToken && o.pace() <= b.bounds.MeanInterToken {
 		second.Good++
 		b.result.Good++
 		return
--- a/internal/loadgen/scenario.go
+++ b/internal/loadgen/scenario.go
@@ -38,7 +38,7 @@
 	// FirstToken bounds the time to the first token, Token the mean time
 	// between tokens.
 	FirstToken time.Duration
-	Token      time.Duration
+	MeanInterToken      time.Duration
 }
 
 // Scenario is a load over time.
@@ -114,7 +114,7 @@
 			{Name: "question", PromptTokens: 120, AnswerTokens: 90, Shared: 0.2},
 		},
 		Phases: swing(phase, rate), Prefixes: 60,
-		Bounds:   Bounds{FirstToken: time.Second, Token: 50 * time.Millisecond},
+		Bounds:   Bounds{FirstToken: time.Second, MeanInterToken: 50 * time.Millisecond},
 		CallRate: rate, CallPath: "/bales/status",
 	}
 }
@@ -129,7 +129,7 @@
 			{Name: "naming", PromptTokens: 100, AnswerTokens: 100, Shared: 0.2},
 		},
 		Phases: swing(phase, rate), Prefixes: 40,
-		Bounds:   Bounds{FirstToken: time.Second, Token: 50 * time.Millisecond},
+		Bounds:   Bounds{FirstToken: time.Second, MeanInterToken: 50 * time.Millisecond},
 		CallRate: rate / 4, CallPath: "/portal/status",
 	}
 }
