--- a/cmd/sf-load/main.go
+++ b/cmd/sf-load/main.go
@@ -66,7 +66,7 @@
 		defer cancel()
 		result, err := loadgen.Run(ctx, loadgen.Options{Targets: *targets, Seed: *seed, Scenario: loadgen.Scenario{
 			Name: "run", Model: *model, Keys: *keys, Prefixes: *prefixes, HonourRetryAfter: *retry,
-			Classes: []loadgen.Class{{Name: "all", PromptTokens: *prompt, AnswerTokens: *answer, Shared: *shared}},
+			Classes: []loadgen.Class{{Name: "all", PromptTokens: *prompt, AnswerTokens: *answer, SharedFraction: *shared}},
 			Phases:  []loadgen.Phase{{Duration: *duration, Rate: *rate, Mix: []float64{1}}},
 			Bounds:  loadgen.Bounds{FirstToken: *firstToken, MeanInterToken: *token},
 		}})
--- a/internal/loadgen/arrivals.go
+++ b/internal/loadgen/arrivals.go
@@ -95,7 +95,7 @@
 	class := p.class(phase)
 	c := p.scenario.Classes[class]
 	prompt, answer := p.around(c.PromptTokens), p.around(c.AnswerTokens)
-	shared := min(int(float64(prompt)*c.Shared), longestPrefix)
+	shared := min(int(float64(prompt)*c.SharedFraction), longestPrefix)
 	prefix := p.prefixes[p.rng.IntN(len(p.prefixes))][:shared*charsPerToken]
 	body, err := json.Marshal(map[string]any{
 		"model": p.scenario.Model, "stream": true, "max_tokens": answer, "seed": p.rng.Int64N(1 << 31),
--- a/internal/loadgen/scenario.go
+++ b/internal/loadgen/scenario.go
@@ -17,9 +17,9 @@
 	// and a half of them.
 	PromptTokens int
 	AnswerTokens int
-	// Shared is the part of the prompt, 0 to 1, that is one of the scenario's
+	// SharedFraction is the part of the prompt, 0 to 1, that is one of the scenario's
 	// shared prefixes.
-	Shared float64
+	SharedFraction float64
 	// Priority of the request; a higher one goes first.
 	Priority int
 }
@@ -110,8 +110,8 @@
 	return Scenario{
 		Name: "qoton-trace", Model: "provenance",
 		Classes: []Class{
-			{Name: "history", PromptTokens: 2000, AnswerTokens: 16, Shared: 0.5},
-			{Name: "question", PromptTokens: 120, AnswerTokens: 90, Shared: 0.2},
+			{Name: "history", PromptTokens: 2000, AnswerTokens: 16, SharedFraction: 0.5},
+			{Name: "question", PromptTokens: 120, AnswerTokens: 90, SharedFraction: 0.2},
 		},
 		Phases: swing(phase, rate), Prefixes: 60,
 		Bounds:   Bounds{FirstToken: time.Second, MeanInterToken: 50 * time.Millisecond},
@@ -125,8 +125,8 @@
 	return Scenario{
 		Name: "agedim", Model: "critique",
 		Classes: []Class{
-			{Name: "brief", PromptTokens: 2200, AnswerTokens: 24, Shared: 0.8},
-			{Name: "naming", PromptTokens: 100, AnswerTokens: 100, Shared: 0.2},
+			{Name: "brief", PromptTokens: 2200, AnswerTokens: 24, SharedFraction: 0.8},
+			{Name: "naming", PromptTokens: 100, AnswerTokens: 100, SharedFraction: 0.2},
 		},
 		Phases: swing(phase, rate), Prefixes: 40,
 		Bounds:   Bounds{FirstToken: time.Second, MeanInterToken: 50 * time.Millisecond},
