--- a/cmd/sf-load/main.go
+++ b/cmd/sf-load/main.go
@@ -101,7 +101,7 @@
 		return bench.Compare(ctx, bench.Options{
 			Bin: *bin, Dir: dir, Out: *out, Seeds: *seeds, Lags: *lags, Phase: *phase, Rate: *rate,
 			Variants: bench.VariantsNamed(*variants), Deployments: bench.Deployments(),
-			Entries: *entries, ReportEvery: *reportEvery, SideBySide: *sideBySide, Log: os.Stderr,
+			Entries: *entries, ReportEvery: *reportEvery, MaxParallelGroups: *sideBySide, Log: os.Stderr,
 		})
 	}}
 }
--- a/internal/bench/compare.go
+++ b/internal/bench/compare.go
@@ -31,8 +31,8 @@
 	// Entries of each fleet, and the time between their reads of a report.
 	Entries     int
 	ReportEvery time.Duration
-	// SideBySide is how many groups run at a time.
-	SideBySide int
+	// MaxParallelGroups is how many groups run at a time.
+	MaxParallelGroups int
 	Log        io.Writer
 }
 
@@ -52,7 +52,7 @@
 	r := &run{options: options}
 	started := time.Now()
 	groups, gctx := errgroup.WithContext(ctx)
-	groups.SetLimit(max(1, options.SideBySide))
+	groups.SetLimit(max(1, options.MaxParallelGroups))
 	conditions := r.conditions()
 	for i, c := range conditions {
 		groups.Go(func() error {
