--- a/cmd/sf-load/roles.go
+++ b/cmd/sf-load/roles.go
@@ -31,7 +31,7 @@
 		defer os.RemoveAll(dir)
 		options := bench.RoleOptions{
 			Bin: *bin, Dir: dir, Out: *out, Seeds: *seeds, Deployment: deployments[0], Instances: *instances,
-			Engines: *engines, Phase: *phase, Phases: *phases, Rate: *rate, Token: *token, Log: os.Stderr,
+			Engines: *engines, Phase: *phase, Phases: *phases, Rate: *rate, MeanInterToken: *token, Log: os.Stderr,
 		}
 		if *name == deployments[1].Name {
 			options.Deployment = deployments[1]
--- a/internal/bench/roles.go
+++ b/internal/bench/roles.go
@@ -57,8 +57,8 @@
 	Phase  time.Duration
 	Phases int
 	Rate   float64
-	// Token bounds the mean time between tokens of a good answer.
-	Token time.Duration
+	// MeanInterToken bounds the mean time between tokens of a good answer.
+	MeanInterToken time.Duration
 	Log   io.Writer
 }
 
@@ -123,7 +123,7 @@
 	scenario := o.Deployment.Scenario(o.Phase, o.Rate)
 	scenario.Keys = keys()
 	scenario.CallRate = 0
-	scenario.Bounds.MeanInterToken = o.Token
+	scenario.Bounds.MeanInterToken = o.MeanInterToken
 	turns := scenario.Phases[:2]
 	scenario.Phases = nil
 	for i := range o.Phases {
