--- a/internal/stream/pace.go
+++ b/internal/stream/pace.go
@@ -5,23 +5,23 @@
 // gapWeight is the weight of the newest gap in the smoothed one.
 const gapWeight = 0.2
 
-// Pace learns the gaps between the pieces of one engine.
-type Pace struct {
+// GapTracker learns the gaps between the pieces of one engine.
+type GapTracker struct {
 	settings StallSettings
 	pieces   int
 	gap      time.Duration
 }
 
-// NewPace returns the pace of a stream that has not begun.
-func NewPace(settings StallSettings) *Pace {
-	return &Pace{settings: settings}
+// NewGapTracker returns the pace of a stream that has not begun.
+func NewGapTracker(settings StallSettings) *GapTracker {
+	return &GapTracker{settings: settings}
 }
 
-// Began tells whether a piece came.
-func (p *Pace) Began() bool { return p.pieces > 0 }
+// Started tells whether a piece came.
+func (p *GapTracker) Started() bool { return p.pieces > 0 }
 
-// Piece notes a piece that came after the gap.
-func (p *Pace) Piece(gap time.Duration) {
+// RecordPiece notes a piece that came after the gap.
+func (p *GapTracker) RecordPiece(gap time.Duration) {
 	p.pieces++
 	switch p.pieces {
 	case 1: // the wait for the first piece says nothing about the pace
@@ -36,18 +36,18 @@
 // been frozen, or starved of its processor.
 const oversleep = 100 * time.Millisecond
 
-// Overslept tells whether a patience that was noticed after waited ran out so
+// FiredLate tells whether a patience that was noticed after waited ran out so
 // late that this process slept meanwhile. Pieces may then lie unread, and the
 // engine is not to blame.
-func (p *Pace) Overslept(waited time.Duration) bool {
-	return waited > p.Patience()+oversleep
+func (p *GapTracker) FiredLate(waited time.Duration) bool {
+	return waited > p.Timeout()+oversleep
 }
 
-// Patience is how long the next piece may take.
-func (p *Pace) Patience() time.Duration {
+// Timeout is how long the next piece may take.
+func (p *GapTracker) Timeout() time.Duration {
 	if p.pieces == 0 {
 		return p.settings.FirstPieceTimeout
 	}
-	wait := time.Duration(p.settings.Factor * float64(p.gap))
-	return min(max(wait, p.settings.Least), p.settings.Most)
+	wait := time.Duration(p.settings.GapFactor * float64(p.gap))
+	return min(max(wait, p.settings.MinWait), p.settings.MaxWait)
 }
