--- a/internal/model/cache.go
+++ b/internal/model/cache.go
@@ -6,47 +6,49 @@
 	"sassafrasfield/internal/placement"
 )
 
-// cache is an engine's memory of prompt parts, of which the one used longest ago
-// yields first.
-type cache struct {
+// promptCache is the prefix cache of an engine. It holds prompt parts and evicts the least recently
+// used ones.
+type promptCache struct {
 	size, used int
-	order      *list.List // of part; the newest first
-	at         map[string]*list.Element
+	lru        *list.List // of placement.Part, most recently used first
+	byID       map[string]*list.Element
 }
 
-func newCache(size int) *cache {
-	return &cache{size: size, order: list.New(), at: map[string]*list.Element{}}
+func newPromptCache(size int) *promptCache {
+	return &promptCache{size: size, lru: list.New(), byID: map[string]*list.Element{}}
 }
 
-// has counts the leading tokens of a prompt that are there, and marks them as used.
-func (c *cache) has(p placement.Prompt) int {
+// cachedTokens returns the number of leading tokens of a prompt that are cached, and marks their parts
+// as used.
+func (c *promptCache) cachedTokens(p placement.Prompt) int {
 	tokens := 0
 	for _, part := range p.Parts {
-		e, ok := c.at[part.ID]
+		e, ok := c.byID[part.ID]
 		if !ok {
 			break
 		}
-		c.order.MoveToFront(e)
+		c.lru.MoveToFront(e)
 		tokens += part.Tokens
 	}
 	return tokens
 }
 
-// put keeps a prompt's parts; room is what running requests leave.
-func (c *cache) put(p placement.Prompt, room int) {
+// insert adds a prompt's parts, then evicts parts until the cache fits into room, the tokens that running
+// requests leave free.
+func (c *promptCache) insert(p placement.Prompt, room int) {
 	for _, part := range p.Parts {
-		if e, ok := c.at[part.ID]; ok {
-			c.order.MoveToFront(e)
+		if e, ok := c.byID[part.ID]; ok {
+			c.lru.MoveToFront(e)
 			continue
 		}
-		c.at[part.ID] = c.order.PushFront(part)
+		c.byID[part.ID] = c.lru.PushFront(part)
 		c.used += part.Tokens
 	}
-	for c.used > room && c.order.Len() > 0 {
-		last := c.order.Back()
+	for c.used > room && c.lru.Len() > 0 {
+		last := c.lru.Back()
 		part := last.Value.(placement.Part)
-		c.order.Remove(last)
-		delete(c.at, part.ID)
+		c.lru.Remove(last)
+		delete(c.byID, part.ID)
 		c.used -= part.Tokens
 	}
 }
--- a/internal/model/doc.go
+++ b/internal/model/doc.go
@@ -1,19 +1,19 @@
-// Package model is a deterministic model of a service's engines in virtual time. It
-// runs the project's own decisions (packages upstreamstate, placement, roles, estimate) for
-// some instances against a named load pattern, some twenty times faster than it
-// would take, so that policies can be compared and a pattern that went wrong stays
-// as a test.
+// Package model simulates the engines of a service deterministically and in virtual time. It runs the
+// project's own decision code (packages upstreamstate, placement, roles, estimate) for several instances
+// against a load pattern. It takes a Pattern, a Policy and a seed, and returns a Result. It runs about twenty
+// times faster than real time, so that policies can be compared, and a pattern that went wrong can be kept as
+// a test.
 //
-// What it has: engines that process prompts one after another by priority, in memory
-// where the parts used longest ago yield; engines that generate in batches, with
-// prompts between the tokens; transfers; changes of roles, which wait for the answers
-// under way; reports between instances that lag; engines that are lost and return;
-// callers that leave. What it leaves out: the network, retries, the store, preemption.
+// The model covers: engines that process prompts one at a time in queue order, with an LRU cache of prompt
+// parts; engines that generate in batches and process chunks of prompts between the steps; KV cache
+// transfers; role changes, which wait until the running requests have finished; reports between instances,
+// which arrive late or get lost; engines that crash and return; callers that give up. It leaves out the
+// network, retries after failures, the store, and preemption.
 //
-// Time goes in steps of one tick. Randomness comes from the seed alone.
+// Time advances in steps of one tick. The seed is the only source of randomness.
 package model
 
 import "time"
 
-// tick is the step of the model's time: a fifth of the shortest prompt.
+// tick is the time step of the model: a fifth of the time of the shortest prompt.
 const tick = 2 * time.Millisecond
--- a/internal/model/engine.go
+++ b/internal/model/engine.go
@@ -6,101 +6,104 @@
 	"sassafrasfield/internal/config"
 )
 
-// work is one request on an engine.
+// work is a request on one engine.
 type work struct {
 	req *request
-	// left is the time that its prompt still takes, fresh what of it is processed.
-	left  time.Duration
-	fresh int
-	// yields behind all that do not.
-	yields bool
-	// readyAt is when its KV cache has arrived.
+	// remaining is the processing time that the prompt still needs. uncached is the number of its tokens that
+	// the engine processes.
+	remaining time.Duration
+	uncached  int
+	// deferred requests are processed after all others.
+	deferred bool
+	// readyAt is the time at which its KV cache has arrived.
 	readyAt time.Duration
-	// tokens that are still to be generated.
+	// tokens is the number of tokens still to be generated.
 	tokens float64
-	began  bool
-	// source is an engine to fetch the shared part from; nil for none.
+	// started is set once the engine processes the prompt.
+	started bool
+	// source is the engine to fetch the shared part from; nil for none.
 	source *engine
 }
 
-// engine is one model engine.
+// engine is one simulated engine.
 type engine struct {
 	id, zone string
 	role     config.Role
 	spec     EngineSpec
-	cache    *cache
-	// prompts wait or are processed; on a decode engine those that it generates for
-	// too.
+	cache    *promptCache
+	// prompts are queued or being processed. On a decode engine they are the prompts that it
+	// processes itself.
 	prompts []*work
-	// waiting have no slot yet; running generate.
+	// waiting requests have no slot yet; running ones are generating.
 	waiting, running []*work
-	// wanted is the role that it is to take, away the time until which it takes no
-	// requests; gone engines do not exist.
-	wanted config.Role
-	away   time.Duration
-	gone   bool
+	// targetRole is the role that the engine was ordered to change to. Until unavailableUntil it accepts no
+	// requests. A crashed engine does nothing until it is restored.
+	targetRole       config.Role
+	unavailableUntil time.Duration
+	down             bool
 }
 
 func newEngine(id, zone string, role config.Role, spec EngineSpec) *engine {
-	return &engine{id: id, zone: zone, role: role, wanted: role, spec: spec, cache: newCache(spec.MemoryTokens)}
+	return &engine{id: id, zone: zone, role: role, targetRole: role, spec: spec, cache: newPromptCache(spec.MemoryTokens)}
 }
 
-// takes tells whether the engine takes requests.
-func (e *engine) takes(now time.Duration) bool {
-	return !e.gone && e.wanted == e.role && now >= e.away
+// accepts reports whether the engine accepts requests.
+func (e *engine) accepts(now time.Duration) bool {
+	return !e.down && e.targetRole == e.role && now >= e.unavailableUntil
 }
 
-// order has the engine change its role.
-func (e *engine) order(to config.Role) { e.wanted = to }
+// orderRole orders the engine to change its role.
+func (e *engine) orderRole(role config.Role) { e.targetRole = role }
 
-// promptTime is the time of fresh tokens after cached ones.
-func (e *engine) promptTime(fresh, cached int) time.Duration {
-	pairs := float64(fresh) * (float64(cached) + float64(fresh)/2)
-	return time.Duration(float64(fresh)*e.spec.TokenTime + pairs*e.spec.PairTime)
+// promptTime returns the processing time of uncached tokens that follow cached ones.
+func (e *engine) promptTime(uncached, cached int) time.Duration {
+	pairs := float64(uncached) * (float64(cached) + float64(uncached)/2)
+	return time.Duration(float64(uncached)*e.spec.TokenTime + pairs*e.spec.PairTime)
 }
 
-// room is what the running requests leave of the memory.
-func (e *engine) room() int {
-	taken := 0
+// freeTokens returns the cache space in tokens that the running requests leave free.
+func (e *engine) freeTokens() int {
+	used := 0
 	for _, w := range e.running {
-		taken += w.req.prompt.Tokens
+		used += w.req.prompt.Tokens
 	}
-	return max(0, e.cache.size-taken)
+	return max(0, e.cache.size-used)
 }
 
-// begin works out what a prompt takes here, with what is cached now.
-func (e *engine) begin(w *work) {
-	cached := e.cache.has(w.req.prompt)
+// startPrompt computes the processing time of a prompt from what is cached now, including a fetch.
+func (e *engine) startPrompt(w *work) {
+	cached := e.cache.cachedTokens(w.req.prompt)
 	if w.source != nil {
-		if there := w.source.cache.has(w.req.prompt); there > cached {
-			w.left += time.Duration(float64(there-cached) * e.spec.TransferTime)
-			cached = there
+		if remote := w.source.cache.cachedTokens(w.req.prompt); remote > cached {
+			w.remaining += time.Duration(float64(remote-cached) * e.spec.TransferTime)
+			cached = remote
 		}
 	}
-	w.fresh = max(0, w.req.prompt.Tokens-cached)
-	w.left += e.promptTime(w.fresh, cached)
-	e.cache.put(w.req.prompt, e.room())
+	w.uncached = max(0, w.req.prompt.Tokens-cached)
+	w.remaining += e.promptTime(w.uncached, cached)
+	e.cache.insert(w.req.prompt, e.freeTokens())
 }
 
-// nextPrompt is the prompt that is processed: the one under way, then the first of
-// those that do not yield.
+// nextPrompt returns the prompt to process: the one being processed, otherwise the first that is not
+// deferred, otherwise the first.
 func (e *engine) nextPrompt() *work {
 	var next *work
 	for _, w := range e.prompts {
-		if w.began {
+		if w.started {
 			return w
 		}
-		if next == nil || next.yields && !w.yields {
+		if next == nil || next.deferred && !w.deferred {
 			next = w
 		}
 	}
 	return next
 }
 
-// advance lets the engine work for one tick and returns the works that ended.
-func (e *engine) advance(now time.Duration) (prompted, started, ended []*work) {
-	e.change(now)
-	if e.gone {
+// advance simulates one tick. It returns the requests whose prompt was completed, those that generated their
+// first tokens, and those that finished.
+func (e *engine) advance(now time.Duration) (prefilled, started, finished []*work) {
+	e.changeRole(now)
+	if e.down {
 		return nil, nil, nil
 	}
 	if e.role == config.RolePrefill {
@@ -109,28 +112,29 @@
 	return e.decode(now)
 }
 
-// change carries an order out: once nothing is left, the engine is away for a time.
-func (e *engine) change(now time.Duration) {
-	if e.wanted == e.role || len(e.prompts)+len(e.waiting)+len(e.running) > 0 {
+// changeRole carries out an ordered role change. Once no request is left, the engine is unavailable for the
+// time of the change.
+func (e *engine) changeRole(now time.Duration) {
+	if e.targetRole == e.role || len(e.prompts)+len(e.waiting)+len(e.running) > 0 {
 		return
 	}
-	e.role, e.away = e.wanted, now+e.spec.RoleChange
+	e.role, e.unavailableUntil = e.targetRole, now+e.spec.RoleChange
 }
 
 func (e *engine) prefill() (done []*work) {
-	for left := tick; left > 0; {
+	for budget := tick; budget > 0; {
 		w := e.nextPrompt()
 		if w == nil {
 			break
 		}
-		if !w.began {
-			w.began = true
-			e.begin(w)
+		if !w.started {
+			w.started = true
+			e.startPrompt(w)
 		}
-		used := min(left, w.left)
-		w.left -= used
-		left -= used
-		if w.left > 0 {
+		used := min(budget, w.remaining)
+		w.remaining -= used
+		budget -= used
+		if w.remaining > 0 {
 			break
 		}
 		e.prompts = remove(e.prompts, w)
@@ -139,8 +143,8 @@
 	return done
 }
 
-// step is the time of one step of generation.
-func (e *engine) step() time.Duration {
+// stepTime returns the duration of one generation step.
+func (e *engine) stepTime() time.Duration {
 	context := 0.0
 	for _, w := range e.running {
 		context += float64(w.req.prompt.Tokens) + w.req.answer - w.tokens
@@ -149,33 +153,34 @@
 		time.Duration(context/1000*float64(e.spec.StepPerContext))
 }
 
-// halfSpeed is how much slower a generating engine processes prompts.
-const halfSpeed = 2
+// mixedSlowdown is the factor by which a generating engine processes prompts more slowly.
+const mixedSlowdown = 2
 
-func (e *engine) decode(now time.Duration) (prompted, started, ended []*work) {
+func (e *engine) decode(now time.Duration) (prefilled, started, finished []*work) {
 	e.admit(now)
-	step := e.step()
+	step := e.stepTime()
 	if w := e.nextPrompt(); w != nil {
-		if !w.began {
-			w.began = true
-			e.begin(w)
-			w.left *= halfSpeed
+		if !w.started {
+			w.started = true
+			e.startPrompt(w)
+			w.remaining *= mixedSlowdown
 		}
-		chunk := min(w.left, halfSpeed*time.Duration(float64(e.spec.Chunk)*e.spec.TokenTime))
-		part := float64(chunk) / float64(chunk+step)
+		chunk := min(w.remaining, mixedSlowdown*time.Duration(float64(e.spec.Chunk)*e.spec.TokenTime))
+		promptShare := float64(chunk) / float64(chunk+step)
 		step += chunk
-		w.left -= time.Duration(part * float64(tick))
-		if w.left <= 0 {
+		w.remaining -= time.Duration(promptShare * float64(tick))
+		if w.remaining <= 0 {
 			e.prompts = remove(e.prompts, w)
 			e.waiting = append(e.waiting, w)
-			prompted = append(prompted, w)
+			prefilled = append(prefilled, w)
 		}
 	}
-	started, ended = e.generate(float64(tick)/float64(step), step)
-	return prompted, started, ended
+	started, finished = e.generate(float64(tick)/float64(step), step)
+	return prefilled, started, finished
 }
 
-// admit gives slots to those whose KV cache is there, the most urgent first.
+// admit gives free slots to the requests whose KV cache has arrived, in the order of their class's urgency
+// (the lowest Priority value first).
 func (e *engine) admit(now time.Duration) {
 	for len(e.running)+len(e.prompts) < e.spec.Slots {
 		var next *work
@@ -189,28 +194,28 @@
 		}
 		e.waiting = remove(e.waiting, next)
 		e.running = append(e.running, next)
-		e.cache.put(next.req.prompt, e.room())
+		e.cache.insert(next.req.prompt, e.freeTokens())
 	}
 }
 
-// generate makes tokens for the running requests.
-func (e *engine) generate(tokens float64, step time.Duration) (started, ended []*work) {
+// generate produces tokens for the running requests.
+func (e *engine) generate(tokens float64, step time.Duration) (started, finished []*work) {
 	gap := time.Duration(e.spec.EventTokens) * step
 	for _, w := range append([]*work(nil), e.running...) {
 		if w.tokens == w.req.answer {
 			started = append(started, w)
 		} else if gap > w.req.class.MaxGap {
-			w.req.paused = true
+			w.req.gapExceeded = true
 		}
 		if w.tokens -= tokens; w.tokens <= 0 {
 			e.running = remove(e.running, w)
-			ended = append(ended, w)
+			finished = append(finished, w)
 		}
 	}
-	return started, ended
+	return started, finished
 }
 
-// drop takes a request off the engine, as its caller has left.
+// drop removes a request whose caller has given up.
 func (e *engine) drop(r *request) {
 	for _, list := range []*[]*work{&e.prompts, &e.waiting, &e.running} {
 		for _, w := range *list {
--- a/internal/model/keeper.go
+++ b/internal/model/keeper.go
@@ -8,73 +8,74 @@
 	"sassafrasfield/internal/roles"
 )
 
-// keeper is what the instance that keeps the split knows.
-type keeper struct {
+// roleController is the state of the instance that controls the split of the engines between the roles.
+type roleController struct {
 	target   roles.Target
-	use      roles.Workload
-	follower roles.TargetTracker
+	workload roles.Workload
+	tracker  roles.TargetTracker
 }
 
-// Pace of the keeper, as package rolekeeper has it.
+// Intervals and limits of the role controller, as in package rolekeeper. At most maxConcurrentChanges engines
+// change their role at a time.
 const (
-	measureEvery = 400 * time.Millisecond
-	lookEvery    = time.Second
-	atOnce       = 2
+	measureEvery         = 400 * time.Millisecond
+	checkEvery           = time.Second
+	maxConcurrentChanges = 2
 )
 
-// keep has the split follow the use, where the policy says so, and gives orders.
-func (r *run) keep() {
-	view := r.instances[0].picture
-	balance := roles.DefaultSplitPolicy()
+// controlRoles adjusts the target split to the workload, if the policy says so, and orders role changes.
+func (r *run) controlRoles() {
+	view := r.instances[0].state
+	splitPolicy := roles.DefaultSplitPolicy()
 	if r.now%measureEvery == 0 && r.now > 0 && view.Times(service).Known {
-		r.keeper.use = r.keeper.use.Add(r.seen(), measureEvery, balance.SmoothingTime)
+		r.controller.workload = r.controller.workload.Add(r.observedEngines(), measureEvery, splitPolicy.SmoothingTime)
 	}
-	if r.now%lookEvery != 0 {
+	if r.now%checkEvery != 0 {
 		return
 	}
-	list := r.seen()
+	list := r.observedEngines()
 	if r.policy.AdaptSplit {
 		times := view.Times(service)
-		balance.StepMillis, balance.StepMillisPerRequest = 1e3*times.Step.Seconds(), 1e3*times.StepPerRequest.Seconds()
-		balance.Slots = times.Slots
-		follower, target := r.keeper.follower.Update(balance, r.keeper.target, r.keeper.use, roles.CountPrefill(list), len(list), lookEvery)
-		r.keeper.follower, r.keeper.target = follower, target
+		splitPolicy.StepMillis, splitPolicy.StepMillisPerRequest = 1e3*times.Step.Seconds(), 1e3*times.StepPerRequest.Seconds()
+		splitPolicy.Slots = times.Slots
+		tracker, target := r.controller.tracker.Update(splitPolicy, r.controller.target, r.controller.workload, roles.CountPrefill(list), len(list), checkEvery)
+		r.controller.tracker, r.controller.target = tracker, target
 	}
-	for _, change := range r.keeper.target.Changes(list, atOnce-r.changing()) {
+	for _, change := range r.controller.target.Changes(list, maxConcurrentChanges-r.pendingChanges()) {
 		e := r.byID[change.Engine]
-		e.order(change.To)
+		e.orderRole(change.To)
 		r.result.Orders++
 		for _, in := range r.instances {
-			in.picture.MarkUnavailable(e.id, r.now+e.spec.RoleChange)
+			in.state.MarkUnavailable(e.id, r.now+e.spec.RoleChange)
 		}
 	}
-	for _, e := range r.engines { // the engines' entries tell of their roles
+	for _, e := range r.engines { // the engines' entries carry their roles
 		for _, in := range r.instances {
-			if !e.gone && in.picture.Upstream(e.id).Role != e.role {
-				in.picture.UpdateUpstream(e.upstream())
+			if !e.down && in.state.Upstream(e.id).Role != e.role {
+				in.state.UpdateUpstream(e.upstream())
 			}
 		}
 	}
 }
 
-// changing counts the engines that carry an order out.
-func (r *run) changing() int {
+// pendingChanges counts the engines whose role change is not complete.
+func (r *run) pendingChanges() int {
 	n := 0
 	for _, e := range r.engines {
-		if e.wanted != e.role {
+		if e.targetRole != e.role {
 			n++
 		}
 	}
 	return n
 }
 
-// seen are the engines as the keeper sees them.
-func (r *run) seen() []roles.Engine {
+// observedEngines returns the engines as the controlling instance sees them. An ordered role counts as taken.
+func (r *run) observedEngines() []roles.Engine {
 	var list []roles.Engine
-	for _, e := range r.instances[0].picture.Engines(r.now)[service] {
+	for _, e := range r.instances[0].state.Engines(r.now)[service] {
 		role := e.Role
-		if at := r.byID[e.ID]; at.wanted != at.role {
-			role = at.wanted
+		if at := r.byID[e.ID]; at.targetRole != at.role {
+			role = at.targetRole
 		}
 		list = append(list, roles.Engine{ID: e.ID, Zone: e.Zone, Role: role, Running: e.Load.Requests, PrefillUtilization: e.Load.Utilization})
 	}
--- a/internal/model/model_test.go
+++ b/internal/model/model_test.go
@@ -14,30 +14,29 @@
 	}
 }
 
-// TestTurnsServeASurge: prompts in order are late for as long as the backlog lasts.
-func TestTurnsServeASurge(t *testing.T) {
+// In the order of arrival, prompts are late for as long as a surge's backlog lasts.
+func TestDeferringPromptsServesASurge(t *testing.T) {
 	p := surge()
-	inOrder, turns := Run(p, Policy{InOrder: true}, 1), Run(p, Policy{}, 1)
-	t.Logf("on time %.3f in order, %.3f with turns; missed %.3f, %.3f", inOrder.OnTime("summary"), turns.OnTime("summary"), inOrder.Missed("summary"), turns.Missed("summary"))
-	if turns.OnTime("summary") < inOrder.OnTime("summary")+0.03 || turns.Missed("summary") > inOrder.Missed("summary")+0.01 {
-		t.Error("turns bring nothing")
+	inOrder, deferring := Run(p, Policy{InOrder: true}, 1), Run(p, Policy{}, 1)
+	t.Logf("on time %.3f in order, %.3f with deferral; missed %.3f, %.3f", inOrder.OnTime("summary"), deferring.OnTime("summary"), inOrder.Missed("summary"), deferring.Missed("summary"))
+	if deferring.OnTime("summary") < inOrder.OnTime("summary")+0.03 || deferring.Missed("summary") > inOrder.Missed("summary")+0.01 {
+		t.Error("deferring prompts does not improve the results")
 	}
 }
 
-// TestLearnedTimesServeAsKnownOnes has engines four times as fast as the prior says.
-func TestLearnedTimesServeAsKnownOnes(t *testing.T) {
+// The engines are four times as fast as the prior says.
+func TestLearnedTimesPerformLikeKnownTimes(t *testing.T) {
 	p := surge()
 	learned, exact := Run(p, Policy{}, 1), Run(p, Policy{KnownTimes: true}, 1)
 	t.Logf("credit %.3f learned, %.3f exact", learned.Credit(), exact.Credit())
 	if learned.Credit() < exact.Credit()-0.04 {
-		t.Error("what is learned serves less")
+		t.Error("learned times give a lower credit than exact ones")
 	}
 }
 
-// TestShortPromptsLeaveDecodeEnginesRoom: with 13 of 18 in prefill, prompts took all
-// of the time of the decode engines that were left, and prefill engines idled: 0.88 of
-// the checks were missed.
-func TestShortPromptsLeaveDecodeEnginesRoom(t *testing.T) {
+// Guards against an overloaded decode side: with 13 of 18 engines in prefill, prompts took all the time of
+// the remaining decode engines while prefill engines idled, and 0.88 of the checks were missed.
+func TestShortPromptsLeaveCapacityOnDecodeEngines(t *testing.T) {
 	p := shortPrompts()
 	p.Length = 14 * time.Second
 	for _, prefill := range []int{11, 13} {
@@ -49,9 +48,8 @@
 	}
 }
 
-// TestTheBestSplitLiesBetween: few engines in prefill leave prompts late, many leave
-// answers without slots.
-func TestTheBestSplitLiesBetween(t *testing.T) {
+// Too few prefill engines make prompts late; too many leave answers without slots.
+func TestBestSplitIsBetweenTheExtremes(t *testing.T) {
 	p := alternating()
 	p.Length = 22 * time.Second
 	credit := map[int]float64{}
@@ -64,8 +62,8 @@
 	}
 }
 
-// TestLostEnginesComeBack: a quarter of the engines are gone for two seconds.
-func TestLostEnginesComeBack(t *testing.T) {
+// About a quarter of the engines are down for two seconds.
+func TestCrashedEnginesReturn(t *testing.T) {
 	p := surge()
 	p.Class[0].Bursts = nil
 	p.Outages = []Outage{{At: 4 * time.Second, Duration: 2 * time.Second, Engines: 4}}
@@ -73,18 +71,18 @@
 	r := Run(p, Policy{}, 1)
 	t.Logf("missed %.3f, %.3f; %d orders, %d refused", r.Missed("summary"), r.Missed("question"), r.Orders, r.Refused)
 	if r.Missed("summary") > 0.05 || r.Missed("question") > 0.15 {
-		t.Error("more is missed than what ran on the lost engines")
+		t.Error("more requests are missed than ran on the lost engines")
 	}
 }
 
-// TestPopularPartsShift: what is popular is something else every four seconds.
-func TestPopularPartsShift(t *testing.T) {
+// Other shared parts become popular every four seconds.
+func TestPopularPartsChange(t *testing.T) {
 	p := surge()
 	p.Class[0].Bursts, p.Class[0].Skew, p.Class[0].Shift = nil, 1, 4*time.Second
 	p.Length = 10 * time.Second
 	r := Run(p, Policy{}, 1)
 	t.Logf("on time %.3f, missed %.3f", r.OnTime("summary"), r.Missed("summary"))
 	if r.OnTime("summary") < 0.7 || r.Missed("summary") > 0.01 {
-		t.Error("the new parts are not served")
+		t.Error("requests are late or missed after the popular parts change")
 	}
 }
--- a/internal/model/pattern.go
+++ b/internal/model/pattern.go
@@ -9,96 +9,100 @@
 	"sassafrasfield/internal/placement"
 )
 
-// Pattern is a load on a service and what can happen to its engines.
+// Pattern is a load on a service, together with outages of its engines.
 type Pattern struct {
-	// Name says what the load does.
+	// Name describes the load.
 	Name string `toml:"name"`
-	// Length of the load.
+	// Length is the duration of the load.
 	Length time.Duration `toml:"length"`
 	Fleet  Fleet         `toml:"fleet"`
 	Class  []Class       `toml:"class"`
-	// Outages engines.
+	// Outages are crashes of engines during the load.
 	Outages []Outage `toml:"lost"`
 }
 
-// Fleet is the instances and the engines.
+// Fleet describes the instances and the engines.
 type Fleet struct {
 	Zones     int `toml:"zones"`
 	Instances int `toml:"instances"`
 	Engines   int `toml:"engines"`
-	// ReportLag is how much later reports between instances arrive than they are
-	// sent, ReportLoss the part of them that is lost.
+	// ReportLag is the delay of reports between instances, ReportLoss the fraction of them that is lost,
+	// 0 to 1.
 	ReportLag  time.Duration `toml:"report_lag"`
 	ReportLoss float64       `toml:"report_loss"`
-	// Engine is what each engine takes.
+	// Engine describes each engine.
 	Engine EngineSpec `toml:"engine"`
 }
 
-// EngineSpec is what an engine takes and holds.
+// EngineSpec describes the timing and the capacity of an engine.
 type EngineSpec struct {
-	// TokenTime and PairTime are the times of a prompt's tokens and pairs of tokens,
-	// in nanoseconds, TransferTime that of sending a token's KV cache.
+	// TokenTime and PairTime are the prefill times for each prompt token and each pair of tokens, in
+	// nanoseconds. TransferTime is the time to transfer the KV cache of one token, in nanoseconds.
 	TokenTime    float64 `toml:"token_time_ns"`
 	PairTime     float64 `toml:"pair_time_ns"`
 	TransferTime float64 `toml:"transfer_time_ns"`
-	// Overhead of a prompt, in which the engine processes others.
+	// Overhead is additional latency of a prompt, during which the engine processes other prompts.
 	Overhead time.Duration `toml:"overhead"`
-	// Step of generation alone, by request, and by 1,000 tokens of their context.
+	// Step is the base duration of a generation step. StepPerRequest and StepPerContext are what each running
+	// request and each 1,000 tokens of context add.
 	Step           time.Duration `toml:"step"`
 	StepPerRequest time.Duration `toml:"step_per_request"`
 	StepPerContext time.Duration `toml:"step_per_1000_tokens"`
-	// Chunk is how many tokens of a prompt a generating engine processes between two
-	// steps, at half the speed.
+	// Chunk is the number of prompt tokens that a generating engine processes between two steps, at half the
+	// speed.
 	Chunk int `toml:"chunk"`
 	Slots int `toml:"slots"`
-	// MemoryTokens in tokens, EventTokens in each event of a stream.
-	MemoryTokens      int `toml:"memory"`
-	EventTokens int `toml:"event_tokens"`
-	// RoleChange is how long an engine is away once its answers have ended.
+	// MemoryTokens is the size of the KV cache in tokens, EventTokens the number of tokens in each event of a
+	// stream.
+	MemoryTokens int `toml:"memory"`
+	EventTokens  int `toml:"event_tokens"`
+	// RoleChange is the time for which an engine is unavailable during a role change, once its requests have
+	// finished.
 	RoleChange time.Duration `toml:"role_change"`
 }
 
-// Class is one kind of request.
+// Class is a kind of request.
 type Class struct {
 	Name string `toml:"name"`
-	// Rate a second, where no burst is.
+	// Rate is the number of requests per second outside bursts.
 	Rate float64 `toml:"rate"`
-	// Shared and Own tokens of the prompt, and Answer tokens: means, spread by a
-	// log-normal with the given deviation of the logarithm.
+	// Shared and Own are the mean numbers of shared and own tokens of a prompt, Answer that of tokens of an
+	// answer. They are log-normally distributed. Spread is the standard deviation of the logarithm, halved
+	// for shared parts.
 	Shared float64 `toml:"shared"`
 	Own    float64 `toml:"own"`
 	Answer float64 `toml:"answer"`
 	Spread float64 `toml:"spread"`
-	// Parts is how many shared parts there are; a part's use falls with its rank to
-	// the power of Skew.
+	// Parts is the number of different shared parts. The popularity of a part is its rank to the power of
+	// -Skew.
 	Parts int     `toml:"parts"`
 	Skew  float64 `toml:"skew"`
-	// Shift is after how long the popular parts are others; 0 for never.
+	// Shift is the interval at which other parts become the popular ones; 0 for never.
 	Shift time.Duration `toml:"shift"`
-	// Objective to the first event, Pause between events, Patience of the caller.
-	Objective time.Duration `toml:"objective"`
+	// Objective is the objective for the time to the first event. MaxGap is the longest acceptable gap
+	// between events. WaitBudget is the time after which a caller without a first event gives up.
+	Objective  time.Duration `toml:"objective"`
 	MaxGap     time.Duration `toml:"pause"`
-	WaitBudget  time.Duration `toml:"patience"`
-	Priority  int           `toml:"priority"`
-	Bursts    []Burst       `toml:"burst"`
+	WaitBudget time.Duration `toml:"patience"`
+	Priority   int           `toml:"priority"`
+	Bursts     []Burst       `toml:"burst"`
 }
 
-// Burst multiplies a class's rate for a time. Bursts that overlap multiply.
+// Burst multiplies a class's rate for a period. The factors of overlapping bursts multiply.
 type Burst struct {
-	From  time.Duration `toml:"from"`
-	Duration   time.Duration `toml:"for"`
-	Factor float64       `toml:"times"`
+	From     time.Duration `toml:"from"`
+	Duration time.Duration `toml:"for"`
+	Factor   float64       `toml:"times"`
 }
 
-// Outage is a number of engines that are gone for a time; those that return do so as
-// decode engines with empty memory.
+// Outage is a crash of a number of engines. They return after Duration as decode engines with an empty cache.
 type Outage struct {
-	At      time.Duration `toml:"at"`
-	Duration     time.Duration `toml:"for"`
-	Engines int           `toml:"engines"`
+	At       time.Duration `toml:"at"`
+	Duration time.Duration `toml:"for"`
+	Engines  int           `toml:"engines"`
 }
 
-// rateAt is a class's rate a second.
+// rateAt returns the class's rate in requests per second.
 func (c Class) rateAt(now time.Duration) float64 {
 	rate := c.Rate
 	for _, b := range c.Bursts {
@@ -109,15 +113,15 @@
 	return rate
 }
 
-// sizes draws the numbers of tokens and the parts of requests.
-type sizes struct {
-	rng    *rand.Rand
-	weight [][]float64 // cumulated, by class and part
-	shared [][]int     // tokens, by class and part
+// sampler draws the token counts and shared parts of requests.
+type sampler struct {
+	rng               *rand.Rand
+	cumulativeWeights [][]float64 // by class and part
+	sharedTokens      [][]int     // by class and part
 }
 
-func newSizes(classes []Class, rng *rand.Rand) *sizes {
-	s := &sizes{rng: rng}
+func newSampler(classes []Class, rng *rand.Rand) *sampler {
+	s := &sampler{rng: rng}
 	for _, c := range classes {
 		var weights []float64
 		var tokens []int
@@ -127,21 +131,21 @@
 			weights = append(weights, sum)
 			tokens = append(tokens, s.tokens(c.Shared, c.Spread/2))
 		}
-		s.weight, s.shared = append(s.weight, weights), append(s.shared, tokens)
+		s.cumulativeWeights, s.sharedTokens = append(s.cumulativeWeights, weights), append(s.sharedTokens, tokens)
 	}
 	return s
 }
 
-// tokens draws a log-normal number of a mean.
-func (s *sizes) tokens(mean, spread float64) int {
+// tokens draws a token count from a log-normal distribution with the given mean.
+func (s *sampler) tokens(mean, spread float64) int {
 	return max(1, int(mean*math.Exp(spread*s.rng.NormFloat64()-spread*spread/2)))
 }
 
-// part draws a part of a class.
-func (s *sizes) part(class int, c Class, now time.Duration) int {
-	draw := s.rng.Float64() * s.weight[class][c.Parts-1]
+// part draws a shared part of a class.
+func (s *sampler) part(class int, c Class, now time.Duration) int {
+	draw := s.rng.Float64() * s.cumulativeWeights[class][c.Parts-1]
 	part := 0
-	for s.weight[class][part] < draw {
+	for s.cumulativeWeights[class][part] < draw {
 		part++
 	}
 	if c.Shift > 0 {
@@ -150,7 +154,7 @@
 	return part
 }
 
-// poisson draws how many come where a number is expected.
+// poisson draws from a Poisson distribution.
 func poisson(rng *rand.Rand, mean float64) int {
 	limit, product, n := math.Exp(-mean), rng.Float64(), 0
 	for product > limit {
@@ -160,14 +164,14 @@
 	return n
 }
 
-// prompt draws the prompt of one request.
-func (s *sizes) prompt(class int, c Class, id string, now time.Duration) placement.Prompt {
+// prompt draws the prompt of a request.
+func (s *sampler) prompt(class int, c Class, id string, now time.Duration) placement.Prompt {
 	own := s.tokens(c.Own, c.Spread)
 	p := placement.Prompt{Tokens: own, MaxOutput: int(4 * c.Answer)}
 	if c.Parts > 0 {
 		part := s.part(class, c, now)
-		p.Parts = append(p.Parts, placement.Part{ID: fmt.Sprintf("%s-%d", c.Name, part), Tokens: s.shared[class][part]})
-		p.Tokens += s.shared[class][part]
+		p.Parts = append(p.Parts, placement.Part{ID: fmt.Sprintf("%s-%d", c.Name, part), Tokens: s.sharedTokens[class][part]})
+		p.Tokens += s.sharedTokens[class][part]
 	}
 	p.Parts = append(p.Parts, placement.Part{ID: id, Tokens: own})
 	return p
--- a/internal/model/patterns_test.go
+++ b/internal/model/patterns_test.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// fast are the engines of a dense model on one accelerator: the new customer's sheet.
+// fast returns the engine figures of the new customer's data sheet: a dense model on one accelerator.
 func fast() EngineSpec {
 	return EngineSpec{
 		TokenTime: 4237, PairTime: 0.138, TransferTime: 109, Step: 637 * time.Microsecond,
@@ -11,7 +11,8 @@
 	}
 }
 
-// slow are those of a mixture-of-experts model on eight: the first customers' sheet.
+// slow returns the engine figures of the first customers' data sheet: a mixture-of-experts model on eight
+// accelerators.
 func slow() EngineSpec {
 	return EngineSpec{
 		TokenTime: 16300, PairTime: 0.525, TransferTime: 760, Overhead: 90 * time.Millisecond, Step: 4550 * time.Microsecond,
@@ -20,27 +21,26 @@
 	}
 }
 
-// bursts alternates two multiples every 2.8 s over a wave of 14 s.
-func bursts(first, second float64, waves ...float64) []Burst {
+// bursts alternates between two factors every 2.8 s, on top of waves of 14 s each.
+func bursts(first, second float64, waveFactors ...float64) []Burst {
 	const short, wave = 2800 * time.Millisecond, 14 * time.Second
 	var list []Burst
-	for i, times := range waves {
+	for i, factor := range waveFactors {
 		from := 3*time.Second + time.Duration(i)*(wave+time.Second)
-		list = append(list, Burst{From: from, Duration: wave, Factor: times})
+		list = append(list, Burst{From: from, Duration: wave, Factor: factor})
 	}
 	for i := range 11 {
-		times := first
+		factor := first
 		if i%2 == 1 {
-			times = second
+			factor = second
 		}
-		list = append(list, Burst{From: time.Second + time.Duration(i)*short, Duration: short, Factor: times})
+		list = append(list, Burst{From: time.Second + time.Duration(i)*short, Duration: short, Factor: factor})
 	}
 	return list
 }
 
-// alternating is the new customer's load: long prompts with a word for an answer, and
-// short questions with long answers, whose bursts take turns. Grounds: the sheet of
-// tsd-fleet and its quiet day.
+// alternating is the new customer's load: alternating bursts of long prompts with very short answers, and
+// short questions with long answers. The figures come from the data sheet of tsd-fleet and its quiet day.
 func alternating() Pattern {
 	return Pattern{
 		Name: "alternating bursts of long prompts and long answers", Length: 34 * time.Second,
@@ -60,8 +60,8 @@
 	}
 }
 
-// surge is three times the long prompts for four seconds. Grounds: the bursts of the
-// customers' days go to three times the mean.
+// surge is three times the rate of long prompts for four seconds. The bursts on the customers' days reach
+// three times the mean.
 func surge() Pattern {
 	p := alternating()
 	p.Name, p.Length = "three times the long prompts for four seconds", 10*time.Second
@@ -70,9 +70,8 @@
 	return p
 }
 
-// shortPrompts is a burst of short prompts while a third of the decode engines is
-// gone. Grounds: on a day of qoton-gabes four engines were scaled in, and 1.9 times
-// the short prompts came.
+// shortPrompts is a burst of short prompts while a third of the decode engines is missing. On a day of
+// qoton-gabes, four engines were scaled in, and 1.9 times the short prompts arrived.
 func shortPrompts() Pattern {
 	return Pattern{
 		Name: "a burst of short prompts with engines scaled in", Length: 30 * time.Second,
--- a/internal/model/policy.go
+++ b/internal/model/policy.go
@@ -8,18 +8,18 @@
 	"sassafrasfield/internal/roles"
 )
 
-// Policy is what the instances decide by. What is left out has the default.
+// Policy configures the decisions of the instances. Zero values select the defaults.
 type Policy struct {
 	Name string `toml:"name"`
-	// Prefill is how many of 18 engines begin in prefill; 0 for the default.
+	// Prefill is the number of engines out of 18 that start in the prefill role; 0 for the default.
 	Prefill int `toml:"prefill_of_18"`
-	// AdaptSplit tells that the split follows the use.
+	// AdaptSplit adjusts the split between the roles to the workload.
 	AdaptSplit bool `toml:"follows"`
-	// InOrder has prompts processed in the order in which they come.
+	// InOrder processes prompts in the order of their arrival, without deferring any.
 	InOrder bool `toml:"in_order"`
-	// KnownTimes has the instances know what the engines take from the start.
+	// KnownTimes starts the instances with the actual times of the engines instead of the default prior.
 	KnownTimes bool `toml:"exact"`
-	// MemoryPrice is what all of an engine's memory is worth; 0 for the default.
+	// MemoryPrice is the worth of an engine's whole KV cache, as in placement.Settings; 0 for the default.
 	MemoryPrice time.Duration `toml:"memory_price"`
 }
 
--- a/internal/model/reports.go
+++ b/internal/model/reports.go
@@ -6,45 +6,45 @@
 	"sassafrasfield/internal/upstreamstate"
 )
 
-// Pace of the reports between instances, as package fanout has it. A change waits half
-// of reportEvery until it is told, as it does in a hub for the next batch.
+// Intervals of the reports between instances, as in package fanout. On average, a change waits for half of
+// reportEvery until it is sent, as it does in a hub for the next batch.
 const (
 	reportEvery = 100 * time.Millisecond
 	zoneEvery   = 200 * time.Millisecond
 )
 
-// delivery is a report on its way.
+// delivery is a report in transit.
 type delivery struct {
-	at     time.Duration
-	to     *instance
-	source string
-	report upstreamstate.Report
+	deliverAt time.Duration
+	to        *instance
+	source    string
+	report    upstreamstate.Report
 }
 
-// report has the instances tell one another what they have: each its zone's hub, the
-// hub all others of the zone, and the hubs of other zones what the zone has.
-func (r *run) report() {
+// exchangeReports exchanges the reports of the instances: each instance reports to its zone, the hubs report
+// their zones to each other, and each hub relays the reports of the other zones to its zone.
+func (r *run) exchangeReports() {
 	r.deliver()
 	if r.now%reportEvery != 0 {
 		return
 	}
 	for _, from := range r.instances {
-		r.tellZone(from)
+		r.sendOwnReport(from)
 	}
 	if r.now%zoneEvery == 0 {
-		r.tellZones()
+		r.sendZoneReports()
 	}
 	r.deliver()
 	for _, hub := range r.hubs() {
-		r.tellBeyond(hub)
+		r.sendOtherZonesReport(hub)
 	}
 	r.deliver()
 }
 
-// tellZones has the hubs tell one another what their zones have.
-func (r *run) tellZones() {
+// sendZoneReports sends each hub's report of its zone to the other hubs.
+func (r *run) sendZoneReports() {
 	for _, hub := range r.hubs() {
-		report := hub.picture.ZoneReport(r.now)
+		report := hub.state.ZoneReport(r.now)
 		for _, to := range r.hubs() {
 			if to != hub {
 				r.send(to, "zone "+hub.zone, report)
@@ -53,7 +53,7 @@
 	}
 }
 
-// hubs are the first instances of each zone.
+// hubs returns the hub of each zone, which is its first instance.
 func (r *run) hubs() []*instance {
 	var hubs []*instance
 	seen := map[string]bool{}
@@ -66,9 +66,9 @@
 	return hubs
 }
 
-// tellZone has an instance tell its zone of itself.
-func (r *run) tellZone(from *instance) {
-	report := from.picture.OwnReport(r.now)
+// sendOwnReport sends an instance's report of itself to the other instances of its zone.
+func (r *run) sendOwnReport(from *instance) {
+	report := from.state.OwnReport(r.now)
 	for _, to := range r.instances {
 		if to != from && to.zone == from.zone {
 			r.send(to, upstreamstate.InstanceSourcePrefix+from.name, report)
@@ -76,9 +76,9 @@
 	}
 }
 
-// tellBeyond has a hub tell its zone of the other zones.
-func (r *run) tellBeyond(hub *instance) {
-	report := hub.picture.OtherZonesReport(r.now)
+// sendOtherZonesReport sends a hub's report of the other zones to the instances of its zone.
+func (r *run) sendOtherZonesReport(hub *instance) {
+	report := hub.state.OtherZonesReport(r.now)
 	for _, to := range r.instances {
 		if to != hub && to.zone == hub.zone {
 			r.send(to, "zones", report)
@@ -86,23 +86,23 @@
 	}
 }
 
-// send puts a report on its way, unless it is lost.
+// send queues a report for delivery, unless it is drawn as lost.
 func (r *run) send(to *instance, source string, report upstreamstate.Report) {
 	if r.rng.Float64() < r.pattern.Fleet.ReportLoss {
 		return
 	}
-	r.underway = append(r.underway, delivery{at: r.now + r.pattern.Fleet.ReportLag, to: to, source: source, report: report})
+	r.inFlight = append(r.inFlight, delivery{deliverAt: r.now + r.pattern.Fleet.ReportLag, to: to, source: source, report: report})
 }
 
-// deliver has the reports arrive whose time has come.
+// deliver applies the reports whose delay has passed.
 func (r *run) deliver() {
-	left := r.underway[:0]
-	for _, d := range r.underway {
-		if d.at > r.now {
-			left = append(left, d)
+	remaining := r.inFlight[:0]
+	for _, d := range r.inFlight {
+		if d.deliverAt > r.now {
+			remaining = append(remaining, d)
 			continue
 		}
-		d.to.picture.ApplyReport(d.source, d.report, r.now)
+		d.to.state.ApplyReport(d.source, d.report, r.now)
 	}
-	r.underway = left
+	r.inFlight = remaining
 }
--- a/internal/model/result.go
+++ b/internal/model/result.go
@@ -6,25 +6,26 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Result is what came of a pattern under a policy.
+// Result is the outcome of a pattern under a policy.
 type Result struct {
 	Pattern, Policy string
-	// Classes by name.
+	// Classes holds the results of the classes by name.
 	Classes map[string]*ClassResult
-	// PrefilledTokens tokens were processed in prompts, TransferredTokens ones sent between engines.
+	// PrefilledTokens counts the prompt tokens that were processed, TransferredTokens those sent between
+	// engines.
 	PrefilledTokens, TransferredTokens int
-	// Orders to engines, and requests that engines Refused.
+	// Orders counts the role changes ordered, Refused the requests that engines refused.
 	Orders, Refused int
 }
 
-// ClassResult is what came of a class's requests.
+// ClassResult is the outcome of the requests of a class.
 type ClassResult struct {
 	Requests, OnTime, Late, Missed int
 	// FirstEvent is the time to the first event, in microseconds.
 	FirstEvent *hdrhistogram.Histogram
 }
 
-// Bounds of the histograms: microseconds to a minute, to two digits.
+// Range of the histograms: microseconds up to a minute, with two significant digits.
 const (
 	histogramMax    = int64(time.Minute / time.Microsecond)
 	histogramDigits = 2
@@ -38,59 +39,57 @@
 	return r
 }
 
-// answered takes note of a request that has its whole answer.
-func (r *Result) answered(req *request) {
+// recordAnswered counts a request whose answer has begun or is complete.
+func (r *Result) recordAnswered(req *request) {
 	c := r.Classes[req.class.Name]
 	c.Requests++
-	first := req.first - req.arrived
+	first := req.firstEvent - req.arrivedAt
 	_ = c.FirstEvent.RecordValue(min(histogramMax, first.Microseconds())) // within bounds
-	if first <= req.class.Objective && !req.paused {
+	if first <= req.class.Objective && !req.gapExceeded {
 		c.OnTime++
 		return
 	}
 	c.Late++
 }
 
-// left takes note of a request whose caller left.
-func (r *Result) left(req *request) {
+// recordMissed counts a request whose caller gave up.
+func (r *Result) recordMissed(req *request) {
 	c := r.Classes[req.class.Name]
 	c.Requests++
 	c.Missed++
 }
 
-// ended takes note of what is still open at the end: answers under way count as they
-// began.
-func (r *Result) ended(open []*request) {
+// recordOpen counts the requests that are open at the end. An answer that has begun counts as a complete one.
+func (r *Result) recordOpen(open []*request) {
 	for _, req := range open {
 		switch {
-		case req.over:
-		case req.first > 0:
-			r.answered(req)
+		case req.done:
+		case req.firstEvent > 0:
+			r.recordAnswered(req)
 		default:
-			r.left(req)
+			r.recordMissed(req)
 		}
 	}
 }
 
-// OnTime is the part of a class's requests that were on time, Missed of those without
-// an answer.
+// OnTime returns the fraction of a class's requests that were answered on time.
 func (r *Result) OnTime(class string) float64 {
 	c := r.Classes[class]
 	return float64(c.OnTime) / float64(max(1, c.Requests))
 }
 
-// Missed is the part of a class's requests that got no answer.
+// Missed returns the fraction of a class's requests that got no answer.
 func (r *Result) Missed(class string) float64 {
 	c := r.Classes[class]
 	return float64(c.Missed) / float64(max(1, c.Requests))
 }
 
-// lateCredit is what a late answer counts for, against one that is on time: about
-// what the customers' sheets say.
+// lateCredit is the value of a late answer relative to one on time. The customers'
+// requirements give about this value.
 const lateCredit = 0.3
 
-// Credit is the mean over the classes of the part of their requests on time, with
-// late ones counted less.
+// Credit returns the mean, over the classes, of the fraction of requests on time, with late ones weighted by
+// lateCredit.
 func (r *Result) Credit() float64 {
 	sum := 0.0
 	for _, c := range r.Classes {
--- a/internal/model/run.go
+++ b/internal/model/run.go
@@ -14,85 +14,85 @@
 	"sassafrasfield/internal/upstreamstate"
 )
 
-// service is the name of the one service.
+// service is the name of the only service.
 const service = "llm"
 
-// request is one caller's request.
+// request is a request of a caller.
 type request struct {
-	id      string
-	class   *Class
-	prompt  placement.Prompt
-	answer  float64 // tokens
-	arrived time.Duration
-	at      *instance
-	// start and turn are where and when its prompt is processed.
-	start placement.Prefill
-	turn  placement.QueueOrder
-	// sent is when the prompt was sent, then when the answer was asked for.
-	sent       time.Duration
-	engine     *engine
-	cachedHere int // tokens that the decode engine was believed to have
-	paused     bool
-	first      time.Duration
-	over       bool
+	id        string
+	class     *Class
+	prompt    placement.Prompt
+	answer    float64 // tokens
+	arrivedAt time.Duration
+	instance  *instance
+	// prefill and queueOrder are the engine and the queue order that its prompt was placed with.
+	prefill    placement.Prefill
+	queueOrder placement.QueueOrder
+	// sentAt is the time at which the prompt was sent, later the time at which the generation was requested.
+	sentAt        time.Duration
+	engine        *engine
+	assumedCached int // tokens that the decode engine was assumed to have cached
+	gapExceeded   bool
+	firstEvent    time.Duration
+	done          bool
 }
 
-// instance is one instance with its picture.
+// instance is one instance with its view of the upstreams.
 type instance struct {
 	name, zone string
-	picture    *upstreamstate.State
+	state      *upstreamstate.State
 }
 
-// run is a pattern under a policy on its way.
+// run is the state of a simulation.
 type run struct {
-	pattern   Pattern
-	policy    Policy
-	rng       *rand.Rand
-	sizes     *sizes
-	now       time.Duration
-	engines   []*engine
-	byID      map[string]*engine
-	instances []*instance
-	open      []*request
-	made      int
-	keeper    keeper
-	underway  []delivery
-	result    *Result
+	pattern      Pattern
+	policy       Policy
+	rng          *rand.Rand
+	sampler      *sampler
+	now          time.Duration
+	engines      []*engine
+	byID         map[string]*engine
+	instances    []*instance
+	openRequests []*request
+	created      int
+	controller   roleController
+	inFlight     []delivery
+	result       *Result
 }
 
-// Run plays a pattern under a policy.
+// Run simulates a pattern under a policy.
 func Run(p Pattern, policy Policy, seed uint64) *Result {
 	r := newRun(p, policy, seed)
-	for ; r.now < p.Length+drainFor; r.now += tick {
-		r.lose()
-		r.report()
-		r.keep()
+	for ; r.now < p.Length+drainTime; r.now += tick {
+		r.applyOutages()
+		r.exchangeReports()
+		r.controlRoles()
 		if r.now < p.Length {
-			r.arrive()
+			r.addArrivals()
 		}
-		r.leave()
+		r.removeClosed()
 		for _, e := range r.engines {
-			r.settle(e)
+			r.advance(e)
 		}
 	}
-	r.result.ended(r.open)
+	r.result.recordOpen(r.openRequests)
 	return r.result
 }
 
-// drainFor is for how long answers may still come after the load.
-const drainFor = 4 * time.Second
+// drainTime is the time after the load in which answers may still complete.
+const drainTime = 4 * time.Second
 
 func newRun(p Pattern, policy Policy, seed uint64) *run {
 	rng := rand.New(rand.NewPCG(seed, seed))
 	r := &run{
-		pattern: p, policy: policy, rng: rng, sizes: newSizes(p.Class, rng), byID: map[string]*engine{},
+		pattern: p, policy: policy, rng: rng, sampler: newSampler(p.Class, rng), byID: map[string]*engine{},
 		result: newResult(p, policy),
 	}
 	target := policy.target()
 	prefill := target.PrefillCount(p.Fleet.Engines)
 	for i := range p.Fleet.Engines {
 		role := config.RoleDecode
-		if i*prefill/p.Fleet.Engines < (i+1)*prefill/p.Fleet.Engines { // spread over the zones
+		if i*prefill/p.Fleet.Engines < (i+1)*prefill/p.Fleet.Engines { // spreads the prefill engines over the zones
 			role = config.RolePrefill
 		}
 		e := newEngine(fmt.Sprintf("e%03d", i), zone(i, p.Fleet.Zones), role, p.Fleet.Engine)
@@ -101,7 +101,7 @@
 	for i := range p.Fleet.Instances {
 		r.instances = append(r.instances, r.newInstance(i))
 	}
-	r.keeper = keeper{target: target}
+	r.controller = roleController{target: target}
 	return r
 }
 
@@ -110,16 +110,16 @@
 func (r *run) newInstance(i int) *instance {
 	spec := r.pattern.Fleet.Engine
 	in := &instance{name: fmt.Sprintf("i%02d", i), zone: zone(i, r.pattern.Fleet.Zones)}
-	in.picture = upstreamstate.New(upstreamstate.Settings{
+	in.state = upstreamstate.New(upstreamstate.Settings{
 		Zone: in.zone, Placement: r.policy.settings(), Prior: r.policy.prior(spec),
 		Outliers: load.DefaultOutlierRules(), Seed: uint64(i) + 1,
 	})
-	in.picture.SetRoutes(routes.NewTable(1, nil, []routes.Service{{Name: service, Engine: &routes.EngineLimits{
+	in.state.SetRoutes(routes.NewTable(1, nil, []routes.Service{{Name: service, Engine: &routes.EngineLimits{
 		Slots: spec.Slots, KVTokens: spec.MemoryTokens, TransferTime: spec.TransferTime, EventTokens: spec.EventTokens,
 		RoleSwitch: spec.RoleChange,
 	}}}, routes.Limits{}), 0)
 	for _, e := range r.engines {
-		in.picture.UpdateUpstream(e.upstream())
+		in.state.UpdateUpstream(e.upstream())
 	}
 	return in
 }
@@ -128,174 +128,174 @@
 	return upstreamstate.Upstream{ID: e.id, Service: service, Zone: e.zone, Role: e.role, Slots: e.spec.Slots}
 }
 
-// arrive has this tick's requests come.
-func (r *run) arrive() {
+// addArrivals creates the requests that arrive in this tick.
+func (r *run) addArrivals() {
 	for i := range r.pattern.Class {
 		c := &r.pattern.Class[i]
 		for range poisson(r.rng, c.rateAt(r.now)*tick.Seconds()) {
-			r.made++
-			id := fmt.Sprintf("r%d", r.made)
+			r.created++
+			id := fmt.Sprintf("r%d", r.created)
 			req := &request{
-				id: id, class: c, prompt: r.sizes.prompt(i, *c, id, r.now), answer: float64(r.sizes.tokens(c.Answer, c.Spread)),
-				arrived: r.now, at: r.instances[r.rng.IntN(len(r.instances))],
+				id: id, class: c, prompt: r.sampler.prompt(i, *c, id, r.now), answer: float64(r.sampler.tokens(c.Answer, c.Spread)),
+				arrivedAt: r.now, instance: r.instances[r.rng.IntN(len(r.instances))],
 			}
-			r.open = append(r.open, req)
+			r.openRequests = append(r.openRequests, req)
 			r.place(req)
 		}
 	}
 }
 
-func (req *request) ask(now time.Duration) upstreamstate.PlacementRequest {
-	waited := now - req.arrived
+func (req *request) placementRequest(now time.Duration) upstreamstate.PlacementRequest {
+	waited := now - req.arrivedAt
 	return upstreamstate.PlacementRequest{
 		ID: req.id, Service: service, Prompt: req.prompt,
 		Objective: req.class.Objective - waited, RemainingWait: req.class.WaitBudget - waited,
 	}
 }
 
-// place sends a request to the engine that is to process its prompt.
+// place sends a request to the engine that the instance picks for its prompt.
 func (r *run) place(req *request) {
-	start, turn, ok := req.at.picture.PickPrefill(req.ask(r.now), r.now)
+	prefill, order, ok := req.instance.state.PickPrefill(req.placementRequest(r.now), r.now)
 	if !ok {
-		return // it waits until its caller leaves
+		return // it stays unplaced until its caller gives up
 	}
-	req.start, req.turn, req.sent, req.engine = start, turn, r.now, r.byID[start.Engine.ID]
-	w := &work{req: req, yields: turn == placement.QueueDeferred, source: r.byID[start.Source.ID], tokens: req.answer}
-	if !req.engine.takes(r.now) {
-		r.refused(req)
+	req.prefill, req.queueOrder, req.sentAt, req.engine = prefill, order, r.now, r.byID[prefill.Engine.ID]
+	w := &work{req: req, deferred: order == placement.QueueDeferred, source: r.byID[prefill.Source.ID], tokens: req.answer}
+	if !req.engine.accepts(r.now) {
+		r.retryRefused(req)
 		return
 	}
 	req.engine.prompts = append(req.engine.prompts, w)
 }
 
-// refused tries another engine, as this one does not take the request.
-func (r *run) refused(req *request) {
-	r.free(req)
-	req.at.picture.RecordCall(req.engine.id, load.CallUnreachable, r.now)
+// retryRefused places a request again after its engine refused it.
+func (r *run) retryRefused(req *request) {
+	r.release(req)
+	req.instance.state.RecordCall(req.engine.id, load.CallUnreachable, r.now)
 	req.engine = nil
 	r.result.Refused++
 	r.place(req)
 }
 
-// free takes a request off its engine in its instance's picture.
-func (r *run) free(req *request) {
+// release removes a request from its engine's load in its instance's state.
+func (r *run) release(req *request) {
 	if req.engine == nil {
 		return
 	}
-	if req.start.Engine.ID == req.engine.id {
-		req.at.picture.PromptDone(req.engine.id, req.start.BusyTime, req.turn)
+	if req.prefill.Engine.ID == req.engine.id {
+		req.instance.state.PromptDone(req.engine.id, req.prefill.BusyTime, req.queueOrder)
 	}
-	req.at.picture.RequestDone(req.engine.id, req.id, r.now)
+	req.instance.state.RequestDone(req.engine.id, req.id, r.now)
 }
 
-// settle lets an engine work for a tick and takes note of what came of it.
-func (r *run) settle(e *engine) {
-	prompted, started, ended := e.advance(r.now)
-	for _, w := range prompted {
-		r.result.PrefilledTokens += w.fresh
+// advance simulates one tick of an engine and records the results.
+func (r *run) advance(e *engine) {
+	prefilled, started, finished := e.advance(r.now)
+	for _, w := range prefilled {
+		r.result.PrefilledTokens += w.uncached
 		if e.role == config.RolePrefill {
 			r.handOver(e, w)
 			continue
 		}
-		w.req.at.picture.PromptDone(e.id, w.req.start.BusyTime, w.req.turn)
+		w.req.instance.state.PromptDone(e.id, w.req.prefill.BusyTime, w.req.queueOrder)
 	}
 	for _, w := range started {
-		if w.req.first == 0 {
-			w.req.first = r.now
-			if w.req.start.Engine.ID != e.id {
-				w.req.at.picture.RecordHandOver(service, w.req.prompt.Tokens-w.req.cachedHere, r.now-w.req.sent)
+		if w.req.firstEvent == 0 {
+			w.req.firstEvent = r.now
+			if w.req.prefill.Engine.ID != e.id {
+				w.req.instance.state.RecordHandOver(service, w.req.prompt.Tokens-w.req.assumedCached, r.now-w.req.sentAt)
 			}
 		}
 	}
-	for _, w := range ended {
-		r.end(e, w)
+	for _, w := range finished {
+		r.finish(e, w)
 	}
 }
 
-// handOver has a decode engine go on after the prompt.
+// handOver passes a request on to a decode engine after its prompt was processed.
 func (r *run) handOver(e *engine, w *work) {
 	req := w.req
-	req.at.picture.RecordCall(e.id, load.CallSucceeded, r.now)
-	if req.start.Source.ID == "" && req.start.UncachedTokens <= req.prompt.Tokens-req.prompt.SharedTokens() {
-		req.at.picture.RecordPrefill(service, estimate.Prefill{
-			Uncached: req.start.UncachedTokens, Cached: req.prompt.Tokens - req.start.UncachedTokens,
-			PredictedWait: req.start.Engine.Aggregate.Backlog, Elapsed: r.now - req.sent + e.spec.Overhead,
+	req.instance.state.RecordCall(e.id, load.CallSucceeded, r.now)
+	if req.prefill.Source.ID == "" && req.prefill.UncachedTokens <= req.prompt.Tokens-req.prompt.SharedTokens() {
+		req.instance.state.RecordPrefill(service, estimate.Prefill{
+			Uncached: req.prefill.UncachedTokens, Cached: req.prompt.Tokens - req.prefill.UncachedTokens,
+			PredictedWait: req.prefill.Engine.Aggregate.Backlog, Elapsed: r.now - req.sentAt + e.spec.Overhead,
 		})
 	}
-	r.free(req)
-	chosen, ok := req.at.picture.PickDecode(req.ask(r.now), e.zone, r.now)
+	r.release(req)
+	chosen, ok := req.instance.state.PickDecode(req.placementRequest(r.now), e.zone, r.now)
 	if !ok {
 		return
 	}
 	to := r.byID[chosen.ID]
-	fetched := max(0, req.prompt.Tokens-to.cache.has(req.prompt))
+	fetched := max(0, req.prompt.Tokens-to.cache.cachedTokens(req.prompt))
 	r.result.TransferredTokens += fetched
-	req.engine, req.cachedHere, req.sent = to, chosen.Aggregate.CachedTokens, r.now+e.spec.Overhead
-	if to.role != config.RoleDecode || to.gone {
-		req.at.picture.RequestDone(to.id, req.id, r.now)
+	req.engine, req.assumedCached, req.sentAt = to, chosen.Aggregate.CachedTokens, r.now+e.spec.Overhead
+	if to.role != config.RoleDecode || to.down {
+		req.instance.state.RequestDone(to.id, req.id, r.now)
 		return
 	}
 	transfer := time.Duration(float64(fetched) * e.spec.TransferTime)
-	to.waiting = append(to.waiting, &work{req: req, tokens: req.answer, readyAt: req.sent + transfer})
+	to.waiting = append(to.waiting, &work{req: req, tokens: req.answer, readyAt: req.sentAt + transfer})
 }
 
-// end takes note of a request that is answered.
-func (r *run) end(e *engine, w *work) {
+// finish records a request whose answer is complete.
+func (r *run) finish(e *engine, w *work) {
 	req := w.req
-	req.at.picture.RecordCall(e.id, load.CallSucceeded, r.now)
+	req.instance.state.RecordCall(e.id, load.CallSucceeded, r.now)
 	events := 1 + int(req.answer)/e.spec.EventTokens
-	req.at.picture.RecordStream(service, e.id, events, estimate.Stream{Elapsed: r.now - req.first, SlotTime: r.now - req.sent}, r.now)
-	req.at.picture.RequestDone(e.id, req.id, r.now)
-	req.over = true
-	r.result.answered(req)
+	req.instance.state.RecordStream(service, e.id, events, estimate.Stream{Elapsed: r.now - req.firstEvent, SlotTime: r.now - req.sentAt}, r.now)
+	req.instance.state.RequestDone(e.id, req.id, r.now)
+	req.done = true
+	r.result.recordAnswered(req)
 }
 
-// leave takes off the requests whose callers have left, or that are answered.
-func (r *run) leave() {
-	r.open = slices.DeleteFunc(r.open, func(req *request) bool {
-		if req.over {
+// removeClosed removes the requests that are answered or whose callers have given up.
+func (r *run) removeClosed() {
+	r.openRequests = slices.DeleteFunc(r.openRequests, func(req *request) bool {
+		if req.done {
 			return true
 		}
-		if req.first > 0 || r.now-req.arrived < req.class.WaitBudget {
+		if req.firstEvent > 0 || r.now-req.arrivedAt < req.class.WaitBudget {
 			return false
 		}
-		r.free(req)
+		r.release(req)
 		if req.engine != nil {
 			req.engine.drop(req)
 		}
-		r.result.left(req)
+		r.result.recordMissed(req)
 		return true
 	})
 }
 
-// lose takes engines away and brings them back.
-func (r *run) lose() {
-	for _, l := range r.pattern.Outages {
-		for i := range l.Engines {
-			e := r.engines[i*len(r.engines)/l.Engines]
+// applyOutages crashes engines and restores them as the pattern says.
+func (r *run) applyOutages() {
+	for _, outage := range r.pattern.Outages {
+		for i := range outage.Engines {
+			e := r.engines[i*len(r.engines)/outage.Engines]
 			switch {
-			case r.now >= l.At && r.now < l.At+tick:
+			case r.now >= outage.At && r.now < outage.At+tick:
 				r.crash(e)
-			case r.now >= l.At+l.Duration && r.now < l.At+l.Duration+tick:
-				r.comeBack(e)
+			case r.now >= outage.At+outage.Duration && r.now < outage.At+outage.Duration+tick:
+				r.restore(e)
 			}
 		}
 	}
 }
 
-// crash ends an engine with all that is on it; its callers leave in time.
+// crash removes an engine with all its requests. Their callers give up once their wait budget is exhausted.
 func (r *run) crash(e *engine) {
 	for _, in := range r.instances {
-		in.picture.RemoveUpstream(e.id)
+		in.state.RemoveUpstream(e.id)
 	}
-	fresh := newEngine(e.id, e.zone, config.RoleDecode, e.spec)
-	fresh.gone = true
-	*e = *fresh
+	replacement := newEngine(e.id, e.zone, config.RoleDecode, e.spec)
+	replacement.down = true
+	*e = *replacement
 }
 
-func (r *run) comeBack(e *engine) {
-	e.gone = false
+func (r *run) restore(e *engine) {
+	e.down = false
 	for _, in := range r.instances {
-		in.picture.UpdateUpstream(e.upstream())
+		in.state.UpdateUpstream(e.upstream())
 	}
 }
--- a/internal/model/study.go
+++ b/internal/model/study.go
@@ -16,11 +16,11 @@
 	"sassafrasfield/internal/tomlfile"
 )
 
-// Study is patterns to be played under policies, read from a TOML file.
+// Study is a set of patterns to simulate under a set of policies, read from a TOML file.
 type Study struct {
-	// Seeds to play each of them with. No default.
+	// Seeds are the random seeds to run each combination with. No default.
 	Seeds []int `toml:"seeds"`
-	// Pattern and Policy are set beside each other, each with each. No default.
+	// Each pattern is run under each policy. No default.
 	Pattern []Pattern `toml:"pattern"`
 	Policy  []Policy  `toml:"policy"`
 }
@@ -55,7 +55,7 @@
 	}
 }
 
-// Run plays all patterns under all policies.
+// Run simulates all patterns under all policies.
 func (s *Study) Run() []*Result {
 	var results []*Result
 	for _, pattern := range s.Pattern {
@@ -68,12 +68,12 @@
 	return results
 }
 
-// WriteTable writes a row for each result and class, with tabs between the columns.
+// WriteTable writes a row for each result and class, with tab-separated columns.
 func WriteTable(w io.Writer, results []*Result) error {
 	lines := []string{"pattern\tpolicy\tclass\tasked\ton_time\tmissed\tfirst_p50_ms\tfirst_p99_ms\tfresh_mtok\tmoved_mtok\torders\tcredit"}
 	const microsPerMilli, million = 1e3, 1e6
 	for _, r := range results {
-		for _, name := range r.names() {
+		for _, name := range r.classNames() {
 			c := r.Classes[name]
 			lines = append(lines, fmt.Sprintf("%s\t%s\t%s\t%d\t%.3f\t%.3f\t%.1f\t%.1f\t%.1f\t%.1f\t%d\t%.3f", r.Pattern, r.Policy, name, c.Requests,
 				r.OnTime(name), r.Missed(name), float64(c.FirstEvent.ValueAtQuantile(50))/microsPerMilli, float64(c.FirstEvent.ValueAtQuantile(99))/microsPerMilli,
@@ -84,8 +84,8 @@
 	return errors.Wrap(err, "model: table")
 }
 
-// names lists the classes in order.
-func (r *Result) names() []string {
+// classNames returns the sorted names of the classes.
+func (r *Result) classNames() []string {
 	var names []string
 	for name := range r.Classes {
 		names = append(names, name)
@@ -94,14 +94,14 @@
 	return names
 }
 
-// Size of a plot.
+// Size of the plot.
 const (
 	plotWidth  = 22 * vg.Centimeter
 	plotHeight = 14 * vg.Centimeter
 )
 
-// Plot draws the mean credit of each policy, a line for each pattern, into a file
-// whose ending says the format.
+// Plot draws the mean credit of each policy, with a line for each pattern, into a file. The file extension
+// selects the format.
 func Plot(path string, results []*Result) error {
 	p := plot.New()
 	p.Title.Text = "credit by policy"
@@ -123,7 +123,7 @@
 	return errors.Wrap(p.Save(plotWidth, plotHeight, path), "model: plot")
 }
 
-// distinct lists the policies and patterns in the order in which they come.
+// distinct returns the policies and patterns in the order of their first results.
 func distinct(results []*Result) (policies, patterns []string) {
 	for _, r := range results {
 		if !slices.Contains(policies, r.Policy) {
--- a/internal/model/study_test.go
+++ b/internal/model/study_test.go
@@ -11,7 +11,7 @@
 	"sassafrasfield/internal/settings"
 )
 
-func TestTheExampleIsAStudy(t *testing.T) {
+func TestExampleStudyRuns(t *testing.T) {
 	study := &Study{}
 	if err := settings.Load("../../examples/model/splits.toml", study); err != nil {
 		t.Fatal(err)
@@ -22,7 +22,7 @@
 	if err := WriteTable(&table, results); err != nil {
 		t.Fatal(err)
 	}
-	if rows := strings.Count(table.String(), "\n"); rows != 5 { // a head, and two classes under two policies
+	if rows := strings.Count(table.String(), "\n"); rows != 5 { // a header, and two classes under two policies
 		t.Errorf("%d rows:\n%s", rows, table.String())
 	}
 	if err := Plot(filepath.Join(t.TempDir(), "credit.svg"), results); err != nil {
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestAStudyWithoutPartsIsReportedWhole(t *testing.T) {
+func TestStudyReportsAllMissingParts(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "study.toml")
 	writeFile(t, path, "[[pattern]]\nname = \"p\"\n")
 	err := settings.Load(path, &Study{})
