--- a/internal/loadgen/arrivals.go
+++ b/internal/loadgen/arrivals.go
@@ -11,25 +11,25 @@
 	"sassafrasfield/internal/callerapi"
 )
 
-// charsPerToken turns token counts into prompt text.
+// charsPerToken is the prompt length in characters per token.
 const charsPerToken = 4
 
-// arrival is one request of the plan.
+// arrival is a planned request.
 type arrival struct {
-	at       time.Duration
-	class    int
-	key      string
-	priority int
-	body     []byte // nil for a call to the plain service
-	prompt   int    // tokens
+	at           time.Duration
+	class        int
+	key          string
+	priority     int
+	body         []byte // nil for a call to the plain service
+	promptTokens int
 }
 
-// arrivals plans all requests of a scenario.
+// arrivals plans all requests of a scenario, ordered by time.
 func arrivals(s Scenario, seed uint64) []arrival {
 	rng := rand.New(rand.NewPCG(seed, seed))
 	p := planner{scenario: s, rng: rng}
 	for i := range max(1, s.Prefixes) {
-		p.prefixes = append(p.prefixes, text(rand.New(rand.NewPCG(seed, uint64(i))), longestPrefix))
+		p.prefixes = append(p.prefixes, uniqueText(rand.New(rand.NewPCG(seed, uint64(i))), maxPrefixTokens))
 	}
 	var all []arrival
 	start := time.Duration(0)
@@ -48,8 +48,8 @@
 	return all
 }
 
-// longestPrefix is the length of a shared prefix in tokens.
-const longestPrefix = 4096
+// maxPrefixTokens is the length of the generated shared prefixes, and so the limit of the shared part of a prompt.
+const maxPrefixTokens = 4096
 
 type planner struct {
 	scenario Scenario
@@ -61,7 +61,7 @@
 	return time.Duration(p.rng.ExpFloat64() / rate * float64(time.Second))
 }
 
-// key draws an organisation; the n-th has 1/n of the first one's requests.
+// key draws the API key of an organisation. The n-th organisation gets 1/n of the requests of the first.
 func (p *planner) key() string {
 	total := 0.0
 	for i := range p.scenario.Keys {
@@ -86,29 +86,30 @@
 	return len(phase.Mix) - 1
 }
 
-// around draws half to one and a half of a mean.
-func (p *planner) around(mean int) int {
+// varyTokens draws a number between half and one and a half of the mean.
+func (p *planner) varyTokens(mean int) int {
 	return max(1, int(float64(mean)*(0.5+p.rng.Float64())))
 }
 
 func (p *planner) completion(at time.Duration, phase Phase) arrival {
 	class := p.class(phase)
 	c := p.scenario.Classes[class]
-	prompt, answer := p.around(c.PromptTokens), p.around(c.AnswerTokens)
-	shared := min(int(float64(prompt)*c.SharedFraction), longestPrefix)
+	prompt, answer := p.varyTokens(c.PromptTokens), p.varyTokens(c.AnswerTokens)
+	shared := min(int(float64(prompt)*c.SharedFraction), maxPrefixTokens)
 	prefix := p.prefixes[p.rng.IntN(len(p.prefixes))][:shared*charsPerToken]
 	body, err := json.Marshal(map[string]any{
 		"model": p.scenario.Model, "stream": true, "max_tokens": answer, "seed": p.rng.Int64N(1 << 31),
-		"messages": []callerapi.Message{{Role: "user", Content: callerapi.Content(prefix + text(p.rng, prompt-shared))}},
+		"messages": []callerapi.Message{{Role: "user", Content: callerapi.Content(prefix + uniqueText(p.rng, prompt-shared))}},
 	})
 	if err != nil {
-		panic(err) // plain data always marshals
+		panic(err) // plain data can always be encoded
 	}
-	return arrival{at: at, class: class, key: p.key(), priority: c.Priority, body: body, prompt: prompt}
+	return arrival{at: at, class: class, key: p.key(), priority: c.Priority, body: body, promptTokens: prompt}
 }
 
-// text is a text of some tokens that no other one starts with.
-func text(rng *rand.Rand, tokens int) string {
+// uniqueText returns a text of the given length in tokens. It starts with a random number, so that no other text
+// shares a prefix with it.
+func uniqueText(rng *rand.Rand, tokens int) string {
 	unique := strconv.FormatUint(rng.Uint64(), 36) + " "
 	return strings.Repeat(unique, tokens*charsPerToken/len(unique)+1)[:tokens*charsPerToken]
 }
--- a/internal/loadgen/caller.go
+++ b/internal/loadgen/caller.go
@@ -12,10 +12,10 @@
 	"sassafrasfield/internal/callerapi"
 )
 
-// comeBacks is how often a caller comes back after refusals.
-const comeBacks = 3
+// maxRetries is the number of times that a caller retries after refusals.
+const maxRetries = 3
 
-// caller sends requests and reads answers.
+// caller sends requests and reads the responses.
 type caller struct {
 	scenario Scenario
 	targets  []string
@@ -29,17 +29,17 @@
 	}
 }
 
-// outcome is what one caller saw.
+// outcome is the result of a request as its caller saw it.
 type outcome struct {
 	refused    bool
-	whole      bool
+	complete   bool
 	firstToken time.Duration
 	gaps       []time.Duration
 	retryAfter time.Duration
 }
 
-// pace is the mean time between tokens.
-func (o outcome) pace() time.Duration {
+// meanGap returns the mean time between tokens.
+func (o outcome) meanGap() time.Duration {
 	if len(o.gaps) == 0 {
 		return 0
 	}
@@ -50,12 +50,13 @@
 	return total / time.Duration(len(o.gaps))
 }
 
-// do sends a request, to the n-th target first, and reads its answer.
+// do sends a request, first to the n-th target, and reads the response. After a refusal it may retry with the
+// next targets.
 func (c *caller) do(ctx context.Context, a arrival, n int) outcome {
 	started := time.Now()
 	for try := 0; ; try++ {
-		o := c.once(ctx, a, c.targets[(n+try)%len(c.targets)], started)
-		if !o.refused || !c.scenario.HonourRetryAfter || o.retryAfter == 0 || try == comeBacks {
+		o := c.attempt(ctx, a, c.targets[(n+try)%len(c.targets)], started)
+		if !o.refused || !c.scenario.HonourRetryAfter || o.retryAfter == 0 || try == maxRetries {
 			return o
 		}
 		select {
@@ -66,7 +67,7 @@
 	}
 }
 
-func (c *caller) once(ctx context.Context, a arrival, target string, started time.Time) outcome {
+func (c *caller) attempt(ctx context.Context, a arrival, target string, started time.Time) outcome {
 	req, err := c.request(ctx, a, target)
 	if err != nil {
 		return outcome{}
@@ -78,13 +79,13 @@
 	defer res.Body.Close()
 	switch {
 	case res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusTooManyRequests:
-		seconds, _ := strconv.Atoi(res.Header.Get("Retry-After")) // none: 0
+		seconds, _ := strconv.Atoi(res.Header.Get("Retry-After")) // 0 if missing
 		return outcome{refused: true, retryAfter: time.Duration(seconds) * time.Second}
 	case res.StatusCode != http.StatusOK:
 		return outcome{}
 	case a.body == nil:
 		_, err := io.Copy(io.Discard, res.Body)
-		return outcome{whole: err == nil, firstToken: time.Since(started)}
+		return outcome{complete: err == nil, firstToken: time.Since(started)}
 	}
 	return readAnswer(res.Body, started)
 }
@@ -109,7 +110,7 @@
 	return req, nil
 }
 
-// readAnswer reads the events of a streamed answer.
+// readAnswer reads the events of a streamed response.
 func readAnswer(body io.Reader, started time.Time) outcome {
 	var o outcome
 	lines := bufio.NewScanner(body)
@@ -124,7 +125,7 @@
 			continue
 		}
 		if string(data) == "[DONE]" {
-			o.whole = true
+			o.complete = true
 			return o
 		}
 		now := time.Now()
--- a/internal/loadgen/loadgen.go
+++ b/internal/loadgen/loadgen.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// Options describe a run.
+// Options configures a run.
 type Options struct {
 	Scenario Scenario
-	// Targets are host:port of entries; requests go round them, as behind a
-	// balancer.
+	// Targets are the addresses (host:port) of entries. Requests are sent to them round-robin, as behind a
+	// load balancer.
 	Targets []string
 	Seed    uint64
 }
 
-// Run offers the load and waits for the last answer. The context ends the
-// waiting; answers that are not whole by then count as broken.
+// Run offers the load and waits for the last response. When the context ends, it stops waiting, and responses
+// that are not complete by then count as broken.
 func Run(ctx context.Context, options Options) (Result, error) {
 	if err := options.Scenario.Check(); err != nil {
 		return Result{}, err
@@ -24,7 +24,7 @@
 	planned := arrivals(options.Scenario, options.Seed)
 	caller := newCaller(options.Scenario, options.Targets)
 	defer caller.http.CloseIdleConnections()
-	book := newBook(options.Scenario)
+	recorder := newRecorder(options.Scenario)
 	var work sync.WaitGroup
 	start := time.Now()
 	for n, a := range planned {
@@ -32,8 +32,8 @@
 		if ctx.Err() != nil {
 			break
 		}
-		work.Go(func() { book.record(a, caller.do(ctx, a, n)) })
+		work.Go(func() { recorder.record(a, caller.do(ctx, a, n)) })
 	}
 	work.Wait()
-	return book.finish(options.Scenario.Duration()), nil
+	return recorder.finish(options.Scenario.Duration()), nil
 }
--- a/internal/loadgen/loadgen_test.go
+++ b/internal/loadgen/loadgen_test.go
@@ -28,18 +28,18 @@
 		if i > 0 && a.at < first[i-1].at {
 			t.Fatal("arrivals are not in order")
 		}
-		prompts[int(a.at/(2*time.Second))] += a.prompt
+		prompts[int(a.at/(2*time.Second))] += a.promptTokens
 		keys[a.key]++
 	}
 	if prompts[1] < 2*prompts[0] || prompts[1] < 2*prompts[2] {
-		t.Errorf("prompt tokens by phase %v do not swing both ways", prompts)
+		t.Errorf("prompt tokens by phase %v do not rise and fall", prompts)
 	}
 	if keys["k1"] <= keys["k3"] || keys["k3"] == 0 {
 		t.Errorf("requests by organisation: %v", keys)
 	}
 }
 
-func TestEachCompletionIsGoodLateRefusedOrBroken(t *testing.T) {
+func TestCompletionsAreGoodLateRefusedOrBroken(t *testing.T) {
 	kinds := []string{
 		"data: a\n\ndata: b\n\ndata: [DONE]\n\n",
 		"data: a\n\n",
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestCallersComeBackWhenTold(t *testing.T) {
+func TestCallersRetryAfterRefusal(t *testing.T) {
 	var tries atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if tries.Add(1) == 1 {
@@ -95,7 +95,7 @@
 	defer server.Close()
 	c := newCaller(Scenario{HonourRetryAfter: true}, []string{strings.TrimPrefix(server.URL, "http://")})
 	o := c.do(context.Background(), arrival{body: []byte("{}")}, 0)
-	if !o.whole || o.firstToken < time.Second {
+	if !o.complete || o.firstToken < time.Second {
 		t.Fatalf("%+v after %d tries", o, tries.Load())
 	}
 }
--- a/internal/loadgen/result.go
+++ b/internal/loadgen/result.go
@@ -7,29 +7,29 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Result is what the callers saw. Each completion is one of good, late,
-// refused and broken.
+// Result summarizes what the callers saw. Each completion counts as exactly one of good, late, refused and
+// broken.
 type Result struct {
 	Offered int `json:"offered"`
-	// Good answers were whole and within both bounds, Late ones whole and not
-	// within them.
+	// Good responses were complete and within both bounds. Late ones were complete, but exceeded a bound.
 	Good    int `json:"good"`
 	Late    int `json:"late"`
 	Refused int `json:"refused"`
 	Broken  int `json:"broken"`
-	// Goodput is good answers a second of arrivals.
+	// Goodput is the number of good responses per second of the arrival period.
 	Goodput    float64   `json:"goodput"`
 	FirstToken Quantiles `json:"first_token_ms"`
-	InterToken    Quantiles `json:"between_tokens_ms"`
-	// Calls to the plain service, those without an answer, and their times.
+	InterToken Quantiles `json:"between_tokens_ms"`
+	// Calls counts the calls to the plain service, CallsFailed those without a complete response. Call has
+	// the times of the others.
 	Calls       int       `json:"calls"`
 	CallsFailed int       `json:"calls_failed"`
 	Call        Quantiles `json:"call_ms"`
-	// Seconds is the series by the second of arrival.
+	// Seconds counts the completions by second of arrival.
 	Seconds []Second `json:"seconds"`
 }
 
-// GoodShare is good answers over offered ones, 0 to 1.
+// GoodShare returns the fraction of offered completions that were good, 0 to 1.
 func (r Result) GoodShare() float64 {
 	if r.Offered == 0 {
 		return 0
@@ -37,104 +37,105 @@
 	return float64(r.Good) / float64(r.Offered)
 }
 
-// Second is what became of the completions that arrived in one second.
+// Second counts the completions that arrived in one second.
 type Second struct {
 	Offered int `json:"offered"`
 	Good    int `json:"good"`
 	Late    int `json:"late"`
 	Refused int `json:"refused"`
 	Broken  int `json:"broken"`
-	// PromptTokens that arrived; their swing is the swing of the mix.
+	// PromptTokens is the number of prompt tokens that arrived. Its variation shows how the mix of classes
+	// varies.
 	PromptTokens int `json:"prompt_tokens"`
 }
 
-// Quantiles of a time in milliseconds.
+// Quantiles are quantiles of a duration, in milliseconds.
 type Quantiles struct {
 	P50 float64 `json:"p50"`
 	P95 float64 `json:"p95"`
 	P99 float64 `json:"p99"`
 }
 
-// longestTime bounds what the histograms hold, in microseconds.
-const longestTime = int64(10 * time.Minute / time.Microsecond)
+// maxRecordable is the largest value of the histograms, in microseconds.
+const maxRecordable = int64(10 * time.Minute / time.Microsecond)
 
-// book collects what the callers saw.
-type book struct {
+// recorder collects the outcomes of the requests.
+type recorder struct {
 	bounds Bounds
 
 	mu         sync.Mutex // protects all below
 	result     Result
 	firstToken *hdrhistogram.Histogram
-	between    *hdrhistogram.Histogram
+	interToken *hdrhistogram.Histogram
 	call       *hdrhistogram.Histogram
 }
 
-func newBook(s Scenario) *book {
-	b := &book{
+func newRecorder(s Scenario) *recorder {
+	r := &recorder{
 		bounds:     s.Bounds,
-		firstToken: hdrhistogram.New(1, longestTime, 3),
-		between:    hdrhistogram.New(1, longestTime, 3),
-		call:       hdrhistogram.New(1, longestTime, 3),
+		firstToken: hdrhistogram.New(1, maxRecordable, 3),
+		interToken: hdrhistogram.New(1, maxRecordable, 3),
+		call:       hdrhistogram.New(1, maxRecordable, 3),
 	}
-	b.result.Seconds = make([]Second, int((s.Duration()+time.Second-1)/time.Second))
-	return b
+	r.result.Seconds = make([]Second, int((s.Duration()+time.Second-1)/time.Second))
+	return r
 }
 
-// record books the outcome of one arrival.
-func (b *book) record(a arrival, o outcome) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// record counts the outcome of one arrival.
+func (r *recorder) record(a arrival, o outcome) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	if a.body == nil {
-		b.recordCall(o)
+		r.recordCall(o)
 		return
 	}
-	second := &b.result.Seconds[min(int(a.at/time.Second), len(b.result.Seconds)-1)]
+	second := &r.result.Seconds[min(int(a.at/time.Second), len(r.result.Seconds)-1)]
 	second.Offered++
-	second.PromptTokens += a.prompt
-	b.result.Offered++
+	second.PromptTokens += a.promptTokens
+	r.result.Offered++
 	switch {
 	case o.refused:
 		second.Refused++
-		b.result.Refused++
+		r.result.Refused++
 		return
-	case !o.whole:
+	case !o.complete:
 		second.Broken++
-		b.result.Broken++
+		r.result.Broken++
 		return
 	}
-	_ = b.firstToken.RecordValue(o.firstToken.Microseconds()) // beyond the histogram: late all the same
+	_ = r.firstToken.RecordValue(o.firstToken.Microseconds()) // a value out of range counts as late below
 	for _, gap := range o.gaps {
-		_ = b.between.RecordValue(gap.Microseconds())
+		_ = r.interToken.RecordValue(gap.Microseconds())
 	}
-	if o.firstToken <= b.bounds.FirstToken && o.pace() <= b.bounds.MeanInterToken {
+	if o.firstToken <= r.bounds.FirstToken && o.meanGap() <= r.bounds.MeanInterToken {
 		second.Good++
-		b.result.Good++
+		r.result.Good++
 		return
 	}
 	second.Late++
-	b.result.Late++
+	r.result.Late++
 }
 
-func (b *book) recordCall(o outcome) {
-	b.result.Calls++
-	if !o.whole {
-		b.result.CallsFailed++
+func (r *recorder) recordCall(o outcome) {
+	r.result.Calls++
+	if !o.complete {
+		r.result.CallsFailed++
 		return
 	}
-	_ = b.call.RecordValue(o.firstToken.Microseconds()) // beyond the histogram: not shown
+	_ = r.call.RecordValue(o.firstToken.Microseconds()) // a value out of range is not recorded
 }
 
-func (b *book) finish(duration time.Duration) Result {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.result.Goodput = float64(b.result.Good) / duration.Seconds()
-	b.result.FirstToken = QuantilesOf(b.firstToken)
-	b.result.InterToken = QuantilesOf(b.between)
-	b.result.Call = QuantilesOf(b.call)
-	return b.result
+func (r *recorder) finish(duration time.Duration) Result {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.result.Goodput = float64(r.result.Good) / duration.Seconds()
+	r.result.FirstToken = QuantilesOf(r.firstToken)
+	r.result.InterToken = QuantilesOf(r.interToken)
+	r.result.Call = QuantilesOf(r.call)
+	return r.result
 }
 
-// QuantilesOf reads a histogram of microseconds.
+// QuantilesOf returns quantiles of a histogram of microseconds.
 func QuantilesOf(h *hdrhistogram.Histogram) Quantiles {
 	ms := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 	return Quantiles{P50: ms(50), P95: ms(95), P99: ms(99)}
--- a/internal/loadgen/scenario.go
+++ b/internal/loadgen/scenario.go
@@ -1,7 +1,7 @@
-// Package loadgen offers an open-loop load of completions and calls, and
-// reports what callers saw: goodput, time to the first token, time between
-// tokens, and a series by second. Arrivals do not wait for answers, so a slow
-// system is not spared. The same scenario and seed give the same arrivals.
+// Package loadgen generates an open-loop load of completions and of calls to plain services, and reports what
+// the callers saw: goodput, time to the first token, time between tokens, and counts by second. Arrivals do
+// not wait for responses, so a slow system receives no fewer requests. The same scenario and seed give the
+// same arrivals.
 package loadgen
 
 import (
@@ -13,58 +13,56 @@
 // Class is a kind of completion.
 type Class struct {
 	Name string
-	// PromptTokens and AnswerTokens are means; each request has half to one
-	// and a half of them.
+	// PromptTokens and AnswerTokens are means. The values of a request are drawn between half and one and a
+	// half of them.
 	PromptTokens int
 	AnswerTokens int
-	// SharedFraction is the part of the prompt, 0 to 1, that is one of the scenario's
-	// shared prefixes.
+	// SharedFraction is the fraction of the prompt, 0 to 1, that consists of one of the scenario's shared
+	// prefixes.
 	SharedFraction float64
-	// Priority of the request; a higher one goes first.
+	// Priority of the request. Higher priorities are served first.
 	Priority int
 }
 
-// Phase is a stretch of the scenario with one mix.
+// Phase is a period of the scenario with a constant mix of classes.
 type Phase struct {
 	Duration time.Duration
-	// Rate is completions a second, with exponential gaps.
+	// Rate is the number of completions per second. The gaps between them are exponentially distributed.
 	Rate float64
-	// Mix are the shares of the scenario's classes; they sum to 1.
+	// Mix holds the fractions of the scenario's classes, which sum to 1.
 	Mix []float64
 }
 
-// Bounds make an answer a good one.
+// Bounds are the latency bounds of a good response.
 type Bounds struct {
-	// FirstToken bounds the time to the first token, Token the mean time
-	// between tokens.
-	FirstToken time.Duration
-	MeanInterToken      time.Duration
+	// FirstToken bounds the time to the first token, MeanInterToken the mean time between tokens.
+	FirstToken     time.Duration
+	MeanInterToken time.Duration
 }
 
-// Scenario is a load over time.
+// Scenario describes a load over time.
 type Scenario struct {
 	Name    string
 	Model   string
 	Classes []Class
 	Phases  []Phase
-	// Keys are API keys, one an organisation. The second has half as many
-	// requests as the first, the third a third, and so on.
+	// Keys are API keys, one for each organisation. The n-th organisation sends 1/n as many requests as the
+	// first.
 	Keys []string
 	// Prefixes is the number of shared prompt prefixes.
 	Prefixes int
 	Bounds   Bounds
-	// CallRate is calls a second to CallPath of a plain service; 0 is none.
+	// CallRate is the number of calls per second to CallPath of a plain service; 0 for none.
 	CallRate float64
 	CallPath string
-	// Deadline is told to the entry with each completion; 0 tells none.
+	// Deadline is sent to the entry with each completion; 0 sends none.
 	Deadline time.Duration
-	// HonourRetryAfter has callers come back after a refusal when it says so,
-	// up to three times. The time to the first token counts from the first
-	// try.
+	// HonourRetryAfter makes callers retry after a refusal with a Retry-After header, up to three times. The
+	// time to the first token counts from the first attempt.
 	HonourRetryAfter bool
 }
 
-// Duration is the time in which requests arrive.
+// Duration returns the length of the period in which requests arrive.
 func (s Scenario) Duration() time.Duration {
 	total := time.Duration(0)
 	for _, p := range s.Phases {
@@ -73,7 +71,7 @@
 	return total
 }
 
-// Check returns what is wrong with the scenario, or nil.
+// Check returns an error if the scenario is not valid.
 func (s Scenario) Check() error {
 	if len(s.Classes) == 0 || len(s.Phases) == 0 || len(s.Keys) == 0 {
 		return errors.New("scenario: want classes, phases and keys")
@@ -86,14 +84,14 @@
 	return nil
 }
 
-// longShare and shortShare are the parts of long prompts at the two ends of a
-// swing.
+// longShare and shortShare are the fractions of long prompts in the phases of a swing that have many and few
+// of them.
 const (
 	longShare  = 0.75
 	shortShare = 0.1
 )
 
-// swing goes from short prompts to long ones and back.
+// swing returns three phases: mostly short prompts, mostly long ones, mostly short ones again.
 func swing(phase time.Duration, rate float64) []Phase {
 	short := []float64{shortShare, 1 - shortShare}
 	long := []float64{longShare, 1 - longShare}
@@ -104,8 +102,8 @@
 	}
 }
 
-// QotonTrace is the ledger's load: long ginning histories with short answers,
-// against short questions with longer answers, and many status calls.
+// QotonTrace is the load of the ledger: long ginning histories with short answers, short questions with
+// longer answers, and many status calls.
 func QotonTrace(phase time.Duration, rate float64) Scenario {
 	return Scenario{
 		Name: "qoton-trace", Model: "provenance",
@@ -119,8 +117,8 @@
 	}
 }
 
-// AGEDIM is the studios' load: briefs with style guides attached, which share
-// most of the prompt, against naming ideas with long answers.
+// AGEDIM is the load of the studios: briefs with attached style guides, which make up most of the prompt and
+// are shared, and naming ideas with long answers.
 func AGEDIM(phase time.Duration, rate float64) Scenario {
 	return Scenario{
 		Name: "agedim", Model: "critique",
