--- a/internal/loadgen/arrivals.go
+++ b/internal/loadgen/arrivals.go
@@ -48,7 +48,7 @@
 	return all
 }
 
-// maxPrefixTokens is the length of the generated shared prefixes, and so the limit of the shared part of a prompt.
+// maxPrefixTokens is the length of the generated shared prefixes, which limits the shared part of a prompt.
 const maxPrefixTokens = 4096
 
 type planner struct {
@@ -107,8 +107,8 @@
 	return arrival{at: at, class: class, key: p.key(), priority: c.Priority, body: body, promptTokens: prompt}
 }
 
-// uniqueText returns a text of the given length in tokens. It starts with a random number, so that no other text
-// shares a prefix with it.
+// uniqueText returns a text of the given length in tokens. It starts with a random number, so that no other
+// text shares a prefix with it.
 func uniqueText(rng *rand.Rand, tokens int) string {
 	unique := strconv.FormatUint(rng.Uint64(), 36) + " "
 	return strings.Repeat(unique, tokens*charsPerToken/len(unique)+1)[:tokens*charsPerToken]
