--- a/internal/bench/compare.go
+++ b/internal/bench/compare.go
@@ -12,32 +12,32 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Options of a comparison.
+// Options configures a comparison.
 type Options struct {
-	// Bin is the folder of the built programs, Dir takes settings and logs,
-	// Out the results.
+	// Bin is the folder of the built programs, Dir the folder for settings and logs, Out the folder for the
+	// results.
 	Bin, Dir, Out string
-	// Seeds, Lags: each is run with each, without faults; the middle lag with
-	// faults too.
+	// Each of Seeds is run with each of Lags without faults, and with the middle lag with faults too.
 	Seeds []uint64
 	Lags  []time.Duration
-	// Phase is the length of each of the swing's three phases, Rate the
-	// completions a second.
+	// Phase is the length of each of the three phases of the swing, Rate the number of completions per
+	// second.
 	Phase time.Duration
 	Rate  float64
-	// Variants to set beside each other, and Deployments.
+	// Variants and Deployments to compare.
 	Variants    []Variant
 	Deployments []Deployment
-	// Entries of each fleet, and the time between their reads of a report.
+	// Entries is the number of entries in each fleet, ReportEvery the interval at which they read an engine's
+	// report.
 	Entries     int
 	ReportEvery time.Duration
-	// MaxParallelGroups is how many groups run at a time.
+	// MaxParallelGroups is the number of groups that run at the same time.
 	MaxParallelGroups int
-	Log        io.Writer
+	Log               io.Writer
 }
 
-// run is one comparison.
-type run struct {
+// comparison is the state of a comparison.
+type comparison struct {
 	options Options
 
 	mu    sync.Mutex // protects cells
@@ -49,7 +49,7 @@
 	if err := os.MkdirAll(options.Out, 0o755); err != nil {
 		return errors.WithStack(err)
 	}
-	r := &run{options: options}
+	r := &comparison{options: options}
 	started := time.Now()
 	groups, gctx := errgroup.WithContext(ctx)
 	groups.SetLimit(max(1, options.MaxParallelGroups))
@@ -57,7 +57,7 @@
 	for i, c := range conditions {
 		groups.Go(func() error {
 			fmt.Fprintf(options.Log, "%3.0fs %d/%d %s\n", time.Since(started).Seconds(), i+1, len(conditions), c.Name())
-			return r.group(gctx, c)
+			return r.runGroup(gctx, c)
 		})
 	}
 	if err := groups.Wait(); err != nil {
@@ -67,9 +67,9 @@
 	return r.write()
 }
 
-// conditions are all groups: for the first deployment each lag with each seed,
-// and the middle lag with faults; for the others the middle lag.
-func (r *run) conditions() []Conditions {
+// conditions returns the conditions of all groups: for the first deployment each lag with each seed, and the
+// middle lag with faults; for the other deployments only the middle lag.
+func (r *comparison) conditions() []Conditions {
 	o := r.options
 	middle := o.Lags[len(o.Lags)/2]
 	var all []Conditions
@@ -88,9 +88,8 @@
 	return all
 }
 
-// group runs the variants at the same time, so that what else the machine does
-// meets all of them.
-func (r *run) group(ctx context.Context, c Conditions) error {
+// runGroup runs the variants at the same time, so that other load on the machine affects all of them alike.
+func (r *comparison) runGroup(ctx context.Context, c Conditions) error {
 	cells, ctx := errgroup.WithContext(ctx)
 	for _, v := range r.options.Variants {
 		cells.Go(func() error {
--- a/internal/bench/deployment.go
+++ b/internal/bench/deployment.go
@@ -7,31 +7,32 @@
 	"sassafrasfield/internal/loadgen"
 )
 
-// Sizes of today, by the brief. Entries are those of a fleet by default.
+// Current sizes of the deployments, from their requirements. Entries is the default number of entries of a
+// fleet.
 const (
-	Entries  = 9
-	engines  = 20
-	services = 4
-	// hosted engines share a process; the others have one each, to be killed
-	// or stopped.
-	hosted = engines - 2
+	Entries      = 9
+	engineCount  = 20
+	serviceCount = 4
+	// hostedEngines is the number of engines that share one process. Each of the others has its own process,
+	// so that it can be killed or stopped.
+	hostedEngines = engineCount - 2
 )
 
-// organisations that the load comes from.
-const organisations = 12
+// organisationCount is the number of organisations that send requests.
+const organisationCount = 12
 
-// Deployment is one of the users' two.
+// Deployment is the deployment of one of the two users.
 type Deployment struct {
 	Name  string
 	Zones []string
-	// Prefix is the path of the plain service.
+	// Prefix is the path prefix of the plain service.
 	Prefix string
-	// RoleChangeWeight is how much a role change costs there.
+	// RoleChangeWeight is the weight of the cost of a role change.
 	RoleChangeWeight float64
 	Scenario         func(phase time.Duration, rate float64) loadgen.Scenario
 }
 
-// Deployments returns both.
+// Deployments returns the deployments of both users.
 func Deployments() []Deployment {
 	return []Deployment{
 		{
@@ -45,24 +46,21 @@
 	}
 }
 
-// Variant is one way to run the system that the comparison sets beside the
-// others.
+// Variant is a configuration of the system to compare.
 type Variant struct {
 	Name string
-	// EntryTables are the lines of sf-entry's settings that make it.
+	// EntryTables are the settings of sf-entry for this variant, as TOML.
 	EntryTables string
-	// Adjust changes the load, such as its priorities; nil leaves it.
+	// Adjust changes the load, such as its priorities; nil leaves it unchanged.
 	Adjust func(loadgen.Scenario) loadgen.Scenario
 }
 
-// admitAll turns admission's queue and refusals off, so that what is compared
-// is routing.
+// admitAll disables the admission queue and refusals, so that the comparison measures routing alone.
 const admitAll = "[admission]\nearly_refusal = false\nlimit_concurrency = false\nbacklog = \"0s\"\n"
 
-// Variants returns the routing policies, a to e and h to i, and mixed engines
-// with priorities, g. All engines are mixed here; f, which changes roles, is in
-// the comparison of roles. The last one, j, has admission as well, and its
-// callers tell their deadline.
+// Variants returns the variants: a to e, h and i are routing policies; g adds priorities. All engines have
+// the mixed role here. Variant f, which changes roles, is part of the comparison of roles. Variant j also
+// enables admission, and its callers send the bound of a good response as their deadline.
 func Variants() []Variant {
 	routing := func(policy string) string { return "[routing]\npolicy = \"" + policy + "\"\n" + admitAll }
 	return []Variant{
@@ -74,7 +72,7 @@
 		{Name: "g estimate, priorities", EntryTables: routing("estimate"), Adjust: shortPromptsFirst},
 		{Name: "h estimate", EntryTables: routing("estimate")},
 		{Name: "i local-prefix", EntryTables: routing("local-prefix")},
-		{Name: "j estimate, admission", EntryTables: "[routing]\npolicy = \"estimate\"\n", Adjust: tellDeadline},
+		{Name: "j estimate, admission", EntryTables: "[routing]\npolicy = \"estimate\"\n", Adjust: sendDeadline},
 	}
 }
 
@@ -84,14 +82,14 @@
 	return s
 }
 
-// tellDeadline has callers name the bound of a good answer as their deadline.
-func tellDeadline(s loadgen.Scenario) loadgen.Scenario {
+// sendDeadline makes callers send the bound of a good response as their deadline.
+func sendDeadline(s loadgen.Scenario) loadgen.Scenario {
 	s.Deadline = s.Bounds.FirstToken
 	return s
 }
 
-// VariantsNamed returns the variants whose names start with one of the
-// letters, or all when there is none.
+// VariantsNamed returns the variants whose names start with one of the letters, or all variants if there are
+// no letters.
 func VariantsNamed(letters []string) []Variant {
 	if len(letters) == 0 {
 		return Variants()
--- a/internal/bench/fleet.go
+++ b/internal/bench/fleet.go
@@ -1,7 +1,8 @@
-// Package bench measures the system at the sizes of today: real sf-entry
-// processes before stand-in upstreams. It takes the place of sf-control and
-// puts a configuration in force in each entry itself, so that what is measured
-// is the data path. It is scaffolding.
+// Package bench measures the system at its current size, with real sf-entry processes in front of stand-in
+// upstreams. It compares routing policies and role policies, and measures the overhead of an entry; results
+// are written as JSON, CSV, tables and plots. The routing and overhead measurements run without sf-control:
+// the package applies a configuration to each entry itself, so that they measure only the data path. The
+// package is test scaffolding.
 package bench
 
 import (
@@ -24,16 +25,16 @@
 	"sassafrasfield/internal/testfleet"
 )
 
-// heartbeatEvery is the time between two calls of Apply.
+// heartbeatEvery is the interval between two Apply calls to an entry.
 const heartbeatEvery = time.Second
 
-// freshFor is how long an entry may go on with what it was told. It is long, so
-// that a busy machine does not turn entries unready: nothing changes here.
-const freshFor = time.Minute
+// freshness is the time for which an entry may keep using an applied configuration. It is long because the
+// configuration never changes here, and a busy machine must not make entries unready.
+const freshness = time.Minute
 
-// EngineModel are the flags of the stand-in engines: 20 ms a step and 1 ms
-// for each further stream, 4,000 prompt tokens a second in chunks of 128, a
-// batch of 12, and 4,000 pieces of 16 tokens.
+// EngineModel holds the flags of the stand-in engines: a step time of 20 ms plus 1 ms for each further
+// stream, 4,000 prompt tokens per second in chunks of 128, a batch of 12, and 4,000 KV cache blocks of 16
+// tokens.
 var EngineModel = []string{
 	"--prefill-rate", "4000", "--prefill-budget", "128", "--decode-rate", "50",
 	"--step-per-stream", "1ms", "--max-running", "12", "--kv-blocks", "4000",
@@ -44,21 +45,21 @@
 	*testfleet.Fleet
 	doc     *config.Config
 	entries []*entryProcess
-	// apart are the engines that have a process each.
-	apart []*testfleet.Process
-	stop  context.CancelFunc
+	// separateEngines are the engines that have a process of their own.
+	separateEngines []*testfleet.Process
+	stop            context.CancelFunc
 }
 
 type entryProcess struct {
 	address string
 	process *testfleet.Process
-	local   sfv1connect.EntryServiceClient
-	// clock is the entry's, from its last answer.
+	client  sfv1connect.EntryServiceClient
+	// clock is the entry's clock from its last response.
 	clock atomic.Int64
 }
 
-// plan says what to start.
-type plan struct {
+// fleetPlan describes the fleet to start.
+type fleetPlan struct {
 	bin, dir    string
 	zones       []string
 	model       string
@@ -66,14 +67,14 @@
 	keys        []string
 	entries     int
 	hosted      int
-	apart       int
+	separate    int
 	services    int
 	engineFlags []string
 	entryTables string
 }
 
 // start starts a fleet and waits until each entry is ready.
-func start(ctx context.Context, p plan) (*fleet, error) {
+func start(ctx context.Context, p fleetPlan) (*fleet, error) {
 	if err := os.MkdirAll(p.dir, 0o755); err != nil {
 		return nil, errors.WithStack(err)
 	}
@@ -82,13 +83,13 @@
 		f.Stop()
 		return nil, err
 	}
-	beating, stop := context.WithCancel(context.WithoutCancel(ctx))
+	heartbeatCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	f.stop = stop
-	go f.heartbeats(beating)
+	go f.heartbeats(heartbeatCtx)
 	return f, f.ready(ctx)
 }
 
-func (f *fleet) startAll(ctx context.Context, p plan) error {
+func (f *fleet) startAll(ctx context.Context, p fleetPlan) error {
 	if err := f.startEngines(p); err != nil {
 		return err
 	}
@@ -103,7 +104,7 @@
 	return testfleet.Until(ctx, "each upstream answers", func() bool { return f.upstreamsAnswer(ctx) })
 }
 
-// Stop ends all processes.
+// Stop stops all processes.
 func (f *fleet) Stop() {
 	if f.stop != nil {
 		f.stop()
@@ -111,8 +112,8 @@
 	f.Fleet.Stop()
 }
 
-// document is the configuration without the upstreams.
-func document(p plan) *config.Config {
+// document returns the configuration without the upstreams.
+func document(p fleetPlan) *config.Config {
 	doc := &config.Config{
 		Version: 1, Intent: 1,
 		Models: []config.Model{{Name: p.model, Version: "1"}},
@@ -127,9 +128,9 @@
 	return doc
 }
 
-func (f *fleet) startEngines(p plan) error {
+func (f *fleet) startEngines(p fleetPlan) error {
 	flags := append([]string{"--model", p.model, "--model-version", "1"}, p.engineFlags...)
-	for i := range p.hosted + p.apart {
+	for i := range p.hosted + p.separate {
 		f.doc.Engines = append(f.doc.Engines, f.engineRow(fmt.Sprintf("engine-%d", i+1), p.zones[i%len(p.zones)], p.model))
 	}
 	if p.hosted > 0 {
@@ -147,13 +148,13 @@
 		if err != nil {
 			return err
 		}
-		f.apart = append(f.apart, process)
+		f.separateEngines = append(f.separateEngines, process)
 	}
 	return nil
 }
 
-// engineRow is an engine's row of the configuration. Rows get addresses that
-// follow each other.
+// engineRow returns the configuration row of an engine, with a newly allocated address. Successive rows have
+// successive addresses.
 func (f *fleet) engineRow(id, zone, model string) config.Engine {
 	state := config.EngineState{Model: model, Version: "1", Role: config.RoleMixed}
 	return config.Engine{
@@ -162,7 +163,7 @@
 	}
 }
 
-func (f *fleet) startServices(p plan) error {
+func (f *fleet) startServices(p fleetPlan) error {
 	if p.services == 0 {
 		return nil
 	}
@@ -180,7 +181,7 @@
 
 func (f *fleet) startEntry(id, zone, tables string) error {
 	address, local := f.Address(), f.Address()
-	// No call of the load is kept, so the platform is never asked.
+	// The load has no calls that are stored, so nothing is requested from the platform.
 	settings := fmt.Sprintf("instance = %q\nzone = %q\nplatform = %q\nlisten = %q\nlocal = %q\nstale_after = \"1m\"\n%s",
 		id, zone, f.Address(), address, local, tables)
 	path := filepath.Join(f.Dir, id+".toml")
@@ -192,7 +193,7 @@
 		return err
 	}
 	client := sfv1connect.NewEntryServiceClient(http.DefaultClient, "http://"+local)
-	f.entries = append(f.entries, &entryProcess{address: address, process: process, local: client})
+	f.entries = append(f.entries, &entryProcess{address: address, process: process, client: client})
 	return nil
 }
 
@@ -212,7 +213,7 @@
 	return true
 }
 
-// heartbeats does what sf-control of each instance does.
+// heartbeats applies the configuration to each entry at intervals, as the sf-control of each instance does.
 func (f *fleet) heartbeats(ctx context.Context) {
 	document := f.doc.Encode()
 	ticker := time.NewTicker(heartbeatEvery)
@@ -232,10 +233,10 @@
 func (f *fleet) apply(ctx context.Context, e *entryProcess, document []byte) {
 	ctx, cancel := context.WithTimeout(ctx, heartbeatEvery)
 	defer cancel()
-	answer, err := e.local.Apply(ctx, connect.NewRequest(&sfv1.ApplyRequest{
-		Version: f.doc.Version, Document: document, Clock: e.clock.Load(), FreshForNs: int64(freshFor),
+	answer, err := e.client.Apply(ctx, connect.NewRequest(&sfv1.ApplyRequest{
+		Version: f.doc.Version, Document: document, Clock: e.clock.Load(), FreshForNs: int64(freshness),
 	}))
-	if err == nil { // one that does not answer yet gets the next
+	if err == nil { // an entry that does not respond yet gets the next call
 		e.clock.Store(answer.Msg.Clock)
 	}
 }
@@ -256,7 +257,7 @@
 	})
 }
 
-// targets are the entries' addresses.
+// targets returns the addresses of the entries.
 func (f *fleet) targets() []string {
 	var targets []string
 	for _, e := range f.entries {
--- a/internal/bench/overhead.go
+++ b/internal/bench/overhead.go
@@ -20,53 +20,53 @@
 	"sassafrasfield/internal/testfleet"
 )
 
-// OverheadOptions describe a measurement of one entry.
+// OverheadOptions configures a measurement of one entry.
 type OverheadOptions struct {
 	Bin, Dir, Out string
 	Log           io.Writer
 }
 
-// Overhead is what one entry costs.
+// Overhead is the measured cost of one entry.
 type Overhead struct {
-	// Direct and ThroughEntry are the times to the first token, one request
-	// at a time, the two ways in turn.
+	// Direct and ThroughEntry are the times to the first token without and with the entry. Requests are sent
+	// one at a time, alternating between both.
 	Direct       loadgen.Quantiles `json:"direct_first_token_ms"`
 	ThroughEntry loadgen.Quantiles `json:"entry_first_token_ms"`
-	// RequestsPerCoreSecond are requests with one token over the entry's
-	// processor time, TokensPerCoreSecond tokens of long answers.
+	// RequestsPerCoreSecond is the number of one-token requests divided by the entry's processor time.
+	// TokensPerCoreSecond is the same for the tokens of long responses.
 	RequestsPerCoreSecond float64 `json:"requests_per_core_second"`
 	TokensPerCoreSecond   float64 `json:"tokens_per_core_second"`
-	// TokensPerSecond came through the entry in the run for
-	// TokensPerCoreSecond; DirectTokensPerSecond without it.
+	// TokensPerSecond is the throughput through the entry in the run that measured TokensPerCoreSecond,
+	// DirectTokensPerSecond the throughput without the entry.
 	TokensPerSecond       float64 `json:"tokens_per_second"`
 	DirectTokensPerSecond float64 `json:"direct_tokens_per_second"`
-	// Memory is the entry's resident memory by open streams.
+	// Memory is the resident memory of the entry by number of open streams.
 	Memory []StreamMemory `json:"memory"`
 }
 
-// StreamMemory is resident memory with a number of open streams.
+// StreamMemory is the resident memory of the entry with a number of open streams.
 type StreamMemory struct {
 	Streams  int   `json:"streams"`
 	Resident int64 `json:"resident_bytes"`
-	// PerStream is what each stream added to the resident memory.
+	// PerStream is the resident memory that each stream added.
 	PerStream int64 `json:"per_stream_bytes"`
 }
 
 // Sizes of the measurement.
 const (
-	overheadSamples   = 1000
-	overheadParallel  = 64
-	overheadTime      = 4 * time.Second
-	overheadTokens    = 400
-	overheadModel     = "provenance"
-	overheadOpenTimes = 2
-	overheadOpen      = 1000
+	overheadSamples       = 1000
+	overheadParallel      = 64
+	overheadDuration      = 4 * time.Second
+	overheadTokens        = 400
+	overheadModel         = "provenance"
+	overheadMemorySamples = 2
+	overheadStreams       = 1000
 )
 
-// overheadKey is the API key of the measurement's organisation.
+// overheadKey is the API key of the organisation that sends the requests.
 const overheadKey = "overhead-key"
 
-// overhead is one measurement under way.
+// overhead is the state of a measurement.
 type overhead struct {
 	fleet  *fleet
 	caller *testcaller.Caller
@@ -74,7 +74,7 @@
 	sent   atomic.Int64
 }
 
-// measure does the runs, one after the other.
+// measure performs all runs, one after the other.
 func (o OverheadOptions) measure(ctx context.Context) (Overhead, error) {
 	var result Overhead
 	fast := []string{"--prefill-rate", "1e7", "--prefill-budget", "100000", "--decode-rate", "500", "--step-per-stream", "0s", "--max-running", "256"}
@@ -86,12 +86,12 @@
 	if result.Direct, result.ThroughEntry, err = m.latency(ctx); err != nil {
 		return result, err
 	}
-	requests, cpu, _ := m.saturate(ctx, 1, m.throughEntry)
+	requests, cpu, _ := m.saturate(ctx, 1, m.viaEntry)
 	result.RequestsPerCoreSecond = float64(requests) / cpu
-	tokens, cpu, elapsed := m.saturate(ctx, overheadTokens, m.throughEntry)
+	tokens, cpu, elapsed := m.saturate(ctx, overheadTokens, m.viaEntry)
 	result.TokensPerCoreSecond = float64(tokens) / cpu
 	result.TokensPerSecond = float64(tokens) / elapsed.Seconds()
-	tokens, _, elapsed = m.saturate(ctx, overheadTokens, m.straight)
+	tokens, _, elapsed = m.saturate(ctx, overheadTokens, m.directly)
 	result.DirectTokensPerSecond = float64(tokens) / elapsed.Seconds()
 	m.fleet.Stop()
 	result.Memory, err = o.memory(ctx)
@@ -110,8 +110,8 @@
 	return errors.WithStack(os.WriteFile(filepath.Join(o.Out, "overhead.json"), data, 0o644))
 }
 
-// MeasureOverhead measures one entry against a direct connection to the
-// engine, in one run, and writes overhead.json.
+// MeasureOverhead compares one entry with a direct connection to the engine, in one run, and writes
+// overhead.json.
 func MeasureOverhead(ctx context.Context, o OverheadOptions) error {
 	result, err := o.measure(ctx)
 	if err != nil {
@@ -121,9 +121,9 @@
 }
 
 func startOverhead(ctx context.Context, o OverheadOptions, name string, engineFlags []string) (*overhead, error) {
-	f, err := start(ctx, plan{
+	f, err := start(ctx, fleetPlan{
 		bin: o.Bin, dir: filepath.Join(o.Dir, name), zones: []string{"hall-a"}, model: overheadModel,
-		keys: []string{overheadKey}, entries: 1, apart: 1, engineFlags: engineFlags, entryTables: admitAll,
+		keys: []string{overheadKey}, entries: 1, separate: 1, engineFlags: engineFlags, entryTables: admitAll,
 	})
 	if err != nil {
 		return nil, err
@@ -135,12 +135,12 @@
 	}, nil
 }
 
-// way asks for an answer of some tokens and reads it whole; first is called at
-// the first token, unless it is nil.
-type way func(ctx context.Context, tokens int, first func()) error
+// requestFunc requests a response of some tokens and reads it completely. It calls first at the first token,
+// unless first is nil.
+type requestFunc func(ctx context.Context, tokens int, first func()) error
 
-// throughEntry asks the entry.
-func (m *overhead) throughEntry(ctx context.Context, tokens int, first func()) error {
+// viaEntry sends the request to the entry.
+func (m *overhead) viaEntry(ctx context.Context, tokens int, first func()) error {
 	n := m.sent.Add(1)
 	chat := testcaller.Chat{Model: overheadModel, Prompt: fmt.Sprintf("question %d", n), MaxTokens: tokens, Seed: n}
 	answer, err := m.caller.Stream(ctx, m.fleet.entries[0].address, chat, func(string, string) {
@@ -155,8 +155,8 @@
 	return err
 }
 
-// straight asks the engine.
-func (m *overhead) straight(ctx context.Context, tokens int, first func()) error {
+// directly sends the request to the engine.
+func (m *overhead) directly(ctx context.Context, tokens int, first func()) error {
 	n := m.sent.Add(1)
 	source, err := m.direct.Generate(ctx, engine.Request{
 		ID: fmt.Sprintf("direct-%d", n), Model: overheadModel, Prompt: fmt.Sprintf("question %d", n), MaxTokens: tokens, Seed: n,
@@ -180,37 +180,37 @@
 	}
 }
 
-// latency measures both ways in turn.
+// latency measures the time to the first token both ways, alternating between them.
 func (m *overhead) latency(ctx context.Context) (direct, through loadgen.Quantiles, err error) {
 	histograms := [2]*hdrhistogram.Histogram{}
-	for i, ask := range []way{m.straight, m.throughEntry} {
+	for i, send := range []requestFunc{m.directly, m.viaEntry} {
 		histograms[i] = hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
-		_ = ask(ctx, 1, nil) // opens the connection
+		_ = send(ctx, 1, nil) // opens the connection
 	}
 	for range overheadSamples {
-		for i, ask := range []way{m.straight, m.throughEntry} {
+		for i, send := range []requestFunc{m.directly, m.viaEntry} {
 			started := time.Now()
-			var took time.Duration
-			if err := ask(ctx, 1, func() { took = time.Since(started) }); err != nil {
+			var elapsed time.Duration
+			if err := send(ctx, 1, func() { elapsed = time.Since(started) }); err != nil {
 				return direct, through, err
 			}
-			_ = histograms[i].RecordValue(took.Microseconds()) // a minute at most
+			_ = histograms[i].RecordValue(elapsed.Microseconds()) // requests take at most a minute
 		}
 	}
 	return loadgen.QuantilesOf(histograms[0]), loadgen.QuantilesOf(histograms[1]), nil
 }
 
-// saturate has many callers ask for a time, and returns the tokens that came,
-// the entry's processor time and the time.
-func (m *overhead) saturate(ctx context.Context, tokens int, ask way) (came int64, cpu float64, elapsed time.Duration) {
+// saturate sends requests from many callers for a period. It returns the tokens received, the entry's
+// processor time and the elapsed time.
+func (m *overhead) saturate(ctx context.Context, tokens int, send requestFunc) (received int64, cpu float64, elapsed time.Duration) {
 	pid := m.fleet.entries[0].process.Pid()
 	before, started := usageOf(pid).cpu, time.Now()
 	var total atomic.Int64
 	var work sync.WaitGroup
 	for range overheadParallel {
 		work.Go(func() {
-			for time.Since(started) < overheadTime && ctx.Err() == nil {
-				if ask(ctx, tokens, nil) == nil {
+			for time.Since(started) < overheadDuration && ctx.Err() == nil {
+				if send(ctx, tokens, nil) == nil {
 					total.Add(int64(tokens))
 				}
 			}
@@ -220,7 +220,7 @@
 	return total.Load(), usageOf(pid).cpu - before, time.Since(started)
 }
 
-// memory opens slow streams and reads the entry's resident memory.
+// memory opens slow streams and measures the entry's resident memory.
 func (o OverheadOptions) memory(ctx context.Context) ([]StreamMemory, error) {
 	slow := []string{"--prefill-rate", "1e7", "--prefill-budget", "1000000", "--decode-rate", "1", "--step-per-stream", "0s", "--max-running", "10000", "--kv-blocks", "10000000"}
 	m, err := startOverhead(ctx, o, "slow", slow)
@@ -233,11 +233,11 @@
 	resident := func() int64 { return usageOf(m.fleet.entries[0].process.Pid()).resident }
 	memory := []StreamMemory{{Resident: resident()}}
 	var open atomic.Int64
-	for n := 1; n <= overheadOpenTimes; n++ {
-		for range overheadOpen {
-			go func() { _ = m.throughEntry(ctx, overheadTokens, func() { open.Add(1) }) }() // ends with the measurement
+	for n := 1; n <= overheadMemorySamples; n++ {
+		for range overheadStreams {
+			go func() { _ = m.viaEntry(ctx, overheadTokens, func() { open.Add(1) }) }() // the context ends it after the measurement
 		}
-		want := int64(n * overheadOpen)
+		want := int64(n * overheadStreams)
 		if err := testfleet.Until(ctx, "all streams are open", func() bool { return open.Load() == want }); err != nil {
 			return nil, err
 		}
--- a/internal/bench/plot.go
+++ b/internal/bench/plot.go
@@ -17,12 +17,12 @@
 const (
 	plotWidth  = 22 * vg.Centimeter
 	plotHeight = 14 * vg.Centimeter
-	// legendRoom leaves room above the lines.
-	legendRoom = 1.5
+	// legendScale scales the y axis to leave room for the legend above the lines.
+	legendScale = 1.5
 )
 
-// plotSwings draws the good answers by second of arrival, the mean over the
-// seeds, one file for each condition.
+// plotSwings draws the good responses by second of arrival, as a mean over the seeds, into one file for each
+// set of conditions.
 func plotSwings(out string, cells []Cell) error {
 	for start := 0; start < len(cells); {
 		end := start + 1
@@ -70,17 +70,17 @@
 	if err := plotutil.AddLines(p, lines...); err != nil {
 		return errors.Wrap(err, "bench: plot")
 	}
-	p.Y.Max *= legendRoom
-	return errors.Wrap(p.Save(plotWidth, plotHeight, filepath.Join(out, "swing-"+directory(title)+".svg")), "bench: plot")
+	p.Y.Max *= legendScale
+	return errors.Wrap(p.Save(plotWidth, plotHeight, filepath.Join(out, "swing-"+directoryName(title)+".svg")), "bench: plot")
 }
 
-// series is the mean over cells by second.
-func series(cells []Cell, of func(loadgen.Second) float64) plotter.XYs {
+// series returns the mean over cells for each second.
+func series(cells []Cell, value func(loadgen.Second) float64) plotter.XYs {
 	points := make(plotter.XYs, len(cells[0].Result.Seconds))
 	for i := range points {
 		points[i].X = float64(i)
 		for _, c := range cells {
-			points[i].Y += of(c.Result.Seconds[i]) / float64(len(cells))
+			points[i].Y += value(c.Result.Seconds[i]) / float64(len(cells))
 		}
 	}
 	return points
--- a/internal/bench/report.go
+++ b/internal/bench/report.go
@@ -14,8 +14,8 @@
 	"github.com/pkg/errors"
 )
 
-// write puts the cells, the tables and the plots into the folder Out.
-func (r *run) write() error {
+// write writes the cells, the tables and the plots into the folder Out.
+func (r *comparison) write() error {
 	slices.SortFunc(r.cells, func(a, b Cell) int {
 		return cmp.Or(
 			cmp.Compare(b.Deployment, a.Deployment), compareBool(a.Faults, b.Faults),
@@ -89,8 +89,8 @@
 	return strconv.FormatFloat(x, 'f', 2, 64)
 }
 
-// markdown is a table with a row for each variant under each condition: the
-// mean over the seeds, and the lowest and the highest for goodput.
+// markdown returns a table with a row for each variant under each set of conditions. A row has the means over
+// the seeds, and for the share of good responses also the lowest and highest value.
 func markdown(cells []Cell) string {
 	var b strings.Builder
 	b.WriteString("| deployment | lag | faults | variant | good, % of offered (lowest to highest seed) | goodput /s " +
@@ -112,10 +112,10 @@
 }
 
 func markdownRow(seeds []Cell) string {
-	mean := func(of func(Cell) float64) float64 {
+	mean := func(value func(Cell) float64) float64 {
 		total := 0.0
 		for _, c := range seeds {
-			total += of(c)
+			total += value(c)
 		}
 		return total / float64(len(seeds))
 	}
--- a/internal/bench/roles.go
+++ b/internal/bench/roles.go
@@ -18,22 +18,20 @@
 	"sassafrasfield/internal/loadgen"
 )
 
-// RoleVariant is one way to give engines their roles.
+// RoleVariant is a way to assign roles to engines.
 type RoleVariant struct {
 	Name string
-	// Prefill and Decode are the engines in these roles at the start; the rest
-	// is mixed.
+	// Prefill and Decode are the numbers of engines that start in these roles. The other engines are mixed.
 	Prefill, Decode int
-	// Policy lets the role policy change them, with Weight.
+	// Policy enables the role policy, with Weight as the weight of a role change.
 	Policy bool
 	Weight float64
-	// Priorities has questions, which are short, go before long prompts.
+	// Priorities gives the questions, which are short, a higher priority than long prompts.
 	Priorities bool
 }
 
-// RoleVariants returns the ways that are set beside each other: engines in
-// fixed roles (e), the same with the role policy (f) in both weightings, and
-// mixed engines without and with priorities (g).
+// RoleVariants returns the variants to compare: engines in fixed roles (e), the same with the role policy (f)
+// in two weightings, and mixed engines with and without priorities (g).
 func RoleVariants(engines int) []RoleVariant {
 	half := engines / 2
 	return []RoleVariant{
@@ -45,24 +43,24 @@
 	}
 }
 
-// RoleOptions of a comparison of roles.
+// RoleOptions configures a comparison of roles.
 type RoleOptions struct {
 	Bin, Dir, Out string
 	Seeds         []uint64
 	Deployment    Deployment
 	Instances     int
 	Engines       int
-	// Phase is the length of each phase of the swing; there are Phases of them,
-	// short and long prompts in turn.
+	// Phase is the length of each phase of the swing. Phases is their number; they alternate between short
+	// and long prompts.
 	Phase  time.Duration
 	Phases int
 	Rate   float64
-	// MeanInterToken bounds the mean time between tokens of a good answer.
+	// MeanInterToken bounds the mean time between tokens of a good response.
 	MeanInterToken time.Duration
-	Log   io.Writer
+	Log            io.Writer
 }
 
-// RoleCell is one variant with one seed.
+// RoleCell is the measurement of one variant with one seed.
 type RoleCell struct {
 	Deployment string         `json:"deployment"`
 	Variant    string         `json:"variant"`
@@ -71,8 +69,8 @@
 	Result     loadgen.Result `json:"result"`
 }
 
-// CompareRoles runs all variants with all seeds, those of a seed at the same
-// time, and writes a table and the cells as JSON.
+// CompareRoles runs all variants with all seeds and writes a table and the cells as JSON. The variants run at
+// the same time for each seed.
 func CompareRoles(ctx context.Context, o RoleOptions) error {
 	if err := os.MkdirAll(o.Out, 0o755); err != nil {
 		return errors.WithStack(err)
@@ -107,7 +105,7 @@
 		return RoleCell{}, err
 	}
 	defer f.Stop()
-	ctx, cancel := context.WithTimeout(ctx, scenario.Duration()+answersWithin)
+	ctx, cancel := context.WithTimeout(ctx, scenario.Duration()+maxAnswerWait)
 	defer cancel()
 	result, err := loadgen.Run(ctx, loadgen.Options{Scenario: scenario, Targets: f.targets(), Seed: seed})
 	if err != nil {
@@ -117,17 +115,17 @@
 	return RoleCell{Deployment: o.Deployment.Name, Variant: v.Name, Seed: seed, Changes: changes, Result: result}, err
 }
 
-// roleScenario is the deployment's load with as many phases as are asked for,
-// and without calls to plain services.
+// roleScenario returns the deployment's load with the requested number of phases and without calls to plain
+// services.
 func roleScenario(o RoleOptions, v RoleVariant) loadgen.Scenario {
 	scenario := o.Deployment.Scenario(o.Phase, o.Rate)
 	scenario.Keys = keys()
 	scenario.CallRate = 0
 	scenario.Bounds.MeanInterToken = o.MeanInterToken
-	turns := scenario.Phases[:2]
+	alternating := scenario.Phases[:2]
 	scenario.Phases = nil
 	for i := range o.Phases {
-		scenario.Phases = append(scenario.Phases, turns[i%2])
+		scenario.Phases = append(scenario.Phases, alternating[i%2])
 	}
 	if v.Priorities {
 		scenario.Classes = slices.Clone(scenario.Classes)
@@ -136,7 +134,7 @@
 	return scenario
 }
 
-// writeRoles writes the cells and a table with the mean over the seeds.
+// writeRoles writes the cells, and a table with the means over the seeds.
 func writeRoles(o RoleOptions, cells []RoleCell) error {
 	data, err := json.MarshalIndent(cells, "", " ")
 	if err != nil {
--- a/internal/bench/rolesfleet.go
+++ b/internal/bench/rolesfleet.go
@@ -19,8 +19,8 @@
 	"sassafrasfield/internal/testfleet"
 )
 
-// policySettings are those of the role policy in the runs: the swing is some
-// times faster than the users', and so are the dwell and the horizon.
+// policySettings are the settings of the role policy. The load swings several times faster than that of the
+// users, so the dwell and the horizon are shorter by a similar factor.
 const policySettings = `
 [roles]
 every = "1s"
@@ -32,13 +32,13 @@
 out_of_service = "3s"
 `
 
-// changeTime is how long a stand-in engine takes for a change of role.
-const changeTime = "3s"
+// roleChangeTime is the time that a stand-in engine takes to change its role.
+const roleChangeTime = "3s"
 
-// historyLimit bounds the versions that are looked through for role changes.
+// historyLimit is the maximum number of versions that are searched for role changes.
 const historyLimit = 2000
 
-// rolesFleet is a whole system, sf-control included.
+// rolesFleet is a complete running system, including sf-control.
 type rolesFleet struct {
 	*testfleet.Fleet
 	operator sfv1connect.OperatorServiceClient
@@ -47,7 +47,7 @@
 
 // startRoles starts a system and puts its roles in force.
 func startRoles(ctx context.Context, o RoleOptions, v RoleVariant, seed uint64, scenario loadgen.Scenario) (*rolesFleet, error) {
-	dir := filepath.Join(o.Dir, directory(fmt.Sprintf("%s %s %d", o.Deployment.Name, v.Name, seed)))
+	dir := filepath.Join(o.Dir, directoryName(fmt.Sprintf("%s %s %d", o.Deployment.Name, v.Name, seed)))
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, errors.WithStack(err)
 	}
@@ -67,7 +67,7 @@
 	if err := f.StartPlatform(ctx); err != nil {
 		return err
 	}
-	args := []string{"--listen", "", "engines", "--model", scenario.Model, "--model-version", "1", "--change-time", changeTime}
+	args := []string{"--listen", "", "engines", "--model", scenario.Model, "--model-version", "1", "--change-time", roleChangeTime}
 	for i := range o.Engines {
 		f.engines = append(f.engines, f.Address())
 		args = append(args, "--id", fmt.Sprintf("engine-%d", i+1))
@@ -91,7 +91,7 @@
 	})
 }
 
-// intent declares the pool with its roles and bounds.
+// intent returns an intent that declares the pool with its roles and bounds.
 func (f *rolesFleet) intent(o RoleOptions, v RoleVariant, scenario loadgen.Scenario) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "name = \"roles\"\n[[model]]\nname = %q\nversion = \"1\"\n", scenario.Model)
@@ -117,8 +117,7 @@
 	return b.String()
 }
 
-// confirm puts an intent in force and waits until its plan is done on all
-// instances.
+// confirm puts an intent in force and waits until its plan is done on all instances.
 func (f *rolesFleet) confirm(ctx context.Context, text string) error {
 	declared, err := f.operator.Declare(ctx, connect.NewRequest(&sfv1.DeclareRequest{File: "roles.toml", Intent: []byte(text), Operator: "bench"}))
 	if err != nil {
@@ -158,7 +157,7 @@
 	return targets
 }
 
-// changes are the role policy's changes in the history, oldest first.
+// changes returns the summaries of the role policy's changes in the history, oldest first.
 func (f *rolesFleet) changes(ctx context.Context) ([]string, error) {
 	history, err := f.operator.History(ctx, connect.NewRequest(&sfv1.HistoryRequest{Limit: historyLimit}))
 	if err != nil {
