--- a/internal/bench/frozen_test.go
+++ b/internal/bench/frozen_test.go
@@ -60,8 +60,8 @@
 // startedStreams returns the number of streams that the separate engine has started.
 func (f *fleet) startedStreams(t *testing.T, ctx context.Context) int {
 	t.Helper()
-	var book testservers.Book
-	if err := testfleet.Post(ctx, f.doc.Engines[2].Address, testservers.PathBook, nil, &book); err != nil {
+	var book testservers.EngineRecord
+	if err := testfleet.Post(ctx, f.doc.Engines[2].Address, testservers.PathRecord, nil, &book); err != nil {
 		t.Fatal(err)
 	}
 	return book.Started
--- a/internal/entry/admission_test.go
+++ b/internal/entry/admission_test.go
@@ -114,8 +114,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var book testservers.ServiceBook
-	if err := testfleet.Post(ctx, fleet.Services[0].Address, testservers.PathBook, nil, &book); err != nil {
+	var book testservers.ServiceRecord
+	if err := testfleet.Post(ctx, fleet.Services[0].Address, testservers.PathRecord, nil, &book); err != nil {
 		t.Fatal(err)
 	}
 	if ran := book.Runs["POST /portal/status"]; ran != len(accepted) || refused == 0 {
--- a/internal/gossip/process_test.go
+++ b/internal/gossip/process_test.go
@@ -72,12 +72,12 @@
 		_, err := r.links.AddInstance(ctx, fmt.Sprintf("inst-%d", i+1), "zona-4")
 		r.must(err)
 	}
-	r.until("each instance knows its peers", func() bool { return r.links.Peers() == 6 })
+	r.until("each instance knows its peers", func() bool { return r.links.PeerLinkCount() == 6 })
 	r.commitVersion(1, "old")
 	for i, instance := range r.fleet.Instances {
 		r.untilServes(i, "old")
 		r.until("the instance counts in a majority", func() bool {
-			return strings.Contains(probe(instance.ControlAt, "/metrics"), `"spread.voter":{"value":1}`)
+			return strings.Contains(probe(instance.ControlAddress, "/metrics"), `"spread.voter":{"value":1}`)
 		})
 	}
 	return r
@@ -214,7 +214,7 @@
 func TestInstanceThatOnlyReceivesRequestsRefuses(t *testing.T) {
 	r := newRig(t)
 	r.must(r.links.CutPlatform("inst-3"))
-	r.must(r.links.CutFrom("inst-3"))
+	r.must(r.links.CutOutgoing("inst-3"))
 	r.untilRefuses(2, "may be out of date")
 	r.commitVersion(2, "new")
 	r.links.Heal()
@@ -231,7 +231,9 @@
 	r.until("the evidence from the table has expired", func() bool { return time.Now().After(ended) })
 	for i := range 3 {
 		control := r.fleet.Instances[i].Control
-		r.until("freshness comes from the majority", func() bool { return strings.Contains(probe(r.fleet.Instances[i].ControlAt, "/readyz"), "by majority") })
+		r.until("freshness comes from the majority", func() bool {
+			return strings.Contains(probe(r.fleet.Instances[i].ControlAddress, "/readyz"), "by majority")
+		})
 		if strings.Contains(control.Log(), "may be out of date") {
 			t.Errorf("inst-%d was temporarily not fresh:\n%s", i+1, control.Log())
 		}
@@ -250,7 +252,9 @@
 	r.must(r.links.CutPlatform("inst-3"))
 	r.must(r.links.CutPeers("inst-1", testfleet.ToUpstream))
 	for _, i := range []int{1, 2} {
-		r.until("the majority keeps serving", func() bool { return strings.Contains(probe(r.fleet.Instances[i].ControlAt, "/readyz"), "by majority") })
+		r.until("the majority keeps serving", func() bool {
+			return strings.Contains(probe(r.fleet.Instances[i].ControlAddress, "/readyz"), "by majority")
+		})
 	}
 	outcome := r.confirm(0)
 	if outcome.Outcome != "refused" || !strings.Contains(outcome.Reason, "1 of 3 listed answer, 2 are needed") {
@@ -264,7 +268,7 @@
 // confirm declares an intent at an instance and confirms it.
 func (r *rig) confirm(instance int) *sfv1.ConfirmResponse {
 	r.t.Helper()
-	client := sfv1connect.NewOperatorServiceClient(http.DefaultClient, "http://"+r.fleet.Instances[instance].ControlAt)
+	client := sfv1connect.NewOperatorServiceClient(http.DefaultClient, "http://"+r.fleet.Instances[instance].ControlAddress)
 	intent := "name = \"share\"\n[[organisation]]\nname = \"agedim\"\nshare = 2.0\n"
 	declared, err := client.Declare(r.ctx, connect.NewRequest(&sfv1.DeclareRequest{File: "share.toml", Intent: []byte(intent), Operator: "test"}))
 	r.must(err)
@@ -334,13 +338,13 @@
 // without seeds must report why it is not ready.
 func TestStartWithTableDown(t *testing.T) {
 	r := newRig(t)
-	seeds := fmt.Sprintf("seeds = [%q, %q]\n", r.fleet.Instances[0].ControlAt, r.fleet.Instances[1].ControlAt)
+	seeds := fmt.Sprintf("seeds = [%q, %q]\n", r.fleet.Instances[0].ControlAddress, r.fleet.Instances[1].ControlAddress)
 	r.must(r.fleet.PlatformFault(r.ctx, testservers.PlatformFaults{Down: true}))
 	isolated, err := r.links.AddInstance(r.ctx, "inst-4", "zona-4")
 	r.must(err)
 	reason := ""
 	r.until("an instance without peers says why it is not ready", func() bool {
-		reason = probe(isolated.ControlAt, "/readyz")
+		reason = probe(isolated.ControlAddress, "/readyz")
 		return strings.Contains(reason, "no configuration known yet") && strings.Contains(reason, "unavailable")
 	})
 	r.fleet.ControlTables += seeds
@@ -392,13 +396,13 @@
 	r := newRig(t)
 	r.must(r.links.CutPlatform("inst-2"))
 	r.must(r.links.CutPlatform("inst-3"))
-	r.must(r.fleet.List(r.ctx, platform.Instance{ID: "old", Kind: platform.KindUpstream, Zone: "zona-4", State: platform.InstanceShuttingDown}))
+	r.must(r.fleet.SetInstance(r.ctx, platform.Instance{ID: "old", Kind: platform.KindUpstream, Zone: "zona-4", State: platform.InstanceShuttingDown}))
 	r.untilRefuses(0, "not_run")
 	r.must(r.links.CutPlatform("inst-1"))
 	for i := range 3 {
 		r.untilRefuses(i, "not_run")
 	}
-	r.must(r.fleet.List(r.ctx, platform.Instance{ID: "old", Kind: platform.KindUpstream, Zone: "zona-4", State: platform.InstanceLive}))
+	r.must(r.fleet.SetInstance(r.ctx, platform.Instance{ID: "old", Kind: platform.KindUpstream, Zone: "zona-4", State: platform.InstanceLive}))
 	r.links.Heal()
 	for i := range 3 {
 		r.untilServes(i, "old")
@@ -411,7 +415,7 @@
 	r := newRig(t)
 	r.fleet.Instances[2].Control.Signal(syscall.SIGSTOP)
 	defer r.fleet.Instances[2].Control.Signal(syscall.SIGCONT)
-	client := sfv1connect.NewOperatorServiceClient(http.DefaultClient, "http://"+r.fleet.Instances[0].ControlAt)
+	client := sfv1connect.NewOperatorServiceClient(http.DefaultClient, "http://"+r.fleet.Instances[0].ControlAddress)
 	response, err := client.Instances(r.ctx, connect.NewRequest(&sfv1.InstancesRequest{}))
 	r.must(err)
 	shown := map[string]bool{}
--- a/internal/roles/process_test.go
+++ b/internal/roles/process_test.go
@@ -107,7 +107,7 @@
 }
 
 func (f *fleet) sfctlAt(instance *testfleet.Instance, args ...string) (string, error) {
-	args = append([]string{"--control", instance.ControlAt, "--operator", "op", "--timeout", "30s"}, args...)
+	args = append([]string{"--control", instance.ControlAddress, "--operator", "op", "--timeout", "30s"}, args...)
 	output, err := exec.CommandContext(f.ctx, filepath.Join(f.Bin, "sfctl"), args...).CombinedOutput()
 	return string(output), err
 }
@@ -127,10 +127,10 @@
 	}
 }
 
-func (f *fleet) book(e *testfleet.Engine) testservers.Book {
+func (f *fleet) book(e *testfleet.Engine) testservers.EngineRecord {
 	f.t.Helper()
-	var book testservers.Book
-	must(f.t, testfleet.Post(f.ctx, e.Address, testservers.PathBook, nil, &book))
+	var book testservers.EngineRecord
+	must(f.t, testfleet.Post(f.ctx, e.Address, testservers.PathRecord, nil, &book))
 	return book
 }
 
@@ -138,7 +138,7 @@
 func expected(chat testcaller.Chat) string {
 	return testservers.NewText(engine.Request{
 		Model: model, Version: "1", Prompt: "user: " + chat.Prompt + "\n", MaxTokens: chat.MaxTokens, Seed: chat.Seed,
-	}).Whole()
+	}).FullText()
 }
 
 // stream requests an answer and compares it with the expected one byte for byte.
