--- a/internal/bench/overhead.go
+++ b/internal/bench/overhead.go
@@ -150,7 +150,7 @@
 		}
 	})
 	if err == nil && !answer.Done {
-		return errors.Errorf("answer not whole: status %d", answer.Status)
+		return errors.Errorf("incomplete response: status %d", answer.Status)
 	}
 	return err
 }
