--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,5 +1,6 @@
-// Package demo runs the main job of the system with real processes and
-// embedded stand-ins, and tells what held. The same run is a process test.
+// Package demo demonstrates the main functions of the system: it starts the built
+// programs and embedded test servers, runs five steps and prints the result of
+// each. The package's test runs the same steps.
 package demo
 
 import (
@@ -20,37 +21,38 @@
 	"sassafrasfield/internal/testfleet"
 )
 
-// APIKey is the API key of the demo's one organisation.
+// APIKey is the API key of the demo's only organisation.
 const APIKey = "demo-key-of-qoton-trace"
 
-// ModelName is the demo's one model.
+// ModelName is the name of the demo's only model.
 const ModelName = "provenance"
 
-// Result is one point that held or fell.
+// Result is the result of one step; Err is nil if the step succeeded.
 type Result struct {
 	Step   string
 	Detail string
 	Err    error
 }
 
-// Demo is one run.
+// Demo is one run of the demo. The exported fields must be set.
 type Demo struct {
 	// Bin is the folder of the built programs.
 	Bin string
 	// Root is the folder of the repository.
 	Root string
-	// Dir takes settings and logs.
+	// Dir is the folder for the settings and logs of the processes.
 	Dir string
+	// Out receives the progress and the table of results.
 	Out io.Writer
 
-	fleet  *testfleet.Fleet
-	caller *testcaller.Caller
-	prompt string
-	rows   []Result
+	fleet   *testfleet.Fleet
+	caller  *testcaller.Caller
+	prompt  string
+	results []Result
 }
 
-// Run starts the fleet, goes through the points and stops all processes. It
-// returns an error when a point fell.
+// Run runs the steps, prints their results and stops all processes. The first
+// step that fails ends the run; its error is returned.
 func (d *Demo) Run(ctx context.Context) error {
 	d.fleet = testfleet.New(d.Bin, d.Dir)
 	d.caller = testcaller.New(APIKey)
@@ -61,7 +63,7 @@
 		return errors.WithStack(err)
 	}
 	d.prompt = string(prompt)
-	points := []struct {
+	steps := []struct {
 		what string
 		run  func(context.Context) (string, error)
 	}{
@@ -71,10 +73,10 @@
 		{"an engine is drained and an adapter loaded; a stream on it finishes whole", d.drainEngine},
 		{"an instance is killed; its stream is resumed on another", d.killInstance},
 	}
-	for _, point := range points {
-		fmt.Fprintf(d.Out, "\n== %s\n", point.what)
-		detail, err := point.run(ctx)
-		d.rows = append(d.rows, Result{Step: point.what, Detail: detail, Err: err})
+	for _, step := range steps {
+		fmt.Fprintf(d.Out, "\n== %s\n", step.what)
+		detail, err := step.run(ctx)
+		d.results = append(d.results, Result{Step: step.what, Detail: detail, Err: err})
 		if err != nil {
 			break
 		}
@@ -82,28 +84,28 @@
 	return d.report(time.Since(started))
 }
 
-// report prints the table of what held.
-func (d *Demo) report(took time.Duration) error {
+// report prints the table of results. It returns the error of the step that failed.
+func (d *Demo) report(duration time.Duration) error {
 	fmt.Fprintln(d.Out)
 	w := tabwriter.NewWriter(d.Out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "RESULT\tWHAT\tDETAIL")
 	var failed error
-	for _, row := range d.rows {
+	for _, r := range d.results {
 		result := "held"
-		if row.Err != nil {
-			result, row.Detail = "FELL", row.Err.Error()
-			failed = row.Err
+		if r.Err != nil {
+			result, r.Detail = "FELL", r.Err.Error()
+			failed = r.Err
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\n", result, row.Step, row.Detail)
+		fmt.Fprintf(w, "%s\t%s\t%s\n", result, r.Step, r.Detail)
 	}
 	if err := w.Flush(); err != nil {
 		return errors.WithStack(err)
 	}
-	fmt.Fprintf(d.Out, "took %.1f s\n", took.Seconds())
+	fmt.Fprintf(d.Out, "took %.1f s\n", duration.Seconds())
 	return failed
 }
 
-// startFleet starts all processes and puts the first intent in force.
+// startFleet starts all processes and confirms the first intent.
 func (d *Demo) startFleet(ctx context.Context) (string, error) {
 	if err := d.fleet.StartPlatform(ctx); err != nil {
 		return "", err
@@ -138,6 +140,7 @@
 	return "confirmed and followed by sfctl", d.declareAndConfirm(ctx, path)
 }
 
+// controlsAnswer reports whether all sf-control processes answer sfctl.
 func (d *Demo) controlsAnswer() bool {
 	for _, i := range d.fleet.Instances {
 		if _, err := d.sfctl(context.Background(), i, "status"); err != nil {
@@ -147,10 +150,10 @@
 	return true
 }
 
-// render fills in an intent of examples/demo.
+// render executes the template of an intent in examples/demo and returns the path of the result.
 func (d *Demo) render(name string, values map[string]any) (string, error) {
 	source := filepath.Join(d.Root, "examples", "demo", name+".tmpl")
-	parsed, err := template.ParseFiles(source)
+	intent, err := template.ParseFiles(source)
 	if err != nil {
 		return "", errors.WithStack(err)
 	}
@@ -160,5 +163,5 @@
 		return "", errors.WithStack(err)
 	}
 	defer file.Close()
-	return path, errors.WithStack(parsed.Execute(file, values))
+	return path, errors.WithStack(intent.Execute(file, values))
 }
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -9,9 +9,8 @@
 	"sassafrasfield/internal/testfleet"
 )
 
-// TestDemoHolds runs the demo: each of its points is a promise to callers or
-// operators.
-func TestDemoHolds(t *testing.T) {
+// TestDemoSucceeds runs the demo. Each step checks a guarantee to callers or operators.
+func TestDemoSucceeds(t *testing.T) {
 	bin, err := testfleet.Bin()
 	if err != nil {
 		t.Fatal(err)
@@ -27,7 +26,7 @@
 	if err := d.Run(ctx); err != nil {
 		t.Fatalf("%v\n%s", err, out.String())
 	}
-	if len(d.rows) != 5 {
-		t.Fatalf("%d points ran, want 5", len(d.rows))
+	if len(d.results) != 5 {
+		t.Fatalf("%d steps ran, want 5", len(d.results))
 	}
 }
--- a/internal/demo/points.go
+++ b/internal/demo/steps.go
@@ -18,15 +18,15 @@
 	"sassafrasfield/internal/testservers"
 )
 
-// sfctl runs the operators' tool against an instance.
+// sfctl runs sfctl with an instance's sf-control and returns its output.
 func (d *Demo) sfctl(ctx context.Context, i *testfleet.Instance, args ...string) (string, error) {
 	args = append([]string{"--control", i.ControlAddress, "--operator", "demo", "--timeout", "30s"}, args...)
 	output, err := exec.CommandContext(ctx, filepath.Join(d.fleet.Bin, "sfctl"), args...).CombinedOutput()
 	return string(output), errors.Wrapf(err, "sfctl %s: %s", strings.Join(args, " "), output)
 }
 
-// declareAndConfirm declares an intent, prints its plan, and follows it until
-// it is in force on all instances.
+// declareAndConfirm declares an intent, prints and confirms its plan, and follows it
+// until it is in force on all instances.
 func (d *Demo) declareAndConfirm(ctx context.Context, path string) error {
 	operator := d.fleet.Instances[0]
 	output, err := d.sfctl(ctx, operator, "--output", "json", "declare", path)
@@ -49,7 +49,7 @@
 	return err
 }
 
-// streamCompletion streams one answer and prints it.
+// streamCompletion requests a streamed completion and prints its text.
 func (d *Demo) streamCompletion(ctx context.Context) (string, error) {
 	chat := testcaller.Chat{Model: ModelName + ":grades", Prompt: d.prompt, MaxTokens: 40, Seed: 7}
 	answer, err := d.caller.Stream(ctx, d.fleet.Instances[0].EntryAddress, chat, nil)
@@ -57,13 +57,14 @@
 		return "", err
 	}
 	if !answer.Done || answer.Finish == "" {
-		return "", errors.Errorf("the answer is not whole: %+v", answer)
+		return "", errors.Errorf("the answer is incomplete: %+v", answer)
 	}
 	fmt.Fprintln(d.Out, answer.Text)
 	return fmt.Sprintf("%d words, finish %q", len(strings.Fields(answer.Text)), answer.Finish), nil
 }
 
-// callTwice issues one certificate through two instances.
+// callTwice sends a call with the same idempotency key to two instances. The service
+// must run it once, and both answers must be equal.
 func (d *Demo) callTwice(ctx context.Context) (string, error) {
 	header := http.Header{"Idempotency-Key": []string{"certificate-88120"}}
 	var answers []string
@@ -80,28 +81,28 @@
 		fmt.Fprintf(d.Out, "%s answers %s\n", i.ID, strings.TrimSpace(string(body)))
 		answers = append(answers, string(body))
 	}
-	var book testservers.ServiceRecord
-	if err := testfleet.Post(ctx, d.fleet.Services[0].Address, testservers.PathRecord, nil, &book); err != nil {
+	var record testservers.ServiceRecord
+	if err := testfleet.Post(ctx, d.fleet.Services[0].Address, testservers.PathRecord, nil, &record); err != nil {
 		return "", err
 	}
-	runs := book.Runs["POST /bales/certificates"]
+	runs := record.Runs["POST /bales/certificates"]
 	if runs != 1 || answers[0] != answers[1] {
 		return "", errors.Errorf("%d runs, answers %q", runs, answers)
 	}
 	return "one run, the same answer twice", nil
 }
 
-// drainEngine drains the engine that runs a stream.
+// drainEngine drains an engine while it generates a stream, which must be completed.
 func (d *Demo) drainEngine(ctx context.Context) (string, error) {
 	chat := testcaller.Chat{Model: ModelName, Prompt: d.prompt, MaxTokens: 150, Seed: 11}
-	whole := make(chan error, 1)
+	streamed := make(chan error, 1)
 	ids := make(chan string, 1)
 	go func() {
 		answer, err := d.caller.Stream(ctx, d.fleet.Instances[1].EntryAddress, chat, firstID(ids))
 		if err == nil && !answer.Done {
 			err = errors.Errorf("the stream on the drained engine was cut: %+v", answer)
 		}
-		whole <- err
+		streamed <- err
 	}()
 	engineID, err := engineOf(ctx, ids)
 	if err != nil {
@@ -114,13 +115,13 @@
 	if err := d.declareAndConfirm(ctx, path); err != nil {
 		return "", err
 	}
-	if err := <-whole; err != nil {
+	if err := <-streamed; err != nil {
 		return "", err
 	}
 	return fmt.Sprintf("%s left, its stream was whole", engineID), d.adapterAnswers(ctx)
 }
 
-// adapterAnswers asks for the adapter that was just loaded.
+// adapterAnswers checks that the adapter that was just loaded serves a completion.
 func (d *Demo) adapterAnswers(ctx context.Context) error {
 	chat := testcaller.Chat{Model: ModelName + ":fields", Prompt: d.prompt, MaxTokens: 8, Seed: 1}
 	answer, err := d.caller.Stream(ctx, d.fleet.Instances[2].EntryAddress, chat, nil)
@@ -128,12 +129,12 @@
 		return err
 	}
 	if !answer.Done {
-		return errors.Errorf("the new adapter gave no whole answer: %+v", answer)
+		return errors.Errorf("the answer of the new adapter is incomplete: %+v", answer)
 	}
 	return nil
 }
 
-// firstID sends the id of the first event.
+// firstID returns an event handler that sends the id of the first event to ids.
 func firstID(ids chan<- string) testcaller.Event {
 	sent := false
 	return func(id, _ string) {
@@ -144,46 +145,46 @@
 	}
 }
 
-// engineOf reads the engine from an event's id.
+// engineOf waits for the id of an event, which is a resume token, and returns its engine.
 func engineOf(ctx context.Context, ids <-chan string) (string, error) {
 	select {
 	case <-ctx.Done():
-		return "", errors.New("no event came")
+		return "", errors.New("no event received")
 	case id := <-ids:
 		token, err := stream.ParseResumeToken(id)
 		return token.Engine, err
 	}
 }
 
-// killInstance kills both daemons of an instance in the middle of a stream,
-// resumes on another, and compares with an undisturbed run.
+// killInstance kills both daemons of an instance during a stream, and resumes the
+// stream on another instance. The text must equal that of an uninterrupted run.
 func (d *Demo) killInstance(ctx context.Context) (string, error) {
-	victim, other := d.fleet.Instances[2], d.fleet.Instances[0]
+	killed, other := d.fleet.Instances[2], d.fleet.Instances[0]
 	chat := testcaller.Chat{Model: ModelName, Prompt: d.prompt, MaxTokens: 100, Seed: 23}
 	events := 0
-	broken, err := d.caller.Stream(ctx, victim.EntryAddress, chat, func(string, string) {
+	interrupted, err := d.caller.Stream(ctx, killed.EntryAddress, chat, func(string, string) {
 		events++
 		if events == 10 {
-			victim.Entry.Kill()
-			victim.Control.Kill()
+			killed.Entry.Kill()
+			killed.Control.Kill()
 		}
 	})
 	if err == nil {
-		return "", errors.New("the stream did not break")
+		return "", errors.New("the stream was not interrupted")
 	}
-	chat.LastEventID = broken.LastID
+	chat.LastEventID = interrupted.LastID
 	resumed, err := d.caller.Stream(ctx, other.EntryAddress, chat, nil)
 	if err != nil {
 		return "", err
 	}
 	chat.LastEventID = ""
-	undisturbed, err := d.caller.Stream(ctx, other.EntryAddress, chat, nil)
+	uninterrupted, err := d.caller.Stream(ctx, other.EntryAddress, chat, nil)
 	if err != nil {
 		return "", err
 	}
-	if broken.Text+resumed.Text != undisturbed.Text || !resumed.Done {
-		return "", errors.Errorf("the texts differ: %q + %q, not %q", broken.Text, resumed.Text, undisturbed.Text)
+	if interrupted.Text+resumed.Text != uninterrupted.Text || !resumed.Done {
+		return "", errors.Errorf("the texts differ: %q + %q, not %q", interrupted.Text, resumed.Text, uninterrupted.Text)
 	}
-	fmt.Fprintf(d.Out, "%s was killed after %d events; %s went on\n", victim.ID, events, other.ID)
-	return fmt.Sprintf("%d bytes before, %d after, equal to an undisturbed run", len(broken.Text), len(resumed.Text)), nil
+	fmt.Fprintf(d.Out, "%s was killed after %d events; %s went on\n", killed.ID, events, other.ID)
+	return fmt.Sprintf("%d bytes before, %d after, equal to an undisturbed run", len(interrupted.Text), len(resumed.Text)), nil
 }
