--- a/internal/fuzz/callers_test.go
+++ b/internal/fuzz/callers_test.go
@@ -8,7 +8,7 @@
 	"sassafrasfield/internal/stream"
 )
 
-// FuzzRequestBody reads a caller's body as sf-entry does.
+// FuzzRequestBody parses request bodies as sf-entry does.
 func FuzzRequestBody(f *testing.F) {
 	for _, seed := range []string{
 		`{"model":"m:a@2","messages":[{"role":"user","content":"hi"}],"stream":true,"max_tokens":5}`,
@@ -31,7 +31,8 @@
 	})
 }
 
-// FuzzResumeToken reads what a caller sends back as Last-Event-ID.
+// FuzzResumeToken parses the resume tokens that callers send in Last-Event-ID. A valid
+// token must survive an encoding and a second parse.
 func FuzzResumeToken(f *testing.F) {
 	f.Add(stream.ResumeToken{Request: "r-1", Engine: "engine-1", Version: "1", Seed: -7, Next: 3, Sum: 0xabc}.String())
 	f.Add(stream.ResumeToken{Request: "r", Engine: "e", Version: "a/b c", Next: 1, Done: true}.String())
@@ -44,7 +45,7 @@
 		}
 		again, err := stream.ParseResumeToken(token.String())
 		if err != nil || again != token {
-			t.Errorf("%q reads as %+v, written and read again as %+v (%v)", text, token, again, err)
+			t.Errorf("%q is parsed as %+v, encoded and parsed again as %+v (%v)", text, token, again, err)
 		}
 		if token.Next < 0 {
 			t.Errorf("%q resumes from piece %d", text, token.Next)
--- a/internal/fuzz/engine_test.go
+++ b/internal/fuzz/engine_test.go
@@ -12,11 +12,11 @@
 	"sassafrasfield/internal/stream"
 )
 
-// piecesAtMost bounds what is read of one stream.
-const piecesAtMost = 4096
+// maxPieces bounds the pieces that are read of one stream.
+const maxPieces = 4096
 
-// FuzzEngineStream has an engine send any bytes as an answer. What reaches the
-// caller must be numbered without gaps or repeats, and end once.
+// FuzzEngineStream has an engine answer with arbitrary bytes. The pieces forwarded to the
+// caller must be numbered without gaps or repeats.
 func FuzzEngineStream(f *testing.F) {
 	for _, seed := range []string{
 		`{"n":0,"text":"a "}` + "\n" + `{"n":1,"text":"b "}` + "\n" + `{"n":2,"finish":"stop"}`,
@@ -27,7 +27,7 @@
 	}
 	body := make(chan []byte, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		_, _ = w.Write(<-body) // the client has gone
+		_, _ = w.Write(<-body) // the client may have disconnected
 	}))
 	f.Cleanup(server.Close)
 	client := engine.NewClient(strings.TrimPrefix(server.URL, "http://"), 10*time.Second)
@@ -39,7 +39,7 @@
 		}
 		defer source.Close()
 		assembler, next := stream.NewAssembler(0, 0), 0
-		for range piecesAtMost {
+		for range maxPieces {
 			piece, err := source.Next()
 			if err != nil {
 				return
@@ -50,7 +50,7 @@
 			}
 			for _, p := range ready {
 				if p.N != next {
-					t.Fatalf("piece %d was handed on, want %d", p.N, next)
+					t.Fatalf("got piece %d, want %d", p.N, next)
 				}
 				next++
 			}
--- a/internal/fuzz/files_test.go
+++ b/internal/fuzz/files_test.go
@@ -16,7 +16,7 @@
 	"sassafrasfield/internal/tomlfile"
 )
 
-// addFiles adds the files that a pattern under the root names as seeds.
+// addFiles adds the files that match a pattern, relative to the root of the repository, as seeds.
 func addFiles(f *testing.F, pattern string) {
 	f.Helper()
 	root, err := testfleet.Root()
@@ -36,16 +36,17 @@
 	}
 }
 
-func checkPlaces(t *testing.T, findings finding.List) {
+// checkPositions checks that each finding has a position in the file.
+func checkPositions(t *testing.T, findings finding.List) {
 	t.Helper()
 	for _, found := range findings {
 		if found.Line < 1 || found.Column < 1 {
-			t.Errorf("a finding without a place: %s", found)
+			t.Errorf("finding without a position: %s", found)
 		}
 	}
 }
 
-// FuzzSettings reads settings files of both daemons.
+// FuzzSettings parses and checks settings files of both daemons.
 func FuzzSettings(f *testing.F) {
 	addFiles(f, "configs/*.toml")
 	f.Add([]byte("[lease]\nterm = \"1h\"\n[limits]\nmax_body_bytes = -1\n"))
@@ -55,13 +56,13 @@
 			if file.Parsed() {
 				into.Check(file)
 			}
-			checkPlaces(t, file.Findings())
+			checkPositions(t, file.Findings())
 		}
 	})
 }
 
-// FuzzIntent reads an intent, applies it and builds its plan. An accepted one
-// comes back from the table as it was written.
+// FuzzIntent parses an intent, applies it and builds its plan. The resulting
+// configuration must be equal after it is encoded and decoded.
 func FuzzIntent(f *testing.F) {
 	addFiles(f, "examples/*/*.toml*")
 	f.Add([]byte("name = \"n\"\n[[engine]]\nid = \"e\"\nremove = true\n"))
@@ -74,16 +75,16 @@
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		_, findings := intent.Parse("f", data)
-		checkPlaces(t, findings)
+		checkPositions(t, findings)
 		target, _, findings := intent.Apply("f", data, base)
-		checkPlaces(t, findings)
+		checkPositions(t, findings)
 		if target == nil {
 			return
 		}
 		plan.Build(base, target, plan.Costs{ChangeSeconds: 5, LoadSeconds: 1})
 		again, err := config.Decode(target.Encode())
 		if err != nil || string(again.Encode()) != string(target.Encode()) {
-			t.Errorf("the configuration does not come back: %v", err)
+			t.Errorf("the configuration differs after encoding and decoding: %v", err)
 		}
 	})
 }
--- a/internal/fuzz/rows_test.go
+++ b/internal/fuzz/rows_test.go
@@ -36,7 +36,8 @@
 
 func (r rowTable) GetObject(context.Context, string) ([]byte, error) { return r.value, nil }
 
-// FuzzLeaseRow feeds a lease machine any row. Another's row gives no authority.
+// FuzzLeaseRow has a lease machine read an arbitrary row. A read alone must not make it hold
+// the lease.
 func FuzzLeaseRow(f *testing.F) {
 	f.Add([]byte(`{"holder":"other","epoch":3,"write_id":"w"}`))
 	f.Add([]byte(`{"epoch":-9223372036854775808}`))
@@ -50,13 +51,13 @@
 		machine.Tick(0)
 		machine.OnRead(0, row, 1)
 		if _, held := machine.Held(time.Millisecond); held {
-			t.Errorf("the row %s gave authority without a write", data)
+			t.Errorf("the row %s made it hold the lease without a write", data)
 		}
 		machine.Tick(10 * time.Second)
 	})
 }
 
-// FuzzDocumentRows reads the rows of orders, plans and configurations.
+// FuzzDocumentRows decodes and encodes the rows of orders, plans and configurations.
 func FuzzDocumentRows(f *testing.F) {
 	f.Add([]byte(`{"id":"o","engine":"e","epoch":3,"want":{"model":"m","role":"mixed"},"state":"open"}`))
 	f.Add([]byte(`{"id":"p","state":"confirmed","steps":[{"kind":"drain","engine":"e"}],"source":"bmFtZQ=="}`))
@@ -79,7 +80,7 @@
 	})
 }
 
-// FuzzVersionRow reads the log of versions from any rows.
+// FuzzVersionRow reads the version log from arbitrary rows.
 func FuzzVersionRow(f *testing.F) {
 	f.Add([]byte(`{"version":1,"intent":1,"write_id":"w","document":{"version":1}}`))
 	f.Add([]byte(`{"version":-5}`))
@@ -96,8 +97,8 @@
 	})
 }
 
-// FuzzClaimRow repeats a keyed call whose claim is any row: the call must not
-// run, but over a row that says it is free.
+// FuzzClaimRow repeats a call with an idempotency key whose claim row is arbitrary.
+// The call must not run: only a free row permits that, and commits of the claim fail.
 func FuzzClaimRow(f *testing.F) {
 	call := service.Call{Method: "POST", Path: "/bales/certificates", Body: []byte("{}")}
 	sum := idempotency.Checksum(call)
