--- a/internal/fanout/pace.go
+++ b/internal/fanout/pace.go
@@ -56,7 +56,7 @@
 func (p *Pacer) MarkChanged() { p.changed = true }
 
 // Next returns what is to be sent now, and the time until the next call. Relays is whether the
-// instance passes reports on as a hub, and receivesBatches whether batches reach it. Urgent
+// instance relays reports as a hub, and receivesBatches whether batches reach it. Urgent
 // changes shorten the intervals to urgentGap.
 func (p *Pacer) Next(now time.Duration, relays, receivesBatches, urgent bool) (Due, time.Duration) {
 	p.urgent = p.urgent || urgent
--- a/internal/fanout/roster.go
+++ b/internal/fanout/roster.go
@@ -1,13 +1,13 @@
 // Package fanout decides how the reports of many instances reach all others at a
 // cost that does not grow with the square of their number. In each zone the instance
-// that ranks first, the hub, receives the reports of all others and passes them on in
+// that ranks first, the hub, receives the reports of all others and relays them in
 // batches. It also sends a summary of its zone to the hubs of the other zones. All
 // instances compute the same ranks, from the bandwidth of the links and a hash of the
 // names, so they need not agree on a hub. The instance that ranks second receives the
-// reports too, and passes them on when the first one is silent.
+// reports too, and relays them when the first one is silent.
 //
-// Its inputs are the reports, batches and signs of life that an instance receives, and
-// its outputs say what to send to which instances. The package does no I/O and reads no
+// Its inputs are the reports and batches that an instance receives and the times at
+// which it saw other instances alive; its outputs say what to send to which instances. The package does no I/O and reads no
 // clock: callers pass times on the instance's monotonic clock. Package peers does the
 // sending and receiving.
 package fanout
@@ -29,7 +29,7 @@
 const hashBits = 58
 
 // IDOf returns the ID of an instance with a name, whose link carries linkMbps Mbit/s. An instance with
-// twice the bandwidth ranks higher whatever the names, because passing reports on needs more
+// twice the bandwidth ranks higher whatever the names, because relaying reports needs more
 // bandwidth than anything else that an instance does.
 func IDOf(name string, linkMbps float64) ID {
 	class := bits.Len64(uint64(max(0, linkMbps))) // 0 to 63
@@ -38,11 +38,11 @@
 
 // Times of the roster.
 const (
-	// aliveFor is how long an instance counts as alive after its last sign of life: three
+	// aliveFor is how long an instance counts as alive after it was last seen: three
 	// reports of an instance without changes may be lost.
 	aliveFor = 1700 * time.Millisecond
 	// takeoverAfter is how long no batch must have come from the instances that rank higher
-	// until the next in rank passes reports on: three batches may be lost.
+	// until the next in rank relays reports: three batches may be lost.
 	takeoverAfter = 350 * time.Millisecond
 	// relayingFor is how long after its last batch a sender of batches gets this
 	// instance's reports, whatever its rank.
@@ -63,7 +63,7 @@
 
 // member is another instance of the zone.
 type member struct {
-	seenAt time.Duration // last sign of life
+	seenAt time.Duration // when it was last seen alive
 	// batchAt is when its last batch came; sentBatch is whether any came.
 	batchAt   time.Duration
 	sentBatch bool
@@ -83,7 +83,7 @@
 	return m
 }
 
-// MarkAlive records a sign of life of an instance of the zone.
+// MarkAlive records that an instance of the zone was seen alive.
 func (r *Roster) MarkAlive(id ID, now time.Duration) {
 	if id != r.self {
 		r.member(id).seenAt = now
@@ -91,7 +91,7 @@
 }
 
 // Introduce adds an instance of the zone that another one named. It counts as alive for aliveFor,
-// within which it should give a sign of life itself.
+// within which a message from it should arrive.
 func (r *Roster) Introduce(id ID, now time.Duration) {
 	if _, ok := r.members[id]; !ok {
 		r.MarkAlive(id, now)
@@ -116,7 +116,7 @@
 // KnownCount returns the number of instances in the roster, including this one.
 func (r *Roster) KnownCount() int { return len(r.members) + 1 }
 
-// Alive reports whether an instance gave a sign of life within aliveFor.
+// Alive reports whether an instance was seen within aliveFor.
 func (r *Roster) Alive(id ID, now time.Duration) bool {
 	m, ok := r.members[id]
 	return id == r.self || ok && now-m.seenAt <= aliveFor
@@ -133,7 +133,7 @@
 	return rank
 }
 
-// IsHub reports whether this instance is to pass reports on. It is if no live instance ranks
+// IsHub reports whether this instance is to relay reports as the hub. It is if no live instance ranks
 // before it, or if those that do have sent no batch for takeoverAfter times their number.
 func (r *Roster) IsHub(now time.Duration) bool {
 	rank := r.Rank(now)
--- a/internal/fanout/roster_test.go
+++ b/internal/fanout/roster_test.go
@@ -28,7 +28,7 @@
 }
 
 // TestFastLinksRankFirst guards against a hub with a slow link. Of a zone's 23 instances two have links
-// of 200 Mbit/s and the others of 10 Mbit/s, and the one that ranks first passes all reports on.
+// of 200 Mbit/s and the others of 10 Mbit/s, and the one that ranks first relays all reports.
 func TestFastLinksRankFirst(t *testing.T) {
 	for fast := range 100 {
 		for slow := range 21 {
@@ -46,12 +46,12 @@
 	}
 }
 
-func TestFirstInRankPassesReportsOn(t *testing.T) {
+func TestFirstInRankIsHub(t *testing.T) {
 	ids := ranked(5)
 	for i, id := range ids {
 		r := rosterOf(id, ids, 0)
 		if r.Rank(0) != i || r.IsHub(0) != (i == 0) {
-			t.Errorf("rank %d: got rank %d, passes reports on %t", i, r.Rank(0), r.IsHub(0))
+			t.Errorf("rank %d: got rank %d, is hub %t", i, r.Rank(0), r.IsHub(0))
 		}
 	}
 }
@@ -66,11 +66,11 @@
 		}
 		takeover := time.Second + time.Duration(rank)*takeoverAfter
 		if r.IsHub(takeover) || !r.IsHub(takeover+time.Millisecond) {
-			t.Errorf("rank %d passes reports on %t at %s, then %t", rank, r.IsHub(takeover), takeover, r.IsHub(takeover+time.Millisecond))
+			t.Errorf("rank %d is hub %t at %s, then %t", rank, r.IsHub(takeover), takeover, r.IsHub(takeover+time.Millisecond))
 		}
 		r.BatchReceived(ids[0], takeover+2*time.Millisecond)
 		if r.IsHub(takeover + 3*time.Millisecond) {
-			t.Errorf("rank %d still passes reports on though the first is back", rank)
+			t.Errorf("rank %d is still hub though the first is back", rank)
 		}
 	}
 }
--- a/internal/peers/members.go
+++ b/internal/peers/members.go
@@ -28,7 +28,7 @@
 		e.log.Info("peers: new peer", "peer", p.Name, "address", p.Address, "known", len(e.peers))
 	}
 	if p.Name != "" && peer.Peer != p {
-		e.forgetID(peer)
+		e.removeByID(peer)
 		peer.Peer = p
 		peer.source = sourceOf(p.ID())
 		e.byID[p.ID()] = peer
@@ -68,7 +68,7 @@
 
 // countRetention is how long a count is kept after the number of instances fell. Instances that
 // are cut off from this one still use their share of the common budgets.
-const countRetention = forgetAfter
+const countRetention = removeAfter
 
 // recentPeak is the highest of the values of the last countRetention.
 type recentPeak struct {
@@ -136,36 +136,36 @@
 	return names
 }
 
-// sweep removes the peers that have been silent for longer than forgetAfter, except the seeds.
+// sweep removes the peers that have been silent for longer than removeAfter, except the seeds.
 func (e *Exchange) sweep() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.now()
 	for address, peer := range e.peers {
 		silent := now - max(peer.lastSeen, peer.addedAt)
-		if silent <= forgetAfter || slices.Contains(e.seeds, address) {
+		if silent <= removeAfter || slices.Contains(e.seeds, address) {
 			continue
 		}
-		e.forget(peer)
+		e.removePeer(peer)
 		e.log.Info("peers: silent peer removed", "peer", peer.Name, "address", address, "silent", silent)
 	}
 	for zone, z := range e.zones {
-		if now-z.at > forgetAfter {
+		if now-z.at > removeAfter {
 			delete(e.zones, zone)
 		}
 	}
 	e.recentCount.note(e.currentCount(now), now)
 }
 
-// forget removes a peer. The lock is held.
-func (e *Exchange) forget(peer *peerState) {
+// removePeer removes a peer. The lock is held.
+func (e *Exchange) removePeer(peer *peerState) {
 	delete(e.peers, peer.Address)
-	e.forgetID(peer)
+	e.removeByID(peer)
 }
 
-// forgetID removes what is stored under a peer's ID, which depends on its name and link. The lock
+// removeByID removes what is stored under a peer's ID, which depends on its name and link. The lock
 // is held.
-func (e *Exchange) forgetID(peer *peerState) {
+func (e *Exchange) removeByID(peer *peerState) {
 	id := peer.ID()
 	if e.byID[id] == peer {
 		delete(e.byID, id)
@@ -197,7 +197,7 @@
 	return list
 }
 
-// isAlive reports whether a peer gave a sign of life recently or is new. The lock is held.
+// isAlive reports whether a peer was seen alive recently or is new. The lock is held.
 func (e *Exchange) isAlive(peer *peerState, now time.Duration) bool {
 	if peer.Zone == e.self.Zone {
 		return e.roster.Alive(peer.ID(), now)
@@ -205,8 +205,8 @@
 	return peer.failures == 0 && now-max(peer.lastSeen, peer.addedAt) <= otherZoneAliveTimeout
 }
 
-// otherZoneAliveTimeout is how long a peer of another zone counts as alive after its last sign of
-// life. Only its own zone receives its reports often.
+// otherZoneAliveTimeout is how long a peer of another zone counts as alive after it was last
+// seen. Only its own zone receives its reports often.
 const otherZoneAliveTimeout = 5 * time.Second
 
 // otherSeeds returns the addresses of the seeds other than this instance. The lock is held.
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -64,8 +64,8 @@
 const (
 	// callTimeout bounds each call. A round trip between zones takes 2 ms.
 	callTimeout = 500 * time.Millisecond
-	// forgetAfter is how long a peer may be silent before it is removed.
-	forgetAfter = 30 * time.Second
+	// removeAfter is how long a peer may be silent before it is removed.
+	removeAfter = 30 * time.Second
 	// statusTimeout is how long a received status counts: who follows the store, which hubs there
 	// are and which revisions others have.
 	statusTimeout = 1700 * time.Millisecond
@@ -81,7 +81,7 @@
 	client        sfv1connect.ReplicaServiceClient
 	failures      int
 	excludedUntil time.Duration
-	// addedAt is when the peer became known, lastSeen when it last gave a sign of life.
+	// addedAt is when the peer became known, lastSeen when it was last seen alive.
 	addedAt, lastSeen time.Duration
 	// reading is whether the peer reported at readingAt that it follows the store.
 	reading   bool
