--- a/internal/entry/overload_bench_test.go
+++ b/internal/entry/overload_bench_test.go
@@ -22,8 +22,8 @@
 	rate     float64
 	length   time.Duration
 	attempts int
-	// patience is how long a caller waits for the first token of an attempt.
-	patience time.Duration
+	// waitBudget is how long a caller waits for the first token of an attempt.
+	waitBudget time.Duration
 	// obey makes callers wait for the time in Retry-After; otherwise they retry after 50 ms.
 	obey   bool
 	prompt int // tokens, different in each request
@@ -71,7 +71,7 @@
 	chat := testcaller.Chat{
 		Model: modelName, MaxTokens: a.answer, Seed: 1,
 		Prompt: strings.Repeat(unique+" ", a.prompt*4/(len(unique)+1)),
-		Header: http.Header{callerapi.HeaderDeadline: {strconv.FormatInt(a.patience.Milliseconds(), 10)}},
+		Header: http.Header{callerapi.HeaderDeadline: {strconv.FormatInt(a.waitBudget.Milliseconds(), 10)}},
 	}
 	r, started := record{}, time.Now()
 	for r.attempts < a.attempts && !r.complete {
@@ -100,7 +100,7 @@
 func (a arrivals) attempt(ctx context.Context, caller *testcaller.Caller, entry string, chat testcaller.Chat) (testcaller.Answer, time.Time) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	timer := time.AfterFunc(a.patience, cancel)
+	timer := time.AfterFunc(a.waitBudget, cancel)
 	var first time.Time
 	answer, err := caller.Stream(ctx, entry, chat, func(string, string) {
 		if first.IsZero() {
@@ -174,7 +174,7 @@
 			for _, e := range fleet.Engines {
 				setFaults(ctx, b, e, testservers.EngineFaults{ReportLagMs: mode.lag})
 			}
-			load := arrivals{rate: 32, length: 15 * time.Second, attempts: 1, patience: time.Second, prompt: 500, answer: 20}
+			load := arrivals{rate: 32, length: 15 * time.Second, attempts: 1, waitBudget: time.Second, prompt: 500, answer: 20}
 			for b.Loop() {
 				records := load.run(ctx, fleet, mode.seed, func(int) {})
 				var firsts, refusals []time.Duration
@@ -184,7 +184,7 @@
 						firsts = append(firsts, r.firstToken)
 					}
 				}
-				b.ReportMetric(goodput(records, 0, load.length, load.patience), "good/s")
+				b.ReportMetric(goodput(records, 0, load.length, load.waitBudget), "good/s")
 				b.ReportMetric(quantile(firsts, 0.5), "p50-first-ms")
 				b.ReportMetric(quantile(firsts, 0.99), "p99-first-ms")
 				b.ReportMetric(quantile(refusals, 0.99), "p99-refusal-ms")
@@ -228,7 +228,7 @@
 				instances: 2, engines: 4, entryTables: mode.tables,
 				engineFlags: []string{"--prefill-rate", "4000", "--decode-rate", "100"},
 			})
-			load := arrivals{rate: 16, length: stormEnd, attempts: 5, patience: time.Second, obey: mode.obey, prompt: 500, answer: 20}
+			load := arrivals{rate: 16, length: stormEnd, attempts: 5, waitBudget: time.Second, obey: mode.obey, prompt: 500, answer: 20}
 			for b.Loop() {
 				records := load.run(ctx, fleet, 5, func(second int) {
 					at := time.Duration(second) * time.Second
--- a/internal/entry/resume.go
+++ b/internal/entry/resume.go
@@ -45,7 +45,7 @@
 
 // binding returns the checksum of the organisation and the request's parameters.
 func (c *completion) binding() string {
-	asked, err := json.Marshal(struct {
+	parameters, err := json.Marshal(struct {
 		Organisation, Model, Prompt string
 		MaxTokens                   int
 		Sampling                    engine.Sampling
@@ -53,6 +53,6 @@
 	if err != nil {
 		return "" // plain data always marshals
 	}
-	sum := sha256.Sum256(asked)
+	sum := sha256.Sum256(parameters)
 	return hex.EncodeToString(sum[:8])
 }
--- a/internal/placement/costs.go
+++ b/internal/placement/costs.go
@@ -34,7 +34,7 @@
 	// tokens of its other requests.
 	DirectSlowdown float64
 	// DirectBelow is the number of prompt tokens below which a decode engine may also process the prompt.
-	// Longer prompts stall the streams on that engine: trials with them lost 0.1 to 0.6 of the worth.
+	// Longer prompts stall the streams on that engine, which loses 0.1 to 0.6 of the worth.
 	DirectBelow int
 	// BackupBelow is the number of prompt tokens below which a run that must not be repeated is copied to a
 	// second engine while it proceeds. Copying a longer one costs more memory and transfer than the saved
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -72,8 +72,8 @@
 	// Engine is nil for an upstream of a plain service.
 	Engine *config.Engine
 	Load   *load.Upstream
-	// Suspect is set when the engine's reports are overdue, or another instance could not reach the
-	// upstream.
+	// Suspect is set when the upstream may be unavailable: the engine's reports are overdue (see
+	// load.Table.Silent), or another instance could not reach the upstream.
 	Suspect bool
 	// Limited is set when the upstream limits the requests that it accepts, Exhausted when its limit is used
 	// up at present.
--- a/internal/placement/queue_order.go
+++ b/internal/placement/queue_order.go
@@ -26,8 +26,8 @@
 // processed within a share T of the callers' wait time, the other prompts may use the share 1-L/T of the
 // engine. The draw is uniform in [0, 1).
 //
-// During a surge, deferring gets more answers on time: 0.01 to 0.03 of a day's worth, in trials with and
-// without it on three days of docs/NEW-CUSTOMER.md.
+// During a surge, deferring gets more answers on time. On three days of docs/NEW-CUSTOMER.md it gained 0.01
+// to 0.03 of a day's worth.
 func (c Costs) QueueOrder(req *Request, p Prefill, draw float64) QueueOrder {
 	load := p.Engine.Aggregate
 	slack := req.Objective - c.Overhead - c.HandOver - p.BusyTime
--- a/internal/relay/quarantine.go
+++ b/internal/relay/quarantine.go
@@ -15,7 +15,8 @@
 	"sassafrasfield/internal/upstreamstate"
 )
 
-// errQuarantined: the request's content is quarantined, so that no upstream may receive it.
+// errQuarantined: the request's content is quarantined because upstreams crashed while serving it, so that no
+// upstream may receive it.
 var errQuarantined = errors.New("relay: upstreams ended under its content")
 
 // Timing of the check whether an upstream has crashed. The check is repeated until it has a result,
--- a/internal/roles/balance.go
+++ b/internal/roles/balance.go
@@ -42,10 +42,10 @@
 	MaxPrefillDecrease, MaxPrefillIncrease float64
 }
 
-// DefaultSplitPolicy returns the defaults, without the measured fields. WaitWeight
-// was chosen from runs of four mixes of prompts and answers, each with seven fixed
-// splits (docs/measurements/platform.md). MinGain, EvidenceThreshold and
-// SmoothingTime were chosen so that swings of about ten seconds are ignored:
+// DefaultSplitPolicy returns the defaults, without the fields that are measured at
+// run time. WaitWeight suits four mixes of prompts and answers, compared at seven
+// fixed splits each (docs/measurements/platform.md). With MinGain,
+// EvidenceThreshold and SmoothingTime, swings of about ten seconds are ignored:
 // following them costs more than it gains (docs/NEW-CUSTOMER.md).
 func DefaultSplitPolicy() SplitPolicy {
 	return SplitPolicy{
