--- a/internal/idempotency/faults_test.go
+++ b/internal/idempotency/faults_test.go
@@ -15,27 +15,27 @@
 	"sassafrasfield/internal/service"
 )
 
-// faultyTable is one row with drawn faults. Its checks are never stale.
+// faultyTable is a table of one row with randomly drawn faults. Its revision checks are never stale.
 type faultyTable struct {
 	platform.Objects
 	mu       sync.Mutex // protects all below
 	faults   []int
 	history  []platform.Row // newest last; Revision is the index plus 1
-	late     []platform.Txn
+	delayed  []platform.Txn
 	reliable bool
 }
 
-// Faults of a call.
+// Faults of a call to the table.
 const (
 	faultNone = iota
 	faultUnavailable
 	faultLostRequest
 	faultLostReply
-	faultLate
+	faultDelayed
 	faults
 )
 
-func (f *faultyTable) fault() int {
+func (f *faultyTable) nextFault() int {
 	if f.reliable || len(f.faults) == 0 {
 		return faultNone
 	}
@@ -56,10 +56,10 @@
 func (f *faultyTable) Commit(_ context.Context, txn platform.Txn) (int64, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	fault := f.fault()
-	if fault != faultLate && len(f.late) > 0 {
-		_, _ = f.apply(f.late[0]) // nobody waits for its reply
-		f.late = f.late[1:]
+	fault := f.nextFault()
+	if fault != faultDelayed && len(f.delayed) > 0 {
+		_, _ = f.apply(f.delayed[0]) // its caller has already got ErrUnknown
+		f.delayed = f.delayed[1:]
 	}
 	switch fault {
 	case faultUnavailable:
@@ -67,20 +67,21 @@
 	case faultLostRequest:
 		return 0, platform.ErrUnknown
 	case faultLostReply:
-		_, _ = f.apply(txn) // its outcome is lost
+		_, _ = f.apply(txn) // the reply is lost
 		return 0, platform.ErrUnknown
-	case faultLate:
-		f.late = append(f.late, txn)
+	case faultDelayed:
+		f.delayed = append(f.delayed, txn)
 		return 0, platform.ErrUnknown
 	}
 	return f.apply(txn)
 }
 
-// Get returns the newest row, or one that is older by the drawn fault.
+// Get returns the newest row, or a stale one: the value of the drawn fault is the number of revisions by
+// which the row is older.
 func (f *faultyTable) Get(context.Context, string) (platform.Row, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	fault := f.fault()
+	fault := f.nextFault()
 	if fault == faultUnavailable {
 		return platform.Row{}, platform.ErrUnavailable
 	}
@@ -92,24 +93,24 @@
 
 func (f *faultyTable) List(context.Context, string) ([]platform.Row, error) { return nil, nil }
 
-// TestAnyFaults repeats one call on two instances while each call to the table
-// meets a drawn fault. It runs once at most, each answer is that run's, and "not
-// run" is true of the call that is told so.
-func TestAnyFaults(t *testing.T) {
+// TestKeyedCallUnderTableFaults repeats one call on two instances while calls to the table have random
+// faults. It checks that the call runs at most once, that each answer is the answer of that run, and that a
+// call which gets ErrNotRun has not run.
+func TestKeyedCallUnderTableFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		table := &faultyTable{faults: rapid.SliceOfN(rapid.IntRange(0, faults-1), 0, 40).Draw(rt, "faults")}
-		ends := rapid.SliceOfN(rapid.SampledFrom([]error{nil, service.ErrNotRun, service.ErrUnknown}), 8, 8).Draw(rt, "ends")
+		outcomes := rapid.SliceOfN(rapid.SampledFrom([]error{nil, service.ErrNotRun, service.ErrUnknown}), 8, 8).Draw(rt, "ends")
 		failure := ""
-		synctest.Test(t, func(*testing.T) { failure = repeatCalls(table, ends) })
+		synctest.Test(t, func(*testing.T) { failure = repeatCallsUnderFaults(table, outcomes) })
 		if failure != "" {
 			rt.Fatal(failure)
 		}
 	})
 }
 
-// repeatCalls makes a call once for each end that a run of it would have, and
-// returns what was wrong.
-func repeatCalls(table *faultyTable, ends []error) string {
+// repeatCallsUnderFaults repeats a call once for each outcome that a run of it would have. It returns a
+// description of the first violation, or an empty string.
+func repeatCallsUnderFaults(table *faultyTable, outcomes []error) string {
 	runners := []*Runner{
 		New(table, Default(), "inst-1", slog.New(slog.DiscardHandler)),
 		New(table, Default(), "inst-2", slog.New(slog.DiscardHandler)),
@@ -117,20 +118,20 @@
 	defer runners[0].Wait()
 	defer runners[1].Wait()
 	runs, answer := 0, ""
-	for n, end := range ends {
-		if n == len(ends)-1 {
+	for n, outcome := range outcomes {
+		if n == len(outcomes)-1 {
 			runners[0].Wait()
 			runners[1].Wait()
 			table.reliable = true
 		}
 		before := runs
 		got, err := runners[n%2].Do(context.Background(), "claim/k", certificate, func(context.Context) (service.Answer, error) {
-			if errors.Is(end, service.ErrNotRun) {
-				return service.Answer{}, end
+			if errors.Is(outcome, service.ErrNotRun) {
+				return service.Answer{}, outcome
 			}
 			runs++
 			answer = fmt.Sprintf("run %d", runs)
-			return service.Answer{Body: []byte(answer)}, end
+			return service.Answer{Body: []byte(answer)}, outcome
 		})
 		switch {
 		case runs > 1:
@@ -138,7 +139,7 @@
 		case err == nil && string(got.Body) != answer:
 			return fmt.Sprintf("call %d: answer %q, want %q", n, got.Body, answer)
 		case errors.Is(err, ErrNotRun) && runs != before:
-			return fmt.Sprintf("call %d ran and was told not run", n)
+			return fmt.Sprintf("call %d ran and got ErrNotRun", n)
 		case errors.Is(err, ErrMismatch):
 			return fmt.Sprintf("call %d: %v", n, err)
 		}
--- a/internal/idempotency/idempotency.go
+++ b/internal/idempotency/idempotency.go
@@ -1,8 +1,8 @@
-// Package idempotency runs a keyed call to a plain service at most once over all
-// instances: a claim row in the table before the call is sent, and the answer
-// kept with it. A repeat on any instance gets the kept answer, or the truth:
-// in progress, or unknown. Only the process whose own write created the row
-// ever runs the call.
+// Package idempotency runs a call with an idempotency key to a plain service at most once across all
+// instances. A runner writes a claim row to the table before the call is sent, and stores the answer with
+// the row. A repeat of the call on any instance gets the stored answer, or an error that says whether the
+// call is in progress or its outcome is unknown. Only the process whose own write created the claim runs
+// the call.
 package idempotency
 
 import (
@@ -22,19 +22,19 @@
 	"sassafrasfield/internal/service"
 )
 
-// Errors of a keyed call. Compare with errors.Is.
+// Errors of a call with an idempotency key. Compare with errors.Is.
 var (
-	// ErrNotRun: this call did not run; the caller may try again.
+	// ErrNotRun means that this call did not run. The caller may retry it.
 	ErrNotRun = errors.New("once: not run")
-	// ErrUnknown: the call may have run, and nobody will ever know more.
+	// ErrUnknown means that the call may have run, and that its outcome cannot be determined.
 	ErrUnknown = errors.New("once: outcome unknown")
-	// ErrInProgress: the key is claimed, and no answer can be read yet.
-	ErrInProgress = errors.New("once: claimed and not answered")
-	// ErrMismatch: the key was used with another call before.
-	ErrMismatch = errors.New("once: the key belongs to another call")
+	// ErrInProgress means that the key is claimed and that no answer can be read yet.
+	ErrInProgress = errors.New("once: claimed and not answered yet")
+	// ErrMismatch means that the key was used with a different call before.
+	ErrMismatch = errors.New("once: key was used with another call")
 )
 
-// Points at which a process test can end the process, in their order.
+// Failpoints at which a process test can kill the process, in the order in which they are reached.
 const (
 	PointBeforeClaim = "once.before_claim"
 	PointClaimed     = "once.claimed"
@@ -43,36 +43,36 @@
 	PointStored      = "once.kept"
 )
 
-// Store is the part of the platform that keyed calls need.
+// Store is the part of the platform that a Runner uses.
 type Store interface {
 	platform.Table
 	platform.Objects
 }
 
-// Runner runs keyed calls. It is safe for use by several goroutines.
+// Runner runs calls with an idempotency key. It is safe for concurrent use.
 type Runner struct {
-	store    Store
-	settings Settings
-	holder   string
-	log      *slog.Logger
-	start    time.Time
-	keeping  sync.WaitGroup
-
-	mu    sync.Mutex // protects watch
-	watch *watch
+	store      Store
+	settings   Settings
+	holder     string
+	log        *slog.Logger
+	start      time.Time
+	background sync.WaitGroup
+
+	mu         sync.Mutex // protects unanswered
+	unanswered *claimWatch
 }
 
-// New returns a runner; holder names the instance in its claims.
+// New returns a runner. The holder is the id of this instance and is written to its claims.
 func New(store Store, settings Settings, holder string, log *slog.Logger) *Runner {
 	return &Runner{
 		store: store, settings: settings, holder: holder, log: log,
-		start: time.Now(), watch: newWatch(settings.SettleAfter),
+		start: time.Now(), unanswered: newClaimWatch(settings.SettleAfter),
 	}
 }
 
-// Do runs the call with run, unless the key was claimed before. Run's errors
-// are service.ErrNotRun and service.ErrUnknown. The call goes on when the
-// caller leaves, so that a repeat finds its answer.
+// Do runs the call with run, unless the key was claimed before. The errors of run are service.ErrNotRun
+// and service.ErrUnknown. The call continues after the caller disconnects, so that a repeat finds its
+// answer.
 func (r *Runner) Do(ctx context.Context, key string, call service.Call, run func(context.Context) (service.Answer, error)) (service.Answer, error) {
 	ctx = context.WithoutCancel(ctx)
 	claim := Row{
@@ -82,9 +82,9 @@
 	failpoint.Hit(PointBeforeClaim)
 	revision, err := r.claim(ctx, key, claim, 0)
 	if errors.Is(err, platform.ErrConflict) {
-		row, base, readErr := r.found(ctx, key)
+		row, base, readErr := r.readWithTimeout(ctx, key)
 		if readErr != nil || row.State != StateFree {
-			return r.repeat(ctx, key, claim, row, base, readErr)
+			return r.answerRepeat(ctx, key, claim, row, base, readErr)
 		}
 		revision, err = r.claim(ctx, key, claim, base)
 		if errors.Is(err, platform.ErrConflict) {
@@ -99,17 +99,17 @@
 		WroteRequest: func(httptrace.WroteRequestInfo) { failpoint.Hit(PointSent) },
 	}))
 	failpoint.Hit(PointAnswered)
-	return r.finish(ctx, key, claim, revision, answer, err)
+	return r.recordOutcome(ctx, key, claim, revision, answer, err)
 }
 
-// Wait returns when no answer is on its way to the table any more.
+// Wait blocks until all background writes to the table have finished.
 func (r *Runner) Wait() {
-	r.keeping.Wait()
+	r.background.Wait()
 }
 
-// claim writes the claim over the free row of the base revision, or over none
-// at 0, and returns its revision. ErrConflict means that a row is there which
-// is not surely this claim; any other error that the call must not run.
+// claim writes the claim over the free row at the base revision and returns the new revision. With base 0
+// no row may exist. ErrConflict means that a row exists which may not be this claim. Any other error means
+// that the call must not run.
 func (r *Runner) claim(ctx context.Context, key string, claim Row, base int64) (int64, error) {
 	bounded, cancel := context.WithTimeout(ctx, r.settings.ClaimTimeout)
 	defer cancel()
@@ -117,22 +117,22 @@
 	if !errors.Is(err, platform.ErrUnknown) {
 		return revision, err
 	}
-	// A read could be stale; the check of the same claim again is not.
+	// A read could be stale, but the revision check of a second write of the same claim is not.
 	revision, err = r.write(bounded, key, base, claim)
 	if errors.Is(err, platform.ErrConflict) {
-		revision, err = r.own(bounded, key, claim, base)
+		revision, err = r.awaitOwnRow(bounded, key, claim, base)
 	}
 	if errors.Is(err, platform.ErrUnknown) || errors.Is(err, platform.ErrUnavailable) {
-		r.inBackground(ctx, key, func(ctx context.Context) error { return r.withdraw(ctx, key, claim, base) })
+		r.runInBackground(ctx, key, func(ctx context.Context) error { return r.withdraw(ctx, key, claim, base) })
 	}
 	return revision, err
 }
 
-// own returns the revision of this claim's row, after a check said that a row
-// newer than base is there. A read that does not show it yet is stale, and is
-// done again until the context ends; that is ErrUnknown.
-func (r *Runner) own(ctx context.Context, key string, claim Row, base int64) (int64, error) {
-	for wait := firstWait; pause.For(ctx, wait); wait *= 2 {
+// awaitOwnRow returns the revision of this claim's row, after a revision check has shown that a row newer
+// than base exists. A read that does not return a newer row is stale and is retried until the context ends;
+// then the error is ErrUnknown. If another claim holds the key, the error is ErrConflict.
+func (r *Runner) awaitOwnRow(ctx context.Context, key string, claim Row, base int64) (int64, error) {
+	for wait := initialBackoff; pause.For(ctx, wait); wait *= 2 {
 		row, revision, err := r.read(ctx, key)
 		if err != nil || revision <= base {
 			continue
@@ -142,24 +142,23 @@
 		}
 		return 0, platform.ErrConflict
 	}
-	return 0, errors.WithMessage(platform.ErrUnknown, "the claim is not to be read yet")
+	return 0, errors.WithMessage(platform.ErrUnknown, "the claim cannot be read yet")
 }
 
-// found reads the row of a key that was claimed before.
-func (r *Runner) found(ctx context.Context, key string) (Row, int64, error) {
+// readWithTimeout reads the row of a key that was claimed before, within ClaimTimeout.
+func (r *Runner) readWithTimeout(ctx context.Context, key string) (Row, int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, r.settings.ClaimTimeout)
 	defer cancel()
 	return r.read(ctx, key)
 }
 
-// repeat answers a call whose key has a row already, as far as it could be
-// read. It never runs the call.
-func (r *Runner) repeat(ctx context.Context, key string, claim, row Row, revision int64, readErr error) (service.Answer, error) {
+// answerRepeat answers a call whose key already has a row. A non-nil readErr means that the row could not
+// be read. It never runs the call.
+func (r *Runner) answerRepeat(ctx context.Context, key string, claim, row Row, revision int64, readErr error) (service.Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, r.settings.ClaimTimeout)
 	defer cancel()
 	if readErr != nil {
-		// The row is there: the commit's check said so. The read is stale, or
-		// did not come through.
+		// The revision check of the commit has shown that the row exists. The read was stale or failed.
 		return service.Answer{}, errors.WithMessage(ErrInProgress, readErr.Error())
 	}
 	if row.Call != claim.Call {
@@ -167,16 +166,16 @@
 	}
 	switch row.State {
 	case StateAnswered:
-		return r.kept(ctx, row)
+		return r.storedAnswer(ctx, row)
 	case StateUnknown:
 		return service.Answer{}, ErrUnknown
 	default:
-		return service.Answer{}, r.unanswered(ctx, key, row, revision)
+		return service.Answer{}, r.settleIfOverdue(ctx, key, row, revision)
 	}
 }
 
-// kept returns the answer that a row holds or names.
-func (r *Runner) kept(ctx context.Context, row Row) (service.Answer, error) {
+// storedAnswer returns the answer in the row, or in the object that the row names.
+func (r *Runner) storedAnswer(ctx context.Context, row Row) (service.Answer, error) {
 	if row.Answer != nil {
 		return *row.Answer, nil
 	}
@@ -194,10 +193,11 @@
 	return answer, nil
 }
 
-// unanswered settles a claim that this instance has seen for long.
-func (r *Runner) unanswered(ctx context.Context, key string, row Row, revision int64) error {
+// settleIfOverdue sets a claim to StateUnknown if this instance has seen it unanswered for SettleAfter. It
+// returns ErrUnknown for a claim that it has settled and ErrInProgress otherwise.
+func (r *Runner) settleIfOverdue(ctx context.Context, key string, row Row, revision int64) error {
 	r.mu.Lock()
-	overdue := r.watch.overdue(key, revision, time.Since(r.start))
+	overdue := r.unanswered.overdue(key, revision, time.Since(r.start))
 	r.mu.Unlock()
 	if !overdue {
 		return ErrInProgress
@@ -207,16 +207,16 @@
 		return errors.WithMessage(ErrInProgress, err.Error())
 	}
 	r.mu.Lock()
-	r.watch.forget(key)
+	r.unanswered.forget(key)
 	r.mu.Unlock()
-	r.log.Warn("once: a claim without an answer is settled as unknown", "key", key, "holder", row.Holder)
+	r.log.Warn("once: unanswered claim settled as unknown", "key", key, "holder", row.Holder)
 	return ErrUnknown
 }
 
 func (r *Runner) write(ctx context.Context, key string, revision int64, row Row) (int64, error) {
 	value, err := json.Marshal(row)
 	if err != nil {
-		return 0, errors.Wrap(err, "once: encode")
+		return 0, errors.Wrap(err, "once: encode row")
 	}
 	return r.store.Commit(ctx, platform.Txn{
 		Checks: []platform.Check{{Key: key, Revision: revision}},
@@ -231,7 +231,7 @@
 	}
 	var row Row
 	if err := json.Unmarshal(found.Value, &row); err != nil {
-		return Row{}, 0, errors.Wrap(err, "once: row")
+		return Row{}, 0, errors.Wrap(err, "once: decode row")
 	}
 	return row, found.Revision, nil
 }
--- a/internal/idempotency/idempotency_test.go
+++ b/internal/idempotency/idempotency_test.go
@@ -18,8 +18,8 @@
 	"sassafrasfield/internal/testservers"
 )
 
-// bench is a platform with two instances' runners, and a service that counts.
-type bench struct {
+// testBench is a platform with the runners of two instances and a service that counts its runs.
+type testBench struct {
 	platform *testservers.Platform
 	client   *platform.Client
 	first    *Runner
@@ -31,8 +31,8 @@
 
 var certificate = service.Call{Method: "POST", Path: "/bales/certificates", Body: []byte(`{"lot": 1}`)}
 
-func newBench(t *testing.T, settings Settings) *bench {
-	b := &bench{platform: testservers.NewPlatform(1), body: []byte("issued")}
+func newTestBench(t *testing.T, settings Settings) *testBench {
+	b := &testBench{platform: testservers.NewPlatform(1), body: []byte("issued")}
 	server := httptest.NewServer(b.platform.Handler())
 	t.Cleanup(server.Close)
 	b.client = platform.NewClient(strings.TrimPrefix(server.URL, "http://"), 500*time.Millisecond)
@@ -42,7 +42,7 @@
 	return b
 }
 
-func (b *bench) run(context.Context) (service.Answer, error) {
+func (b *testBench) run(context.Context) (service.Answer, error) {
 	if b.err != nil {
 		return service.Answer{}, b.err
 	}
@@ -50,12 +50,12 @@
 	return service.Answer{Status: 200, Body: b.body}, nil
 }
 
-func (b *bench) do(r *Runner) (service.Answer, error) {
+func (b *testBench) do(r *Runner) (service.Answer, error) {
 	return r.Do(context.Background(), Key("bales", "qoton", "k"), certificate, b.run)
 }
 
-// want checks a repeat's outcome and the number of runs.
-func (b *bench) want(t *testing.T, r *Runner, wanted error, runs int64) {
+// want makes the call on the runner and checks the outcome and the total number of runs.
+func (b *testBench) want(t *testing.T, r *Runner, wanted error, runs int64) {
 	t.Helper()
 	answer, err := b.do(r)
 	if !errors.Is(err, wanted) {
@@ -69,15 +69,15 @@
 	}
 }
 
-func quick() Settings {
+func shortTimeouts() Settings {
 	s := Default()
 	s.ClaimTimeout, s.KeepWait, s.KeepTimeout = 400*time.Millisecond, 400*time.Millisecond, 5*time.Second
 	return s
 }
 
-func TestRepeatGetsTheKeptAnswer(t *testing.T) {
-	for _, size := range []int{10, 100 << 10} { // in the row, in the object store
-		b := newBench(t, quick())
+func TestRepeatGetsTheStoredAnswer(t *testing.T) {
+	for _, size := range []int{10, 100 << 10} { // stored in the row, stored in the object store
+		b := newTestBench(t, shortTimeouts())
 		b.body = bytes.Repeat([]byte("x"), size)
 		b.want(t, b.first, nil, 1)
 		b.want(t, b.second, nil, 1)
@@ -85,17 +85,17 @@
 		other.Body = []byte(`{"lot": 2}`)
 		_, err := b.second.Do(context.Background(), Key("bales", "qoton", "k"), other, b.run)
 		if !errors.Is(err, ErrMismatch) {
-			t.Fatalf("another call with the key: %v", err)
+			t.Fatalf("another call with the key: error %v, want ErrMismatch", err)
 		}
 	}
 }
 
-// TestLostReplies loses the reply of each write in turn, with reads that are
-// older than the claim: the runner must find out by the table's checks.
-func TestLostReplies(t *testing.T) {
+// TestLostTableReplies loses the replies to the first one, two and three writes, also with reads that are
+// older than the claim. The runner must determine the outcome from the revision checks of the table.
+func TestLostTableReplies(t *testing.T) {
 	for _, stale := range []int{0, 150} {
 		for lost := 1; lost <= 3; lost++ {
-			b := newBench(t, quick())
+			b := newTestBench(t, shortTimeouts())
 			b.platform.SetFaults(testservers.PlatformFaults{LoseReplies: lost, LosePrefix: Prefix, StaleReadMs: stale})
 			b.want(t, b.first, nil, 1)
 			b.platform.SetFaults(testservers.PlatformFaults{})
@@ -105,36 +105,36 @@
 	}
 }
 
-// TestStaleRepeatIsInProgress: a row that a read does not show yet was claimed
-// all the same, so "not run" would be false.
-func TestStaleRepeatIsInProgress(t *testing.T) {
-	b := newBench(t, quick())
+// TestRepeatWithStaleReadIsInProgress checks that a repeat gets ErrInProgress if its read does not return the
+// row yet. The key is claimed, so ErrNotRun would be wrong.
+func TestRepeatWithStaleReadIsInProgress(t *testing.T) {
+	b := newTestBench(t, shortTimeouts())
 	b.want(t, b.first, nil, 1)
 	b.platform.SetFaults(testservers.PlatformFaults{StaleReadMs: 60000})
 	b.want(t, b.second, ErrInProgress, 1)
 }
 
-func TestTableOutage(t *testing.T) {
+func TestTableOutageRefusesTheCall(t *testing.T) {
 	for _, faults := range []testservers.PlatformFaults{{Down: true}, {Stall: true}} {
-		b := newBench(t, quick())
+		b := newTestBench(t, shortTimeouts())
 		b.platform.SetFaults(faults)
 		b.want(t, b.first, ErrNotRun, 0)
-		// What stalled takes effect now, and is withdrawn.
+		// The stalled claim takes effect now and is withdrawn.
 		b.platform.SetFaults(testservers.PlatformFaults{})
 		b.first.Wait()
 		b.want(t, b.second, nil, 1)
 	}
 }
 
-// heldTable holds commits up on their way while it is told to.
-type heldTable struct {
+// delayingTable delays commits while hold is set.
+type delayingTable struct {
 	Store
 	mu   sync.Mutex // protects both below
 	hold bool
 	held []platform.Txn
 }
 
-func (h *heldTable) Commit(ctx context.Context, txn platform.Txn) (int64, error) {
+func (h *delayingTable) Commit(ctx context.Context, txn platform.Txn) (int64, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.hold {
@@ -144,21 +144,21 @@
 	return h.Store.Commit(ctx, txn)
 }
 
-// deliver lets what was held up take effect, and holds nothing up any more.
-func (h *heldTable) deliver() {
+// deliver applies the delayed commits and stops delaying.
+func (h *delayingTable) deliver() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.hold = false
 	for _, txn := range h.held {
-		_, _ = h.Store.Commit(context.Background(), txn) // nobody waits for the reply
+		_, _ = h.Store.Commit(context.Background(), txn) // its caller has already got ErrUnknown
 	}
 }
 
-// TestClaimInDoubtIsWithdrawn: the claim of a call that was told "not run"
-// takes effect later. The key is free again soon after.
-func TestClaimInDoubtIsWithdrawn(t *testing.T) {
-	b := newBench(t, quick())
-	table := &heldTable{Store: b.client, hold: true}
+// TestUnconfirmedClaimIsWithdrawn delays the claim of a call that gets ErrNotRun until after the call has
+// returned. The claim must be withdrawn, so that the key is free again.
+func TestUnconfirmedClaimIsWithdrawn(t *testing.T) {
+	b := newTestBench(t, shortTimeouts())
+	table := &delayingTable{Store: b.client, hold: true}
 	b.first.store = table
 	b.want(t, b.first, ErrNotRun, 0)
 	table.deliver()
@@ -166,10 +166,10 @@
 	b.want(t, b.second, nil, 1)
 }
 
-// TestLateClaimIsRefused: a claim that was held up on its way arrives after
-// its call was told "not run" and the key was freed.
-func TestLateClaimIsRefused(t *testing.T) {
-	b := newBench(t, quick())
+// TestDelayedClaimIsRefused checks that a delayed claim write has no effect if it arrives after its call got
+// ErrNotRun and the key was freed.
+func TestDelayedClaimIsRefused(t *testing.T) {
+	b := newTestBench(t, shortTimeouts())
 	b.err = service.ErrNotRun
 	b.want(t, b.first, ErrNotRun, 0)
 	_, err := b.client.Commit(context.Background(), platform.Txn{
@@ -177,16 +177,16 @@
 		Writes: []platform.Write{{Key: Key("bales", "qoton", "k"), Value: []byte(`{"state":"claimed"}`)}},
 	})
 	if !errors.Is(err, platform.ErrConflict) {
-		t.Fatalf("the late claim: %v", err)
+		t.Fatalf("delayed claim: error %v, want ErrConflict", err)
 	}
 	b.err = nil
 	b.want(t, b.second, nil, 1)
 }
 
-// TestOutageBeforeTheAnswerIsKept: the caller gets its answer at once, and a
-// repeat after the outage the same one.
-func TestOutageBeforeTheAnswerIsKept(t *testing.T) {
-	b := newBench(t, quick())
+// TestOutageBeforeTheAnswerIsStored checks that the caller gets its answer although the table fails while
+// the call runs, and that a repeat after the outage gets the same answer.
+func TestOutageBeforeTheAnswerIsStored(t *testing.T) {
+	b := newTestBench(t, shortTimeouts())
 	answer, err := b.first.Do(context.Background(), Key("bales", "qoton", "k"), certificate, func(ctx context.Context) (service.Answer, error) {
 		b.platform.SetFaults(testservers.PlatformFaults{Down: true})
 		return b.run(ctx)
@@ -199,10 +199,10 @@
 	b.want(t, b.second, nil, 1)
 }
 
-// TestRefusedCallReleasesTheKey: after a true "not run" the key is free, also
-// when the reply of the release is lost.
+// TestRefusedCallReleasesTheKey checks that the key is free after a call that did not run, also if the reply
+// to the release is lost.
 func TestRefusedCallReleasesTheKey(t *testing.T) {
-	b := newBench(t, quick())
+	b := newTestBench(t, shortTimeouts())
 	b.err = service.ErrNotRun
 	b.want(t, b.first, ErrNotRun, 0)
 	b.platform.SetFaults(testservers.PlatformFaults{LoseReplies: 2, LosePrefix: Prefix})
@@ -213,13 +213,13 @@
 	b.want(t, b.second, nil, 1)
 }
 
-// TestDeadRunnerIsSettled: a claim whose runner is gone is in progress at
-// first and unknown after a bound, and is never run again. A runner that was
-// only slow overrules that.
-func TestDeadRunnerIsSettled(t *testing.T) {
-	settings := quick()
+// TestClaimOfDeadRunnerIsSettled checks that a claim without an answer is in progress at first and unknown
+// after SettleAfter, and that the call is not run again. If the runner was only slow, its answer replaces
+// the unknown outcome.
+func TestClaimOfDeadRunnerIsSettled(t *testing.T) {
+	settings := shortTimeouts()
 	settings.SettleAfter = 50 * time.Millisecond
-	b := newBench(t, settings)
+	b := newTestBench(t, settings)
 	resume, done := make(chan struct{}), make(chan struct{})
 	claimed := make(chan struct{})
 	go func() {
@@ -248,8 +248,8 @@
 	b.want(t, b.second, nil, 1)
 }
 
-func TestSweepRemovesOldClaimsAlone(t *testing.T) {
-	b := newBench(t, quick())
+func TestSweepRemovesOnlyOldClaims(t *testing.T) {
+	b := newTestBench(t, shortTimeouts())
 	b.want(t, b.first, nil, 1)
 	ctx := context.Background()
 	if n, err := b.second.sweep(ctx, Prefix, time.Now()); n != 0 || err != nil {
@@ -261,8 +261,8 @@
 	b.want(t, b.second, nil, 2)
 }
 
-func TestWatchIsBounded(t *testing.T) {
-	w := newWatch(time.Second)
+func TestClaimWatchIsBounded(t *testing.T) {
+	w := newClaimWatch(time.Second)
 	for n := range 3 * watchLimit {
 		w.overdue(Key("s", "o", string(rune(n))), 1, 0)
 	}
--- a/internal/idempotency/settings.go
+++ b/internal/idempotency/settings.go
@@ -7,32 +7,34 @@
 	"sassafrasfield/internal/tomlfile"
 )
 
-// Settings of keyed calls.
+// Settings configure calls with an idempotency key.
 type Settings struct {
-	// ClaimTimeout bounds the claim, and the reading of a repeat's row. When
-	// it ends, the call is refused as not run. Default 1s.
+	// ClaimTimeout bounds the write of a claim, and the read of the row for a
+	// repeat. If the claim is not written by then, the call is refused as not
+	// run. Default 1s.
 	ClaimTimeout time.Duration `toml:"claim_timeout"`
-	// KeepWait is how long the caller waits for its answer to be kept. After
-	// it the answer goes out, and the keeping goes on. Default 250ms.
+	// KeepWait bounds how long the caller waits until its answer is stored.
+	// After it the answer is sent, and storing continues in the background.
+	// Default 250ms.
 	KeepWait time.Duration `toml:"keep_wait"`
-	// KeepTimeout bounds the keeping of one answer. Default 15s.
+	// KeepTimeout bounds the time to store one answer. Default 15s.
 	KeepTimeout time.Duration `toml:"keep_timeout"`
-	// SettleAfter is how long an instance sees a claim without an answer until
-	// it settles it as unknown. It is longer than a call and its keeping take.
-	// Default 1m.
+	// SettleAfter is how long an instance must see a claim without an answer
+	// before it sets the outcome to unknown. It must be at least the time that
+	// a call and storing its answer may take. Default 1m.
 	SettleAfter time.Duration `toml:"settle_after"`
-	// InlineBytes is the largest answer that the row itself holds; larger ones
-	// go to the object store. Default 16 KiB.
+	// InlineBytes is the size of the largest answer body that is stored in the
+	// row itself. Larger answers go to the object store. Default 16 KiB.
 	InlineBytes int `toml:"inline_bytes"`
-	// Retention is how long a claim is kept, by the clocks of the instances. A
-	// repeat after it runs again. Default 24h.
+	// Retention is how long a claim is kept, by the clocks of the instances.
+	// A call that is repeated after the removal runs again. Default 24h.
 	Retention time.Duration `toml:"retention"`
-	// SweepEvery is the time between two removals of old claims by one
-	// instance; each looks at 1 in 4096 of all claims. Default 10s.
+	// SweepEvery is the time between two sweeps for old claims by one
+	// instance. Each sweep covers 1 in 4096 of all claims. Default 10s.
 	SweepEvery time.Duration `toml:"sweep_every"`
 }
 
-// Default returns the defaults.
+// Default returns the default settings.
 func Default() Settings {
 	return Settings{
 		ClaimTimeout: time.Second,
@@ -45,8 +47,8 @@
 	}
 }
 
-// Check reports findings under the table's name in the file. CallTimeout
-// bounds a call to a service.
+// Check adds findings for invalid values under the given table of the file. The callTimeout is the timeout
+// of a call to a service.
 func (s *Settings) Check(file *tomlfile.File, table string, callTimeout time.Duration) {
 	settings.Between(file, table+".claim_timeout", s.ClaimTimeout, 10*time.Millisecond, time.Minute)
 	settings.Between(file, table+".keep_wait", s.KeepWait, 0, time.Minute)
--- a/internal/idempotency/sweep.go
+++ b/internal/idempotency/sweep.go
@@ -13,20 +13,19 @@
 	"sassafrasfield/internal/platform"
 )
 
-// shards is how many shares of the claims there are by the first three digits
-// of their key.
-const shards = 1 << 12
+// sweepShards is the number of shards of the claims by the first three hexadecimal digits of their keys.
+const sweepShards = 1 << 12
 
-// sweepBatch bounds the rows that one transaction removes.
+// sweepBatch is the maximum number of rows that one transaction removes.
 const sweepBatch = 256
 
-// SweepLoop removes old claims until the context ends: one share of them at a
-// time, picked at random, so that instances need not agree on who does it.
+// SweepLoop removes old claims until the context ends. Each sweep covers one shard, which is chosen at
+// random, so that the instances need not coordinate.
 func (r *Runner) SweepLoop(ctx context.Context) {
 	for pause.For(ctx, r.settings.SweepEvery) {
-		removed, err := r.sweep(ctx, fmt.Sprintf("%s%03x", Prefix, rand.IntN(shards)), time.Now())
+		removed, err := r.sweep(ctx, fmt.Sprintf("%s%03x", Prefix, rand.IntN(sweepShards)), time.Now())
 		if err != nil {
-			r.log.Debug("once: old claims were not removed", "error", err)
+			r.log.Debug("once: failed to remove old claims", "error", err)
 		}
 		if removed > 0 {
 			r.log.Info("once: old claims removed", "rows", removed)
@@ -34,7 +33,8 @@
 	}
 }
 
-// sweep removes the claims under a prefix that are older than the retention.
+// sweep removes claims under a prefix that are older than the retention, at most sweepBatch of them. It
+// returns how many it has removed.
 func (r *Runner) sweep(ctx context.Context, prefix string, now time.Time) (int, error) {
 	rows, err := r.store.List(ctx, prefix)
 	if err != nil {
@@ -44,7 +44,7 @@
 	for _, found := range rows {
 		var row Row
 		if err := json.Unmarshal(found.Value, &row); err != nil {
-			return 0, errors.Wrap(err, "once: row")
+			return 0, errors.Wrap(err, "once: decode row")
 		}
 		if now.Sub(time.UnixMilli(row.ClaimedUnixMilli)) < r.settings.Retention || len(txn.Writes) >= sweepBatch {
 			continue
--- a/internal/idempotency/watch.go
+++ b/internal/idempotency/watch.go
@@ -2,50 +2,50 @@
 
 import "time"
 
-// watchLimit bounds the claims that an instance remembers.
+// watchLimit is the maximum number of claims that an instance remembers.
 const watchLimit = 4096
 
-// sighting is when an instance first saw a claim unanswered.
-type sighting struct {
-	revision int64
-	at       time.Duration
+// observation is the time at which an instance first saw a claim unanswered at a revision.
+type observation struct {
+	revision  int64
+	firstSeen time.Duration
 }
 
-// watch tells which unanswered claims an instance has seen unchanged for long,
-// on its own clock. It is pure.
-type watch struct {
-	after time.Duration
-	seen  map[string]sighting
+// claimWatch records since when an instance has seen claims unanswered and unchanged, on the instance's own
+// clock. It does no I/O and reads no clock.
+type claimWatch struct {
+	settleAfter time.Duration
+	seen        map[string]observation
 }
 
-func newWatch(after time.Duration) *watch {
-	return &watch{after: after, seen: map[string]sighting{}}
+func newClaimWatch(after time.Duration) *claimWatch {
+	return &claimWatch{settleAfter: after, seen: map[string]observation{}}
 }
 
-// overdue notes that the claim stands unanswered at the revision, and tells
-// whether it did so for the whole time.
-func (w *watch) overdue(key string, revision int64, now time.Duration) bool {
+// overdue records that the claim is unanswered at the revision. It reports whether the claim has been
+// unanswered at this revision for at least settleAfter.
+func (w *claimWatch) overdue(key string, revision int64, now time.Duration) bool {
 	first, known := w.seen[key]
 	if known && first.revision == revision {
-		return now-first.at >= w.after
+		return now-first.firstSeen >= w.settleAfter
 	}
 	if !known && len(w.seen) >= watchLimit {
-		w.trim(now)
+		w.evict(now)
 	}
-	w.seen[key] = sighting{revision: revision, at: now}
+	w.seen[key] = observation{revision: revision, firstSeen: now}
 	return false
 }
 
-// forget drops a claim that is settled or answered.
-func (w *watch) forget(key string) {
+// forget removes a claim that is settled.
+func (w *claimWatch) forget(key string) {
 	delete(w.seen, key)
 }
 
-// trim makes room: first the claims that nobody asked for within twice the
-// time, else any.
-func (w *watch) trim(now time.Duration) {
+// evict makes room for a new claim. It removes the claims first seen more than twice settleAfter ago. If this
+// is not enough, it removes any others.
+func (w *claimWatch) evict(now time.Duration) {
 	for key, s := range w.seen {
-		if now-s.at > 2*w.after {
+		if now-s.firstSeen > 2*w.settleAfter {
 			delete(w.seen, key)
 		}
 	}
