--- a/internal/stream/assembler.go
+++ b/internal/stream/assembler.go
@@ -1,5 +1,7 @@
-// Package stream turns the pieces of one answer, which may come late, twice,
-// out of order or from several engines, into the answer in order. It is pure.
+// Package stream assembles streamed answers. Its input is the pieces of one answer, which may arrive late,
+// repeated, out of order or from several engines; its output is the pieces in order. The package also has
+// the token with which a caller resumes an answer, a splitter for server-sent events, and the timeouts that
+// detect a stalled engine. It does no I/O and reads no clock.
 package stream
 
 import (
@@ -11,46 +13,44 @@
 	"sassafrasfield/internal/engine"
 )
 
-// Overlap is how many pieces before the next one an engine that goes on with
-// an answer makes again, so that they can be compared with those received.
+// Overlap is the number of pieces already delivered that an engine which continues an answer sends again, so
+// that they can be compared with those received.
 const Overlap = 4
 
-// maxAhead bounds how many pieces are kept that came before their turn.
-const maxAhead = 1024
+// maxBuffered is the maximum number of out-of-order pieces that are buffered.
+const maxBuffered = 1024
 
 // Errors of Add. Compare with errors.Is.
 var (
-	// ErrDiverged: the engine makes another text than the one received.
-	ErrDiverged = errors.New("stream: the engine makes another text")
-	// ErrTooFarAhead: too many pieces came before their turn; the stream is as good
-	// as broken.
-	ErrTooFarAhead = errors.New("stream: pieces too far ahead")
+	// ErrDiverged means that the engine generates a text that differs from the one received.
+	ErrDiverged = errors.New("stream: engine generates a different text")
+	// ErrTooFarAhead means that too many pieces arrived out of order. The stream must be treated as broken.
+	ErrTooFarAhead = errors.New("stream: too many out-of-order pieces")
 )
 
-// OrderedPiece is a piece whose turn has come.
+// OrderedPiece is a piece that is next in order.
 type OrderedPiece struct {
 	engine.Piece
-	// Sum is Assembler.Sum after the piece.
+	// Sum is the value of Assembler.Sum after this piece.
 	Sum uint64
 }
 
 // Assembler orders the pieces of one answer by number.
 type Assembler struct {
 	next int
-	// tail has the texts of the last pieces handed on, as many as Overlap or
-	// next; it is short of them after NewAssembler, until an engine's overlap
-	// was compared with sum.
+	// tail has the texts of the last pieces delivered, at most Overlap of them. After NewAssembler it is
+	// empty until the overlap of an engine has been compared with sum.
 	tail []string
 	sum  uint64
-	// due is the piece expected of the engine at hand. It is below next while
-	// the overlap is compared; again has its texts.
-	due   int
-	again []string
-	ahead map[int]engine.Piece
-	done  bool
+	// expected is the number of the next piece expected from the current engine. It is below next while
+	// the overlap is compared. overlap has the texts of the overlap received so far.
+	expected int
+	overlap  []string
+	buffered map[int]engine.Piece
+	done     bool
 }
 
-// NewAssembler expects the piece numbered next; sum is Assembler.Sum of the
+// NewAssembler returns an assembler that delivers pieces from number next on. The sum is Assembler.Sum of the
 // answer so far. Both are 0 for a new answer.
 func NewAssembler(next int, sum uint64) *Assembler {
 	a := &Assembler{next: next, sum: sum}
@@ -58,38 +58,37 @@
 	return a
 }
 
-// Next is the number of the first piece that was not handed on.
+// Next returns the number of the first piece that was not delivered.
 func (a *Assembler) Next() int { return a.next }
 
-// Sum is a checksum of the last pieces handed on.
+// Sum returns a checksum of the last pieces delivered, at most Overlap of them.
 func (a *Assembler) Sum() uint64 { return a.sum }
 
-// Done tells whether the last piece was handed on.
+// Done reports whether the last piece of the answer was delivered.
 func (a *Assembler) Done() bool { return a.done }
 
-// Restart forgets what waits for its turn, and returns the number of the piece
-// from which on the next engine is to be asked.
+// Restart discards the buffered pieces. It returns the number of the first piece to request from the next
+// engine.
 func (a *Assembler) Restart() (from int) {
-	a.due = max(0, a.next-Overlap)
-	a.again, a.ahead = nil, nil
-	return a.due
+	a.expected = max(0, a.next-Overlap)
+	a.overlap, a.buffered = nil, nil
+	return a.expected
 }
 
-// Add takes a piece as it came and returns the pieces that are now in order,
-// none for one that is repeated or before its turn. Errors: ErrDiverged,
-// ErrAhead.
+// Add adds a received piece and returns the pieces that are now in order. It returns none for a repeated or
+// out-of-order piece. Errors: ErrDiverged, ErrTooFarAhead.
 func (a *Assembler) Add(piece engine.Piece) (ready []OrderedPiece, err error) {
-	if piece.N < a.due || a.done {
+	if piece.N < a.expected || a.done {
 		return nil, nil
 	}
-	if piece.N > a.due {
-		return nil, a.keep(piece)
+	if piece.N > a.expected {
+		return nil, a.buffer(piece)
 	}
-	for found := true; found && !a.done; piece, found = a.waiting() {
-		if a.due < a.next {
-			err = a.compare(piece)
+	for found := true; found && !a.done; piece, found = a.takeBuffered() {
+		if a.expected < a.next {
+			err = a.compareOverlap(piece)
 		} else {
-			ready = append(ready, a.take(piece))
+			ready = append(ready, a.deliver(piece))
 		}
 		if err != nil {
 			return nil, err
@@ -98,56 +97,56 @@
 	return ready, nil
 }
 
-// waiting takes out the piece that is due, if it came before.
-func (a *Assembler) waiting() (engine.Piece, bool) {
-	piece, found := a.ahead[a.due]
-	delete(a.ahead, a.due)
+// takeBuffered removes the expected piece from the buffer and returns it, if it is there.
+func (a *Assembler) takeBuffered() (engine.Piece, bool) {
+	piece, found := a.buffered[a.expected]
+	delete(a.buffered, a.expected)
 	return piece, found
 }
 
-func (a *Assembler) keep(piece engine.Piece) error {
-	if len(a.ahead) >= maxAhead {
+func (a *Assembler) buffer(piece engine.Piece) error {
+	if len(a.buffered) >= maxBuffered {
 		return ErrTooFarAhead
 	}
-	if a.ahead == nil {
-		a.ahead = map[int]engine.Piece{}
+	if a.buffered == nil {
+		a.buffered = map[int]engine.Piece{}
 	}
-	a.ahead[piece.N] = piece
+	a.buffered[piece.N] = piece
 	return nil
 }
 
-// compare takes a piece of the overlap, and judges it when it is complete.
-func (a *Assembler) compare(piece engine.Piece) error {
+// compareOverlap adds a piece of the overlap. When the overlap is complete, it compares the overlap with sum.
+func (a *Assembler) compareOverlap(piece engine.Piece) error {
 	if piece.Finish != "" {
 		return ErrDiverged
 	}
-	a.due++
-	a.again = append(a.again, piece.Text)
-	if a.due < a.next {
+	a.expected++
+	a.overlap = append(a.overlap, piece.Text)
+	if a.expected < a.next {
 		return nil
 	}
-	if sumOf(a.again) != a.sum {
+	if checksum(a.overlap) != a.sum {
 		return ErrDiverged
 	}
-	a.tail = a.again
+	a.tail = a.overlap
 	return nil
 }
 
-func (a *Assembler) take(piece engine.Piece) OrderedPiece {
+func (a *Assembler) deliver(piece engine.Piece) OrderedPiece {
 	a.next++
-	a.due = a.next
+	a.expected = a.next
 	if len(a.tail) == Overlap {
 		copy(a.tail, a.tail[1:])
 		a.tail = a.tail[:Overlap-1]
 	}
 	a.tail = append(a.tail, piece.Text)
-	a.sum = sumOf(a.tail)
+	a.sum = checksum(a.tail)
 	a.done = piece.Finish != ""
 	return OrderedPiece{Piece: piece, Sum: a.sum}
 }
 
-// sumOf is a checksum of texts and of where each ends.
-func sumOf(texts []string) uint64 {
+// checksum returns a checksum of texts and their boundaries.
+func checksum(texts []string) uint64 {
 	if len(texts) == 0 {
 		return 0
 	}
@@ -155,7 +154,7 @@
 	digest.Reset()
 	var number [20]byte
 	for _, text := range texts {
-		_, _ = digest.Write(strconv.AppendInt(number[:0], int64(len(text)), 10)) // a hash never fails
+		_, _ = digest.Write(strconv.AppendInt(number[:0], int64(len(text)), 10)) // Digest.Write never returns an error
 		_, _ = digest.WriteString(":" + text)
 	}
 	return digest.Sum64()
--- a/internal/stream/events.go
+++ b/internal/stream/events.go
@@ -2,46 +2,46 @@
 
 import "bytes"
 
-// eventEnd ends each server-sent event; idField begins the line with its id.
+// eventTerminator ends each server-sent event. idField is the prefix of the line with its id.
 var (
-	eventEnd = []byte("\n\n")
-	idField  = []byte("id:")
+	eventTerminator = []byte("\n\n")
+	idField         = []byte("id:")
 )
 
-// EventSplitter cuts the bytes of a stream of server-sent events, whose content nobody
-// looks at, into whole events. A stream that breaks inside an event can go on
-// after the last whole one at another engine.
+// EventSplitter splits the bytes of a stream of server-sent events into complete events, without parsing
+// their data. A stream that breaks inside an event can continue after the last complete event at another
+// engine.
 type EventSplitter struct {
-	pending []byte
+	partial []byte
 	lastID  string
 	count   int
 }
 
-// Add takes bytes as they came and returns the whole events among what is not
-// returned yet; nil when none is whole.
-func (e *EventSplitter) Add(came []byte) []byte {
-	e.pending = append(e.pending, came...)
-	end := bytes.LastIndex(e.pending, eventEnd)
+// Add adds received bytes. It returns the complete events that were not returned before, or nil if there are
+// none.
+func (e *EventSplitter) Add(received []byte) []byte {
+	e.partial = append(e.partial, received...)
+	end := bytes.LastIndex(e.partial, eventTerminator)
 	if end < 0 {
 		return nil
 	}
-	whole := bytes.Clone(e.pending[:end+len(eventEnd)])
-	e.pending = append(e.pending[:0], e.pending[len(whole):]...)
-	e.count += bytes.Count(whole, eventEnd)
-	if id := lastID(whole); id != "" {
+	complete := bytes.Clone(e.partial[:end+len(eventTerminator)])
+	e.partial = append(e.partial[:0], e.partial[len(complete):]...)
+	e.count += bytes.Count(complete, eventTerminator)
+	if id := lastID(complete); id != "" {
 		e.lastID = id
 	}
-	return whole
+	return complete
 }
 
-// LastID is the id of the last whole event that had one.
+// LastID returns the id of the last complete event that had one.
 func (e *EventSplitter) LastID() string { return e.lastID }
 
-// Count is the number of whole events so far.
+// Count returns the number of complete events so far.
 func (e *EventSplitter) Count() int { return e.count }
 
-// HasPartial tells whether a part of an event is left over.
-func (e *EventSplitter) HasPartial() bool { return len(bytes.TrimSpace(e.pending)) > 0 }
+// HasPartial reports whether an incomplete event remains.
+func (e *EventSplitter) HasPartial() bool { return len(bytes.TrimSpace(e.partial)) > 0 }
 
 // lastID returns the id of the last event that has one.
 func lastID(events []byte) string {
--- a/internal/stream/pace.go
+++ b/internal/stream/pace.go
@@ -2,52 +2,53 @@
 
 import "time"
 
-// gapWeight is the weight of the newest gap in the smoothed one.
+// gapWeight is the weight of the newest gap in the smoothed gap.
 const gapWeight = 0.2
 
-// GapTracker learns the gaps between the pieces of one engine.
+// GapTracker estimates the usual gap between the pieces of one stream, and derives the timeout for the next
+// piece from it.
 type GapTracker struct {
-	settings StallSettings
-	pieces   int
-	gap      time.Duration
+	settings    StallSettings
+	pieces      int
+	smoothedGap time.Duration
 }
 
-// NewGapTracker returns the pace of a stream that has not begun.
+// NewGapTracker returns a tracker for a stream that has not started.
 func NewGapTracker(settings StallSettings) *GapTracker {
 	return &GapTracker{settings: settings}
 }
 
-// Started tells whether a piece came.
-func (p *GapTracker) Started() bool { return p.pieces > 0 }
+// Started reports whether a piece has arrived.
+func (g *GapTracker) Started() bool { return g.pieces > 0 }
 
-// RecordPiece notes a piece that came after the gap.
-func (p *GapTracker) RecordPiece(gap time.Duration) {
-	p.pieces++
-	switch p.pieces {
-	case 1: // the wait for the first piece says nothing about the pace
+// RecordPiece records a piece that arrived after the given gap.
+func (g *GapTracker) RecordPiece(gap time.Duration) {
+	g.pieces++
+	switch g.pieces {
+	case 1: // the wait for the first piece is no gap between pieces
 	case 2:
-		p.gap = gap
+		g.smoothedGap = gap
 	default:
-		p.gap += time.Duration(gapWeight * float64(gap-p.gap))
+		g.smoothedGap += time.Duration(gapWeight * float64(gap-g.smoothedGap))
 	}
 }
 
-// oversleep is how late a timer may come before the process counts as having
-// been frozen, or starved of its processor.
-const oversleep = 100 * time.Millisecond
+// lateTimerThreshold is how late a timer may fire before the process is treated as having been suspended or
+// starved of CPU.
+const lateTimerThreshold = 100 * time.Millisecond
 
-// FiredLate tells whether a patience that was noticed after waited ran out so
-// late that this process slept meanwhile. Pieces may then lie unread, and the
-// engine is not to blame.
-func (p *GapTracker) FiredLate(waited time.Duration) bool {
-	return waited > p.Timeout()+oversleep
+// FiredLate reports whether a timeout that was noticed after the duration waited fired so late that this
+// process must have been suspended or starved of CPU. Then pieces may have arrived that are not read yet, so the timeout is no
+// evidence of a stalled engine.
+func (g *GapTracker) FiredLate(waited time.Duration) bool {
+	return waited > g.Timeout()+lateTimerThreshold
 }
 
-// Timeout is how long the next piece may take.
-func (p *GapTracker) Timeout() time.Duration {
-	if p.pieces == 0 {
-		return p.settings.FirstPieceTimeout
+// Timeout returns how long to wait for the next piece.
+func (g *GapTracker) Timeout() time.Duration {
+	if g.pieces == 0 {
+		return g.settings.FirstPieceTimeout
 	}
-	wait := time.Duration(p.settings.GapFactor * float64(p.gap))
-	return min(max(wait, p.settings.MinWait), p.settings.MaxWait)
+	wait := time.Duration(g.settings.GapFactor * float64(g.smoothedGap))
+	return min(max(wait, g.settings.MinWait), g.settings.MaxWait)
 }
--- a/internal/stream/stream_test.go
+++ b/internal/stream/stream_test.go
@@ -12,11 +12,11 @@
 	"sassafrasfield/internal/engine"
 )
 
-// answer returns the pieces of an answer of length texts.
-func answer(length int, seed string) []engine.Piece {
+// answerPieces returns the pieces of an answer: the given number of texts, and the final piece.
+func answerPieces(length int, word string) []engine.Piece {
 	pieces := make([]engine.Piece, 0, length+1)
 	for n := range length {
-		pieces = append(pieces, engine.Piece{N: n, Text: fmt.Sprintf("%s%d ", seed, n%7)})
+		pieces = append(pieces, engine.Piece{N: n, Text: fmt.Sprintf("%s%d ", word, n%7)})
 	}
 	return append(pieces, engine.Piece{N: length, Finish: engine.FinishStop})
 }
@@ -29,12 +29,11 @@
 	return text.String()
 }
 
-// TestAnyOrderYieldsTheText feeds pieces of several engines, each shuffled,
-// with repeats and losses, and now and then goes on with a fresh assembler as
-// another entry would. The text is exact whatever comes.
-func TestAnyOrderYieldsTheText(t *testing.T) {
+// TestPiecesInAnyOrderYieldTheText adds the pieces of several engines shuffled, with repeats and losses. At
+// random it continues with a new assembler, as another instance would. The text must be exact in all cases.
+func TestPiecesInAnyOrderYieldTheText(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		pieces := answer(rapid.IntRange(1, 60).Draw(t, "length"), "w")
+		pieces := answerPieces(rapid.IntRange(1, 60).Draw(t, "length"), "w")
 		var got []engine.Piece
 		assembler := NewAssembler(0, 0)
 		for range 200 {
@@ -44,10 +43,10 @@
 			if rapid.Bool().Draw(t, "another entry") {
 				assembler = NewAssembler(assembler.Next(), assembler.Sum())
 			}
-			rest := pieces[assembler.Restart():]
-			sent := rapid.Permutation(rest).Draw(t, "order")
+			remaining := pieces[assembler.Restart():]
+			sent := rapid.Permutation(remaining).Draw(t, "order")
 			sent = sent[:rapid.IntRange(0, len(sent)).Draw(t, "until the break")]
-			sent = append(sent, rapid.SliceOfN(rapid.SampledFrom(rest), 0, 9).Draw(t, "repeats")...)
+			sent = append(sent, rapid.SliceOfN(rapid.SampledFrom(remaining), 0, 9).Draw(t, "repeats")...)
 			for _, piece := range sent {
 				ready, err := assembler.Add(piece)
 				if err != nil {
@@ -67,10 +66,11 @@
 	})
 }
 
-// TestAnotherTextIsNeverMixedIn lets an engine with another text go on.
-func TestAnotherTextIsNeverMixedIn(t *testing.T) {
+// TestDivergingTextIsNeverDelivered continues an answer with an engine that generates a different text. None
+// of its pieces may be delivered, and the divergence must be detected.
+func TestDivergingTextIsNeverDelivered(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		right, wrong := answer(30, "right"), answer(rapid.IntRange(1, 40).Draw(t, "length"), "wrong")
+		right, wrong := answerPieces(30, "right"), answerPieces(rapid.IntRange(1, 40).Draw(t, "length"), "wrong")
 		assembler := NewAssembler(0, 0)
 		for _, piece := range right[:rapid.IntRange(1, 30).Draw(t, "received")] {
 			if _, err := assembler.Add(piece); err != nil {
@@ -84,61 +84,61 @@
 		for _, piece := range wrong[min(from, len(wrong)):] {
 			ready, err := assembler.Add(piece)
 			if len(ready) > 0 {
-				t.Fatalf("piece %d of another text was handed on", piece.N)
+				t.Fatalf("piece %d of a different text was delivered", piece.N)
 			}
 			if errors.Is(err, ErrDiverged) {
 				return
 			}
 		}
 		if from < len(wrong) {
-			t.Fatal("another text was not noticed")
+			t.Fatal("the different text was not detected")
 		}
 	})
 }
 
-func TestAheadIsBounded(t *testing.T) {
+func TestBufferedPiecesAreBounded(t *testing.T) {
 	assembler := NewAssembler(0, 0)
-	for n := 1; n <= maxAhead; n++ {
+	for n := 1; n <= maxBuffered; n++ {
 		if _, err := assembler.Add(engine.Piece{N: n}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, err := assembler.Add(engine.Piece{N: maxAhead + 1}); !errors.Is(err, ErrTooFarAhead) {
+	if _, err := assembler.Add(engine.Piece{N: maxBuffered + 1}); !errors.Is(err, ErrTooFarAhead) {
 		t.Fatalf("error %v, want ErrAhead", err)
 	}
 }
 
-func TestTokenComesBack(t *testing.T) {
+func TestResumeTokenRoundTrip(t *testing.T) {
 	for _, token := range []ResumeToken{
 		{Request: "a-1", Engine: "engine.1", Seed: -5, Next: 3, Sum: 0xfe},
 		{Request: "a-1", Engine: "e", Version: "2026/1 b", Seed: 1, Next: 9, Sum: 1, Done: true},
 	} {
-		back, err := ParseResumeToken(token.String())
-		if err != nil || back != token {
-			t.Errorf("%s came back as %+v, %v", token, back, err)
+		parsed, err := ParseResumeToken(token.String())
+		if err != nil || parsed != token {
+			t.Errorf("%s is parsed as %+v, error %v", token, parsed, err)
 		}
 	}
 	for _, text := range []string{"", "a/b", "a/b/c/1/2/xyz", "a/b/c/1/2/3/4", "a/b/c/99999999999999999999/2/3", "a\n/b/c/1/2/3"} {
 		if _, err := ParseResumeToken(text); err == nil {
-			t.Errorf("%q was taken", text)
+			t.Errorf("%q was accepted", text)
 		}
 	}
 }
 
-func TestPatienceFollowsThePace(t *testing.T) {
-	pace := NewGapTracker(StallSettings{FirstPieceTimeout: time.Minute, GapFactor: 20, MinWait: time.Second, MaxWait: 10 * time.Second})
-	if pace.Timeout() != time.Minute {
-		t.Fatalf("before the first piece: %s", pace.Timeout())
+func TestTimeoutFollowsTheGaps(t *testing.T) {
+	tracker := NewGapTracker(StallSettings{FirstPieceTimeout: time.Minute, GapFactor: 20, MinWait: time.Second, MaxWait: 10 * time.Second})
+	if tracker.Timeout() != time.Minute {
+		t.Fatalf("before the first piece: %s", tracker.Timeout())
 	}
-	pace.RecordPiece(30 * time.Second)
+	tracker.RecordPiece(30 * time.Second)
 	for _, c := range []struct{ gap, want time.Duration }{
 		{20 * time.Millisecond, time.Second}, {100 * time.Millisecond, 2 * time.Second}, {time.Second, 10 * time.Second},
 	} {
 		for range 100 {
-			pace.RecordPiece(c.gap)
+			tracker.RecordPiece(c.gap)
 		}
-		if off := pace.Timeout() - c.want; off.Abs() > c.want/10 {
-			t.Errorf("gap %s: patience %s, want about %s", c.gap, pace.Timeout(), c.want)
+		if off := tracker.Timeout() - c.want; off.Abs() > c.want/10 {
+			t.Errorf("gap %s: timeout %s, want about %s", c.gap, tracker.Timeout(), c.want)
 		}
 	}
 }
--- a/internal/stream/token.go
+++ b/internal/stream/token.go
@@ -9,39 +9,38 @@
 	"github.com/pkg/errors"
 )
 
-// ResumeToken is the id of a server-sent event. With the request's body it lets any
-// instance go on with the answer.
+// ResumeToken is the id of a server-sent event. With it and the request's body, any instance can resume the
+// answer.
 type ResumeToken struct {
-	// Request names the stream at the engine.
+	// Request is the id of the stream at the engine.
 	Request string
-	// Engine that the stream ran on.
+	// Engine is the engine that generated the answer.
 	Engine string
-	// Version of the model that makes the answer.
+	// Version is the version of the model that generates the answer.
 	Version string
-	// Seed of the sampling, so that another engine makes the same answer.
+	// Seed is the seed of the sampling, with which another engine generates the same answer.
 	Seed int64
-	// Next is the number of the first piece not received.
+	// Next is the number of the first piece that the caller has not received.
 	Next int
-	// Sum is Assembler.Sum of the answer received.
+	// Sum is Assembler.Sum of the answer that the caller has received.
 	Sum uint64
-	// Done is true when the last piece was received.
+	// Done is true if the caller has received the last piece.
 	Done bool
 }
 
-// tokenShape bounds each part: they come back from callers.
-var tokenShape = regexp.MustCompile(
+// resumeTokenPattern limits the length and characters of each part, because callers send tokens back.
+var resumeTokenPattern = regexp.MustCompile(
 	`^[A-Za-z0-9-]{1,64}/[A-Za-z0-9._-]{1,63}/[A-Za-z0-9._~%:@&=+$-]{0,190}/-?[0-9]{1,19}/[0-9]{1,9}/[0-9a-f]{1,16}(/done)?$`)
 
-// doneMark ends the token of the last piece.
-const doneMark = "/done"
+// doneSuffix is the suffix of the token of the last piece.
+const doneSuffix = "/done"
 
 // String encodes the token.
 func (t ResumeToken) String() string {
 	return string(t.Append(nil))
 }
 
-// Append encodes the token at the end of b. It is called for each token of each
-// answer.
+// Append appends the encoded token to b. It is called for each piece of each answer.
 func (t ResumeToken) Append(b []byte) []byte {
 	for _, part := range []string{t.Request, t.Engine, url.PathEscape(t.Version)} {
 		b = append(b, part...)
@@ -53,17 +52,17 @@
 	b = append(b, '/')
 	b = strconv.AppendUint(b, t.Sum, 16)
 	if t.Done {
-		b = append(b, doneMark...)
+		b = append(b, doneSuffix...)
 	}
 	return b
 }
 
-// ParseResumeToken reads what Token.String wrote.
+// ParseResumeToken parses the output of ResumeToken.String.
 func ParseResumeToken(text string) (ResumeToken, error) {
-	if !tokenShape.MatchString(text) {
+	if !resumeTokenPattern.MatchString(text) {
 		return ResumeToken{}, errors.New("no resume token of this system")
 	}
-	text, done := strings.CutSuffix(text, doneMark)
+	text, done := strings.CutSuffix(text, doneSuffix)
 	parts := strings.Split(text, "/")
 	version, err := url.PathUnescape(parts[2])
 	if err != nil {
