--- a/internal/stream/pace.go
+++ b/internal/stream/pace.go
@@ -38,8 +38,8 @@
 const lateTimerThreshold = 100 * time.Millisecond
 
 // FiredLate reports whether a timeout that was noticed after the duration waited fired so late that this
-// process must have been suspended or starved of CPU. Then pieces may have arrived that are not read yet, so the timeout is no
-// evidence of a stalled engine.
+// process must have been suspended or starved of CPU. Then pieces may have arrived that are not read yet,
+// so the timeout is no evidence of a stalled engine.
 func (g *GapTracker) FiredLate(waited time.Duration) bool {
 	return waited > g.Timeout()+lateTimerThreshold
 }
--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -1,5 +1,5 @@
-// Package tracing sets up OpenTelemetry: spans go to an OTLP/HTTP collector or
-// to a file, and W3C trace context is passed on. Both are off by default.
+// Package tracing sets up OpenTelemetry. It exports spans to an OTLP/HTTP collector, to a file or to both, and
+// propagates W3C trace context. Both exports are off by default.
 package tracing
 
 import (
@@ -19,13 +19,14 @@
 	"sassafrasfield/internal/tomlfile"
 )
 
-// Settings of the traces.
+// Settings configure tracing.
 type Settings struct {
-	// OTLP is the URL of an OTLP/HTTP collector; empty is off.
+	// OTLP is the URL of an OTLP/HTTP collector. Empty disables this export.
 	OTLP string `toml:"otlp"`
-	// File takes one JSON object a span; empty is off.
+	// File is the file to which each span is appended as a JSON object. Empty
+	// disables this export.
 	File string `toml:"file"`
-	// Ratio of traces that are kept, from 0 to 1. Default 1.
+	// Ratio is the fraction of traces that are sampled, from 0 to 1. Default 1.
 	Ratio float64 `toml:"ratio"`
 }
 
@@ -34,7 +35,7 @@
 	return Settings{Ratio: 1}
 }
 
-// Check records faults under the key.
+// Check adds findings for invalid values under the given key of the file.
 func (s Settings) Check(file *tomlfile.File, key string) {
 	if s.Ratio < 0 || s.Ratio > 1 {
 		file.Add(key+".ratio", "want 0 to 1, not %g", s.Ratio)
@@ -44,8 +45,8 @@
 	}
 }
 
-// Setup installs the tracer provider. Call the returned function at the end:
-// it writes out what is left.
+// Setup installs the propagator and the tracer provider. The caller must call the returned function at
+// shutdown; it exports the remaining spans.
 func Setup(ctx context.Context, s Settings, program, instance string) (func(context.Context) error, error) {
 	otel.SetTextMapPropagator(propagation.TraceContext{})
 	options := []trace.TracerProviderOption{
@@ -61,18 +62,18 @@
 	if s.OTLP != "" {
 		exporter, err := otlptracehttp.New(ctx, otlptracehttp.WithEndpointURL(s.OTLP))
 		if err != nil {
-			return nil, errors.Wrap(err, "tracing: otlp")
+			return nil, errors.Wrap(err, "tracing: create OTLP exporter")
 		}
 		options = append(options, trace.WithBatcher(exporter))
 	}
 	if s.File != "" {
 		file, err := os.OpenFile(s.File, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 		if err != nil {
-			return nil, errors.Wrap(err, "tracing: file")
+			return nil, errors.Wrap(err, "tracing: open span file")
 		}
 		exporter, err := stdouttrace.New(stdouttrace.WithWriter(file))
 		if err != nil {
-			return nil, errors.Wrap(err, "tracing: file")
+			return nil, errors.Wrap(err, "tracing: create file exporter")
 		}
 		options = append(options, trace.WithSyncer(exporter))
 	}
--- a/internal/tracing/tracing_test.go
+++ b/internal/tracing/tracing_test.go
@@ -25,58 +25,58 @@
 	"sassafrasfield/internal/testservers"
 )
 
-// callersTrace is the trace id that the test's caller sends.
-const callersTrace = "4bf92f3577b34da6a3ce929d0e0e4736"
+// callerTraceID is the trace id that the caller in the tests sends.
+const callerTraceID = "4bf92f3577b34da6a3ce929d0e0e4736"
 
-// span is what the tests read of one line of a span file.
-type span struct {
+// exportedSpan has the fields of one line of a span file that the tests read.
+type exportedSpan struct {
 	Name        string
 	SpanContext struct{ TraceID, SpanID string }
 	Parent      struct{ TraceID, SpanID string }
 }
 
-func readSpans(t *testing.T, path string) []span {
+func readSpans(t *testing.T, path string) []exportedSpan {
 	t.Helper()
 	data, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var spans []span
+	var spans []exportedSpan
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	for {
-		var s span
-		if decoder.Decode(&s) != nil { // the last line may be half written
+		var s exportedSpan
+		if decoder.Decode(&s) != nil { // the last line may be incomplete
 			return spans
 		}
 		spans = append(spans, s)
 	}
 }
 
-// named returns the names of the spans of a trace.
-func named(spans []span, trace string) []string {
+// spanNames returns the names of the spans of a trace.
+func spanNames(spans []exportedSpan, traceID string) []string {
 	var names []string
 	for _, s := range spans {
-		if s.SpanContext.TraceID == trace {
+		if s.SpanContext.TraceID == traceID {
 			names = append(names, s.Name)
 		}
 	}
 	return names
 }
 
-// saw tells whether a stand-in got a call of the trace at the path.
-func saw(ctx context.Context, address, path, trace string) bool {
+// receivedTrace reports whether the test server at address received a call at the path with the trace id.
+func receivedTrace(ctx context.Context, address, path, traceID string) bool {
 	var seen []testservers.SeenTrace
 	if testfleet.Post(ctx, address, testservers.PathTraces, nil, &seen) != nil {
 		return false
 	}
 	return slices.ContainsFunc(seen, func(s testservers.SeenTrace) bool {
-		return s.Path == path && strings.Contains(s.Traceparent, trace)
+		return s.Path == path && strings.Contains(s.Traceparent, traceID)
 	})
 }
 
-// start starts a fleet with one instance whose programs write their spans to
-// files, and puts the first intent in force.
-func start(t *testing.T, ctx context.Context, entryTrace string) *scenario.Harness {
+// startFleet starts a fleet with one instance and confirms the first intent. The programs write their spans
+// to files. A non-empty entryTrace replaces the trace settings of sf-entry.
+func startFleet(t *testing.T, ctx context.Context, entryTrace string) *scenario.Harness {
 	t.Helper()
 	bin, err := testfleet.Bin()
 	if err != nil {
@@ -102,15 +102,15 @@
 }
 
 func traceHeader() http.Header {
-	return http.Header{"Traceparent": []string{"00-" + callersTrace + "-00f067aa0ba902b7-01"}}
+	return http.Header{"Traceparent": []string{"00-" + callerTraceID + "-00f067aa0ba902b7-01"}}
 }
 
-// TestRequestIsOneTrace follows the caller's trace through entry, engine, a
-// retry, the platform and a plain service.
-func TestRequestIsOneTrace(t *testing.T) {
+// TestRequestSharesTheCallersTrace checks that the caller's trace id is propagated to the entry, the engines
+// (also on a retry), the platform and a plain service.
+func TestRequestSharesTheCallersTrace(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	h := start(t, ctx, "")
+	h := startFleet(t, ctx, "")
 	at := h.Fleet.Instances[0].EntryAddress
 	chat := testcaller.Chat{Model: scenario.ModelName, Prompt: "which bales share a field?", MaxTokens: 12, Seed: 3, Header: traceHeader()}
 	for _, e := range h.Fleet.Engines {
@@ -118,7 +118,7 @@
 			t.Fatal(err)
 		}
 	}
-	_, _ = h.Caller.Stream(ctx, at, chat, nil) // breaks off at both engines
+	_, _ = h.Caller.Stream(ctx, at, chat, nil) // both engines break off
 	header := traceHeader()
 	header.Set("Idempotency-Key", "certificate-1")
 	res, err := h.Caller.Post(ctx, at, "/bales/certificates", header, []byte(`{}`))
@@ -128,31 +128,31 @@
 	res.Body.Close()
 
 	spans := readSpans(t, filepath.Join(h.Fleet.Dir, "entry.json"))
-	names := named(spans, callersTrace)
+	names := spanNames(spans, callerTraceID)
 	for _, want := range []string{"entry POST", "engine generate", "platform " + platform.PathCommit, "service call"} {
 		if !slices.Contains(names, want) {
 			t.Errorf("the trace has no span %q; it has %q", want, names)
 		}
 	}
 	for _, e := range h.Fleet.Engines {
-		if !saw(ctx, e.Address, engine.PathGenerate, callersTrace) {
+		if !receivedTrace(ctx, e.Address, engine.PathGenerate, callerTraceID) {
 			t.Errorf("%s did not receive the caller's trace", e.ID)
 		}
 	}
-	if !saw(ctx, h.Fleet.Services[0].Address, "/bales/certificates", callersTrace) {
+	if !receivedTrace(ctx, h.Fleet.Services[0].Address, "/bales/certificates", callerTraceID) {
 		t.Error("the plain service did not receive the caller's trace")
 	}
-	if !saw(ctx, h.Fleet.PlatformAddress, platform.PathCommit, callersTrace) {
+	if !receivedTrace(ctx, h.Fleet.PlatformAddress, platform.PathCommit, callerTraceID) {
 		t.Error("the platform did not receive the caller's trace")
 	}
 }
 
-// TestOrderIsOneTrace finds the step of a rollout, its journal write, the
-// question to the instances and the order at the engine in one trace.
-func TestOrderIsOneTrace(t *testing.T) {
+// TestOrderSharesTheRolloutTrace checks that the step of a rollout, its journal write, the query to the
+// instances and the order to the engine are in one trace.
+func TestOrderSharesTheRolloutTrace(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	h := start(t, ctx, "")
+	h := startFleet(t, ctx, "")
 	next := "name = \"next\"\n[[model]]\nname = \"" + scenario.ModelName + "\"\nversion = \"2\"\n"
 	if err := h.Confirm(ctx, h.Fleet.Instances[0], next); err != nil {
 		t.Fatal(err)
@@ -164,14 +164,14 @@
 			continue
 		}
 		orders++
-		names := named(spans, s.SpanContext.TraceID)
+		names := spanNames(spans, s.SpanContext.TraceID)
 		for _, want := range []string{"rollout step", "platform " + platform.PathCommit, "sf.v1.PeerService/InForce"} {
 			if !slices.Contains(names, want) {
 				t.Errorf("the order's trace has no span %q; it has %q", want, names)
 			}
 		}
 		first, second := h.Fleet.Engines[0].Address, h.Fleet.Engines[1].Address
-		if !saw(ctx, first, engine.PathOrder, s.SpanContext.TraceID) && !saw(ctx, second, engine.PathOrder, s.SpanContext.TraceID) {
+		if !receivedTrace(ctx, first, engine.PathOrder, s.SpanContext.TraceID) && !receivedTrace(ctx, second, engine.PathOrder, s.SpanContext.TraceID) {
 			t.Error("no engine received the order's trace")
 		}
 	}
@@ -180,11 +180,12 @@
 	}
 }
 
-// TestSpansGoToACollector has an OTLP/HTTP receiver get the caller's trace.
-func TestSpansGoToACollector(t *testing.T) {
+// TestSpansReachACollector checks that an OTLP/HTTP collector receives the caller's trace before sf-entry has
+// shut down.
+func TestSpansReachACollector(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	id, err := hex.DecodeString(callersTrace)
+	id, err := hex.DecodeString(callerTraceID)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -197,7 +198,7 @@
 		w.WriteHeader(http.StatusOK)
 	}))
 	defer collector.Close()
-	h := start(t, ctx, "otlp = \""+collector.URL+"/v1/traces\"\n")
+	h := startFleet(t, ctx, "otlp = \""+collector.URL+"/v1/traces\"\n")
 	i := h.Fleet.Instances[0]
 	chat := testcaller.Chat{Model: scenario.ModelName, Prompt: "p", MaxTokens: 4, Seed: 3, Header: traceHeader()}
 	if answer, err := h.Caller.Stream(ctx, i.EntryAddress, chat, nil); err != nil || !answer.Done {
@@ -206,6 +207,6 @@
 	i.Entry.Signal(syscall.SIGTERM)
 	<-i.Entry.Done()
 	if !found.Load() {
-		t.Error("the collector got no span of the caller's trace before the program ended")
+		t.Error("the collector received no span of the caller's trace before the program exited")
 	}
 }
