--- a/internal/answers/fixture_test.go
+++ b/internal/answers/fixture_test.go
@@ -1,5 +1,5 @@
-// Package answers has the process tests of the promises to callers: at most
-// once, whole answers, and a shutdown that cuts nothing off.
+// Package answers has process tests of the guarantees to callers: a call with an idempotency key runs at most
+// once, answers are complete, and a shutdown interrupts no request.
 package answers
 
 import (
@@ -33,7 +33,7 @@
 	prompt      = "does lot 4471 match its certificate? "
 )
 
-// fixture is a fleet with a configuration in force.
+// fixture is a fleet with a confirmed intent.
 type fixture struct {
 	*testfleet.Fleet
 	t      testing.TB
@@ -41,16 +41,16 @@
 	caller *testcaller.Caller
 }
 
-// size of a fleet.
-type size struct {
+// fleetSize is the size of a fleet and the settings of its programs.
+type fleetSize struct {
 	instances, engines, services int
-	// entrySettings and entryTables go to the settings of each sf-entry, at
-	// their top level and at their end; engineFlags to each engine.
+	// entrySettings is added at the top level of the settings file of each sf-entry, entryTables at its
+	// end. engineFlags are passed to each engine.
 	entrySettings, entryTables string
 	engineFlags                []string
 }
 
-func newFixture(t testing.TB, s size) *fixture {
+func newFixture(t testing.TB, s fleetSize) *fixture {
 	t.Helper()
 	bin, err := testfleet.Bin()
 	if err != nil {
@@ -75,7 +75,7 @@
 		_, err := f.AddInstance(ctx, fmt.Sprintf("inst-%d", n+1), "hall-a")
 		f.must(err)
 	}
-	f.declare()
+	f.confirmFirstIntent()
 	return f
 }
 
@@ -86,13 +86,13 @@
 	}
 }
 
-func (f *fixture) until(what string, condition func() bool) {
+func (f *fixture) waitUntil(what string, condition func() bool) {
 	f.t.Helper()
 	f.must(testfleet.Until(f.ctx, what, condition))
 }
 
-// declare puts the first configuration in force on each instance.
-func (f *fixture) declare() {
+// confirmFirstIntent puts the first intent in force on each instance.
+func (f *fixture) confirmFirstIntent() {
 	f.t.Helper()
 	var text strings.Builder
 	fmt.Fprintf(&text, "name = \"first\"\n[[model]]\nname = %q\nversion = \"1\"\n", modelName)
@@ -108,15 +108,15 @@
 		sum := sha256.Sum256([]byte(key))
 		fmt.Fprintf(&text, "[[organisation]]\nname = %q\nkey_hashes = [%q]\nrequests_per_second = 10000\nburst = 10000\n", name, hex.EncodeToString(sum[:]))
 	}
-	f.until("sf-control answers", func() bool { _, err := f.sfctl("status"); return err == nil })
-	f.confirm("first", text.String())
+	f.waitUntil("sf-control answers", func() bool { _, err := f.sfctl("status"); return err == nil })
+	f.confirmIntent("first", text.String())
 	for _, i := range f.Instances {
-		f.untilReady(i.EntryAddress)
+		f.waitUntilReady(i.EntryAddress)
 	}
 }
 
-// confirm declares an intent and follows it until it is in force.
-func (f *fixture) confirm(name, text string) {
+// confirmIntent declares an intent, confirms its plan and waits until it is in force.
+func (f *fixture) confirmIntent(name, text string) {
 	f.t.Helper()
 	path := filepath.Join(f.Dir, name+".toml")
 	f.must(os.WriteFile(path, []byte(text), 0o644))
@@ -137,60 +137,58 @@
 	return string(output), err
 }
 
-func (f *fixture) untilReady(address string) {
+func (f *fixture) waitUntilReady(address string) {
 	f.t.Helper()
-	f.until(address+" is ready", func() bool { return testfleet.Ready(f.ctx, address) })
+	f.waitUntil(address+" is ready", func() bool { return testfleet.Ready(f.ctx, address) })
 }
 
-// restartEntry ends an instance's sf-entry, if it runs, and starts it with
-// failpoints.
+// restartEntry kills an instance's sf-entry, if it runs, and starts it with the given failpoints.
 func (f *fixture) restartEntry(i *testfleet.Instance, points string) {
 	f.t.Helper()
 	i.Entry.Kill()
 	f.Environment = []string{"SF_FAILPOINTS=" + points}
 	f.must(f.StartEntry(i))
 	f.Environment = nil
-	f.untilReady(i.EntryAddress)
+	f.waitUntilReady(i.EntryAddress)
 }
 
-// told is what a caller was told of a call to the service. Status 0 is a
-// connection that broke.
-type told struct {
+// callResult is what a caller received for a call to the service. Status 0 means that the connection broke.
+type callResult struct {
 	Status     int
 	Body       string
 	Outcome    callerapi.Outcome
 	RetryAfter string
 }
 
-// issue asks for a certificate for a lot, with a key unless it is empty.
-func (f *fixture) issue(address, key, lot string) told {
+// issueCertificate requests a certificate for a lot. It sends an idempotency key unless the key is empty.
+func (f *fixture) issueCertificate(address, key, lot string) callResult {
 	header := http.Header{}
 	if key != "" {
 		header.Set(callerapi.HeaderIdempotencyKey, key)
 	}
 	res, err := f.caller.Post(f.ctx, address, certificate, header, []byte(lot))
 	if err != nil {
-		return told{}
+		return callResult{}
 	}
 	defer res.Body.Close()
 	body, err := io.ReadAll(res.Body)
 	if err != nil {
-		return told{}
+		return callResult{}
 	}
-	return told{
+	return callResult{
 		Status: res.StatusCode, Body: string(body), RetryAfter: res.Header.Get("Retry-After"),
 		Outcome: callerapi.Outcome(res.Header.Get(callerapi.HeaderOutcome)),
 	}
 }
 
-// runs counts a lot's runs over all services.
-func (f *fixture) runs(lot string) int {
+// certificateRuns returns how often the call for a lot ran, over all services.
+func (f *fixture) certificateRuns(lot string) int {
 	f.t.Helper()
-	return f.allRuns()[lot]
+	return f.certificateRunsByLot()[lot]
 }
 
-// allRuns counts the runs over all services, by lot.
-func (f *fixture) allRuns() map[string]int {
+// certificateRunsByLot returns how often the call for each lot ran, over all services.
+func (f *fixture) certificateRunsByLot() map[string]int {
 	f.t.Helper()
 	total := map[string]int{}
 	for _, s := range f.Services {
@@ -208,7 +206,7 @@
 	f.must(testfleet.Post(f.ctx, f.Engines[n].Address, testservers.PathFault, faults, nil))
 }
 
-func (f *fixture) engineBook(n int) testservers.Book {
+func (f *fixture) engineRecord(n int) testservers.Book {
 	f.t.Helper()
 	var book testservers.Book
 	f.must(testfleet.Post(f.ctx, f.Engines[n].Address, testservers.PathBook, nil, &book))
@@ -225,14 +223,14 @@
 	f.must(f.PlatformFault(f.ctx, faults))
 }
 
-// undisturbedText is the text that each stand-in engine makes of a chat.
-func undisturbedText(c testcaller.Chat) string {
+// expectedText returns the text that each test engine generates for a chat.
+func expectedText(c testcaller.Chat) string {
 	return testservers.NewText(engine.Request{
 		Model: c.Model, Version: "1", Prompt: "user: " + c.Prompt + "\n", MaxTokens: c.MaxTokens, Seed: c.Seed,
 	}).Whole()
 }
 
-func ended(done <-chan struct{}) bool {
+func isClosed(done <-chan struct{}) bool {
 	select {
 	case <-done:
 		return true
@@ -241,8 +239,8 @@
 	}
 }
 
-// smallBuffer keeps a connection's receive buffer small.
-func smallBuffer(_, _ string, raw syscall.RawConn) error {
+// setSmallReceiveBuffer is a net.Dialer.Control that sets a connection's receive buffer to 4096 bytes.
+func setSmallReceiveBuffer(_, _ string, raw syscall.RawConn) error {
 	var err error
 	if controlErr := raw.Control(func(fd uintptr) {
 		err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096)
@@ -252,7 +250,7 @@
 	return err
 }
 
-// metric returns the count of a meter of an sf-entry.
+// metric returns the count of a metric of an sf-entry.
 func (f *fixture) metric(address, name string) int64 {
 	f.t.Helper()
 	res, err := http.Get("http://" + address + "/metrics")
--- a/internal/answers/shutdown_test.go
+++ b/internal/answers/shutdown_test.go
@@ -13,9 +13,9 @@
 	"sassafrasfield/internal/testfleet"
 )
 
-// load sends requests of each kind until stop is closed, and reports each that
-// did not get its whole answer.
-type load struct {
+// backgroundLoad sends requests of each kind until it is stopped, and fails the test if a request does not get
+// its complete answer.
+type backgroundLoad struct {
 	f     *fixture
 	b     *testfleet.Balancer
 	chat  testcaller.Chat
@@ -24,43 +24,44 @@
 	count atomic.Int64
 }
 
-func (l *load) stream() {
+func (l *backgroundLoad) stream() {
 	address := l.b.Pick()
 	answer, err := l.f.caller.Stream(l.f.ctx, address, l.chat, nil)
 	if err != nil || !answer.Done || answer.Text != l.want {
-		l.f.t.Errorf("a stream at %s: %v, %+v", address, err, answer)
+		l.f.t.Errorf("stream at %s: error %v, answer %+v", address, err, answer)
 	}
 }
 
-func (l *load) whole() {
+func (l *backgroundLoad) completion() {
 	body := fmt.Sprintf(`{"model": %q, "prompt": %q, "max_tokens": 20}`, modelName, prompt)
 	address := l.b.Pick()
 	res, err := l.f.caller.Post(l.f.ctx, address, "/v1/completions", nil, []byte(body))
 	if err != nil {
-		l.f.t.Errorf("a completion at %s: %v", address, err)
+		l.f.t.Errorf("completion at %s: %v", address, err)
 		return
 	}
 	res.Body.Close()
 	if res.StatusCode != http.StatusOK {
-		l.f.t.Errorf("a completion at %s: status %d", address, res.StatusCode)
+		l.f.t.Errorf("completion at %s: status %d", address, res.StatusCode)
 	}
 }
 
-func (l *load) certificate() {
+func (l *backgroundLoad) certificate() {
 	lot := fmt.Sprintf("lot %d", l.count.Load())
 	address := l.b.Pick()
-	if got := l.f.issue(address, lot, lot); got.Status != http.StatusOK {
-		l.f.t.Errorf("a certificate at %s: %+v", address, got)
+	if got := l.f.issueCertificate(address, lot, lot); got.Status != http.StatusOK {
+		l.f.t.Errorf("certificate at %s: %+v", address, got)
 	}
-	time.Sleep(20 * time.Millisecond) // the table has its limits
+	time.Sleep(20 * time.Millisecond) // limits the rate of writes to the table
 	l.lots.Store(lot, true)
 }
 
-func (l *load) run(stop <-chan struct{}) *sync.WaitGroup {
+// run starts the load. The returned group is done after stop is closed and the last requests have finished.
+func (l *backgroundLoad) run(stop <-chan struct{}) *sync.WaitGroup {
 	var work sync.WaitGroup
-	for _, request := range []func(){l.stream, l.stream, l.stream, l.whole, l.whole, l.certificate} {
+	for _, request := range []func(){l.stream, l.stream, l.stream, l.completion, l.completion, l.certificate} {
 		work.Go(func() {
-			for !ended(stop) && !l.f.t.Failed() {
+			for !isClosed(stop) && !l.f.t.Failed() {
 				request()
 				l.count.Add(1)
 			}
@@ -69,36 +70,35 @@
 	return &work
 }
 
-// TestRollingRestartLosesNothing restarts both daemons of each instance, one
-// instance after the other, under load that comes through a balancer whose
-// view lags. Each request gets its whole answer.
-func TestRollingRestartLosesNothing(t *testing.T) {
+// TestRollingRestartLosesNoRequest restarts both daemons of each instance, one instance after the other, under
+// load through a balancer that learns of changes with a delay. Each request must get its complete answer.
+func TestRollingRestartLosesNoRequest(t *testing.T) {
 	t.Parallel()
-	f := newFixture(t, size{
+	f := newFixture(t, fleetSize{
 		instances: 3, engines: 2, services: 1, engineFlags: []string{"--decode-rate", "100"},
 		entrySettings: "stale_after = \"20s\"\n",
 	})
 	b := testfleet.NewBalancer(300*time.Millisecond, f.Instances[0].EntryAddress, f.Instances[1].EntryAddress, f.Instances[2].EntryAddress)
 	go b.Run(f.ctx)
 	stopLoad := make(chan struct{})
-	f.until("the balancer knows all", func() bool {
+	f.waitUntil("the balancer sends to all instances", func() bool {
 		return b.Sends(f.Instances[0].EntryAddress) && b.Sends(f.Instances[1].EntryAddress) && b.Sends(f.Instances[2].EntryAddress)
 	})
-	c := chat(21, 60)
-	l := &load{f: f, b: b, chat: c, want: undisturbedText(c)}
+	c := newChat(21, 60)
+	l := &backgroundLoad{f: f, b: b, chat: c, want: expectedText(c)}
 	work := l.run(stopLoad)
 	for _, i := range f.Instances {
 		before := l.count.Load()
-		f.until("the load goes on", func() bool { return l.count.Load() > before+5 || t.Failed() })
-		f.stopGently(i.Entry)
-		f.stopGently(i.Control)
+		f.waitUntil("the load continues", func() bool { return l.count.Load() > before+5 || t.Failed() })
+		f.stopGracefully(i.Entry)
+		f.stopGracefully(i.Control)
 		f.must(f.StartControl(i))
 		f.must(f.StartEntry(i))
-		f.until("the balancer sends again", func() bool { return b.Sends(i.EntryAddress) })
+		f.waitUntil("the balancer sends again", func() bool { return b.Sends(i.EntryAddress) })
 	}
 	close(stopLoad)
 	work.Wait()
-	runs := f.allRuns()
+	runs := f.certificateRunsByLot()
 	l.lots.Range(func(lot, _ any) bool {
 		if runs[lot.(string)] != 1 {
 			t.Errorf("%s: %d runs", lot, runs[lot.(string)])
@@ -108,39 +108,40 @@
 	t.Logf("%d requests, %d certificates", l.count.Load(), len(runs))
 }
 
-// stopGently sends SIGTERM and waits for the process, which must end well.
-func (f *fixture) stopGently(p *testfleet.Process) {
+// stopGracefully sends SIGTERM and waits for the process, which must exit without an error.
+func (f *fixture) stopGracefully(p *testfleet.Process) {
 	f.t.Helper()
 	p.Signal(syscall.SIGTERM)
 	select {
 	case <-p.Done():
 	case <-f.ctx.Done():
-		f.t.Fatalf("%s did not end", p.Name)
+		f.t.Fatalf("%s did not exit", p.Name)
 	}
 	if err := p.Err(); err != nil {
-		f.t.Errorf("%s ended with %v: %s", p.Name, err, p.Log())
+		f.t.Errorf("%s exited with %v: %s", p.Name, err, p.Log())
 	}
 }
 
-// TestShutdownTimeout: an answer that is longer than the shutdown timeout is
-// told to resume, and another instance attaches to it; its engine goes on.
-func TestShutdownTimeout(t *testing.T) {
+// TestShutdownTimeoutTellsCallerToResume shuts an entry down during an answer that takes longer than the shutdown
+// timeout. The caller must be told to resume, and the other instance must attach to the stream, which the engine
+// continues.
+func TestShutdownTimeoutTellsCallerToResume(t *testing.T) {
 	t.Parallel()
-	f := newFixture(t, size{
+	f := newFixture(t, fleetSize{
 		instances: 2, engines: 2, engineFlags: []string{"--decode-rate", "40"},
 		entrySettings: "shutdown_timeout = \"300ms\"\n",
 	})
-	c := chat(23, 100)
-	first := f.stream(f.Instances[0].EntryAddress, c, 5, func(string) { f.Instances[0].Entry.Signal(syscall.SIGTERM) })
+	c := newChat(23, 100)
+	first := f.streamAnswer(f.Instances[0].EntryAddress, c, 5, func(string) { f.Instances[0].Entry.Signal(syscall.SIGTERM) })
 	if first.Error == nil || first.Error.Code != "instance_stopping" {
-		t.Fatalf("told %+v", first.Error)
+		t.Fatalf("got %+v", first.Error)
 	}
 	resumed := c
 	resumed.LastEventID = first.LastID
-	rest := f.stream(f.Instances[1].EntryAddress, resumed, 0, nil)
+	rest := f.streamAnswer(f.Instances[1].EntryAddress, resumed, 0, nil)
 	rest.Text = first.Text + rest.Text
-	f.wantWhole("resumed", rest, undisturbedText(c))
-	if started := f.engineBook(0).Started + f.engineBook(1).Started; started != 1 {
+	f.wantComplete("resumed", rest, expectedText(c))
+	if started := f.engineRecord(0).Started + f.engineRecord(1).Started; started != 1 {
 		t.Errorf("%d streams were started, want 1", started)
 	}
 }
