--- a/internal/answers/bench_test.go
+++ b/internal/answers/bench_test.go
@@ -16,7 +16,8 @@
 )
 
 // BenchmarkKeyedCall compares sequential calls with and without an idempotency key, and counts the operations
-// on the table per keyed call. Calls of both kinds alternate, so that both run under the same load of the machine.
+// on the table per keyed call. Calls of both kinds alternate, so that both run under the same load of the
+// machine.
 func BenchmarkKeyedCall(b *testing.B) {
 	f := newFixture(b, fleetSize{instances: 1, engines: 1, services: 1})
 	entry := f.Instances[0].EntryAddress
@@ -43,9 +44,9 @@
 	b.ReportMetric(float64(after.Reads-before.Reads)/float64(b.N), "reads/call")
 }
 
-// BenchmarkResumeAfterKill measures the time from the kill of the entry in the middle of an answer to the first
-// event from another instance. That instance attaches to the engine's stream, or resumes at another engine if
-// the first engine is killed too.
+// BenchmarkResumeAfterKill measures the time from the kill of the entry in the middle of an answer to the
+// first event from another instance. That instance attaches to the engine's stream, or resumes at another
+// engine if the first engine is killed too.
 func BenchmarkResumeAfterKill(b *testing.B) {
 	for _, both := range []bool{false, true} {
 		b.Run(fmt.Sprintf("engine-killed=%v", both), func(b *testing.B) {
@@ -63,8 +64,8 @@
 	}
 }
 
-// resumeOnce kills the victim's entry in the middle of an answer, and its engine too if both is set. It returns
-// the time until the first event from the other instance.
+// resumeOnce kills the victim's entry in the middle of an answer, and its engine too if both is set. It
+// returns the time until the first event from the other instance.
 func (f *fixture) resumeOnce(victim, other *testfleet.Instance, seed int64, both bool) time.Duration {
 	c := newChat(seed, 60)
 	var killed time.Time
--- a/internal/answers/once_test.go
+++ b/internal/answers/once_test.go
@@ -58,9 +58,9 @@
 }
 
 // TestEntryFrozenWhileHoldingAClaim freezes the entry that holds a claim until the other instance has settled
-// the claim as unknown. When the entry resumes, it still assumes that it holds the claim. Depending on where it
-// froze, the call has run, runs now or is abandoned. The call must run at most once, and the outcomes that the
-// callers get must be true in each case.
+// the claim as unknown. When the entry resumes, it still assumes that it holds the claim. Depending on where
+// it froze, the call has run, runs now or is abandoned. The call must run at most once, and the outcomes that
+// the callers get must be true in each case.
 func TestEntryFrozenWhileHoldingAClaim(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t, fleetSize{
@@ -164,8 +164,8 @@
 	}
 }
 
-// TestCallRefusedByUpstreamIsRetriedElsewhere checks that a call is sent to another upstream only while it has
-// not run, with and without a key. If no upstream runs it, the caller gets "not run" and the key is free.
+// TestCallRefusedByUpstreamIsRetriedElsewhere checks that a call is sent to another upstream only while it
+// has not run, with and without a key. If no upstream runs it, the caller gets "not run" and the key is free.
 func TestCallRefusedByUpstreamIsRetriedElsewhere(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t, fleetSize{instances: 1, engines: 1, services: 2})
--- a/internal/answers/shutdown_test.go
+++ b/internal/answers/shutdown_test.go
@@ -13,8 +13,8 @@
 	"sassafrasfield/internal/testfleet"
 )
 
-// backgroundLoad sends requests of each kind until it is stopped, and fails the test if a request does not get
-// its complete answer.
+// backgroundLoad sends requests of each kind until it is stopped, and fails the test if a request does not
+// get its complete answer.
 type backgroundLoad struct {
 	f     *fixture
 	b     *testfleet.Balancer
@@ -70,8 +70,9 @@
 	return &work
 }
 
-// TestRollingRestartLosesNoRequest restarts both daemons of each instance, one instance after the other, under
-// load through a balancer that learns of changes with a delay. Each request must get its complete answer.
+// TestRollingRestartLosesNoRequest restarts both daemons of each instance, one instance after the other,
+// under load through a balancer that learns of changes with a delay. Each request must get its complete
+// answer.
 func TestRollingRestartLosesNoRequest(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t, fleetSize{
@@ -122,9 +123,9 @@
 	}
 }
 
-// TestShutdownTimeoutTellsCallerToResume shuts an entry down during an answer that takes longer than the shutdown
-// timeout. The caller must be told to resume, and the other instance must attach to the stream, which the engine
-// continues.
+// TestShutdownTimeoutTellsCallerToResume shuts an entry down during an answer that takes longer than the
+// shutdown timeout. The caller must be told to resume, and the other instance must attach to the stream,
+// which the engine continues.
 func TestShutdownTimeoutTellsCallerToResume(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t, fleetSize{
--- a/internal/answers/whole_test.go
+++ b/internal/answers/whole_test.go
@@ -62,9 +62,9 @@
 	}
 }
 
-// TestEngineFailureMidStreamKeepsTheText makes the engine of a running stream crash, freeze and be killed, and
-// lets engines send pieces out of order. The caller's text must equal that of a run without failures, and an
-// engine that resumes after a freeze must add nothing to it.
+// TestEngineFailureMidStreamKeepsTheText makes the engine of a running stream crash, freeze and be killed,
+// and lets engines send pieces out of order. The caller's text must equal that of a run without failures, and
+// an engine that resumes after a freeze must add nothing to it.
 func TestEngineFailureMidStreamKeepsTheText(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t, fleetSize{
@@ -97,8 +97,8 @@
 	f.wantComplete("disorder", f.streamAnswer(entry, c, 0, nil), undisturbed.Text)
 }
 
-// TestFrozenEngineIsProbedBeforeTheFirstPiece freezes an engine before its first piece. Only a probe that gets no
-// reply distinguishes a frozen engine from a busy one.
+// TestFrozenEngineIsProbedBeforeTheFirstPiece freezes an engine before its first piece. Only a probe that
+// gets no reply distinguishes a frozen engine from a busy one.
 func TestFrozenEngineIsProbedBeforeTheFirstPiece(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t, fleetSize{
@@ -155,8 +155,8 @@
 }
 
 // TestResumeAfterEntryIsKilled kills the entry after the first event, in the middle and after the last piece.
-// The caller resumes on another instance, which attaches to the engine's stream, or uses another engine if the
-// first engine is killed too.
+// The caller resumes on another instance, which attaches to the engine's stream, or uses another engine if
+// the first engine is killed too.
 func TestResumeAfterEntryIsKilled(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t, fleetSize{instances: 2, engines: 3, engineFlags: []string{"--decode-rate", "100"}})
@@ -241,9 +241,9 @@
 	}
 }
 
-// TestCallerDisconnectCancelsGeneration checks that the engine's work is cancelled when the caller disconnects:
-// while the answer is streamed, while the request waits in the engine's queue, and for an answer that is not
-// streamed.
+// TestCallerDisconnectCancelsGeneration checks that the engine's work is cancelled when the caller
+// disconnects: while the answer is streamed, while the request waits in the engine's queue, and for an answer
+// that is not streamed.
 func TestCallerDisconnectCancelsGeneration(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t, fleetSize{
@@ -275,8 +275,9 @@
 	}
 }
 
-// TestFrozenEntryContinuesTheStream freezes the entry for longer than its timeout for engines. It must continue to
-// read when it resumes: the engine must not be treated as failed, and no other engine may generate the answer.
+// TestFrozenEntryContinuesTheStream freezes the entry for longer than its timeout for engines. It must
+// continue to read when it resumes: the engine must not be treated as failed, and no other engine may
+// generate the answer.
 func TestFrozenEntryContinuesTheStream(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t, fleetSize{
@@ -331,8 +332,8 @@
 	f.wantComplete("slow", slow, expectedText(c))
 }
 
-// TestResumeFailsWhenVersionIsRemoved checks that an answer of a version that is no longer served is not resumed,
-// and that the caller is told so.
+// TestResumeFailsWhenVersionIsRemoved checks that an answer of a version that is no longer served is not
+// resumed, and that the caller is told so.
 func TestResumeFailsWhenVersionIsRemoved(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t, fleetSize{instances: 1, engines: 2, engineFlags: []string{"--change-time", "100ms"}})
@@ -364,8 +365,9 @@
 	}
 }
 
-// TestResumeWhileTheFirstEntryCancels makes a caller disconnect and resume on another instance at the same moment.
-// The first entry cancels the stream to which the second one attaches. The text must still be complete.
+// TestResumeWhileTheFirstEntryCancels makes a caller disconnect and resume on another instance at the same
+// moment. The first entry cancels the stream to which the second one attaches. The text must still be
+// complete.
 func TestResumeWhileTheFirstEntryCancels(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t, fleetSize{instances: 2, engines: 3, engineFlags: []string{"--decode-rate", "200"}})
--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -1,5 +1,5 @@
-// Package tracing sets up OpenTelemetry. It exports spans to an OTLP/HTTP collector, to a file or to both, and
-// propagates W3C trace context. Both exports are off by default.
+// Package tracing sets up OpenTelemetry. It exports spans to an OTLP/HTTP collector, to a file or to both,
+// and propagates W3C trace context. Both exports are off by default.
 package tracing
 
 import (
