--- a/internal/engine/blocks.go
+++ b/internal/engine/blocks.go
@@ -2,16 +2,16 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// BlockTokens is the number of tokens in a piece of KV memory, and charsPerToken
-// the estimate that turns text into tokens.
+// BlockTokens is the number of tokens in a KV cache block. charsPerToken is the estimated number of bytes of
+// text per token.
 const (
 	BlockTokens   = 16
 	charsPerToken = 4
 )
 
-// BlockHashes returns the hashes of a prompt's whole blocks, at most limit of
-// them; each covers the prompt up to the block's end, so that equal hashes mean
-// an equal prefix. They are the Block of a CacheEvent. Limit 0 means all.
+// BlockHashes returns the hashes of the complete blocks of a prompt, at most limit of them. Limit 0 means
+// all. Each hash covers the prompt up to the end of the block, so equal hashes mean equal prefixes.
+// CacheEvent.Block has such a hash.
 func BlockHashes(prompt string, blockTokens, limit int) []uint64 {
 	size := blockTokens * charsPerToken
 	count := len(prompt) / size
@@ -21,7 +21,7 @@
 	hashes := make([]uint64, 0, count)
 	digest := xxhash.New()
 	for i := range count {
-		_, _ = digest.WriteString(prompt[i*size : (i+1)*size]) // a hash never fails
+		_, _ = digest.WriteString(prompt[i*size : (i+1)*size]) // Digest.WriteString never returns an error
 		hashes = append(hashes, digest.Sum64())
 	}
 	return hashes
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -28,39 +28,38 @@
 	PathImport      = "/kv/import"
 )
 
-// Headers of the answer to a Generate call: the engine's boot, and its count
+// Headers of the response to a Generate call: the engine's boot id, and the value of its count
 // Report.Accepted at this request.
 const (
 	HeaderBoot     = "X-Boot"
 	HeaderAccepted = "X-Accepted"
 )
 
-// maxTrailerBytes bounds what is read after the end of a reply.
+// maxTrailerBytes is the maximum number of bytes read after the end of a reply.
 const maxTrailerBytes = 4 << 10
 
-// maxReplyBytes bounds what is read of one reply that is no stream.
+// maxReplyBytes is the maximum number of bytes read of a reply that is not a stream.
 const maxReplyBytes = 8 << 20
 
-// StreamID names a stream in a call.
+// StreamID is the body of a call that names a stream.
 type StreamID struct {
 	ID string `json:"id"`
 }
 
-// Client speaks an engine's HTTP interface. It is safe for use by several
-// goroutines.
+// Client is an Engine that uses an engine's HTTP interface. It is safe for concurrent use.
 type Client struct {
 	base    string
 	http    *http.Client
 	timeout time.Duration
-	// numbers: the engine numbers the requests that it takes, so that its
-	// reports need not name them.
-	numbers atomic.Bool
+	// numbersRequests is true if the engine numbers the requests that it accepts, so that its reports need
+	// not list them.
+	numbersRequests atomic.Bool
 }
 
 var _ Engine = (*Client)(nil)
 
-// NewClient returns a client for the engine at address (host:port). Timeout
-// bounds each call but Generate, and the wait for a Generate call's headers.
+// NewClient returns a client for the engine at address (host:port). The timeout bounds each call except
+// Generate, and the wait for the response headers of a Generate call.
 func NewClient(address string, timeout time.Duration) *Client {
 	return &Client{
 		base: "http://" + address,
@@ -79,11 +78,11 @@
 	if err != nil {
 		return nil, err
 	}
-	number, _ := strconv.ParseInt(res.Header.Get(HeaderAccepted), 10, 64) // an engine may give none
+	number, _ := strconv.ParseInt(res.Header.Get(HeaderAccepted), 10, 64) // the engine may send no number
 	if number > 0 {
-		c.numbers.Store(true)
+		c.numbersRequests.Store(true)
 	}
-	return &stream{
+	return &responseStream{
 		body: res.Body, decoder: json.NewDecoder(res.Body),
 		boot: res.Header.Get(HeaderBoot), number: number,
 	}, nil
@@ -91,47 +90,47 @@
 
 // Cancel implements Engine.
 func (c *Client) Cancel(ctx context.Context, id string) error {
-	return c.call(ctx, PathCancel, StreamID{ID: id}, nil)
+	return c.callJSON(ctx, PathCancel, StreamID{ID: id}, nil)
 }
 
 // Report implements Engine.
 func (c *Client) Report(ctx context.Context) (Report, error) {
 	var report Report
 	path := PathReport
-	if c.numbers.Load() {
+	if c.numbersRequests.Load() {
 		path += "?recent=0"
 	}
-	err := c.call(ctx, path, nil, &report)
+	err := c.callJSON(ctx, path, nil, &report)
 	return report, err
 }
 
 // CacheEvents implements Engine.
 func (c *Client) CacheEvents(ctx context.Context, after int64) (CacheEvents, error) {
 	var events CacheEvents
-	err := c.call(ctx, PathCacheEvents+"?after="+strconv.FormatInt(after, 10), nil, &events)
+	err := c.callJSON(ctx, PathCacheEvents+"?after="+strconv.FormatInt(after, 10), nil, &events)
 	return events, err
 }
 
 // Status implements Engine.
 func (c *Client) Status(ctx context.Context) (Status, error) {
 	var status Status
-	err := c.call(ctx, PathStatus, nil, &status)
+	err := c.callJSON(ctx, PathStatus, nil, &status)
 	return status, err
 }
 
 // Export implements Engine.
 func (c *Client) Export(ctx context.Context, id string) (KVExport, error) {
 	var kv KVExport
-	err := c.call(ctx, PathExport, StreamID{ID: id}, &kv)
+	err := c.callJSON(ctx, PathExport, StreamID{ID: id}, &kv)
 	return kv, err
 }
 
 // Import implements Engine.
 func (c *Client) Import(ctx context.Context, kv KVExport) error {
-	return c.call(ctx, PathImport, kv, nil)
+	return c.callJSON(ctx, PathImport, kv, nil)
 }
 
-func (c *Client) call(ctx context.Context, path string, body, reply any) error {
+func (c *Client) callJSON(ctx context.Context, path string, body, reply any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	res, err := c.post(ctx, path, body)
@@ -148,26 +147,26 @@
 	return nil
 }
 
-// drain reads what is left of a body that is at its end and closes it, so that
-// the connection can be used again.
+// drain reads the rest of a body that is at its end and closes it, so that the connection can be reused.
 func drain(body io.ReadCloser) {
-	_, _ = io.CopyN(io.Discard, body, maxTrailerBytes) // a fault here costs the connection alone
+	_, _ = io.CopyN(io.Discard, body, maxTrailerBytes) // an error only prevents reuse of the connection
 	_ = body.Close()
 }
 
-// post sends one call and returns the response when its status is 200.
+// post sends a request and returns the response if its status is 200. The method is POST with a body and GET
+// without one.
 func (c *Client) post(ctx context.Context, path string, body any) (*http.Response, error) {
 	method, payload := http.MethodGet, io.Reader(nil)
 	if body != nil {
 		data, err := json.Marshal(body)
 		if err != nil {
-			return nil, errors.Wrap(err, "engine: encode")
+			return nil, errors.Wrap(err, "engine: encode request")
 		}
 		method, payload = http.MethodPost, bytes.NewReader(data)
 	}
 	req, err := http.NewRequestWithContext(ctx, method, c.base+path, payload)
 	if err != nil {
-		return nil, errors.Wrap(err, "engine: request")
+		return nil, errors.Wrap(err, "engine: create request")
 	}
 	otel.GetTextMapPropagator().Inject(ctx, propagation.HeaderCarrier(req.Header))
 	res, err := c.http.Do(req)
@@ -203,8 +202,8 @@
 	}
 }
 
-// stream reads one JSON object a line.
-type stream struct {
+// responseStream is a Stream that reads one JSON object per line of a response.
+type responseStream struct {
 	body    io.ReadCloser
 	decoder *json.Decoder
 	done    bool
@@ -212,12 +211,12 @@
 	number  int64
 }
 
-// Accepted implements Numbered.
-func (s *stream) Accepted() (boot string, number int64) {
+// Accepted implements NumberedStream.
+func (s *responseStream) Accepted() (boot string, number int64) {
 	return s.boot, s.number
 }
 
-func (s *stream) Next() (Piece, error) {
+func (s *responseStream) Next() (Piece, error) {
 	if s.done {
 		return Piece{}, io.EOF
 	}
@@ -229,9 +228,9 @@
 	return piece, nil
 }
 
-// Close implements Stream. What is left of a whole answer is read aside, so
-// that an engine that freezes at its end does not hold the caller up.
-func (s *stream) Close() error {
+// Close implements Stream. The rest of a complete answer is read in the background, so that an engine that
+// freezes at the end of an answer does not block the caller.
+func (s *responseStream) Close() error {
 	if s.done {
 		go drain(s.body)
 		return nil
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,6 +1,6 @@
-// Package engine is the edge to model engines: generation, load reports, cache
-// events, orders and the transfer of KV cache. The rest of the system knows
-// the interface Engine alone; Client is the one adapter.
+// Package engine is the interface to model engines. It covers generation, load reports, cache events, orders
+// and the transfer of KV cache. The rest of the system uses the interface Engine; Client implements it over
+// HTTP.
 package engine
 
 import (
@@ -13,61 +13,61 @@
 
 // Errors of an engine. Compare with errors.Is.
 var (
-	// ErrNotRun: the engine refused the request before it ran any of it.
+	// ErrNotRun means that the engine refused the request and ran no part of it.
 	ErrNotRun = errors.New("engine: not run")
-	// ErrUnreachable: the connection was refused; nothing ran.
+	// ErrUnreachable means that the connection was refused, so nothing ran.
 	ErrUnreachable = errors.New("engine: unreachable")
-	// ErrBroken: the engine went away after the request was sent.
+	// ErrBroken means that the call failed after the request may have been sent.
 	ErrBroken = errors.New("engine: connection broken")
-	// ErrNoStream: the engine holds no such stream.
+	// ErrNoStream means that the engine has no such stream.
 	ErrNoStream = errors.New("engine: no such stream")
-	// ErrFenced: the engine refused an order with an old fencing number.
-	ErrFenced = errors.New("engine: order fenced off")
+	// ErrFenced means that the engine refused an order with an old fencing number.
+	ErrFenced = errors.New("engine: order refused by fencing")
 )
 
-// Request asks an engine to generate.
+// Request is a request for generation.
 type Request struct {
-	// ID names the stream. A second request with the ID of a stream that the
-	// engine still holds attaches to that stream.
+	// ID is the id of the stream. A second request with the ID of a stream that the engine still holds
+	// attaches to that stream.
 	ID      string `json:"id"`
 	Model   string `json:"model"`
 	Adapter string `json:"adapter,omitempty"`
-	// Version that the engine must have loaded; any when empty.
+	// Version is the model version that the engine must have loaded. Empty means any.
 	Version string `json:"version,omitempty"`
 	Prompt  string `json:"prompt"`
-	// MaxTokens bounds the answer, the tokens of From included.
+	// MaxTokens is the maximum number of tokens of the answer, including those before From.
 	MaxTokens int `json:"max_tokens"`
-	// Seed fixes the sampling: the same request with the same seed yields the
-	// same tokens on each engine that has the same model, version and adapter.
+	// Seed is the seed of the sampling. The same request with the same seed yields the same tokens on each
+	// engine that has the same model, version and adapter.
 	Seed int64 `json:"seed"`
-	// Sampling is passed on as the caller gave it.
+	// Sampling is forwarded unchanged from the caller.
 	Sampling Sampling `json:"sampling"`
-	// Priority of the request; a higher one goes first.
+	// Priority is the priority of the request. Higher values are served first.
 	Priority int `json:"priority"`
-	// From is the number of the first token to send; earlier ones are
-	// generated or read from KV cache, and not sent.
+	// From is the number of the first token to send. Earlier tokens are generated or read from KV cache, but
+	// not sent.
 	From int `json:"from"`
-	// Attach asks for a stream that the engine holds already, and for nothing
-	// else: without it the engine answers ErrNoStream.
+	// Attach requests only to attach to a stream that the engine already holds. If there is no such stream,
+	// the error is ErrNoStream.
 	Attach bool `json:"attach,omitempty"`
-	// KVHandle names KV cache that Import brought to the engine.
+	// KVHandle is the handle of KV cache that the engine has fetched by Import.
 	KVHandle string `json:"kv_handle,omitempty"`
 }
 
-// Sampling tells how tokens are chosen. What is nil is the engine's default.
+// Sampling has the sampling parameters. Nil means the engine's default.
 type Sampling struct {
 	Temperature      *float64 `json:"temperature,omitempty"`
 	TopP             *float64 `json:"top_p,omitempty"`
 	PresencePenalty  *float64 `json:"presence_penalty,omitempty"`
 	FrequencyPenalty *float64 `json:"frequency_penalty,omitempty"`
-	// Stop ends the answer before any of these texts.
+	// Stop lists texts before which the answer ends.
 	Stop []string `json:"stop,omitempty"`
 }
 
-// FinishReason tells why an answer ended.
+// FinishReason is the reason for which an answer ended.
 type FinishReason string
 
-// Reasons for the end of an answer.
+// Finish reasons.
 const (
 	FinishStop   FinishReason = "stop"
 	FinishLength FinishReason = "length"
@@ -75,69 +75,69 @@
 
 // Piece is one token of an answer.
 type Piece struct {
-	// N numbers the tokens of an answer from 0.
+	// N is the number of the token in the answer, from 0.
 	N    int    `json:"n"`
 	Text string `json:"text"`
-	// Finish is set on the last piece, which has no text of its own.
+	// Finish is set on the last piece, which has no text.
 	Finish FinishReason `json:"finish,omitempty"`
 }
 
-// Report is an engine's load as it was at Time.
+// Report is an engine's load at the time UnixMilli.
 type Report struct {
 	Engine string `json:"engine"`
 	// Boot changes each time the engine starts.
 	Boot string `json:"boot"`
 	// Seq rises with each report of one boot.
 	Seq int64 `json:"seq"`
-	// UnixMilli is the engine's own clock when it took the report. Compare it
-	// with other reports of the same engine alone.
+	// UnixMilli is the time of the report on the engine's own clock. It is comparable only with other reports
+	// of the same engine.
 	UnixMilli int64 `json:"unix_milli"`
-	// Accepted counts the requests taken since the boot. It tells which of an
-	// entry's own placements the report accounts for.
+	// Accepted is the number of requests accepted since the boot. It shows which of an entry's own placements
+	// the report accounts for.
 	Accepted int64 `json:"accepted"`
-	// Recent are ids of the newest requests taken, newest last.
+	// Recent has the ids of the newest accepted requests, newest last.
 	Recent []string `json:"recent,omitempty"`
 	// Running and Waiting count streams.
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
-	// PrefillTokens are prompt tokens that wait to be processed.
+	// PrefillTokens is the number of prompt tokens that wait for prefill.
 	PrefillTokens int `json:"prefill_tokens"`
-	// KVBlocksFree and KVBlocksTotal count pieces of KV memory.
+	// KVBlocksFree and KVBlocksTotal count KV cache blocks.
 	KVBlocksFree  int `json:"kv_blocks_free"`
 	KVBlocksTotal int `json:"kv_blocks_total"`
-	// PrefillRate is in prompt tokens a second, DecodeRate in generated tokens
-	// a second for the whole engine, both as measured by the engine.
+	// PrefillRate is in prompt tokens per second, DecodeRate in generated tokens per second over all streams
+	// of the engine. Both are measured by the engine.
 	PrefillRate float64 `json:"prefill_rate"`
 	DecodeRate  float64 `json:"decode_rate"`
 }
 
-// Order tells an engine which state to bring itself to. It names the wanted
-// state, never a step, so that the same order twice is the same as once.
+// Order requests a state from an engine. It names the wanted state and not a step towards it, so orders are
+// idempotent.
 type Order struct {
 	ID string `json:"id"`
-	// Fence is the fencing number. It rises with each order to an engine; its
-	// upper half is the epoch of the lease that it was issued under.
+	// Fence is the fencing number. It rises with each order to an engine. Its upper half is the epoch of the
+	// lease under which the order was issued.
 	Fence int64              `json:"fence"`
 	Want  config.EngineState `json:"want"`
 }
 
-// Status is an engine's read-back of its state.
+// Status is an engine's report of its state.
 type Status struct {
 	Engine string             `json:"engine"`
 	Boot   string             `json:"boot"`
 	State  config.EngineState `json:"state"`
 	// Changing is true while an order is being carried out.
 	Changing bool `json:"changing"`
-	// LastOrder is the id of the order that was taken last, LastFence its
-	// fencing number. Engines that ignore fencing report both all the same.
+	// LastOrder is the id of the order that was accepted last, LastFence its fencing number. Engines that
+	// ignore fencing report both, too.
 	LastOrder string `json:"last_order"`
 	LastFence int64  `json:"last_fence"`
 	Running   int    `json:"running"`
-	// Fault tells what went wrong with the last order; empty when nothing did.
+	// Fault describes the failure of the last order. It is empty if the order did not fail.
 	Fault string `json:"fault,omitempty"`
 }
 
-// CacheEvent tells of a prompt prefix that an engine cached or dropped.
+// CacheEvent reports that an engine cached or evicted a prompt prefix.
 type CacheEvent struct {
 	Seq    int64  `json:"seq"`
 	Block  uint64 `json:"block"`
@@ -150,29 +150,29 @@
 	Events []CacheEvent `json:"events"`
 }
 
-// KVExport is KV cache on its way to another engine.
+// KVExport describes KV cache that another engine can import.
 type KVExport struct {
 	Handle string `json:"handle"`
-	// Source is host:port of the engine that holds the data. The importing
-	// engine reads it from there, so that it does not cross an entry.
+	// Source is the host:port of the engine that holds the data. The importing engine reads the data from
+	// there, so that it does not pass through an entry.
 	Source string `json:"source"`
 	Tokens int    `json:"tokens"`
 }
 
 // Engine is one model engine.
 type Engine interface {
-	// Generate starts or attaches to a stream. It returns once the engine took
-	// the request. Errors: ErrNotRun, ErrUnreachable, ErrNoStream, ErrBroken.
+	// Generate starts a stream or attaches to one. It returns when the engine has accepted the request.
+	// Errors: ErrNotRun, ErrUnreachable, ErrNoStream, ErrBroken.
 	Generate(ctx context.Context, req Request) (Stream, error)
-	// Cancel ends a stream. A stream that the engine does not hold is no error.
+	// Cancel cancels a stream. It is no error if the engine does not hold the stream.
 	Cancel(ctx context.Context, id string) error
-	// Report returns the newest load report, which lags.
+	// Report returns the newest load report, which may be out of date.
 	Report(ctx context.Context) (Report, error)
 	// CacheEvents returns the events after a sequence number.
 	CacheEvents(ctx context.Context, after int64) (CacheEvents, error)
-	// Order asks for a state. Errors: ErrFenced, ErrUnreachable, ErrBroken.
+	// Order requests a state. Errors: ErrFenced, ErrUnreachable, ErrBroken.
 	Order(ctx context.Context, order Order) (Status, error)
-	// Status reads the state back.
+	// Status returns the engine's state.
 	Status(ctx context.Context) (Status, error)
 	// Export prepares the KV cache of a stream for another engine.
 	Export(ctx context.Context, id string) (KVExport, error)
@@ -180,19 +180,18 @@
 	Import(ctx context.Context, kv KVExport) error
 }
 
-// Stream is an answer on its way. It is used by one goroutine.
+// Stream is an answer that is being received. It must be used by one goroutine only.
 type Stream interface {
-	// Next returns the next piece as it came: pieces may be late, repeated or
-	// out of order. After the last one it returns io.EOF; a broken stream is
-	// ErrBroken.
+	// Next returns the next piece as it was received. Pieces may be late, repeated or out of order. After the
+	// last piece it returns io.EOF. If the stream breaks, the error is ErrBroken.
 	Next() (Piece, error)
-	// Close leaves the stream. It does not cancel it.
+	// Close stops reading the stream. It does not cancel the stream at the engine.
 	Close() error
 }
 
-// NumberedStream is a Stream of an engine that numbers the requests it takes.
+// NumberedStream is a Stream of an engine that numbers the requests that it accepts.
 type NumberedStream interface {
-	// Accepted returns the engine's boot and the value of its count
-	// Report.Accepted at this request; an empty boot when it gave none.
+	// Accepted returns the engine's boot id and the value of its count Report.Accepted at this request. The
+	// boot is empty if the engine sent none.
 	Accepted() (boot string, number int64)
 }
--- a/internal/engine/order.go
+++ b/internal/engine/order.go
@@ -19,11 +19,10 @@
 	"sassafrasfield/internal/failpoint"
 )
 
-// Order implements Engine. It uses a connection of its own, which is gone when
-// Order returns or when the process ends: bytes that were not acknowledged yet
-// are dropped with it, and none is sent again after ctx has ended.
+// Order implements Engine. It uses a separate connection that is reset when Order returns or the process
+// exits. Bytes that are not acknowledged by then are dropped, and none is retransmitted after ctx has ended.
 func (c *Client) Order(ctx context.Context, order Order) (Status, error) {
-	ctx, span := startOrder(ctx, order)
+	ctx, span := startOrderSpan(ctx, order)
 	defer span.End()
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -31,12 +30,12 @@
 	if err != nil {
 		return Status{}, err
 	}
-	conn, err := dialOnce(ctx, req.URL.Host)
+	conn, err := dialOrder(ctx, req.URL.Host)
 	if err != nil {
 		return Status{}, classify(err)
 	}
 	defer conn.Close()
-	// The end of ctx closes the connection under a read or write.
+	// When ctx ends, the connection is closed, which aborts a pending read or write.
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
 	return exchange(conn, req)
 }
@@ -44,24 +43,23 @@
 func (c *Client) orderRequest(ctx context.Context, order Order) (*http.Request, error) {
 	data, err := json.Marshal(order)
 	if err != nil {
-		return nil, errors.Wrap(err, "engine: encode")
+		return nil, errors.Wrap(err, "engine: encode order")
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+PathOrder, bytes.NewReader(data))
 	if err != nil {
-		return nil, errors.Wrap(err, "engine: request")
+		return nil, errors.Wrap(err, "engine: create order request")
 	}
 	req.Close = true
 	otel.GetTextMapPropagator().Inject(ctx, propagation.HeaderCarrier(req.Header))
 	return req, nil
 }
 
-// dialOnce opens a connection that is reset when it closes, by the program or
-// by the process's end, and that gives up what is not acknowledged when ctx
-// ends.
-func dialOnce(ctx context.Context, address string) (net.Conn, error) {
+// dialOrder opens a connection that is reset when it is closed, by the program or by the exit of the process.
+// When ctx ends, the connection drops the data that is not acknowledged.
+func dialOrder(ctx context.Context, address string) (net.Conn, error) {
 	dialer := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
 		var failed error
-		err := raw.Control(func(fd uintptr) { failed = boundLife(int(fd), timeLeft(ctx)) })
+		err := raw.Control(func(fd uintptr) { failed = setOrderSocketOptions(int(fd), remainingTime(ctx)) })
 		if err != nil {
 			return errors.WithStack(err)
 		}
@@ -70,8 +68,9 @@
 	return dialer.DialContext(ctx, "tcp", address)
 }
 
-// timeLeft until the deadline of ctx, a millisecond at least.
-func timeLeft(ctx context.Context) time.Duration {
+// remainingTime returns the time until the deadline of ctx, at least 1 ms. It returns 0 if there is no
+// deadline.
+func remainingTime(ctx context.Context) time.Duration {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		return 0
@@ -79,18 +78,18 @@
 	return max(time.Until(deadline), time.Millisecond)
 }
 
-// boundLife sets the options of an order's socket; life 0 sets no bound on
-// retransmission.
-func boundLife(fd int, life time.Duration) error {
+// setOrderSocketOptions sets the options of an order's socket. The timeout bounds retransmission; 0 sets no
+// such bound.
+func setOrderSocketOptions(fd int, timeout time.Duration) error {
 	linger := unix.Linger{Onoff: 1, Linger: 0}
 	if err := unix.SetsockoptLinger(fd, unix.SOL_SOCKET, unix.SO_LINGER, &linger); err != nil {
 		return errors.Wrap(err, "engine: SO_LINGER")
 	}
-	err := unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(life.Milliseconds()))
+	err := unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout.Milliseconds()))
 	return errors.Wrap(err, "engine: TCP_USER_TIMEOUT")
 }
 
-// exchange sends the request and reads its answer.
+// exchange sends the request and reads the response.
 func exchange(conn net.Conn, req *http.Request) (Status, error) {
 	failpoint.Hit("engine.order.before_write")
 	if err := req.Write(conn); err != nil {
--- a/internal/engine/trace.go
+++ b/internal/engine/trace.go
@@ -8,8 +8,8 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// startOrder starts the span of one order.
-func startOrder(ctx context.Context, order Order) (context.Context, trace.Span) {
+// startOrderSpan starts the trace span of an order.
+func startOrderSpan(ctx context.Context, order Order) (context.Context, trace.Span) {
 	return otel.Tracer("engine").Start(ctx, "engine order", trace.WithSpanKind(trace.SpanKindClient),
 		trace.WithAttributes(attribute.String("order", order.ID), attribute.Int64("fence", order.Fence)))
 }
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -1,5 +1,5 @@
-// Package service is the edge to plain services: one HTTP call passed on to
-// one upstream. Client is the one adapter.
+// Package service is the interface to plain services. It forwards one HTTP call to one upstream and returns
+// the complete answer, or an error that says whether the call may have run. Client implements it over HTTP.
 package service
 
 import (
@@ -17,46 +17,44 @@
 
 // Errors of a call. Compare with errors.Is.
 var (
-	// ErrNotRun: the call did not reach the service, or the service itself
-	// said that it did not run it.
+	// ErrNotRun means that the call did not reach the service, or that the service reported that it did not
+	// run the call.
 	ErrNotRun = errors.New("service: not run")
-	// ErrRefused: the service itself said that it did not run the call. It is
-	// an ErrNotRun too.
+	// ErrRefused means that the service reported that it did not run the call. It wraps ErrNotRun.
 	ErrRefused = errors.WithMessage(ErrNotRun, "refused by the service")
-	// ErrUnknown: bytes of the call left and no whole answer came.
+	// ErrUnknown means that bytes of the call may have been sent and that no complete answer was received.
 	ErrUnknown = errors.New("service: outcome unknown")
 )
 
-// NotRunHeader is set by a service on a refusal, to say that it ran nothing.
+// NotRunHeader is the header that a service sets on a refusal, to report that it ran nothing.
 const NotRunHeader = "X-Not-Run"
 
-// maxAnswerBytes bounds an answer that is read whole.
+// maxAnswerBytes is the maximum size of the body of an answer.
 const maxAnswerBytes = 16 << 20
 
-// Call is one call of a caller.
+// Call is a caller's call to a service.
 type Call struct {
 	Method string
-	// Path with its query, as the caller sent it.
+	// Path is the path and query as the caller sent them.
 	Path   string
 	Header http.Header
 	Body   []byte
 }
 
-// Answer is a whole answer.
+// Answer is a complete answer.
 type Answer struct {
 	Status int         `json:"status"`
 	Header http.Header `json:"header"`
 	Body   []byte      `json:"body"`
 }
 
-// Service is one plain service's upstream.
+// Service is one upstream of a plain service.
 type Service interface {
 	// Do runs the call once. Errors: ErrNotRun, ErrUnknown.
 	Do(ctx context.Context, call Call) (Answer, error)
 }
 
-// Client calls one upstream over HTTP. It is safe for use by several
-// goroutines.
+// Client is a Service that calls one upstream over HTTP. It is safe for concurrent use.
 type Client struct {
 	base string
 	http *http.Client
@@ -64,15 +62,14 @@
 
 var _ Service = (*Client)(nil)
 
-// NewClient returns a client for the upstream at address (host:port). Timeout
-// bounds each call.
+// NewClient returns a client for the upstream at address (host:port). The timeout bounds each call.
 func NewClient(address string, timeout time.Duration) *Client {
 	return &Client{
 		base: "http://" + address,
 		http: &http.Client{
 			Timeout: timeout,
-			// A connection for each call: a kept one can be closed by the peer
-			// under a call that must not be sent twice.
+			// Each call uses a new connection, because the peer can close an idle connection while a call
+			// that must not be sent twice is using it.
 			Transport:     &http.Transport{DisableKeepAlives: true},
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		},
@@ -85,7 +82,7 @@
 	if err != nil {
 		return Answer{}, errors.WithMessage(ErrNotRun, err.Error())
 	}
-	req.GetBody = nil // never sent twice by the library
+	req.GetBody = nil // prevents net/http from sending the call a second time
 	for name, values := range call.Header {
 		req.Header[name] = values
 	}
@@ -101,8 +98,8 @@
 	return readAnswer(res)
 }
 
-// classify tells a call of which no byte left from one that may have run: a
-// byte can leave only on a connection that was had.
+// classify distinguishes a call of which no byte was sent from one that may have run. Bytes can be sent only
+// if a connection was obtained.
 func classify(err error, connected bool) error {
 	if !connected {
 		return errors.WithMessage(ErrNotRun, err.Error())
