--- a/internal/model/engine.go
+++ b/internal/model/engine.go
@@ -179,8 +179,8 @@
 	return prefilled, started, finished
 }
 
-// admit gives free slots to the requests whose KV cache has arrived, the most urgent class (the lowest Priority
-// value) first.
+// admit gives free slots to the requests whose KV cache has arrived, the most urgent class (the lowest
+// Priority value) first.
 func (e *engine) admit(now time.Duration) {
 	for len(e.running)+len(e.prompts) < e.spec.Slots {
 		var next *work
