--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -20,15 +20,15 @@
 	"sassafrasfield/internal/testfleet"
 )
 
-// Key is the API key of the demo's one organisation.
-const Key = "demo-key-of-qoton-trace"
+// APIKey is the API key of the demo's one organisation.
+const APIKey = "demo-key-of-qoton-trace"
 
 // ModelName is the demo's one model.
 const ModelName = "provenance"
 
-// Row is one point that held or fell.
-type Row struct {
-	What   string
+// Result is one point that held or fell.
+type Result struct {
+	Step   string
 	Detail string
 	Err    error
 }
@@ -46,14 +46,14 @@
 	fleet  *testfleet.Fleet
 	caller *testcaller.Caller
 	prompt string
-	rows   []Row
+	rows   []Result
 }
 
 // Run starts the fleet, goes through the points and stops all processes. It
 // returns an error when a point fell.
 func (d *Demo) Run(ctx context.Context) error {
 	d.fleet = testfleet.New(d.Bin, d.Dir)
-	d.caller = testcaller.New(Key)
+	d.caller = testcaller.New(APIKey)
 	defer d.fleet.Stop()
 	started := time.Now()
 	prompt, err := os.ReadFile(filepath.Join(d.Root, "examples", "demo", "prompt.txt"))
@@ -74,7 +74,7 @@
 	for _, point := range points {
 		fmt.Fprintf(d.Out, "\n== %s\n", point.what)
 		detail, err := point.run(ctx)
-		d.rows = append(d.rows, Row{What: point.what, Detail: detail, Err: err})
+		d.rows = append(d.rows, Result{Step: point.what, Detail: detail, Err: err})
 		if err != nil {
 			break
 		}
@@ -94,7 +94,7 @@
 			result, row.Detail = "FELL", row.Err.Error()
 			failed = row.Err
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\n", result, row.What, row.Detail)
+		fmt.Fprintf(w, "%s\t%s\t%s\n", result, row.Step, row.Detail)
 	}
 	if err := w.Flush(); err != nil {
 		return errors.WithStack(err)
@@ -128,7 +128,7 @@
 	if err := testfleet.Until(ctx, "each sf-control answers", d.controlsAnswer); err != nil {
 		return "", err
 	}
-	sum := sha256.Sum256([]byte(Key))
+	sum := sha256.Sum256([]byte(APIKey))
 	path, err := d.render("base.toml", map[string]any{
 		"Engines": d.fleet.Engines, "Services": d.fleet.Services, "KeyHash": hex.EncodeToString(sum[:]),
 	})
