--- a/internal/answers/bench_test.go
+++ b/internal/answers/bench_test.go
@@ -131,7 +131,7 @@
 	p, err := f.Start(e.ID, "sf-standin", args...)
 	f.must(err)
 	e.Process = p
-	f.waitUntil(e.ID+" answers", func() bool { return testfleet.Post(f.ctx, e.Address, testservers.PathBook, nil, nil) == nil })
+	f.waitUntil(e.ID+" answers", func() bool { return testfleet.Post(f.ctx, e.Address, testservers.PathRecord, nil, nil) == nil })
 }
 
 func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
--- a/internal/answers/fixture_test.go
+++ b/internal/answers/fixture_test.go
@@ -132,7 +132,7 @@
 }
 
 func (f *fixture) sfctl(args ...string) (string, error) {
-	args = append([]string{"--control", f.Instances[0].ControlAt, "--operator", "test", "--timeout", "60s"}, args...)
+	args = append([]string{"--control", f.Instances[0].ControlAddress, "--operator", "test", "--timeout", "60s"}, args...)
 	output, err := exec.CommandContext(f.ctx, filepath.Join(f.Bin, "sfctl"), args...).CombinedOutput()
 	return string(output), err
 }
@@ -192,9 +192,9 @@
 	f.t.Helper()
 	total := map[string]int{}
 	for _, s := range f.Services {
-		var book testservers.ServiceBook
-		f.must(testfleet.Post(f.ctx, s.Address, testservers.PathBook, nil, &book))
-		for lot, runs := range book.Bodies {
+		var record testservers.ServiceRecord
+		f.must(testfleet.Post(f.ctx, s.Address, testservers.PathRecord, nil, &record))
+		for lot, runs := range record.Bodies {
 			total[lot] += runs
 		}
 	}
@@ -206,11 +206,11 @@
 	f.must(testfleet.Post(f.ctx, f.Engines[n].Address, testservers.PathFault, faults, nil))
 }
 
-func (f *fixture) engineRecord(n int) testservers.Book {
+func (f *fixture) engineRecord(n int) testservers.EngineRecord {
 	f.t.Helper()
-	var book testservers.Book
-	f.must(testfleet.Post(f.ctx, f.Engines[n].Address, testservers.PathBook, nil, &book))
-	return book
+	var record testservers.EngineRecord
+	f.must(testfleet.Post(f.ctx, f.Engines[n].Address, testservers.PathRecord, nil, &record))
+	return record
 }
 
 func (f *fixture) serviceFault(n int, faults testservers.ServiceFaults) {
@@ -227,7 +227,7 @@
 func expectedText(c testcaller.Chat) string {
 	return testservers.NewText(engine.Request{
 		Model: c.Model, Version: "1", Prompt: "user: " + c.Prompt + "\n", MaxTokens: c.MaxTokens, Seed: c.Seed,
-	}).Whole()
+	}).FullText()
 }
 
 func isClosed(done <-chan struct{}) bool {
--- a/internal/answers/shutdown_test.go
+++ b/internal/answers/shutdown_test.go
@@ -83,7 +83,7 @@
 	go b.Run(f.ctx)
 	stopLoad := make(chan struct{})
 	f.waitUntil("the balancer sends to all instances", func() bool {
-		return b.Sends(f.Instances[0].EntryAddress) && b.Sends(f.Instances[1].EntryAddress) && b.Sends(f.Instances[2].EntryAddress)
+		return b.SendsTo(f.Instances[0].EntryAddress) && b.SendsTo(f.Instances[1].EntryAddress) && b.SendsTo(f.Instances[2].EntryAddress)
 	})
 	c := newChat(21, 60)
 	l := &backgroundLoad{f: f, b: b, chat: c, want: expectedText(c)}
@@ -95,7 +95,7 @@
 		f.stopGracefully(i.Control)
 		f.must(f.StartControl(i))
 		f.must(f.StartEntry(i))
-		f.waitUntil("the balancer sends again", func() bool { return b.Sends(i.EntryAddress) })
+		f.waitUntil("the balancer sends again", func() bool { return b.SendsTo(i.EntryAddress) })
 	}
 	close(stopLoad)
 	work.Wait()
--- a/internal/entry/fleet_test.go
+++ b/internal/entry/fleet_test.go
@@ -95,7 +95,7 @@
 		return err
 	}
 	sfctl := func(args ...string) ([]byte, error) {
-		args = append([]string{"--control", fleet.Instances[0].ControlAt, "--operator", "test", "--timeout", "30s"}, args...)
+		args = append([]string{"--control", fleet.Instances[0].ControlAddress, "--operator", "test", "--timeout", "30s"}, args...)
 		return exec.CommandContext(ctx, filepath.Join(fleet.Bin, "sfctl"), args...).CombinedOutput()
 	}
 	err := testfleet.Until(ctx, "sf-control answers", func() bool {
@@ -126,8 +126,8 @@
 	t.Helper()
 	total := 0
 	for _, e := range fleet.Engines {
-		var book testservers.Book
-		if err := testfleet.Post(ctx, e.Address, testservers.PathBook, nil, &book); err != nil {
+		var book testservers.EngineRecord
+		if err := testfleet.Post(ctx, e.Address, testservers.PathRecord, nil, &book); err != nil {
 			t.Fatal(err)
 		}
 		total += book.Started
--- a/internal/fanout/roster.go
+++ b/internal/fanout/roster.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// Forget removes an instance.
-func (r *Roster) Forget(id ID) { delete(r.members, id) }
+// Remove removes an instance.
+func (r *Roster) Remove(id ID) { delete(r.members, id) }
 
 // KnownCount returns the number of instances in the roster, including this one.
 func (r *Roster) KnownCount() int { return len(r.members) + 1 }
@@ -133,9 +133,9 @@
 	return rank
 }
 
-// ShouldRelay reports whether this instance is to pass reports on. It is if no live instance ranks
+// IsHub reports whether this instance is to pass reports on. It is if no live instance ranks
 // before it, or if those that do have sent no batch for takeoverAfter times their number.
-func (r *Roster) ShouldRelay(now time.Duration) bool {
+func (r *Roster) IsHub(now time.Duration) bool {
 	rank := r.Rank(now)
 	if rank == 0 {
 		return true
--- a/internal/upstreamstate/upstreamstate.go
+++ b/internal/upstreamstate/upstreamstate.go
@@ -156,7 +156,7 @@
 	defer s.mu.Unlock()
 	n, ok := s.nodes[u.ID]
 	if ok && n.StartedAt != u.StartedAt {
-		s.limits.announcements.Forget(n.hash)
+		s.limits.announcements.Remove(n.hash)
 		delete(s.limits.exhausted, n.hash)
 		delete(s.limits.backoffs, n.hash)
 		s.removeNode(n)
@@ -196,7 +196,7 @@
 		return
 	}
 	s.removeNode(n)
-	s.loads.Drop(id)
+	s.loads.Remove(id)
 }
 
 // removeNode removes what is known about one incarnation of an upstream. The lock is held.
