--- a/internal/testcaller/testcaller.go
+++ b/internal/testcaller/testcaller.go
@@ -142,7 +142,6 @@
 	return errors.WithStack(io.ErrUnexpectedEOF)
 }
 
-// applyEvent adds the data of one event to the answer and calls onEvent.
 // applyEvent adds the data of one event to the answer and calls onEvent.
 func (a *Answer) applyEvent(id, data string, onEvent Event) error {
 	var chunk struct {
