--- a/internal/peers/members.go
+++ b/internal/peers/members.go
@@ -91,7 +91,7 @@
 
 // isHub is IsHub. The lock is held.
 func (e *Exchange) isHub(now time.Duration) bool {
-	isHub := e.roster.ShouldRelay(now)
+	isHub := e.roster.IsHub(now)
 	if isHub != e.wasHub {
 		e.wasHub, e.hubSince = isHub, now
 		e.log.Info("peers: hub role changed", "passes", isHub, "rank", e.roster.Rank(now), "known", e.roster.KnownCount())
@@ -169,8 +169,8 @@
 	id := peer.ID()
 	if e.byID[id] == peer {
 		delete(e.byID, id)
-		e.roster.Forget(id)
-		e.inbox.Forget(id)
+		e.roster.Remove(id)
+		e.inbox.Remove(id)
 	}
 }
 
