--- a/cmd/sf-load/main.go
+++ b/cmd/sf-load/main.go
@@ -66,9 +66,9 @@
 		defer cancel()
 		result, err := loadgen.Run(ctx, loadgen.Options{Targets: *targets, Seed: *seed, Scenario: loadgen.Scenario{
 			Name: "run", Model: *model, Keys: *keys, Prefixes: *prefixes, HonourRetryAfter: *retry,
-			Classes: []loadgen.Class{{Name: "all", PromptTokens: *prompt, AnswerTokens: *answer, Shared: *shared}},
+			Classes: []loadgen.Class{{Name: "all", PromptTokens: *prompt, AnswerTokens: *answer, SharedFraction: *shared}},
 			Phases:  []loadgen.Phase{{Duration: *duration, Rate: *rate, Mix: []float64{1}}},
-			Bounds:  loadgen.Bounds{FirstToken: *firstToken, Token: *token},
+			Bounds:  loadgen.Bounds{FirstToken: *firstToken, MeanInterToken: *token},
 		}})
 		if err != nil {
 			return err
@@ -101,7 +101,7 @@
 		return bench.Compare(ctx, bench.Options{
 			Bin: *bin, Dir: dir, Out: *out, Seeds: *seeds, Lags: *lags, Phase: *phase, Rate: *rate,
 			Variants: bench.VariantsNamed(*variants), Deployments: bench.Deployments(),
-			Entries: *entries, ReportEvery: *reportEvery, SideBySide: *sideBySide, Log: os.Stderr,
+			Entries: *entries, ReportEvery: *reportEvery, MaxParallelGroups: *sideBySide, Log: os.Stderr,
 		})
 	}}
 }
--- a/internal/model/policy.go
+++ b/internal/model/policy.go
@@ -8,18 +8,18 @@
 	"sassafrasfield/internal/roles"
 )
 
-// Policy is what the instances decide by. What is left out has the default.
+// Policy configures the decisions of the instances. Zero values select the defaults.
 type Policy struct {
 	Name string `toml:"name"`
-	// Prefill is how many of 18 engines begin in prefill; 0 for the default.
+	// Prefill is the number of engines out of 18 that start in the prefill role; 0 for the default.
 	Prefill int `toml:"prefill_of_18"`
-	// Follows tells that the split follows the use.
-	Follows bool `toml:"follows"`
-	// InOrder has prompts processed in the order in which they come.
+	// AdaptSplit adjusts the split between the roles to the workload.
+	AdaptSplit bool `toml:"follows"`
+	// InOrder processes prompts in the order of their arrival, without deferring any.
 	InOrder bool `toml:"in_order"`
-	// Exact has the instances know what the engines take from the start.
-	Exact bool `toml:"exact"`
-	// MemoryPrice is what all of an engine's memory is worth; 0 for the default.
+	// KnownTimes starts the instances with the actual times of the engines instead of the default prior.
+	KnownTimes bool `toml:"exact"`
+	// MemoryPrice is the worth of an engine's whole KV cache, as in placement.Settings; 0 for the default.
 	MemoryPrice time.Duration `toml:"memory_price"`
 }
 
@@ -44,7 +44,7 @@
 
 func (p Policy) prior(spec EngineSpec) estimate.Prior {
 	prior := estimate.DefaultPrior()
-	if p.Exact {
+	if p.KnownTimes {
 		prior.TokenTime, prior.PairTime, prior.Overhead = spec.TokenTime, spec.PairTime, spec.Overhead
 		prior.Step, prior.StepPerRequest = spec.Step, spec.StepPerRequest
 	}
