--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -27,9 +27,9 @@
 	// all callers ask for the same, it is on each upstream that another content crashes. The second holds off
 	// a content that comes again and again. The last is about as long as upstreams keep their software.
 	Durations []time.Duration
-	// CrashTTL is how long a crash counts, and ForgetAfter how long after the end of a quarantine it is known
+	// CrashTTL is how long a crash counts, and HistoryTTL how long after the end of a quarantine it is known
 	// that the content was quarantined.
-	CrashTTL, ForgetAfter time.Duration
+	CrashTTL, HistoryTTL time.Duration
 	// ServedTTL is how long after a content was served no crash counts against it. Where many callers ask for
 	// the same, it is on any upstream that crashes.
 	ServedTTL time.Duration
@@ -46,7 +46,7 @@
 		Crashes:     2,
 		Durations:   []time.Duration{10 * time.Second, time.Hour, 24 * time.Hour},
 		CrashTTL:    10 * time.Minute, // callers that retry do so within seconds
-		ForgetAfter: 24 * time.Hour,
+		HistoryTTL: 24 * time.Hour,
 		ServedTTL:   time.Minute, // content that is requested less often is hardly on two upstreams that crash
 		// 130 requests a second, ten times the load of an instance; 16 bytes each
 		MaxServed:      8192,
@@ -227,7 +227,7 @@
 	excess := max(0, len(list)-t.settings.MaxQuarantined)
 	expired := list[:excess:excess]
 	for _, c := range list[excess:] {
-		if q := t.quarantines[c]; now-q.since > t.duration(q.times)+t.settings.ForgetAfter {
+		if q := t.quarantines[c]; now-q.since > t.duration(q.times)+t.settings.HistoryTTL {
 			expired = append(expired, c)
 		}
 	}
