--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -55,7 +55,7 @@
 	return c.table.Quarantined(content, bootclock.Now())
 }
 
-// recordCrash records the crash of an engine under a content. It returns whether the crash starts a
+// recordCrash records the crash of an engine that was serving a content. It returns whether the crash starts a
 // quarantine of the content, and how many crashes count against the content.
 func (c *quarantines) recordCrash(content quarantine.Content, boot string) (quarantined bool, crashes int) {
 	c.mu.Lock()
@@ -82,7 +82,7 @@
 	return notRun("content_set_apart", "engines ended while they had this request's content; it is not sent on now", 0)
 }
 
-// recordIfCrashed records a crash under the request's content if its stream broke because the engine
+// recordIfCrashed records a crash for the request's content if its stream broke because the engine
 // crashed.
 func (s *Server) recordIfCrashed(ctx context.Context, id, boot string, client engine.Engine, comp *completion, err error) {
 	if !errors.Is(err, engine.ErrBroken) {
--- a/internal/quarantine/recent.go
+++ b/internal/quarantine/recent.go
@@ -5,7 +5,7 @@
 // recent is a set of the contents that were served recently. It has two generations: when the newer one is
 // full or old enough, it replaces the older one.
 type recent struct {
-	// ttl is how long a content is remembered at least, unless a generation exceeds its capacity.
+	// ttl is how long a content is kept at least, unless a generation exceeds its capacity.
 	ttl        time.Duration
 	capacity   int
 	newer      map[Content]bool
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Crash is the crash of an upstream while it had a request.
+// Crash is the crash of an upstream while it was serving a content.
 type Crash struct {
 	Content Content
 	// Upstream is a hash of the upstream's incarnation: after a restart it is another one.
@@ -16,26 +16,27 @@
 
 // Settings of a Table.
 type Settings struct {
-	// Crashes is how many upstreams must crash under a content for its quarantine. One is not enough: an
-	// engine that crashed had up to 48 requests, and most were there by chance. Two may be chance where many
-	// upstreams crash at once: in two simulated days on which 0.3 to 0.4 of the engines crashed four times,
-	// 4 and 36 of some 12,220 requests met two crashes.
+	// Crashes is how many upstreams must crash while serving a content before it is quarantined. One is not
+	// enough: an engine that crashed was serving up to 48 requests, most of which did not cause the crash.
+	// Two can be a coincidence where many upstreams crash at once: in two simulated days on which 0.3 to 0.4
+	// of the engines crashed four times, 4 and 36 of some 12,220 requests were interrupted by two crashes.
 	Crashes int
 	// Durations are the durations of a content's quarantines: of the first one, and of each later one, which
-	// begins when one more upstream crashes under the content after the quarantine before it. The last
-	// duration is used from then on. The first is short because of contents that were there by chance: where
-	// all callers ask for the same, it is on each upstream that another content crashes. The second holds off
-	// a content that comes again and again. The last is about as long as upstreams keep their software.
+	// begins when one more upstream crashes while serving the content after the previous quarantine. The last
+	// duration is used for all further ones. The first is short because the content may not be the cause:
+	// where all callers request the same, each upstream that another content crashes is also serving it. The
+	// second blocks a content that is requested repeatedly. The last is about as long as upstreams run the
+	// same software.
 	Durations []time.Duration
-	// CrashTTL is how long a crash counts, and HistoryTTL how long after the end of a quarantine it is known
-	// that the content was quarantined.
+	// CrashTTL is how long a crash counts. HistoryTTL is how long after the end of a quarantine the table
+	// keeps the number of the content's quarantines.
 	CrashTTL, HistoryTTL time.Duration
-	// ServedTTL is how long after a content was served no crash counts against it. Where many callers ask for
-	// the same, it is on any upstream that crashes.
+	// ServedTTL is how long after a content was served no crash counts against it. Where many callers request
+	// the same, any upstream that crashes is also serving it.
 	ServedTTL time.Duration
-	// MaxServed is the most served contents that are remembered in each ServedTTL.
+	// MaxServed is the most served contents that are kept in each ServedTTL.
 	MaxServed int
-	// MaxContents is the most contents with crashes that are remembered, MaxQuarantined the most that are or
+	// MaxContents is the most contents with crashes that are kept, MaxQuarantined the most that are or
 	// were quarantined. The oldest are dropped.
 	MaxContents, MaxQuarantined int
 }
@@ -43,11 +44,11 @@
 // DefaultSettings returns the default settings.
 func DefaultSettings() Settings {
 	return Settings{
-		Crashes:     2,
-		Durations:   []time.Duration{10 * time.Second, time.Hour, 24 * time.Hour},
-		CrashTTL:    10 * time.Minute, // callers that retry do so within seconds
+		Crashes:    2,
+		Durations:  []time.Duration{10 * time.Second, time.Hour, 24 * time.Hour},
+		CrashTTL:   10 * time.Minute, // callers that retry do so within seconds
 		HistoryTTL: 24 * time.Hour,
-		ServedTTL:   time.Minute, // content that is requested less often is hardly on two upstreams that crash
+		ServedTTL:  time.Minute, // content that is requested less often is hardly served by two upstreams that crash
 		// 130 requests a second, ten times the load of an instance; 16 bytes each
 		MaxServed:      8192,
 		MaxContents:    4096, // 80 engines that crash at once with 48 requests each
@@ -65,7 +66,7 @@
 	outbox      outbox
 }
 
-// record holds the crashes under a content.
+// record holds the crashes that occurred while a content was served.
 type record struct {
 	// crashes are the upstreams whose crashes count; ignored are those that crashed before the content was
 	// served.
@@ -95,7 +96,7 @@
 	return t.settings.Durations[min(times, len(t.settings.Durations))-1]
 }
 
-// Quarantined reports whether a content is quarantined, so that no upstream may get it.
+// Quarantined reports whether a content is quarantined, so that no upstream may receive it.
 func (t *Table) Quarantined(c Content, now time.Duration) bool {
 	q, ok := t.quarantines[c]
 	return ok && now-q.since < t.duration(q.times)
@@ -124,7 +125,7 @@
 	return len(r.crashes)
 }
 
-// SawCrash reports whether this instance itself observed a crash under a content.
+// SawCrash reports whether this instance itself observed a crash during which a content was served.
 func (t *Table) SawCrash(c Content) bool {
 	r, ok := t.records[c]
 	return ok && r.observed
@@ -192,7 +193,7 @@
 	return existed
 }
 
-// ignoreCrashes makes the crashes under a content so far no longer count.
+// ignoreCrashes makes the crashes that are recorded for a content no longer count.
 func (t *Table) ignoreCrashes(c Content) {
 	if r, ok := t.records[c]; ok {
 		maps.Copy(r.ignored, r.crashes)
@@ -218,7 +219,7 @@
 	delete(t.records, c)
 }
 
-// Expired returns the contents whose quarantines need not be remembered any more: those that ended long
+// Expired returns the contents whose quarantines need not be kept any more: those that ended long
 // enough ago, and the oldest of those in excess of MaxQuarantined.
 func (t *Table) Expired(now time.Duration) []Content {
 	list := slices.SortedFunc(maps.Keys(t.quarantines), func(a, b Content) int {
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -67,7 +67,7 @@
 }
 
 // TestRepeatedQuarantinesLastLonger checks that a content is sent again after a quarantine, and is
-// quarantined for longer each time one more upstream crashes under it. Once it is served, its earlier
+// quarantined for longer each time one more upstream crashes while serving it. Once it is served, its earlier
 // quarantines no longer count.
 func TestRepeatedQuarantinesLastLonger(t *testing.T) {
 	table, at := newTable(), time.Duration(now)
@@ -92,8 +92,8 @@
 }
 
 // TestContentServedAllTheTimeIsNotQuarantined guards against the quarantine of a content that all callers
-// send, so that it is on each upstream that another content crashes. Seen: half of all requests were refused
-// for as long as the run lasted.
+// send, so that each upstream that another content crashes is also serving it. Observed: half of all requests
+// were refused until the end of the run.
 func TestContentServedAllTheTimeIsNotQuarantined(t *testing.T) {
 	table := newTable()
 	table.RecordServed(7, now)
@@ -113,13 +113,13 @@
 	}
 }
 
-// TestRecentExpiresAndIsBounded checks that contents are remembered for at least a minute and less than
+// TestRecentExpiresAndIsBounded checks that contents are kept for at least a minute and less than
 // three, and no more of them than the capacity allows.
 func TestRecentExpiresAndIsBounded(t *testing.T) {
 	r := newRecent(time.Minute, 10)
 	r.add(1, now)
 	if !r.has(1, now+time.Minute) || r.has(2, now) || r.has(1, now+3*time.Minute) {
-		t.Error("remembered for less than a minute, or for too long")
+		t.Error("kept for less than a minute, or for too long")
 	}
 	for c := range Content(1000) {
 		r.add(c, now+3*time.Minute)
--- a/internal/relay/quarantine.go
+++ b/internal/relay/quarantine.go
@@ -33,7 +33,7 @@
 )
 
 // quarantineState tracks the contents of requests during which upstreams crashed. Its times are on
-// the clock that keeps running while the machine is suspended, so that nothing is remembered or
+// the clock that keeps running while the machine is suspended, so that nothing is kept or
 // reported for longer than intended.
 //
 // It protects the upstreams, and all requests that they hold, from a request that crashes them and
