--- a/internal/scenario/pairs.go
+++ b/internal/scenario/pairs.go
@@ -35,11 +35,11 @@
 
 // Result of a run.
 type Result struct {
-	// Chats and Calls are what the callers asked; Whole and Answered what was
+	// Chats and Calls are what the callers asked; Complete and Answered what was
 	// answered of them; Gone the answers that were broken off and whose version
 	// of the model was replaced meanwhile; Accepted the operators' accepted
 	// changes.
-	Chats, Whole, Gone, Calls, Answered, Accepted int
+	Chats, Complete, Gone, Calls, Answered, Accepted int
 	// Wrong is what did not hold.
 	Wrong []string
 }
@@ -121,7 +121,7 @@
 	for _, r := range records.chats {
 		result.Chats++
 		if r.complete {
-			result.Whole++
+			result.Complete++
 		}
 		if r.versionRemoved {
 			result.Gone++
