--- a/internal/scenario/pairs.go
+++ b/internal/scenario/pairs.go
@@ -36,10 +36,10 @@
 // Result of a run.
 type Result struct {
 	// Chats and Calls are what the callers asked; Complete and Answered what was
-	// answered of them; Gone the answers that were broken off and whose version
+	// answered of them; VersionRemoved the answers that were broken off and whose version
 	// of the model was replaced meanwhile; Accepted the operators' accepted
 	// changes.
-	Chats, Complete, Gone, Calls, Answered, Accepted int
+	Chats, Complete, VersionRemoved, Calls, Answered, Accepted int
 	// Wrong is what did not hold.
 	Wrong []string
 }
@@ -124,7 +124,7 @@
 			result.Complete++
 		}
 		if r.versionRemoved {
-			result.Gone++
+			result.VersionRemoved++
 		}
 	}
 	for _, r := range records.calls {
--- a/internal/scenario/pairs_test.go
+++ b/internal/scenario/pairs_test.go
@@ -31,7 +31,7 @@
 		t.Fatalf("seed %d: %v", *pairsSeed, err)
 	}
 	t.Logf("seed %d: %d of %d chats whole (%d told cannot_resume), %d of %d calls answered, %d changes accepted",
-		*pairsSeed, result.Complete, result.Chats, result.Gone, result.Answered, result.Calls, result.Accepted)
+		*pairsSeed, result.Complete, result.Chats, result.VersionRemoved, result.Answered, result.Calls, result.Accepted)
 	for _, wrong := range result.Wrong {
 		t.Errorf("seed %d: %s", *pairsSeed, wrong)
 	}
