--- a/internal/scenario/pairs.go
+++ b/internal/scenario/pairs.go
@@ -40,8 +40,8 @@
 	// of the model was replaced meanwhile; Accepted the operators' accepted
 	// changes.
 	Chats, Complete, VersionRemoved, Calls, Answered, Accepted int
-	// Wrong is what did not hold.
-	Wrong []string
+	// Violations is what did not hold.
+	Violations []string
 }
 
 // Run goes through the pairs and compares the books. The error is of the run
@@ -106,7 +106,7 @@
 
 // collectResult compares all books at the end.
 func (p Pairs) collectResult(ctx context.Context, h *Harness, records *callerRecords, op *operator, watch *watcher) (Result, error) {
-	result := Result{Wrong: watch.finish(), Accepted: len(op.accepted)}
+	result := Result{Violations: watch.finish(), Accepted: len(op.accepted)}
 	up, err := readUpstreamRecords(ctx, h)
 	if err != nil {
 		return result, err
@@ -115,9 +115,9 @@
 	if err != nil {
 		return result, err
 	}
-	result.Wrong = append(result.Wrong, missing...)
-	result.Wrong = append(result.Wrong, records.compare(up)...)
-	result.Wrong = append(result.Wrong, compareOrders(up)...)
+	result.Violations = append(result.Violations, missing...)
+	result.Violations = append(result.Violations, records.compare(up)...)
+	result.Violations = append(result.Violations, compareOrders(up)...)
 	for _, r := range records.chats {
 		result.Chats++
 		if r.complete {
--- a/internal/scenario/pairs_test.go
+++ b/internal/scenario/pairs_test.go
@@ -32,7 +32,7 @@
 	}
 	t.Logf("seed %d: %d of %d chats whole (%d told cannot_resume), %d of %d calls answered, %d changes accepted",
 		*pairsSeed, result.Complete, result.Chats, result.VersionRemoved, result.Answered, result.Calls, result.Accepted)
-	for _, wrong := range result.Wrong {
+	for _, wrong := range result.Violations {
 		t.Errorf("seed %d: %s", *pairsSeed, wrong)
 	}
 }
