--- a/internal/scenario/commands_fault.go
+++ b/internal/scenario/commands_fault.go
@@ -202,7 +202,7 @@
 // cmdLeaving: leaving engine-1. The platform's list says that it leaves.
 func cmdLeaving(s *script, _ *testscript.TestScript, args []string) error {
 	for _, id := range args {
-		if err := s.harness.MarkLeaving(s.ctx, id, true); err != nil {
+		if err := s.harness.MarkDraining(s.ctx, id, true); err != nil {
 			return err
 		}
 	}
--- a/internal/scenario/harness.go
+++ b/internal/scenario/harness.go
@@ -262,8 +262,8 @@
 	return nil
 }
 
-// MarkLeaving sets the platform's word on an upstream.
-func (h *Harness) MarkLeaving(ctx context.Context, id string, leaving bool) error {
+// MarkDraining sets the platform's word on an upstream.
+func (h *Harness) MarkDraining(ctx context.Context, id string, leaving bool) error {
 	state := platform.InstanceLive
 	if leaving {
 		state = platform.InstanceShuttingDown
