--- a/internal/scenario/commands_fault.go
+++ b/internal/scenario/commands_fault.go
@@ -217,7 +217,7 @@
 	}
 	holder := ""
 	err := s.until("an instance holds the lease", func() bool {
-		holder = s.harness.Holder(s.ctx, PoolName)
+		holder = s.harness.LeaseHolder(s.ctx, PoolName)
 		return holder != ""
 	})
 	if err != nil {
--- a/internal/scenario/harness.go
+++ b/internal/scenario/harness.go
@@ -271,9 +271,9 @@
 	return h.Fleet.SetInstance(ctx, platform.Instance{ID: id, Kind: platform.KindUpstream, State: state})
 }
 
-// Holder returns the id of the instance that holds a pool's lease by the
+// LeaseHolder returns the id of the instance that holds a pool's lease by the
 // table, or "".
-func (h *Harness) Holder(ctx context.Context, pool string) string {
+func (h *Harness) LeaseHolder(ctx context.Context, pool string) string {
 	row, err := h.Fleet.PlatformClient().Get(ctx, "lease/"+pool)
 	if err != nil {
 		return ""
