--- a/internal/scenario/check.go
+++ b/internal/scenario/check.go
@@ -63,7 +63,7 @@
 
 func (r *chatRecord) compare(ran int) []string {
 	var wrong []string
-	want := Expected(r.chat, r.chat.LastEventID)
+	want := ExpectedAnswer(r.chat, r.chat.LastEventID)
 	if r.complete && r.text != want {
 		wrong = append(wrong, fmt.Sprintf("chat %s: the answer is %q, want %q", r.name, r.text, want))
 	}
--- a/internal/scenario/commands_call.go
+++ b/internal/scenario/commands_call.go
@@ -30,9 +30,9 @@
 	done   chan struct{}
 }
 
-// Expected returns the whole answer that each engine makes to a chat with one
+// ExpectedAnswer returns the whole answer that each engine makes to a chat with one
 // version of the model, which the id of an event names.
-func Expected(chat testcaller.Chat, eventID string) string {
+func ExpectedAnswer(chat testcaller.Chat, eventID string) string {
 	token, err := stream.ParseResumeToken(eventID)
 	if err != nil {
 		return "an answer with event ids; " + err.Error()
@@ -74,7 +74,7 @@
 		answer, err = s.harness.Caller.Stream(s.ctx, s.harness.Instance(args[0]).EntryAddress, chat, nil)
 		return err == nil && answer.Done
 	})
-	if want := Expected(chat, answer.LastID); err == nil && answer.Text != want {
+	if want := ExpectedAnswer(chat, answer.LastID); err == nil && answer.Text != want {
 		return errors.Errorf("got %q, want %q", answer.Text, want)
 	}
 	return err
@@ -135,7 +135,7 @@
 	if err != nil {
 		return err
 	}
-	if want := Expected(f.chat, f.answer.LastID); f.err != nil || !f.answer.Done || f.answer.Text != want {
+	if want := ExpectedAnswer(f.chat, f.answer.LastID); f.err != nil || !f.answer.Done || f.answer.Text != want {
 		return errors.Errorf("the answer is not whole (%v): %+v, want %q", f.err, f.answer, want)
 	}
 	return nil
@@ -174,7 +174,7 @@
 	}
 	f.chat.LastEventID = f.answer.LastID
 	rest, err := s.harness.Caller.Stream(s.ctx, s.harness.Instance(args[1]).EntryAddress, f.chat, nil)
-	want := Expected(f.chat, f.answer.LastID)
+	want := ExpectedAnswer(f.chat, f.answer.LastID)
 	if err != nil || !rest.Done || f.answer.Text+rest.Text != want {
 		return errors.Errorf("the answer is not whole (%v): %q then %+v, want %q", err, f.answer.Text, rest, want)
 	}
