--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -55,8 +55,8 @@
 	return c.table.Quarantined(content, bootclock.Now())
 }
 
-// recordCrash records the crash of an engine that was serving a content. It returns whether the crash starts a
-// quarantine of the content, and how many crashes count against the content.
+// recordCrash records the crash of an engine that was serving a content. It returns whether the crash
+// starts a quarantine of the content, and how many crashes count against the content.
 func (c *quarantines) recordCrash(content quarantine.Content, boot string) (quarantined bool, crashes int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
