--- a/cmd/sf-soak/main.go
+++ b/cmd/sf-soak/main.go
@@ -36,17 +36,17 @@
 			fmt.Fprintln(os.Stderr, "sf-soak:", err)
 			return 1
 		}
-		s := &soak.Soak{Seed: seed, For: duration, Instances: instances, Endings: true, Duties: true, Limits: true, Words: true}
+		s := &soak.Soak{Seed: seed, Duration: duration, Instances: instances, CrashingContents: true, Duties: true, Limits: true, Announcements: true}
 		result, err := s.Run(context.Background(), filepath.Clean(bin), dir)
 		if err != nil {
 			fmt.Fprintf(os.Stderr, "sf-soak: seed %d: %v; logs are in %s\n", seed, err, dir)
 			return 1
 		}
-		fmt.Printf("seed %d: %d of %d served, %d faults, %d broken\n", seed, result.Served, result.All, len(result.Faults), len(result.Broken))
-		for _, violation := range result.Broken {
+		fmt.Printf("seed %d: %d of %d served, %d faults, %d broken\n", seed, result.Served, result.Total, len(result.Faults), len(result.Violations))
+		for _, violation := range result.Violations {
 			fmt.Printf("  %s\n", violation)
 		}
-		if len(result.Broken) > 0 {
+		if len(result.Violations) > 0 {
 			fmt.Printf("  logs: %s\n", dir)
 			code = 1
 			continue
