--- a/internal/scenario/callers.go
+++ b/internal/scenario/callers.go
@@ -14,47 +14,46 @@
 	"sassafrasfield/internal/testservers"
 )
 
-// stallTimeout is how long a caller waits for the next event before it goes on at
-// another instance.
+// stallTimeout is how long a caller waits for the next event before it resumes at another instance.
 const stallTimeout = 4 * time.Second
 
-// retryDelay is the caller's pause after a refusal.
+// retryDelay is the caller's delay before a retry.
 const retryDelay = 100 * time.Millisecond
 
-// chatRecord is a caller's own record of one streamed request.
+// chatRecord is the record that a caller keeps of one streamed request.
 type chatRecord struct {
 	name string
 	chat testcaller.Chat
-	// text that came, over all attempts.
+	// text is the received text of all attempts.
 	text string
-	// complete is true when the closing event came.
+	// complete is true if the closing event was received.
 	complete bool
 	// notRun is true when each attempt was answered "not run".
 	notRun bool
-	// versionRemoved is true when the entry told that no engine serves the version any
-	// more that began the answer: it was broken off, and replaced meanwhile.
+	// versionRemoved is true if the answer broke off and the entry then reported that no engine serves the
+	// model version that began it any more, because the version was replaced meanwhile.
 	versionRemoved bool
 }
 
-// callRecord is a caller's own record of one call that may run once at most.
+// callRecord is the record that a caller keeps of one call that may run at most once.
 type callRecord struct {
 	body   string
 	keyed  bool
 	answer string
 	// notRun is true when each attempt was answered "not run".
 	notRun bool
-	// conflicting is true when two answers under one key were not the same.
+	// conflicting is true if two answers under one key differed.
 	conflicting bool
 }
 
-// callerRecords is what the callers asked and got.
+// callerRecords are the records of all callers.
 type callerRecords struct {
 	mu    sync.Mutex // protects all below
 	chats []*chatRecord
 	calls []*callRecord
 }
 
-// callers ask until they are told to stop, and finish what they began.
+// callers send requests until they are stopped, and then complete the ones they began.
 type callers struct {
 	harness *Harness
 	book    *callerRecords
@@ -63,15 +62,14 @@
 	work    sync.WaitGroup
 }
 
-// startCallers starts callers with names and choices that follow from the
-// seed.
+// startCallers starts callers whose request names and choices are determined by the seed.
 func startCallers(ctx context.Context, h *Harness, b *callerRecords, round string, seed uint64, count int) *callers {
 	c := &callers{harness: h, book: b, ctx: ctx, stop: make(chan struct{})}
 	for n := range count {
 		c.work.Go(func() {
 			rng := rand.New(rand.NewPCG(seed, uint64(n)))
-			for asked := 0; !c.stopped(); asked++ {
-				c.request(fmt.Sprintf("%s-%d-%d", round, n, asked), rng)
+			for sent := 0; !c.stopped(); sent++ {
+				c.request(fmt.Sprintf("%s-%d-%d", round, n, sent), rng)
 			}
 		})
 	}
@@ -87,7 +85,7 @@
 	}
 }
 
-// finish lets each caller finish what it began.
+// finish stops the callers and waits until each has completed its request.
 func (c *callers) finish() {
 	close(c.stop)
 	c.work.Wait()
@@ -109,8 +107,8 @@
 	return instances[rng.IntN(len(instances))].EntryAddress
 }
 
-// stream asks until the answer is whole, resuming where it broke off. A
-// request of which nothing came is given up when the callers stop.
+// stream retries until the answer is complete, resuming where it broke off. It gives up a request without any
+// received text when the callers are stopped.
 func (c *callers) stream(name string, rng *rand.Rand) {
 	record := &chatRecord{name: name, notRun: true, chat: testcaller.Chat{
 		Model: ModelName, Prompt: testservers.CountedPromptMark + name + " what does the ledger say?",
@@ -130,9 +128,9 @@
 func (c *callers) attempt(record *chatRecord, entry string) {
 	ctx, cancel := context.WithCancel(c.ctx)
 	defer cancel()
-	stalled := time.AfterFunc(stallTimeout, cancel)
-	defer stalled.Stop()
-	answer, err := c.harness.Caller.Stream(ctx, entry, record.chat, func(string, string) { stalled.Reset(stallTimeout) })
+	stallTimer := time.AfterFunc(stallTimeout, cancel)
+	defer stallTimer.Stop()
+	answer, err := c.harness.Caller.Stream(ctx, entry, record.chat, func(string, string) { stallTimer.Reset(stallTimeout) })
 	record.text += answer.Text
 	record.complete = answer.Done
 	if answer.LastID != "" {
@@ -148,8 +146,8 @@
 	}
 }
 
-// call issues a certificate: with a key until it is answered or "unknown" for
-// good, without one a single time.
+// call issues a certificate. With a key it retries up to 8 times in all until it is answered; without a key
+// it sends a single request.
 func (c *callers) call(name string, keyed bool, rng *rand.Rand) {
 	record := &callRecord{body: fmt.Sprintf(`{"certificate": %q}`, name), keyed: keyed, notRun: true}
 	header := http.Header{}
@@ -165,14 +163,14 @@
 		time.Sleep(retryDelay)
 	}
 	if keyed && record.answer != "" {
-		c.tryCall(record, c.entry(rng), header) // asked again, the answer is the same
+		c.tryCall(record, c.entry(rng), header) // a repeated request must get the same answer
 	}
 	c.book.mu.Lock()
 	defer c.book.mu.Unlock()
 	c.book.calls = append(c.book.calls, record)
 }
 
-// tryCall sends one call and tells whether it was answered.
+// tryCall sends one call and reports whether it was answered.
 func (c *callers) tryCall(record *callRecord, entry string, header http.Header) bool {
 	ctx, cancel := context.WithTimeout(c.ctx, 2*stallTimeout)
 	defer cancel()
--- a/internal/scenario/check.go
+++ b/internal/scenario/check.go
@@ -10,14 +10,14 @@
 	"sassafrasfield/internal/testservers"
 )
 
-// neverSent tells that a request did not reach an entry at all.
+// neverSent reports whether a request did not reach an entry at all.
 func neverSent(err error) bool {
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// upstreamRecords are what the engines and services say that they ran.
+// upstreamRecords are the records that the engines and services keep of what they ran.
 type upstreamRecords struct {
-	// ran counts streams by the name in the prompt, runs the calls by body.
+	// ran counts the runs of streams by the name in the prompt, runs those of calls by body.
 	ran, runs map[string]int
 	engines   map[string]testservers.EngineRecord
 }
@@ -46,65 +46,63 @@
 	return all, nil
 }
 
-// compare returns what of the callers' book does not agree with the upstreams'
-// books.
+// compare returns the contradictions between the records of the callers and those of the upstreams.
 func (b *callerRecords) compare(up upstreamRecords) []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var wrong []string
+	var violations []string
 	for _, r := range b.chats {
-		wrong = append(wrong, r.compare(up.ran[r.name])...)
+		violations = append(violations, r.compare(up.ran[r.name])...)
 	}
 	for _, r := range b.calls {
-		wrong = append(wrong, r.compare(up.runs[r.body])...)
+		violations = append(violations, r.compare(up.runs[r.body])...)
 	}
-	return wrong
+	return violations
 }
 
 func (r *chatRecord) compare(ran int) []string {
-	var wrong []string
+	var violations []string
 	want := ExpectedAnswer(r.chat, r.chat.LastEventID)
 	if r.complete && r.text != want {
-		wrong = append(wrong, fmt.Sprintf("chat %s: the answer is %q, want %q", r.name, r.text, want))
+		violations = append(violations, fmt.Sprintf("chat %s: the answer is %q, want %q", r.name, r.text, want))
 	}
 	if !r.complete && !r.versionRemoved && r.text != "" {
-		wrong = append(wrong, fmt.Sprintf("chat %s: accepted, and never answered whole: %q", r.name, r.text))
+		violations = append(violations, fmt.Sprintf("chat %s: accepted but never answered completely: %q", r.name, r.text))
 	}
 	if r.notRun && ran > 0 {
-		wrong = append(wrong, fmt.Sprintf("chat %s: told \"not run\", and an engine ran it", r.name))
+		violations = append(violations, fmt.Sprintf("chat %s: answered \"not run\" although an engine ran it", r.name))
 	}
-	return wrong
+	return violations
 }
 
 func (r *callRecord) compare(runs int) []string {
-	var wrong []string
+	var violations []string
 	if runs > 1 {
-		wrong = append(wrong, fmt.Sprintf("call %s: ran %d times (keyed: %t)", r.body, runs, r.keyed))
+		violations = append(violations, fmt.Sprintf("call %s: ran %d times (keyed: %t)", r.body, runs, r.keyed))
 	}
 	if r.answer != "" && runs != 1 {
-		wrong = append(wrong, fmt.Sprintf("call %s: answered, and ran %d times", r.body, runs))
+		violations = append(violations, fmt.Sprintf("call %s: answered, but ran %d times", r.body, runs))
 	}
 	if r.notRun && runs > 0 {
-		wrong = append(wrong, fmt.Sprintf("call %s: told \"not run\", and it ran", r.body))
+		violations = append(violations, fmt.Sprintf("call %s: answered \"not run\" although it ran", r.body))
 	}
 	if r.conflicting {
-		wrong = append(wrong, fmt.Sprintf("call %s: two different answers under one key", r.body))
+		violations = append(violations, fmt.Sprintf("call %s: two different answers under one key", r.body))
 	}
-	return wrong
+	return violations
 }
 
-// compareOrders returns orders that took effect after one with a higher
-// fencing number.
+// compareOrders returns the orders that took effect after one with a higher fencing number.
 func compareOrders(up upstreamRecords) []string {
-	var wrong []string
+	var violations []string
 	for id, b := range up.engines {
 		highest := int64(0)
 		for _, order := range b.Orders {
 			if order.Fence < highest {
-				wrong = append(wrong, fmt.Sprintf("%s: an order of epoch %d took effect after one of epoch %d", id, order.Fence, highest))
+				violations = append(violations, fmt.Sprintf("%s: an order of epoch %d took effect after one of epoch %d", id, order.Fence, highest))
 			}
 			highest = max(highest, order.Fence)
 		}
 	}
-	return wrong
+	return violations
 }
--- a/internal/scenario/commands_call.go
+++ b/internal/scenario/commands_call.go
@@ -19,10 +19,11 @@
 	"sassafrasfield/internal/testservers"
 )
 
-// prompt of the scripts' requests.
+// prompt is the prompt of the scripts' requests.
 const prompt = "Is this grade claim consistent with the history of lot 4471?"
 
-// streamedAnswer is a streamed answer that a script follows.
+// streamedAnswer is a streamed answer that a script has started. answer and err are valid once done is
+// closed.
 type streamedAnswer struct {
 	chat   testcaller.Chat
 	answer testcaller.Answer
@@ -30,8 +31,8 @@
 	done   chan struct{}
 }
 
-// ExpectedAnswer returns the whole answer that each engine makes to a chat with one
-// version of the model, which the id of an event names.
+// ExpectedAnswer returns the complete answer of any engine to a chat with the model version that the event id
+// names.
 func ExpectedAnswer(chat testcaller.Chat, eventID string) string {
 	token, err := stream.ParseResumeToken(eventID)
 	if err != nil {
@@ -48,8 +49,8 @@
 	}).FullText()
 }
 
-// newChat reads the number of tokens and makes a request with a seed of its
-// own, whose answer by the first version of the model has that many.
+// newChat parses the number of tokens and returns a request with a seed of its own, chosen so that the answer
+// of the model's first version has that many tokens.
 func (s *script) newChat(tokens string) (testcaller.Chat, error) {
 	n, err := strconv.Atoi(tokens)
 	chat := testcaller.Chat{Model: ModelName, Prompt: prompt, MaxTokens: n, Seed: int64(len(s.streams)) << 20}
@@ -59,8 +60,8 @@
 	return chat, errors.WithStack(err)
 }
 
-// cmdAsk: ask inst-1 20. It asks for an answer of up to 20 tokens until it gets
-// one, and wants it whole.
+// cmdAsk implements "ask inst-1 20". It requests an answer of up to 20 tokens until it gets one, and requires
+// that the answer is complete.
 func cmdAsk(s *script, _ *testscript.TestScript, args []string) error {
 	if len(args) != 2 || s.harness.Instance(args[0]) == nil {
 		return errors.New("ask: want an instance and a number of tokens")
@@ -80,9 +81,8 @@
 	return err
 }
 
-// cmdStream: stream NAME inst-1 150. It starts an answer, waits for its first
-// event, and sets $NAME to the engine that it runs on. A refusal is tried
-// again.
+// cmdStream implements "stream NAME inst-1 150". It starts an answer, waits for its first event, and sets
+// $NAME to the engine that runs it. A refused request is retried.
 func cmdStream(s *script, ts *testscript.TestScript, args []string) error {
 	if len(args) != 3 || s.harness.Instance(args[1]) == nil {
 		return errors.New("stream: want a name, an instance and a number of tokens")
@@ -106,8 +106,7 @@
 	return errors.WithStack(err)
 }
 
-// follow starts an answer and returns with the id of its first event, or with
-// "" when it ended before.
+// follow starts an answer and returns it with the id of its first event, or "" if it ended before.
 func (s *script) follow(entry string, chat testcaller.Chat) (*streamedAnswer, string) {
 	f := &streamedAnswer{chat: chat, done: make(chan struct{})}
 	first := make(chan string, 1)
@@ -128,28 +127,29 @@
 	}
 }
 
-// cmdWhole: whole NAME. It waits for the end of an answer and wants all of it,
-// byte for byte.
+// cmdWhole implements "whole NAME". It waits for the end of an answer and requires that it is complete, byte
+// for byte.
 func cmdWhole(s *script, _ *testscript.TestScript, args []string) error {
 	f, err := s.waitForStream(args)
 	if err != nil {
 		return err
 	}
 	if want := ExpectedAnswer(f.chat, f.answer.LastID); f.err != nil || !f.answer.Done || f.answer.Text != want {
-		return errors.Errorf("the answer is not whole (%v): %+v, want %q", f.err, f.answer, want)
+		return errors.Errorf("the answer is not complete (%v): %+v, want %q", f.err, f.answer, want)
 	}
 	return nil
 }
 
-// cmdBroken: broken NAME. It waits for the end of an answer and wants it cut.
+// cmdBroken implements "broken NAME". It waits for the end of an answer and requires that it was cut off.
 func cmdBroken(s *script, _ *testscript.TestScript, args []string) error {
 	f, err := s.waitForStream(args)
 	if err == nil && f.answer.Done {
-		return errors.New("the answer is whole")
+		return errors.New("the answer is complete")
 	}
 	return err
 }
 
+// waitForStream waits for the end of the answer that the only argument names.
 func (s *script) waitForStream(args []string) (*streamedAnswer, error) {
 	if len(args) != 1 || s.streams[args[0]] == nil {
 		return nil, errors.New("want the name of a stream")
@@ -162,8 +162,8 @@
 	}
 }
 
-// cmdResume: resume NAME inst-2. It goes on with a broken answer and wants the
-// rest of it, byte for byte.
+// cmdResume implements "resume NAME inst-2". It resumes a broken answer and requires the remaining part, byte
+// for byte.
 func cmdResume(s *script, _ *testscript.TestScript, args []string) error {
 	if len(args) != 2 || s.harness.Instance(args[1]) == nil {
 		return errors.New("resume: want the name of a stream and an instance")
@@ -173,16 +173,16 @@
 		return err
 	}
 	f.chat.LastEventID = f.answer.LastID
-	rest, err := s.harness.Caller.Stream(s.ctx, s.harness.Instance(args[1]).EntryAddress, f.chat, nil)
+	remainder, err := s.harness.Caller.Stream(s.ctx, s.harness.Instance(args[1]).EntryAddress, f.chat, nil)
 	want := ExpectedAnswer(f.chat, f.answer.LastID)
-	if err != nil || !rest.Done || f.answer.Text+rest.Text != want {
-		return errors.Errorf("the answer is not whole (%v): %q then %+v, want %q", err, f.answer.Text, rest, want)
+	if err != nil || !remainder.Done || f.answer.Text+remainder.Text != want {
+		return errors.Errorf("the answer is not complete (%v): %q then %+v, want %q", err, f.answer.Text, remainder, want)
 	}
 	return nil
 }
 
-// cmdIssue: issue inst-1 KEY. It asks for a certificate under an idempotency
-// key, once, and prints status, outcome and answer.
+// cmdIssue implements "issue inst-1 KEY". It sends one request for a certificate under an idempotency key,
+// and prints status, outcome and answer.
 func cmdIssue(s *script, ts *testscript.TestScript, args []string) error {
 	if len(args) != 2 || s.harness.Instance(args[0]) == nil {
 		return errors.New("issue: want an instance and a key")
@@ -204,15 +204,15 @@
 	return errors.WithStack(err)
 }
 
-// cmdRuns: runs 1. It wants that many certificates in the services' own books.
+// cmdRuns implements "runs 1". It requires that number of certificates in the records of the services.
 func cmdRuns(s *script, _ *testscript.TestScript, args []string) error {
 	total := 0
 	for _, service := range s.harness.Fleet.Services {
-		var book testservers.ServiceRecord
-		if err := testfleet.Post(s.ctx, service.Address, testservers.PathRecord, nil, &book); err != nil {
+		var record testservers.ServiceRecord
+		if err := testfleet.Post(s.ctx, service.Address, testservers.PathRecord, nil, &record); err != nil {
 			return err
 		}
-		total += book.Runs["POST /bales/certificates"]
+		total += record.Runs["POST /bales/certificates"]
 	}
 	if len(args) != 1 || strconv.Itoa(total) != args[0] {
 		return errors.Errorf("%d runs, want %v", total, args)
@@ -220,16 +220,16 @@
 	return nil
 }
 
-// cmdCutStreams: cut-streams 0. It wants that many streams cut off by orders or
-// crashes, by the engines' own books.
+// cmdCutStreams implements "cut-streams 0". It requires that number of streams cut off by orders or crashes,
+// in the records of the engines.
 func cmdCutStreams(s *script, _ *testscript.TestScript, args []string) error {
 	total := 0
 	for _, e := range s.harness.Fleet.Engines {
-		var book testservers.EngineRecord
-		if err := testfleet.Post(s.ctx, e.Address, testservers.PathRecord, nil, &book); err != nil {
+		var record testservers.EngineRecord
+		if err := testfleet.Post(s.ctx, e.Address, testservers.PathRecord, nil, &record); err != nil {
 			return err
 		}
-		total += book.Cut
+		total += record.Cut
 	}
 	if len(args) != 1 || strconv.Itoa(total) != args[0] {
 		return errors.Errorf("%d streams were cut, want %v", total, args)
--- a/internal/scenario/commands_fault.go
+++ b/internal/scenario/commands_fault.go
@@ -26,7 +26,7 @@
 	return all, nil
 }
 
-// cmdKill: kill-process inst-2, or inst-2/control, or engine-1: SIGKILL.
+// cmdKill implements "kill-process inst-2", "inst-2/control" or "engine-1". It sends SIGKILL.
 func cmdKill(s *script, _ *testscript.TestScript, args []string) error {
 	all, err := s.processes(args)
 	for _, p := range all {
@@ -35,7 +35,7 @@
 	return err
 }
 
-// cmdFreeze: freeze inst-2/control: SIGSTOP.
+// cmdFreeze implements "freeze inst-2/control". It sends SIGSTOP.
 func cmdFreeze(s *script, _ *testscript.TestScript, args []string) error {
 	all, err := s.processes(args)
 	for _, p := range all {
@@ -44,7 +44,7 @@
 	return err
 }
 
-// cmdThaw: thaw inst-2/control: SIGCONT.
+// cmdThaw implements "thaw inst-2/control". It sends SIGCONT.
 func cmdThaw(s *script, _ *testscript.TestScript, args []string) error {
 	all, err := s.processes(args)
 	for _, p := range all {
@@ -53,7 +53,7 @@
 	return err
 }
 
-// cmdTerminate: terminate inst-1: SIGTERM, and exit code 0 of each process.
+// cmdTerminate implements "terminate inst-1". It sends SIGTERM and requires exit code 0 of each process.
 func cmdTerminate(s *script, _ *testscript.TestScript, args []string) error {
 	all, err := s.processes(args)
 	if err != nil {
@@ -66,7 +66,7 @@
 		select {
 		case <-p.Done():
 		case <-s.ctx.Done():
-			return errors.Errorf("%s did not end", p.Name)
+			return errors.Errorf("%s did not exit", p.Name)
 		}
 		if p.Err() != nil {
 			return errors.Wrapf(p.Err(), "%s: %s", p.Name, p.Log())
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// cmdStart: start inst-1, or inst-1/control: starts again what has ended.
+// cmdStart implements "start inst-1" or "start inst-1/control". It starts processes that have exited.
 func cmdStart(s *script, _ *testscript.TestScript, args []string) error {
 	for _, id := range args {
 		i := s.harness.Instance(strings.TrimSuffix(id, "/control"))
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// cmdReady: ready inst-1. It waits until the instance's entry says it is ready.
+// cmdReady implements "ready inst-1". It waits until the instance's entry reports that it is ready.
 func cmdReady(s *script, _ *testscript.TestScript, args []string) error {
 	for _, id := range args {
 		i := s.harness.Instance(id)
@@ -116,8 +116,7 @@
 	return nil
 }
 
-// cmdCrash: crash engine-1. The engine forgets its streams and orders, as a
-// restart would.
+// cmdCrash implements "crash engine-1". The engine loses its streams and orders, as in a restart.
 func cmdCrash(s *script, _ *testscript.TestScript, args []string) error {
 	for _, id := range args {
 		for _, e := range s.harness.Fleet.Engines {
@@ -132,8 +131,7 @@
 	return nil
 }
 
-// proxy returns the proxy before an engine or service, or the one between an
-// instance and the platform.
+// proxy returns the proxy of an engine or service, or the one between an instance and the platform.
 func (h *Harness) proxy(id string) *testfleet.Proxy {
 	if p := h.PlatformProxies[id]; p != nil {
 		return p
@@ -141,11 +139,11 @@
 	return h.UpstreamProxies[id]
 }
 
-// cmdCut: cut inst-1 to|from|both. An instance is cut from the platform, an
-// engine or a service from all instances.
+// cmdCut implements "cut inst-1 to|from|both". An instance is cut off from the platform, an engine or a
+// service from all instances.
 func cmdCut(s *script, _ *testscript.TestScript, args []string) error {
 	if len(args) != 2 || s.harness.proxy(args[0]) == nil {
-		return errors.New("cut: want a part of the fleet and to, from or both")
+		return errors.New("cut: want the id of an instance, engine or service and to, from or both")
 	}
 	p := s.harness.proxy(args[0])
 	if args[1] != "from" {
@@ -159,7 +157,7 @@
 	return nil
 }
 
-// cmdHeal: heal inst-1. It ends what cut began.
+// cmdHeal implements "heal inst-1". It reverts what "cut" did.
 func cmdHeal(s *script, _ *testscript.TestScript, args []string) error {
 	for _, id := range args {
 		p := s.harness.proxy(id)
@@ -171,7 +169,8 @@
 	return nil
 }
 
-// cmdPlatform: platform down | up | slow MILLISECONDS | lose COUNT PREFIX.
+// cmdPlatform implements "platform down | up | slow MILLISECONDS | lose COUNT PREFIX". It sets the faults of
+// the platform.
 func cmdPlatform(s *script, _ *testscript.TestScript, args []string) error {
 	if len(args) == 0 {
 		return errors.New("platform: want down, up, slow or lose")
@@ -199,7 +198,7 @@
 	return s.harness.Fleet.PlatformFault(s.ctx, faults)
 }
 
-// cmdLeaving: leaving engine-1. The platform's list says that it leaves.
+// cmdLeaving implements "leaving engine-1". It sets the upstream to shutting down in the platform's list.
 func cmdLeaving(s *script, _ *testscript.TestScript, args []string) error {
 	for _, id := range args {
 		if err := s.harness.MarkDraining(s.ctx, id, true); err != nil {
@@ -209,8 +208,8 @@
 	return nil
 }
 
-// cmdFreezeHolder: freeze-holder NAME. It sends SIGSTOP to the sf-control that
-// holds the pool's lease, sets $NAME to it, and lets sfctl talk to another.
+// cmdFreezeHolder implements "freeze-holder NAME". It sends SIGSTOP to the sf-control that holds the pool's
+// lease, sets $NAME to it, and selects another instance for sfctl.
 func cmdFreezeHolder(s *script, ts *testscript.TestScript, args []string) error {
 	if len(args) != 1 {
 		return errors.New("freeze-holder: want a variable")
--- a/internal/scenario/commands_operate.go
+++ b/internal/scenario/commands_operate.go
@@ -11,8 +11,8 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// cmdFleet: fleet 3 instances 3 engines 1 services [ignore]. It starts the
-// processes and writes first.toml, the intent that configures all of them.
+// cmdFleet implements "fleet 3 instances 3 engines 1 services [ignore]". It starts the processes and writes
+// first.toml, the intent that configures all of them. A last argument sets the engines' fencing.
 func cmdFleet(s *script, ts *testscript.TestScript, args []string) error {
 	counts := map[string]int{}
 	for n := 0; n+1 < len(args); n += 2 {
@@ -31,7 +31,7 @@
 	return errors.WithStack(os.WriteFile(ts.MkAbs("first.toml"), []byte(s.harness.BaseIntent()), 0o644))
 }
 
-// cmdVia: via inst-2. It chooses the instance that sfctl talks to.
+// cmdVia implements "via inst-2". It selects the instance that sfctl connects to.
 func cmdVia(s *script, _ *testscript.TestScript, args []string) error {
 	if len(args) != 1 || s.harness.Instance(args[0]) == nil {
 		return errors.New("via: want one instance")
@@ -40,7 +40,8 @@
 	return nil
 }
 
-// cmdInForce: in-force first.toml. It declares, confirms and follows an intent.
+// cmdInForce implements "in-force first.toml". It declares and confirms an intent, and waits until it is in
+// force.
 func cmdInForce(s *script, ts *testscript.TestScript, args []string) error {
 	if len(args) != 1 {
 		return errors.New("in-force: want one file")
@@ -48,8 +49,8 @@
 	return s.harness.Confirm(s.ctx, s.harness.Instance(s.via), ts.ReadFile(args[0]))
 }
 
-// cmdDeclare: declare drain.toml PLAN. It declares an intent and sets $PLAN to
-// the plan's id.
+// cmdDeclare implements "declare drain.toml PLAN". It declares an intent and sets $PLAN to the id of the
+// plan.
 func cmdDeclare(s *script, ts *testscript.TestScript, args []string) error {
 	if len(args) != 2 {
 		return errors.New("declare: want a file and a variable")
@@ -68,7 +69,7 @@
 	return nil
 }
 
-// cmdUntil: until REGEXP engines. It runs sfctl until its output matches.
+// cmdUntil implements "until REGEXP engines". It runs sfctl repeatedly until its output matches.
 func cmdUntil(s *script, ts *testscript.TestScript, args []string) error {
 	if len(args) < 2 {
 		return errors.New("until: want a pattern and a command of sfctl")
@@ -86,7 +87,7 @@
 	return errors.Wrap(err, last)
 }
 
-// cmdExits: exits 3 confirm $PLAN. It wants an exit code of sfctl.
+// cmdExits implements "exits 3 confirm $PLAN". It runs sfctl and requires the given exit code.
 func cmdExits(s *script, ts *testscript.TestScript, args []string) error {
 	if len(args) < 2 {
 		return errors.New("exits: want a code and a command of sfctl")
--- a/internal/scenario/faults.go
+++ b/internal/scenario/faults.go
@@ -10,7 +10,7 @@
 	"sassafrasfield/internal/testservers"
 )
 
-// faultKind is a kind of fault of the brief.
+// faultKind is a kind of fault.
 type faultKind string
 
 // Kinds of fault. A pair has two different ones.
@@ -19,26 +19,26 @@
 	killControl   faultKind = "kill sf-control"
 	freezeEntry   faultKind = "freeze sf-entry"
 	freezeControl faultKind = "freeze sf-control"
-	cutPlatform   faultKind = "cut from the platform"
+	cutPlatform   faultKind = "cut off from the platform"
 	slowPlatform  faultKind = "platform slow"
 	platformDown  faultKind = "platform down"
 	lostReplies   faultKind = "replies of writes lost"
 	staleReads    faultKind = "reads of the table stale"
 	cutEngine     faultKind = "engine cut off"
-	slowEngine    faultKind = "way to engine slow"
+	slowEngine    faultKind = "link to engine slow"
 	crashEngine   faultKind = "engine crash"
 	breakStreams  faultKind = "engine breaks streams"
 	lateReports   faultKind = "load reports late"
 	lostAnswers   faultKind = "answers of services lost"
 )
 
-// faultKinds in a fixed order, so that a seed always draws the same.
+// faultKinds lists all kinds in a fixed order, so that a seed always draws the same faults.
 var faultKinds = []faultKind{
 	killEntry, killControl, freezeEntry, freezeControl, cutPlatform, slowPlatform, platformDown,
 	lostReplies, staleReads, cutEngine, slowEngine, crashEngine, breakStreams, lateReports, lostAnswers,
 }
 
-// direction of a cut.
+// direction is the direction in which a link is cut.
 type direction string
 
 // Directions of a cut.
@@ -51,25 +51,25 @@
 // fault is one drawn fault.
 type fault struct {
 	kind faultKind
-	// target is the number of the instance or engine, from 0.
+	// target is the index of the instance or engine.
 	target    int
 	direction direction
 }
 
-// String names the fault for a person.
+// String describes the fault for output.
 func (f fault) String() string {
 	return fmt.Sprintf("%s (%d, %s)", f.kind, f.target+1, f.direction)
 }
 
-// pair is two faults of one round.
+// pair is the two faults of one round.
 type pair struct{ first, second fault }
 
-// drawPairs draws the pairs of faults of a seed. Targets are below targets.
+// drawPairs draws the pairs of faults of a seed, with targets in [0, targets).
 func drawPairs(seed uint64, rounds, targets int) []pair {
 	rng := rand.New(rand.NewPCG(seed, 0))
 	draw := func(kind faultKind) fault {
-		ways := []direction{cutTo, cutFrom, cutBoth}
-		return fault{kind: kind, target: rng.IntN(targets), direction: ways[rng.IntN(len(ways))]}
+		directions := []direction{cutTo, cutFrom, cutBoth}
+		return fault{kind: kind, target: rng.IntN(targets), direction: directions[rng.IntN(len(directions))]}
 	}
 	var pairs []pair
 	for range rounds {
@@ -79,7 +79,7 @@
 	return pairs
 }
 
-// injector switches faults of one harness on and off.
+// injector injects and heals the faults of one harness.
 type injector struct {
 	harness  *Harness
 	platform testservers.PlatformFaults
@@ -156,20 +156,19 @@
 	return nil
 }
 
-func cutProxy(p *testfleet.Proxy, way direction) error {
-	if way != cutFrom {
+func cutProxy(p *testfleet.Proxy, dir direction) error {
+	if dir != cutFrom {
 		if err := p.Cut(testfleet.ToUpstream); err != nil {
 			return err
 		}
 	}
-	if way != cutTo {
+	if dir != cutTo {
 		return p.Cut(testfleet.FromUpstream)
 	}
 	return nil
 }
 
-// heal ends all faults, and starts again what has ended, as the machines'
-// supervisor would.
+// heal ends all faults and restarts exited processes, as the supervisor of the machines does.
 func (j *injector) heal(ctx context.Context) error {
 	j.platform = testservers.PlatformFaults{}
 	if err := j.harness.Fleet.PlatformFault(ctx, j.platform); err != nil {
--- a/internal/scenario/harness.go
+++ b/internal/scenario/harness.go
@@ -1,6 +1,6 @@
-// Package scenario runs whole fleets of real processes through scripts that an
-// operator can read (testdata/*.txtar), and through seeded pairs of faults. It
-// is scaffolding for tests.
+// Package scenario runs complete fleets of processes for tests: through scripts that an operator can read
+// (testdata/*.txtar), and under pairs of faults drawn from a seed. Its inputs are the built programs and the
+// scripts or the seed, its output is the list of violations.
 package scenario
 
 import (
@@ -24,33 +24,33 @@
 	"sassafrasfield/internal/testfleet"
 )
 
-// ModelName is the one model of a harness.
+// ModelName is the only model of a harness.
 const ModelName = "provenance"
 
-// PoolName is the pool of all engines.
+// PoolName is the pool that contains all engines.
 const PoolName = "provenance-main"
 
-// Key is the API key of the one organisation.
+// Key is the API key of the only organisation.
 const Key = "sf-scenario-key"
 
-// zones that instances and engines are spread over.
+// zones are the availability zones over which instances and engines are spread.
 var zones = []string{"hall-a", "hall-b"}
 
-// Harness is a fleet with a fault-injecting proxy before each part.
+// Harness is a fleet with a fault-injecting proxy in front of the platform and of each upstream.
 type Harness struct {
 	Fleet  *testfleet.Fleet
 	Caller *testcaller.Caller
-	// Fencing of the engines: refuse or ignore.
+	// Fencing is the fencing mode of the engines: refuse or ignore.
 	Fencing string
 	// EngineFlags are added to each engine's command line.
 	EngineFlags []string
-	// PlatformProxies stand before the platform, one for each instance.
+	// PlatformProxies are the proxies in front of the platform, by the id of their instance.
 	PlatformProxies map[string]*testfleet.Proxy
-	// UpstreamProxies stand before each engine and service.
+	// UpstreamProxies are the proxies in front of the engines and services, by id.
 	UpstreamProxies map[string]*testfleet.Proxy
 }
 
-// New returns a harness without processes; its files go to dir.
+// New returns a harness that has started no process; its files go to dir.
 func New(bin, dir string) *Harness {
 	return &Harness{
 		Fleet: testfleet.New(bin, dir), Caller: testcaller.New(Key), Fencing: "refuse",
@@ -58,8 +58,7 @@
 	}
 }
 
-// Start starts the processes and waits until each sf-control answers. Nothing
-// is configured yet.
+// Start starts the processes and waits until each sf-control answers. It configures nothing.
 func (h *Harness) Start(ctx context.Context, instances, engines, services int) error {
 	if err := h.Fleet.StartPlatform(ctx); err != nil {
 		return err
@@ -124,8 +123,7 @@
 	return true
 }
 
-// Sfctl runs the operators' tool against an instance, and returns what it
-// printed and its exit code.
+// Sfctl runs sfctl against an instance, and returns its output and exit code.
 func (h *Harness) Sfctl(ctx context.Context, i *testfleet.Instance, args ...string) (output string, code int, err error) {
 	args = append([]string{"--control", i.ControlAddress, "--operator", "scenario", "--timeout", "60s"}, args...)
 	cmd := exec.CommandContext(ctx, filepath.Join(h.Fleet.Bin, "sfctl"), args...)
@@ -137,8 +135,7 @@
 	return string(printed), 0, errors.WithStack(err)
 }
 
-// Confirm declares an intent, confirms its plan, and follows it until it is in
-// force on all instances.
+// Confirm declares an intent, confirms its plan, and waits until it is in force on all instances.
 func (h *Harness) Confirm(ctx context.Context, i *testfleet.Instance, intent string) error {
 	id, err := h.Declare(ctx, i, intent)
 	if err != nil {
@@ -151,7 +148,7 @@
 	return nil
 }
 
-// Declare declares an intent and returns its plan's id.
+// Declare declares an intent and returns the id of its plan.
 func (h *Harness) Declare(ctx context.Context, i *testfleet.Instance, intent string) (string, error) {
 	path := filepath.Join(h.Fleet.Dir, "intent.toml")
 	if err := os.WriteFile(path, []byte(intent), 0o644); err != nil {
@@ -167,8 +164,8 @@
 	return plan.ID, errors.Wrap(json.Unmarshal([]byte(output), &plan), output)
 }
 
-// baseIntent is the first intent: one model, one pool, all engines and
-// services behind their proxies, one organisation.
+// baseIntent is the template of the first intent: one model, one pool, all engines and services with the
+// addresses of their proxies, one organisation.
 var baseIntent = template.Must(template.New("base").Parse(`name = "first-fleet"
 
 [[model]]
@@ -204,7 +201,7 @@
 burst = 1000
 `))
 
-// upstream is an engine or a service as the intent names it.
+// upstream is an engine or a service with the attributes that the intent names.
 type upstream struct{ ID, Address, Zone string }
 
 // BaseIntent returns the first intent as TOML.
@@ -222,7 +219,7 @@
 	}
 	var text bytes.Buffer
 	if err := baseIntent.Execute(&text, values); err != nil {
-		panic(errors.Wrap(err, "scenario: intent")) // a fixed template over plain values
+		panic(errors.Wrap(err, "scenario: intent")) // cannot fail: the template is fixed and the values are strings
 	}
 	return text.String()
 }
@@ -237,8 +234,7 @@
 	return nil
 }
 
-// Processes returns the processes of a part of the fleet by its id; none for
-// an id that there is not.
+// Processes returns the processes of an instance, engine or service by its id, or none if the id is unknown.
 func (h *Harness) Processes(id string) []*testfleet.Process {
 	if i := h.Instance(strings.TrimSuffix(strings.TrimSuffix(id, "/control"), "/entry")); i != nil {
 		switch {
@@ -262,17 +258,16 @@
 	return nil
 }
 
-// MarkDraining sets the platform's word on an upstream.
-func (h *Harness) MarkDraining(ctx context.Context, id string, leaving bool) error {
+// MarkDraining sets the state of an upstream in the platform's list to shutting down, or back to live.
+func (h *Harness) MarkDraining(ctx context.Context, id string, draining bool) error {
 	state := platform.InstanceLive
-	if leaving {
+	if draining {
 		state = platform.InstanceShuttingDown
 	}
 	return h.Fleet.SetInstance(ctx, platform.Instance{ID: id, Kind: platform.KindUpstream, State: state})
 }
 
-// LeaseHolder returns the id of the instance that holds a pool's lease by the
-// table, or "".
+// LeaseHolder returns the id of the instance that holds the lease of a pool according to the table, or "".
 func (h *Harness) LeaseHolder(ctx context.Context, pool string) string {
 	row, err := h.Fleet.PlatformClient().Get(ctx, "lease/"+pool)
 	if err != nil {
--- a/internal/scenario/pages_test.go
+++ b/internal/scenario/pages_test.go
@@ -14,7 +14,7 @@
 // globalFlags may stand before any command.
 var globalFlags = []string{"--control", "--output", "--operator", "--timeout", "-o"}
 
-// signature is a command of sfctl with its flags, without arguments.
+// signature returns a command of sfctl with its flags, without arguments and global flags.
 func signature(words []string) string {
 	var kept []string
 	for n := 0; n < len(words); n++ {
@@ -34,7 +34,7 @@
 	return strings.Join(kept, " ")
 }
 
-// readAll joins the files that a pattern names.
+// readAll returns the joined contents of the files that match a pattern relative to the root.
 func readAll(t *testing.T, pattern string) string {
 	t.Helper()
 	root, err := testfleet.Root()
@@ -57,8 +57,8 @@
 	return all.String()
 }
 
-// TestEachDocumentedCommandIsScripted wants each sfctl command of the operators'
-// pages, with its flags, in one of the scripts.
+// TestEachDocumentedCommandIsScripted requires that each sfctl command on the operators' pages is run with
+// the same flags by one of the scripts.
 func TestEachDocumentedCommandIsScripted(t *testing.T) {
 	run := map[string]bool{}
 	scripted := regexp.MustCompile(`(?m)^!? *(?:sfctl|exits \d|until '[^']*'(?:\S*'[^']*')*) (.*)$`)
@@ -66,33 +66,33 @@
 		run[signature(strings.Fields(match[1]))] = true
 	}
 	run["declare"] = true // the command "declare" of the scripts
-	told := 0
+	documented := 0
 	for _, match := range regexp.MustCompile(`(?m)^(?: {4,}|\$ |\t)sfctl (.*)$`).FindAllStringSubmatch(readAll(t, "docs/operate/*.md"), -1) {
-		told++
+		documented++
 		if s := signature(strings.Fields(match[1])); !run[s] {
 			t.Errorf("no script runs %q of the operators' pages: sfctl %s", s, match[1])
 		}
 	}
-	if told < 5 {
-		t.Errorf("%d commands found on the pages", told)
+	if documented < 5 {
+		t.Errorf("%d commands found on the pages", documented)
 	}
 }
 
-// TestMetricsAndLogLinesAreExplained wants each metric and log line of the
-// daemons on their page.
+// TestMetricsAndLogLinesAreExplained requires that each metric and log line of the daemons is on the page
+// docs/operate/metrics-and-logs.md.
 func TestMetricsAndLogLinesAreExplained(t *testing.T) {
 	page := readAll(t, "docs/operate/metrics-and-logs.md")
 	metric := regexp.MustCompile(`GetOrRegister\w+\("([^"]+)"`)
 	line := regexp.MustCompile(`\.(?:Info|Warn|Error|Debug)\("([a-z]+: [^"]+)"`)
 	found := 0
-	slices := []string{"entry", "control", "idempotency", "program", "relay", "rowsync", "peers", "httpserver", "instance", "rolekeeper", "usagereport", "scaling"}
-	for _, slice := range append(slices, "../platform") {
-		text := readAll(t, "internal/"+slice+"/*.go")
+	packages := []string{"entry", "control", "idempotency", "program", "relay", "rowsync", "peers", "httpserver", "instance", "rolekeeper", "usagereport", "scaling"}
+	for _, pkg := range append(packages, "../platform") {
+		text := readAll(t, "internal/"+pkg+"/*.go")
 		for _, pattern := range []*regexp.Regexp{metric, line} {
 			for _, match := range pattern.FindAllStringSubmatch(text, -1) {
 				found++
 				if !strings.Contains(page, "`"+match[1]+"`") {
-					t.Errorf("internal/%s: %q is not explained in docs/operate/metrics-and-logs.md", slice, match[1])
+					t.Errorf("internal/%s: %q is not explained in docs/operate/metrics-and-logs.md", pkg, match[1])
 				}
 			}
 		}
--- a/internal/scenario/pairs.go
+++ b/internal/scenario/pairs.go
@@ -9,7 +9,7 @@
 	"github.com/pkg/errors"
 )
 
-// Sizes of a run over pairs of faults.
+// Sizes of the fleet and the load in a run over pairs of faults.
 const (
 	pairInstances = 3
 	pairEngines   = 3
@@ -17,35 +17,34 @@
 	pairCallers   = 16
 )
 
-// Times of a round: the load runs alone, then with one fault, then with both.
+// Durations of the phases of a round: the load runs without faults, then with one fault, then with both.
 const (
 	loadBeforeFaults   = 300 * time.Millisecond
 	delayBetweenFaults = 400 * time.Millisecond
 	faultDuration      = 2500 * time.Millisecond
 )
 
-// Pairs is a seeded run over pairs of faults under load.
+// Pairs is the configuration of a run over pairs of faults under load, which its seed determines.
 type Pairs struct {
 	Bin, Dir string
 	Seed     uint64
 	Rounds   int
-	// Out takes a line for each round.
+	// Out receives a line for each round.
 	Out io.Writer
 }
 
-// Result of a run.
+// Result is the outcome of a run.
 type Result struct {
-	// Chats and Calls are what the callers asked; Complete and Answered what was
-	// answered of them; VersionRemoved the answers that were broken off and whose version
-	// of the model was replaced meanwhile; Accepted the operators' accepted
-	// changes.
+	// Chats and Calls count the requests of the callers, Complete and Answered the ones among them that were
+	// answered. VersionRemoved counts the answers that broke off and could not be resumed, because their
+	// version of the model was replaced meanwhile. Accepted counts the operator's accepted changes.
 	Chats, Complete, VersionRemoved, Calls, Answered, Accepted int
-	// Violations is what did not hold.
+	// Violations are the violated guarantees, one line each.
 	Violations []string
 }
 
-// Run goes through the pairs and compares the books. The error is of the run
-// itself; what did not hold is in the result.
+// Run runs all rounds and compares the records of callers, upstreams and operator. An error means that the
+// run itself failed; violations are in the result.
 func (p Pairs) Run(ctx context.Context) (Result, error) {
 	h := New(p.Bin, p.Dir)
 	defer h.Fleet.Stop()
@@ -72,8 +71,8 @@
 	return p.collectResult(ctx, h, records, op, watch)
 }
 
-// round runs one pair under load, heals it, and waits until the newest version
-// is in force everywhere.
+// round runs one pair of faults under load, heals it, and waits until the newest version is in force on all
+// instances.
 func (p Pairs) round(ctx context.Context, h *Harness, n int, drawn pair, records *callerRecords, op *operator, faults *injector, watch *watcher) error {
 	load := startCallers(ctx, h, records, fmt.Sprintf("s%d-r%d", p.Seed, n), p.Seed+uint64(n), pairCallers)
 	changed := make(chan struct{})
@@ -96,7 +95,7 @@
 	if err != nil {
 		return err
 	}
-	// What ended of itself after the heal, such as a woken holder, starts again.
+	// Restarts processes that exited after the heal, such as a resumed lease holder.
 	if err := faults.restart(); err != nil {
 		return err
 	}
@@ -104,7 +103,7 @@
 	return err
 }
 
-// collectResult compares all books at the end.
+// collectResult compares all records at the end and returns the result.
 func (p Pairs) collectResult(ctx context.Context, h *Harness, records *callerRecords, op *operator, watch *watcher) (Result, error) {
 	result := Result{Violations: watch.finish(), Accepted: len(op.accepted)}
 	up, err := readUpstreamRecords(ctx, h)
--- a/internal/scenario/pairs_test.go
+++ b/internal/scenario/pairs_test.go
@@ -10,14 +10,14 @@
 	"sassafrasfield/internal/testfleet"
 )
 
-// The run over pairs of faults: CI runs these; `make prove` sets a longer one.
+// Parameters of the run over pairs of faults. CI uses the defaults; `make prove` sets a longer run.
 var (
 	pairsSeed   = flag.Uint64("pairs.seed", 4, "seed of the run over pairs of faults")
 	pairsRounds = flag.Int("pairs.rounds", 3, "rounds of the run over pairs of faults")
 )
 
-// TestPairsOfFaults runs pairs of faults under load and compares the callers' book
-// with those of the engines and services.
+// TestPairsOfFaults runs pairs of faults under load and compares the records of the callers with those of the
+// engines and services.
 func TestPairsOfFaults(t *testing.T) {
 	bin, err := testfleet.Bin()
 	if err != nil {
@@ -30,10 +30,10 @@
 	if err != nil {
 		t.Fatalf("seed %d: %v", *pairsSeed, err)
 	}
-	t.Logf("seed %d: %d of %d chats whole (%d told cannot_resume), %d of %d calls answered, %d changes accepted",
+	t.Logf("seed %d: %d of %d chats complete (%d answered cannot_resume), %d of %d calls answered, %d changes accepted",
 		*pairsSeed, result.Complete, result.Chats, result.VersionRemoved, result.Answered, result.Calls, result.Accepted)
-	for _, wrong := range result.Violations {
-		t.Errorf("seed %d: %s", *pairsSeed, wrong)
+	for _, violation := range result.Violations {
+		t.Errorf("seed %d: %s", *pairsSeed, violation)
 	}
 }
 
@@ -45,7 +45,7 @@
 			t.Fatalf("round %d differs: %v, %v", n, first[n], again[n])
 		}
 		if first[n].first.kind == first[n].second.kind {
-			t.Errorf("round %d has one kind twice", n)
+			t.Errorf("round %d has the same kind twice", n)
 		}
 		same = same && first[n] == other[n]
 	}
--- a/internal/scenario/proofs_test.go
+++ b/internal/scenario/proofs_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestEachProofIsListed wants each row of docs/PROOFS.md in docs/proofs.list,
-// and the other way round. Row E5 is the fuzz targets, which are found by name.
+// TestEachProofIsListed requires that each row of docs/PROOFS.md is in docs/proofs.list, and vice versa. Row
+// E5 is the fuzz targets, which are found by name.
 func TestEachProofIsListed(t *testing.T) {
 	rows, listed := map[string]bool{"E5": true}, map[string]bool{}
 	for _, match := range regexp.MustCompile(`(?m)^\| ([PFE]\d+) \|`).FindAllStringSubmatch(readAll(t, "docs/PROOFS.md"), -1) {
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -12,26 +12,26 @@
 	"sassafrasfield/internal/testfleet"
 )
 
-// scriptTimeout bounds one script.
+// scriptTimeout bounds the duration of one script.
 const scriptTimeout = 100 * time.Second
 
-// maxParallelScripts bounds the fleets that run at the same time.
+// maxParallelScripts bounds the number of fleets that run at the same time.
 const maxParallelScripts = 3
 
-// stateKey is the key of a script's state in its environment.
+// stateKey is the key of the script state in testscript's environment.
 type stateKey struct{}
 
 // script is the state of one running script.
 type script struct {
 	ctx     context.Context
 	harness *Harness
-	// via is the instance that sfctl talks to.
+	// via is the id of the instance that sfctl connects to.
 	via string
-	// streams are the answers that the script follows, by name.
+	// streams are the streamed answers that the script has started, by name.
 	streams map[string]*streamedAnswer
 }
 
-// Params returns what testscript needs to run the scripts of a folder. The
+// Params returns the parameters with which testscript runs the scripts in dir with the programs in bin. The
 // commands are listed in testdata/README.md.
 func Params(dir, bin string) testscript.Params {
 	slots := make(chan struct{}, maxParallelScripts)
@@ -45,7 +45,7 @@
 	}
 }
 
-// Commands names the commands of the scripts.
+// Commands returns the names of the script commands, in no particular order.
 func Commands() []string {
 	var names []string
 	for name := range commands() {
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// command is a command of the scripts. A returned error fails the script.
+// command implements a script command. A returned error fails the script.
 type command func(s *script, ts *testscript.TestScript, args []string) error
 
 func commands() map[string]func(*testscript.TestScript, bool, []string) {
@@ -98,7 +98,7 @@
 	return bound
 }
 
-// sfctl runs the operators' tool; "!" wants an exit code other than 0.
+// sfctl runs sfctl and requires exit code 0, or with "!" any other exit code.
 func sfctl(ts *testscript.TestScript, neg bool, args []string) {
 	s := ts.Value(stateKey{}).(*script)
 	output, code, err := s.sfctl(ts, args)
@@ -110,7 +110,7 @@
 	}
 }
 
-// sfctl resolves file names against the script's folder.
+// sfctl runs sfctl with file names resolved against the script's folder.
 func (s *script) sfctl(ts *testscript.TestScript, args []string) (output string, code int, err error) {
 	resolved := append([]string{}, args...)
 	for n, arg := range resolved {
@@ -121,7 +121,7 @@
 	return s.harness.Sfctl(s.ctx, s.harness.Instance(s.via), resolved...)
 }
 
-// until waits for a condition, bounded by the script's time.
+// until waits for a condition until the script's context is done.
 func (s *script) until(what string, condition func() bool) error {
 	return testfleet.Until(s.ctx, what, condition)
 }
--- a/internal/scenario/versions.go
+++ b/internal/scenario/versions.go
@@ -16,14 +16,15 @@
 	"sassafrasfield/internal/versions"
 )
 
-// watcher follows the version in force in each entry: it must never fall.
+// watcher polls the version in force in each entry and checks that it never decreases while the entry is
+// ready.
 type watcher struct {
 	harness *Harness
 	http    *http.Client
 	stop    context.CancelFunc
 	done    sync.WaitGroup
 
-	mu         sync.Mutex // protects wrong
+	mu         sync.Mutex // protects violations
 	violations []string
 }
 
@@ -36,7 +37,7 @@
 	return w
 }
 
-// follow reads the version of an entry's every run.
+// follow polls the version of an entry, across the entry's restarts.
 func (w *watcher) follow(ctx context.Context, i *testfleet.Instance) {
 	highest := int64(0)
 	for ctx.Err() == nil {
@@ -60,7 +61,7 @@
 	return status.Msg.Version, status.Msg.Ready, true
 }
 
-// finish stops the watcher and returns what it found.
+// finish stops the watcher and returns the violations.
 func (w *watcher) finish() []string {
 	w.stop()
 	w.done.Wait()
@@ -69,8 +70,8 @@
 	return w.violations
 }
 
-// waitInForceEverywhere waits until each entry has at least the version of the
-// table's head in force, and returns that version.
+// waitInForceEverywhere waits until each entry is ready with at least the version at the head of the table's
+// log, and returns that version.
 func (w *watcher) waitInForceEverywhere(ctx context.Context) (int64, error) {
 	log := versions.Log{Table: w.harness.Fleet.PlatformClient()}
 	head, err := log.Head(ctx)
@@ -87,14 +88,14 @@
 	})
 }
 
-// operator confirms a change in each round, and remembers what was accepted.
+// operator confirms a change in each round, and records the accepted plans.
 type operator struct {
 	harness  *Harness
 	accepted []string // plan ids
 }
 
-// change declares and confirms a new version of the model, or a new weight.
-// Under faults it may be refused; only a word of acceptance binds.
+// change declares and confirms a new version of the model, or a new weight. Under faults the change may be
+// refused; only an acknowledged acceptance is binding.
 func (o *operator) change(ctx context.Context, round int) {
 	intent := fmt.Sprintf("name = \"round-%d\"\n[[pool]]\nname = %q\nrole_change_weight = %d.5\n", round, PoolName, round)
 	if round%2 == 0 {
@@ -115,8 +116,7 @@
 	}
 }
 
-// missingPlans returns accepted plans that the log of versions does not have just
-// once.
+// missingPlans returns the accepted plans that are not in the log of versions exactly once.
 func (o *operator) missingPlans(ctx context.Context) ([]string, error) {
 	log := versions.Log{Table: o.harness.Fleet.PlatformClient()}
 	entries, err := log.List(ctx, 1<<20)
@@ -127,11 +127,11 @@
 	for _, e := range entries {
 		found[e.PlanID]++
 	}
-	var wrong []string
+	var violations []string
 	for _, id := range o.accepted {
 		if found[id] != 1 {
-			wrong = append(wrong, fmt.Sprintf("plan %s was accepted, and stands in the log %d times", id, found[id]))
+			violations = append(violations, fmt.Sprintf("plan %s was accepted, but is in the log %d times", id, found[id]))
 		}
 	}
-	return wrong, nil
+	return violations, nil
 }
