--- a/internal/fanout/roster.go
+++ b/internal/fanout/roster.go
@@ -7,9 +7,9 @@
 // reports too, and relays them when the first one is silent.
 //
 // Its inputs are the reports and batches that an instance receives and the times at
-// which it saw other instances alive; its outputs say what to send to which instances. The package does no I/O and reads no
-// clock: callers pass times on the instance's monotonic clock. Package peers does the
-// sending and receiving.
+// which it saw other instances alive; its outputs say what to send to which
+// instances. The package does no I/O and reads no clock: callers pass times on the
+// instance's monotonic clock. Package peers does the sending and receiving.
 package fanout
 
 import (
