--- a/internal/scenario/commands_fault.go
+++ b/internal/scenario/commands_fault.go
@@ -202,7 +202,7 @@
 // cmdLeaving: leaving engine-1. The platform's list says that it leaves.
 func cmdLeaving(s *script, _ *testscript.TestScript, args []string) error {
 	for _, id := range args {
-		if err := s.harness.MarkLeaving(s.ctx, id, true); err != nil {
+		if err := s.harness.MarkDraining(s.ctx, id, true); err != nil {
 			return err
 		}
 	}
@@ -217,7 +217,7 @@
 	}
 	holder := ""
 	err := s.until("an instance holds the lease", func() bool {
-		holder = s.harness.Holder(s.ctx, PoolName)
+		holder = s.harness.LeaseHolder(s.ctx, PoolName)
 		return holder != ""
 	})
 	if err != nil {
--- a/internal/scenario/pairs.go
+++ b/internal/scenario/pairs.go
@@ -35,13 +35,13 @@
 
 // Result of a run.
 type Result struct {
-	// Chats and Calls are what the callers asked; Whole and Answered what was
-	// answered of them; Gone the answers that were broken off and whose version
+	// Chats and Calls are what the callers asked; Complete and Answered what was
+	// answered of them; VersionRemoved the answers that were broken off and whose version
 	// of the model was replaced meanwhile; Accepted the operators' accepted
 	// changes.
-	Chats, Whole, Gone, Calls, Answered, Accepted int
-	// Wrong is what did not hold.
-	Wrong []string
+	Chats, Complete, VersionRemoved, Calls, Answered, Accepted int
+	// Violations is what did not hold.
+	Violations []string
 }
 
 // Run goes through the pairs and compares the books. The error is of the run
@@ -106,7 +106,7 @@
 
 // collectResult compares all books at the end.
 func (p Pairs) collectResult(ctx context.Context, h *Harness, records *callerRecords, op *operator, watch *watcher) (Result, error) {
-	result := Result{Wrong: watch.finish(), Accepted: len(op.accepted)}
+	result := Result{Violations: watch.finish(), Accepted: len(op.accepted)}
 	up, err := readUpstreamRecords(ctx, h)
 	if err != nil {
 		return result, err
@@ -115,16 +115,16 @@
 	if err != nil {
 		return result, err
 	}
-	result.Wrong = append(result.Wrong, missing...)
-	result.Wrong = append(result.Wrong, records.compare(up)...)
-	result.Wrong = append(result.Wrong, compareOrders(up)...)
+	result.Violations = append(result.Violations, missing...)
+	result.Violations = append(result.Violations, records.compare(up)...)
+	result.Violations = append(result.Violations, compareOrders(up)...)
 	for _, r := range records.chats {
 		result.Chats++
 		if r.complete {
-			result.Whole++
+			result.Complete++
 		}
 		if r.versionRemoved {
-			result.Gone++
+			result.VersionRemoved++
 		}
 	}
 	for _, r := range records.calls {
