--- a/internal/scenario/callers.go
+++ b/internal/scenario/callers.go
@@ -56,7 +56,7 @@
 // callers send requests until they are stopped, and then complete the ones they began.
 type callers struct {
 	harness *Harness
-	book    *callerRecords
+	records *callerRecords
 	ctx     context.Context
 	stop    chan struct{}
 	work    sync.WaitGroup
@@ -64,7 +64,7 @@
 
 // startCallers starts callers whose request names and choices are determined by the seed.
 func startCallers(ctx context.Context, h *Harness, b *callerRecords, round string, seed uint64, count int) *callers {
-	c := &callers{harness: h, book: b, ctx: ctx, stop: make(chan struct{})}
+	c := &callers{harness: h, records: b, ctx: ctx, stop: make(chan struct{})}
 	for n := range count {
 		c.work.Go(func() {
 			rng := rand.New(rand.NewPCG(seed, uint64(n)))
@@ -120,9 +120,9 @@
 		}
 		c.attempt(record, c.entry(rng))
 	}
-	c.book.mu.Lock()
-	defer c.book.mu.Unlock()
-	c.book.chats = append(c.book.chats, record)
+	c.records.mu.Lock()
+	defer c.records.mu.Unlock()
+	c.records.chats = append(c.records.chats, record)
 }
 
 func (c *callers) attempt(record *chatRecord, entry string) {
@@ -165,9 +165,9 @@
 	if keyed && record.answer != "" {
 		c.tryCall(record, c.entry(rng), header) // a repeated request must get the same answer
 	}
-	c.book.mu.Lock()
-	defer c.book.mu.Unlock()
-	c.book.calls = append(c.book.calls, record)
+	c.records.mu.Lock()
+	defer c.records.mu.Unlock()
+	c.records.calls = append(c.records.calls, record)
 }
 
 // tryCall sends one call and reports whether it was answered.
