--- a/internal/scenario/harness.go
+++ b/internal/scenario/harness.go
@@ -262,8 +262,8 @@
 	return nil
 }
 
-// MarkLeaving sets the platform's word on an upstream.
-func (h *Harness) MarkLeaving(ctx context.Context, id string, leaving bool) error {
+// MarkDraining sets the platform's word on an upstream.
+func (h *Harness) MarkDraining(ctx context.Context, id string, leaving bool) error {
 	state := platform.InstanceLive
 	if leaving {
 		state = platform.InstanceShuttingDown
@@ -271,9 +271,9 @@
 	return h.Fleet.SetInstance(ctx, platform.Instance{ID: id, Kind: platform.KindUpstream, State: state})
 }
 
-// Holder returns the id of the instance that holds a pool's lease by the
+// LeaseHolder returns the id of the instance that holds a pool's lease by the
 // table, or "".
-func (h *Harness) Holder(ctx context.Context, pool string) string {
+func (h *Harness) LeaseHolder(ctx context.Context, pool string) string {
 	row, err := h.Fleet.PlatformClient().Get(ctx, "lease/"+pool)
 	if err != nil {
 		return ""
--- a/internal/scenario/pairs_test.go
+++ b/internal/scenario/pairs_test.go
@@ -31,8 +31,8 @@
 		t.Fatalf("seed %d: %v", *pairsSeed, err)
 	}
 	t.Logf("seed %d: %d of %d chats whole (%d told cannot_resume), %d of %d calls answered, %d changes accepted",
-		*pairsSeed, result.Whole, result.Chats, result.Gone, result.Answered, result.Calls, result.Accepted)
-	for _, wrong := range result.Wrong {
+		*pairsSeed, result.Complete, result.Chats, result.VersionRemoved, result.Answered, result.Calls, result.Accepted)
+	for _, wrong := range result.Violations {
 		t.Errorf("seed %d: %s", *pairsSeed, wrong)
 	}
 }
