--- a/internal/gen/sf/v1/sfv1connect/lease.connect.go
+++ b/internal/gen/sf/v1/sfv1connect/lease.connect.go
@@ -2,8 +2,8 @@
 //
 // Source: sf/v1/lease.proto
 
-// What sf-control processes tell each other about leases. None of it is
-// authority: that is in the table alone.
+// The messages that sf-control processes exchange about leases. They are hints
+// only: the holder of a lease is decided by the platform's table alone.
 package sfv1connect
 
 import (
@@ -43,11 +43,11 @@
 
 // LeaseServiceClient is a client for the sf.v1.LeaseService service.
 type LeaseServiceClient interface {
-	// Freed tells that a pool's lease was given up, so that the callee reads the
-	// row at once.
+	// Freed notifies the callee that a pool's lease was released, so that it reads
+	// the row immediately.
 	Freed(context.Context, *connect.Request[v1.FreedRequest]) (*connect.Response[v1.FreedResponse], error)
-	// HandBack asks the holder of a pool's lease to give it up, for the caller
-	// is the first choice for the pool.
+	// HandBack requests that the holder of a pool's lease release it, because the
+	// caller is the preferred holder for the pool.
 	HandBack(context.Context, *connect.Request[v1.HandBackRequest]) (*connect.Response[v1.HandBackResponse], error)
 }
 
@@ -95,11 +95,11 @@
 
 // LeaseServiceHandler is an implementation of the sf.v1.LeaseService service.
 type LeaseServiceHandler interface {
-	// Freed tells that a pool's lease was given up, so that the callee reads the
-	// row at once.
+	// Freed notifies the callee that a pool's lease was released, so that it reads
+	// the row immediately.
 	Freed(context.Context, *connect.Request[v1.FreedRequest]) (*connect.Response[v1.FreedResponse], error)
-	// HandBack asks the holder of a pool's lease to give it up, for the caller
-	// is the first choice for the pool.
+	// HandBack requests that the holder of a pool's lease release it, because the
+	// caller is the preferred holder for the pool.
 	HandBack(context.Context, *connect.Request[v1.HandBackRequest]) (*connect.Response[v1.HandBackResponse], error)
 }
 
--- a/internal/gen/sf/v1/sfv1connect/operator.connect.go
+++ b/internal/gen/sf/v1/sfv1connect/operator.connect.go
@@ -56,22 +56,23 @@
 
 // OperatorServiceClient is a client for the sf.v1.OperatorService service.
 type OperatorServiceClient interface {
-	// Declare checks an intent, plans it and keeps the plan. Nothing changes.
+	// Declare checks an intent, plans it and stores the plan. The configuration
+	// does not change.
 	Declare(context.Context, *connect.Request[v1.DeclareRequest]) (*connect.Response[v1.DeclareResponse], error)
-	// GetPlan returns a kept plan with the state of its steps.
+	// GetPlan returns a stored plan with the state of its steps.
 	GetPlan(context.Context, *connect.Request[v1.GetPlanRequest]) (*connect.Response[v1.GetPlanResponse], error)
-	// Confirm accepts a plan, if the configuration is still the one that the
-	// plan was built from.
+	// Confirm accepts a plan if the configuration has not changed since the plan
+	// was built.
 	Confirm(context.Context, *connect.Request[v1.ConfirmRequest]) (*connect.Response[v1.ConfirmResponse], error)
 	// Cancel stops a confirmed plan after the step that is running.
 	Cancel(context.Context, *connect.Request[v1.CancelRequest]) (*connect.Response[v1.CancelResponse], error)
-	// SystemStatus tells the head version, running plans and findings.
+	// SystemStatus returns the head version and the running plans.
 	SystemStatus(context.Context, *connect.Request[v1.SystemStatusRequest]) (*connect.Response[v1.SystemStatusResponse], error)
 	// History lists the accepted versions, newest first.
 	History(context.Context, *connect.Request[v1.HistoryRequest]) (*connect.Response[v1.HistoryResponse], error)
-	// Engines lists the upstreams with their wanted and reported state.
+	// Engines lists the upstreams with their desired and reported states.
 	Engines(context.Context, *connect.Request[v1.EnginesRequest]) (*connect.Response[v1.EnginesResponse], error)
-	// Instances lists the daemons with the versions they have in force.
+	// Instances lists the instances with the versions that they have in force.
 	Instances(context.Context, *connect.Request[v1.InstancesRequest]) (*connect.Response[v1.InstancesResponse], error)
 }
 
@@ -191,22 +192,23 @@
 
 // OperatorServiceHandler is an implementation of the sf.v1.OperatorService service.
 type OperatorServiceHandler interface {
-	// Declare checks an intent, plans it and keeps the plan. Nothing changes.
+	// Declare checks an intent, plans it and stores the plan. The configuration
+	// does not change.
 	Declare(context.Context, *connect.Request[v1.DeclareRequest]) (*connect.Response[v1.DeclareResponse], error)
-	// GetPlan returns a kept plan with the state of its steps.
+	// GetPlan returns a stored plan with the state of its steps.
 	GetPlan(context.Context, *connect.Request[v1.GetPlanRequest]) (*connect.Response[v1.GetPlanResponse], error)
-	// Confirm accepts a plan, if the configuration is still the one that the
-	// plan was built from.
+	// Confirm accepts a plan if the configuration has not changed since the plan
+	// was built.
 	Confirm(context.Context, *connect.Request[v1.ConfirmRequest]) (*connect.Response[v1.ConfirmResponse], error)
 	// Cancel stops a confirmed plan after the step that is running.
 	Cancel(context.Context, *connect.Request[v1.CancelRequest]) (*connect.Response[v1.CancelResponse], error)
-	// SystemStatus tells the head version, running plans and findings.
+	// SystemStatus returns the head version and the running plans.
 	SystemStatus(context.Context, *connect.Request[v1.SystemStatusRequest]) (*connect.Response[v1.SystemStatusResponse], error)
 	// History lists the accepted versions, newest first.
 	History(context.Context, *connect.Request[v1.HistoryRequest]) (*connect.Response[v1.HistoryResponse], error)
-	// Engines lists the upstreams with their wanted and reported state.
+	// Engines lists the upstreams with their desired and reported states.
 	Engines(context.Context, *connect.Request[v1.EnginesRequest]) (*connect.Response[v1.EnginesResponse], error)
-	// Instances lists the daemons with the versions they have in force.
+	// Instances lists the instances with the versions that they have in force.
 	Instances(context.Context, *connect.Request[v1.InstancesRequest]) (*connect.Response[v1.InstancesResponse], error)
 }
 
--- a/internal/gen/sf/v1/sfv1connect/replica.connect.go
+++ b/internal/gen/sf/v1/sfv1connect/replica.connect.go
@@ -39,8 +39,7 @@
 
 // ReplicaServiceClient is a client for the sf.v1.ReplicaService service.
 type ReplicaServiceClient interface {
-	// Pull asks another instance for all rows newer than those that the asker
-	// has.
+	// Pull returns all rows that are newer than those that the caller has.
 	Pull(context.Context, *connect.Request[v1.PullRequest]) (*connect.Response[v1.PullResponse], error)
 }
 
@@ -76,8 +75,7 @@
 
 // ReplicaServiceHandler is an implementation of the sf.v1.ReplicaService service.
 type ReplicaServiceHandler interface {
-	// Pull asks another instance for all rows newer than those that the asker
-	// has.
+	// Pull returns all rows that are newer than those that the caller has.
 	Pull(context.Context, *connect.Request[v1.PullRequest]) (*connect.Response[v1.PullResponse], error)
 }
 
--- a/internal/gen/sf/v1/sfv1connect/spread.connect.go
+++ b/internal/gen/sf/v1/sfv1connect/spread.connect.go
@@ -61,23 +61,23 @@
 
 // PeerServiceClient is a client for the sf.v1.PeerService service.
 type PeerServiceClient interface {
-	// Offer tells a peer of a version. The peer answers with the version it
-	// holds, so that the sender can fetch when it is the one behind.
+	// Offer announces a version to a peer. The peer answers with the version that
+	// it holds, so that the sender can fetch it if its own is older.
 	Offer(context.Context, *connect.Request[v1.OfferRequest]) (*connect.Response[v1.OfferResponse], error)
 	// Fetch returns the newest configuration that the callee holds.
 	Fetch(context.Context, *connect.Request[v1.FetchRequest]) (*connect.Response[v1.FetchResponse], error)
-	// Exchange compares what the caller and the callee know: versions, how
-	// fresh the knowledge is, and which upstreams are leaving.
+	// Exchange sends the caller's version and draining upstreams, and returns the
+	// callee's version, how recent its knowledge is, and its draining upstreams.
 	Exchange(context.Context, *connect.Request[v1.ExchangeRequest]) (*connect.Response[v1.ExchangeResponse], error)
-	// Prepare tells that the caller is about to have a version accepted. A peer
-	// that has answered does not take an older version for the newest any more
+	// Prepare announces that the caller is about to have a version accepted. A
+	// peer that has answered no longer treats an older version as the newest
 	// unless the table shows that it still is.
 	Prepare(context.Context, *connect.Request[v1.PrepareRequest]) (*connect.Response[v1.PrepareResponse], error)
 	// InForce reports the version in force on the instance and its streams
 	// for each engine.
 	InForce(context.Context, *connect.Request[v1.InForceRequest]) (*connect.Response[v1.InForceResponse], error)
-	// Total takes the demand of the caller's entry for the organisations whose
-	// home the callee is, and returns their demand over all entries.
+	// Total reports the demand at the caller's entry of the organisations whose
+	// home is the callee, and returns their demand over all entries.
 	Total(context.Context, *connect.Request[v1.TotalRequest]) (*connect.Response[v1.TotalResponse], error)
 }
 
@@ -173,23 +173,23 @@
 
 // PeerServiceHandler is an implementation of the sf.v1.PeerService service.
 type PeerServiceHandler interface {
-	// Offer tells a peer of a version. The peer answers with the version it
-	// holds, so that the sender can fetch when it is the one behind.
+	// Offer announces a version to a peer. The peer answers with the version that
+	// it holds, so that the sender can fetch it if its own is older.
 	Offer(context.Context, *connect.Request[v1.OfferRequest]) (*connect.Response[v1.OfferResponse], error)
 	// Fetch returns the newest configuration that the callee holds.
 	Fetch(context.Context, *connect.Request[v1.FetchRequest]) (*connect.Response[v1.FetchResponse], error)
-	// Exchange compares what the caller and the callee know: versions, how
-	// fresh the knowledge is, and which upstreams are leaving.
+	// Exchange sends the caller's version and draining upstreams, and returns the
+	// callee's version, how recent its knowledge is, and its draining upstreams.
 	Exchange(context.Context, *connect.Request[v1.ExchangeRequest]) (*connect.Response[v1.ExchangeResponse], error)
-	// Prepare tells that the caller is about to have a version accepted. A peer
-	// that has answered does not take an older version for the newest any more
+	// Prepare announces that the caller is about to have a version accepted. A
+	// peer that has answered no longer treats an older version as the newest
 	// unless the table shows that it still is.
 	Prepare(context.Context, *connect.Request[v1.PrepareRequest]) (*connect.Response[v1.PrepareResponse], error)
 	// InForce reports the version in force on the instance and its streams
 	// for each engine.
 	InForce(context.Context, *connect.Request[v1.InForceRequest]) (*connect.Response[v1.InForceResponse], error)
-	// Total takes the demand of the caller's entry for the organisations whose
-	// home the callee is, and returns their demand over all entries.
+	// Total reports the demand at the caller's entry of the organisations whose
+	// home is the callee, and returns their demand over all entries.
 	Total(context.Context, *connect.Request[v1.TotalRequest]) (*connect.Response[v1.TotalResponse], error)
 }
 
@@ -285,14 +285,16 @@
 
 // EntryServiceClient is a client for the sf.v1.EntryService service.
 type EntryServiceClient interface {
-	// Apply puts a configuration in force, unless it is older than the one in
-	// force. It returns once the version is used by each new request.
+	// Apply puts a configuration in force unless it is older than the one in
+	// force. It returns once each new request uses the version.
 	Apply(context.Context, *connect.Request[v1.ApplyRequest]) (*connect.Response[v1.ApplyResponse], error)
 	// Status reports the version in force and the streams for each engine.
 	Status(context.Context, *connect.Request[v1.StatusRequest]) (*connect.Response[v1.StatusResponse], error)
-	// Demand reports the organisations whose demand here is worth telling.
+	// Demand returns the demand of organisations at this entry. It omits those
+	// whose demand is within the entry's equal part of their rate.
 	Demand(context.Context, *connect.Request[v1.DemandRequest]) (*connect.Response[v1.DemandResponse], error)
-	// Share tells what the entry sets its share of the limits by.
+	// Share sends the entry the data from which it calculates its share of the
+	// limits.
 	Share(context.Context, *connect.Request[v1.ShareRequest]) (*connect.Response[v1.ShareResponse], error)
 }
 
@@ -364,14 +366,16 @@
 
 // EntryServiceHandler is an implementation of the sf.v1.EntryService service.
 type EntryServiceHandler interface {
-	// Apply puts a configuration in force, unless it is older than the one in
-	// force. It returns once the version is used by each new request.
+	// Apply puts a configuration in force unless it is older than the one in
+	// force. It returns once each new request uses the version.
 	Apply(context.Context, *connect.Request[v1.ApplyRequest]) (*connect.Response[v1.ApplyResponse], error)
 	// Status reports the version in force and the streams for each engine.
 	Status(context.Context, *connect.Request[v1.StatusRequest]) (*connect.Response[v1.StatusResponse], error)
-	// Demand reports the organisations whose demand here is worth telling.
+	// Demand returns the demand of organisations at this entry. It omits those
+	// whose demand is within the entry's equal part of their rate.
 	Demand(context.Context, *connect.Request[v1.DemandRequest]) (*connect.Response[v1.DemandResponse], error)
-	// Share tells what the entry sets its share of the limits by.
+	// Share sends the entry the data from which it calculates its share of the
+	// limits.
 	Share(context.Context, *connect.Request[v1.ShareRequest]) (*connect.Response[v1.ShareResponse], error)
 }
 
