--- a/scripts/bench.sh
+++ b/scripts/bench.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Measures on a quiet machine: what one entry costs (about 30 s), then the
-# routing policies beside each other (about 6 min). Results go to out/.
+# Measures the overhead of one entry (about 30 s), then compares the routing
+# policies (about 6 min). Needs an otherwise idle machine. Writes to out/.
 set -euo pipefail
 bin/sf-load overhead --out out
 bin/sf-load compare --out out "$@"
--- a/scripts/days.sh
+++ b/scripts/days.sh
@@ -1,6 +1,8 @@
 #!/usr/bin/env bash
-# Writes platform/days: a day for each kind of disruption, alone and twice. Each
-# line of the list: a name, whether it is planned work, and the entry's fields.
+# Generates platform/days: for each kind of disruption a simulated day on which
+# it occurs twice, without other disruptions. Each line of the list below has the
+# day's name, the key for its entries ("plan" for planned work, else "faults"),
+# and the fields of an entry.
 set -euo pipefail
 cd "$(dirname "$0")/../platform/days"
 rm -f ./*.toml
--- a/scripts/kinds.sh
+++ b/scripts/kinds.sh
@@ -1,7 +1,9 @@
 #!/usr/bin/env bash
-# Plays each day of platform/days on a site with the users' bench, and prints a
-# row each: worth, served, refused, failed, and what broke.
+# Simulates each day of platform/days on a site with the users' benchmark, and
+# prints one row per day: worth, served, refused, failed, and the broken rules.
 #   scripts/kinds.sh BENCH SITE JOBS WHY
+# BENCH is the benchmark program, JOBS the number of parallel runs, and WHY the
+# prefix of the text for the benchmark's --why flag.
 set -euo pipefail
 bench=$1 site=$2 jobs=$3 why=$4
 out=$(mktemp -d)
@@ -17,6 +19,6 @@
     broken = match($0, /BROKEN[^(]*/) ? substr($0, RSTART, RLENGTH) : "";
     if (match($0, /[0-9]+ exits of its own/)) broken = broken " " substr($0, RSTART, RLENGTH);
     printf "%-22s %7s %7s %7s %7s  %s\n", name, $4, $5, $6, $7, broken; found = 1 }
-    END { if (!found) printf "%-22s not played\n", name }' "$f"
+    END { if (!found) printf "%-22s not run\n", name }' "$f"
 done
 echo "output: $out" >&2
--- a/scripts/pairs.sh
+++ b/scripts/pairs.sh
@@ -1,15 +1,17 @@
 #!/usr/bin/env bash
-# Plays days on which pairs of the kinds in platform/days come together, drawn by
-# a seed, three pairs a day, with the users' bench. Prints a row for each day that
-# broke a rule, and a sum.
+# Simulates days on which pairs of the disruptions in platform/days overlap, with
+# the users' benchmark. Each day has three pairs, chosen at random from a seed.
+# Prints one row for each day on which a rule was broken, and a summary.
 #   scripts/pairs.sh BENCH SITE JOBS WHY DAYS SEED
+# BENCH is the benchmark program, JOBS the number of parallel runs, WHY the prefix
+# of the text for the benchmark's --why flag, and DAYS the number of days.
 set -euo pipefail
 bench=$1 site=$2 jobs=$3 why=$4 days=$5 seed=$6
 out=$(mktemp -d)
-# entry prints the first entry of a kind's file as it stands, at another time.
+# entry prints the first entry of a day's file with its time replaced.
 entry() { grep -m1 'kind = ' "$1" | sed -E "s/at = [0-9.]+/at = $2/"; }
-# under prints whether a kind's file has planned work or faults.
-under() { grep -qE '^plan' "$1" && echo plan || echo faults; }
+# entry_key prints the key of a day's entries: plan for planned work, or faults.
+entry_key() { grep -qE '^plan' "$1" && echo plan || echo faults; }
 mapfile -t kinds < <(ls platform/days/*.toml)
 RANDOM=$seed
 for n in $(seq "$days"); do
@@ -17,7 +19,7 @@
   for at in 3.0 4.0 13.0 14.0 23.0 24.0; do
     kind=${kinds[$((RANDOM % ${#kinds[@]}))]}
     names="$names $(basename "$kind" .toml)"
-    if [ "$(under "$kind")" = plan ]; then plan+="$(entry "$kind" "$at")"$'\n'; else faults+="$(entry "$kind" "$at")"$'\n'; fi
+    if [ "$(entry_key "$kind")" = plan ]; then plan+="$(entry "$kind" "$at")"$'\n'; else faults+="$(entry "$kind" "$at")"$'\n'; fi
   done
   {
     echo "name = \"pairs-$n\""
@@ -32,7 +34,7 @@
 for f in "$out"/*.txt; do
   name=$(basename "$f" .txt)
   if grep -q BROKEN "$f" || ! grep -q "^$name " "$f"; then
-    echo "$name$(cat "$out/$name.names"): $(grep -o 'BROKEN.*' "$f" | head -1 || echo 'not played')"
+    echo "$name$(cat "$out/$name.names"): $(grep -o 'BROKEN.*' "$f" | head -1 || echo 'not run')"
   fi
 done
 grep -h '^pairs-' "$out"/*.txt | awk '{ w += $4; n++; if (!low || $4 < low) low = $4 } END { printf "%d days, mean worth %.3f, lowest %.3f\n", n, w / n, low }'
--- a/scripts/prove.sh
+++ b/scripts/prove.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
-# Runs the proofs of docs/PROOFS.md, listed in docs/proofs.list, and prints a
-# line each: held, fell, or not run. Then each fuzz target runs for FUZZTIME.
-# It ends with an exit code other than 0 when a proof fell.
+# Runs the tests of docs/PROOFS.md, which are listed in docs/proofs.list, and
+# prints one line for each: held (passed), fell (failed) or not run. Then runs
+# each fuzz target for FUZZTIME. Exits with 1 if any of them failed.
 #
 #   SEED=7 ROUNDS=20 FUZZTIME=10s make prove
-#   ROWS='P6|F10' make prove      # these rows alone
+#   ROWS='P6|F10' make prove      # only these rows
 set -uo pipefail
 cd "$(dirname "$0")/.."
 export SEED=${SEED:-$((RANDOM * 32768 + RANDOM))} ROUNDS=${ROUNDS:-12}
@@ -15,7 +15,7 @@
 echo "pairs of faults: SEED=$SEED ROUNDS=$ROUNDS (set both to replay)"
 fell=0
 
-# verdict ROW WHAT LOG EXIT: prints a line for one run.
+# verdict ROW WHAT LOG EXIT prints the result line of one run.
 verdict() {
   local result=held
   if [ "$4" -ne 0 ]; then
@@ -36,7 +36,7 @@
   pattern=$(echo "$rest" | sed -E 's/ \| -.*//; s/^ +| +$//g')
   extra=$(echo "$rest" | sed -nE 's/.* \| (-.*)$/\1/p' | sed "s/\$SEED/$SEED/; s/\$ROUNDS/$ROUNDS/")
   log="$out/$row-$(echo "$package-$pattern" | tr -c 'A-Za-z0-9' '_' | cut -c1-80).log"
-  # shellcheck disable=SC2086 # the extra arguments are words
+  # shellcheck disable=SC2086 # the extra arguments are split on purpose
   go test -count=1 -v -timeout 15m -run "$pattern" "$package" $extra >"$log" 2>&1
   verdict "$row" "${package#./internal/} $pattern" "$log" $?
 done < <(grep -vE '^(#|$)' docs/proofs.list)
