--- a/internal/answers/bench_test.go
+++ b/internal/answers/bench_test.go
@@ -69,13 +69,13 @@
 func (f *fixture) resumeOnce(victim, other *testfleet.Instance, seed int64, both bool) time.Duration {
 	c := newChat(seed, 60)
 	var killed time.Time
-	var dead *testfleet.Engine
+	var killedEngine *testfleet.Engine
 	first := f.streamAnswer(victim.EntryAddress, c, 20, func(id string) {
 		killed = time.Now()
 		victim.Entry.Kill()
 		if both {
-			dead = f.Engines[f.engineOf(id)]
-			dead.Process.Kill()
+			killedEngine = f.Engines[f.engineOf(id)]
+			killedEngine.Process.Kill()
 		}
 	})
 	resumed := c
@@ -86,8 +86,8 @@
 		f.t.Fatalf("incomplete answer: %q + %q", first.Text, rest.Text)
 	}
 	f.restartEntry(victim, "")
-	if dead != nil {
-		f.restartEngine(dead, "--decode-rate", "50")
+	if killedEngine != nil {
+		f.restartEngine(killedEngine, "--decode-rate", "50")
 	}
 	return wait
 }
--- a/internal/bench/cell.go
+++ b/internal/bench/cell.go
@@ -41,7 +41,7 @@
 	// RoleChanges is the number of role changes that took effect during the run.
 	RoleChanges int `json:"role_changes"`
 	// MachineBusy is the fraction of all processor time, 0 to 1, that was in use during the run, by any
-	// process. Near 1, the measurements say little.
+	// process. Near 1, the measurements are not meaningful.
 	MachineBusy float64 `json:"machine_busy"`
 	// EntryCPU is the processor time of all entries, in seconds.
 	EntryCPU float64 `json:"entry_cpu_s"`
--- a/internal/fanout/allowance.go
+++ b/internal/fanout/allowance.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// linkDivisor sets the part of an instance's link that its reports may use: one in so
-	// many. The rest is for the traffic of callers.
+	// linkDivisor sets the part of an instance's link that its reports may use: 1/linkDivisor of its
+	// bandwidth. The rest is for the traffic of callers.
 	linkDivisor = 6
 	// accrualTime is for how long unused allowance accumulates.
 	accrualTime = batchEvery
--- a/internal/fanout/inbox.go
+++ b/internal/fanout/inbox.go
@@ -41,8 +41,8 @@
 // queuedReport is a report that waits to be passed on.
 type queuedReport struct {
 	report InstanceReport
-	// at is when the report arrived. since is from when on a report of its source has been queued
-	// without interruption.
+	// at is when the report arrived. since is the start of the uninterrupted time in which a report of its
+	// source has been queued.
 	at, since time.Duration
 }
 
--- a/internal/fanout/roster.go
+++ b/internal/fanout/roster.go
@@ -41,8 +41,8 @@
 	// aliveFor is how long an instance counts as alive after it was last seen: three
 	// reports of an instance without changes may be lost.
 	aliveFor = 1700 * time.Millisecond
-	// takeoverAfter is how long no batch must have come from the instances that rank higher
-	// until the next in rank relays reports: three batches may be lost.
+	// takeoverAfter is the time without a batch from higher-ranking instances after which the next in rank
+	// relays reports: three batches may be lost.
 	takeoverAfter = 350 * time.Millisecond
 	// relayingFor is how long after its last batch a sender of batches gets this
 	// instance's reports, whatever its rank.
--- a/internal/fanout/roster_test.go
+++ b/internal/fanout/roster_test.go
@@ -99,9 +99,9 @@
 	}
 }
 
-// TestIntroducedInstanceMustGiveSignOfLife checks that an instance expires even if others, which do not
-// know that it departed, keep naming it.
-func TestIntroducedInstanceMustGiveSignOfLife(t *testing.T) {
+// TestIntroducedInstanceExpiresWithoutOwnMessage checks that an instance expires even if others, which do
+// not know that it departed, keep naming it.
+func TestIntroducedInstanceExpiresWithoutOwnMessage(t *testing.T) {
 	ids := ranked(2)
 	r := NewRoster(ids[1], 0)
 	for now := time.Duration(0); now <= 2*aliveFor; now += 100 * time.Millisecond {
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -146,8 +146,8 @@
 	{name: "1s, burst 8", interval: time.Second, floor: 0.1, minBurst: 8, window: time.Second},
 }
 
-// chosen is the strategy of the default settings.
-const chosen = "1s"
+// defaultStrategy is the name of the strategy that the default settings use.
+const defaultStrategy = "1s"
 
 // TestLimitErrorTable prints the error of each strategy for docs/measurements/admission.md, and checks the
 // bounds of the one that is used. Its random numbers have a fixed seed.
@@ -168,7 +168,7 @@
 					refused := 1 - float64(under.admitted)/float64(under.offered)
 					t.Logf("rate %3.0f %-7s n=%-2d %-16s error at 2x %+6.1f%%   refused at 0.8x %5.1f%%",
 						rule.Rate, s.name, n, candidate.name, 100*excess, 100*refused)
-					if candidate.name == chosen && rule.Rate == 100 && (excess > 0.03 || excess < -0.15 || refused > 0.15) {
+					if candidate.name == defaultStrategy && rule.Rate == 100 && (excess > 0.03 || excess < -0.15 || refused > 0.15) {
 						t.Errorf("%s n=%d: error %+.3f, refused below the limit %.3f", s.name, n, excess, refused)
 					}
 				}
@@ -201,7 +201,7 @@
 			}
 			t.Logf("n=%-2d %-16s admitted in the seconds after the move %v; within 15%% in second %d", n, candidate.name, r.seconds[30:36], settled)
 			// A tenth of the rate stays reserved for the entries without traffic.
-			if candidate.name == chosen && (settled < 0 || settled > 5) {
+			if candidate.name == defaultStrategy && (settled < 0 || settled > 5) {
 				t.Errorf("n=%d: the rate has not returned to the limit in 5 s", n)
 			}
 		}
--- a/internal/limit/limiter.go
+++ b/internal/limit/limiter.go
@@ -2,7 +2,7 @@
 // entries share. Each entry has a token bucket for each organisation, with a share of the organisation's
 // rate.
 //
-// The shares follow the demand that the entries observe. The control daemons exchange it, not on the path of
+// The shares follow the demand that the entries observe. The control daemons exchange it outside the path of
 // requests: an entry reports its demand (Limiter.Demand), the home daemon of each organisation adds the
 // reports up (Totals), and the entry sets its share from the answer (Limiter.SetTotals). Without fresh totals
 // each entry has an equal share. The package does no I/O: times are passed in as monotonic durations.
@@ -106,8 +106,8 @@
 	return o.verdict(allowed)
 }
 
-// TakeWithDebt decides on a request that goes before others, such as one for the rest of an answer whose
-// request was allowed before. It may leave a debt up to the bucket's capacity, so that a client that falsely
+// TakeWithDebt decides on a request with precedence over others, such as one that resumes an answer whose
+// request was already allowed. It may leave a debt up to the bucket's capacity, so that a client that falsely
 // claims to continue an answer gains one burst, but no higher rate.
 func (l *Limiter) TakeWithDebt(name string, rule Rule, now time.Duration) Verdict {
 	if rule.Rate <= 0 {
--- a/internal/loadgen/scenario.go
+++ b/internal/loadgen/scenario.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// QotonTrace is the load of the ledger: long ginning histories with short answers, short questions with
-// longer answers, and many status calls.
+// QotonTrace is the load of the QotonTrace deployment, a ledger: long ginning histories with short answers,
+// short questions with longer answers, and many status calls.
 func QotonTrace(phase time.Duration, rate float64) Scenario {
 	return Scenario{
 		Name: "qoton-trace", Model: "provenance",
@@ -117,8 +117,8 @@
 	}
 }
 
-// AGEDIM is the load of the studios: briefs with attached style guides, which make up most of the prompt and
-// are shared, and naming ideas with long answers.
+// AGEDIM is the load of the AGEDIM deployment, which serves studios: briefs with attached style guides, which
+// make up most of the prompt and are shared, and naming ideas with long answers.
 func AGEDIM(phase time.Duration, rate float64) Scenario {
 	return Scenario{
 		Name: "agedim", Model: "critique",
--- a/internal/model/patterns_test.go
+++ b/internal/model/patterns_test.go
@@ -40,7 +40,8 @@
 }
 
 // alternating is the new customer's load: alternating bursts of long prompts with very short answers, and
-// short questions with long answers. The figures come from the data sheet of tsd-fleet and its quiet day.
+// short questions with long answers. The figures come from the data sheet of the deployment tsd-fleet and
+// from a day of low traffic there.
 func alternating() Pattern {
 	return Pattern{
 		Name: "alternating bursts of long prompts and long answers", Length: 34 * time.Second,
@@ -60,7 +61,7 @@
 	}
 }
 
-// surge is three times the rate of long prompts for four seconds. The bursts on the customers' days reach
+// surge is three times the rate of long prompts for four seconds. Bursts of the customers' traffic reach
 // three times the mean.
 func surge() Pattern {
 	p := alternating()
@@ -70,8 +71,8 @@
 	return p
 }
 
-// shortPrompts is a burst of short prompts while a third of the decode engines is missing. On a day of
-// qoton-gabes, four engines were scaled in, and 1.9 times the short prompts arrived.
+// shortPrompts is a burst of short prompts while a third of the decode engines is missing. On one day, the
+// deployment qoton-gabes had four engines scaled in and received 1.9 times the usual number of short prompts.
 func shortPrompts() Pattern {
 	return Pattern{
 		Name: "a burst of short prompts with engines scaled in", Length: 30 * time.Second,
--- a/internal/model/policy.go
+++ b/internal/model/policy.go
@@ -19,7 +19,7 @@
 	InOrder bool `toml:"in_order"`
 	// KnownTimes starts the instances with the actual times of the engines instead of the default prior.
 	KnownTimes bool `toml:"exact"`
-	// MemoryPrice is the worth of an engine's whole KV cache, as in placement.Settings; 0 for the default.
+	// MemoryPrice is the price of an engine's entire KV cache, as in placement.Settings; 0 for the default.
 	MemoryPrice time.Duration `toml:"memory_price"`
 }
 
--- a/internal/model/role_controller.go
+++ b/internal/model/role_controller.go
@@ -69,7 +69,8 @@
 	return n
 }
 
-// observedEngines returns the engines as the controlling instance sees them. An ordered role counts as taken.
+// observedEngines returns the engines as the controlling instance sees them. An engine counts with the role
+// that was ordered for it.
 func (r *run) observedEngines() []roles.Engine {
 	var list []roles.Engine
 	for _, e := range r.instances[0].state.Engines(r.now)[service] {
--- a/internal/replica/expiry.go
+++ b/internal/replica/expiry.go
@@ -2,14 +2,13 @@
 
 import "time"
 
-// massDeletionDivisor sets which deletions count as a mass deletion: those of more than one in so
-// many rows of a table. After an outage such rows may have expired because their owners could not
-// renew them. Fewer owners than that shut down at a time, and the owners that replace them
-// have rows of their own in the table.
+// massDeletionDivisor defines a mass deletion: more than 1/massDeletionDivisor of the rows of a table. After
+// an outage such rows may have expired because their owners could not renew them. Fewer owners than that shut
+// down at a time, and the owners that replace them have rows of their own in the table.
 const massDeletionDivisor = 2
 
-// deletionCounts holds, by table, the number of deletions that were applied since mass deletions
-// are withheld.
+// deletionCounts holds, by table, the number of deletions applied since the current hold of mass deletions
+// began.
 type deletionCounts map[string]int
 
 // tablesWithMassDeletion returns the tables of which so many rows are deleted that the rows may
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -62,7 +62,7 @@
 	// held are rows that are not applied yet: deletions, and rows that came back
 	// with a restore of the store.
 	held map[Key]heldRow
-	// holdUntil is when all deletions are applied at once again.
+	// holdUntil is the time from which all deletions are applied immediately.
 	holdUntil         time.Duration
 	acceptedDeletions deletionCounts
 }
--- a/internal/rowsync/rowsync.go
+++ b/internal/rowsync/rowsync.go
@@ -27,8 +27,8 @@
 
 // Feed is the part of the platform's store that a Follower reads.
 type Feed interface {
-	// Read returns all rows of a table as of a revision. Many rows come in pages, one call
-	// each; within bounds each of these calls.
+	// Read returns all rows of a table as of a revision. Many rows are read in pages, one call each; within
+	// is the timeout of each call.
 	Read(ctx context.Context, table string, within time.Duration) (rows []replica.Row, revision int64, err error)
 	// Wait returns the changes of a table after a revision, and the revision
 	// up to which they go. It returns no rows if nothing changes within wait.
@@ -96,8 +96,8 @@
 	copy *replica.Replica
 	// outages are the current outages of the store, by the table whose calls fail.
 	outages map[string]outage
-	// synced are the tables that this instance read completely. loadedByPeer are the
-	// tables that a peer which sent all its rows has loaded.
+	// synced are the tables that this instance read completely. loadedByPeer are the tables that were loaded
+	// at a peer which sent all its rows.
 	synced, loadedByPeer map[string]bool
 	// failures counts a table's consecutive failed calls.
 	failures map[string]int
@@ -111,8 +111,8 @@
 // outage is a time without answers from the store.
 type outage struct {
 	since time.Duration
-	// onlyHere: at the time of the last failed call, the store answered other instances.
-	onlyHere bool
+	// othersAnswered: at the time of the last failed call, the store answered other instances.
+	othersAnswered bool
 }
 
 // New returns a follower. It calls onChange with the rows that changed, one call at a
@@ -182,7 +182,7 @@
 		default:
 			f.recordFailure(ctx, table, err)
 		}
-		pause.For(ctx, jittered(wait)) // full reads that the feed cannot continue from pause too
+		pause.For(ctx, jittered(wait)) // also after a full read that the feed cannot continue from
 		wait = min(2*wait, retryMax)
 	}
 }
@@ -313,7 +313,7 @@
 		current.since = f.now()
 		f.log.Warn("follow: the store does not answer", "table", table, "error", err)
 	}
-	current.onlyHere = f.now()-current.since >= f.settings.PeerReportDelay && f.peers != nil && f.peers.HasOtherReaders()
+	current.othersAnswered = f.now()-current.since >= f.settings.PeerReportDelay && f.peers != nil && f.peers.HasOtherReaders()
 	f.outages[table] = current
 }
 
@@ -326,13 +326,13 @@
 	defer f.mu.Unlock()
 	f.failures[table] = 0
 	last, failed := f.outages[table]
-	if (failed || f.delegated[table]) && !last.onlyHere {
+	if (failed || f.delegated[table]) && !last.othersAnswered {
 		f.copy.HoldDeletions(f.now() + f.settings.HoldDeletions)
 	}
 	delete(f.outages, table)
 	delete(f.delegated, table)
 	if failed {
-		f.log.Info("follow: the store answers again", "table", table, "after", f.now()-last.since, "for_this_instance_alone", last.onlyHere)
+		f.log.Info("follow: the store answers again", "table", table, "after", f.now()-last.since, "for_this_instance_alone", last.othersAnswered)
 	}
 }
 
--- a/internal/rowsync/rowsync_test.go
+++ b/internal/rowsync/rowsync_test.go
@@ -219,11 +219,11 @@
 // TestMassDeletionIsHeldWhenInstanceStartsToRead guards against an instance that treats all upstreams
 // as removed because it starts to read the store right after an outage.
 //
-// Observed: the store was down for six seconds and all entries of upstreams expired. Within 20 ms of
-// its return all instances treated all upstreams as removed, for half a second (180 log lines "upstream
-// gone" of nine instances, the first after the rows of that one instance). The instance had
-// left the store to other instances and started to read it at that moment. It had no failed call
-// and so knew of no outage, applied the deletions, and passed them on.
+// Observed: the store was down for six seconds and all entries of upstreams expired. Within 20 ms of its
+// return all instances treated all upstreams as removed, for half a second (180 log lines "upstream gone"
+// from nine instances). The first such line followed the rows that one instance had sent. That instance had
+// left the store to other instances and started to read it at that moment. It had no failed call and so knew
+// of no outage, applied the deletions, and passed them on.
 func TestMassDeletionIsHeldWhenInstanceStartsToRead(t *testing.T) {
 	feed, others := newFakeFeed(), &fakePeers{others: true}
 	for _, key := range []string{"a", "b", "c", "d"} {
@@ -251,7 +251,7 @@
 		t.Error("the mass deletion was applied")
 	}
 	if _, hold := f.Since(map[string]int64{}); hold == 0 {
-		t.Error("peers are not told to withhold it")
+		t.Error("the hold is not passed on to peers")
 	}
 }
 
@@ -269,13 +269,13 @@
 	waitFor(func() bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		return f.outages["t"].onlyHere
+		return f.outages["t"].othersAnswered
 	})
 	feed.put("a", true)
 	feed.set(func() { feed.down = false })
 	waitFor(func() bool { return f.hasKeys("") })
 	if _, hold := f.Since(map[string]int64{}); hold > 0 {
-		t.Errorf("peers are told to withhold deletions for %s", hold)
+		t.Errorf("the hold passed on to peers is %s", hold)
 	}
 }
 
