--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -70,15 +70,15 @@
 		Checks: []platform.Check{auth.epochCheck(pool), {Key: key, Revision: row.Revision}},
 		Writes: []platform.Write{{Key: key, Value: row.Encode()}},
 	})
-	if errors.Is(err, platform.ErrUnknown) && d.written(ctx, key, row.WriteID) {
+	if errors.Is(err, platform.ErrUnknown) && d.wasWritten(ctx, key, row.WriteID) {
 		return nil
 	}
 	return err
 }
 
-// written reads a journal row back and reports whether it has the ID of a
+// wasWritten reads a journal row back and reports whether it has the ID of a
 // write.
-func (d *Daemon) written(ctx context.Context, key, writeID string) bool {
+func (d *Daemon) wasWritten(ctx context.Context, key, writeID string) bool {
 	row, err := d.platform.Get(ctx, key)
 	if err != nil {
 		return false
--- a/internal/entry/completions.go
+++ b/internal/entry/completions.go
@@ -19,8 +19,8 @@
 
 // Errors that terminate an answer. Compare with errors.Is.
 var (
-	// errCallerGone: the caller disconnected.
-	errCallerGone = errors.New("entry: caller disconnected")
+	// errCallerDisconnected: the caller disconnected.
+	errCallerDisconnected = errors.New("entry: caller disconnected")
 	// errStopping: the shutdown timeout of the process expired.
 	errStopping = errors.New("entry: shutting down")
 	// errStalled: the engine stopped sending.
@@ -69,7 +69,7 @@
 
 // failAnswer handles an answer that could not be completed.
 func (s *Server) failAnswer(c *echo.Context, comp *completion, out responder, err error) error {
-	if errors.Is(err, errCallerGone) {
+	if errors.Is(err, errCallerDisconnected) {
 		s.metrics.callerGone.Inc(1)
 		return nil
 	}
--- a/internal/entry/disaggregated.go
+++ b/internal/entry/disaggregated.go
@@ -121,9 +121,9 @@
 		return errStopping
 	}
 	if ctx.Err() != nil {
-		return errCallerGone
+		return errCallerDisconnected
 	}
-	if !errors.Is(err, engine.ErrNotRun) && !errors.Is(err, errCallerGone) {
+	if !errors.Is(err, engine.ErrNotRun) && !errors.Is(err, errCallerDisconnected) {
 		s.recordCall(engineID, load.CallFailed)
 	}
 	return err
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -95,10 +95,10 @@
 			}
 		case <-keepAliveTicker.C:
 			if f.out.keepAlive() != nil {
-				return errCallerGone
+				return errCallerDisconnected
 			}
 		case <-ctx.Done():
-			return errCallerGone
+			return errCallerDisconnected
 		}
 	}
 	return nil
@@ -153,7 +153,7 @@
 			Next: before + n + 1, Sum: ready[n].Sum, Done: p.Finish != "",
 		}
 		if err := f.out.piece(p.Piece, token); err != nil {
-			return errCallerGone
+			return errCallerDisconnected
 		}
 		s.metrics.tokens.Inc(1)
 		s.demand.addGenerated(f.comp.pool, s.now())
--- a/internal/entry/generation.go
+++ b/internal/entry/generation.go
@@ -42,10 +42,10 @@
 		return result.Err
 	}
 	if verdict == attempt.Denied {
-		s.noBudget(g.attempts)
+		s.logBudgetExhausted(g.attempts)
 	}
 	if ctx.Err() != nil {
-		return errCallerGone
+		return errCallerDisconnected
 	}
 	return s.finalRefusal(comp, g.attempts.Outcome(), g.attempts.LastError())
 }
@@ -70,7 +70,7 @@
 
 // isFinal reports whether nothing is left to retry after err, which may be nil.
 func isFinal(err error) bool {
-	return err == nil || errors.Is(err, errCallerGone) || errors.Is(err, errStopping)
+	return err == nil || errors.Is(err, errCallerDisconnected) || errors.Is(err, errStopping)
 }
 
 // Started implements attempt.Call.
@@ -144,11 +144,11 @@
 		return errStopping // the stream stays at the engine, so that the caller can resume it
 	}
 	if ctx.Err() != nil {
-		err = errCallerGone
+		err = errCallerDisconnected
 	}
 	// A resumption that brings no piece does not show a fault of the engine: the token may be wrong, or
 	// the entry that served the caller before may have cancelled the stream.
-	blame := !errors.Is(err, errCallerGone) && (comp.resume == nil || g.assembler.Next() > before)
+	blame := !errors.Is(err, errCallerDisconnected) && (comp.resume == nil || g.assembler.Next() > before)
 	s.recordIfCrashed(ctx, chosen.ID, boot, client, comp, err)
 	s.afterFailure(ctx, chosen.ID, client, comp, err, blame)
 	return err
--- a/internal/entry/overload_bench_test.go
+++ b/internal/entry/overload_bench_test.go
@@ -24,8 +24,8 @@
 	attempts int
 	// waitBudget is how long a caller waits for the first token of an attempt.
 	waitBudget time.Duration
-	// obey makes callers wait for the time in Retry-After; otherwise they retry after 50 ms.
-	obey   bool
+	// obeyRetryAfter makes callers wait for the time in Retry-After; otherwise they retry after 50 ms.
+	obeyRetryAfter   bool
 	prompt int // tokens, different in each request
 	answer int
 }
@@ -85,7 +85,7 @@
 		wait := 50 * time.Millisecond
 		if answer.Error != nil {
 			r.refusals = append(r.refusals, time.Since(tried))
-			if seconds, err := strconv.Atoi(answer.RetryAfter); a.obey && err == nil {
+			if seconds, err := strconv.Atoi(answer.RetryAfter); a.obeyRetryAfter && err == nil {
 				wait = time.Duration(seconds) * time.Second
 			}
 		}
@@ -228,7 +228,7 @@
 				instances: 2, engines: 4, entryTables: mode.tables,
 				engineFlags: []string{"--prefill-rate", "4000", "--decode-rate", "100"},
 			})
-			load := arrivals{rate: 16, length: stormEnd, attempts: 5, waitBudget: time.Second, obey: mode.obey, prompt: 500, answer: 20}
+			load := arrivals{rate: 16, length: stormEnd, attempts: 5, waitBudget: time.Second, obeyRetryAfter: mode.obey, prompt: 500, answer: 20}
 			for b.Loop() {
 				records := load.run(ctx, fleet, 5, func(second int) {
 					at := time.Duration(second) * time.Second
--- a/internal/entry/plain.go
+++ b/internal/entry/plain.go
@@ -138,7 +138,7 @@
 		return c.answer, nil
 	}
 	if verdict == attempt.Denied {
-		s.noBudget(attempts)
+		s.logBudgetExhausted(attempts)
 	}
 	if attempts.Outcome() == outcome.NotRun {
 		return service.Answer{}, errors.WithMessage(service.ErrNotRun, "no upstream took the call")
--- a/internal/entry/retry.go
+++ b/internal/entry/retry.go
@@ -53,7 +53,7 @@
 	return attempt.NewBudget(rules, retry.Backoff{Base: s.BackoffBase, Max: s.BackoffMax}, meters, nil, 0)
 }
 
-// noBudget logs that a request was not retried because the retry budget is exhausted.
-func (s *Server) noBudget(attempts *attempt.Attempts) {
+// logBudgetExhausted logs that a request was not retried because the retry budget is exhausted.
+func (s *Server) logBudgetExhausted(attempts *attempt.Attempts) {
 	s.log.Info("retry: budget exhausted", "error", attempts.LastError())
 }
--- a/internal/rollout/bounds.go
+++ b/internal/rollout/bounds.go
@@ -109,13 +109,13 @@
 	return ""
 }
 
-// reasonNotAsked is the reason to wait if View.Instances is empty.
-const reasonNotAsked = "no instance was asked yet"
+// reasonNotQueried is the reason to wait if View.Instances is empty.
+const reasonNotQueried = "no instance was asked yet"
 
 // busyInstanceReason returns why an instance may still send requests to an engine, or else the empty string.
 func (v View) busyInstanceReason(e *config.Engine, view EngineView) string {
 	if len(v.Instances) == 0 {
-		return reasonNotAsked
+		return reasonNotQueried
 	}
 	for _, i := range v.Instances {
 		switch {
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -144,7 +144,7 @@
 	for _, e := range v.Config.PoolEngines(v.Pool) {
 		d.decide(e)
 	}
-	return Decision{Actions: d.actions(), Waits: d.waits, AskInstances: slices.Contains(slices.Collect(maps.Values(d.waits)), reasonNotAsked)}
+	return Decision{Actions: d.actions(), Waits: d.waits, AskInstances: slices.Contains(slices.Collect(maps.Values(d.waits)), reasonNotQueried)}
 }
 
 // Apply makes the change in a document that is about to become doc.Version. A converged engine no longer
