--- a/internal/control/observe.go
+++ b/internal/control/observe.go
@@ -35,7 +35,7 @@
 	}
 	engines := doc.PoolEngines(pool)
 	view.Engines = d.observeEngines(ctx, engines)
-	if rollout.Decide(view).AskInstances {
+	if rollout.Decide(view).QueryInstances {
 		view.Instances = d.observeInstances(ctx)
 		view.Engines = d.observeEngines(ctx, engines)
 	}
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -128,8 +128,8 @@
 	Actions []Action
 	// Waits has a short reason for each engine that has to wait.
 	Waits map[string]string
-	// AskInstances is true if an engine waits only because View.Instances is empty.
-	AskInstances bool
+	// QueryInstances is true if an engine waits only because View.Instances is empty.
+	QueryInstances bool
 }
 
 // Next returns the actions that are possible now. The list is empty if all engines have the confirmed
@@ -144,7 +144,7 @@
 	for _, e := range v.Config.PoolEngines(v.Pool) {
 		d.decide(e)
 	}
-	return Decision{Actions: d.actions(), Waits: d.waits, AskInstances: slices.Contains(slices.Collect(maps.Values(d.waits)), reasonNotQueried)}
+	return Decision{Actions: d.actions(), Waits: d.waits, QueryInstances: slices.Contains(slices.Collect(maps.Values(d.waits)), reasonNotQueried)}
 }
 
 // Apply makes the change in a document that is about to become doc.Version. A converged engine no longer
