--- a/internal/control/authority_test.go
+++ b/internal/control/authority_test.go
@@ -165,16 +165,16 @@
 	r.waitUntil(id+" holds the lease", func() bool { return r.holds(id, 0) })
 }
 
-func (r *rig) book(i int) testservers.EngineRecord {
-	var book testservers.EngineRecord
-	r.must(testfleet.Post(r.ctx, r.fleet.Engines[i].Address, testservers.PathRecord, nil, &book))
-	return book
+func (r *rig) engineRecord(i int) testservers.EngineRecord {
+	var record testservers.EngineRecord
+	r.must(testfleet.Post(r.ctx, r.fleet.Engines[i].Address, testservers.PathRecord, nil, &record))
+	return record
 }
 
 // lastOrderIs reports whether the engine's last order has the given epoch and
 // adapters.
 func (r *rig) lastOrderIs(i int, epoch int64, adapters ...string) bool {
-	orders := r.book(i).Orders
+	orders := r.engineRecord(i).Orders
 	if len(orders) == 0 {
 		return false
 	}
@@ -237,14 +237,14 @@
 			r.waitUntil("the send of the frozen process has ended", func() bool {
 				return exited(frozen.Control) || strings.Contains(frozen.Control.Log(), "order: ")
 			})
-			checkEpochOrder(t, r.book(0).Orders)
+			checkEpochOrder(t, r.engineRecord(0).Orders)
 			if exited(frozen.Control) != c.killed {
 				t.Errorf("the frozen process was killed: %v, want %v", !c.killed, c.killed)
 			}
 			// A process that is resumed may abort the send before the engine has
 			// received the order. Otherwise the engine must refuse the order.
 			broken := strings.Contains(frozen.Control.Log(), "order: no answer")
-			if refused := len(r.book(0).Refused); !c.killed && !broken && refused != 1 {
+			if refused := len(r.engineRecord(0).Refused); !c.killed && !broken && refused != 1 {
 				t.Errorf("the engine refused %d orders, want 1", refused)
 			}
 			if !c.killed {
@@ -270,8 +270,8 @@
 	if _, err := client.Order(r.ctx, late); !errors.Is(err, engine.ErrFenced) {
 		r.t.Errorf("an order of epoch 1: %v, want a refusal", err)
 	}
-	if len(r.book(number).Refused) == 0 {
-		r.t.Error("the engine's book has no refused order")
+	if len(r.engineRecord(number).Refused) == 0 {
+		r.t.Error("the engine's record has no refused order")
 	}
 }
 
@@ -286,8 +286,8 @@
 
 // TestTakeover guards against a fleet without a holder, and against two
 // holders: another instance must acquire the lease when its holder is killed,
-// frozen or disconnected from the table, and the old holder must not hold it
-// after it is back.
+// frozen or disconnected from the table. The old holder must not hold the lease
+// after it is restarted, resumed or reconnected.
 func TestTakeover(t *testing.T) {
 	for _, fault := range []string{"kill", "freeze", "cut"} {
 		t.Run(fault, func(t *testing.T) {
@@ -349,9 +349,9 @@
 }
 
 // TestTakeoverWithReplyLost guards against a holder that does not notice its
-// own takeover, or can't write under it: the reply to the takeover is lost, and
-// the holder must read from the table that it succeeded, and the revision of
-// the epoch.
+// own takeover, or can't write under it. The reply to the takeover is lost, so
+// the holder must read from the table that the takeover succeeded, and the
+// revision of the epoch row.
 func TestTakeoverWithReplyLost(t *testing.T) {
 	t.Parallel()
 	kinds := []config.Fencing{config.FencingRefuse}
--- a/internal/control/deliver.go
+++ b/internal/control/deliver.go
@@ -16,8 +16,8 @@
 
 // deliver sends a journalled order within the term of the lease. During the
 // send, a kernel timer is armed that kills this process at the end of the term
-// (see usesKillTimer). So a process that is frozen during the send is dead, and
-// its socket reset, before another process can hold the lease. A process that
+// (see usesKillTimer). So a process that is frozen during the send is killed,
+// and its socket reset, before another process can hold the lease. A process that
 // is not frozen aborts the send before the term ends, and disarms the timer.
 func (d *Daemon) deliver(ctx context.Context, pool string, auth authority, to *config.Engine, row order.Row) error {
 	until, done, err := d.leases.startSending(pool, auth)
--- a/internal/control/entrylink.go
+++ b/internal/control/entrylink.go
@@ -25,7 +25,7 @@
 
 	// The fields below are used only by the entry loop.
 
-	// entryVersion is the version in force that the entry answered last.
+	// entryVersion is the version in force in the entry's last answer.
 	entryVersion int64
 	// clock is the entry's own clock in its last answer, and 0 if there is none.
 	// clockAt is this process's clock when that answer arrived.
@@ -42,9 +42,8 @@
 }
 
 // apply sends the newest version, and its document if the entry does not have
-// it. It returns false if the entry's clock was not known, so that the entry
-// has not been told until when the version is fresh; the caller then calls
-// again.
+// it. It returns false if the entry's clock was not known: the call could then
+// not say until when the version is fresh, and the caller repeats it.
 func (l *entryLink) apply(ctx context.Context, draining []string, status freshness.Status) bool {
 	doc := l.holder.Current()
 	if doc.Version == 0 {
--- a/internal/control/leasehandover.go
+++ b/internal/control/leasehandover.go
@@ -127,8 +127,9 @@
 }
 
 // requestHandBacks requests the leases for which this instance is the first
-// choice from their holders. A request is sent only if both have been in their
-// position for hand_back_after, and is repeated at that interval.
+// choice from their holders. A request is sent only if this instance has been
+// the first choice, and the holder has held the lease, for hand_back_after. It
+// is repeated at that interval.
 func (l *leases) requestHandBacks(ctx context.Context) {
 	now := bootclock.Now()
 	l.mu.Lock()
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -135,8 +135,8 @@
 	return ""
 }
 
-// drainingUpstreams returns the IDs of the upstreams that the list has as
-// draining.
+// drainingUpstreams returns the IDs of the upstreams that are draining
+// according to the list.
 func (m *members) drainingUpstreams() []string {
 	var ids []string
 	for _, instance := range m.listed() {
@@ -163,7 +163,7 @@
 	return max(d.settings.Spread.ListEvery, share)
 }
 
-// onInstanceList applies a list that the platform answered with.
+// onInstanceList applies a list that the platform returned.
 func (d *Daemon) onInstanceList(requestedAt time.Duration) {
 	d.spread.onInstanceList(requestedAt, d.members.drainingUpstreams())
 	d.updatePeers()
@@ -211,7 +211,8 @@
 	d.spread.setMembers(own, peers)
 }
 
-// onInstanceList merges the upstreams that an instance list has as draining.
+// onInstanceList merges the upstreams that are draining according to an instance
+// list.
 func (s *spreader) onInstanceList(requestedAt time.Duration, draining []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/control/observe.go
+++ b/internal/control/observe.go
@@ -14,8 +14,8 @@
 	"sassafrasfield/internal/rollout"
 )
 
-// observe queries what a decision on a pool depends on, including its orders.
-// See buildView.
+// observe reads the orders of a pool and returns the view for a decision on the
+// pool. See buildView.
 func (d *Daemon) observe(ctx context.Context, doc *config.Config, pool string) (rollout.View, error) {
 	orders, err := d.readOrdersForHolder(ctx, pool)
 	if err != nil {
@@ -24,10 +24,11 @@
 	return d.buildView(ctx, doc, pool, orders), nil
 }
 
-// buildView queries the engines of a pool, and the instances if an engine waits
-// for them. Pools that are only watched for faults, and engines that don't
-// answer, cause no queries of instances. After the instances, the engines are
-// queried again, so that their answers are newer than those of the instances.
+// buildView queries the engines of a pool, and the instances if the decision on
+// an engine depends on them. It does not query the instances for pools that are
+// only watched for faults, or for engines that don't answer. After the
+// instances, it queries the engines again, so that their answers are newer than
+// those of the instances.
 func (d *Daemon) buildView(ctx context.Context, doc *config.Config, pool string, orders map[string]order.Row) rollout.View {
 	view := rollout.View{
 		Config: doc, Pool: pool, Orders: orders,
--- a/internal/control/offer.go
+++ b/internal/control/offer.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// sendUpdate brings a peer that has an older version to the held one. It sends
+// sendUpdate sends the held version to a peer that has an older one. It sends
 // deltas, or the whole document if this process does not have the deltas or
 // they do not apply at the peer.
 func (s *spreader) sendUpdate(ctx context.Context, peer string, have int64) {
@@ -48,8 +48,8 @@
 	return response.Msg.Version, true
 }
 
-// fetchUpdate requests what is newer than the held version from a peer, and the
-// whole document if the answer can't be applied.
+// fetchUpdate requests an update of the held version from a peer, and the whole
+// document if the answer can't be applied.
 func (s *spreader) fetchUpdate(ctx context.Context, peer string) {
 	have := s.daemon.holder.Current().Version
 	msg, ok := s.callFetch(ctx, peer, have)
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -76,7 +76,7 @@
 	return err
 }
 
-// wasWritten reads a journal row back and reports whether it has the ID of a
+// wasWritten reads a journal row again and reports whether it has the ID of a
 // write.
 func (d *Daemon) wasWritten(ctx context.Context, key, writeID string) bool {
 	row, err := d.platform.Get(ctx, key)
--- a/internal/control/rolesobserve.go
+++ b/internal/control/rolesobserve.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// observeDemand queries the instances for their measured demand: all of them,
-// or a random sample of ask_at_most.
+// observeDemand queries the instances for their measured demand: all of them, or
+// a random sample of ask_at_most instances.
 func (d *Daemon) observeDemand(ctx context.Context) demandRound {
 	own := d.members.own()
 	round := demandRound{instances: len(own), pools: map[string]*sfv1.PoolDemand{}}
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -121,7 +121,7 @@
 // sendCurrentOrder sends an order if a transaction proves that the view is the
 // newest. Reads may have been stale, and a holder that has just acquired the
 // lease may not know of versions that the last one wrote. An order that was
-// based on such a view could reach an engine that is back in routing.
+// based on such a view could reach an engine that has returned to routing.
 func (d *Daemon) sendCurrentOrder(ctx context.Context, pool string, auth authority, view rollout.View, send rollout.SendOrder) error {
 	head, doc, err := d.versions.NewestFrom(ctx, d.holder.Current())
 	if err != nil {
--- a/internal/entry/admission_test.go
+++ b/internal/entry/admission_test.go
@@ -15,9 +15,9 @@
 	"sassafrasfield/internal/testservers"
 )
 
-// Requests that cannot meet their deadline at an overloaded, nearly stopped engine must be refused while
+// Requests that cannot meet their deadline at an overloaded and greatly slowed engine must be refused while
 // the admitted ones still run. The refusal says not_run and when to retry, and the engine's records
-// confirm that nothing of the refused requests ran.
+// confirm that no part of the refused requests ran.
 func TestOverloadIsRefusedAtOnce(t *testing.T) {
 	ctx := testContext(t)
 	fleet := startFleet(ctx, t, fleetOptions{
--- a/internal/entry/overload_bench_test.go
+++ b/internal/entry/overload_bench_test.go
@@ -25,9 +25,9 @@
 	// waitBudget is how long a caller waits for the first token of an attempt.
 	waitBudget time.Duration
 	// obeyRetryAfter makes callers wait for the time in Retry-After; otherwise they retry after 50 ms.
-	obeyRetryAfter   bool
-	prompt int // tokens, different in each request
-	answer int
+	obeyRetryAfter bool
+	prompt         int // tokens, different in each request
+	answer         int
 }
 
 // record is what one caller observed.
@@ -207,9 +207,9 @@
 	noBudget := "[retry]\nbudget_floor = 1e9\nbudget_max = 1e9\n"
 	slow, refuse, crash := testservers.EngineFaults{SlowFactor: 8}, testservers.EngineFaults{Refuse: true}, testservers.EngineFaults{Crash: true}
 	for _, mode := range []struct {
-		name, tables string
-		obey         bool
-		faults       testservers.EngineFaults
+		name, tables   string
+		obeyRetryAfter bool
+		faults         testservers.EngineFaults
 	}{
 		{"crash/all-guards", "", false, crash},
 		{"crash/no-budget", noBudget, false, crash},
@@ -228,7 +228,7 @@
 				instances: 2, engines: 4, entryTables: mode.tables,
 				engineFlags: []string{"--prefill-rate", "4000", "--decode-rate", "100"},
 			})
-			load := arrivals{rate: 16, length: stormEnd, attempts: 5, waitBudget: time.Second, obeyRetryAfter: mode.obey, prompt: 500, answer: 20}
+			load := arrivals{rate: 16, length: stormEnd, attempts: 5, waitBudget: time.Second, obeyRetryAfter: mode.obeyRetryAfter, prompt: 500, answer: 20}
 			for b.Loop() {
 				records := load.run(ctx, fleet, 5, func(second int) {
 					at := time.Duration(second) * time.Second
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -26,8 +26,8 @@
 	crashProbeTimeout = 200 * time.Millisecond
 	// crashProbeInterval is the pause between two probes.
 	crashProbeInterval = 50 * time.Millisecond
-	// crashCheckTimeout bounds the wait for a conclusive probe. The request waits this long before it is
-	// sent to another engine, which a caller whose engine fell silent must tolerate anyway.
+	// crashCheckTimeout bounds the wait for a conclusive probe. The request may wait this long before it is
+	// sent to another engine. Callers have to tolerate such a delay anyway when an engine stops sending.
 	crashCheckTimeout = 3 * time.Second
 )
 
--- a/internal/gossip/drainingset.go
+++ b/internal/gossip/drainingset.go
@@ -10,7 +10,7 @@
 	// an upstream as draining revokes an announcement only if the list was
 	// requested at least that long after the announcement.
 	listLag time.Duration
-	// lastListAt is when the last list that was answered was requested.
+	// lastListAt is when the newest received list was requested.
 	lastListAt time.Duration
 	// announcedAt is when each upstream was last announced as draining.
 	announcedAt map[string]time.Duration
@@ -22,7 +22,7 @@
 }
 
 // MergeList merges an instance list that was requested at the given time. The ids
-// are those of the upstreams that it has as draining.
+// are those of the upstreams that are draining according to the list.
 func (s *DrainingSet) MergeList(at time.Duration, ids []string) {
 	s.lastListAt = at
 	for id, announcedAt := range s.announcedAt {
--- a/internal/gossip/machine.go
+++ b/internal/gossip/machine.go
@@ -69,8 +69,8 @@
 	version  int64
 	// pollAt and exchangeAt are when the next poll and exchange are due.
 	pollAt, exchangeAt time.Duration
-	// fetching is the version that was last requested from a peer, or that an
-	// offering peer was answered to send. No other peer is asked for it until
+	// fetching is the version that was last requested from a peer, also by the
+	// answer to its offer. It is not requested from another peer until
 	// fetchingUntil.
 	fetching      int64
 	fetchingUntil time.Duration
@@ -199,8 +199,8 @@
 	return max(m.version, min(m.fetching, version))
 }
 
-// fetchTimeout is how long to wait for a version from one source before another
-// source is asked for it.
+// fetchTimeout is how long to wait for a version from one source before it is
+// requested from another source.
 const fetchTimeout = 500 * time.Millisecond
 
 // startFetch reports whether to fetch a version: it must be newer than the one
--- a/internal/gossip/process_test.go
+++ b/internal/gossip/process_test.go
@@ -227,7 +227,7 @@
 func TestTableDownForAllServesOn(t *testing.T) {
 	r := newRig(t)
 	r.must(r.fleet.PlatformFault(r.ctx, testservers.PlatformFaults{Down: true}))
-	ended := time.Now().Add(3 * time.Second) // fresh_for, and some more
+	ended := time.Now().Add(3 * time.Second) // longer than fresh_for
 	r.until("the evidence from the table has expired", func() bool { return time.Now().After(ended) })
 	for i := range 3 {
 		control := r.fleet.Instances[i].Control
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -1,8 +1,8 @@
 // Package instance assembles an instance: a process that serves callers on a platform whose store keeps the
 // configuration and the upstreams. Its parts are the copy of the store's rows (rowsync), the exchange with
 // other instances (peers), the data path (relay), and the duties of the lease holder (rolekeeper,
-// usagereport, scaling). All parts run in one process. A second process would protect nothing, because an
-// instance has no disk and engines do not check leases.
+// usagereport, scaling). All parts run in one process. A second process would add no protection, because
+// an instance has no disk and engines do not check leases.
 //
 // Inputs are the settings and the platform's adapter. Outputs are the front, control and metrics servers,
 // and the rows of this instance and of quarantined contents in the store.
@@ -157,8 +157,8 @@
 const (
 	budgetInterval = time.Second
 	// budgetStartDelay is the time from the start to the first count. If all instances of a deployment start
-	// at the same time, they may not have received reports of one another before, and each would use the
-	// whole pools for itself. Instances report every 0.1 to 0.4 s.
+	// at the same time, they may not have received reports of one another before. Each instance would
+	// then use the whole retry pools alone. Instances report every 0.1 to 0.4 s.
 	budgetStartDelay = 3 * time.Second
 	// minPoolHubDuration is how long an instance must have been its zone's hub before it opens the zone's
 	// pool. If two instances assume that they are the hub, they find out within this time.
--- a/internal/lease/histories_test.go
+++ b/internal/lease/histories_test.go
@@ -276,7 +276,7 @@
 
 // TestProcessFrozenBeforeSendIsKilled guards against an old order that is sent
 // after a takeover. A process is frozen after its last check, right before it
-// sends, and woken after another process has taken over and had its own order
+// sends, and resumed after another process has taken over and had its own order
 // carried out. The kernel timer must have killed the first process by then.
 func TestProcessFrozenBeforeSendIsKilled(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/lease/model_test.go
+++ b/internal/lease/model_test.go
@@ -57,7 +57,7 @@
 	return t.revision, true
 }
 
-// call is a read or a write under way. One that its caller gave up stays in the
+// call is a read or a write under way. One that its caller has abandoned stays in the
 // network and may arrive late.
 type call struct {
 	read   string // the key; empty for a write
@@ -133,7 +133,7 @@
 	engines   []*modelEngine
 	processes []*process
 	runs, ids int
-	// vmPauses makes the clocks of frozen processes stand still.
+	// vmPauses stops the clocks of frozen processes.
 	vmPauses bool
 	kills    int // by the kernel timer
 }
--- a/internal/lease/modelorders_test.go
+++ b/internal/lease/modelorders_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// continueIf goes on to a step, or gives up the order and disarms the timer.
+// continueIf continues with a step, or abandons the order and disarms the timer.
 func (p *process) continueIf(ok bool, step int) {
 	p.step = step
 	if !ok {
--- a/internal/rolekeeper/rolekeeper.go
+++ b/internal/rolekeeper/rolekeeper.go
@@ -33,7 +33,7 @@
 	AcceptedOrders int64
 }
 
-// Order tells an engine to change to a role.
+// Order is a request to an engine to change its role.
 type Order struct {
 	To     config.Role
 	Holder string
--- a/internal/rolekeeper/rolekeeper_test.go
+++ b/internal/rolekeeper/rolekeeper_test.go
@@ -208,7 +208,7 @@
 	f, table := newFakeFleet(9), newTable()
 	run(t, "one", table, f)
 	run(t, "two", table, f)
-	waitFor(func() bool { return f.prefill() == 6 }) // 11 of 18, of nine
+	waitFor(func() bool { return f.prefill() == 6 }) // the initial share of 11/18 means 6 of 9 engines
 	time.Sleep(2 * term)
 	orders := f.sent()
 	f.mu.Lock()
--- a/internal/rolekeeper/workload.go
+++ b/internal/rolekeeper/workload.go
@@ -12,8 +12,8 @@
 	// measureInterval is the time between two measurements. The measurements are smoothed over seconds, and
 	// each iterates over all engines.
 	measureInterval = 400 * time.Millisecond
-	// maxMeasurementGap is the longest time that one measurement or check stands for. After a longer gap, the
-	// process is assumed to have been suspended.
+	// maxMeasurementGap is the longest time that one measurement or check accounts for. After a longer gap,
+	// the process is assumed to have been suspended.
 	maxMeasurementGap = 3 * time.Second
 )
 
--- a/internal/rollout/bounds.go
+++ b/internal/rollout/bounds.go
@@ -8,8 +8,8 @@
 	"sassafrasfield/internal/config"
 )
 
-// maxOutDivisor limits the planned changes: at most one in this many engines of a pool is out of service
-// for one.
+// maxOutDivisor limits planned changes: for these, at most 1/maxOutDivisor of a pool's engines, but at least
+// one, are out of service at a time.
 const maxOutDivisor = 4
 
 // MaxOut returns how many engines of a pool may be out of service for planned changes at a time. The pool's
--- a/internal/rollout/decider.go
+++ b/internal/rollout/decider.go
@@ -17,8 +17,8 @@
 	// minServingBudget is how many more engines may be taken out of service before the pool is at its
 	// MinServing, and outBudget how many more may be out of service for a change.
 	minServingBudget, outBudget int
-	// drains is how many more engines may be drained to load weights, and loads how many more may start to
-	// load them.
+	// drains is how many more engines may be drained to load weights. loads is how many more may start to
+	// load weights.
 	drains, loads int
 }
 
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -50,7 +50,7 @@
 	})
 }
 
-// learn makes a connected instance learn the newest version.
+// learn makes a connected instance receive the newest version.
 func (w *world) learn(name string) {
 	if i := w.instances[name]; !i.partitioned {
 		i.doc, i.learnedAt = w.doc, w.now
@@ -71,7 +71,7 @@
 	}
 }
 
-// heal reconnects an instance. It learns the newest version before anything else happens.
+// heal reconnects an instance. It receives the newest version before anything else happens.
 func (w *world) heal(name string) {
 	w.instances[name].partitioned = false
 	w.learn(name)
--- a/internal/usage/due.go
+++ b/internal/usage/due.go
@@ -64,8 +64,8 @@
 	return t.zoneDue.next(t.zoneTotal)
 }
 
-// Republish marks all totals of the window from and of later windows as due in the next reports, because
-// reports may have been lost and receivers may have just started.
+// Republish marks the totals of all windows since the given one, which is included, as due in the next
+// reports. Earlier reports may have been lost, and receivers may have just started.
 func (t *Tally) Republish(from Window) {
 	t.own.markDue(from, t.ownDue)
 	t.own.markDue(from, t.zoneDue)
@@ -74,7 +74,7 @@
 	}
 }
 
-// markDue adds the totals of the window from and of later windows to due.
+// markDue adds the totals of all windows since the given one, which is included, to due.
 func (w windows) markDue(from Window, due dueTotals) {
 	for window, counts := range w {
 		if window < from {
