--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -31,8 +31,8 @@
 	return slices.Repeat([]float64{1}, n)
 }
 
-// skewed sends half of the traffic to the first entry, and to each further one half as much as to the one
-// before.
+// skewed sends half of the traffic to the first entry, and to each next entry half as much as to the previous
+// one.
 func skewed(n int, _ time.Duration) []float64 {
 	weights := make([]float64, n)
 	for i := range weights {
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -67,9 +67,9 @@
 	return rows
 }
 
-// TestFewDeletionsAfterOutageAreApplied checks that few deletions, or deletions of replaced rows, are
-// applied after an outage: upstreams shut down a few at a time or are replaced. Entries that expired
-// with the outage are many, deleted at once or one after the other, and are held.
+// TestFewDeletionsAfterOutageAreApplied checks that few deletions, or deletions of replaced rows, are applied
+// after an outage: upstreams shut down a few at a time or are replaced. Many deletions, together or one after
+// the other, are held, because the entries may have expired during the outage.
 func TestFewDeletionsAfterOutageAreApplied(t *testing.T) {
 	const initial = 60
 	for _, c := range []struct {
--- a/internal/rowsync/rowsync_test.go
+++ b/internal/rowsync/rowsync_test.go
@@ -357,8 +357,8 @@
 // this one 2.3 s after it reached the store again. Logs of two runs show the store's return, the rows
 // and the deletion at the end of the hold, in this order.
 //
-// Missing reports of other instances say nothing about the store, so deletions of a few rows are
-// applied at once. With that rule the test passes.
+// Missing reports of other instances say nothing about the store, so deletions of a few rows are applied at
+// once.
 func TestSaturatedLinkDoesNotHoldFewDeletions(t *testing.T) {
 	feed, others := newFakeFeed(), &fakePeers{read: true}
 	upstreams, departing, added := "", "012345", "stuvwx"
