--- a/internal/control/demand.go
+++ b/internal/control/demand.go
@@ -61,7 +61,7 @@
 }
 
 // exchangeDemand reports the demand of the local entry to the homes of its
-// organisations, and passes the totals that they answer with to the entry. A
+// organisations, and passes the totals in their answers to the entry. A
 // home that does not answer is skipped. The entry falls back to an equal share
 // when its totals are too old.
 func (d *Daemon) exchangeDemand(ctx context.Context) {
--- a/internal/control/spread_bench_test.go
+++ b/internal/control/spread_bench_test.go
@@ -78,8 +78,8 @@
 
 func newBenchFleet(b *testing.B, n, engines int) *benchFleet {
 	b.Helper()
-	standin := testservers.NewPlatform(1e9)
-	server := httptest.NewServer(standin.Handler())
+	platformServer := testservers.NewPlatform(1e9)
+	server := httptest.NewServer(platformServer.Handler())
 	b.Cleanup(server.Close)
 	address := strings.TrimPrefix(server.URL, "http://")
 	f := &benchFleet{b: b, table: platform.NewClient(address, 10*time.Second), engines: engines}
--- a/internal/entry/completions.go
+++ b/internal/entry/completions.go
@@ -102,7 +102,7 @@
 }
 
 // afterFailure records the failure of a stream for the engine's health and cancels the stream if it may
-// still run. With blame, the failure counts against the engine even if it ran the request.
+// still run. If blame is true, the failure counts against the engine even if it ran the request.
 func (s *Server) afterFailure(ctx context.Context, engineID string, client engine.Engine, comp *completion, err error, blame bool) {
 	switch {
 	case errors.Is(err, engine.ErrUnreachable):
--- a/internal/gossip/machine.go
+++ b/internal/gossip/machine.go
@@ -32,11 +32,11 @@
 	PollHead struct{}
 	// Load reads a version from the table.
 	Load struct{ Version int64 }
-	// Exchange compares the state with a peer; pass the version that the peer
-	// answers with to OnPeerAnswer.
+	// Exchange compares the state with a peer; pass the version in the peer's
+	// answer to OnPeerAnswer.
 	Exchange struct{ Peer string }
-	// Offer sends a peer the number of the version held; pass the version that the
-	// peer answers with to OnPeerAnswer.
+	// Offer sends a peer the number of the version held; pass the version in the
+	// peer's answer to OnPeerAnswer.
 	Offer struct{ Peer string }
 	// Send sends the version held to a peer that has the older PeerVersion.
 	Send struct {
@@ -93,8 +93,8 @@
 	m.peers = slices.Clone(peers)
 }
 
-// OnNewVersion processes that the daemon holds a version now, whatever its source.
-// If the version is newer than before, it returns offers to a few peers.
+// OnNewVersion records that the daemon now holds a version, from whatever source.
+// If the version is newer than the last one, it returns offers to a few peers.
 func (m *Machine) OnNewVersion(version int64) []Action {
 	if version <= m.version {
 		return nil
@@ -177,8 +177,8 @@
 	}
 }
 
-// OnPeerAnswer processes the version that a peer answered an Exchange or an Offer
-// with.
+// OnPeerAnswer processes the version in a peer's answer to an Exchange or an
+// Offer.
 func (m *Machine) OnPeerAnswer(now time.Duration, peer string, version int64) []Action {
 	switch {
 	case version < m.version:
--- a/internal/gossip/process_test.go
+++ b/internal/gossip/process_test.go
@@ -409,8 +409,8 @@
 	}
 }
 
-// TestUnresponsiveInstanceIsListed checks that the answer behind sfctl instances
-// contains a listed instance that does not answer, as unreachable.
+// TestUnresponsiveInstanceIsListed checks that the response that `sfctl instances`
+// shows contains a listed instance that does not answer, marked as unreachable.
 func TestUnresponsiveInstanceIsListed(t *testing.T) {
 	r := newRig(t)
 	r.fleet.Instances[2].Control.Signal(syscall.SIGSTOP)
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -160,8 +160,8 @@
 	// at the same time, they may not have received reports of one another before. Each instance would
 	// then use the whole retry pools alone. Instances report every 0.1 to 0.4 s.
 	budgetStartDelay = 3 * time.Second
-	// minPoolHubDuration is how long an instance must have been its zone's hub before it opens the zone's
-	// pool. If two instances assume that they are the hub, they find out within this time.
+	// minPoolHubDuration is how long an instance must have been its zone's hub before it provides the
+	// zone's retry pool. If two instances assume that they are the hub, they detect this within that time.
 	minPoolHubDuration = time.Second
 )
 
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -297,8 +297,8 @@
 	return now >= takeoverAt && l.lastReadAt >= takeoverAt
 }
 
-// noOtherHolder reports that no other process can have held the lease since this
-// process held it.
+// noOtherHolder reports whether no other process can have held the lease since
+// this process held it.
 func (l *Lease) noOtherHolder(now time.Duration) bool {
 	if l.tableRestored {
 		return now < l.heldUntil
@@ -306,7 +306,7 @@
 	return l.row.Holder == l.self
 }
 
-// canResume reports that no other process has held the lease since, and that no
+// canResume reports whether no other process has held the lease since, and no
 // order of an earlier holder can still be under way. The second condition
 // matters when the table is restored right after this process took the lease
 // over.
--- a/internal/rolekeeper/rolekeeper_test.go
+++ b/internal/rolekeeper/rolekeeper_test.go
@@ -138,7 +138,8 @@
 	}
 }
 
-// Times returns the times of the engines on which the mixes in the tests of package roles were measured.
+// Times returns the times of the engines on which the workload mixes in the tests of package roles were
+// measured.
 func (f *fakeFleet) Times(string) upstreamstate.Times {
 	return upstreamstate.Times{Known: true, Step: 4550 * time.Microsecond, StepPerRequest: 181 * time.Microsecond, RoleChange: term / 10}
 }
