--- a/internal/callerapi/callerapi.go
+++ b/internal/callerapi/callerapi.go
@@ -17,7 +17,7 @@
 	HeaderDeadline = "X-Deadline-Ms"
 	// HeaderIdempotencyKey identifies a call to a plain service that may be sent more than once.
 	HeaderIdempotencyKey = "Idempotency-Key"
-	// HeaderRequestID is the id of a completion, in its response.
+	// HeaderRequestID is the ID of a completion, in its response.
 	HeaderRequestID = "X-Request-Id"
 	// HeaderOutcome repeats Error.Outcome.
 	HeaderOutcome = "X-Outcome"
--- a/internal/entry/admission.go
+++ b/internal/entry/admission.go
@@ -23,7 +23,7 @@
 	gates   map[string]*modelGate
 }
 
-// modelGate is the admission gate of one model, with the requests that wait in its queue by id.
+// modelGate is the admission gate of one model, with the requests that wait in its queue by ID.
 type modelGate struct {
 	gate    *admit.Gate
 	waiting map[string]*waiter
--- a/internal/entry/disaggregated.go
+++ b/internal/entry/disaggregated.go
@@ -16,7 +16,7 @@
 // errPrefilled ends the stream of a prefill engine: the prompt is processed and the first token was sent.
 var errPrefilled = errors.New("entry: prefill complete")
 
-// prefillSuffix is appended to the request id to form the id of the stream at a prefill engine. A caller
+// prefillSuffix is appended to the request ID to form the ID of the stream at a prefill engine. A caller
 // that resumes does not attach to this stream, because it contains only the first token.
 const prefillSuffix = "-prefill"
 
@@ -27,7 +27,7 @@
 }
 
 // run generates the rest of an answer on the assigned engine, or on the assigned prefill engine and a
-// decode engine. With an error it returns the id of the engine that failed.
+// decode engine. With an error it returns the ID of the engine that failed.
 func (g *generation) run(ctx context.Context, placed assignment) (failed string, err error) {
 	if placed.phase != placement.PhasePrefill {
 		return placed.engine.ID, g.runOn(ctx, placed.engine, false)
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -31,7 +31,7 @@
 	crashCheckTimeout = 3 * time.Second
 )
 
-// sameCrashWindow is the time within which failures of an engine whose boot id is unknown count as one
+// sameCrashWindow is the time within which failures of an engine whose boot ID is unknown count as one
 // crash, because a crash breaks all streams of the engine at once.
 const sameCrashWindow = time.Second
 
--- a/internal/entry/reports.go
+++ b/internal/entry/reports.go
@@ -99,7 +99,7 @@
 }
 
 // recordAcceptance records the sequence number that the engine gave a request, and returns the engine's
-// boot id. It returns an empty string if the engine gave no number.
+// boot ID. It returns an empty string if the engine gave no number.
 func (s *Server) recordAcceptance(id, request string, source engine.Stream) string {
 	numbered, ok := source.(engine.NumberedStream)
 	if !ok {
--- a/internal/entry/resume.go
+++ b/internal/entry/resume.go
@@ -15,7 +15,7 @@
 // headerLastEventID is the header with which a caller resumes server-sent events.
 const headerLastEventID = "Last-Event-ID"
 
-// identify sets the request's id: a new one, or the id in the token of an interrupted answer. The id ends
+// identify sets the request's ID: a new one, or the ID in the token of an interrupted answer. The ID ends
 // with a checksum of the organisation and the request's parameters, so that a caller can neither read
 // another organisation's stream nor continue an answer to a different request. Both are known from the
 // request itself, so the token needs no secret.
--- a/internal/entry/routing.go
+++ b/internal/entry/routing.go
@@ -11,7 +11,7 @@
 	"sassafrasfield/internal/placement"
 )
 
-// servicePrefix distinguishes the ids of plain services' upstreams from those of engines in the load
+// servicePrefix distinguishes the IDs of plain services' upstreams from those of engines in the load
 // table.
 const servicePrefix = "service/"
 
--- a/internal/entry/settings.go
+++ b/internal/entry/settings.go
@@ -13,7 +13,7 @@
 
 // Settings of sf-entry.
 type Settings struct {
-	// Instance is the instance's id in the platform's instance list.
+	// Instance is the instance's ID in the platform's instance list.
 	Instance string `toml:"instance"`
 	// Zone is the availability zone of the instance.
 	Zone string `toml:"zone"`
--- a/internal/entry/sink.go
+++ b/internal/entry/sink.go
@@ -150,7 +150,7 @@
 	return err
 }
 
-// streamedResponse responds with server-sent events. The id of each event lets the caller resume on any
+// streamedResponse responds with server-sent events. The ID of each event lets the caller resume on any
 // instance.
 type streamedResponse struct {
 	response
--- a/internal/gossip/drainingset.go
+++ b/internal/gossip/drainingset.go
@@ -21,7 +21,7 @@
 	return &DrainingSet{listLag: listLag, announcedAt: map[string]time.Duration{}}
 }
 
-// MergeList merges an instance list that was requested at the given time. The ids
+// MergeList merges an instance list that was requested at the given time. The IDs
 // are those of the upstreams that are draining according to the list.
 func (s *DrainingSet) MergeList(at time.Duration, ids []string) {
 	s.lastListAt = at
