--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -19,8 +19,8 @@
 // roundTrip is the part of each prompt's time that is not spent in the engine, in ns.
 const roundTrip = 1.5e6
 
-// prefill processes a prompt. A share of the prompts, given by outliers, takes much longer because
-// the tokens assumed cached were not, and half as many because they waited.
+// prefill processes a prompt. A fraction of the prompts, given by outliers, takes much longer
+// because the tokens assumed cached were not cached, and half that fraction because they waited.
 func (e engine) prefill(outliers float64) Prefill {
 	uncached, cached := 500+e.rng.IntN(6000), e.rng.IntN(9000)
 	elapsed := float64(uncached)*e.token + pairs(uncached, cached)*e.pair
--- a/internal/load/health.go
+++ b/internal/load/health.go
@@ -86,7 +86,7 @@
 	return true
 }
 
-// backOff sends no requests to the upstream until a time that it asked for. This time replaces that of any
+// backOff sends no requests to the upstream until a time that it requested. This time replaces that of any
 // ejection. The upstream recovers gradually afterwards.
 func (h *Health) backOff(until time.Duration) {
 	h.failures, h.probeLimit, h.probes = 0, 1, nil
@@ -124,7 +124,7 @@
 	CallFailed
 	// CallUnreachable: the upstream could not be reached or stopped responding.
 	CallUnreachable
-	// CallAddressReassigned: another upstream has the address now, so this one is permanently gone.
+	// CallAddressReassigned: another upstream has the address now, so this one no longer exists.
 	CallAddressReassigned
 )
 
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -164,7 +164,7 @@
 	return t.Upstream(id).Health.failed(now, rules)
 }
 
-// BackOff records that the upstream asked for no requests until a time.
+// BackOff records that the upstream requested a backoff until a time.
 func (t *Table) BackOff(id string, until time.Duration) { t.Upstream(id).Health.backOff(until) }
 
 // Succeeded records a successful call to the upstream.
--- a/internal/peers/batch.go
+++ b/internal/peers/batch.go
@@ -19,7 +19,7 @@
 // sendBatch sends a batch to the instances of the zone. Each batch has the new rows and the
 // status of the fleet, and as many reports as the link's allowance permits. The reports of this
 // zone's instances and the report on the other zones come first in alternate batches, so that
-// neither waits forever.
+// neither is starved.
 func (r *Reporter) sendBatch(times bool) {
 	header := r.exchange.nextBatchHeader()
 	message := r.newDatagram(sfv1.Datagram_KIND_BATCH)
--- a/internal/peers/fleet_test.go
+++ b/internal/peers/fleet_test.go
@@ -27,7 +27,7 @@
 	inFlight []virtualDatagram
 	reading  bool                // all instances follow the store
 	links    func(i int) float64 // Mbit/s; nil where they are not known
-	// blocked reports whether no datagram gets from one node to another; nil for no such cuts.
+	// blocked reports whether no datagram gets from one node to another; nil if none is blocked.
 	blocked        func(from, to *virtualNode) bool
 	sent           int
 	bytes          int
@@ -109,7 +109,7 @@
 	virtualLatency = time.Millisecond
 )
 
-// noRows has no rows of the platform. Whether it follows the store is set by reading.
+// noRows implements Rows without any rows. reading is whether it follows the store.
 type noRows struct {
 	reading *bool
 }
@@ -244,7 +244,7 @@
 // placeRequest has an instance place a request on the engine.
 func (n *virtualNode) placeRequest(id string) { n.loads.PlaceOn("e", id, n.loads.now()) }
 
-// countWrong counts the live instances that know another number of requests in progress.
+// countWrong counts the live instances that do not know the given number of requests in progress.
 func (f *virtualFleet) countWrong(requests int) int {
 	count := 0
 	for _, n := range f.nodes {
@@ -390,7 +390,7 @@
 // When the platform's store reset all connections for eight seconds on a fleet of 195 instances,
 // 2,370 of the day's 4,200 calls to it fell into these seconds: one instance after another began
 // to call the store and none gave up. Each instance must still get to try, because the store may
-// answer it alone.
+// answer only that instance.
 func TestStoreOutageLimitsReaders(t *testing.T) {
 	const instances, zones = 195, 6
 	f := newVirtualFleet(instances, zones, 0, 4)
--- a/internal/peers/hublink_test.go
+++ b/internal/peers/hublink_test.go
@@ -101,8 +101,8 @@
 }
 
 // TestHubReportsDoNotSaturateLink guards against hubs whose batches saturate their own link. In a
-// fleet of 62 instances with links of 10 Mbit/s, the first instances of each zone lost the
-// platform's store, their peers and the upstreams for seconds at a time, one after another. One
+// fleet of 62 instances with links of 10 Mbit/s, the first instances of each zone lost their
+// connections to the store, to peers and to upstreams for seconds at a time, one after another. One
 // of them sent requests to an upstream more than 3 s after it had announced that it was draining.
 //
 // The cause was that a batch was as large as what had changed: the hubs wrote up to 2.8 MB of
--- a/internal/peers/members.go
+++ b/internal/peers/members.go
@@ -117,8 +117,8 @@
 	return e.roster.AliveCount(e.now())
 }
 
-// Hubs lists the names of the hubs known here. An instance that has just started takes itself for
-// a hub until it receives reports of others, so it does not list itself during that time.
+// Hubs lists the names of the hubs known here. An instance that has just started assumes that it
+// is a hub until it receives reports of others, so it does not list itself during that time.
 func (e *Exchange) Hubs() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -327,7 +327,7 @@
 	}
 }
 
-// TestHubGrantsRetriesFromPool checks that an instance gets a send from its zone's hub if that
+// TestHubGrantsRetriesFromPool checks that an instance gets a retry from its zone's hub if that
 // has a pool, and none in a zone whose hub has no pool.
 func TestHubGrantsRetriesFromPool(t *testing.T) {
 	all := newFleet(t)
@@ -352,7 +352,7 @@
 		t.Fatalf("%v", err)
 	}
 	if err := n.Pull(context.Background()); !errors.Is(err, ErrNoPeer) {
-		t.Errorf("%v; want ErrNobody", err)
+		t.Errorf("%v; want ErrNoPeer", err)
 	}
 }
 
--- a/internal/peers/pull.go
+++ b/internal/peers/pull.go
@@ -74,7 +74,7 @@
 	return e.limits
 }
 
-// needsPeers reports whether this instance should ask for more peers: it receives no batches and
+// needsPeers reports whether this instance should request more peers: it receives no batches and
 // knows only a few instances of its zone.
 func (e *Exchange) needsPeers() bool {
 	e.mu.Lock()
--- a/internal/peers/readers.go
+++ b/internal/peers/readers.go
@@ -15,8 +15,8 @@
 	// readersNeeded is how many others must report that they follow the store for an instance
 	// that ranks lower not to follow it.
 	readersNeeded = 2
-	// settleTime is the time after its start in which an instance leaves the store's feed to
-	// others, although it has not received their reports yet. Reports need about half of it.
+	// settleTime is the time after its start in which an instance assumes that others follow the
+	// store, although it has not received their reports yet. Reports need about half of it.
 	settleTime = time.Second
 	// readerTurnInterval is how much later each next instance in rank tries to follow the store
 	// while too few others do. readerTurnIntervals is the number of intervals for which it tries.
--- a/internal/peers/reports.go
+++ b/internal/peers/reports.go
@@ -50,7 +50,7 @@
 	// with a limit.
 	SetGrantShare(share float64)
 	DecideGrant(request quota.GrantRequest) quota.Verdict
-	// GrantRetry takes one further send to a service from the retry pool that this instance keeps
+	// GrantRetry takes one retry for a service from the retry pool that this instance keeps
 	// for its zone, and returns false if none is left.
 	GrantRetry(service uint32) bool
 }
--- a/internal/peers/retryrequest.go
+++ b/internal/peers/retryrequest.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// RequestRetry requests one further send to a service from the retry pool of the zone's hub.
+// RequestRetry requests one retry for a service from the retry pool of the zone's hub.
 // Service is a hash of its name.
 func (r *Reporter) RequestRetry(ctx context.Context, service uint32) bool {
 	hub, self := r.exchange.hubAddress()
@@ -76,7 +76,7 @@
 	}
 }
 
-// handleRetryRequest answers a request for a further send.
+// handleRetryRequest answers a request for a retry.
 func (r *Reporter) handleRetryRequest(message *sfv1.Datagram, peer *peerState) {
 	reply := r.newDatagram(sfv1.Datagram_KIND_GRANT)
 	ask := message.GetAsk()
--- a/internal/quarantine/outbox.go
+++ b/internal/quarantine/outbox.go
@@ -10,13 +10,13 @@
 	// publishFor is how long a crash is published to each audience. Reports are sent every 0.1 to 0.4 s, so
 	// five of them may be lost.
 	publishFor = 2 * time.Second
-	// maxReported is the most crashes in a report; so many take an eighth of a datagram.
+	// maxReported is the maximum number of crashes in a report; these take an eighth of a datagram.
 	maxReported = 32
 )
 
 // outbox holds the crashes to publish, each with the time until which it is published.
 type outbox struct {
-	// own are the crashes that this instance observed, zone those of its zone, with its own, and otherZones
+	// own are the crashes that this instance observed, zone those of its zone including its own, and otherZones
 	// those of other zones.
 	own, zone, otherZones map[Crash]time.Duration
 }
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -34,10 +34,10 @@
 	// ServedTTL is how long after a content was served no crash counts against it. Where many callers request
 	// the same, any upstream that crashes is also serving it.
 	ServedTTL time.Duration
-	// MaxServed is the most served contents that are kept in each ServedTTL.
+	// MaxServed is the maximum number of served contents that are kept in each ServedTTL.
 	MaxServed int
-	// MaxContents is the most contents with crashes that are kept, MaxQuarantined the most that are or
-	// were quarantined. The oldest are dropped.
+	// MaxContents is the maximum number of contents with crashes that are kept, MaxQuarantined that of
+	// contents that are or were quarantined. The oldest are dropped.
 	MaxContents, MaxQuarantined int
 }
 
--- a/internal/quota/coordinator.go
+++ b/internal/quota/coordinator.go
@@ -6,7 +6,7 @@
 	"sassafrasfield/internal/limit"
 )
 
-// GrantRequest asks the coordinator for a grant to send one request to an upstream with a limit.
+// GrantRequest requests a grant from the coordinator to send one request to an upstream with a limit.
 type GrantRequest struct {
 	// Limit is the upstream's limit as the requesting instance knows it.
 	Limit UpstreamLimit
@@ -36,7 +36,7 @@
 	// continuationDebt is how many tokens requests that continue an answer may borrow.
 	continuationDebt = 1
 	// settleTime is how long an instance coordinates before its first grant, so that another instance that
-	// takes itself for the coordinator learns of it first.
+	// also assumes that it is the coordinator learns of this one first.
 	settleTime = 500 * time.Millisecond
 	// stallTimeout is the time without SetShare after which a coordinator starts over: its process was
 	// stalled, and another instance took over.
@@ -55,10 +55,10 @@
 )
 
 // Coordinator grants the requests of all instances to upstreams with limits. One instance coordinates; while
-// the network is partitioned, one on each side may, with a part of the limits. It is not safe for concurrent
+// the network is partitioned, one on each side may, with a share of the limits. It is not safe for concurrent
 // use.
 type Coordinator struct {
-	// share is the part of each limit that this instance grants; 0 if it is not the coordinator.
+	// share is the share of each limit that this instance grants; 0 if it is not the coordinator.
 	share float64
 	// activeSince is when this instance began to coordinate, refreshedAt the time of the last SetShare.
 	activeSince, refreshedAt time.Duration
@@ -87,7 +87,7 @@
 // NewCoordinator returns the Coordinator of an instance that does not coordinate yet.
 func NewCoordinator() *Coordinator { return &Coordinator{allowances: map[uint32]*allowance{}} }
 
-// SetShare sets the part of each limit that this instance grants; 0 is none. It must be called several times
+// SetShare sets the share of each limit that this instance grants; 0 is none. It must be called several times
 // a second. A coordinator starts with empty buckets, as the one before may have granted the whole limit.
 func (c *Coordinator) SetShare(share float64, now time.Duration) {
 	if c.share == 0 || share == 0 || now-c.refreshedAt > stallTimeout {
@@ -102,7 +102,7 @@
 	}
 }
 
-// Share returns the part of each limit that this instance grants.
+// Share returns the share of each limit that this instance grants.
 func (c *Coordinator) Share() float64 { return c.share }
 
 // Active reports whether this instance grants requests.
@@ -160,8 +160,8 @@
 	return a
 }
 
-// reserve returns how many tokens the request must leave in the bucket: one if more urgent requests asked
-// within urgentTimeout, and a negative number, a debt, if it continues an answer.
+// reserve returns how many tokens the request must leave in the bucket: one if more urgent requests needed a
+// grant within urgentTimeout, and a negative number, a debt, if it continues an answer.
 func (a *allowance) reserve(req GrantRequest, now time.Duration) float64 {
 	if req.Continues {
 		return -continuationDebt
--- a/internal/quota/coordinator_test.go
+++ b/internal/quota/coordinator_test.go
@@ -131,7 +131,7 @@
 	}
 }
 
-// TestRetryAfterRetryInIsGranted checks that an instance that retries when it was told to gets a grant, and
+// TestRetryAfterRetryInIsGranted checks that an instance that retries at its retry time gets a grant, and
 // that of many instances none is told to wait for longer than maxRetryIn.
 func TestRetryAfterRetryInIsGranted(t *testing.T) {
 	const rate, instances = 4, 20
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -29,7 +29,7 @@
 	maxRate = 10_000
 )
 
-// Announcement is what an upstream's answer says about the upstream to all instances.
+// Announcement is what an upstream's answer states about the upstream, for all instances.
 type Announcement struct {
 	// Limited is true if the answer names a limit. Rate is in requests a second; 0 means no requests.
 	Limited bool
--- a/internal/quota/strategies_test.go
+++ b/internal/quota/strategies_test.go
@@ -10,7 +10,7 @@
 	"sassafrasfield/internal/rendezvous"
 )
 
-// strategy is how instances keep to one upstream's limit together.
+// strategy is how the instances jointly keep within one upstream's limit.
 type strategy interface {
 	// exchange runs the messages between the instances that are due.
 	exchange(now time.Duration)
@@ -85,8 +85,8 @@
 	return i == o.sender && o.bucket.TakeReserving(0, now)
 }
 
-// coordinated asks the coordinator for a grant for each request. An instance that was refused waits until its
-// retry time.
+// coordinated requests a grant from the coordinator for each request. An instance that was refused waits
+// until its retry time.
 type coordinated struct {
 	coordinator *Coordinator
 	rate        float64
--- a/internal/quota/table.go
+++ b/internal/quota/table.go
@@ -43,7 +43,7 @@
 	minRateChange = 0.01
 )
 
-// maxReported is the most upstreams in a report; those published longest ago come first.
+// maxReported is the maximum number of upstreams in a report; those published longest ago come first.
 const maxReported = 64
 
 // entry is the state that one upstream announced.
--- a/internal/relay/backup_test.go
+++ b/internal/relay/backup_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// TestRunIsNotContinuedBeforeFirstEvent: it is unknown what an engine did that never sent an event.
+// TestRunIsNotContinuedBeforeFirstEvent: the outcome at an engine that never sent an event is unknown.
 func TestRunIsNotContinuedBeforeFirstEvent(t *testing.T) {
 	for name, answer := range map[string]func() (*Reply, error){
 		"nothing":       func() (*Reply, error) { return nil, ErrNoValidAnswer },
--- a/internal/relay/budget.go
+++ b/internal/relay/budget.go
@@ -15,35 +15,36 @@
 // BudgetSettings bounds the retries, which are the sends beyond the first of each request. The
 // bounds hold for each service, over all instances together.
 type BudgetSettings struct {
-	// Share is the part of a retry that each request earns.
+	// Share is how much of one retry each request adds to the budget.
 	Share float64
-	// Slack is the number of retries that are allowed in each window in addition.
+	// Slack is the number of further retries that are allowed in each window.
 	Slack  float64
 	Window time.Duration
 }
 
-// Fractions of the bounds that are used. The window counts the retries of all instances together,
-// and it slides: what was saved up before and what is earned during one window must both fit.
+// Fractions of the bounds that are used. The bounds apply to the retries of all instances in any
+// sliding window. The retries saved up before a window and those earned during it must together stay
+// within them.
 const (
 	usedShare = 0.9
 	usedSlack = 0.9
-	// instanceReserve is the number of retries that each instance may save up for itself; without
-	// it an instance could make no retry on its own. The rest of the slack is pooled by zone and
+	// instanceReserve is the number of retries that each instance may save up for itself.
+	// Without it an instance could make no retry on its own. The rest of the slack is pooled by zone and
 	// goes to whichever instance needs it, because failures hit few instances at a time.
 	instanceReserve = 1
 )
 
-// instancesUnknown is the number of instances while it is not known, as after a start.
+// instancesUnknown stands for a number of instances that is not known, as after a start.
 const instancesUnknown = 0
 
-// instanceRules returns the rules of an instance's own part of the bounds, which its requests earn.
+// instanceRules returns the rules of an instance's own budget, which its requests earn.
 func (s BudgetSettings) instanceRules() retry.Rules {
 	return retry.Rules{Share: usedShare * s.Share, Max: instanceReserve}
 }
 
-// poolRules returns the rules of the part of the bounds that is pooled by members of all instances.
-// Of the slack that the instances' own parts leave, half may be saved up, and half is earned in
-// each window without requests.
+// poolRules returns the rules of a pool that the given number of members share, out of the given
+// number of instances. The pool gets their share of the slack that the instances' own budgets leave.
+// Half of it may be saved up, and half is earned in each window regardless of requests.
 func (s BudgetSettings) poolRules(members, instances int) retry.Rules {
 	if instances == instancesUnknown {
 		return retry.Rules{}
@@ -56,7 +57,7 @@
 	}
 }
 
-// backoff bounds the wait before a retry. A retry goes to another upstream, so that the wait only
+// backoff bounds the wait before a retry. A retry goes to another upstream, so the wait only
 // has to spread out requests that failed at the same time.
 var backoff = retry.Backoff{Base: 2 * time.Millisecond, Max: 20 * time.Millisecond}
 
--- a/internal/relay/budget_test.go
+++ b/internal/relay/budget_test.go
@@ -15,14 +15,14 @@
 
 // retrySimulation has many instances in front of a small service that sheds load, so that each
 // request wants retries, and replaces all instances at once. It reproduces a deployment of 62
-// instances in front of three upstreams with six slots that was killed completely: in the ten
-// seconds around the restart 1,055 retries were made, of 969 that were allowed. Each new process
+// instances in front of three upstreams with six slots that was restarted completely: in the ten
+// seconds around the restart 1,055 retries were made where 969 were allowed. Each new process
 // had begun with all that one instance may save up, and assumed that it was the only one.
 type retrySimulation struct {
 	bounds    BudgetSettings
 	instances int
 	rng       *rand.Rand
-	// weights are the instances' parts of the requests.
+	// weights are the instances' shares of the requests.
 	weights []float64
 	budgets []*budgets
 	// pools holds the pool that each instance uses: that of its zone's hub, or its own while it is
@@ -103,7 +103,7 @@
 	}
 }
 
-// serve simulates requests for a time, each of which makes up to two retries if it gets them. The
+// serve simulates requests for a time, each of which makes up to two retries if they are granted. The
 // instances know their number from knownFrom on.
 func (s *retrySimulation) serve(perSecond float64, from, to, knownFrom time.Duration) {
 	total := 0.0
@@ -220,7 +220,7 @@
 // TestPoolServesFailuresAtFewInstances has many instances with one or two requests a second each,
 // some of which fail at once because connections are reset, engines crash or answers are lost. It
 // guards against budgets that instances hold only for themselves: on a day with 195 instances, 58
-// calls that might have been retried were not, though only 7 in 100 of the allowed retries were
+// calls that could have been retried were not, though only 7 in 100 of the allowed retries were
 // made. Each instance had one retry of its own, and failures are not spread evenly.
 func TestPoolServesFailuresAtFewInstances(t *testing.T) {
 	const instances, zones, failing = 195, 6, 124
--- a/internal/relay/eventforwarder.go
+++ b/internal/relay/eventforwarder.go
@@ -18,7 +18,7 @@
 type eventForwarder struct {
 	w     http.ResponseWriter
 	flush func() error
-	// idleTimeout is how long the stream may be silent before it is stopped; 0 for no bound.
+	// idleTimeout is how long the stream may be silent before it is stopped; 0 means no bound.
 	idleTimeout time.Duration
 	cancel      context.CancelFunc
 	events      stream.EventSplitter
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -37,7 +37,7 @@
 	ahead, predicted time.Duration
 	// counted is set once the request was counted as one that began to run.
 	counted bool
-	// queueOrder is when the newest prompt was to be processed on its engine.
+	// queueOrder is the position at which the newest prompt joined its engine's queue.
 	queueOrder placement.QueueOrder
 	// content returns the identifier of what is requested. It is computed once.
 	content func() quarantine.Content
--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -33,7 +33,7 @@
 	headerSent bool
 	// lastEvent is the id of the last event that the caller received.
 	lastEvent string
-	// reserved is the rate-limited engine that has room reserved for the answer; empty for none.
+	// reserved is the rate-limited engine that has capacity reserved for the answer; empty for none.
 	reserved string
 	// backup is the engine to which the run is copied while it proceeds.
 	backup upstreamstate.Upstream
@@ -95,7 +95,7 @@
 }
 
 // pickDecode chooses the engine that generates from the processed prompt, and charges the request
-// to it. An engine that has room reserved for the request is preferred.
+// to it. An engine that has capacity reserved for the request is preferred.
 func (r *Relay) pickDecode(g *generation) (placement.Candidate, bool) {
 	engine := r.upstreams.Upstream(g.reserved)
 	if engine.Role == config.RoleDecode && !engine.Draining && !g.attempts.Excluded()[engine.ID] {
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -12,7 +12,7 @@
 	"sassafrasfield/internal/upstreamstate"
 )
 
-// limitMeters counts what became of upstreams' rate limits and other announcements.
+// limitMeters counts the upstreams' rate limits and other announcements, and their effects.
 type limitMeters struct {
 	// learned, changed and ended count the limits, unparsed the announcements that could not be
 	// parsed.
@@ -23,9 +23,9 @@
 	// granted and declined count the sends for which a grant was requested, withheld those to
 	// upstreams that are draining or backing off.
 	granted, declined, withheld metrics.Counter
-	// refused counts the requests that no upstream had room for, refusedBackingOff those that no
-	// upstream accepts because it is backing off, refusedDraining those of services whose upstreams
-	// are all draining.
+	// refused counts the requests for which no upstream had capacity, refusedBackingOff those that
+	// were refused because the upstreams are backing off, refusedDraining those of services whose
+	// upstreams are all draining.
 	refused, refusedBackingOff, refusedDraining metrics.Counter
 	// given and denied count the decisions of this instance as the coordinator of the grants.
 	given, denied metrics.Counter
@@ -97,7 +97,7 @@
 	r.requestGrant.Store(&request)
 }
 
-// minGrantRetry is the minimum time between two grant requests for an upstream that had no room.
+// minGrantRetry is the minimum time between two grant requests for an upstream that had no capacity.
 const minGrantRetry = 5 * time.Millisecond
 
 // acquireGrant reports whether an upstream's rate limit allows a send. A grant is requested before
@@ -130,8 +130,8 @@
 	return false
 }
 
-// reserve requests room at an engine that generates if all of these are rate-limited. Otherwise
-// prompts would be processed whose answers find no room afterwards.
+// reserve requests capacity at an engine that generates if all of these are rate-limited. Otherwise
+// prompts would be processed although no engine has capacity for their answers afterwards.
 func (r *Relay) reserve(ctx context.Context, g *generation) bool {
 	if g.reserved != "" || !r.upstreams.DecodeEnginesLimited(g.placementRequest(r.now()), r.now()) {
 		return true
@@ -170,7 +170,7 @@
 	return &Refusal{Outcome: NotRun, Reason: "the upstreams' limits leave no room", RetryIn: jittered(delay)}
 }
 
-// grants holds the grants that this instance gives out while it coordinates them for all instances.
+// grants decides on the grant requests of all instances while this instance coordinates the grants.
 type grants struct {
 	mu    sync.Mutex // protects state
 	state *quota.Coordinator
@@ -178,7 +178,7 @@
 
 func newGrants() *grants { return &grants{state: quota.NewCoordinator()} }
 
-// SetGrantShare sets the part of upstreams' limits that this instance gives out; 0 for none.
+// SetGrantShare sets the share of upstreams' limits that this instance grants; 0 for none.
 func (r *Relay) SetGrantShare(share float64) {
 	r.grants.mu.Lock()
 	before := r.grants.state.Share()
--- a/internal/relay/limits_test.go
+++ b/internal/relay/limits_test.go
@@ -78,7 +78,7 @@
 		"a call that is retried":          {&fakeSender{run: failFirst(ErrNoValidAnswer, func() *Reply { return reply(200, strings.NewReader("a")) })}, call("/safe/1"), 2},
 		"a call that is refused":          {&fakeSender{run: failFirst(ErrRefused, func() *Reply { return reply(200, strings.NewReader("a")) })}, call("/unsafe/1"), 2},
 		"a prompt and its answer":         {&fakeSender{}, longPrompt("/once/1"), 2},
-		"a prompt processed again":        {&fakeSender{run: failFirst(ErrRefused, wholeEvents)}, longPrompt("/once/1"), 4},
+		"a prompt processed again":        {&fakeSender{run: failFirst(ErrRefused, completeEvents)}, longPrompt("/once/1"), 4},
 		"a prompt that fails":             {&fakeSender{prefill: failFirstPrompt}, longPrompt("/once/1"), 3},
 		"a resumed answer":                {&fakeSender{run: cutFirst}, longPrompt("/resumable/1"), 4},
 		"an answer continued at its copy": {&fakeSender{run: cutFirst}, shortOnce(), 2},
@@ -96,7 +96,7 @@
 	}
 }
 
-func wholeEvents() *Reply { return events("id: 1\ndata: a\n\n") }
+func completeEvents() *Reply { return events("id: 1\ndata: a\n\n") }
 
 // failFirst fails the first send.
 func failFirst(err error, then func() *Reply) func(int, Send) (*Reply, error) {
@@ -136,7 +136,7 @@
 }
 
 // TestExhaustedUpstreamIsSkippedWithoutRetry checks that another upstream is tried at once if one
-// has no room, and that this uses no retry budget.
+// has no capacity, and that this uses no retry budget.
 func TestExhaustedUpstreamIsSkippedWithoutRetry(t *testing.T) {
 	for _, path := range []string{"/unsafe/1", "/safe/1", "/once/1"} {
 		sender := &fakeSender{}
@@ -168,7 +168,7 @@
 }
 
 // TestRequestIsRefusedIfAllLimitsAreExhausted checks that the refusal says that nothing ran and
-// when there is room again, and that no prompt is processed for it.
+// when there is capacity again, and that no prompt is processed for it.
 func TestRequestIsRefusedIfAllLimitsAreExhausted(t *testing.T) {
 	const room = 700 * time.Millisecond
 	for name, c := range map[string]struct {
@@ -217,7 +217,7 @@
 	sender := &fakeSender{run: cutFirst}
 	r := limitedRelay(t, sender, coordinator, allEngines...)
 	coordinator.decide = func(request quota.GrantRequest) quota.Verdict {
-		if len(coordinator.requests) == 2 { // the answer has begun; other requests find no room from now on
+		if len(coordinator.requests) == 2 { // the answer has begun; no capacity for other requests from now on
 			for _, id := range allEngines {
 				r.upstreams.MarkExhausted(incarnationOf(id), 0, time.Minute)
 			}
--- a/internal/relay/meters.go
+++ b/internal/relay/meters.go
@@ -10,7 +10,7 @@
 	"sassafrasfield/internal/attempt"
 )
 
-// meters counts the relay's requests and sends by what became of them.
+// meters counts the relay's requests and sends by their outcome.
 type meters struct {
 	requests, answered, refused, broken, callerDisconnected metrics.Counter
 	resumed, copied                                         metrics.Counter
@@ -35,7 +35,7 @@
 	}
 }
 
-// samples is the reservoir size of each latency histogram, which is the library's own choice.
+// samples is the reservoir size of each latency histogram; it is the library's default.
 const samples = 1028
 
 // latency returns the histogram of a stage or kind of route, in microseconds.
--- a/internal/relay/quarantine.go
+++ b/internal/relay/quarantine.go
@@ -98,8 +98,8 @@
 	return requests
 }
 
-// record applies a crash to the table with note. It returns whether the content is quarantined by
-// it and how many crashes count against the content.
+// record calls apply, which adds a crash to the table. It returns whether the crash quarantines the
+// content and how many crashes count against the content.
 func (q *quarantineState) record(content quarantine.Content, apply func(*quarantine.Table) bool) (quarantined bool, crashes int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -212,8 +212,8 @@
 	}
 }
 
-// RecordCrash records a crash that this instance observed. It returns whether the content is
-// quarantined by it and how many crashes count against the content.
+// RecordCrash records a crash that this instance observed. It returns whether the crash
+// quarantines the content and how many crashes count against the content.
 func (r *Relay) RecordCrash(crash quarantine.Crash) (quarantined bool, crashes int) {
 	return r.quarantine.record(crash.Content, func(t *quarantine.Table) bool { return t.RecordCrash(crash, bootclock.Now()) })
 }
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -1,5 +1,5 @@
-// Package relay implements the data path for callers and upstreams that speak HTTP protocols of
-// their own. It matches a request to a route, chooses upstreams, forwards the request without
+// Package relay implements the data path for callers and upstreams that use their own HTTP
+// protocols. It matches a request to a route, chooses upstreams, forwards the request without
 // interpreting its body, checks the answer and delivers it completely to the caller. It retries a
 // request only where that is safe and the retry budget allows it, and its refusals state truthfully
 // whether anything ran.
@@ -41,7 +41,7 @@
 	Body   []byte
 	// Credential is the API key that the caller sent.
 	Credential apikey.Credential
-	// WaitBudget is how long the caller waits for the answer; 0 if it did not say.
+	// WaitBudget is how long the caller waits for the answer; 0 if it is not specified.
 	WaitBudget time.Duration
 	// Prompt is nil if the request has none.
 	Prompt *placement.Prompt
@@ -87,7 +87,7 @@
 	Deferred bool
 	// Continues is set if the caller has received part of the answer.
 	Continues bool
-	// Granted is set if room for this send was already reserved within the upstream's rate limit.
+	// Granted is set if capacity for this send was already reserved within the upstream's rate limit.
 	Granted bool
 }
 
--- a/internal/relay/retrypool.go
+++ b/internal/relay/retrypool.go
@@ -39,7 +39,7 @@
 	return &retryPool{granted: counter("pool_granted"), denied: counter("pool_denied")}
 }
 
-// set opens the pool with rules, or closes it.
+// set opens the pool with the given rules, or closes it.
 func (p *retryPool) set(open bool, rules retry.Rules) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -83,7 +83,7 @@
 	}
 }
 
-// grant gives out one retry for a service. False means that none is left, or that the pool is not
+// grant grants one retry for a service. False means that none is left, or that the pool is not
 // kept here.
 func (p *retryPool) grant(service uint32, now time.Duration) bool {
 	p.mu.Lock()
@@ -96,13 +96,14 @@
 	return false
 }
 
-// SetPool has this instance keep the pool of members out of all instances, itself among them, or no
-// pool if members is 0.
+// SetPool has this instance keep the retry pool for a zone with the given number of members, itself
+// included. It keeps no pool if members is 0. The ratio of members to all instances determines the
+// pool's share of the bounds.
 func (r *Relay) SetPool(s BudgetSettings, members, instances int) {
 	r.pool.set(members > 0, s.poolRules(members, instances))
 }
 
-// GrantRetry gives out one retry for the service with the given hash.
+// GrantRetry grants one retry for the service with the given hash.
 func (r *Relay) GrantRetry(service uint32) bool { return r.pool.grant(service, r.now()) }
 
 // SetPoolRequester sets the function that requests a retry from the instance that keeps the pool.
--- a/internal/relay/usage.go
+++ b/internal/relay/usage.go
@@ -41,7 +41,7 @@
 	return &usageCounter{length: length, clock: wallclock.New(), tally: usage.NewTally()}
 }
 
-// countStarted counts a request that began to run a time ago.
+// countStarted counts a request that began to run the given time ago.
 func (u *usageCounter) countStarted(organisation string, ago time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/relay/usage_test.go
+++ b/internal/relay/usage_test.go
@@ -99,8 +99,8 @@
 	}
 }
 
-// TestUsageReachesOtherZones: an instance reports to its zone's hub, and that to the hub of another
-// zone. A report that arrives twice changes nothing.
+// TestUsageReachesOtherZones: an instance reports to its zone's hub, which reports to the hub of
+// another zone. A report that arrives twice changes nothing.
 func TestUsageReachesOtherZones(t *testing.T) {
 	instance, hub, otherHub := newCounting(t, &fakeSender{}), newCounting(t, &fakeSender{}), newCounting(t, &fakeSender{})
 	for _, r := range []*Relay{instance, hub, otherHub} {
--- a/internal/roles/process_test.go
+++ b/internal/roles/process_test.go
@@ -127,11 +127,11 @@
 	}
 }
 
-func (f *fleet) book(e *testfleet.Engine) testservers.EngineRecord {
+func (f *fleet) engineRecord(e *testfleet.Engine) testservers.EngineRecord {
 	f.t.Helper()
-	var book testservers.EngineRecord
-	must(f.t, testfleet.Post(f.ctx, e.Address, testservers.PathRecord, nil, &book))
-	return book
+	var record testservers.EngineRecord
+	must(f.t, testfleet.Post(f.ctx, e.Address, testservers.PathRecord, nil, &record))
+	return record
 }
 
 // expected returns the answer of an engine without faults.
@@ -253,14 +253,14 @@
 	f.t.Helper()
 	orders := 0
 	for i, e := range f.Engines {
-		book := f.book(e)
-		for _, order := range book.Orders {
+		record := f.engineRecord(e)
+		for _, order := range record.Orders {
 			if string(order.Want.Role) != initialRoles[i] {
 				orders++
 			}
 		}
-		if book.Cut != 0 {
-			f.t.Errorf("%s interrupted %d streams", e.ID, book.Cut)
+		if record.Cut != 0 {
+			f.t.Errorf("%s interrupted %d streams", e.ID, record.Cut)
 		}
 	}
 	history, err := f.sfctl("history")
--- a/internal/roles/roles.go
+++ b/internal/roles/roles.go
@@ -75,7 +75,7 @@
 	// Prefill is in prompt tokens per second, without tokens of cached prefixes.
 	// Decode is in generated tokens per second.
 	Prefill, Decode float64
-	// Instances is the number of instances in the system, Asked the number that
+	// Instances is the number of instances in the system, Asked the number of them that
 	// were queried, and Answered the number that responded.
 	Instances, Asked, Answered int
 }
--- a/internal/roles/split_test.go
+++ b/internal/roles/split_test.go
@@ -24,16 +24,16 @@
 
 func TestPrefillAndDecodeOnSeparateEngines(t *testing.T) {
 	f, prefill, decode := prefillAndDecode(t)
-	before := f.book(prefill).Started
+	before := f.engineRecord(prefill).Started
 	const requests = 5
 	for seed := range int64(requests) {
 		must(t, f.stream(int(seed)%2, chatRequest(seed)))
 	}
-	if n := f.book(prefill).Started - before; n != requests {
+	if n := f.engineRecord(prefill).Started - before; n != requests {
 		t.Errorf("%d prompts on the prefill engine, want %d", n, requests)
 	}
-	if book := f.book(decode); book.Reused != requests || book.Imported != requests {
-		t.Errorf("%d transfers, %d used on the decode engine, want %d", book.Imported, book.Reused, requests)
+	if record := f.engineRecord(decode); record.Reused != requests || record.Imported != requests {
+		t.Errorf("%d transfers, %d used on the decode engine, want %d", record.Imported, record.Reused, requests)
 	}
 }
 
@@ -43,11 +43,11 @@
 	f, prefill, decode := prefillAndDecode(t, "--kv-rate", "1")
 	result := make(chan error, 1)
 	go func() { result <- f.stream(0, chatRequest(1)) }()
-	must(t, testfleet.Until(f.ctx, "the transfer began", func() bool { return f.book(prefill).Exported == 1 }))
+	must(t, testfleet.Until(f.ctx, "the transfer began", func() bool { return f.engineRecord(prefill).Exported == 1 }))
 	prefill.Process.Kill()
 	must(t, <-result)
-	if book := f.book(decode); book.Imported != 0 {
-		t.Errorf("%d transfers arrived from the killed engine", book.Imported)
+	if record := f.engineRecord(decode); record.Imported != 0 {
+		t.Errorf("%d transfers arrived from the killed engine", record.Imported)
 	}
 }
 
@@ -101,11 +101,11 @@
 	f, prefill, decode := prefillAndDecode(t, "--kv-rate", "300")
 	result := make(chan error, 1)
 	go func() { result <- f.stream(0, chatRequest(3)) }()
-	must(t, testfleet.Until(f.ctx, "the transfer began", func() bool { return f.book(prefill).Exported == 1 }))
+	must(t, testfleet.Until(f.ctx, "the transfer began", func() bool { return f.engineRecord(prefill).Exported == 1 }))
 	f.confirm("name = \"mixed\"\n[[engine]]\nid = \"engine-1\"\nrole = \"mixed\"\n")
 	must(t, <-result)
-	if book := f.book(decode); book.Reused != 1 {
-		t.Errorf("%d transfers used, want 1: the role change interrupted it", book.Reused)
+	if record := f.engineRecord(decode); record.Reused != 1 {
+		t.Errorf("%d transfers used, want 1: the role change interrupted it", record.Reused)
 	}
 }
 
@@ -122,7 +122,7 @@
 		}
 		got <- answer
 	}()
-	must(t, testfleet.Until(f.ctx, "the transfer began", func() bool { return f.book(prefill).Exported == 1 }))
+	must(t, testfleet.Until(f.ctx, "the transfer began", func() bool { return f.engineRecord(prefill).Exported == 1 }))
 	for _, e := range []*testfleet.Engine{prefill, decode} {
 		must(t, testfleet.Post(f.ctx, e.Address, testservers.PathFault, testservers.EngineFaults{Refuse: true}, nil))
 	}
--- a/internal/upstreamstate/limits.go
+++ b/internal/upstreamstate/limits.go
@@ -10,7 +10,7 @@
 )
 
 // limits are the announcements of the upstreams, with the upstreams whose limit is exhausted and
-// those that asked for a backoff.
+// those that requested a backoff.
 type limits struct {
 	announcements *quota.Table
 	exhausted     exhaustedTable
@@ -57,7 +57,7 @@
 	return latest
 }
 
-// expire removes the entries that have passed.
+// expire removes the entries whose time has passed.
 func (t exhaustedTable) expire(now time.Duration) {
 	for hash, byPriority := range t {
 		maps.DeleteFunc(byPriority, func(_ int, until time.Duration) bool { return now >= until })
@@ -180,7 +180,7 @@
 }
 
 // AvailableIn returns when the first of the upstreams that accept no request now, due to their
-// limit or a backoff, accepts one again. Found is false when there are none; backingOff tells that
+// limit or a backoff, accepts one again. Found is false when there are none; backingOff means that
 // the wait is due to a backoff.
 func (s *State) AvailableIn(r PlacementRequest, now time.Duration) (in time.Duration, backingOff, found bool) {
 	s.mu.Lock()
--- a/internal/upstreamstate/status.go
+++ b/internal/upstreamstate/status.go
@@ -12,8 +12,8 @@
 	Load Load
 	// Announcement is for all instances; nil if it cannot be parsed.
 	Announcement *quota.Announcement
-	// Backoff is how long this instance should send nothing to the upstream; 0 if the upstream asks
-	// for none.
+	// Backoff is how long this instance should send nothing to the upstream; 0 if the upstream
+	// requests none.
 	Backoff time.Duration
 	// ParseErrors are the errors of values that cannot be parsed and are ignored.
 	ParseErrors []error
@@ -68,7 +68,7 @@
 	return ended
 }
 
-// BackoffLeft returns the rest of an upstream's backoff; 0 if it accepts requests.
+// BackoffLeft returns the remaining time of an upstream's backoff; 0 if it accepts requests.
 func (s *State) BackoffLeft(hash uint32, now time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/upstreamstate/work.go
+++ b/internal/upstreamstate/work.go
@@ -15,7 +15,7 @@
 	// utilization is the rate of processing time of the prompts that this instance places there,
 	// inflow the rate of tokens that its requests add to the cache.
 	utilization, inflow rate
-	// answeredAt is when the upstream last answered anything, answered whether it ever did.
+	// answeredAt is when the upstream last answered any request, answered whether it ever did.
 	answeredAt time.Duration
 	answered   bool
 	// reported is the load that its newest answer reported.
@@ -93,7 +93,7 @@
 	return s.loads.RecordCall(id, result, now) || first
 }
 
-// AnsweredSince reports whether an upstream has answered anything since a time.
+// AnsweredSince reports whether an upstream has answered any request since a time.
 func (s *State) AnsweredSince(id string, since time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
