--- a/internal/entry/completions.go
+++ b/internal/entry/completions.go
@@ -19,8 +19,8 @@
 
 // Errors that terminate an answer. Compare with errors.Is.
 var (
-	// errCallerGone: the caller disconnected.
-	errCallerGone = errors.New("entry: caller disconnected")
+	// errCallerDisconnected: the caller disconnected.
+	errCallerDisconnected = errors.New("entry: caller disconnected")
 	// errStopping: the shutdown timeout of the process expired.
 	errStopping = errors.New("entry: shutting down")
 	// errStalled: the engine stopped sending.
@@ -69,7 +69,7 @@
 
 // failAnswer handles an answer that could not be completed.
 func (s *Server) failAnswer(c *echo.Context, comp *completion, out responder, err error) error {
-	if errors.Is(err, errCallerGone) {
+	if errors.Is(err, errCallerDisconnected) {
 		s.metrics.callerGone.Inc(1)
 		return nil
 	}
@@ -102,7 +102,7 @@
 }
 
 // afterFailure records the failure of a stream for the engine's health and cancels the stream if it may
-// still run. With blame, the failure counts against the engine even if it ran the request.
+// still run. If blame is true, the failure counts against the engine even if it ran the request.
 func (s *Server) afterFailure(ctx context.Context, engineID string, client engine.Engine, comp *completion, err error, blame bool) {
 	switch {
 	case errors.Is(err, engine.ErrUnreachable):
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -26,12 +26,12 @@
 	crashProbeTimeout = 200 * time.Millisecond
 	// crashProbeInterval is the pause between two probes.
 	crashProbeInterval = 50 * time.Millisecond
-	// crashCheckTimeout bounds the wait for a conclusive probe. The request waits this long before it is
-	// sent to another engine, which a caller whose engine fell silent must tolerate anyway.
+	// crashCheckTimeout bounds the wait for a conclusive probe. The request may wait this long before it is
+	// sent to another engine. Callers have to tolerate such a delay anyway when an engine stops sending.
 	crashCheckTimeout = 3 * time.Second
 )
 
-// sameCrashWindow is the time within which failures of an engine whose boot id is unknown count as one
+// sameCrashWindow is the time within which failures of an engine whose boot ID is unknown count as one
 // crash, because a crash breaks all streams of the engine at once.
 const sameCrashWindow = time.Second
 
--- a/internal/rolekeeper/rolekeeper_test.go
+++ b/internal/rolekeeper/rolekeeper_test.go
@@ -138,7 +138,8 @@
 	}
 }
 
-// Times returns the times of the engines on which the mixes in the tests of package roles were measured.
+// Times returns the times of the engines on which the workload mixes in the tests of package roles were
+// measured.
 func (f *fakeFleet) Times(string) upstreamstate.Times {
 	return upstreamstate.Times{Known: true, Step: 4550 * time.Microsecond, StepPerRequest: 181 * time.Microsecond, RoleChange: term / 10}
 }
@@ -208,7 +209,7 @@
 	f, table := newFakeFleet(9), newTable()
 	run(t, "one", table, f)
 	run(t, "two", table, f)
-	waitFor(func() bool { return f.prefill() == 6 }) // 11 of 18, of nine
+	waitFor(func() bool { return f.prefill() == 6 }) // the initial share of 11/18 means 6 of 9 engines
 	time.Sleep(2 * term)
 	orders := f.sent()
 	f.mu.Lock()
