--- a/internal/bench/fleet.go
+++ b/internal/bench/fleet.go
@@ -181,7 +181,7 @@
 
 func (f *fleet) startEntry(id, zone, tables string) error {
 	address, local := f.Address(), f.Address()
-	// The load has no calls that are stored, so nothing is requested from the platform.
+	// No call of the load has an idempotency key, so the platform gets no requests and is not started.
 	settings := fmt.Sprintf("instance = %q\nzone = %q\nplatform = %q\nlisten = %q\nlocal = %q\nstale_after = \"1m\"\n%s",
 		id, zone, f.Address(), address, local, tables)
 	path := filepath.Join(f.Dir, id+".toml")
