--- a/internal/attempt/attempt_test.go
+++ b/internal/attempt/attempt_test.go
@@ -86,7 +86,7 @@
 	})
 }
 
-// budgetWith returns a budget with a balance of so many retries that is not refilled
+// budgetWith returns a budget with the given balance of retries that is not refilled
 // over time.
 func budgetWith(retries float64) *Budget {
 	b := NewBudget(retry.Rules{Share: retries, Max: retries}, retry.Backoff{}, meters, nil, 0)
--- a/internal/attempt/run_test.go
+++ b/internal/attempt/run_test.go
@@ -147,8 +147,8 @@
 	}
 }
 
-// decliningCall is a Call whose next left upstreams decline; the one after them
-// responds.
+// decliningCall is a Call whose next upstreams decline, as many as left; the one
+// after them responds.
 type decliningCall struct {
 	tries *Attempts
 	left  int
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -15,8 +15,8 @@
 // Prior has the times assumed for engines without observations.
 type Prior struct {
 	// TokenTime and PairTime are the times of a prompt's tokens and pairs of tokens, in
-	// nanoseconds. Only a common factor of the two is learned. Their ratio is kept, as observations
-	// of one mix of prompts hardly distinguish them.
+	// nanoseconds. Only a common factor of the two is learned. Their ratio is kept, because
+	// observations of one mix of prompts do not distinguish them well.
 	TokenTime float64
 	PairTime  float64
 	// Overhead is the constant part of a prompt's time.
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -155,9 +155,9 @@
 }
 
 // Refused records a call that the upstream refused without executing any of it, and reports whether that
-// ejects the upstream. An upstream does so when it has no room or is loading, and it looks idle meanwhile. It
-// is therefore ejected too, but never for longer than the first ejection, since the cause of a refusal passes
-// without intervention.
+// ejects the upstream. An upstream refuses calls when it has no capacity or is loading, and it looks idle
+// meanwhile. It is therefore ejected too, but never for longer than the first ejection, since the cause of a
+// refusal passes without intervention.
 func (t *Table) Refused(id string, now time.Duration) (ejected bool) {
 	rules := t.Outliers
 	rules.EjectAtMost = rules.EjectFor
--- a/internal/peers/fleet_test.go
+++ b/internal/peers/fleet_test.go
@@ -45,7 +45,7 @@
 	*Reporter
 	loads *virtualLoads
 	up    bool
-	// frozen nodes do nothing, and receive the datagrams of that time when they go on.
+	// frozen nodes do nothing, and receive the datagrams of that time when they resume.
 	frozen bool
 	next   time.Duration
 	sent   int
--- a/internal/peers/grants.go
+++ b/internal/peers/grants.go
@@ -105,7 +105,7 @@
 }
 
 // RequestGrant requests one send to an upstream with a limit from the coordinator. It returns a
-// refusal if no answer comes in time.
+// refusal if no answer arrives in time.
 func (r *Reporter) RequestGrant(ctx context.Context, request quota.GrantRequest) quota.Verdict {
 	request.From = uint64(r.exchange.id)
 	coordinator := r.exchange.coordinator()
--- a/internal/peers/limit_test.go
+++ b/internal/peers/limit_test.go
@@ -21,9 +21,9 @@
 	allowedFactor = 1.5
 	allowedExtra  = 5
 	limitWindow   = 4 * time.Second
-	// limitPropagation is how long the instances may take until they keep to a limit.
+	// limitPropagation is how long the instances may take until they apply a limit.
 	limitPropagation = 3500 * time.Millisecond
-	// limitUsed is the least part of its limit that an upstream must get when there are more
+	// limitUsed is the minimum share of its limit that an upstream must get when there are more
 	// calls.
 	limitUsed = 0.9
 	// coordinationTime is how long a fleet takes after its start until an instance grants.
@@ -247,7 +247,7 @@
 	}
 }
 
-// checkLimitUsed fails the test if an upstream got less than a part of its limit although there
+// checkLimitUsed fails the test if an upstream got less than a share of its limit although there
 // were more calls. One request may fall just outside the span.
 func (f *limitedFleet) checkLimitUsed(t *testing.T, from time.Duration, part float64) {
 	t.Helper()
@@ -352,8 +352,8 @@
 // The bound holds for all requests that arrive, including those from instances that could not
 // know the limit. Only when all instances restart is the limit unknown to all, and requests count
 // again once it could have been reported to all. A few seconds after the failure the upstreams
-// must again get what they accept, except while parts of the fleet are cut off that cannot tell
-// whether the others are alive.
+// must again get what they accept, except while parts of the fleet are cut off, because they cannot
+// determine whether the others are alive.
 func TestRateLimitHoldsUnderFailures(t *testing.T) {
 	const rate, phase = 3.4, 3 * time.Second
 	const restartAll, allHubs, frozenCoordinator = "all begin anew", "all hubs die", "the coordinator stands still, and goes on"
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -306,9 +306,9 @@
 	waitForRequests([]*node{newcomer}, 1)
 }
 
-// TestLongReportIsDelivered guards against reports that are cut off. An instance that orders
+// TestLongReportIsDelivered guards against reports that are truncated. An instance that orders
 // 1,000 engines into other roles reports that all of them are unavailable. When 1,950 engines
-// were ordered at the start, receivers could not decode the reports because they were cut off at
+// were ordered at the start, receivers could not decode the reports because they were truncated at
 // 4 kB.
 func TestLongReportIsDelivered(t *testing.T) {
 	from, to := newNode(t, "from", "a"), newNode(t, "to", "a")
--- a/internal/quarantine/content_test.go
+++ b/internal/quarantine/content_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // TestContentIdentifiesARequest checks that a repeated request has the same content, and that a request that
-// differs in any part has another one.
+// differs in any part has different content.
 func TestContentIdentifiesARequest(t *testing.T) {
 	of := func(method, host, target, body string) Content { return ContentOf(method, host, target, []byte(body)) }
 	first := of("POST", "h", "/a/1", "body")
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -10,7 +10,7 @@
 // Crash is the crash of an upstream while it was serving a content.
 type Crash struct {
 	Content Content
-	// Upstream is a hash of the upstream's incarnation: after a restart it is another one.
+	// Upstream is a hash of the upstream's incarnation: it differs after a restart.
 	Upstream uint32
 }
 
--- a/internal/quota/strategies_test.go
+++ b/internal/quota/strategies_test.go
@@ -24,7 +24,7 @@
 func (unlimited) exchange(time.Duration)       {}
 func (unlimited) take(int, time.Duration) bool { return true }
 
-// shares gives each instance a part of the limit: an equal one, or one by the demand that instances report.
+// shares gives each instance a share of the limit: an equal one, or one in proportion to its reported demand.
 type shares struct {
 	limiters []*limit.Limiter
 	totals   *limit.Totals
@@ -115,7 +115,7 @@
 }
 
 // simulate sends ten times as many requests as the limit allows. It returns the most that the upstream gets
-// in 4 s, and the part of its limit that is used.
+// in 4 s, and the share of its limit that is used.
 func simulate(s strategy, instances int, rate float64, at func(*rand.Rand, time.Duration) int) (most int, used float64) {
 	const length, window = 30 * time.Second, 4 * time.Second
 	rng := rand.New(rand.NewPCG(1, uint64(instances)))
--- a/internal/quota/table_test.go
+++ b/internal/quota/table_test.go
@@ -12,7 +12,7 @@
 
 // TestReorderedAnnouncementsKeepTheLowerRate guards against a limit that is raised or lifted by an
 // announcement that is out of order: answers on different connections overtake one another, and reports of
-// other instances come late.
+// other instances arrive late.
 func TestReorderedAnnouncementsKeepTheLowerRate(t *testing.T) {
 	type announced struct {
 		at   time.Duration
@@ -45,7 +45,7 @@
 	}
 }
 
-// TestExtremeRatesAreBounded checks that an upstream with a limit of 0 still gets a request now and then, as
+// TestExtremeRatesAreBounded checks that an upstream with a limit of 0 still gets a request occasionally, as
 // only its answers show that the limit was lifted, and that invalid rates in reports are ignored.
 func TestExtremeRatesAreBounded(t *testing.T) {
 	for rate, want := range map[float64]float64{0: minRate, 1e-300: minRate, 2: 2, maxRate: Unlimited, 1e300: Unlimited} {
--- a/internal/relay/backup_test.go
+++ b/internal/relay/backup_test.go
@@ -15,7 +15,7 @@
 }
 
 // TestSingleRunStreamContinuesAtBackup: an engine crashes in the middle of a stream that must not
-// run twice. Without the copy on the backup, callers saw the stream cut off.
+// run twice. Without the copy on the backup, callers received a truncated stream.
 func TestSingleRunStreamContinuesAtBackup(t *testing.T) {
 	f := &fakeSender{run: func(n int, s Send) (*Reply, error) {
 		if n == 1 {
--- a/internal/relay/budget.go
+++ b/internal/relay/budget.go
@@ -88,7 +88,7 @@
 	}
 }
 
-// overflow returns what the requests to each service earned beyond what this instance may save up,
+// overflow returns what the requests to each service earned beyond this instance's maximum balance,
 // by a hash of the service.
 func (b *budgets) overflow() map[uint32]float64 {
 	b.mu.Lock()
--- a/internal/relay/budget_test.go
+++ b/internal/relay/budget_test.go
@@ -17,7 +17,7 @@
 // request wants retries, and replaces all instances at once. It reproduces a deployment of 62
 // instances in front of three upstreams with six slots that was restarted completely: in the ten
 // seconds around the restart 1,055 retries were made where 969 were allowed. Each new process
-// had begun with all that one instance may save up, and assumed that it was the only one.
+// had begun with the maximum balance of an instance, and assumed that it was the only one.
 type retrySimulation struct {
 	bounds    BudgetSettings
 	instances int
--- a/internal/relay/generate.go
+++ b/internal/relay/generate.go
@@ -172,7 +172,7 @@
 	observe("prefill", elapsed)
 	observe("prefill_predicted", queueTime+prefillTime)
 	if start.Source.ID == "" && start.UncachedTokens <= g.prompt.Tokens-g.prompt.SharedTokens() {
-		// shared parts that are not assumed to be cached may be cached all the same
+		// shared parts that are not assumed to be cached may still be cached
 		r.upstreams.RecordPrefill(g.service, estimate.Prefill{
 			Uncached: start.UncachedTokens, Cached: g.prompt.Tokens - start.UncachedTokens, PredictedWait: queueTime, Elapsed: elapsed,
 		})
@@ -184,7 +184,7 @@
 	return kv, nil
 }
 
-// cancelWhenSilent calls cancel once an engine has answered no request at all for a time, and
+// cancelWhenSilent calls cancel once an engine has not answered any request for the timeout, and
 // returns when the context ends. An engine that answers other requests is only busy, and another
 // engine would merely process the shared part of the prompt a second time.
 func (r *Relay) cancelWhenSilent(ctx context.Context, id string, timeout time.Duration, cancel func()) {
--- a/internal/relay/generate_test.go
+++ b/internal/relay/generate_test.go
@@ -173,8 +173,8 @@
 }
 
 // TestUnavailableEngineIsExcludedByAllInstances: an engine that changes its role refuses requests
-// meanwhile. Instances used to learn of it by refusals, each one separately, and a request was
-// refused by four such engines in a row.
+// meanwhile. Each instance used to learn of it only from refusals of its own requests, and a request
+// was refused by four such engines in a row.
 func TestUnavailableEngineIsExcludedByAllInstances(t *testing.T) {
 	f, g := &fakeSender{}, &fakeSender{}
 	holder, other := newFake(t, f), newFake(t, g)
--- a/internal/relay/quarantine.go
+++ b/internal/relay/quarantine.go
@@ -20,7 +20,7 @@
 var errQuarantined = errors.New("relay: upstreams ended under its content")
 
 // Timing of the check whether an upstream has crashed. The check is repeated until it has a result,
-// because packets are lost now and then and a machine may be slow to answer.
+// because packets may be lost and a machine may be slow to answer.
 const (
 	// crashCheckTimeout bounds one check. The machine of a process that has ended answers within a
 	// round trip of 2 ms.
@@ -172,8 +172,8 @@
 	go r.checkCrashed(to)
 }
 
-// checkCrashed finds out whether an upstream that cut off requests has crashed, and records that
-// for their contents.
+// checkCrashed determines whether an upstream that cut off requests has crashed. If so, it records the
+// crash for their contents.
 func (r *Relay) checkCrashed(to upstreamstate.Upstream) {
 	crashed := r.hasCrashed(to)
 	requests := r.quarantine.takeInterrupted(to.ID)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -205,7 +205,7 @@
 // ownSource identifies this instance as a source of its own pool.
 const ownSource = "own"
 
-// depositOwn pays what this instance earned beyond its own maximum into its own pool.
+// depositOwn deposits what this instance earned beyond its maximum balance in its own pool.
 func (r *Relay) depositOwn() { r.pool.deposit(ownSource, r.budgets.overflow(), r.now()) }
 
 // HasPlacement reports whether a prompt part is known to have been placed on an engine.
--- a/internal/relay/retrypool.go
+++ b/internal/relay/retrypool.go
@@ -11,12 +11,12 @@
 )
 
 // retryPool holds the retries that the instances of a zone share: part of the slack, and what their
-// requests earned beyond what each instance may save up. The zone's hub keeps the pool, with one
+// requests earned beyond each instance's maximum balance. The zone's hub keeps the pool, with one
 // bucket per service. The pool starts empty when an instance becomes the hub, because the previous
 // hub may have exhausted the window's retries.
 //
 // It makes retries available where the failures are. In a fleet of 195 instances, 124 had two
-// requests that failed at once: none of them could retry the second one from its own part alone,
+// requests that failed at once: none of them could retry the second one from its own budget alone,
 // and 87 could with the pools (TestPoolServesFailuresAtFewInstances).
 type retryPool struct {
 	granted, denied metrics.Counter
--- a/internal/scaling/scaling_test.go
+++ b/internal/scaling/scaling_test.go
@@ -81,7 +81,7 @@
 
 // TestOnDemandEnginesReplaceUnavailableSpotEngines: when no zone can get spot engines,
 // on-demand engines replace them. They do not during a short shortage, in which they would
-// hardly have started, unless most engines are lost.
+// barely have started, unless most engines are lost.
 func TestOnDemandEnginesReplaceUnavailableSpotEngines(t *testing.T) {
 	for _, c := range []struct {
 		refusedFor     time.Duration
